--- a/Makefile
+++ b/Makefile
@@ -13,6 +13,7 @@
 	$(BIN)/python -m pytest -q -p no:cacheprovider
 
 lint:
+	$(BIN)/ruff format --check .
 	$(BIN)/ruff check .
 	$(BIN)/mypy --strict eiderfield
 
--- a/eiderfield/cli/lab.py
+++ b/eiderfield/cli/lab.py
@@ -20,6 +20,7 @@
 
 lab.add_command(fleet)
 
+
 @lab.group()
 def custody() -> None:
     """What keeping work in hand costs."""
@@ -27,8 +28,9 @@
 
 @custody.command()
 @click.option("--dispatchers", type=click.IntRange(1, 32), default=4, show_default=True)
-@click.option("--rate", type=click.FloatRange(1.0, 1000.0), default=150.0, show_default=True,
-              help="jobs a second")
+@click.option(
+    "--rate", type=click.FloatRange(1.0, 1000.0), default=150.0, show_default=True, help="jobs a second"
+)
 @click.option("--seconds", type=click.FloatRange(1.0, 600.0), default=8.0, show_default=True,
               help="of each part")  # fmt: skip
 @click.option("--rounds", type=click.IntRange(1, 20), default=2, show_default=True)
--- a/eiderfield/config.py
+++ b/eiderfield/config.py
@@ -257,9 +257,7 @@
     return read(data, environ or {}, strict=True, again=again)
 
 
-def read(
-    data: object, environ: Mapping[str, str], strict: bool = False, again: bool = False
-) -> Config:
+def read(data: object, environ: Mapping[str, str], strict: bool = False, again: bool = False) -> Config:
     """The configuration from what a file holds. `strict` rejects unknown keys, as by a slip of the pen."""
     try:
         return _read(data, environ, strict, again)
@@ -292,7 +290,7 @@
     if known is not None and not isinstance(known, Mapping):
         raise ConfigError("known is not a table")
     if discovery.kind == "static" and known is None:
-        raise ConfigError("known is missing: with discovery.kind = \"static\" it is the routing table")
+        raise ConfigError('known is missing: with discovery.kind = "static" it is the routing table')
     batch = _batch(tree.table("batch"), memory_mb, strict)
     peers = _peers(tree, site, strict)
     idling = _idling(tree.table("connections"), strict)
--- a/eiderfield/custody/folder.py
+++ b/eiderfield/custody/folder.py
@@ -205,7 +205,7 @@
                 more[int(life[1:])] = life
             elif life not in self._fences:
                 self._fences[life] = self._heirs(life)
-        while (life := more.get(len(self.later) + 1, "")):
+        while life := more.get(len(self.later) + 1, ""):
             self.later.append(self._heirs(life))
         return self._fences
 
--- a/eiderfield/custody/keeper.py
+++ b/eiderfield/custody/keeper.py
@@ -274,9 +274,7 @@
         except ValueError:  # a leg of its earlier time here is not over yet
             self._timers.at(self._clock() + AGAIN, partial(self._submit_again, a, held, before))
 
-    def _submit_again(
-        self, a: Request, held: Held, before: tuple[tuple[Entry, float], ...]
-    ) -> None:
+    def _submit_again(self, a: Request, held: Held, before: tuple[tuple[Entry, float], ...]) -> None:
         if self._held.get(a.id) is not held:
             return
         if self._clock() >= a.due - EARLY:
--- a/eiderfield/custody/record.py
+++ b/eiderfield/custody/record.py
@@ -121,9 +121,7 @@
         return self.stage == Stage.FINAL and self.verdict != Verdict.DECLINED.value
 
 
-def record_of(
-    a: Request, cls: str, now: float, accepted: float, front: str = "platform"
-) -> Record:
+def record_of(a: Request, cls: str, now: float, accepted: float, front: str = "platform") -> Record:
     """The record of a request. `now` is the time of the clock that its `due` is told in, `accepted`
     the same moment on the steady one."""
     head = {
--- a/eiderfield/lab/fleet/script.py
+++ b/eiderfield/lab/fleet/script.py
@@ -21,7 +21,12 @@
 # Faults by the kind of what they strike, and whether one ends after `lasts`.
 FAULTS: dict[str, dict[str, bool]] = {
     "dispatcher": {
-        "kill": True, "stop": True, "term": True, "descriptors": True, "memory": True, "disk": True,
+        "kill": True,
+        "stop": True,
+        "term": True,
+        "descriptors": True,
+        "memory": True,
+        "disk": True,
     },
     "worker": {"drain": True, "gone": True, "restart": True, "fail": True, "silent": True, "slow": True},
     "link": {"cut": True, "delay": True, "drip": True, "reset": False, "half": False},
--- a/eiderfield/lab/worker.py
+++ b/eiderfield/lab/worker.py
@@ -1,6 +1,6 @@
 """A stand-in worker: it takes jobs at several addresses and answers each after a known time.
 
-    python -m eiderfield.lab.worker HOST:PORT... [--delay MS]
+python -m eiderfield.lab.worker HOST:PORT... [--delay MS]
 """
 
 from __future__ import annotations
--- a/eiderfield/net/clients.py
+++ b/eiderfield/net/clients.py
@@ -519,9 +519,7 @@
         """The port's descriptor."""
         return None if self._socket is None else self._socket.fileno()
 
-    def listen(
-        self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], beside: bool = False
-    ) -> None:
+    def listen(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], beside: bool = False) -> None:
         """Opens the port; `beside` a process that has it open and does not hand it over."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
--- a/eiderfield/tool.py
+++ b/eiderfield/tool.py
@@ -1,7 +1,7 @@
 """Writes and checks a sidecar's configuration, one file for each application.
 
-    python -m eiderfield.tool init --name app --class lookup:safe:aim=250 --worker HOST:PORT > app.toml
-    python -m eiderfield.tool check app.toml
+python -m eiderfield.tool init --name app --class lookup:safe:aim=250 --worker HOST:PORT > app.toml
+python -m eiderfield.tool check app.toml
 """
 
 from __future__ import annotations
--- a/eiderfield/wire.py
+++ b/eiderfield/wire.py
@@ -352,7 +352,8 @@
         worth_by_work=bool(pairs.choice("counted_by", {"request": 0, "work": 1}, "request")),
         over_share_worth=pairs.number("over_share_worth", 1.0),
         subscribe=bool(pairs.choice("discovery", {"automatic": 0, "subscribe": 1}, "automatic")),
-        report_fields=() if pairs.text("load_info.how", "none") == "none"
+        report_fields=()
+        if pairs.text("load_info.how", "none") == "none"
         else tuple(pairs.words("load_info.columns")),
         tells_start=pairs.flag("family_info.tells_start"),
         progress=pairs.number("family_info.progress", 0.0),
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -253,8 +253,13 @@
         """News of the routing table: pairs of a worker's number and its status."""
         self.index += 1
         endpoints = [
-            {"name": f"w{w}", "address": f"127.0.0.1:{w}", "zone": f"z{w % 2}", "status": s,
-             "since_ms": since}
+            {
+                "name": f"w{w}",
+                "address": f"127.0.0.1:{w}",
+                "zone": f"z{w % 2}",
+                "status": s,
+                "since_ms": since,
+            }
             for w, s in news
         ]
         self.table.load({"index": self.index, "snapshot": snapshot, "endpoints": endpoints})
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a"])
-@pytest.mark.parametrize("half", [b"", b"20\r\n{\"id\": \"r1\", \"state\"", b"5\r\n{\"id\"\r\n"])
+@pytest.mark.parametrize("half", [b"", b'20\r\n{"id": "r1", "state"', b'5\r\n{"id"\r\n'])
 def test_half_an_answer_and_then_a_reset_serves_nothing(path, half):
     desk = Desk(workers=2)
     client = desk.client(path=path)
@@ -141,7 +141,7 @@
         assert end.take() == [] and not end.pipe.written
 
 
-@pytest.mark.parametrize("tail", [b"0\r\n\r\n", b"5\r\n{\"id\"\r\n0\r\n\r\n", b"2\r\n{\n\r\n0\r\n\r\n"])
+@pytest.mark.parametrize("tail", [b"0\r\n\r\n", b'5\r\n{"id"\r\n0\r\n\r\n', b"2\r\n{\n\r\n0\r\n\r\n"])
 def test_an_answer_that_ends_before_its_last_line_is_no_answer_and_is_logged(tail):
     desk = Desk(workers=1)
     client = desk.client(path="/unsafe/a")
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -69,10 +69,16 @@
         ('name = "n3"', 'name = "n2"', "dispatcher.3.name"),
         ("127.0.0.1:8073", "127.0.0.1:8072", "dispatcher.3.console"),
         ("127.0.0.1:8073", "nowhere", "dispatcher.3.console"),
-        ('start = ["{program}/.venv/bin/python", "-m", "eiderfield", "--config", "{config}"]', "",
-         "dispatcher.0.start"),
-        ('start = ["{program}/.venv/bin/python", "-m", "eiderfield", "--config", "{config}"]', "start = []",
-         "dispatcher.0.start"),
+        (
+            'start = ["{program}/.venv/bin/python", "-m", "eiderfield", "--config", "{config}"]',
+            "",
+            "dispatcher.0.start",
+        ),
+        (
+            'start = ["{program}/.venv/bin/python", "-m", "eiderfield", "--config", "{config}"]',
+            "start = []",
+            "dispatcher.0.start",
+        ),
         ("[[dispatcher]]", "[[dispatchers]]", "dispatcher"),
         ("[watch]", "[watch", "not TOML"),
     ],
@@ -89,6 +95,7 @@
 
 def window(new=0.95, old=0.95, asked=200, **more):
     """Two new ones and six old ones, with these shares in time."""
+
     def one(name, is_new, share):
         counts = {"asked": {"a": asked}, "in_time": {"a": round(share * asked)}}
         return Seen(name, is_new, descriptors=40, memory=16.0, **counts)
@@ -113,6 +120,7 @@
 
 def waiting(new, old, asked=50):
     """The usual window, with jobs that take so many ms, each a third more or less."""
+
     def moments(ms):
         logs = [log(ms * 4.0 / 3.0), log(ms * 2.0 / 3.0)]
         return (asked, sum(logs) * asked / 2.0, sum(x * x for x in logs) * asked / 2.0)
@@ -218,7 +226,8 @@
     for _ in range(400):
         seen = [
             Seen(f"n{n}", n < 2, asked={"a": 20}, in_time={"a": 20}, legs=20, processor=0.1 * times)
-            for n in range(8) for times in [new if n < 2 else 1.0]
+            for n in range(8)
+            for times in [new if n < 2 else 1.0]
         ]
         said = judge.look(1.0, seen)
         if said.word is not Word.WAIT:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -39,8 +39,14 @@
 
 
 def test_an_unsafe_job_is_repeated_only_when_it_never_ran():
-    for outcome, again in ((Outcome.FULL, True), (Outcome.CONNECT_FAILED, True), (Outcome.RESET, False),
-                           (Outcome.ERROR, False), (Outcome.TIMEOUT, False), (Outcome.CANCELLED, False)):
+    for outcome, again in (
+        (Outcome.FULL, True),
+        (Outcome.CONNECT_FAILED, True),
+        (Outcome.RESET, False),
+        (Outcome.ERROR, False),
+        (Outcome.TIMEOUT, False),
+        (Outcome.CANCELLED, False),
+    ):
         node = Node()
         id_, actions = node.arrive(cls=1)
         actions = node.end(id_, 0, sends(actions)[0].worker, outcome)
