--- /dev/null
+++ b/tests/test_golden_files.py
@@ -0,0 +1,160 @@
+"""Stored state that 731b84e wrote is read by the present program with the same meaning (`tests/golden`)."""
+
+from __future__ import annotations
+
+import dataclasses
+import json
+import shutil
+import sqlite3
+from pathlib import Path
+
+import pytest
+
+from eiderfield.custody.member import Member
+from eiderfield.custody.record import Stage
+from eiderfield.custody.settings import Custody
+from eiderfield.custody.store import SCHEMA, Store
+from eiderfield.custody.survey import Survey
+from eiderfield.net.bans import Bans
+from eiderfield.rollout.course import Course
+from eiderfield.rollout.journal import JournalError, read
+from eiderfield.rollout.plan import read as read_plan
+
+GOLDEN = Path(__file__).parent / "golden"
+LEASE = 1200.0
+CUSTODY = ("lost_member", "killed_in_commit", "left_half")
+ROLLOUT = ("before", "watching", "paused", "stuck")
+
+
+def expected(path):
+    return json.loads((path / "expected.json").read_text())
+
+
+def plain(value):
+    return json.loads(json.dumps(value))
+
+
+# Bans.
+
+
+@pytest.mark.parametrize(
+    ("name", "banned"),
+    [("two.json", {"w1": 1_700_000_000_123.5, "w-\u00e9/2": 12.0}), ("none.json", {}), ("torn.json", {})],
+)
+def test_a_bans_file_keeps_its_meaning(name, banned, tmp_path):
+    path = tmp_path / "bans.json"
+    shutil.copy(GOLDEN / "bans" / name, path)
+    lines = []
+    bans = Bans(path, lines.append)
+    bans.read()
+    assert bans.since == banned
+    assert bool(lines) == (name == "torn.json")
+
+
+def test_bans_are_written_byte_for_byte_as_before(tmp_path):
+    bans = Bans(tmp_path / "bans.json", print)
+    bans.since = {"w1": 1_700_000_000_123.5, "w-\u00e9/2": 12.0}
+    assert bans.keep()
+    assert (tmp_path / "bans.json").read_bytes() == (GOLDEN / "bans" / "two.json").read_bytes()
+
+
+# Kept jobs.
+
+
+@pytest.fixture(params=CUSTODY)
+def golden_folder(request, tmp_path):
+    """A copy of a golden folder, and what 731b84e read in it."""
+    golden = GOLDEN / "custody" / request.param
+    folder = tmp_path / "folder"
+    shutil.copytree(golden / "folder", folder, symlinks=True)
+    return folder, expected(golden)
+
+
+def fields_of(record):
+    """A record by its stored names."""
+    fields = dataclasses.asdict(record)
+    fields["body"], fields["result"] = record.body.hex(), record.result.hex()
+    fields["legs"] = [each.told() for each in record.legs]
+    return plain(fields)
+
+
+def test_a_folder_of_kept_jobs_keeps_its_meaning(golden_folder):
+    folder, told = golden_folder
+    survey = Survey(folder)
+    jobs = {known.record.id: known for known in survey.jobs()}
+    assert sorted(jobs) == sorted(told["jobs"])
+    for id_, known in jobs.items():
+        assert fields_of(known.record) == told["jobs"][id_]["record"]
+        assert known.owner == told["jobs"][id_]["owner"]
+        assert list(known.chain) == told["jobs"][id_]["chain"]
+        assert list(survey.folder.holder(id_)) == told["jobs"][id_]["holder"]
+    lives = survey.folder.lives()
+    assert sorted(lives) == sorted(told["lives"])
+    assert plain(survey.fences) == told["fences"]
+    assert survey.folder.beats(lives) == told["beats"]
+    assert survey.folder.wishes() == told["wishes"]
+    assert plain(survey.folder.holder("never-written")) == told["orphan"]
+    assert survey.verify() == told["verify"] and survey.faults == told["faults"]
+
+
+def test_a_dispatcher_that_starts_on_a_golden_folder_takes_over_all_that_is_open(golden_folder):
+    """All processes of the folder are gone; their boot was another, and their jobs are due on its clock."""
+    folder, told = golden_folder
+    now = [1000.0]
+    settings = Custody(folder, frozenset({0}), lease=LEASE)
+    member = Member(settings, "n9", {"report": 3.0}, lambda line: None, lambda: now[0])
+    member.begin()
+    found = {}
+    for _ in range(60):
+        now[0] += settings.look
+        member.look()
+        found.update({record.id: record for record in member.adopt()})
+    member.close()
+    stored = {id_: job["record"] for id_, job in told["jobs"].items()}
+    still_open = {id_ for id_, record in stored.items() if record["stage"] != Stage.FINAL}
+    assert set(found) == still_open
+    for id_, record in found.items():
+        assert record.taken == stored[id_]["taken"] + 1
+        assert [note.worker for note in record.legs] == [leg[1] for leg in stored[id_]["legs"]]
+        assert record.body.hex() == stored[id_]["body"]
+
+
+def test_a_store_of_the_first_schema_keeps_its_meaning(tmp_path):
+    path = tmp_path / "n0.1.db"
+    with sqlite3.connect(path) as database:
+        database.executescript((GOLDEN / "custody" / "first_schema.sql").read_text())
+    database.close()
+    as_it_is = Store(path, write=False).get("j")
+    assert as_it_is.due == 9.0 and as_it_is.stage == Stage.CLAIMED and as_it_is.legs[0].worker == "w0"
+    brought_up = Store(path)
+    assert brought_up.version == SCHEMA and brought_up.get("j") == as_it_is
+
+
+# The rollout journal.
+
+
+@pytest.mark.parametrize("name", ROLLOUT)
+def test_a_rollout_journal_keeps_its_meaning(name):
+    folder = GOLDEN / "rollout" / name
+    plan = read_plan((folder / "plan.toml").read_text())
+    journal, told = read(folder, plan), expected(folder)
+    assert (journal.plan, journal.id) == (told["plan"], told["id"])
+    assert plain(journal.state.told()) == told["state"]
+    assert journal.said == told["said"] and journal.processes == told["processes"]
+    assert journal.wish() == ("undo" if name == "paused" else "")
+    course = Course(plan, journal.state)
+    assert course.state.phase == told["state"]["phase"]
+
+
+@pytest.mark.parametrize("name", ROLLOUT)
+def test_a_rollout_journal_is_written_byte_for_byte_as_before(name, tmp_path):
+    golden = GOLDEN / "rollout" / name
+    journal = read(golden)
+    journal.folder = tmp_path
+    journal.write(journal.said[-1]["t"])
+    assert (tmp_path / "journal.json").read_bytes() == (golden / "journal.json").read_bytes()
+
+
+def test_a_torn_rollout_journal_is_refused_by_name():
+    with pytest.raises(JournalError, match=r"journal\.json"):
+        read(GOLDEN / "rollout" / "torn")
