--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,77 +1,12 @@
-"""Settings and a small player of one node for the tests. There is no model of a server here."""
+"""Fixtures that every test file may use."""
 
 from __future__ import annotations
 
-from dataclasses import replace
-
 import pytest
-
-from eiderfield.decide import Dispatcher
-from eiderfield.interface import (
-    Arrived,
-    Effect,
-    Ended,
-    Entry,
-    JobClass,
-    Listed,
-    ListKind,
-    Send,
-    Settings,
-)
-
-SAFE = JobClass("safe", 1.0, aim=300.0, deadline=5000.0, effect=Effect.SAFE, late_worth=0.3, stretch=2.0)
-UNSAFE = replace(SAFE, name="unsafe", worth=10.0, effect=Effect.UNSAFE)
-KEYED = replace(SAFE, name="keyed", worth=5.0, effect=Effect.KEYED, window=2000.0)
-BASE = Settings(
-    classes=(SAFE, UNSAFE, KEYED),
-    tick=2.0,
-    may_cancel=True,
-    may_copy=True,
-    may_advise=True,
-    max_attempts=5,
-    max_retry_after=2000.0,
-    answer_slack=8.0,
-    drain_grace=500.0,
-    fall_multiple=3.0,
-    fall=2000.0,
-    cold=8000.0,
-    cold_share=0.3,
-    tells_start=True,
-)
-
-
-class Node:
-    """A dispatcher with a clock and a memory of what it did."""
-
-    def __init__(self, settings: Settings = BASE, workers: int = 3, seed: int = 1) -> None:
-        self.dispatcher = Dispatcher(settings, seed)
-        self.now = 0.0
-        self.next_id = 1
-        entries = tuple(Entry(w, cell=w % 2, zone=w % 3) for w in range(1, workers + 1))
-        self.play(Listed(ListKind.FULL, 1, entries))
-
-    def play(self, *events, at=None):
-        """Hands events in at a time and returns the actions."""
-        if at is not None:
-            self.now = at
-        return self.dispatcher.handle(self.now, list(events))
-
-    def arrive(self, cls=0, due=5000.0, **more):
-        """One request; returns its id and the actions."""
-        id_ = self.next_id
-        self.next_id += 1
-        return id_, self.play(Arrived(id_, cls, self.now + due, **more))
-
-    def end(self, id_, attempt, worker, outcome, final=False, elapsed=10.0):
-        """The outcome of one attempt."""
-        return self.play(Ended(id_, attempt, worker, outcome, elapsed, final))
-
-
-def sends(actions):
-    """The sends among some actions."""
-    return [a for a in actions if isinstance(a, Send)]
+from support.policy import Node
 
 
 @pytest.fixture
-def node():
+def node() -> Node:
+    """A dispatcher's decisions with three workers."""
     return Node()
--- a/tests/deployments.py
+++ b/tests/support/deployments.py
@@ -4,9 +4,8 @@
 
 from dataclasses import replace
 
-from conftest import BASE, KEYED, SAFE, UNSAFE
-
 from eiderfield.interface import Scope, Tenant
+from support.policy import BASE, KEYED, SAFE, UNSAFE
 
 _TENANTS = (Tenant("large", 48.0, 0.73), Tenant("small", 18.0, 0.27))
 
--- a/tests/desk.py
+++ b/tests/support/memory_dispatcher.py
@@ -7,8 +7,6 @@
 from collections import deque
 from dataclasses import replace
 
-from conftest import BASE, KEYED, SAFE, UNSAFE
-
 from eiderfield.exchange import Exchange
 from eiderfield.idmap import IdMap
 from eiderfield.net.bans import Bans
@@ -17,6 +15,7 @@
 from eiderfield.net.routing import RoutingTable
 from eiderfield.net.wheel import Wheel
 from eiderfield.net.worker import WorkerSide
+from support.policy import BASE, KEYED, SAFE, UNSAFE
 
 SITE = replace(BASE, classes=(SAFE, UNSAFE, KEYED), may_copy=False)
 
--- /dev/null
+++ b/tests/support/processes.py
@@ -0,0 +1,131 @@
+"""The program as a process, and stand-ins on loopback sockets for the workers and the discovery it calls."""
+
+import json
+import queue
+import socket
+import threading
+from contextlib import suppress
+from pathlib import Path
+
+ROOT = Path(__file__).parent.parent.parent
+CONFIG = {
+    "name": "n0",
+    "listen": "127.0.0.1:1",
+    "discovery": "127.0.0.1:2",
+    "settings": {"classes": [{"name": "echo", "value": 1, "goal_time": 300, "give_up": 5000,
+                              "idempotency": "retryable"}]},
+}  # fmt: skip
+JOB = b"POST /echo/a HTTP/1.1\r\nHost: h\r\nX-Request-Id: 1\r\nContent-Length: 3\r\n\r\nabc"
+
+
+class Answering(threading.Thread):
+    """A worker: one connection at a time, each request answered with a result."""
+
+    def __init__(self):
+        super().__init__(daemon=True)
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.port = self.listener.getsockname()[1]
+        self.start()
+
+    def run(self):
+        while True:
+            sock, _ = self.listener.accept()
+            threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
+
+    def hold(self):
+        """Called before each answer."""
+
+    def serve(self, sock):
+        with sock, sock.makefile("rb") as lines:
+            while True:
+                headers = {}
+                while (line := lines.readline()) not in (b"\r\n", b""):
+                    name, _, value = line.decode().partition(":")
+                    headers[name.lower()] = value.strip()
+                if not headers:
+                    return
+                body = lines.read(int(headers.get("content-length", 0)))
+                self.hold()
+                told = {"id": headers["x-request-id"], "state": "done", "result": body.decode()[::-1]}
+                text = json.dumps(told).encode() + b"\n"
+                sock.sendall(
+                    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n"
+                    % (len(text), text)
+                )
+
+
+class Holding(Answering):
+    """A worker that answers once it is let."""
+
+    def __init__(self):
+        self.came, self.let = threading.Event(), threading.Event()
+        super().__init__()
+
+    def hold(self):
+        self.came.set()
+        assert self.let.wait(30)
+
+
+class Source(threading.Thread):
+    """A discovery that names workers, the first of them `w`, and keeps the watch open."""
+
+    def __init__(self, worker, *others):
+        super().__init__(daemon=True)
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.port = self.listener.getsockname()[1]
+        self.workers = {"w": worker, **{f"w{n}": port for n, port in enumerate(others, 2)}}
+        self.asked = queue.Queue()
+        self.ended = queue.Queue()
+        self.start()
+
+    def run(self):
+        while True:
+            sock, _ = self.listener.accept()
+            threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
+
+    def serve(self, sock):
+        with sock, suppress(OSError):  # the program may be gone by now
+            self.asked.put(sock.recv(65536))
+            endpoints = [
+                {"name": name, "address": f"127.0.0.1:{port}", "status": "SERVING"}
+                for name, port in self.workers.items()
+            ]
+            told = json.dumps({"index": 1, "snapshot": True, "endpoints": endpoints}).encode() + b"\n"
+            sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            sock.sendall(b"%x\r\n%s\r\n" % (len(told), told))
+            self.ended.put(sock.recv(65536) == b"")
+
+
+def free_port():
+    with socket.create_server(("127.0.0.1", 0)) as sock:
+        return sock.getsockname()[1]
+
+
+def ask(sock, data):
+    sock.sendall(data)
+    got = b""
+    while b"\r\n\r\n" not in got:
+        got += sock.recv(65536)
+    head, _, body = got.partition(b"\r\n\r\n")
+    length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
+    while len(body) < length:
+        body += sock.recv(65536)
+    return int(head.split()[1]), body
+
+
+def post(id_, body=b"abc"):
+    head = f"POST /echo/a HTTP/1.1\r\nX-Request-Id: {id_}\r\nContent-Length: {len(body)}\r\n\r\n"
+    return head.encode() + body
+
+
+def known(*ports, index=1):
+    endpoints = [
+        {"name": f"w{n}" if n > 1 else "w", "address": f"127.0.0.1:{port}", "status": "SERVING"}
+        for n, port in enumerate(ports, 1)
+    ]
+    return {"index": index, "snapshot": True, "endpoints": endpoints}
+
+
+def told(port, discovery, grace=30_000.0, **more):
+    settings = {**CONFIG["settings"], "rules": {"drain_grace": grace}}
+    return {**CONFIG, "listen": f"127.0.0.1:{port}", "discovery": discovery, "settings": settings, **more}
--- a/tests/world.py
+++ b/tests/support/random_events.py
@@ -5,8 +5,6 @@
 
 from dataclasses import replace
 
-from conftest import BASE, KEYED, SAFE, UNSAFE
-
 from eiderfield.decide import MANY, QUIET_RATE, Dispatcher
 from eiderfield.interface import (
     NEVER_RAN,
@@ -30,6 +28,7 @@
     Tenant,
     mix,
 )
+from support.policy import BASE, KEYED, SAFE, UNSAFE
 
 LATEST = 60.0  # ms by which this player's steps may be late with a timer
 WORK = 100.0  # every job's hint, so that the work sent can be counted
@@ -144,7 +143,7 @@
     def lot(self, worker, age):
         """The share of a job that must be left of this node's part for a whole one: 1 where nodes are few. Of
         many each has less than a job, and whose lot is low enough sends a whole one: the sum over all nodes
-        keeps the rule (`tests/test_fleet.py`), which one node's sends alone cannot show."""
+        keeps the rule (`tests/test_simulated_fleet.py`), which one node's sends alone cannot show."""
         if self.settings.balancers <= MANY:
             return 1.0
         draw = mix(worker, int(age / self.settings.fall)) / 2.0**64
--- /dev/null
+++ b/tests/support/real_sockets.py
@@ -0,0 +1,156 @@
+"""A listener on real sockets, whose event loop is turned by hand and whose clock is the test's."""
+
+import asyncio
+import socket
+from collections import deque
+
+from hypothesis import Phase, settings
+from hypothesis.stateful import run_state_machine_as_test
+
+from eiderfield.crowd.governor import Governor
+from eiderfield.crowd.settings import Admission, Idling
+from eiderfield.net.http import END, Head, Parser
+from eiderfield.net.wheel import TICK
+from support.memory_dispatcher import Desk
+
+IDLING = Idling(keep=60_000.0, park_after=1000.0)
+LEAST_KEEP = 2000.0
+
+
+def message(id_="r1", path="/safe/k1"):
+    return f"POST {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: {id_}\r\nContent-Length: 1\r\n\r\nb".encode()
+
+
+class Port(socket.socket):
+    """Who knocks at it is let in with an address of the test's choice."""
+
+    def __init__(self):
+        super().__init__(socket.AF_UNIX, socket.SOCK_STREAM)
+        self.waiting = deque()
+
+    def accept(self):
+        if not self.waiting:
+            raise BlockingIOError
+        return self.waiting.popleft()
+
+
+class Phone:
+    """A client at the other end of a pair of sockets."""
+
+    def __init__(self, house, given=None, address="192.0.2.1"):
+        self.house = house
+        self.sock, theirs = socket.socketpair()
+        self.sock.setblocking(False)
+        theirs.setblocking(False)
+        self._parser = Parser(answers=True)
+        if given is not None:
+            house.listener.admit(theirs, given)
+        else:
+            house.listener._socket.waiting.append((theirs, (address, 1)))
+            house.listener._accept()
+        house.turn()
+
+    def send(self, data):
+        self.sock.send(data)
+        return self
+
+    @property
+    def open(self):
+        """Whether the dispatcher has the connection open."""
+        try:
+            return self.sock.recv(1, socket.MSG_PEEK) != b""
+        except BlockingIOError:
+            return True
+        except ConnectionResetError:
+            return False
+
+    def statuses(self):
+        """The statuses of the whole answers so far."""
+        found, status = [], None
+        try:
+            while data := self.sock.recv(65536):
+                self._parser.feed(data)
+        except (BlockingIOError, ConnectionResetError):
+            pass
+        while (got := self._parser.poll()) is not None:
+            if isinstance(got, Head):
+                status, self.advice = got.status, got.get("retry-after")
+            elif got is END:
+                found.append(status)
+        return found
+
+    def ask(self, id_):
+        """A whole job, start to end."""
+        self.send(message(id_))
+        self.house.turn()
+        self.house.work()
+        return self.statuses()
+
+
+class House:
+    """A desk whose listener has a lot and real sockets."""
+
+    def __init__(self, idling=IDLING, most=64, loop=None, **admission):
+        self.loop = loop or asyncio.new_event_loop()
+        self.desk = Desk(workers=1, most=most)
+        self.listener = self.desk.listener
+        self.memory = 0.0
+        self.governor = self.listener.governor = Governor(Admission(**admission), most)
+        self.listener._memory = lambda: self.memory
+        self.listener._loop = self.loop
+        self.listener._socket = Port()
+        self.listener._knocking = lambda: bool(getattr(self.listener._socket, "waiting", ()))
+        self.listener.idle(idling)
+
+    def turn(self, turns=8):
+        """A few turns of the loop; it never waits."""
+        for _ in range(turns):
+            self.loop.call_soon(self.loop.stop)
+            self.loop.run_forever()
+            self.desk.settle()
+
+    def work(self):
+        """The worker answers all that it has."""
+        for dial in list(self.desk.dials):
+            dial.up()
+        for end in self.desk.ends:
+            while end.pipe.open and end.take():
+                end.finish()
+        self.turn()
+
+    def pass_time(self, span):
+        """Lets time pass, with turns of the loop at each timer."""
+        end = self.desk.now + span
+        while (at := self.desk.wheel.next_at()) <= end:
+            self.desk.now = max(self.desk.now, at)
+            self.desk.wheel.advance(self.desk.now)
+            self.desk.settle()
+            self.turn(3)
+        self.desk.now = end
+
+    def parked(self, count=1):
+        """So many phones, each served once and then quiet until it was parked."""
+        phones = []
+        for number in range(count):
+            phones.append(Phone(self))
+            assert phones[-1].ask(f"first{number}") == [200]
+        self.pass_time(IDLING.park_after + 2 * TICK)
+        assert self.listener.parked == count and not self.listener._connections
+        return phones
+
+    def close(self):
+        self.listener.close()
+        self.turn()
+        assert not any(self.governor._addresses.held) and not any(self.governor._addresses.begun)
+        self.loop.close()
+
+
+def play(machine, examples, steps):
+    """Random steps of a machine, the same in each run."""
+    run_state_machine_as_test(
+        machine,
+        settings=settings(
+            derandomize=True, max_examples=examples, stateful_step_count=steps, deadline=None, database=None,
+            phases=[Phase.explicit, Phase.generate, Phase.shrink],
+        ),
+    )  # fmt: skip
--- a/tests/fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -12,8 +12,6 @@
 from dataclasses import dataclass, field, replace
 from itertools import count
 
-from conftest import BASE, KEYED, SAFE
-
 from eiderfield.decide import Dispatcher
 from eiderfield.interface import (
     NEVER_RAN,
@@ -35,6 +33,7 @@
     SetTimer,
     State,
 )
+from support.policy import BASE, KEYED, SAFE
 
 DELAY = 2.0  # ms one way between a node and a worker
 SLOTS = 5
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from test_wire import GOOD, TABLE
+from support.wire_messages import GOOD, TABLE
 
 ROOT = Path(__file__).parent.parent
 LIST = struct.pack("<BHBQI", 1, 0, 1, 1, 0)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -3,7 +3,7 @@
 import socket
 
 import pytest
-from test_parking import IDLING, House, Phone, message
+from support.real_sockets import IDLING, House, Phone, message
 
 from eiderfield.crowd.settings import WHOLE, Admission, Marks, Pace, Quota
 from eiderfield.net.clients import LINGER, TURNED_AWAY, Given
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from desk import Desk
+from support.memory_dispatcher import Desk
 
 from eiderfield.interface import State
 from eiderfield.net.backoff import ANSWER, DIAL, FEW, FEW_MOST, FIRST, LEAST, MOST, TOLD, TURN, WAIT, Backoff
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -3,8 +3,8 @@
 import json
 
 import pytest
-from desk import Client
-from test_console import Console
+from support.console import Console
+from support.memory_dispatcher import Client
 
 from eiderfield.interface import State
 
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -7,8 +7,8 @@
 from dataclasses import replace
 
 import pytest
-from conftest import KEYED, SAFE, UNSAFE
-from desk import SITE, Client, Desk
+from support.memory_dispatcher import SITE, Client, Desk
+from support.policy import KEYED, SAFE, UNSAFE
 
 from eiderfield.batch.front import BatchFront
 from eiderfield.batch.jobs import Book
--- a/tests/test_departures.py
+++ b/tests/test_client_disconnects.py
@@ -3,7 +3,7 @@
 import socket
 
 import pytest
-from test_parking import House, Phone, message
+from support.real_sockets import House, Phone, message
 
 from eiderfield.net.clients import AT_ONCE, PIPELINED
 from eiderfield.net.loop import Driver
--- a/tests/test_closing.py
+++ b/tests/test_connection_shutdown.py
@@ -3,9 +3,8 @@
 import asyncio
 
 import pytest
-from test_parking import IDLING, House, Phone, message
-from test_program import free_port
-from test_starting import known, told
+from support.processes import free_port, known, told
+from support.real_sockets import IDLING, House, Phone, message
 
 from eiderfield.__main__ import Program
 from eiderfield.config import read
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -3,10 +3,10 @@
 from collections import Counter
 
 import pytest
-from desk import Client, Desk
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
+from support.memory_dispatcher import Client, Desk
 
 from eiderfield.exchange import Exchange
 from eiderfield.interface import Outcome
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,43 +1,16 @@
 """The console: what it answers, and that its figures are those of what crossed the sockets."""
 
-import json
-
 import pytest
-from desk import Client, Desk
+from support.console import CALLERS, Console
+from support.memory_dispatcher import Client
 
 from eiderfield.interface import State
 from eiderfield.net.backoff import DIAL
-from eiderfield.net.clients import YOUNG, Listener
-from eiderfield.net.console import WAIT, ConsoleFront
+from eiderfield.net.clients import YOUNG
+from eiderfield.net.console import WAIT
 from eiderfield.net.routing import SILENCE, Watcher
 from eiderfield.net.wheel import TICK
 
-CALLERS = 4
-
-
-class Console:
-    """A desk with a console."""
-
-    def __init__(self, **more):
-        self.desk = Desk(**more)
-        self.ready = True
-        desk = self.desk
-        crowd = lambda: {"connections": desk.listener.figures()}  # noqa: E731
-        front = ConsoleFront(desk.exchange, desk.table, desk.clock, lambda: self.ready, crowd)
-        self.listener = Listener(front, self.desk.wheel, self.desk.clock, CALLERS, WAIT)
-
-    def call(self, path, method="GET"):
-        """One call's status and body, after which its connection takes nothing more."""
-        caller = Client(self.desk, self.listener)
-        [(status, _, body)] = caller.ask(method, path)
-        assert caller.pipe.ended
-        return status, body
-
-    def figures(self):
-        status, body = self.call("/-/metrics")
-        assert status == 200
-        return json.loads(body)
-
 
 def test_ready_is_what_the_program_says():
     console = Console()
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from desk import Desk, Pipe
+from support.memory_dispatcher import Desk, Pipe
 
 from eiderfield.config import Discovery
 from eiderfield.consul import SLACK, ConsulFollower
--- a/tests/test_custody_cost.py
+++ b/tests/test_custody_cost.py
@@ -6,7 +6,7 @@
 import sys
 
 from click.testing import CliRunner
-from test_program import ROOT
+from support.processes import ROOT
 
 from eiderfield.cli import main
 from eiderfield.config import read_text
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -7,13 +7,13 @@
 from math import inf
 
 import pytest
-from conftest import Node
-from deployments import DEPLOYMENTS, WORKERS
-from desk import Desk
 from hypothesis import HealthCheck, given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from world import RuleBroken, World
+from support.deployments import DEPLOYMENTS, WORKERS
+from support.memory_dispatcher import Desk
+from support.policy import Node
+from support.random_events import RuleBroken, World
 
 from eiderfield import exchange as core
 from eiderfield.decide import Dispatcher
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import BASE, KEYED, SAFE, UNSAFE, Node
+from support.policy import BASE, KEYED, SAFE, UNSAFE, Node
 
 from eiderfield.interface import (
     STARTED,
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -8,7 +8,7 @@
 
 import pytest
 from click.testing import CliRunner
-from test_program import ROOT
+from support.processes import ROOT
 
 from eiderfield.cli import main
 from eiderfield.lab.fleet.book import Book, Reading, read
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,116 +11,22 @@
 from typing import ClassVar
 
 import pytest
-from desk import Client, Desk
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_program import ROOT, ask, free_port
-from test_reload import CONFIG, Holding, Source
+from support.handover import LISTEN, Loop, Pair, Side, Wire
+from support.memory_dispatcher import Client, Desk
+from support.processes import CONFIG, ROOT, Holding, Source, ask, free_port, post
 
 from eiderfield.idmap import IdMap
 from eiderfield.interface import State, pack_counts, unpack_counts
 from eiderfield.net.clients import AT_ONCE
-from eiderfield.net.handover import LONGER, PATIENCE, Handover
+from eiderfield.net.handover import LONGER, PATIENCE
 from eiderfield.net.link import Ear, reach
 
 ENVELOPE = Struct("<BIH")  # of messages between dispatchers
-LISTEN = "listen 127.0.0.1:1"
 PATIENT = {**CONFIG["settings"]["classes"][0], "give_up": 300_000}  # however long a process takes to start
 
 
-class Loop:
-    """What of an event loop the listeners use here: who reads what."""
-
-    def __init__(self):
-        self.reads = set()
-
-    def add_reader(self, sock, call):
-        self.reads.add(sock)
-
-    def remove_reader(self, sock):
-        self.reads.discard(sock)
-
-    def remove_writer(self, sock):
-        pass
-
-
-class Wire:
-    """One end of a link in memory. What is sent waits until it is delivered."""
-
-    def __init__(self):
-        self.peer = None
-        self.sent = []
-        self.open = self.flushed = True
-        self.receive = self.lost = None
-
-    def send(self, told, fds=()):
-        if self.open:
-            self.sent.append((json.loads(json.dumps(told)), [os.dup(fd) for fd in fds]))
-
-    def close(self):
-        self.open = False
-
-    def deliver(self):
-        sent, self.sent = self.sent, []
-        for told, fds in sent:
-            if self.peer.open:
-                self.peer.receive(told, fds)
-        return bool(sent)
-
-
-class Side:
-    """A desk with a port and its end of the handover."""
-
-    def __init__(self, **more):
-        self.desk = Desk(**more)
-        self.loop = Loop()
-        d = self.desk
-        self.handover = Handover(
-            self.loop, d.exchange, d.table, d.side, {LISTEN: d.listener}, d.wheel, d.clock, d.logged.append
-        )
-        self.done = False
-
-    def settle(self):
-        self.done = True
-
-    def takes(self):
-        return self.desk.listener._socket in self.loop.reads
-
-
-class Pair:
-    """The old process with its port open, and the new one that asks."""
-
-    def __init__(self, **more):
-        self.old, self.new = Side(**more), Side(workers=0)
-        listener = socket.create_server(("127.0.0.1", 0))
-        self.old.desk.listener.adopt(self.old.loop, listener)
-        here, there = Wire(), Wire()
-        here.peer, there.peer = there, here
-        self.wires = here, there
-        self.old.handover.heard(here)
-        self.new.handover.ask(there, self.new.settle)
-
-    def go(self):
-        """Lets the two talk until nothing is left to say."""
-        for _ in range(9):
-            for side in (self.old, self.new):
-                side.desk.settle()
-                side.desk.advance(8.0)
-            if sum(wire.deliver() for wire in self.wires) == 0:
-                return self
-        raise AssertionError("they talk without end")
-
-    def part(self, which):
-        """One of the processes dies."""
-        self.wires[which].close()
-        self.wires[1 - which].lost()
-
-    def close(self):
-        for side in (self.old, self.new):
-            if side.desk.listener._socket is not None:
-                side.desk.listener._socket.close()
-
-
 @pytest.fixture
 def pair():
     pair = Pair()
@@ -479,11 +385,6 @@
     releases.end()
 
 
-def post(id_, body=b"abc"):
-    head = f"POST /echo/a HTTP/1.1\r\nX-Request-Id: {id_}\r\nContent-Length: {len(body)}\r\n\r\n"
-    return head.encode() + body
-
-
 def test_an_upgrade_loses_no_job_and_no_ban(releases):
     old, console = releases.start()
     releases.source.asked.get(timeout=30)
--- a/tests/test_full_house.py
+++ b/tests/test_handover_idle_connections.py
@@ -9,8 +9,8 @@
 import pytest
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
-from test_handover import LISTEN, Wire
-from test_parking import IDLING, House, Phone, message, play
+from support.handover import LISTEN, Wire
+from support.real_sockets import IDLING, House, Phone, message, play
 
 from eiderfield.net.clients import Given
 from eiderfield.net.handover import BATCH, Handover
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,7 +6,7 @@
 from hypothesis import HealthCheck, given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from world import VARIANTS, RuleBroken, World
+from support.random_events import VARIANTS, RuleBroken, World
 
 import eiderfield.decide as brain
 
--- a/tests/test_rude.py
+++ b/tests/test_misbehaving_clients.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from desk import SITE, Client, Desk, Pipe
+from support.memory_dispatcher import SITE, Client, Desk, Pipe
 
 from eiderfield.crowd.settings import KEEP
 from eiderfield.net.clients import (
--- a/tests/test_mechanism.py
+++ b/tests/test_policy_mechanisms.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import BASE, SAFE, UNSAFE, Node, sends
+from support.policy import BASE, SAFE, UNSAFE, Node, sends
 
 from eiderfield.decide import COLD_REST, GRB_PER_WORKER, INF, Job, Lane, Pacer
 from eiderfield.interface import (
--- a/tests/test_rules.py
+++ b/tests/test_policy_rules.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from conftest import BASE, KEYED, UNSAFE, Node, sends
+from support.policy import BASE, KEYED, UNSAFE, Node, sends
 
 from eiderfield.interface import (
     Cancel,
--- a/tests/test_stopped.py
+++ b/tests/test_process_pauses.py
@@ -12,10 +12,8 @@
 import time
 
 import pytest
-from desk import Desk
-from test_handover import post
-from test_program import ROOT, ask, free_port
-from test_reload import CONFIG, Holding, Source
+from support.memory_dispatcher import Desk
+from support.processes import CONFIG, ROOT, Holding, Source, ask, free_port, post
 
 from eiderfield.net.loop import GAP, READS, Driver
 
--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from test_program import JOB, ROOT, Answering, ask, free_port
+from support.processes import JOB, ROOT, Answering, ask, free_port
 
 # Stands in for a system-call filter: Unix sockets, and poll sets beside the loop's own.
 FILTER = """
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -2,31 +2,20 @@
 
 import json
 import os
-import queue
 import signal
 import socket
 import subprocess
 import sys
-import threading
-from contextlib import suppress
 
 import pytest
-from desk import Desk
-from test_program import ROOT, Answering, ask, free_port
+from support.memory_dispatcher import Desk
+from support.processes import CONFIG, ROOT, Holding, Source, ask, free_port
 
 from eiderfield.config import ConfigError, load
 from eiderfield.interface import State
 from eiderfield.net.backoff import FEW_MOST
 from eiderfield.net.routing import DIAL, Following, Watcher
 
-CONFIG = {
-    "name": "n0",
-    "listen": "127.0.0.1:1",
-    "discovery": "127.0.0.1:2",
-    "settings": {"classes": [{"name": "echo", "value": 1, "goal_time": 300, "give_up": 5000,
-                              "idempotency": "retryable"}]},
-}  # fmt: skip
-
 
 class Moving:
     """A desk that follows a source at port 8500 and may be told of others."""
@@ -142,48 +131,6 @@
         load(environ, again=True)
 
 
-class Source(threading.Thread):
-    """A discovery that names workers, the first of them `w`, and keeps the watch open."""
-
-    def __init__(self, worker, *others):
-        super().__init__(daemon=True)
-        self.listener = socket.create_server(("127.0.0.1", 0))
-        self.port = self.listener.getsockname()[1]
-        self.workers = {"w": worker, **{f"w{n}": port for n, port in enumerate(others, 2)}}
-        self.asked = queue.Queue()
-        self.ended = queue.Queue()
-        self.start()
-
-    def run(self):
-        while True:
-            sock, _ = self.listener.accept()
-            threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
-
-    def serve(self, sock):
-        with sock, suppress(OSError):  # the program may be gone by now
-            self.asked.put(sock.recv(65536))
-            endpoints = [
-                {"name": name, "address": f"127.0.0.1:{port}", "status": "SERVING"}
-                for name, port in self.workers.items()
-            ]
-            told = json.dumps({"index": 1, "snapshot": True, "endpoints": endpoints}).encode() + b"\n"
-            sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            sock.sendall(b"%x\r\n%s\r\n" % (len(told), told))
-            self.ended.put(sock.recv(65536) == b"")
-
-
-class Holding(Answering):
-    """A worker that answers once it is let."""
-
-    def __init__(self):
-        self.came, self.let = threading.Event(), threading.Event()
-        super().__init__()
-
-    def hold(self):
-        self.came.set()
-        assert self.let.wait(30)
-
-
 def test_the_program_moves_on_sighup_and_keeps_the_job_that_is_out(tmp_path):
     worker = Holding()
     old, new, port, path = Source(worker.port), Source(worker.port), free_port(), tmp_path / "config.json"
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -6,12 +6,12 @@
 from dataclasses import replace
 
 import pytest
-from conftest import BASE, Node, sends
-from deployments import DEPLOYMENTS
-from desk import Desk
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
+from support.deployments import DEPLOYMENTS
+from support.memory_dispatcher import Desk
+from support.policy import BASE, Node, sends
 
 from eiderfield.decide import Dispatcher
 from eiderfield.interface import Ended, Entry, Listed, ListKind, Outcome
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_program import ROOT
+from support.processes import ROOT
 
 from eiderfield.cli import main
 from eiderfield.config import ConfigError
--- a/tests/test_new_settings.py
+++ b/tests/test_settings_reload.py
@@ -11,8 +11,8 @@
 
 import pytest
 import tomlkit
-from desk import SITE, Desk
-from test_program import ROOT, free_port
+from support.memory_dispatcher import SITE, Desk
+from support.processes import ROOT, free_port
 
 from eiderfield.interface import Tenant
 from eiderfield.lab.fleet.change import Change, play_change, verdict
--- a/tests/test_many_nodes.py
+++ b/tests/test_shared_workers.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import BASE, SAFE, Node, sends
+from support.policy import BASE, SAFE, Node, sends
 
 from eiderfield.decide import HOMES, MANY, PAUSES, STUCK_MANY
 from eiderfield.interface import (
--- a/tests/test_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from fleet import Fleet
+from support.simulated_fleet import Fleet
 
 from eiderfield.interface import State
 
--- a/tests/test_traps.py
+++ b/tests/test_socket_rules.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from desk import Client, Desk
+from support.memory_dispatcher import Client, Desk
 
 from eiderfield.interface import Outcome, State
 from eiderfield.net.clients import AT_ONCE
--- a/tests/test_starting.py
+++ b/tests/test_startup.py
@@ -12,8 +12,7 @@
 from contextlib import contextmanager
 
 import pytest
-from test_program import ROOT, Answering, ask, free_port
-from test_reload import CONFIG, Source
+from support.processes import ROOT, Answering, Source, ask, free_port, known, told
 
 from eiderfield.__main__ import ASKING, Program
 from eiderfield.config import read
@@ -54,14 +53,6 @@
             self.ended.put(sock.recv(65536) == b"")
 
 
-def known(*ports, index=1):
-    endpoints = [
-        {"name": f"w{n}" if n > 1 else "w", "address": f"127.0.0.1:{port}", "status": "SERVING"}
-        for n, port in enumerate(ports, 1)
-    ]
-    return {"index": index, "snapshot": True, "endpoints": endpoints}
-
-
 @contextmanager
 def running(path, command=None, discovery=None, wait=True):
     environ = {**os.environ, "LB_CONFIG": str(path)}
@@ -81,11 +72,6 @@
         process.stderr.close()
 
 
-def told(port, discovery, grace=LONG, **more):
-    settings = {**CONFIG["settings"], "rules": {"drain_grace": grace}}
-    return {**CONFIG, "listen": f"127.0.0.1:{port}", "discovery": discovery, "settings": settings, **more}
-
-
 def test_nobody_is_served_from_a_known_list_before_the_agent_was_asked(tmp_path):
     """What the agent holds counts as told from the first moment; the list in the configuration is older."""
     draining, ready, port = Counting(), Counting(), free_port()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -3,6 +3,7 @@
 import struct
 
 import pytest
+from support.wire_messages import GOOD, TABLE
 
 from eiderfield import wire
 from eiderfield.interface import (
@@ -40,10 +41,6 @@
 
 
 QUERY = "02 0300 c4917a5d757c0000 00 0000 {key} 0000000020e6c040 0000000000002840 00000040 0000c03f {flags}"
-TABLE = (
-    "0a 00000000 02000000 074a1203 0000 0000 0000 02 0000803f 0000000000000000"
-    "f211902c 0100 0000 0000 02 0000c03f 0000000000d4b740"
-)
 
 
 @pytest.mark.parametrize(("text", "event"), [
@@ -124,25 +121,6 @@
     assert wire.reply([b"ab", b"c"]) == struct.pack("<II", 2, 11) + b"abc"
 
 
-GOOD = """classes.count=2
-classes.0.value=1.0
-classes.0.goal_time=300.0
-classes.0.give_up=5000.0
-classes.0.idempotency=retryable
-classes.1.value=10.0
-classes.1.goal_time=600.0
-classes.1.give_up=7500.0
-classes.1.idempotency=dedup
-classes.1.key_scope=cell
-classes.1.repeat_window=4000.0
-family_info.class_stretch=2.0,2.5
-family_info.class_kind=-1,1
-nobody.knows=this
-balancers=3
-me=2
-"""
-
-
 def test_settings():
     settings = wire.parse_settings(GOOD)
     assert settings.classes[1].effect is Effect.KEYED and settings.classes[1].scope is Scope.CELL
--- a/tests/test_crossings.py
+++ b/tests/test_worker_connection_races.py
@@ -5,7 +5,7 @@
 import json
 
 import pytest
-from desk import Desk
+from support.memory_dispatcher import Desk
 
 from eiderfield.net.loop import Driver
 
--- a/tests/test_health.py
+++ b/tests/test_worker_faults.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import BASE, SAFE, Node, sends
+from support.policy import BASE, SAFE, Node, sends
 
 from eiderfield.decide import SLOW, Dispatcher
 from eiderfield.interface import (
