--- a/eiderfield/cli/lab.py
+++ b/eiderfield/cli/lab.py
@@ -11,6 +11,7 @@
 import click
 
 from eiderfield.cli.fleet import fleet
+from eiderfield.cli.scale import scale
 
 
 @click.group()
@@ -19,6 +20,7 @@
 
 
 lab.add_command(fleet)
+lab.add_command(scale)
 
 
 @lab.group()
--- a/eiderfield/lab/report.py
+++ b/eiderfield/lab/report.py
@@ -8,6 +8,7 @@
 from rich.table import Table
 
 from eiderfield.lab.regression import Played, verdict
+from eiderfield.lab.scale.bounds import BoundResult, Measurement
 
 
 def _ms(figures: dict[str, float]) -> str:
@@ -71,3 +72,25 @@
         days = now.panel[2] if now.panel[0] == "real-score" else "simulator"
         table.add_row(now.panel[1], days, *figures, gate, verdict(now, before), now.id)
     console.print(table)
+
+
+def show_scale(
+    small: Measurement, large: Measurement, results: list[BoundResult], console: Console | None = None
+) -> None:
+    """The result of `eiderfield lab scale`."""
+    console = console or Console(width=120)
+    table = Table(title="What one dispatcher needs, by the size of its fleet")
+    table.add_column("figure")
+    for title in (f"{small.workers:,} workers", f"{large.workers:,} workers", "bound", "verdict"):
+        table.add_column(title, justify="right")
+    for row in results:
+        verdict_text = "kept" if row.kept else "OVER"
+        table.add_row(row.title, f"{row.small:,.2f}", f"{row.large:,.2f}", f"{row.limit:,.2f}", verdict_text)
+    table.add_row("p50, ms", f"{small.p50_ms:.1f}", f"{large.p50_ms:.1f}", "", "")
+    table.add_row("p99, ms", f"{small.p99_ms:.1f}", f"{large.p99_ms:.1f}", "", "")
+    console.print(table)
+    for day in (small, large):
+        console.print(
+            f"{day.workers:,} workers: answers {day.statuses}, "
+            f"clients late by {day.client_lateness_ms:.1f} ms at most"
+        )
--- a/eiderfield/lab/usage.py
+++ b/eiderfield/lab/usage.py
@@ -46,3 +46,23 @@
         if line.startswith("Slab:"):
             return int(line.split()[1]) * 1024
     return 0
+
+
+def processor_seconds(pid: int) -> float:
+    """Seconds in user and kernel mode that a process has used so far."""
+    fields = (Path("/proc") / str(pid) / "stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / TICKS
+
+
+def peak_memory(pid: int) -> int:
+    """The most bytes of memory that a process has had resident at one time."""
+    for line in (Path("/proc") / str(pid) / "status").read_text().splitlines():
+        name, _, value = line.partition(":")
+        if name == "VmHWM":
+            return int(value.split()[0]) * 1024
+    raise OSError(f"process {pid} has no VmHWM")
+
+
+def open_descriptors(pid: int) -> int:
+    """The descriptors that a process has open."""
+    return len(os.listdir(Path("/proc") / str(pid) / "fd"))
