--- a/eiderfield/__main__.py
+++ b/eiderfield/__main__.py
@@ -29,7 +29,7 @@
 from eiderfield.exchange import Exchange
 from eiderfield.idmap import IdMap
 from eiderfield.net.backoff import Backoff
-from eiderfield.net.bans import Bans
+from eiderfield.net.bans import Bans, thread_runner
 from eiderfield.net.clients import Front, Listener, RequestFront
 from eiderfield.net.console import WAIT, ConsoleFront
 from eiderfield.net.ending import Ending
@@ -82,7 +82,8 @@
             self.exchange, wheel, clock, self._driver.dial, config.dial_timeout, config.conn_idle,
             config.worker_connections,
         )  # fmt: skip
-        bans = Bans(state_path(config.listen, "bans.json"), log)
+        in_thread = thread_runner(loop.call_soon_threadsafe)
+        bans = Bans(state_path(config.listen, "bans.json"), log, wheel, clock, in_thread)
         bans.read()
         self.table = RoutingTable(self.exchange, self.workers, ids, bans, clock)
         if config.known is not None:
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -95,13 +95,15 @@
         return None
 
     def _maintain(self, connection: ClientConnection, name: str, out: bool) -> None:
-        kept = self._table.ban(name) if out else self._table.unban(name)
-        if kept is None:
+        def answer(written: bool) -> None:
+            if written:
+                _tell(connection, 200, {"worker": name, "disabled": out})
+            else:
+                connection.reject(500, "in force, but not written down yet: it is lost if the program ends")
+
+        known = self._table.ban(name, answer) if out else self._table.unban(name, answer)
+        if known is None:
             connection.reject(404, "no worker of this id was ever listed")
-        elif not kept:
-            connection.reject(500, "in force, but not written down: it is lost when the program ends")
-        else:
-            _tell(connection, 200, {"worker": name, "disabled": out})
 
 
 def _allowed(connection: ClientConnection, head: Head, method: str) -> bool:
--- a/eiderfield/net/routing.py
+++ b/eiderfield/net/routing.py
@@ -57,6 +57,7 @@
         self._clock = clock
         self.ids = ids
         self.bans = bans
+        bans.found_late = self._begin
         self.index: int | None = None
         self.reopened: Counter[str] = Counter()  # watches so far that were lost and opened anew, by why
         self.doubted = 0  # workers that the last list left out and that are kept while it is in doubt
@@ -77,14 +78,15 @@
         """The workers that discovery last called ready, banned ones among them."""
         return {worker for worker, entry in self._told.items() if entry.state == State.READY}
 
-    def ban(self, name: str) -> bool | None:
-        """Leaves a worker out, whatever discovery says. None if it was never listed, else whether the ban is
-        written down; it is in force in either case."""
+    def ban(self, name: str, then: Callable[[bool], None] = lambda written: None) -> bool | None:
+        """Leaves a worker out, whatever discovery says. None if it was never listed; else `then` hears
+        whether the ban is written down, and it is in force in either case."""
         if not self._named(name):
             return None
         if name not in self.bans.since:  # a ban that is called again began when it was first called
             self._begin(name, self._clock())
-        return self.bans.keep()
+        self.bans.keep(then)
+        return True
 
     def _begin(self, name: str, since: float) -> None:
         self.bans.since[name] = since
@@ -94,11 +96,16 @@
         self._workers.close_idle(worker)  # its process is about to end
         self.ruled(name, since)
 
-    def unban(self, name: str) -> bool | None:
+    def unban(self, name: str, then: Callable[[bool], None] = lambda written: None) -> bool | None:
         """Gives a worker back as discovery last told it; answers as `ban` does."""
         if not self._named(name):
             return None
-        since = self.bans.since.pop(name, None)
+        self._end_ban(name)
+        self.bans.keep(then)
+        return True
+
+    def _end_ban(self, name: str) -> None:
+        since = self.bans.remove(name)
         if since is not None:
             worker = self.ids.worker(name)
             told = self._told.get(worker)
@@ -108,7 +115,6 @@
                 self._cold[worker] = (since, self._clock())
             self._pass_on(worker)
             self.ruled(name, None)
-        return self.bans.keep()
 
     def told(self) -> dict[str, Any]:
         """The list in discovery's form, with all that was ever named, and the starts taken for granted."""
@@ -127,6 +133,8 @@
     def take_over(self, told: dict[str, Any], bans: object) -> None:
         """Goes on from the table and the bans of another process."""
         self.bans.since = parse(bans)
+        if not self.bans.written:  # the process before may not have been able to write them
+            self.bans.keep()
         for name, banned, given_back in told["cold"]:
             self._cold[self.ids.worker(str(name))] = (float(banned), float(given_back))
         for worker in self._told:
@@ -137,9 +145,10 @@
     def heed(self, name: str, since: float | None) -> None:
         """The dispatcher's other process banned a worker, or gave it back."""
         if since is None and name in self.bans.since:
-            self.unban(name)
+            self._end_ban(name)
         elif since is not None and name not in self.bans.since:
             self._begin(name, since)
+        self.bans.keep_later()
 
     def _named(self, name: str) -> bool:
         return name in self.bans.since or self.ids.known(name) in self._told
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -215,7 +215,7 @@
         self.side = WorkerSide(
             self.exchange, self.wheel, self.clock, self.dial, 100.0, 10_000.0, worker_connections
         )  # fmt: skip
-        bans = Bans(bans, self.logged.append)
+        bans = Bans(bans, self.logged.append, self.wheel, self.clock)
         bans.read()
         self.table = RoutingTable(self.exchange, self.side, self.ids, bans, self.clock)
         front = RequestFront(self.exchange, self.ids, self.clock)
--- /dev/null
+++ b/tests/test_bans_on_failing_disk.py
@@ -0,0 +1,179 @@
+"""Bans while the disk fails for a while, or a write is cut short: no yes for what is not written, no loss."""
+
+import json
+import threading
+
+import pytest
+from failing_files import ERRORS, failing_files
+from test_bans import ask, state
+from test_console import Console
+
+from eiderfield.interface import State
+from eiderfield.net.bans import RETRY_INTERVAL, Bans, result_of, thread_runner
+
+# What a write of the file does, with how many calls of the kind it makes.
+KINDS = ["open", "write", "sync", "rename", "unlink"]
+CALLS = [("disable", "w1"), ("disable", "w2"), ("enable", "w1"), ("disable", "w3")]
+
+
+def banned_on_file(path):
+    """What a process that starts now takes in; None if the file cannot be used."""
+    logged = []
+    bans = Bans(path, logged.append)
+    bans.read()
+    return None if logged else set(bans.since)
+
+
+@pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
+@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("first", range(1, 10))
+def test_each_yes_is_on_file_and_each_ban_comes_back(kind, first, code, tmp_path, monkeypatch):
+    """The n-th operation of a kind and all after it fail, until the disk is well again."""
+    path = tmp_path / "bans"
+    console = Console(workers=3, bans=path)
+    in_force = set()
+    with failing_files(tmp_path, monkeypatch) as faults:
+        faults.fail(kind, code, first)
+        for call, worker in CALLS:
+            status = ask(console, call, worker)
+            in_force = in_force | {worker} if call == "disable" else in_force - {worker}
+            assert set(console.desk.table.bans.since) == in_force, "in force, written or not"
+            assert status in (200, 500)
+            with faults.paused():
+                if status == 200:
+                    assert banned_on_file(path) == in_force, "a yes for what is not on file"
+                assert banned_on_file(path) is not None, "a torn file"
+        assert faults.failed or first > len(CALLS), "the kind is not part of a write"
+        faults.heal()
+        console.desk.advance(2.0 * RETRY_INTERVAL)
+        assert banned_on_file(path) == in_force, "not written after the disk was well again"
+    assert not [line for line in console.desk.logged if "not taken" in line]
+
+
+def test_a_yes_comes_after_the_file_and_its_folder_are_synced(tmp_path, monkeypatch):
+    console = Console(workers=2, bans=tmp_path / "bans")
+    with failing_files(tmp_path, monkeypatch) as faults:
+        for folder_only in (0, 1):
+            faults.fail("sync", ERRORS[1], first=1 + folder_only, times=1)
+            assert ask(console, "disable", "w1") == 500
+            assert faults.failed == 1
+        faults.heal()
+        assert ask(console, "disable", "w1") == 200
+
+
+@pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
+def test_a_write_that_is_cut_short_leaves_the_file_as_it_was(code, tmp_path, monkeypatch):
+    path = tmp_path / "bans"
+    console = Console(workers=2, bans=path)
+    assert ask(console, "disable", "w1") == 200
+    with failing_files(tmp_path, monkeypatch) as faults:
+        faults.partly = True
+        faults.fail("write", code)
+        assert ask(console, "disable", "w2") == 500
+        assert banned_on_file(path) == {"w1"}
+    assert [file.name for file in tmp_path.iterdir()] == ["bans"], "a draft stays"
+
+
+def test_a_file_cut_at_any_byte_is_taken_whole_or_named(tmp_path):
+    path = tmp_path / "bans"
+    console = Console(workers=2, bans=path)
+    ask(console, "disable", "w1")
+    ask(console, "disable", "w2")
+    whole = path.read_bytes()
+    for size in range(len(whole)):
+        path.write_bytes(whole[:size])
+        assert banned_on_file(path) is None
+        fresh = Console(workers=2, bans=path)
+        assert state(fresh.desk, 1) == State.READY
+    path.write_bytes(whole)
+    assert banned_on_file(path) == {"w1", "w2"}
+
+
+def test_a_retry_is_named_once_and_so_is_its_end(tmp_path, monkeypatch):
+    console = Console(workers=2, bans=tmp_path / "bans")
+    with failing_files(tmp_path, monkeypatch) as faults:
+        faults.fail("sync", ERRORS[0])
+        ask(console, "disable", "w1")
+        console.desk.advance(10.0 * RETRY_INTERVAL)
+        assert faults.failed > 5, "it is tried again and again"
+        assert len([line for line in console.desk.logged if "cannot be written" in line]) == 1
+        faults.heal()
+        console.desk.advance(2.0 * RETRY_INTERVAL)
+    assert len([line for line in console.desk.logged if "written again" in line]) == 1
+
+
+def test_what_the_process_before_could_not_write_is_written_by_the_next(tmp_path):
+    console = Console(workers=2, bans=tmp_path / "bans")
+    console.desk.table.take_over({"cold": [], "endpoints": []}, {"banned": {"w2": 5.0}})
+    assert banned_on_file(tmp_path / "bans") == {"w2"}
+
+
+def test_a_ban_that_another_process_was_told_of_is_written_here_too(tmp_path):
+    console = Console(workers=2, bans=tmp_path / "bans")
+    console.desk.table.heed("w2", 5.0)
+    console.desk.advance(2.0 * RETRY_INTERVAL)
+    assert banned_on_file(tmp_path / "bans") == {"w2"}
+
+
+@pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
+def test_a_file_that_cannot_be_read_at_the_start_is_read_later_and_not_replaced_before(
+    code, tmp_path, monkeypatch
+):
+    path = tmp_path / "bans"
+    before = Console(workers=4, bans=path)
+    for worker in ("w1", "w2"):
+        assert ask(before, "disable", worker) == 200
+    with failing_files(tmp_path, monkeypatch) as faults:
+        faults.fail("open", code)
+        console = Console(workers=4, bans=path)
+        assert state(console.desk, 1) == State.READY, "the start is not stopped"
+        assert ask(console, "enable", "w2") == 500 and ask(console, "disable", "w3") == 500
+        console.desk.advance(5.0 * RETRY_INTERVAL)
+        faults.heal()
+        console.desk.advance(2.0 * RETRY_INTERVAL)
+    assert state(console.desk, 1) == State.DRAINING and state(console.desk, 2) == State.READY
+    assert banned_on_file(path) == {"w1", "w3"}
+
+
+class SlowDisk:
+    """Attempts that end when the test says so."""
+
+    def __init__(self):
+        self.attempts = []
+
+    def run(self, work, done):
+        self.attempts.append((work, done))
+
+    def end_next(self):
+        work, done = self.attempts.pop(0)
+        done(result_of(work))
+
+
+def test_a_ban_during_a_slow_write_is_answered_by_the_write_after_it(tmp_path):
+    disk, answers = SlowDisk(), []
+    bans = Bans(tmp_path / "bans", print, run=disk.run)
+    for worker in ("w1", "w2", "w3"):
+        bans.since[worker] = 1.0
+        bans.keep(lambda written, worker=worker: answers.append((worker, written)))
+    assert len(disk.attempts) == 1 and answers == []
+    disk.end_next()
+    assert answers == [("w1", True)] and banned_on_file(tmp_path / "bans") == {"w1"}
+    disk.end_next()
+    assert answers == [("w1", True), ("w2", True), ("w3", True)]
+    assert banned_on_file(tmp_path / "bans") == {"w1", "w2", "w3"} and disk.attempts == []
+
+
+def test_a_thread_writes_and_the_loop_hears_of_it(tmp_path):
+    calls, called = [], threading.Event()
+
+    def call_in_loop(call):
+        calls.append(call)
+        called.set()
+
+    answers = []
+    bans = Bans(tmp_path / "bans", print, run=thread_runner(call_in_loop))
+    bans.since["w1"] = 1.0
+    bans.keep(answers.append)
+    assert called.wait(30.0) and answers == []
+    calls.pop()()
+    assert answers == [True] and json.loads((tmp_path / "bans").read_text()) == {"banned": {"w1": 1.0}}
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -54,7 +54,9 @@
 def test_bans_are_written_byte_for_byte_as_before(tmp_path):
     bans = Bans(tmp_path / "bans.json", print)
     bans.since = {"w1": 1_700_000_000_123.5, "w-\u00e9/2": 12.0}
-    assert bans.keep()
+    written = []
+    bans.keep(written.append)
+    assert written == [True]
     assert (tmp_path / "bans.json").read_bytes() == (GOLDEN / "bans" / "two.json").read_bytes()
 
 
