--- a/eiderfield/__main__.py
+++ b/eiderfield/__main__.py
@@ -39,6 +39,7 @@
 from eiderfield.net.memory import share_of
 from eiderfield.net.peers import Peers
 from eiderfield.net.routing import Follower, Following, RoutingTable, Watcher
+from eiderfield.net.selector import new_event_loop
 from eiderfield.net.worker import WorkerSide
 
 if TYPE_CHECKING:
@@ -397,7 +398,8 @@
     signal.signal(signal.SIGHUP, lambda number, _: hung_up.append(number))  # which would end the process
     try:
         read = partial(load, os.environ, options.config)
-        asyncio.run(serve(read(), partial(read, again=True), hung_up))
+        with asyncio.Runner(loop_factory=new_event_loop) as runner:
+            runner.run(serve(read(), partial(read, again=True), hung_up))
     except ConfigError as error:
         log(str(error))
         return 2
--- a/eiderfield/net/clients.py
+++ b/eiderfield/net/clients.py
@@ -43,6 +43,7 @@
 from eiderfield.idmap import IdMap, plain
 from eiderfield.interface import Effect
 from eiderfield.net.departures import Departures
+from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept
 from eiderfield.net.http import Head, Malformed, Parser, answer_bytes
 
 CLOSED_AT_ONCE = 1024  # parked connections closed in one look at the program's end, some 10 ms
@@ -54,7 +55,7 @@
 TOLD = 100.0  # ms between two looks at how much memory is taken
 TURNED_AWAY = 64  # connections that are being told why they may not come in; more are closed without a word
 YOUNG = 500.0  # ms without a byte for which a half-sent message is not given up for want of room
-AGAIN = 20.0  # ms until accepting is tried again when nothing could give way
+AGAIN = RETRY_MS  # ms until accepting is tried again when nothing could give way
 BACKLOG = 512
 MOST_NEEDED = 100_000.0  # slots or units of memory
 
@@ -487,6 +488,7 @@
         self._loop: asyncio.AbstractEventLoop | None = None
         self._socket: socket.socket | None = None
         self._full = False
+        self._starved = False  # whether the system lacked something for the last accept
         self.resting = False  # whether another process takes who connects
         self._joining: set[asyncio.Task[None]] = set()
         self.departures: Departures | None = None  # of connections that are not read for now
@@ -826,8 +828,8 @@
 
     @property
     def waited_for(self) -> bool:
-        """Whether somebody is connected whom the house has no room to take yet."""
-        return self.full and self._knocking()
+        """Whether somebody is connected whom the house has no room, or the system no descriptor, to take."""
+        return (self.full or self._starved) and self._knocking()
 
     def _knocking(self) -> bool:
         """Whether somebody waits to be taken."""
@@ -871,6 +873,7 @@
 
     def _accept(self, most: int = AT_ONCE) -> None:
         assert self._loop is not None and self._socket is not None
+        accepted = 0
         for _ in range(most):
             # Room is made for somebody: one that gives way while nobody waits would be lost for nothing.
             if self.full and not self._knocking():
@@ -881,11 +884,17 @@
                 return
             try:
                 sock, peer = self._socket.accept()
-            except (BlockingIOError, InterruptedError, ConnectionAbortedError):
+            except BlockingIOError:
+                self._starved = False
                 return
-            except OSError:  # descriptors are short: the listener stays readable, and asking on would spin
-                self._wait()
+            except OSError as error:
+                if cause_of_accept(error) is Cause.CONNECTION:
+                    continue  # it is off the queue, and behind it others may wait
+                self._starved = True
+                self._wait()  # the listener stays readable: asking on would spin
                 return
+            self._starved = False
+            accepted += 1
             sock.setblocking(False)
             come = None if self.governor is None else self.governor.comes(peer[0], self.clock())
             if isinstance(come, Refusal):
@@ -894,6 +903,8 @@
             connection = ClientConnection(self, sock, ticket=come)
             self.join(connection)
             self._serve(connection, sock)
+        if not accepted:  # a whole round of failures: one that goes on for ever must not spin either
+            self._wait()
 
     def _turn_away(self, sock: socket.socket, refusal: Refusal) -> None:
         """Somebody may not come in. Those who are told so are few at a time, and the first to give way."""
--- a/eiderfield/net/link.py
+++ b/eiderfield/net/link.py
@@ -17,6 +17,8 @@
 from pathlib import Path
 from typing import Any
 
+from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept, cause_of_loss
+
 PIECE = 60_000  # bytes of a packet: well within a socket's buffer
 MOST = 8 * 1024 * 1024  # bytes of a message, and of what may wait to leave
 FDS_MOST = 250  # descriptors of a message: the kernel takes 253 with a packet
@@ -78,6 +80,8 @@
             self._waiting.clear()
 
     def _write(self) -> None:
+        if not self._open:
+            return
         while self._waiting:
             piece, fds = self._waiting[0]
             try:
@@ -85,8 +89,13 @@
             except (BlockingIOError, InterruptedError):
                 self._loop.add_writer(self._sock, self._write)
                 return
-            except OSError:
-                self._end()
+            except OSError as error:
+                if cause_of_loss(error) is not Cause.LOCAL:
+                    self._end()
+                    return
+                # Too many descriptors are on their way, say: the socket is writable and tells no end of it.
+                self._loop.remove_writer(self._sock)
+                self._loop.call_later(RETRY_MS / 1000.0, self._write)
                 return
             self._waiting.popleft()
             self._bytes -= len(piece)
@@ -100,8 +109,12 @@
                 piece, fds, flags, _ = socket.recv_fds(self._sock, PIECE + 1, FDS_MOST, flag)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:
-                self._end()
+            except OSError as error:
+                if cause_of_loss(error) is not Cause.LOCAL:
+                    self._end()
+                    return
+                self._loop.remove_reader(self._sock)
+                self._loop.call_later(RETRY_MS / 1000.0, self._read_again)
                 return
             if not piece or flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
                 close_all(fds)
@@ -121,6 +134,10 @@
                 return
             self.receive(told, fds)
 
+    def _read_again(self) -> None:
+        if self._open:
+            self._loop.add_reader(self._sock, self._read)
+
     def _end(self) -> None:
         if self._open:
             self.close()
@@ -169,13 +186,22 @@
         assert self._listener is not None
         try:
             sock, _ = self._listener.accept()
-        except OSError:
+        except BlockingIOError:
+            return
+        except OSError as error:
+            if cause_of_accept(error) is Cause.LOCAL:  # asked again at once it would spin
+                self._loop.remove_reader(self._listener)
+                self._loop.call_later(RETRY_MS / 1000.0, self._accept_again, self._listener)
             return
         if _ours(sock):
             self._heard(Link(self._loop, sock))
         else:
             sock.close()
 
+    def _accept_again(self, listener: socket.socket) -> None:
+        if listener is self._listener:  # it may have been closed, or opened anew
+            self._loop.add_reader(listener, self._accept)
+
 
 def reach(loop: asyncio.AbstractEventLoop, path: Path) -> Link | None:
     """The link to the process that listens there, None if there is none or the system has no such sockets."""
--- a/eiderfield/net/loop.py
+++ b/eiderfield/net/loop.py
@@ -10,16 +10,14 @@
 from __future__ import annotations
 
 import asyncio
-import errno
 import time
 from collections.abc import Callable
 from math import inf
 
+from eiderfield.net.faults import RETRY_MS, Cause, cause_of_dial
 from eiderfield.net.wheel import Wheel
 
 GAP = 250.0  # ms by which a turn or a timer is late, from which on what has come is read first
-SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # a want here, no fault of the other side
-AGAIN = 20.0  # ms until a dial for which something was short is tried again
 READS = 8  # rounds of the loop for that: whole answers of the largest size, and what they set off
 
 
@@ -91,26 +89,37 @@
         self.turn(self.clock())
 
     def dial(
-        self, protocol: asyncio.BufferedProtocol, address: tuple[str, int], failed: Callable[[], None]
+        self,
+        protocol: asyncio.BufferedProtocol,
+        address: tuple[str, int],
+        failed: Callable[[], None],
+        delayed: Callable[[Cause], None] = lambda cause: None,
     ) -> asyncio.Task[None]:
-        """Connects a protocol to an address."""
-        task = self._loop.create_task(self._dial(protocol, address, failed))
+        """Connects a protocol to an address, or calls `failed`. For a fault of this host `delayed` is called
+        instead, and the dial is tried again until the caller's time limit cancels it."""
+        task = self._loop.create_task(self._dial(protocol, address, failed, delayed))
         self._dialling.add(task)  # the loop itself holds a task only weakly
         task.add_done_callback(self._dialling.discard)
         return task
 
     async def _dial(
-        self, protocol: asyncio.BufferedProtocol, address: tuple[str, int], failed: Callable[[], None]
+        self,
+        protocol: asyncio.BufferedProtocol,
+        address: tuple[str, int],
+        failed: Callable[[], None],
+        delayed: Callable[[Cause], None],
     ) -> None:
         while True:
             try:
                 await self._loop.create_connection(lambda: protocol, *address)
                 return
             except (OSError, ValueError) as error:
-                if getattr(error, "errno", None) not in SHORT:
-                    failed()
-                    return
-            await asyncio.sleep(AGAIN / 1000.0)  # the caller's time limit calls this off
+                cause = cause_of_dial(error)
+            if cause is Cause.CONNECTION:
+                failed()
+                return
+            delayed(cause)
+            await asyncio.sleep(RETRY_MS / 1000.0)
 
     def _failed(self, error: Exception) -> None:
         self._loop.call_exception_handler({"message": "a timer failed", "exception": error})
--- a/eiderfield/net/peers.py
+++ b/eiderfield/net/peers.py
@@ -21,6 +21,8 @@
 from collections.abc import Callable, Sequence
 from struct import Struct
 
+from eiderfield.net.faults import Cause, cause_of_loss
+
 Address = tuple[str, int]
 
 FORM = 1  # of the envelope
@@ -118,8 +120,10 @@
                 message, address = self.sock.recvfrom(LARGEST + 1)
             except BlockingIOError:
                 return
-            except OSError:  # a message of ours found nobody
-                continue
+            except OSError as error:
+                if cause_of_loss(error) is Cause.LOCAL:
+                    return
+                continue  # a message of ours found nobody
             why = self._take(message, (address[0], address[1]))
             self.figures[why] += 1
 
--- a/eiderfield/net/worker.py
+++ b/eiderfield/net/worker.py
@@ -23,10 +23,12 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 from enum import Enum
+from math import inf
 from typing import Protocol
 
 from eiderfield.exchange import Exchange, Leg, Timer, Timers
-from eiderfield.interface import STARTED, Outcome
+from eiderfield.interface import AWAY, STARTED, Outcome
+from eiderfield.net.faults import Cause, cause_of_loss
 from eiderfield.net.http import Head, Malformed, Parser, request_bytes
 from eiderfield.net.reports import from_body, from_object, from_text
 
@@ -48,10 +50,15 @@
 
 
 class Dial(Protocol):
-    """Connects a protocol to an address, or calls `failed`; neither within the call itself."""
+    """Connects a protocol to an address, or calls `failed`; neither within the call itself. Each time that a
+    fault of this host holds the connection up, `delayed` is called and the dial goes on."""
 
     def __call__(
-        self, protocol: asyncio.BufferedProtocol, address: Address, failed: Callable[[], None]
+        self,
+        protocol: asyncio.BufferedProtocol,
+        address: Address,
+        failed: Callable[[], None],
+        delayed: Callable[[Cause], None] = ...,
     ) -> Dialling: ...
 
 
@@ -92,6 +99,9 @@
         self._text = bytearray()
         self._flushed = True  # whether all that was written has left
         self._kept = False  # whether it carried something before
+        self._delayed = False  # whether a fault of this host held the connection up
+        self._dialled_at = side.now()
+        self.heard_at = -inf  # when the worker's bytes came last
 
     # What asyncio calls.
 
@@ -111,6 +121,7 @@
     def buffer_updated(self, nbytes: int) -> None:
         if self.phase == Phase.CLOSED:
             return
+        self.heard_at = self.side.now()
         if self.phase == Phase.IDLE:  # nothing was asked: what comes now would pass for the next answer
             self.close()
             return
@@ -129,7 +140,7 @@
             with suppress(ValueError, RecursionError):
                 if self._parser.finish() is not None:
                     self._finished()
-            self._broke()
+            self._broke(cause_of_loss(exc))
         self.close()
 
     def pause_writing(self) -> None:
@@ -175,11 +186,24 @@
                 self.dialling.cancel()
 
     def never_up(self) -> None:
-        """The connection was refused or did not come up in time."""
+        """The connection was refused or did not come up in time. A worker that this host kept from having the
+        whole time has not failed."""
         if self.phase == Phase.DIALLING:
             load = self.load
             self.close()
-            self.side.report(load, Outcome.CONNECT_FAILED)
+            self.side.report(load, Outcome.MOOT if self._delayed else Outcome.CONNECT_FAILED)
+
+    def delayed(self, cause: Cause) -> None:
+        """A fault of this host held the connection up; it is tried again until the dial's time is over."""
+        if self.phase != Phase.DIALLING:
+            return
+        if cause is Cause.ROUTE and self.side.heard_others(self.worker, self._dialled_at):
+            self._delayed = False  # the others are reached by the same host: the fault is this address's
+            self.never_up()
+            return
+        self._delayed = True
+        if isinstance(self.load, Leg):  # the worker's silence tells nothing meanwhile
+            self.side.exchange.noted(self.load, AWAY)
 
     # Answers.
 
@@ -200,7 +224,7 @@
                 self.side.exchange.spoilt(self.worker, str(error))
             self._broke()
 
-    def _broke(self) -> None:
+    def _broke(self, cause: Cause = Cause.CONNECTION) -> None:
         """The answer broke off or cannot be read."""
         load, flushed = self.load, self._flushed
         if self._kept and self.head is None and not self._parser.buffered:
@@ -208,7 +232,10 @@
         self.close()
         if load is not None:
             # Only a request whose last byte never left is sure not to have run.
-            self.side.report(load, Outcome.RESET if flushed else Outcome.CONNECT_FAILED)
+            if cause is Cause.LOCAL:
+                self.side.report(load, Outcome.CANCELLED if flushed else Outcome.MOOT)
+            else:
+                self.side.report(load, Outcome.RESET if flushed else Outcome.CONNECT_FAILED)
 
     def _start(self, head: Head) -> None:
         if head.status < 200:
@@ -345,6 +372,14 @@
         """How many connections there are."""
         return len(self._connections)
 
+    def now(self) -> float:
+        """The time, in ms of the clock that the side was given."""
+        return self._clock()
+
+    def heard_others(self, worker: int, since: float) -> bool:
+        """Whether bytes have come from any other worker since a moment."""
+        return any(one.worker != worker and one.heard_at > since for one in self._connections)
+
     def address(self, worker: int) -> Address | None:
         """Where a worker listens."""
         return self._addresses.get(worker)
@@ -478,7 +513,7 @@
         connection = WorkerConnection(self, worker, load)
         self._connections.add(connection)
         self.arm(connection, self._dial_timeout, connection.never_up)
-        connection.dialling = self._dial(connection, address, connection.never_up)
+        connection.dialling = self._dial(connection, address, connection.never_up, connection.delayed)
 
     def _idle_connection(self, worker: int) -> WorkerConnection | None:
         """The connection idle for longest: turns keep all open, and each new one costs a handshake."""
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -178,8 +178,9 @@
 class Dialled:
     """A connection that is coming up."""
 
-    def __init__(self, desk, connection, address, failed):
-        self.desk, self.connection, self.address, self.failed = desk, connection, address, failed
+    def __init__(self, desk, connection, address, failed, delayed):
+        self.desk, self.connection, self.address = desk, connection, address
+        self.failed, self.delayed = failed, delayed
         self.cancelled = False
 
     def cancel(self):
@@ -229,8 +230,8 @@
     def _wake(self):
         self.woken = True
 
-    def dial(self, connection, address, failed):
-        self.dials.append(Dialled(self, connection, address, failed))
+    def dial(self, connection, address, failed, delayed=None):
+        self.dials.append(Dialled(self, connection, address, failed, delayed))
         return self.dials[-1]
 
     def settle(self):
--- /dev/null
+++ b/tests/test_faults.py
@@ -0,0 +1,376 @@
+"""What a failed call means, and what becomes of dials, accepts and poll sets that fail for a want here."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import os
+import selectors
+import socket
+
+import pytest
+from support.failing_calls import Call, Failure, failing_calls
+from support.memory_dispatcher import Desk
+
+from eiderfield.interface import Outcome
+from eiderfield.net.clients import AT_ONCE
+from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept, cause_of_dial, cause_of_loss
+from eiderfield.net.link import Ear, Link
+from eiderfield.net.selector import RetryingSelector, new_event_loop
+from eiderfield.net.wheel import TICK
+
+DIAL_TIMEOUT_MS = 100.0  # of a desk
+
+
+def failed(number):
+    return OSError(number, os.strerror(number))
+
+
+@pytest.mark.parametrize(("error", "cause"), [
+    (failed(errno.EMFILE), Cause.LOCAL),
+    (failed(errno.EADDRNOTAVAIL), Cause.LOCAL),
+    (failed(errno.ENOSPC), Cause.LOCAL),
+    (failed(errno.ENETUNREACH), Cause.ROUTE),
+    (failed(errno.EPERM), Cause.ROUTE),
+    (failed(errno.EHOSTUNREACH), Cause.CONNECTION),
+    (failed(errno.ECONNREFUSED), Cause.CONNECTION),
+    (failed(errno.ETIMEDOUT), Cause.CONNECTION),
+    (OSError("Multiple exceptions: several addresses"), Cause.CONNECTION),
+    (ValueError("no address"), Cause.CONNECTION),
+    (socket.gaierror(socket.EAI_AGAIN, "try again"), Cause.LOCAL),
+    (socket.gaierror(socket.EAI_NONAME, "unknown"), Cause.CONNECTION),
+])  # fmt: skip
+def test_a_dial_speaks_of_this_host_of_its_routes_or_of_the_other_end(error, cause):
+    assert cause_of_dial(error) is cause
+
+
+@pytest.mark.parametrize(("number", "cause"), [
+    (errno.ECONNABORTED, Cause.CONNECTION), (errno.EPERM, Cause.CONNECTION), (errno.EPROTO, Cause.CONNECTION),
+    (errno.ENETUNREACH, Cause.CONNECTION), (errno.EMFILE, Cause.LOCAL), (errno.ENFILE, Cause.LOCAL),
+    (errno.EBADF, Cause.LOCAL), (errno.ENOMEM, Cause.LOCAL),
+])  # fmt: skip
+def test_an_accept_speaks_of_a_connection_or_of_this_host(number, cause):
+    assert cause_of_accept(failed(number)) is cause
+
+
+def test_a_connection_that_ends_without_an_error_was_ended_by_the_other_side():
+    assert cause_of_loss(None) is Cause.CONNECTION
+    assert cause_of_loss(failed(errno.EPIPE)) is Cause.CONNECTION
+    assert cause_of_loss(failed(errno.ENOBUFS)) is Cause.LOCAL
+
+
+@pytest.fixture
+def desk():
+    """A desk that keeps the outcomes of its attempts."""
+    desk = Desk(workers=2)
+    desk.outcomes = []
+    ended = desk.exchange.ended
+
+    def recording(leg, outcome, load=()):
+        if leg.open:
+            desk.outcomes.append(outcome)
+        ended(leg, outcome, load)
+
+    desk.exchange.ended = recording
+    return desk
+
+
+def test_a_worker_that_could_not_be_dialled_for_want_of_descriptors_is_not_blamed(desk):
+    """After the dial's time limit it was: with descriptors short for a second, every worker was ejected."""
+    client = desk.client(path="/unsafe/a")
+    [dial] = desk.dials
+    for _ in range(int(DIAL_TIMEOUT_MS / RETRY_MS)):
+        dial.delayed(Cause.LOCAL)
+        desk.advance(RETRY_MS)
+    desk.advance(RETRY_MS)
+    assert dial.cancelled and desk.outcomes == [Outcome.MOOT]
+    assert not desk.exchange.snapshot(desk.now).avoided
+    desk.advance(RETRY_MS)
+    desk.dials[0].up().finish()
+    assert client.answers()[0][0] == 200
+
+
+def test_a_worker_is_not_taken_for_silent_while_this_host_cannot_dial_it(desk):
+    client = desk.client(path="/unsafe/a", wait=4900)
+    desk.side.timeouts(5000.0, 10_000.0)
+    desk.exchange.withdraw(1)
+    del client
+    desk.advance(100.0)
+    desk.client(path="/unsafe/a", id_="r2", wait=4900)
+    [dial] = desk.dials
+    for _ in range(200):
+        dial.delayed(Cause.LOCAL)
+        desk.settle()
+        desk.advance(RETRY_MS)
+    assert not [line for line in desk.logged if "silent" in line]
+
+
+def test_an_address_without_a_route_counts_against_its_worker_once_others_are_heard(desk):
+    """No route to one address alone would cost each attempt there the whole time of a dial."""
+    desk.client(path="/unsafe/a")
+    [first] = desk.dials
+    first.delayed(Cause.ROUTE)
+    desk.settle()
+    assert not desk.outcomes, "it may be this host's fault"
+    desk.client(path="/unsafe/a", id_="r2")
+    [other] = [dial for dial in desk.dials if dial is not first]
+    assert other.connection.worker != first.connection.worker
+    desk.advance(1.0)
+    other.up().finish()
+    first.delayed(Cause.ROUTE)
+    desk.settle()
+    assert desk.outcomes.count(Outcome.CONNECT_FAILED) == 1
+    assert desk.exchange.snapshot(desk.now).avoided == {first.connection.worker}
+
+
+@pytest.mark.parametrize(("stuck", "outcome", "status"), [
+    (True, Outcome.MOOT, None), (False, Outcome.CANCELLED, 502),
+])  # fmt: skip
+def test_a_connection_lost_for_want_of_buffers_is_not_the_workers_fault(desk, stuck, outcome, status):
+    client = desk.client(path="/unsafe/a")
+    end = desk.dials[0].up(stuck)
+    end.pipe.open = False
+    end.connection.connection_lost(failed(errno.ENOBUFS))
+    desk.settle()
+    assert desk.outcomes == [outcome] and not desk.exchange.snapshot(desk.now).avoided
+    assert [answer[0] for answer in client.answers()] == ([status] if status else [])
+
+
+def turns(loop, count):
+    for _ in range(count):
+        loop.call_soon(loop.stop)
+        loop.run_forever()
+
+
+@pytest.fixture
+def port(monkeypatch):
+    """A desk whose listener has a real port, and a client that has connected to it."""
+
+    class Port:
+        def __init__(self):
+            self.desk = Desk()
+            self.loop = new_event_loop()
+            self.listener = self.desk.listener
+            self.listener.listen(self.loop, ("127.0.0.1", 0))
+            self.client = socket.create_connection(self.listener._socket.getsockname())
+
+        def turn(self, count=8):
+            turns(self.loop, count)
+            self.desk.settle()
+
+        def close(self):
+            self.client.close()
+            self.listener.close()
+            self.turn()
+            self.loop.close()
+
+    port = Port()
+    yield port
+    port.close()
+
+
+@pytest.mark.parametrize("number", [errno.EMFILE, errno.ENOMEM, errno.EBADF])
+def test_an_accept_that_goes_on_failing_pauses_the_listener_and_does_not_end_it(port, monkeypatch, number):
+    with failing_calls(monkeypatch, Failure(Call.ACCEPT, 1, number, count=5)) as failing:
+        failing.start()
+        for tries in range(1, 6):
+            port.turn(40)
+            assert failing.calls[Call.ACCEPT] == tries, "it spins"
+            assert port.listener.waited_for, "a port that closes now would reset the client"
+            port.desk.advance(RETRY_MS + TICK)
+        port.turn()
+        assert port.listener.connections == 1 and not port.listener.waited_for
+
+
+def test_accepts_that_fail_for_their_connections_do_not_hold_up_those_behind(port, monkeypatch):
+    with failing_calls(monkeypatch, Failure(Call.ACCEPT, 1, errno.EPERM, count=AT_ONCE - 1)) as failing:
+        failing.start()
+        port.turn()
+        assert port.listener.connections == 1
+
+
+def test_a_whole_round_of_such_failures_pauses_the_listener(port, monkeypatch):
+    with failing_calls(monkeypatch, Failure(Call.ACCEPT, 1, errno.EPERM, count=10**6)) as failing:
+        failing.start()
+        port.turn(40)
+        assert failing.calls[Call.ACCEPT] == AT_ONCE
+        failing.failure = None
+        port.desk.advance(RETRY_MS + TICK)
+        port.turn()
+        assert port.listener.connections == 1
+
+
+def test_a_port_that_closes_takes_those_behind_an_aborted_connection(port, monkeypatch):
+    with failing_calls(monkeypatch, Failure(Call.ACCEPT, 1, errno.ECONNABORTED)) as failing:
+        failing.start()
+        port.listener.stop_listening()
+        assert port.listener.connections == 1
+
+
+@pytest.fixture
+def selector(monkeypatch):
+    """A selector whose poll set takes nothing, its clock, and two ends of a connection."""
+
+    class Case:
+        now = 100.0
+
+    case = Case()
+    monkeypatch.setattr("eiderfield.net.selector.time.monotonic", lambda: case.now)
+    case.near, case.far = socket.socketpair()
+    with failing_calls(monkeypatch, Failure(Call.REGISTER, 1, errno.ENOMEM, count=10**6)) as failing:
+        case.failing = failing
+        case.selector = RetryingSelector()
+        failing.start()
+        yield case
+        case.selector.close()
+    case.near.close()
+    case.far.close()
+
+
+def test_a_registration_without_room_is_made_again_and_brings_what_had_come(selector):
+    fd = selector.near.fileno()
+    selector.selector.register(selector.near, selectors.EVENT_READ, "data")
+    assert selector.selector.get_key(fd).data == "data"
+    selector.far.send(b"x")
+    assert selector.selector.select(0) == []
+    tries = selector.failing.calls[Call.REGISTER]
+    selector.selector.select(0)
+    assert selector.failing.calls[Call.REGISTER] == tries, "no more than one try in RETRY_MS"
+    selector.failing.failure = None
+    selector.now += RETRY_MS / 1000.0
+    [(key, events)] = selector.selector.select(0)
+    assert (key.fd, key.data, events) == (fd, "data", selectors.EVENT_READ)
+
+
+def test_a_poll_does_not_wait_past_the_next_try(selector, monkeypatch):
+    waits = []
+    monkeypatch.setattr(selectors.EpollSelector, "select", lambda self, timeout: waits.append(timeout) or [])
+    selector.selector.register(selector.near, selectors.EVENT_READ)
+    for timeout in (None, 5.0, 0.0):
+        selector.selector.select(timeout)
+    assert waits == [RETRY_MS / 1000.0, RETRY_MS / 1000.0, 0.0]
+
+
+def test_a_pending_registration_can_be_changed_and_withdrawn(selector):
+    selector.selector.register(selector.near, selectors.EVENT_READ, 1)
+    selector.selector.modify(selector.near, selectors.EVENT_WRITE, 2)
+    assert selector.selector.get_key(selector.near).data == 2
+    selector.selector.unregister(selector.near)
+    with pytest.raises(KeyError):
+        selector.selector.get_key(selector.near)
+
+
+def test_a_changed_mask_without_room_waits_too(selector):
+    selector.failing.failure, failure = None, selector.failing.failure
+    selector.selector.register(selector.near, selectors.EVENT_READ, 1)
+    selector.failing.failure = failure
+    selector.selector.modify(selector.near, selectors.EVENT_READ | selectors.EVENT_WRITE, 2)
+    assert selector.selector.select(0) == [], "nothing is told of the old mask"
+    selector.failing.failure = None
+    selector.now += RETRY_MS / 1000.0
+    [(key, events)] = selector.selector.select(0)
+    assert (key.data, events) == (2, selectors.EVENT_WRITE)
+
+
+def test_a_pending_descriptor_that_was_closed_is_forgotten(selector):
+    selector.selector.register(selector.near.fileno(), selectors.EVENT_READ)
+    selector.near.close()
+    selector.failing.failure = None
+    selector.now += RETRY_MS / 1000.0
+    assert selector.selector.select(0) == []
+
+
+class Failing:
+    """A socket of which one call fails a number of times."""
+
+    def __init__(self, sock, call, number, times):
+        self._sock, self._call = sock, call
+        self._errors = [failed(number)] * times
+        self.calls = 0
+
+    def __getattr__(self, name):
+        if name == self._call:
+            self.calls += 1
+            if self._errors:
+                raise self._errors.pop()
+        return getattr(self._sock, name)
+
+
+class Later:
+    """A loop's `call_later` by hand."""
+
+    def __init__(self, monkeypatch, loop):
+        self.calls = []
+        monkeypatch.setattr(
+            loop, "call_later", lambda wait, call, *args: self.calls.append((wait, call, args))
+        )
+
+    def run(self):
+        calls, self.calls = self.calls, []
+        for wait, call, args in calls:
+            assert wait == RETRY_MS / 1000.0
+            call(*args)
+
+
+def test_an_upgrade_that_cannot_be_accepted_for_want_of_descriptors_waits_and_does_not_spin(
+    tmp_path, monkeypatch
+):
+    loop, heard = new_event_loop(), []
+    later = Later(monkeypatch, loop)
+    ear = Ear(loop, tmp_path / "socket", heard.append)
+    ear.open()
+    ear._listener = sock = Failing(ear._listener, "accept", errno.EMFILE, 2)
+    client = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    client.connect(str(tmp_path / "socket"))
+    for tries in (1, 2):
+        turns(loop, 10)
+        assert sock.calls == tries and not heard
+        later.run()
+    turns(loop, 10)
+    assert len(heard) == 1
+    heard[0].close()
+    ear.close(unlink=True)
+    client.close()
+    loop.close()
+
+
+@pytest.mark.parametrize("number", [errno.ETOOMANYREFS, errno.ENOBUFS])
+def test_a_handover_message_for_which_the_system_has_no_room_is_sent_later(number, monkeypatch):
+    loop, got = new_event_loop(), []
+    later = Later(monkeypatch, loop)
+    near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    sender, receiver = Link(loop, near), Link(loop, far)
+    receiver.receive = lambda message, fds: got.append(message)
+    sender.lost = lambda: got.append("lost")
+    errors, send_fds = [failed(number)] * 2, socket.send_fds
+
+    def failing_send_fds(*args):
+        if errors:
+            raise errors.pop()
+        return send_fds(*args)
+
+    monkeypatch.setattr(socket, "send_fds", failing_send_fds)
+    sender.send({"number": 1})
+    for _ in range(2):
+        turns(loop, 10)
+        assert not got and not sender.flushed
+        later.run()
+    turns(loop, 10)
+    assert got == [{"number": 1}] and sender.flushed
+    sender.close()
+    receiver.close()
+    loop.close()
+
+
+def test_a_program_runs_on_the_loop_that_outlasts_a_full_poll_set(monkeypatch):
+    from eiderfield import __main__ as program
+
+    selectors_used = []
+
+    async def serve(*_):
+        selectors_used.append(asyncio.get_running_loop()._selector)
+
+    monkeypatch.setattr(program, "serve", serve)
+    monkeypatch.setattr(program, "load", lambda *_, **__: None)
+    assert program.main([]) == 0
+    assert isinstance(selectors_used[0], RetryingSelector)
