--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,9 +2,27 @@
 
 from __future__ import annotations
 
+import tempfile
+from pathlib import Path
+
 import pytest
 from support.policy import Node
 
+pytest_plugins = ["support.known_red"]
+
+
+@pytest.fixture(autouse=True)
+def own_temporary_folder(tmp_path_factory: pytest.TempPathFactory, monkeypatch: pytest.MonkeyPatch) -> Path:
+    """An empty folder as `$TMPDIR` of each test and its processes.
+
+    Dispatchers keep their bans and the socket of a handover there, named by the address that they listen on:
+    in a folder in common, a test could find what another has left.
+    """
+    folder = tmp_path_factory.mktemp("tmpdir")
+    monkeypatch.setenv("TMPDIR", str(folder))
+    monkeypatch.setattr(tempfile, "tempdir", None)
+    return folder
+
 
 @pytest.fixture
 def node() -> Node:
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -3,12 +3,13 @@
 import asyncio
 
 import pytest
-from support.processes import free_port, known, told
+from support.processes import known, told
 from support.real_sockets import IDLING, House, Phone, message
 
 from eiderfield.__main__ import Program
 from eiderfield.config import read
 from eiderfield.crowd.settings import Idling
+from eiderfield.lab.ports import free_port
 from eiderfield.net.clients import LINGER, YOUNG, Phase
 from eiderfield.net.ending import ACCEPTING, LONGEST, MARGIN, TO_KILL, Ending
 from eiderfield.net.wheel import TICK
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,10 +15,11 @@
 from hypothesis import strategies as st
 from support.handover import LISTEN, Loop, Pair, Side, Wire
 from support.memory_dispatcher import Client, Desk
-from support.processes import CONFIG, ROOT, Holding, Source, ask, free_port, post
+from support.processes import CONFIG, ROOT, Holding, Source, ask, post
 
 from eiderfield.idmap import IdMap
 from eiderfield.interface import State, pack_counts, unpack_counts
+from eiderfield.lab.ports import free_port
 from eiderfield.net.clients import AT_ONCE
 from eiderfield.net.handover import LONGER, PATIENCE
 from eiderfield.net.link import Ear, reach
--- /dev/null
+++ b/tests/test_known_red.py
@@ -0,0 +1,80 @@
+"""The list of known failures: exactly the tests that it names are passed over, and each line names a test."""
+
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+from support.known_red import FILE_NAME, KnownRed, KnownRedError, read_known_red
+from support.processes import ROOT
+
+TESTS = "def test_good():\n    pass\n\n\ndef test_bad():\n    assert False\n"
+GOOD, BAD = "test_two.py::test_good | none | issue 1", "test_two.py::test_bad | a fault | issue 2"
+PYTEST = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
+
+
+@pytest.fixture
+def project(tmp_path):
+    """A project with a test that passes and one that fails; it returns the run of its tests with a list."""
+    (tmp_path / "pytest.ini").write_text("[pytest]\n")
+    (tmp_path / "conftest.py").write_text('pytest_plugins = ["known_red"]\n')
+    (tmp_path / "test_two.py").write_text(TESTS)
+    plugin = Path(__file__).parent / "support" / "known_red.py"
+    (tmp_path / "known_red.py").write_text(plugin.read_text())
+
+    def run(known_red=None, *options):
+        if known_red is not None:
+            (tmp_path / FILE_NAME).write_text(known_red)
+        return subprocess.run([*PYTEST, *options], cwd=tmp_path, capture_output=True, text=True)
+
+    return run
+
+
+@pytest.mark.parametrize("known_red", [None, "", "\n"])
+def test_without_a_list_nothing_is_passed_over(project, known_red):
+    done = project(known_red)
+    assert done.returncode == 1 and "1 failed, 1 passed" in done.stdout and "known red" not in done.stdout
+
+
+@pytest.mark.parametrize("options", [(), ("-n", "2")])
+def test_a_listed_test_that_fails_is_passed_over_and_printed(project, options):
+    done = project(BAD, *options)
+    assert done.returncode == 0 and "1 passed, 1 xfailed" in done.stdout
+    assert "known red: test_two.py::test_bad: a fault (issue 2)" in done.stdout
+
+
+def test_a_listed_test_that_passes_is_a_failure(project):
+    done = project(GOOD)
+    assert done.returncode == 1 and "2 failed" in done.stdout and "[XPASS(strict)] none" in done.stdout
+
+
+@pytest.mark.parametrize(
+    ("known_red", "fault"),
+    [
+        ("test_two.py::test_bad", "a line is"),
+        ("test_two.py::test_bad | a fault", "a line is"),
+        ("test_two.py::test_bad |  | issue 2", "a line is"),
+        (f"{BAD}\n{BAD}", "listed twice"),
+        ("\n".join(f"test_two.py::test_{n} | a fault | issue 2" for n in range(4)), "3 at most"),
+    ],
+)
+def test_a_faulty_list_is_an_error(project, known_red, fault):
+    done = project(known_red)
+    assert done.returncode == pytest.ExitCode.USAGE_ERROR and fault in done.stderr
+
+
+def test_node_ids_may_hold_the_separator(tmp_path):
+    path = tmp_path / FILE_NAME
+    path.write_text("test_a.py::test_b[c | d] | a fault | issue 3\n")
+    assert read_known_red(path) == [KnownRed("test_a.py::test_b[c | d]", "a fault", "issue 3")]
+    path.write_text("a | b")
+    with pytest.raises(KnownRedError, match=FILE_NAME):
+        read_known_red(path)
+
+
+def test_each_line_of_this_projects_list_names_a_test():
+    """pytest refuses to collect a node id that does not exist."""
+    for entry in read_known_red(ROOT / FILE_NAME):
+        command = [*PYTEST, "--collect-only", entry.node_id]
+        collected = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
+        assert collected.returncode == pytest.ExitCode.OK, collected.stdout + collected.stderr
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -13,8 +13,9 @@
 
 import pytest
 from support.memory_dispatcher import Desk
-from support.processes import CONFIG, ROOT, Holding, Source, ask, free_port, post
+from support.processes import CONFIG, ROOT, Holding, Source, ask, post
 
+from eiderfield.lab.ports import free_port
 from eiderfield.net.loop import GAP, READS, Driver
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -7,11 +7,12 @@
 import sys
 
 import pytest
-from support.processes import JOB, ROOT, Answering, ask, free_port
+from support.processes import JOB, ROOT, Answering, ask
 
 from eiderfield.batch.client import Session
 from eiderfield.batch.drmaa import ControlAction, InvalidJobError, JobState
 from eiderfield.batch.jobs import JobTemplate
+from eiderfield.lab.ports import free_port
 
 
 @pytest.fixture
--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -8,7 +8,9 @@
 import sys
 
 import pytest
-from support.processes import JOB, ROOT, Answering, ask, free_port
+from support.processes import JOB, ROOT, Answering, ask
+
+from eiderfield.lab.ports import free_port
 
 # Stands in for a system-call filter: Unix sockets, and poll sets beside the loop's own.
 FILTER = """
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,10 +9,11 @@
 
 import pytest
 from support.memory_dispatcher import Desk
-from support.processes import CONFIG, ROOT, Holding, Source, ask, free_port
+from support.processes import CONFIG, ROOT, Holding, Source, ask
 
 from eiderfield.config import ConfigError, load
 from eiderfield.interface import State
+from eiderfield.lab.ports import free_port
 from eiderfield.net.backoff import FEW_MOST
 from eiderfield.net.routing import DIAL, Following, Watcher
 
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -12,11 +12,12 @@
 import pytest
 import tomlkit
 from support.memory_dispatcher import SITE, Desk
-from support.processes import ROOT, free_port
+from support.processes import ROOT
 
 from eiderfield.interface import Tenant
 from eiderfield.lab.fleet.change import Change, play_change, verdict
 from eiderfield.lab.fleet.script import Script
+from eiderfield.lab.ports import free_port
 from eiderfield.lab.rig import call, wait_for
 
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -12,10 +12,11 @@
 from contextlib import contextmanager
 
 import pytest
-from support.processes import ROOT, Answering, Source, ask, free_port, known, told
+from support.processes import ROOT, Answering, Source, ask, known, told
 
 from eiderfield.__main__ import ASKING, Program
 from eiderfield.config import read
+from eiderfield.lab.ports import free_port
 
 JOB = b"POST /echo/a HTTP/1.1\r\nX-Request-Id: 1\r\nContent-Length: 3\r\n\r\nabc"
 LONG = 30_000.0  # ms: a grace that no test waits for
