--- a/eiderfield/exchange.py
+++ b/eiderfield/exchange.py
@@ -104,13 +104,15 @@
 class Timer(Protocol):
     """A time that was asked for and can be called off."""
 
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """Its call is not made."""
 
 
 class Timers(Protocol):
-    """Gives calls at times of the caller's clock. Many `patient` ones at one time may come a little later."""
+    """Calls at times of the caller's clock."""
 
-    def at(self, when: float, call: Callable[[], object], patient: bool = False) -> Timer: ...
+    def at(self, when: float, call: Callable[[], object], patient: bool = False) -> Timer:
+        """Calls once at a time. Many `patient` calls due at one time may be made a little later."""
 
 
 class Legs(Protocol):
--- a/eiderfield/wire.py
+++ b/eiderfield/wire.py
@@ -8,6 +8,7 @@
 import math
 import struct
 from collections.abc import Callable, Iterator
+from typing import Any
 
 from eiderfield.interface import (
     Action,
@@ -46,7 +47,12 @@
 REPLY = struct.Struct("<II")
 ENTRY = struct.Struct("<IHHHBfd")
 
+# Codes of what the simulator sends, and of what is sent to it.
 CREATE, UPDATE, QUERY, FLOWING, ENDED, GONE, DUE, PROBED, PEER, RETIRE, TABLE, NOTE = range(12)
+CLOSE_IDLE, CANCEL, LOG, FETCH, WATCH, PROBE, SEND, TIMER, REFUSE, FATAL, TELL, FAIL = range(12)
+
+_MOST_TEXT = 0xFFFF  # bytes of a line of text
+_ALL_PEERS = 0xFFFF
 
 _CREATE = struct.Struct("<HQI")
 _UPDATE = struct.Struct("<HBQI")
@@ -54,6 +60,7 @@
 _FLOWING = struct.Struct("<HQHId")
 _ENDED = struct.Struct("<HQIHBdHBB")
 _GONE = struct.Struct("<HQ")
+_DUE = struct.Struct("<HQ")
 _PROBED = struct.Struct("<HIHdB")
 _PEER = struct.Struct("<HHH")
 _RETIRE = struct.Struct("<H")
@@ -61,6 +68,8 @@
 _NOTE = struct.Struct("<HQHIBf")
 _LOADS = [struct.Struct(f"<{n}f") for n in range(17)]
 
+_WORK_IS_KNOWN = 1  # flag of a query: the work that it names may be relied on
+
 _NODE_ID = struct.Struct("<BHQ")
 _CANCEL = struct.Struct("<BHQH")
 _SEND = struct.Struct("<BHQId")
@@ -101,6 +110,19 @@
 
     def __init__(self) -> None:
         self._tables: dict[int, tuple[Entry, ...]] = {}
+        self._decoders: dict[int, Callable[[bytes, int], tuple[int, Event | Create | Retire, int]]] = {
+            CREATE: self._create,
+            UPDATE: self._update,
+            QUERY: self._query,
+            FLOWING: self._flowing,
+            ENDED: self._ended,
+            GONE: self._gone,
+            DUE: self._due,
+            PROBED: self._probed,
+            PEER: self._peer_said,
+            RETIRE: self._retire,
+            NOTE: self._noted,
+        }
 
     def records(self, body: bytes, count: int) -> Iterator[tuple[int, Event | Create | Retire]]:
         """Yields each record with its node, in order. `body` is the frame without its header."""
@@ -136,52 +158,67 @@
         return tuple(entries), end
 
     def _event(self, code: int, body: bytes, at: int) -> tuple[int, Event | Create | Retire, int]:
-        if code == NOTE:
-            node, id_, attempt, worker, what, share = _NOTE.unpack_from(body, at)
-            return node, Noted(id_, attempt, worker, what, share), at + _NOTE.size
-        if code == QUERY:
-            node, id_, cls, tenant, key, due, work, slots, mem, flags = _QUERY.unpack_from(body, at)
-            work = work if flags & 1 else 0.0
-            return node, Arrived(id_, cls, due, tenant, key, work, slots, mem, flags), at + _QUERY.size
-        if code == ENDED:
-            node, id_, worker, how, info, took, trial, final, n = _ENDED.unpack_from(body, at)
-            load, at = self._load(body, at + _ENDED.size, n)
-            return node, Ended(id_, trial, worker, how, took, bool(final), info, load), at
-        if code == DUE:
-            node, token = _GONE.unpack_from(body, at)
-            return node, Due(token), at + _GONE.size
-        if code == UPDATE:
-            node, how, version, bank = _UPDATE.unpack_from(body, at)
-            if how not in _KINDS:
-                raise WireError(f"unknown list kind {how} (frame byte {at + HEADER.size})")
-            entries: tuple[Entry, ...] = ()
-            if how != ListKind.FAILED:
-                if bank not in self._tables:
-                    raise WireError(f"table {bank} was never sent (frame byte {at + HEADER.size})")
-                entries = self._tables[bank]
-            return node, Listed(_KINDS[how], version, entries), at + _UPDATE.size
-        if code == GONE:
-            node, id_ = _GONE.unpack_from(body, at)
-            return node, ClientGone(id_), at + _GONE.size
-        if code == FLOWING:
-            node, id_, trial, worker, took = _FLOWING.unpack_from(body, at)
-            return node, Flowing(id_, trial, worker, took), at + _FLOWING.size
-        if code == PROBED:
-            node, worker, how, took, n = _PROBED.unpack_from(body, at)
-            load, at = self._load(body, at + _PROBED.size, n)
-            return node, Probed(worker, how, took, load), at
-        if code == PEER:
-            node, origin, size = _PEER.unpack_from(body, at)
-            at += _PEER.size
-            return node, PeerSaid(origin, self._bytes(body, at, size)), at + size
-        if code == CREATE:
-            node, seed, size = _CREATE.unpack_from(body, at)
-            at += _CREATE.size
-            return node, Create(seed, self._bytes(body, at, size).decode("utf-8", "replace")), at + size
-        if code == RETIRE:
-            (node,) = _RETIRE.unpack_from(body, at)
-            return node, Retire(), at + _RETIRE.size
-        raise WireError(f"unknown event code {code} (frame byte {at - 1 + HEADER.size})")
+        """Decodes the record of a code: its node, what it says, and where the next one begins."""
+        decode = self._decoders.get(code)
+        if decode is None:
+            raise WireError(f"unknown event code {code} (frame byte {at - 1 + HEADER.size})")
+        return decode(body, at)
+
+    def _create(self, body: bytes, at: int) -> tuple[int, Create, int]:
+        node, seed, size = _CREATE.unpack_from(body, at)
+        at += _CREATE.size
+        return node, Create(seed, self._bytes(body, at, size).decode("utf-8", "replace")), at + size
+
+    def _retire(self, body: bytes, at: int) -> tuple[int, Retire, int]:
+        (node,) = _RETIRE.unpack_from(body, at)
+        return node, Retire(), at + _RETIRE.size
+
+    def _update(self, body: bytes, at: int) -> tuple[int, Listed, int]:
+        node, how, version, table = _UPDATE.unpack_from(body, at)
+        if how not in _KINDS:
+            raise WireError(f"unknown list kind {how} (frame byte {at + HEADER.size})")
+        entries: tuple[Entry, ...] = ()
+        if how != ListKind.FAILED:
+            if table not in self._tables:
+                raise WireError(f"table {table} was never sent (frame byte {at + HEADER.size})")
+            entries = self._tables[table]
+        return node, Listed(_KINDS[how], version, entries), at + _UPDATE.size
+
+    def _query(self, body: bytes, at: int) -> tuple[int, Arrived, int]:
+        node, id_, cls, tenant, key, due, work, slots, memory, flags = _QUERY.unpack_from(body, at)
+        work = work if flags & _WORK_IS_KNOWN else 0.0
+        return node, Arrived(id_, cls, due, tenant, key, work, slots, memory, flags), at + _QUERY.size
+
+    def _flowing(self, body: bytes, at: int) -> tuple[int, Flowing, int]:
+        node, id_, attempt, worker, elapsed = _FLOWING.unpack_from(body, at)
+        return node, Flowing(id_, attempt, worker, elapsed), at + _FLOWING.size
+
+    def _ended(self, body: bytes, at: int) -> tuple[int, Ended, int]:
+        node, id_, worker, outcome, info, elapsed, attempt, final, figures = _ENDED.unpack_from(body, at)
+        load, at = self._load(body, at + _ENDED.size, figures)
+        return node, Ended(id_, attempt, worker, outcome, elapsed, bool(final), info, load), at
+
+    def _gone(self, body: bytes, at: int) -> tuple[int, ClientGone, int]:
+        node, id_ = _GONE.unpack_from(body, at)
+        return node, ClientGone(id_), at + _GONE.size
+
+    def _due(self, body: bytes, at: int) -> tuple[int, Due, int]:
+        node, token = _DUE.unpack_from(body, at)
+        return node, Due(token), at + _DUE.size
+
+    def _probed(self, body: bytes, at: int) -> tuple[int, Probed, int]:
+        node, worker, outcome, elapsed, figures = _PROBED.unpack_from(body, at)
+        load, at = self._load(body, at + _PROBED.size, figures)
+        return node, Probed(worker, outcome, elapsed, load), at
+
+    def _peer_said(self, body: bytes, at: int) -> tuple[int, PeerSaid, int]:
+        node, origin, size = _PEER.unpack_from(body, at)
+        at += _PEER.size
+        return node, PeerSaid(origin, self._bytes(body, at, size)), at + size
+
+    def _noted(self, body: bytes, at: int) -> tuple[int, Noted, int]:
+        node, id_, attempt, worker, what, share = _NOTE.unpack_from(body, at)
+        return node, Noted(id_, attempt, worker, what, share), at + _NOTE.size
 
     @staticmethod
     def _bytes(body: bytes, at: int, size: int) -> bytes:
@@ -204,7 +241,7 @@
 
 def encode_fatal(node: int, text: str) -> bytes:
     """The record by which a node declares that its decisions have failed."""
-    return _text(9, node, text)
+    return _encode_text(FATAL, node, text)
 
 
 def reply(records: list[bytes]) -> bytes:
@@ -213,28 +250,68 @@
     return REPLY.pack(len(records), REPLY.size + len(body)) + body
 
 
-def _text(code: int, node: int, text: str) -> bytes:
-    data = text.encode("utf-8")[:65535]
+def _encode_text(code: int, node: int, text: str) -> bytes:
+    data = text.encode("utf-8")[:_MOST_TEXT]
     return _TEXT.pack(code, node, len(data)) + data
 
 
-def _tell(node: int, a: Tell) -> bytes:
-    peer = 0xFFFF if a.peer < 0 else a.peer
-    return _TELL.pack(10, node, peer, len(a.data)) + a.data
+def _encode_close_idle(node: int, action: CloseIdle) -> bytes:
+    return _WORKER.pack(CLOSE_IDLE, node, action.worker)
+
+
+def _encode_cancel(node: int, action: Cancel) -> bytes:
+    return _CANCEL.pack(CANCEL, node, action.id, action.attempt)
+
+
+def _encode_log(node: int, action: Log) -> bytes:
+    return _encode_text(LOG, node, action.text)
+
+
+def _encode_fetch(node: int, action: Fetch) -> bytes:
+    return _FETCH.pack(FETCH, node)
+
+
+def _encode_watch(node: int, action: Watch) -> bytes:
+    return _WATCH.pack(WATCH, node, action.on)
+
+
+def _encode_probe(node: int, action: Probe) -> bytes:
+    return _WORKER.pack(PROBE, node, action.worker)
+
+
+def _encode_send(node: int, action: Send) -> bytes:
+    return _SEND.pack(SEND, node, action.id, action.worker, action.timeout)
+
+
+def _encode_timer(node: int, action: SetTimer) -> bytes:
+    return _TIMER.pack(TIMER, node, action.at, action.token)
+
+
+def _encode_refuse(node: int, action: Refuse) -> bytes:
+    return _REFUSE.pack(REFUSE, node, action.id, action.retry_after)
+
+
+def _encode_tell(node: int, action: Tell) -> bytes:
+    peer = _ALL_PEERS if action.peer < 0 else action.peer
+    return _TELL.pack(TELL, node, peer, len(action.data)) + action.data
+
+
+def _encode_fail(node: int, action: Fail) -> bytes:
+    return _NODE_ID.pack(FAIL, node, action.id)
 
 
-_ENCODERS: dict[type, Callable[[int, object], bytes]] = {  # lambdas keep the field order in one place
-    Send: lambda n, a: _SEND.pack(6, n, a.id, a.worker, a.timeout),  # type: ignore[attr-defined]
-    SetTimer: lambda n, a: _TIMER.pack(7, n, a.at, a.token),  # type: ignore[attr-defined]
-    Refuse: lambda n, a: _REFUSE.pack(8, n, a.id, a.retry_after),  # type: ignore[attr-defined]
-    Fail: lambda n, a: _NODE_ID.pack(11, n, a.id),  # type: ignore[attr-defined]
-    Cancel: lambda n, a: _CANCEL.pack(1, n, a.id, a.attempt),  # type: ignore[attr-defined]
-    Probe: lambda n, a: _WORKER.pack(5, n, a.worker),  # type: ignore[attr-defined]
-    CloseIdle: lambda n, a: _WORKER.pack(0, n, a.worker),  # type: ignore[attr-defined]
-    Tell: lambda n, a: _tell(n, a),  # type: ignore[arg-type]
-    Watch: lambda n, a: _WATCH.pack(4, n, a.on),  # type: ignore[attr-defined]
-    Fetch: lambda n, a: _FETCH.pack(3, n),
-    Log: lambda n, a: _text(2, n, a.text),  # type: ignore[attr-defined]
+_ENCODERS: dict[type[Action], Callable[[int, Any], bytes]] = {
+    CloseIdle: _encode_close_idle,
+    Cancel: _encode_cancel,
+    Log: _encode_log,
+    Fetch: _encode_fetch,
+    Watch: _encode_watch,
+    Probe: _encode_probe,
+    Send: _encode_send,
+    SetTimer: _encode_timer,
+    Refuse: _encode_refuse,
+    Tell: _encode_tell,
+    Fail: _encode_fail,
 }
 
 
