--- a/Makefile
+++ b/Makefile
@@ -9,8 +9,11 @@
 	test -d $(VENV) || $(PYTHON) -m venv $(VENV)
 	$(BIN)/pip -q install -r requirements.txt -r requirements-lab.txt -r requirements-dev.txt
 
+# CI has ten cores for itself. Three of the processes run the tests that start fleets and judge them by the wall
+# clock (tests/support/schedule.py), each of which keeps up to two cores busy; the others keep one each.
+TEST_PROCESSES ?= 7
 test:
-	$(BIN)/python -m pytest -q -p no:cacheprovider
+	$(BIN)/python -m pytest -q -p no:cacheprovider -n $(TEST_PROCESSES) --dist loadgroup
 
 lint:
 	$(BIN)/ruff format --check .
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,13 +2,20 @@
 
 from __future__ import annotations
 
+import signal
 import tempfile
 from pathlib import Path
 
 import pytest
 from support.policy import Node
 
-pytest_plugins = ["support.known_red"]
+pytest_plugins = ["support.known_red", "support.schedule"]
+
+
+@pytest.fixture(scope="session", autouse=True)
+def signals_as_a_shell_leaves_them() -> None:
+    """Hang-ups end a process, also where the tests run under `nohup`: what they start inherits that."""
+    signal.signal(signal.SIGHUP, signal.SIG_DFL)
 
 
 @pytest.fixture(autouse=True)
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -62,6 +62,7 @@
         raise pytest.UsageError(str(error)) from error
 
 
+@pytest.hookimpl(tryfirst=True)  # xdist adds its groups to the node ids in the same hook
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     """Expects the listed tests to fail; one that passes is a failure."""
     known = {entry.node_id: entry for entry in config.stash[KNOWN_RED]}
--- a/tests/test_custody_cost.py
+++ b/tests/test_custody_cost.py
@@ -5,6 +5,7 @@
 import subprocess
 import sys
 
+import pytest
 from click.testing import CliRunner
 from support.processes import ROOT
 
@@ -12,6 +13,8 @@
 from eiderfield.config import read_text
 from eiderfield.lab.custody_cost import commits, recovery, ways
 
+pytestmark = pytest.mark.real_time
+
 
 def test_one_store_stops_with_the_process_that_holds_it_and_stores_of_their_own_do_not(tmp_path):
     rows = {row.way: row for row in ways((3,), 2.0, tmp_path)}
--- a/tests/test_custody_fleet.py
+++ b/tests/test_custody_fleet.py
@@ -11,6 +11,8 @@
 from eiderfield.lab.fleet.run import Program
 from eiderfield.lab.fleet.script import Fault, Script, checked
 
+pytestmark = pytest.mark.real_time
+
 SCRIPT = Script(
     dispatchers=3, workers=6, slots=4, cell=3, jobs=90, rate=40.0, notice=0.3, retries=10, one_id=True,
     custody={"lease_ms": 900}, kinds=KINDS,
--- a/tests/test_custody_jobs.py
+++ b/tests/test_custody_jobs.py
@@ -154,6 +154,7 @@
     return json.dumps({"job": job, "run": ms, "slots": 1})
 
 
+@pytest.mark.real_time
 def test_batch_jobs_outlive_their_dispatcher_and_are_known_at_every_other(batch):
     fleet, addresses = batch
     first = fleet.dispatchers["n0"]
@@ -172,6 +173,7 @@
             assert again.info(ids[0]) == infos[0], "its next life knows them"
 
 
+@pytest.mark.real_time
 def test_a_batch_job_is_ended_from_any_dispatcher_once(batch):
     _, addresses = batch
     with Session(*addresses[0]) as one_, Session(*addresses[1]) as other:
@@ -186,6 +188,7 @@
         assert other.info(short).result == served.result
 
 
+@pytest.mark.real_time
 def test_after_the_loss_of_all_batch_jobs_go_on_with_those_that_start(batch):
     fleet, addresses = batch
     with Session(*addresses[0]) as session:
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -197,6 +197,7 @@
 }  # fmt: skip
 
 
+@pytest.mark.real_time
 @pytest.mark.parametrize("name", RUNS)
 def test_the_rules_hold_while_processes_fail(name, tmp_path):
     source = "consul" if "consul" in name else "platform"
@@ -211,6 +212,7 @@
         assert result.counts["begun_twice"] == 0, "it judged by its own absence"
 
 
+@pytest.mark.real_time
 @pytest.mark.parametrize("bytes_", [0, 10])
 def test_a_ban_that_cannot_be_written_down_says_so_and_those_on_file_stay_whole(bytes_, tmp_path):
     full = Fault("disk", "n0", at=0.0, value=float(bytes_))
@@ -226,6 +228,7 @@
         assert n0.figures()["hosts_banned"] == ["w1"]
 
 
+@pytest.mark.real_time
 def test_a_run_leaves_its_events_and_a_page(tmp_path):
     import pyarrow.parquet as parquet
 
--- a/tests/test_idle_connections_program.py
+++ b/tests/test_idle_connections_program.py
@@ -6,6 +6,8 @@
 
 from eiderfield.lab.rig import Rig, call, wait_for
 
+pytestmark = pytest.mark.real_time
+
 COUNT = 60
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,6 +13,7 @@
 from eiderfield.lab.usage import usage
 
 
+@pytest.mark.real_time
 def test_phones_are_served_parked_woken_and_counted(tmp_path):
     with Rig(tmp_path) as rig:
         workers = rig.workers(2)
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -110,6 +110,7 @@
     assert client.answers()
 
 
+@pytest.mark.real_time
 def test_a_stopped_program_sends_nothing_again_that_was_answered_meanwhile(tmp_path):
     """Measured before, with 4 dispatchers and one of them stopped for 4 s: 15 of 240 jobs ran whole twice."""
     workers = [Holding(), Holding()]
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -14,6 +14,8 @@
 from eiderfield.lab.fleet.script import Fault, Script
 from eiderfield.lab.fleet.worse import KINDS, build
 
+pytestmark = pytest.mark.real_time
+
 SCRIPT = Script(dispatchers=3, workers=6, slots=4, cell=3, jobs=6000, rate=100.0, notice=0.3)
 QUICK = {"before": 1.5, "worse": 0.2, "slower": 1.0, "settle": 0.3}
 
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -125,6 +125,7 @@
 GOOD = '[[settings.classes]]\nname = "lookup"\nvalue = 2.0\n[settings.policy_limits]\nmax_attempts = 3\n'
 
 
+@pytest.mark.real_time
 def test_new_settings_go_to_a_fleet_in_stages_without_a_restart(tmp_path):
     told = Change(kind="", settings=GOOD, watch=QUICK, ban="w5")
     found = play_change(SCRIPT, told, tmp_path / "run")
@@ -133,6 +134,7 @@
     assert verdict(replace(told, kind="none"), found) == "right"
 
 
+@pytest.mark.real_time
 def test_settings_that_a_dispatcher_does_not_take_are_put_back_everywhere(tmp_path):
     """The first dispatcher refuses what only a new process can take; its file is what it was."""
     told = Change(kind="", settings="[limits]\nsockets = 600\n", watch=QUICK)
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -7,6 +7,8 @@
 
 from eiderfield.interface import State
 
+pytestmark = pytest.mark.long
+
 SIZES = [(4, 12), (40, 24), (200, 40)]
 
 
