--- a/eiderfield/lab/scale/dispatcher.py
+++ b/eiderfield/lab/scale/dispatcher.py
@@ -11,7 +11,8 @@
 from contextlib import suppress
 from pathlib import Path
 
-from eiderfield.lab.rig import RigError, free_port
+from eiderfield.lab.ports import free_port
+from eiderfield.lab.rig import RigError
 from eiderfield.lab.scale.plan import DayPlan, dispatcher_config
 from eiderfield.lab.usage import open_descriptors, peak_memory, processor_seconds
 
