--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,10 +1,13 @@
 """The program as a process, and stand-ins on loopback sockets for the workers and the discovery it calls."""
 
 import json
+import os
 import queue
 import socket
+import subprocess
+import sys
 import threading
-from contextlib import suppress
+from contextlib import contextmanager, suppress
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
@@ -96,6 +99,42 @@
             self.ended.put(sock.recv(65536) == b"")
 
 
+DISPATCHER = (sys.executable, "-m", "eiderfield")
+
+
+@contextmanager
+def running_program(path, command=DISPATCHER, wait=True, **environ):
+    """The dispatcher with the configuration that LB_CONFIG names; it is killed at the end.
+
+    `wait` returns only once it listens, which is the first thing that it says.
+    """
+    process = subprocess.Popen(
+        command,
+        cwd=ROOT,
+        env={**os.environ, "LB_CONFIG": str(path), **environ},
+        stderr=subprocess.PIPE,
+        text=True,
+    )
+    try:
+        if wait:
+            lines = log_until_listening(process)
+            assert len(lines) == 1, lines
+        yield process
+    finally:
+        process.kill()
+        process.wait()
+        process.stderr.close()
+
+
+def log_until_listening(process):
+    """The lines of a dispatcher's log up to the one that says that it listens."""
+    lines = []
+    while not lines or "listens on" not in lines[-1]:
+        lines.append(process.stderr.readline())
+        assert lines[-1], f"it ended: {lines}"
+    return lines
+
+
 def ask(sock, data):
     sock.sendall(data)
     got = b""
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -7,13 +7,11 @@
 import select
 import signal
 import socket
-import subprocess
-import sys
 import time
 
 import pytest
 from support.memory_dispatcher import Desk
-from support.processes import CONFIG, ROOT, Holding, Source, ask, post
+from support.processes import CONFIG, Holding, Source, ask, post, running_program
 
 from eiderfield.lab.ports import free_port
 from eiderfield.net.loop import GAP, READS, Driver
@@ -128,13 +126,7 @@
     told["settings"] = settings
     path = tmp_path / "config.json"
     path.write_text(json.dumps(told))
-    environ = {**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(tmp_path)}
-    process = subprocess.Popen(
-        [sys.executable, "-m", "eiderfield"], cwd=ROOT, env=environ, stderr=subprocess.PIPE, text=True
-    )
-    try:
-        while "listens on" not in process.stderr.readline():
-            pass
+    with running_program(path) as process:
         source.asked.get(timeout=30)
         with socket.create_connection(("127.0.0.1", port), 30) as sock:
             for number in range(2):
@@ -153,7 +145,3 @@
                 process.send_signal(signal.SIGCONT)
                 assert ask(sock, b"") == (200, b"cba")
         assert len(served) == 2, "each job reached a worker once"
-    finally:
-        process.kill()
-        process.wait()
-        process.stderr.close()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from support.processes import JOB, ROOT, Answering, ask
+from support.processes import DISPATCHER, JOB, ROOT, Answering, ask, running_program
 
 from eiderfield.batch.client import Session
 from eiderfield.batch.drmaa import ControlAction, InvalidJobError, JobState
@@ -18,40 +18,14 @@
 @pytest.fixture
 def program(tmp_path):
     worker, port, batch = Answering(), free_port(), free_port()
-    text = subprocess.run(
-        [
-            sys.executable,
-            "-m",
-            "eiderfield.tool",
-            "init",
-            "--name",
-            "t",
-            "--listen",
-            f"127.0.0.1:{port}",
-            "--worker",
-            f"127.0.0.1:{worker.port}",
-            "--batch",
-            f"127.0.0.1:{batch}",
-            "--class",
-            "echo:safe",
-        ],
-        cwd=ROOT,
-        capture_output=True,
-        text=True,
-        check=True,
-    ).stdout
+    words = f"init --name t --listen 127.0.0.1:{port} --worker 127.0.0.1:{worker.port}"
+    words += f" --batch 127.0.0.1:{batch} --class echo:safe"
+    command = [sys.executable, "-m", "eiderfield.tool", *words.split()]
+    text = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True).stdout
     (tmp_path / "t.toml").write_text(text)
-    process = subprocess.Popen(
-        [sys.executable, "-m", "eiderfield", "--config", str(tmp_path / "t.toml")],
-        cwd=ROOT,
-        stderr=subprocess.PIPE,
-        text=True,
-    )
-    assert "listens on" in process.stderr.readline()
-    yield process, port, batch
-    process.kill()
-    process.wait()
-    process.stderr.close()
+    path = tmp_path / "t.toml"
+    with running_program(path, [*DISPATCHER, "--config", str(path)]) as process:
+        yield process, port, batch
 
 
 def test_it_serves_both_fronts_and_ends_on_sigterm(program):
--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -1,14 +1,12 @@
 """A system that refuses optional calls (ENOSYS): each is named in the log once, and the dispatcher serves."""
 
 import json
-import os
 import signal
 import socket
-import subprocess
 import sys
 
 import pytest
-from support.processes import JOB, ROOT, Answering, ask
+from support.processes import JOB, Answering, ask, log_until_listening, running_program
 
 from eiderfield.lab.ports import free_port
 
@@ -47,15 +45,9 @@
                                   "idempotency": "retryable"}]},
     }  # fmt: skip
     (tmp_path / "config.json").write_text(json.dumps(config))
-    environ = {**os.environ, "LB_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(tmp_path)}
-    process = subprocess.Popen(
-        [sys.executable, "-c", FILTER, refused], cwd=ROOT, env=environ, stderr=subprocess.PIPE, text=True
-    )
-    try:
-        lines = []
-        while not lines or "listens on" not in lines[-1]:
-            lines.append(process.stderr.readline())
-            assert lines[-1], lines
+    command = [sys.executable, "-c", FILTER, refused]
+    with running_program(tmp_path / "config.json", command, wait=False) as process:
+        lines = log_until_listening(process)
         told = [line for line in lines if "Function not implemented" in line]
         assert len(told) == refused.count(",") + 1, lines
         assert ("take over" in "".join(told)) == ("unix" in refused)
@@ -64,7 +56,3 @@
             assert ask(sock, JOB) == (200, b"cba")
         process.send_signal(signal.SIGTERM)
         assert process.wait(20) == 0
-    finally:
-        process.kill()
-        process.wait()
-        process.stderr.close()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,15 +1,12 @@
 """A new configuration under load: the watch moves, the table and every job stay."""
 
 import json
-import os
 import signal
 import socket
-import subprocess
-import sys
 
 import pytest
 from support.memory_dispatcher import Desk
-from support.processes import CONFIG, ROOT, Holding, Source, ask
+from support.processes import CONFIG, Holding, Source, ask, running_program
 
 from eiderfield.config import ConfigError, load
 from eiderfield.interface import State
@@ -137,12 +134,7 @@
     old, new, port, path = Source(worker.port), Source(worker.port), free_port(), tmp_path / "config.json"
     told = {**CONFIG, "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{old.port}"}
     path.write_text(json.dumps(told))
-    environ = {**os.environ, "LB_CONFIG": str(path), "LB_DISCOVERY": told["discovery"]}
-    process = subprocess.Popen(
-        [sys.executable, "-m", "eiderfield"], cwd=ROOT, env=environ, stderr=subprocess.PIPE, text=True
-    )
-    try:
-        assert "listens on" in process.stderr.readline()
+    with running_program(path, LB_DISCOVERY=told["discovery"]) as process:
         assert b"watch=1" in old.asked.get(timeout=30)
         with socket.create_connection(("127.0.0.1", port)) as sock:
             sock.sendall(b"POST /echo/a HTTP/1.1\r\nX-Request-Id: 1\r\nContent-Length: 3\r\n\r\nabc")
@@ -158,7 +150,3 @@
             assert ask(sock, b"")[0] == 200
         process.send_signal(signal.SIGTERM)
         assert process.wait(30) == 0
-    finally:
-        process.kill()
-        process.wait()
-        process.stderr.close()
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -3,16 +3,13 @@
 from __future__ import annotations
 
 import json
-import os
 import signal
-import subprocess
-import sys
 from dataclasses import replace
 
 import pytest
 import tomlkit
 from support.memory_dispatcher import SITE, Desk
-from support.processes import ROOT
+from support.processes import DISPATCHER, log_until_listening, running_program
 
 from eiderfield.interface import Tenant
 from eiderfield.lab.fleet.change import Change, play_change, verdict
@@ -80,20 +77,18 @@
     path, told = tmp_path / "c.toml", file_of()
     path.write_text(tomlkit.dumps(told))
     console = ("127.0.0.1", int(told["console"].rpartition(":")[2]))
-    process = subprocess.Popen(
-        [sys.executable, "-m", "eiderfield", "--config", str(path)], cwd=ROOT, stderr=subprocess.PIPE,
-        env={**os.environ, "TMPDIR": str(tmp_path)}, text=True,
-    )  # fmt: skip
 
     def running():
         return json.loads(call(console, "/-/config")[1])
 
-    def give(**more):
-        path.write_text(tomlkit.dumps({**told, **more}))
-        process.send_signal(signal.SIGHUP)
+    command = [*DISPATCHER, "--config", str(path)]
+    with running_program(path, command, wait=False) as process:
+        log_until_listening(process)
+
+        def give(**more):
+            path.write_text(tomlkit.dumps({**told, **more}))
+            process.send_signal(signal.SIGHUP)
 
-    try:
-        assert any("listens on" in line for line in iter(process.stderr.readline, ""))
         first = running()
         assert (first["generation"], first["refused"], first["pid"]) == (1, None, process.pid)
         assert first["settings"]["discovery"]["token"] == "***"
@@ -114,10 +109,6 @@
         give()
         wait_for("the first file again", lambda: running()["digest"] == first["digest"])
         assert running()["refused"] is None
-    finally:
-        process.kill()
-        process.wait()
-        process.stderr.close()
 
 
 SCRIPT = Script(dispatchers=3, workers=6, slots=4, cell=3, jobs=6000, rate=100.0, notice=0.3)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -5,14 +5,13 @@
 import os
 import signal
 import socket
-import subprocess
 import sys
 import threading
 import tomllib
-from contextlib import contextmanager
+from contextlib import suppress
 
 import pytest
-from support.processes import ROOT, Answering, Source, ask, known, told
+from support.processes import ROOT, Answering, Source, ask, known, running_program, told
 
 from eiderfield.__main__ import ASKING, Program
 from eiderfield.config import read
@@ -41,7 +40,7 @@
         super().__init__(worker, *others)
 
     def serve(self, sock):
-        with sock:
+        with sock, suppress(OSError):  # the program may be gone by now
             self.asked.put(sock.recv(65536))
             self.let.wait(30)
             endpoints = [
@@ -54,31 +53,12 @@
             self.ended.put(sock.recv(65536) == b"")
 
 
-@contextmanager
-def running(path, command=None, discovery=None, wait=True):
-    environ = {**os.environ, "LB_CONFIG": str(path)}
-    if discovery:
-        environ["LB_DISCOVERY"] = discovery
-    process = subprocess.Popen(
-        command or [sys.executable, "-m", "eiderfield"], cwd=ROOT, env=environ, stderr=subprocess.PIPE,
-        text=True,
-    )  # fmt: skip
-    try:
-        if wait:
-            assert "listens on" in process.stderr.readline()
-        yield process
-    finally:
-        process.kill()
-        process.wait()
-        process.stderr.close()
-
-
 def test_nobody_is_served_from_a_known_list_before_the_agent_was_asked(tmp_path):
     """What the agent holds counts as told from the first moment; the list in the configuration is older."""
     draining, ready, port = Counting(), Counting(), free_port()
     source, path = Held(draining.port, ready.port), tmp_path / "config.json"
     path.write_text(json.dumps(told(port, f"127.0.0.1:{source.port}", known=known(draining.port))))
-    with running(path, wait=False) as process:
+    with running_program(path, wait=False) as process:
         assert b"watch=1" in source.asked.get(timeout=30)
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(("127.0.0.1", port)).close()
@@ -94,7 +74,7 @@
     source = Held(worker.port)
     config = told(port, f"127.0.0.1:{source.port}", grace=200.0, known=known(worker.port))
     path.write_text(json.dumps(config))
-    with running(path), socket.create_connection(("127.0.0.1", port)) as sock:
+    with running_program(path), socket.create_connection(("127.0.0.1", port)) as sock:
         assert ask(sock, JOB) == (200, b"cba")
     assert not source.let.is_set()
 
@@ -114,7 +94,7 @@
     worker, port, path = Counting(), free_port(), tmp_path / "config.json"
     source = Held(worker.port)
     path.write_text(json.dumps(told(port, f"127.0.0.1:{source.port}", known=known(worker.port))))
-    with running(path, wait=False) as process:
+    with running_program(path, wait=False) as process:
         source.asked.get(timeout=30)
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGTERM)
@@ -129,7 +109,7 @@
     old, new = Source(worker.port), Source(worker.port)
     anew = tmp_path / "anew.json"
     os.mkfifo(path)
-    with running(path, wait=False, discovery=f"127.0.0.1:{old.port}") as process:
+    with running_program(path, wait=False, LB_DISCOVERY=f"127.0.0.1:{old.port}") as process:
         with open(path, "w") as file:  # it stands at reading it now, and until this is closed
             process.send_signal(signal.SIGHUP)
             file.write(json.dumps(told(port, f"127.0.0.1:{old.port}")))
@@ -148,7 +128,7 @@
     worker, port, path = Counting(), free_port(), tmp_path / "config.json"
     source = Source(worker.port)
     path.write_text(json.dumps(told(port, f"127.0.0.1:{source.port}")))
-    with running(path, ["sh", "-c", f"kill -HUP $$; {command}"], wait=False) as dead:
+    with running_program(path, ["sh", "-c", f"kill -HUP $$; {command}"], wait=False) as dead:
         assert dead.wait(30) == -signal.SIGHUP, "without the trap it is the end"
     trap, _, rest = command.partition(";")
     up = threading.Event()
@@ -158,7 +138,7 @@
             if "listens on" in line:
                 up.set()
 
-    with running(path, ["sh", "-c", f"{trap}; echo begun >&2;{rest}"], wait=False) as process:
+    with running_program(path, ["sh", "-c", f"{trap}; echo begun >&2;{rest}"], wait=False) as process:
         assert process.stderr.readline() == "begun\n"
         reader = threading.Thread(target=read, args=(process.stderr,), daemon=True)
         reader.start()
@@ -177,7 +157,7 @@
     silent, other = Held(worker.port), Source(worker.port)
     config = told(port, f"127.0.0.1:{silent.port}", known=known(worker.port))
     path.write_text(json.dumps(config))
-    with running(path, wait=False) as process:
+    with running_program(path, wait=False) as process:
         assert b"watch=1" in silent.asked.get(timeout=30)
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
