--- a/eiderfield/tool.py
+++ b/eiderfield/tool.py
@@ -10,6 +10,7 @@
 import json
 import sys
 from collections.abc import Sequence
+from dataclasses import dataclass
 
 from eiderfield.config import Address, ConfigError, load, read_text
 
@@ -45,93 +46,136 @@
     return found
 
 
-def draft(
-    name: str, listen: str, classes: Sequence[dict[str, str | float]], consul: str, service: str,
-    workers: Sequence[str], batch: str, zones: Sequence[str], console: str = "",
-) -> str:  # fmt: skip
-    """The text of a configuration. TOML's basic strings are written as JSON's."""
-    stretches = ", ".join(f"{float(cls['stretch']):g}" for cls in classes)
-    lines = [
-        f"# eiderfield's sidecar for {json.dumps(name)[1:-1]}. Check it after a change:",
-        "#   python -m eiderfield.tool check FILE",
-        f"name = {json.dumps(name)}",
-        f"listen = {json.dumps(listen)}  # where the application sends its jobs",
-        *([f"console = {json.dumps(console)}  # where operators call"] if console else []),
-        "",
-        "[limits]",
-        "sockets = 1024  # file descriptors in all",
-        "memory_mb = 192",
-        "",
-        "[discovery]",
-    ]
-    if consul:
-        lines += [
+@dataclass(frozen=True)
+class Draft:
+    """What a new configuration is written from."""
+
+    name: str
+    listen: str
+    classes: Sequence[dict[str, str | float]]
+    zones: Sequence[str]
+    consul: str = ""
+    service: str = ""
+    workers: Sequence[str] = ()
+    batch: str = ""
+    console: str = ""
+
+    def text(self) -> str:
+        """The file. TOML's basic strings are written as JSON's."""
+        tables = [
+            self._head(),
+            self._discovery(),
+            self._batch(),
+            self._settings(),
+            *(_class_table(cls) for cls in self.classes),
+            self._known(),
+        ]
+        return "\n\n".join("\n".join(lines) for lines in tables if lines) + "\n"
+
+    def _head(self) -> list[str]:
+        lines = [
+            f"# eiderfield's sidecar for {json.dumps(self.name)[1:-1]}. Check it after a change:",
+            "#   python -m eiderfield.tool check FILE",
+            f"name = {json.dumps(self.name)}",
+            f"listen = {json.dumps(self.listen)}  # where the application sends its jobs",
+        ]
+        if self.console:
+            lines.append(f"console = {json.dumps(self.console)}  # where operators call")
+        return [
+            *lines,
+            "",
+            "[limits]",
+            "sockets = 1024  # file descriptors in all",
+            "memory_mb = 192",
+        ]
+
+    def _discovery(self) -> list[str]:
+        if not self.consul:
+            return ["[discovery]", 'kind = "static"  # the workers are those of [known]']
+        return [
+            "[discovery]",
             'kind = "consul"',
-            f"address = {json.dumps(consul)}",
-            f"service = {json.dumps(service or name)}",
+            f"address = {json.dumps(self.consul)}",
+            f"service = {json.dumps(self.service or self.name)}",
             'api = "health"  # or "catalog", which knows of no checks',
             "wait_ms = 30000  # how long a blocking query may wait",
         ]
-    else:
-        lines += ['kind = "static"  # the workers are those of [known]']
-    if batch:
-        lines += ["", "[batch]", "enabled = true", f"listen = {json.dumps(batch)}", "jobs_most = 20000",
-                  "finished_most = 20000", "finished_age_ms = 3600000",
-                  "memory_mb = 32  # for bodies and results"]  # fmt: skip
-    lines += [
-        "",
-        "[settings]  # times in milliseconds",
-        "balancers = 1  # dispatchers that share these workers",
-        f"zones = {json.dumps(list(zones))}",
-        "locality = 0  # this sidecar's place among them",
-        "",
-        "[settings.family_info]",
-        "tells_start = true  # workers tell when a job starts",
-        "progress = 1000  # and how far it is, every so often; 0 for never",
-        f"class_stretch = [{stretches}]",
-        "",
-        "[settings.policy_limits]",
-        "max_attempts = 3  # legs of a job at the most",
-        "cancel = true",
-        "retry_after = true",
-        "max_retry_after = 2000",
-        "dial_timeout = 1000",
-        "conn_idle = 10000  # after which workers close an idle connection",
-        "",
-        "[settings.rules]",
-        "answer_slack = 10",
-        "drain_grace = 500",
-        "fall = 1500",
-        "fall_multiple = 2",
-        "cold = 5000  # how long a worker takes to warm up",
-        "start_capacity = 0.5",
-    ]
-    for cls in classes:
-        lines += [
-            "",
-            "[[settings.classes]]",
-            f"name = {json.dumps(cls['name'])}  # the first part of a job's path",
-            f"value = {float(cls['worth']):g}",
-            f"goal_time = {float(cls['aim']):g}  # an answer within this is worth the value",
-            f"give_up = {float(cls['deadline']):g}",
-            f"idempotency = {json.dumps(_EFFECTS[str(cls['effect'])])}",
+
+    def _batch(self) -> list[str]:
+        if not self.batch:
+            return []
+        return [
+            "[batch]",
+            "enabled = true",
+            f"listen = {json.dumps(self.batch)}",
+            "jobs_most = 20000",
+            "finished_most = 20000",
+            "finished_age_ms = 3600000",
+            "memory_mb = 32  # for bodies and results",
         ]
-        if cls["effect"] == "keyed":
-            lines += [f"key_scope = {json.dumps(cls['scope'])}", f"repeat_window = {float(cls['window']):g}"]
-    if not consul:
-        lines += ["", "[known]", "index = 1", "snapshot = true"]
-        for number, worker in enumerate(workers, 1):
-            lines += ["", "[[known.endpoints]]", f'name = "w{number}"', f"address = {json.dumps(worker)}",
-                      f"zone = {json.dumps(zones[0])}", 'status = "SERVING"', "since_ms = 0"]  # fmt: skip
-    return "\n".join([*lines, ""])
 
+    def _settings(self) -> list[str]:
+        stretches = ", ".join(f"{float(cls['stretch']):g}" for cls in self.classes)
+        return [
+            "[settings]  # times in milliseconds",
+            "balancers = 1  # dispatchers that share these workers",
+            f"zones = {json.dumps(list(self.zones))}",
+            "locality = 0  # this sidecar's place among them",
+            "",
+            "[settings.family_info]",
+            "tells_start = true  # workers tell when a job starts",
+            "progress = 1000  # and how far it is, every so often; 0 for never",
+            f"class_stretch = [{stretches}]",
+            "",
+            "[settings.policy_limits]",
+            "max_attempts = 3  # legs of a job at the most",
+            "cancel = true",
+            "retry_after = true",
+            "max_retry_after = 2000",
+            "dial_timeout = 1000",
+            "conn_idle = 10000  # after which workers close an idle connection",
+            "",
+            "[settings.rules]",
+            "answer_slack = 10",
+            "drain_grace = 500",
+            "fall = 1500",
+            "fall_multiple = 2",
+            "cold = 5000  # how long a worker takes to warm up",
+            "start_capacity = 0.5",
+        ]
 
-def _place(address: Address | None) -> str:
-    return "off" if address is None else f"at {address[0]}:{address[1]}"
+    def _known(self) -> list[str]:
+        if self.consul:
+            return []
+        lines = ["[known]", "index = 1", "snapshot = true"]
+        for number, worker in enumerate(self.workers, 1):
+            lines += [
+                "",
+                "[[known.endpoints]]",
+                f'name = "w{number}"',
+                f"address = {json.dumps(worker)}",
+                f"zone = {json.dumps(self.zones[0])}",
+                'status = "SERVING"',
+                "since_ms = 0",
+            ]
+        return lines
+
+
+def _class_table(cls: dict[str, str | float]) -> list[str]:
+    lines = [
+        "[[settings.classes]]",
+        f"name = {json.dumps(cls['name'])}  # the first part of a job's path",
+        f"value = {float(cls['worth']):g}",
+        f"goal_time = {float(cls['aim']):g}  # an answer within this is worth the value",
+        f"give_up = {float(cls['deadline']):g}",
+        f"idempotency = {json.dumps(_EFFECTS[str(cls['effect'])])}",
+    ]
+    if cls["effect"] == "keyed":
+        lines += [f"key_scope = {json.dumps(cls['scope'])}", f"repeat_window = {float(cls['window']):g}"]
+    return lines
 
 
-def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs the tool; 1 with a line that names the faulty key."""
+def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="eiderfield.tool", description="Writes and checks configurations.")
     commands = parser.add_subparsers(dest="command", required=True)
     init = commands.add_parser("init", help="writes a configuration to standard output")
@@ -147,19 +191,45 @@
     init.add_argument("--console", default="", metavar="HOST:PORT", help="opens the operators' console there")
     check = commands.add_parser("check", help="checks a configuration")
     check.add_argument("file")
-    options = parser.parse_args(arguments)
+    return parser
+
+
+def _summary(file: str) -> str:
+    """One line on a configuration; ConfigError if it is faulty."""
+    config = load({}, file)
+    return (
+        f"{file}: {config.name} listens on {config.listen[0]}:{config.listen[1]}, "
+        f"{len(config.site.classes)} classes, workers from {config.discovery.kind}, "
+        f"batch {'on' if config.batch else 'off'}, console {_console_place(config.console)}"
+    )
+
+
+def _console_place(address: Address | None) -> str:
+    return "off" if address is None else f"at {address[0]}:{address[1]}"
+
+
+def _draft(options: argparse.Namespace) -> Draft:
+    return Draft(
+        name=options.name,
+        listen=options.listen,
+        classes=[class_of(text) for text in options.classes],
+        zones=options.zones or ["here"],
+        consul=options.consul,
+        service=options.service,
+        workers=options.workers,
+        batch=options.batch,
+        console=options.console,
+    )
+
+
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Runs the tool; 1 with a line that names the faulty key."""
+    options = _parser().parse_args(arguments)
     try:
         if options.command == "check":
-            config = load({}, options.file)
-            print(f"{options.file}: {config.name} listens on {config.listen[0]}:{config.listen[1]}, "
-                  f"{len(config.site.classes)} classes, workers from {config.discovery.kind}, "
-                  f"batch {'on' if config.batch else 'off'}, console {_place(config.console)}")  # fmt: skip
+            print(_summary(options.file))
             return 0
-        text = draft(
-            options.name, options.listen, [class_of(text) for text in options.classes], options.consul,
-            options.service, options.workers, options.batch, options.zones or ["here"],
-            options.console,
-        )  # fmt: skip
+        text = _draft(options).text()
         read_text(text)  # nothing is written that the program would not take
         sys.stdout.write(text)
     except ConfigError as error:
