--- a/eiderfield/__main__.py
+++ b/eiderfield/__main__.py
@@ -32,6 +32,7 @@
 from eiderfield.net.bans import Bans, thread_runner
 from eiderfield.net.clients import Front, Listener, RequestFront
 from eiderfield.net.console import WAIT, ConsoleFront
+from eiderfield.net.descriptors import ConnectionLimits, allowed_descriptors
 from eiderfield.net.ending import Ending
 from eiderfield.net.handover import Handover
 from eiderfield.net.link import Ear, reach
@@ -78,10 +79,16 @@
         ids = IdMap(config.zones, config.kinds)
         self.exchange = Exchange(config.site, config.seed, wheel, self._driver.wake, log)
         self._driver.turn = self.exchange.turn
+        limits = ConnectionLimits.of(config, allowed_descriptors())
+        if limits.clients < config.client_connections:
+            log(
+                f"the system allows fewer descriptors than limits.sockets: at most {limits.clients} "
+                f"connections of clients and {limits.workers} to workers are held"
+            )
         self._driver.absent = self.exchange.absent
         self.workers = WorkerSide(
             self.exchange, wheel, clock, self._driver.dial, config.dial_timeout, config.conn_idle,
-            config.worker_connections,
+            limits.workers,
         )  # fmt: skip
         in_thread = thread_runner(loop.call_soon_threadsafe)
         bans = Bans(state_path(config.listen, "bans.json"), log, wheel, clock, in_thread)
@@ -95,7 +102,7 @@
                     raise ConfigError(f"known: {error}") from None
                 log(f"known: {error}; waiting for discovery")  # an old list is no reason not to serve
         self._following = Following()
-        most = config.client_connections if config.batch is None else config.client_connections // 2
+        most = limits.clients if config.batch is None else max(1, limits.clients // 2)
         self._keeper = self._custody(config, ids)
         front = RequestFront(self.exchange, ids, clock, self._keeper)
         self._listeners = [(self._listener(front, most), config.listen)]
