--- /dev/null
+++ b/tests/golden/handover/record.py
@@ -0,0 +1,184 @@
+"""Records the handover's messages, one file for each kind, as the program at the import path writes them.
+
+The files here were written by revision 731b84e, whose tree stood at BEFORE:
+
+    PYTHONPATH=BEFORE:BEFORE/tests python tests/golden/handover/record.py tests/golden/handover
+
+They are never written anew: they are what a process of that revision sends, and later programs have to read it.
+"""
+
+import json
+import os
+import socket
+import sys
+from dataclasses import replace
+from pathlib import Path
+
+import desk as desk_module
+import test_handover
+from test_handover import LISTEN, Side, Wire
+
+from eiderfield.net.clients import Given
+
+DESK_START = "1_000_000.0"  # ms: the clock of the tests, in place of which there is Unix time here
+UNIX_START = "1_764_600_000_000.0"
+
+
+def name_of(message):
+    """The name of a message's file: its kind, and what sets it apart from others of the kind."""
+    kind = message["is"]
+    more = {
+        "state": "peers" if message.get("peers") else "",
+        "ask": "peers" if message.get("peers") else "",
+        "parked": "copies" if message.get("keys") else "",
+        "client": "begun" if message.get("begun") else "",
+        "ban": "end" if message.get("since", 0) is None else "",
+        "news": "attempts" if message.get("legs") else "",
+    }.get(kind, "")
+    return f"{kind}-{more}" if more else kind
+
+
+class PeersPort:
+    """A port to other dispatchers that passes on with the handover."""
+
+    def __init__(self):
+        self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+
+    def open(self, sock):
+        sock.close()
+
+    def rest(self, resting):
+        pass
+
+
+def use_unix_time():
+    """Lets the clock of the tests' dispatchers show Unix time, as a process of 731b84e does."""
+    source = Path(desk_module.__file__).read_text()
+    assert DESK_START in source
+    exec(compile(source.replace(DESK_START, UNIX_START), desk_module.__file__, "exec"), desk_module.__dict__)
+    test_handover.Desk = desk_module.Desk
+
+
+def busy_side():
+    """An old process in the midst of its work."""
+    side = Side()
+    listening = socket.create_server(("127.0.0.1", 0))
+    side.desk.listener.adopt(side.loop, listening)
+    desk = side.desk
+    desk.tell((3, "SERVING"), since=desk.now - 100.0)  # in slow start
+    desk.tell((4, "DRAINING"), (5, "DELETED"), (6, "SERVING"))
+    desk.table.ban("w2")
+    desk.table.ban("w6")
+    desk.advance(40.0)
+    desk.table.unban("w6")  # taken to be in slow start
+    for number in range(4):
+        desk.client(id_=f"held{number}")
+    while desk.dials:
+        desk.dials[0].up()
+    for end in list(desk.ends):
+        end.take()
+        if end.requests:
+            end.finish()
+            break
+    desk.client(path="/keyed/claim-7", id_="keyed", Idempotency_Key="k")
+    module = desk.exchange._module
+    module._served_rate = 0.75
+    pacer = module._pacers[0]
+    pacer.run, pacer.rate, pacer.uncut, pacer.next_at = 120.0, 4.0, 20.0, desk.now + 250.0
+    module._workers[desk.ids.worker("w3")].recent.append((desk.now - 30.0, 80.0))
+    erring = module._workers[desk.ids.worker("w1")]
+    erring.faults = 2.0
+    erring.strike(desk.now, erring=True)
+    return side
+
+
+class Recorder:
+    """Two processes that talk, with what they send written down."""
+
+    def __init__(self, folder, peers):
+        self.folder = folder
+        self.old, self.new = busy_side(), Side(workers=0)
+        self.new.desk.now = self.old.desk.now
+        self.wires = [Wire(), Wire()]
+        for wire, peer in zip(self.wires, reversed(self.wires), strict=True):
+            wire.peer = peer
+            wire.send = self.recording(wire.send)
+        if peers:
+            self.old.handover.peers, self.new.handover.peers = PeersPort(), PeersPort()
+        self.old.handover.heard(self.wires[0])
+        self.new.handover.ask(self.wires[1], self.new.settle)
+
+    def recording(self, send):
+        def record(message, fds=()):
+            path = self.folder / f"{name_of(message)}.json"
+            if not path.exists():
+                recorded = {"descriptors": len(fds), "message": message}
+                path.write_text(json.dumps(recorded, indent=1) + "\n")
+            send(message, fds)
+
+        return record
+
+    def go(self):
+        """Lets the two talk until nothing is left to say."""
+        more = True
+        while more:
+            for side in (self.old, self.new):
+                side.desk.settle()
+                side.desk.advance(8.0)
+            more = sum([wire.deliver() for wire in self.wires]) > 0
+
+
+def accept_all(side, room):
+    """Lets a listener, which has no loop here, take what it is given; without `room`, no batches."""
+    listener = side.desk.listener
+    listener.borrow = lambda fd, since, key: room and os.close(fd) is None
+    listener.admit = lambda sock, given: sock.close()
+
+
+def park(side, copies):
+    """Lets a listener have one parked connection to pass on."""
+    here, _ = pair = socket.socketpair()
+    kept.append(pair)
+    listener = side.desk.listener
+    listener.idling = replace(listener.idling, copies=copies)
+    batches = [[(here.fileno(), listener.clock() - 1500.0)]]
+    listener.lend = lambda most: batches.pop() if batches else []
+
+
+def give(side, proven, begun):
+    """Passes a client's connection on."""
+    here, _ = pair = socket.socketpair()
+    kept.append(pair)
+    given = Given(proven, side.desk.now - 900.0, begun)
+    side.handover._give(LISTEN, lambda: (os.dup(here.fileno()), given))
+
+
+def play(folder, copies):
+    recorder = Recorder(folder, peers=copies)
+    old, new = recorder.old, recorder.new
+    accept_all(new, room=not copies)
+    park(old, copies)
+    recorder.go()
+    assert new.done
+    give(old, proven=copies, begun=b"" if copies else b"POST /safe/k HTT")
+    recorder.go()
+    new.desk.client(id_="new")
+    recorder.go()
+    new.desk.advance(300.0)  # its class is paced
+    recorder.go()
+    old.desk.table.ban("w1")
+    recorder.go()
+    new.desk.table.unban("w1")
+    recorder.go()
+    new.handover._tell_departed(LISTEN, [7])
+    third = Wire()
+    third.send = recorder.recording(third.send)
+    old.handover.heard(third)
+
+
+kept = []
+
+if __name__ == "__main__":
+    use_unix_time()
+    for copies in (False, True):
+        play(Path(sys.argv[1]), copies)
