--- a/eiderfield/__main__.py
+++ b/eiderfield/__main__.py
@@ -31,12 +31,13 @@
 from eiderfield.net.backoff import Backoff
 from eiderfield.net.bans import Bans, thread_runner
 from eiderfield.net.clients import Front, Listener, RequestFront
+from eiderfield.net.clock import MonotonicClock, WallClock, unix_now
 from eiderfield.net.console import WAIT, ConsoleFront
 from eiderfield.net.descriptors import ConnectionLimits, allowed_descriptors
 from eiderfield.net.ending import Ending
 from eiderfield.net.handover import Handover
 from eiderfield.net.link import Ear, reach
-from eiderfield.net.loop import Clock, Driver
+from eiderfield.net.loop import Driver
 from eiderfield.net.memory import share_of
 from eiderfield.net.peers import Peers
 from eiderfield.net.routing import Follower, Following, RoutingTable, Watcher
@@ -72,6 +73,7 @@
     """The parts of one dispatcher, joined."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, clock: Callable[[], float]) -> None:
+        wall = WallClock(clock)
         self._config = config
         self._loop = loop
         self._driver = Driver(loop, clock)
@@ -91,9 +93,9 @@
             limits.workers,
         )  # fmt: skip
         in_thread = thread_runner(loop.call_soon_threadsafe)
-        bans = Bans(state_path(config.listen, "bans.json"), log, wheel, clock, in_thread)
+        bans = Bans(state_path(config.listen, "bans.json"), log, wheel, clock, in_thread, wall)
         bans.read()
-        self.table = RoutingTable(self.exchange, self.workers, ids, bans, clock)
+        self.table = RoutingTable(self.exchange, self.workers, ids, bans, clock, wall)
         if config.known is not None:
             try:
                 self.table.load(config.known, cached=True)
@@ -114,18 +116,21 @@
                 self.exchange, clock, config.name, b.jobs_most, b.finished_most, b.finished_age,
                 b.bytes_most, self._keeper,
             )  # fmt: skip
-            self._listeners.append((self._listener(BatchFront(book, self._keeper), most), b.listen))
+            batch_front = BatchFront(book, self._keeper, wall.to_unix)
+            self._listeners.append((self._listener(batch_front, most), b.listen))
         self._peers: Peers | None = None
         if (p := config.peers) is not None:
             me, said = config.site.me, self.exchange.peer_said
-            self._peers = Peers(loop, p.listen, p.peers, p.everyone, me, clock, said, log)
+            self._peers = Peers(loop, p.listen, p.peers, p.everyone, me, clock, said, log, unix_now)
             self.exchange.speaker = self._peers
         self._socket = state_path(config.listen, "sock")
         named = {f"{kind} {host}:{port}": listener for kind, listener, (host, port) in self._places()}
-        self._handover = Handover(loop, self.exchange, self.table, self.workers, named, wheel, clock, log)
+        self._handover = Handover(
+            loop, self.exchange, self.table, self.workers, named, wheel, clock, log, wall
+        )  # fmt: skip
         self._handover.peers = self._peers
-        self._ear = Ear(loop, self._socket, self._handover.heard)
-        self._handover.lost = self._listen_for_next
+        self._ear = Ear(loop, self._socket, self._handover.accept)
+        self._handover.successor_lost = self._listen_for_next
         self._settled = False  # whether the process before has handed over, or there is none
         self._ending = False
         self._generation = 1  # of the settings: how often any were taken
@@ -158,7 +163,7 @@
         beside = self._socket.exists()
         if (link := reach(self._loop, self._socket)) is not None:
             done = asyncio.Event()
-            self._handover.ask(link, done.set)
+            self._handover.take_over(link, done.set)
             await done.wait()
         # The list may be that of the process before, whose discovery may have counted on its own.
         self._following.follow(self._follower(self._config.discovery, whole=link is not None))
@@ -329,11 +334,11 @@
             at(now + end.staying, self._leave)
             if self._keeper is not None:
                 at(now + end.last, self._keeper.leave)
-            if self._handover.given:  # the next process takes who connects and who is connected
+            if self._handover.handed_over:  # the next process takes who connects and who is connected
                 for listener, _ in self._listeners:
                     listener.stop_listening()
                 named = self._handover.listeners
-                self._handover.leave([name for name in named if name.startswith("listen ")])
+                self._handover.pass_clients([name for name in named if name.startswith("listen ")])
                 self._end_when_idle()
 
     def _close_listeners(self, until: float) -> None:
@@ -357,7 +362,7 @@
 
     def _end_when_idle(self) -> None:
         self._ending = True
-        self._handover.look()
+        self._handover.pass_idle_clients()
         for listener, _ in self._listeners:
             if listener.leaving:
                 listener.close_quiet()
@@ -371,8 +376,8 @@
             self._console.close()
             if self._peers is not None:
                 self._peers.close()
-            self._ear.close(unlink=not self._handover.given)
-            self._handover.close_all()
+            self._ear.close(unlink=not self._handover.handed_over)
+            self._handover.close()
             self.ended.set()
             return
         self._driver.wheel.at(self._driver.clock() + LOOK, self._end_when_idle)
@@ -383,7 +388,7 @@
     loop = asyncio.get_running_loop()
     # One bad peer or one slip must not end the program: what reaches the loop is logged.
     loop.set_exception_handler(lambda _, at: log(f"{at.get('message')}: {at.get('exception')!r}"))
-    program = Program(config, loop, Clock())
+    program = Program(config, loop, MonotonicClock())
     loop.add_signal_handler(signal.SIGTERM, program.stop)
     loop.add_signal_handler(signal.SIGINT, program.stop)
     loop.add_signal_handler(signal.SIGHUP, program.reload, load_again)
--- a/eiderfield/batch/front.py
+++ b/eiderfield/batch/front.py
@@ -91,9 +91,12 @@
 class BatchFront:
     """What the batch listener does with messages."""
 
-    def __init__(self, book: Book, elsewhere: Elsewhere | None = None) -> None:
+    def __init__(
+        self, book: Book, elsewhere: Elsewhere | None = None, unix: Callable[[float], float] = float
+    ) -> None:
         self._book = book
         self._elsewhere = elsewhere
+        self._unix = unix  # the Unix time of a time of this process's clock
 
     def message(
         self, listener: Listener, connection: ClientConnection, head: Head, body: bytes
@@ -126,12 +129,12 @@
             case _, ["v1", "jobs", job_id, *rest] if self._is_elsewhere(job_id, rest):
                 return self._route_elsewhere(listener, connection, head.method, job_id, rest, query, body)
             case "GET", ["v1", "jobs", job_id]:
-                reply(connection, 200, status_of(*self._book.job_status(job_id)))
+                reply(connection, 200, status_of(*self._book.job_status(job_id), self._unix))
             case "GET", ["v1", "jobs", job_id, "wait"]:
                 return self._wait(listener, connection, job_id, query)
             case "POST", ["v1", "jobs", job_id, "control"]:
                 self._control(job_id, _object(body).get("action"))
-                reply(connection, 200, status_of(*self._book.job_status(job_id)))
+                reply(connection, 200, status_of(*self._book.job_status(job_id), self._unix))
             case _, ["v1", "jobs" | "bulk-jobs", *_]:
                 connection.answer(405, b"not a method of this path\n")
             case _:
@@ -179,7 +182,8 @@
         if record is None:
             refuse(connection, InvalidJobError(f"job {job_id[:40]!r} is not known"))
         else:
-            reply(connection, 200, status_of_kept(record, self._elsewhere.clock_of))
+            unix_of = partial(_unix_of_steady, self._elsewhere.clock_of, self._unix)
+            reply(connection, 200, status_of_kept(record, unix_of))
 
     def _wait_found(
         self, connection: ClientConnection, job_id: str, until: float, gone: list[Callable[[], None]],
@@ -230,7 +234,7 @@
         wait = _patience(query)
         _, state = self._book.job_status(job_id)
         if state.final:
-            reply(connection, 200, status_of(*self._book.job_status(job_id)))
+            reply(connection, 200, status_of(*self._book.job_status(job_id), self._unix))
             return None
         answered = False
 
@@ -240,7 +244,7 @@
                 answered = True
                 timer.cancel()
                 state = JobState.DONE if served(record) else JobState.FAILED
-                reply(connection, 200, status_of(record, state))
+                reply(connection, 200, status_of(record, state, self._unix))
 
         def late() -> None:
             nonlocal answered
@@ -312,28 +316,34 @@
     return JobTemplate(texts["jobClass"], texts["subject"], texts["body"], deadline, texts["idempotencyKey"])
 
 
-def status_of(record: Record, state: JobState) -> dict[str, object]:
-    """A job's status."""
+def _unix_of_steady(
+    clock_of: Callable[[float], float], unix: Callable[[float], float], steady: float
+) -> float:
+    return unix(clock_of(steady))
+
+
+def status_of(record: Record, state: JobState, unix: Callable[[float], float] = float) -> dict[str, object]:
+    """A job's status. `unix` gives the Unix time of a time of the process's clock."""
     status: dict[str, object] = {
         "jobId": record.job_id,
         "jobClass": record.template.job_class,
         "state": state.value,
-        "submittedMs": int(record.submitted),
+        "submittedMs": int(unix(record.submitted)),
     }
     if record.answer is not None:
-        status |= _ended(record.answer, record.finished)
+        status |= _ended(record.answer, unix(record.finished))
     return status
 
 
-def status_of_kept(record: Kept, clock_of: Callable[[float], float]) -> dict[str, object]:
-    """The status of a job that custody knows."""
+def status_of_kept(record: Kept, unix_of: Callable[[float], float]) -> dict[str, object]:
+    """The status of a job that custody knows. `unix_of` gives the Unix time of a steady time."""
     status: dict[str, object] = {
         "jobId": record.id, "jobClass": record.cls, "state": JobState.QUEUED_ACTIVE.value,
-        "submittedMs": int(clock_of(record.accepted)),
+        "submittedMs": int(unix_of(record.accepted)),
     }  # fmt: skip
     if record.verdict:
         state = JobState.DONE if record.verdict == Verdict.SERVED.value else JobState.FAILED
-        status |= {"state": state.value, **_ended(record.answer, clock_of(record.finished))}
+        status |= {"state": state.value, **_ended(record.answer, unix_of(record.finished))}
     elif record.legs:
         status["state"] = JobState.RUNNING.value
     return status
--- a/eiderfield/batch/jobs.py
+++ b/eiderfield/batch/jobs.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import os
 from collections import OrderedDict
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field, replace
@@ -23,6 +24,7 @@
 from eiderfield.idmap import IdMap
 from eiderfield.interface import Effect
 
+PREFIX_BYTES = 8  # of chance in the names of a process's jobs
 MAX_BULK = 1000  # jobs of one bulk submission
 MAX_ID = 200  # characters of a name that a client chooses
 MAX_JOB = 65536  # bytes of a job's body, as for any request
@@ -88,8 +90,9 @@
         self._keeping = keeping
         self._exchange = exchange
         self._clock = clock
-        # A job's name must not return after a restart: it is also the worker's mark of a repeat.
-        self._prefix = f"{name}-{int(clock()):x}"
+        # A job's name must not return after a restart: it is also the worker's mark of a repeat. Any clock
+        # may show the same time again.
+        self._prefix = f"{name}-{os.urandom(PREFIX_BYTES).hex()}"
         self._jobs_most = jobs_most
         self._finished_most = finished_most
         self._finished_age = finished_age
--- a/eiderfield/consul.py
+++ b/eiderfield/consul.py
@@ -96,6 +96,7 @@
         self._learn(named)
         kind = ListKind.DELTA if kept else ListKind.FULL
         self.table.replace(self._next, kind, [(entry, address) for _, entry, address in named])
+        self.table.starts.source_heard()
         self.table.doubted = kept
         if not kept:
             self.told()
@@ -187,8 +188,9 @@
             ids.cell(str(meta.get("group", ""))),
             state,
             float(weight) if isinstance(weight, int | float) else 1.0,
-            _since(meta.get("since_ms"), name),
         )
+        started = self.table.starts.started_at(entry.worker, _since(meta.get("since_ms"), name))
+        entry = replace(entry, ready_at=started)
         return name, entry, (host, port)
 
 
--- a/eiderfield/net/bans.py
+++ b/eiderfield/net/bans.py
@@ -14,6 +14,10 @@
 
 What must never happen: a caller is told that a ban is written down which the file does not hold; a ban in
 memory, or on file, is lost or no longer to be written because one attempt failed.
+
+The file holds Unix times, the process times of its own clock. After a step of the wall clock a ban that was
+read may seem to lie ahead: it then counts as later than any start of its worker, which is taken to be in slow
+start once the ban is lifted.
 """
 
 from __future__ import annotations
@@ -27,6 +31,7 @@
 
 from eiderfield.durable import TRANSIENT, replace_file
 from eiderfield.exchange import Timers
+from eiderfield.net.clock import WallClock
 
 READ_LIMIT = 1 << 20  # bytes of the file: thousands of names
 RETRY_INTERVAL = 1000.0  # ms from a failed attempt to the next: a full disk is mended by hand, not at once
@@ -65,8 +70,11 @@
         timers: Timers | None = None,
         clock: Callable[[], float] = lambda: 0.0,
         run: Runner = run_inline,
+        wall: WallClock | None = None,
     ) -> None:
-        """Holds no bans yet: `read` takes in those on file. Without `timers` nothing is tried again."""
+        """Holds no bans yet: `read` takes in those on file. Without `timers` nothing is tried again.
+
+        `wall` relates `clock` to the Unix times of the file; without it they are the same."""
         self.since: Found = {}
         self.found_late: Callable[[str, float], None] = lambda name, since: None  # a ban that was read late
         self._path = path
@@ -74,6 +82,7 @@
         self._timers = timers
         self._clock = clock
         self._run = run
+        self._wall = wall
         self._on_file: Found | None = {}  # None while it is not known
         self._unread = False
         self._given_back: set[str] = set()  # names whose bans ended while the file was not read
@@ -106,7 +115,8 @@
             with os.fdopen(descriptor, "rb") as file:
                 if os.fstat(descriptor).st_uid != os.getuid():
                     raise ValueError("it belongs to another user")
-                return parse(json.loads(file.read(READ_LIMIT)))
+                stored = parse(json.loads(file.read(READ_LIMIT)))
+                return _shifted(stored, -self._unix_ahead())
         except FileNotFoundError:
             return {}
         except (OSError, ValueError, RecursionError) as error:
@@ -121,9 +131,9 @@
             self._given_back.add(name)
         return self.since.pop(name, None)
 
-    def told(self) -> dict[str, dict[str, float]]:
-        """The bans in the file's form."""
-        return {"banned": self.since}
+    def _unix_ahead(self) -> float:
+        """What Unix time is ahead of the process's clock."""
+        return 0.0 if self._wall is None else self._wall.offset()
 
     def keep(self, then: Callable[[bool], None] = lambda written: None) -> None:
         """Writes the bans down. `then` hears whether all that is in memory now is in the file."""
@@ -147,7 +157,7 @@
         snapshot = dict(self.since)
 
         def write() -> Found:
-            replace_file(path, json.dumps({"banned": snapshot}))
+            replace_file(path, json.dumps({"banned": _shifted(snapshot, self._unix_ahead())}))
             return snapshot
 
         def read() -> Found:
@@ -207,6 +217,10 @@
         return error
 
 
+def _shifted(times: Found, by: float) -> Found:
+    return {name: at + by for name, at in times.items()}
+
+
 def parse(told: object) -> dict[str, float]:
     """Bans in the file's form; raises `ValueError` if it is not that."""
     banned = told.get("banned") if isinstance(told, dict) else None
--- /dev/null
+++ b/eiderfield/net/handover/codec.py
@@ -0,0 +1,28 @@
+"""Writes and reads the messages of one link."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+from eiderfield.net.clock import WallClock
+from eiderfield.net.handover.decoder import Decoder
+from eiderfield.net.handover.encoder import WireMessage, encode
+from eiderfield.net.handover.messages import Message
+
+
+class Codec:
+    """Converts between messages, whose times are of this process's clock, and what the link carries."""
+
+    def __init__(self, clock: Callable[[], float], wall: WallClock, log: Callable[[str], None]) -> None:
+        """`clock` is this process's, `wall` its relation to Unix time."""
+        self._clock = clock
+        self._wall = wall
+        self._decoder = Decoder(clock, wall, log)
+
+    def encode(self, message: Message) -> WireMessage:
+        """The message as it is sent."""
+        return encode(message, self._clock(), self._wall.offset())
+
+    def decode(self, fields: Mapping[str, object]) -> Message:
+        """Reads a message; raises `MalformedMessageError`."""
+        return self._decoder.decode(fields)
--- /dev/null
+++ b/eiderfield/net/handover/parts.py
@@ -0,0 +1,28 @@
+"""The parts of a dispatcher that a handover concerns."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+
+from eiderfield.exchange import Exchange, Timers
+from eiderfield.net.clients import Listener
+from eiderfield.net.peers import Peers
+from eiderfield.net.routing import RoutingTable
+from eiderfield.net.worker import WorkerSide
+
+
+@dataclass(slots=True)
+class Parts:
+    """What both roles work with."""
+
+    loop: asyncio.AbstractEventLoop
+    exchange: Exchange
+    table: RoutingTable
+    workers: WorkerSide
+    listeners: Mapping[str, Listener]  # by name, the same in both processes
+    timers: Timers
+    clock: Callable[[], float]
+    log: Callable[[str], None]
+    peers: Peers | None = None  # the port to other dispatchers, if there is one
--- a/eiderfield/net/loop.py
+++ b/eiderfield/net/loop.py
@@ -1,4 +1,4 @@
-"""The clock and the loop: what turns the wheel, gives the exchange its turns and dials.
+"""The loop: what turns the wheel, gives the exchange its turns and dials.
 
 A process may be stopped, or get no processor, for seconds. When it goes on, its timers are due and its
 sockets are full, and the poll that the stop cut short reports none of them: judged by the clock alone, every
@@ -10,7 +10,6 @@
 from __future__ import annotations
 
 import asyncio
-import time
 from collections.abc import Callable
 from math import inf
 
@@ -21,19 +20,6 @@
 READS = 8  # rounds of the loop for that: whole answers of the largest size, and what they set off
 
 
-class Clock:
-    """Milliseconds of Unix time that never run backwards: read once, then carried on by the steady clock.
-
-    The routing table's `since_ms` is Unix time, so starts of workers need no further translation.
-    """
-
-    def __init__(self) -> None:
-        self._offset = time.time() * 1000.0 - time.monotonic() * 1000.0
-
-    def __call__(self) -> float:
-        return time.monotonic() * 1000.0 + self._offset
-
-
 class Driver:
     """Turns the wheel and gives the exchange its turns, at most one for each turn of the loop."""
 
--- a/eiderfield/net/peers.py
+++ b/eiderfield/net/peers.py
@@ -5,7 +5,8 @@
 - A message is at most 256 bytes, envelope included; a longer one is neither sent nor read.
 - Who speaks is known by the address alone, which must be one of `peers`; strangers are counted, not heard.
 - The envelope (form, life, number) orders what one peer says: the network repeats, reorders and delays, and
-  a message from a peer's earlier life would count jobs that died with it.
+  a message from a peer's earlier life would count jobs that died with it. Lives are numbered by Unix time,
+  which may be stepped back: a life that has said nothing for `LIFE_HOLDS` gives way to an earlier number.
 - Nothing here is needed to serve. A port that is taken or refused is named once in the log; a message that
   cannot be sent is lost, as the network may lose any; a peer that floods is heard `RATE` times a second.
 
@@ -28,6 +29,7 @@
 FORM = 1  # of the envelope
 LARGEST = 256  # bytes of a message, as the protocol says
 AT_ONCE = 64  # messages read in a turn of the loop
+LIFE_HOLDS = 2000.0  # ms for which what a peer said counts at most: after that its life matters no more
 RATE = 2000.0  # messages a second that one peer is heard for at most, and as many in one burst
 
 _ENVELOPE = Struct("<BIH")  # form, the sender's life, the message's number in it
@@ -39,7 +41,7 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, listen: Address, peers: Sequence[Address],
         everyone: Address | None, me: int, clock: Callable[[], float], heard: Callable[[int, bytes], None],
-        log: Callable[[str], None],
+        log: Callable[[str], None], unix: Callable[[], float] | None = None,
     ) -> None:  # fmt: skip
         self._loop = loop
         self._listen = listen
@@ -49,9 +51,11 @@
         self._clock = clock
         self._heard = heard
         self._log = log
-        self._life = int(clock() / 10.0) & 0xFFFFFFFF  # later lives have greater numbers for 497 days
+        # Later lives have greater numbers for 497 days, unless the wall clock is stepped back.
+        self._life = int((unix or clock)() / 10.0) & 0xFFFFFFFF
         self._number = 0
-        self._last: dict[int, tuple[int, int]] = {}  # by peer: its life, and the number of its last message
+        # By peer: its life, the number of its last message, and when that came.
+        self._last: dict[int, tuple[int, int, float]] = {}
         self._credit: dict[int, tuple[float, float]] = {}  # by peer: when, and messages it may send at once
         self._resting = True
         self.sock: socket.socket | None = None  # what the next process takes over
@@ -140,12 +144,13 @@
         if form != FORM:  # another version's: what it says may mean something else
             return "other_form"
         if (known := self._last.get(peer)) is not None:
-            older = (known[0] - life) & 0xFFFFFFFF
-            if 0 < older < 0x80000000:
+            last_life, last_number, last_at = known
+            older = (last_life - life) & 0xFFFFFFFF
+            if 0 < older < 0x80000000 and self._clock() < last_at + LIFE_HOLDS:
                 return "earlier_life"
-            if older == 0 and not 0 < (number - known[1]) & 0xFFFF < 0x8000:
+            if older == 0 and not 0 < (number - last_number) & 0xFFFF < 0x8000:
                 return "out_of_order"
-        self._last[peer] = (life, number)
+        self._last[peer] = (life, number, self._clock())
         self._heard(peer, message[_ENVELOPE.size :])
         return "heard"
 
--- a/eiderfield/net/routing.py
+++ b/eiderfield/net/routing.py
@@ -24,15 +24,17 @@
 from dataclasses import replace
 from functools import partial
 from math import inf, isfinite
-from typing import Any
 
 from eiderfield.config import ConfigError, address_of
 from eiderfield.exchange import Exchange, Timer, Timers
 from eiderfield.idmap import IdMap
 from eiderfield.interface import Entry, ListKind, State
 from eiderfield.net.backoff import DIAL, Backoff
-from eiderfield.net.bans import Bans, parse
+from eiderfield.net.bans import Bans
+from eiderfield.net.clock import WallClock
 from eiderfield.net.http import Head, Malformed, Parser, request_bytes
+from eiderfield.net.start_times import StartTimes
+from eiderfield.net.table_state import EndpointState, RoutingTableState, UnbannedWorker
 from eiderfield.net.worker import Address, Dial, Dialling, WorkerSide
 
 SILENCE = 2600.0  # ms without even an empty line, which comes every 2 s, until the watch is opened anew
@@ -43,6 +45,7 @@
 
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 _STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+_STATUSES = {state: status for status, state in _STATES.items()}
 _SCRATCH = memoryview(bytearray(65536))
 
 
@@ -50,7 +53,13 @@
     """Takes lists and gives them to the exchange and to the worker side, with operators' bans applied."""
 
     def __init__(
-        self, exchange: Exchange, workers: WorkerSide, ids: IdMap, bans: Bans, clock: Callable[[], float]
+        self,
+        exchange: Exchange,
+        workers: WorkerSide,
+        ids: IdMap,
+        bans: Bans,
+        clock: Callable[[], float],
+        wall: WallClock | None = None,
     ) -> None:
         self._exchange = exchange
         self._workers = workers
@@ -58,6 +67,8 @@
         self.ids = ids
         self.bans = bans
         bans.found_late = self._begin
+        # Without a wall clock, discovery's times are those of `clock`.
+        self.starts = StartTimes(clock, wall or WallClock(clock, clock))
         self.index: int | None = None
         self.reopened: Counter[str] = Counter()  # watches so far that were lost and opened anew, by why
         self.doubted = 0  # workers that the last list left out and that are kept while it is in doubt
@@ -116,31 +127,42 @@
             self._pass_on(worker)
             self.ruled(name, None)
 
-    def told(self) -> dict[str, Any]:
-        """The list in discovery's form, with all that was ever named, and the starts taken for granted."""
-        states = {state: word for word, state in _STATES.items()}
-        endpoints = []
-        for worker, entry in self._told.items():
-            host, port = self._workers.address(worker) or ("", 0)
-            endpoints.append({
-                "name": self.ids.name(worker), "address": f"{host}:{port}", "status": states[entry.state],
-                "zone": self.ids.zone_name(entry.zone), "type": self.ids.kind_name(entry.kind),
-                "group": entry.cell, "weight": entry.weight, "since_ms": entry.ready_at,
-            })  # fmt: skip
-        cold = [[self.ids.name(worker), *times] for worker, times in self._cold.items()]
-        return {"index": self.index or 0, "snapshot": True, "endpoints": endpoints, "cold": cold}
-
-    def take_over(self, told: dict[str, Any], bans: object) -> None:
+    def state(self) -> RoutingTableState:
+        """The table with all workers that were ever listed, for the next process."""
+        unbanned = [UnbannedWorker(self.ids.name(worker), *times) for worker, times in self._cold.items()]
+        endpoints = [self._endpoint_state(entry) for entry in self._told.values()]
+        return RoutingTableState(self.index or 0, tuple(endpoints), tuple(unbanned), self.starts.heard)
+
+    def _endpoint_state(self, entry: Entry) -> EndpointState:
+        host, port = self._workers.address(entry.worker) or ("", 0)
+        return EndpointState(
+            name=self.ids.name(entry.worker),
+            address=f"{host}:{port}",
+            status=_STATUSES[entry.state],
+            zone=self.ids.zone_name(entry.zone),
+            kind=self.ids.kind_name(entry.kind),
+            group=entry.cell,
+            weight=entry.weight,
+            since_ms=self.starts.since_ms(entry.worker, entry.ready_at),
+            started=entry.ready_at,
+        )
+
+    def take_over(self, state: RoutingTableState, bans: Mapping[str, float]) -> None:
         """Goes on from the table and the bans of another process."""
-        self.bans.since = parse(bans)
+        self.bans.since = dict(bans)
         if not self.bans.written:  # the process before may not have been able to write them
             self.bans.keep()
-        for name, banned, given_back in told["cold"]:
-            self._cold[self.ids.worker(str(name))] = (float(banned), float(given_back))
+        for unbanned in state.unbanned:
+            self._cold[self.ids.worker(unbanned.name)] = (unbanned.banned, unbanned.unbanned)
         for worker in self._told:
             self._pass_on(worker)
-        if told["endpoints"]:
-            self.load(told, cached=True)
+        for endpoint in state.endpoints:
+            if endpoint.started is not None:
+                self.starts.take_over(self.ids.worker(endpoint.name), endpoint.since_ms, endpoint.started)
+        if state.endpoints:
+            endpoints = [endpoint.listed() for endpoint in state.endpoints]
+            self.load({"index": state.index, "snapshot": True, "endpoints": endpoints}, cached=True)
+        self.starts.heard = state.source_heard
 
     def heed(self, name: str, since: float | None) -> None:
         """The dispatcher's other process banned a worker, or gave it back."""
@@ -211,8 +233,9 @@
             group if isinstance(group, int) else self.ids.cell(str(group)),
             _STATES[state],
             _number(told.get("weight", 1.0), f"endpoint {name}: weight"),
-            _number(told.get("since_ms", 0), f"endpoint {name}: since_ms"),
         )
+        since_ms = _number(told.get("since_ms", 0), f"endpoint {name}: since_ms")
+        entry = replace(entry, ready_at=self.starts.started_at(entry.worker, since_ms))
         if entry.state == State.GONE:
             return entry, ("", 0)
         try:
@@ -469,9 +492,11 @@
             if text:
                 self.table.load(json.loads(text))
                 self.whole = False
+                self.table.starts.source_heard()
                 self.heard()
                 self.told()
             else:
+                self.table.starts.source_heard()
                 self.heard()
 
     def end(self) -> None:
--- a/tests/golden/handover/record.py
+++ b/tests/golden/handover/record.py
@@ -4,7 +4,7 @@
 
     PYTHONPATH=BEFORE:BEFORE/tests python tests/golden/handover/record.py tests/golden/handover
 
-They are never written anew: they are what a process of that revision sends, and later programs have to read it.
+They are never written anew: they are what a process of that revision sends, and later programs read it.
 """
 
 import json
@@ -14,16 +14,31 @@
 from dataclasses import replace
 from pathlib import Path
 
-import desk as desk_module
-import test_handover
-from test_handover import LISTEN, Side, Wire
-
-from eiderfield.net.clients import Given
-
+LISTEN = "listen 127.0.0.1:1"
 DESK_START = "1_000_000.0"  # ms: the clock of the tests, in place of which there is Unix time here
 UNIX_START = "1_764_600_000_000.0"
 
 
+def accept(handover, link):
+    """Lets an old process hear a new one."""
+    handover.heard(link)
+
+
+def take_over(handover, link, finished):
+    """Lets a new process ask for the handover."""
+    handover.ask(link, finished)
+
+
+def pass_connection(handover, let_go):
+    """Lets an old process pass a client's connection on."""
+    handover._give(LISTEN, let_go)
+
+
+def tell_departed(handover, keys):
+    """Lets a new process tell of parked connections that are its alone."""
+    handover._tell_departed(LISTEN, keys)
+
+
 def name_of(message):
     """The name of a message's file: its kind, and what sets it apart from others of the kind."""
     kind = message["is"]
@@ -51,17 +66,31 @@
         pass
 
 
-def use_unix_time():
-    """Lets the clock of the tests' dispatchers show Unix time, as a process of 731b84e does."""
-    source = Path(desk_module.__file__).read_text()
+class Program:
+    """What the scene needs of a program and its tests, for other revisions may have it elsewhere."""
+
+    Side = None  # one process in memory, with its end of the handover
+    Wire = None  # one end of a link in memory
+    Given = None  # what is told of a client's connection
+
+
+def use_731b84e():
+    """Plays the scene with 731b84e, and lets the clock of its tests' dispatchers show Unix time."""
+    import desk
+    import test_handover
+
+    from eiderfield.net.clients import Given
+
+    source = Path(desk.__file__).read_text()
     assert DESK_START in source
-    exec(compile(source.replace(DESK_START, UNIX_START), desk_module.__file__, "exec"), desk_module.__dict__)
-    test_handover.Desk = desk_module.Desk
+    exec(compile(source.replace(DESK_START, UNIX_START), desk.__file__, "exec"), desk.__dict__)
+    test_handover.Desk = desk.Desk
+    Program.Side, Program.Wire, Program.Given = test_handover.Side, test_handover.Wire, Given
 
 
 def busy_side():
     """An old process in the midst of its work."""
-    side = Side()
+    side = Program.Side()
     listening = socket.create_server(("127.0.0.1", 0))
     side.desk.listener.adopt(side.loop, listening)
     desk = side.desk
@@ -97,16 +126,16 @@
 
     def __init__(self, folder, peers):
         self.folder = folder
-        self.old, self.new = busy_side(), Side(workers=0)
+        self.old, self.new = busy_side(), Program.Side(workers=0)
         self.new.desk.now = self.old.desk.now
-        self.wires = [Wire(), Wire()]
+        self.wires = [Program.Wire(), Program.Wire()]
         for wire, peer in zip(self.wires, reversed(self.wires), strict=True):
             wire.peer = peer
             wire.send = self.recording(wire.send)
         if peers:
             self.old.handover.peers, self.new.handover.peers = PeersPort(), PeersPort()
-        self.old.handover.heard(self.wires[0])
-        self.new.handover.ask(self.wires[1], self.new.settle)
+        accept(self.old.handover, self.wires[0])
+        take_over(self.new.handover, self.wires[1], self.new.settle)
 
     def recording(self, send):
         def record(message, fds=()):
@@ -149,8 +178,8 @@
     """Passes a client's connection on."""
     here, _ = pair = socket.socketpair()
     kept.append(pair)
-    given = Given(proven, side.desk.now - 900.0, begun)
-    side.handover._give(LISTEN, lambda: (os.dup(here.fileno()), given))
+    given = Program.Given(proven, side.desk.now - 900.0, begun)
+    pass_connection(side.handover, lambda: (os.dup(here.fileno()), given))
 
 
 def play(folder, copies):
@@ -170,15 +199,15 @@
     recorder.go()
     new.desk.table.unban("w1")
     recorder.go()
-    new.handover._tell_departed(LISTEN, [7])
-    third = Wire()
+    tell_departed(new.handover, [7])
+    third = Program.Wire()
     third.send = recorder.recording(third.send)
-    old.handover.heard(third)
+    accept(old.handover, third)
 
 
 kept = []
 
 if __name__ == "__main__":
-    use_unix_time()
+    use_731b84e()
     for copies in (False, True):
         play(Path(sys.argv[1]), copies)
--- a/tests/support/handover.py
+++ b/tests/support/handover.py
@@ -58,8 +58,9 @@
         self.loop = Loop()
         d = self.desk
         self.handover = Handover(
-            self.loop, d.exchange, d.table, d.side, {LISTEN: d.listener}, d.wheel, d.clock, d.logged.append
-        )
+            self.loop, d.exchange, d.table, d.side, {LISTEN: d.listener}, d.wheel, d.clock,
+            d.logged.append, d.wall,
+        )  # fmt: skip
         self.done = False
 
     def settle(self):
@@ -79,8 +80,8 @@
         here, there = Wire(), Wire()
         here.peer, there.peer = there, here
         self.wires = here, there
-        self.old.handover.heard(here)
-        self.new.handover.ask(there, self.new.settle)
+        self.old.handover.accept(here)
+        self.new.handover.take_over(there, self.new.settle)
 
     def go(self):
         """Lets the two talk until nothing is left to say."""
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -11,6 +11,7 @@
 from eiderfield.idmap import IdMap
 from eiderfield.net.bans import Bans
 from eiderfield.net.clients import ClientConnection, Listener, RequestFront
+from eiderfield.net.clock import WallClock
 from eiderfield.net.http import END, Head, Parser
 from eiderfield.net.routing import RoutingTable
 from eiderfield.net.wheel import Wheel
@@ -202,10 +203,14 @@
 
 
 class Desk:
-    """The parts of a dispatcher, joined in memory."""
+    """The parts of a dispatcher, joined in memory. `unix` reads the wall clock; without it, that is `now`."""
 
-    def __init__(self, site=SITE, workers=2, seed=1, most=64, worker_connections=64, bans=None):
-        self.now = 1_000_000.0
+    START = 1_000_000.0  # ms
+
+    def __init__(
+        self, site=SITE, workers=2, seed=1, most=64, worker_connections=64, bans=None, unix=None, start=START
+    ):
+        self.now = start
         self.wheel = Wheel(self.now)
         self.woken = False
         self.logged = []
@@ -216,9 +221,10 @@
         self.side = WorkerSide(
             self.exchange, self.wheel, self.clock, self.dial, 100.0, 10_000.0, worker_connections
         )  # fmt: skip
-        bans = Bans(bans, self.logged.append, self.wheel, self.clock)
+        self.wall = None if unix is None else WallClock(self.clock, unix)
+        bans = Bans(bans, self.logged.append, self.wheel, self.clock, wall=self.wall)
         bans.read()
-        self.table = RoutingTable(self.exchange, self.side, self.ids, bans, self.clock)
+        self.table = RoutingTable(self.exchange, self.side, self.ids, bans, self.clock, self.wall)
         front = RequestFront(self.exchange, self.ids, self.clock)
         self.listener = Listener(front, self.wheel, self.clock, most)
         self.index = 0
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -10,6 +10,7 @@
 
 from eiderfield.interface import State
 from eiderfield.net.bans import RETRY_INTERVAL, Bans, result_of, thread_runner
+from eiderfield.net.table_state import RoutingTableState
 
 # What a write of the file does, with how many calls of the kind it makes.
 KINDS = ["open", "write", "sync", "rename", "unlink"]
@@ -104,7 +105,7 @@
 
 def test_what_the_process_before_could_not_write_is_written_by_the_next(tmp_path):
     console = Console(workers=2, bans=tmp_path / "bans")
-    console.desk.table.take_over({"cold": [], "endpoints": []}, {"banned": {"w2": 5.0}})
+    console.desk.table.take_over(RoutingTableState(1, (), (), None), {"w2": 5.0})
     assert banned_on_file(tmp_path / "bans") == {"w2"}
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,7 +21,7 @@
 from eiderfield.interface import State, pack_counts, unpack_counts
 from eiderfield.lab.ports import free_port
 from eiderfield.net.clients import AT_ONCE
-from eiderfield.net.handover import LONGER, PATIENCE
+from eiderfield.net.handover.new_process import PATIENCE, PATIENCE_DELAYED
 from eiderfield.net.link import Ear, reach
 
 ENVELOPE = Struct("<BIH")  # of messages between dispatchers
@@ -44,7 +44,7 @@
     pair.old.desk.tell((3, "SERVING"), (3, "DELETED"))
     assert not pair.new.done and not pair.new.desk.listener.listening
     pair.go()
-    assert pair.new.done and pair.new.takes() and not pair.old.takes() and pair.old.handover.given
+    assert pair.new.done and pair.new.takes() and not pair.old.takes() and pair.old.handover.handed_over
     assert [state(pair.new, w) for w in (1, 2)] == [State.READY, State.DRAINING]
     assert pair.new.desk.table.ban("w3"), "ids that were ever listed are remembered"
     assert pair.new.desk.table.ban("w4") is None
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("when", ["after the question", "after the state", "when all is given"])
 def test_the_old_process_serves_on_if_the_new_one_dies(pair, when):
     heard = []
-    pair.old.handover.lost = lambda: heard.append(True)
+    pair.old.handover.successor_lost = lambda: heard.append(True)
     if when == "after the state":
         pair.wires[1].deliver()
     elif when == "when all is given":
@@ -153,7 +153,7 @@
         pair.go()
     pair.part(1)
     old = pair.old.desk
-    assert pair.old.takes() and not pair.old.handover.given and not old.exchange.holds("r")
+    assert pair.old.takes() and not pair.old.handover.handed_over and not old.exchange.holds("r")
     assert old.side._most == old.side._whole and old.listener.beside == 0
     assert bool(heard) == (when == "when all is given")
     old.settle()
@@ -210,9 +210,9 @@
     third, other = Side(workers=0), Wire()
     here, there = Wire(), Wire()
     here.peer, there.peer = there, here
-    third.handover.ask(there, third.settle)
-    pair.new.handover.heard(here)
-    pair.new.handover.heard(other)
+    third.handover.take_over(there, third.settle)
+    pair.new.handover.accept(here)
+    pair.new.handover.accept(other)
     assert not other.open, "one may wait"
     there.deliver()
     here.deliver()
@@ -221,13 +221,13 @@
     pair.part(0)
     for wire in (here, there, here):
         wire.deliver()
-    assert third.done and third.takes() and not pair.new.takes() and pair.new.handover.given
+    assert third.done and third.takes() and not pair.new.takes() and pair.new.handover.handed_over
     third.desk.listener._socket.close()
 
 
 def test_a_process_that_waits_waits_no_longer_than_its_patience(pair):
     pair.wires[1].receive({"is": "wait"}, [])
-    pair.new.desk.advance(LONGER + 8.0)
+    pair.new.desk.advance(PATIENCE_DELAYED + 8.0)
     assert pair.new.done
 
 
@@ -282,7 +282,7 @@
     new = Side(workers=0)
     wire, here = Wire(), Wire()
     wire.peer = here
-    new.handover.ask(wire, new.settle)
+    new.handover.take_over(wire, new.settle)
     [(asked, _)] = wire.sent
     assert {**asked, **FirstForm.ASK} == asked, "what the first form asks for is said as it was"
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -303,14 +303,14 @@
     old.desk.listener.adopt(old.loop, socket.create_server(("127.0.0.1", 0)))
     wire, there = Wire(), Wire()
     wire.peer = there
-    old.handover.heard(wire)
+    old.handover.accept(wire)
     wire.receive(FirstForm.ASK, [])
     [(told, fds)] = wire.sent
     assert told.keys() >= FirstForm.STATE.keys() and told["memory"].keys() >= FirstForm.STATE["memory"].keys()
     assert len(fds) == 1, "a socket that it does not know of would leak in it"
     os.close(fds[0])
     wire.receive(FirstForm.TAKEN, [])
-    assert old.handover.given and not old.takes()
+    assert old.handover.handed_over and not old.takes()
     old.desk.client(id_="a")
     old.desk.settle()
     old.desk.advance(8.0)
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -13,7 +13,8 @@
 from support.real_sockets import IDLING, House, Phone, message, play
 
 from eiderfield.net.clients import Given
-from eiderfield.net.handover import BATCH, Handover
+from eiderfield.net.handover import Handover
+from eiderfield.net.handover.old_process import BATCH
 
 COPIES = replace(IDLING, copies=True)
 
@@ -43,8 +44,8 @@
                 self.loop, d.exchange, d.table, d.side, {LISTEN: d.listener}, d.wheel, d.clock,
                 d.logged.append,
             ))  # fmt: skip
-        self.ends[0].heard(here)
-        self.ends[1].ask(there, lambda: None)
+        self.ends[0].accept(here)
+        self.ends[1].take_over(there, lambda: None)
 
     def step(self):
         """One exchange of what is waiting on the link; whether there was any."""
@@ -76,7 +77,7 @@
         dead.listener.close()
         dead.turn()
         self.houses = [house for house in self.houses if house is not dead]
-        self.ends[1 - which]._link.lost()
+        self.wires[1 - which].lost()
 
     def close(self):
         for house in self.houses:
@@ -172,9 +173,9 @@
     assert removal.new.listener.parked == 50, "both are one dispatcher"
     assert removal.old.listener.parked == BATCH
     assert asked(removal, removal.phones[0], "r") == [200], "at the old process"
-    removal.ends[0].leave([LISTEN])
+    removal.ends[0].pass_clients([LISTEN])
     for _ in range(40):
-        removal.ends[0].look()
+        removal.ends[0].pass_idle_clients()
         removal.go()
     assert removal.old.listener.connections == 0
     assert all(phone.open for phone in removal.phones)
@@ -241,9 +242,9 @@
     removal.wires[1].send = lambda told, fds=(): real({k: v for k, v in told.items() if k != "parks"}, fds)
     removal.go()
     assert removal.old.listener.parked == 20 and removal.new.listener.parked == 0
-    removal.ends[0].leave([LISTEN])
+    removal.ends[0].pass_clients([LISTEN])
     for _ in range(5):
-        removal.ends[0].look()
+        removal.ends[0].pass_idle_clients()
         removal.go()
     assert removal.old.listener.connections == 0 and asked(removal, removal.phones[3], "r") == [200]
     removal.close()
--- /dev/null
+++ b/tests/test_handover_messages.py
@@ -0,0 +1,175 @@
+"""The handover's messages against those that revision 731b84e wrote (`tests/golden/handover`)."""
+
+import importlib.util
+import json
+from functools import partial
+from pathlib import Path
+
+import pytest
+from support.handover import LISTEN, Side, Wire
+from support.memory_dispatcher import Desk
+
+from eiderfield.net.clients import Given
+from eiderfield.net.clock import WallClock
+from eiderfield.net.handover import messages as m
+from eiderfield.net.handover.codec import Codec
+from eiderfield.net.handover.messages import MalformedMessageError
+from eiderfield.net.table_state import EndpointState, UnbannedWorker
+
+GOLDEN = Path(__file__).parent / "golden" / "handover"
+NAMES = sorted(path.stem for path in GOLDEN.glob("*.json"))
+START = 1_764_600_000_000.0  # of the recorded processes' clocks, which showed Unix time
+STATE_AT = START + 40.0  # when the recorded state was written
+LATER = START + 200.0
+ADDED = {"now", "started", "heard"}  # fields that came after 731b84e
+
+
+def recorded(name):
+    """A message as 731b84e wrote it, and how many descriptors came with it."""
+    told = json.loads((GOLDEN / f"{name}.json").read_text())
+    return told["message"], told["descriptors"]
+
+
+def codec(now, logged=None):
+    """A codec of a process whose clock shows Unix time."""
+    return Codec(lambda: now, WallClock(lambda: now, lambda: now), ([] if logged is None else logged).append)
+
+
+def decode(name):
+    """A recorded message, read a moment after it was written."""
+    return codec(STATE_AT if name.startswith("state") else LATER).decode(recorded(name)[0])
+
+
+def without_added(value):
+    """A message without the fields that 731b84e did not know."""
+    if isinstance(value, dict):
+        return {key: without_added(each) for key, each in value.items() if key not in ADDED}
+    if isinstance(value, list):
+        return [without_added(each) for each in value]
+    return value
+
+
+def test_each_kind_of_message_is_recorded():
+    kinds = {recorded(name)[0]["is"] for name in NAMES}
+    words = "ask state taken yours news ban client wait parked got departed"
+    assert kinds == set(words.split()) and len(NAMES) == 17
+
+
+SHORT = {
+    "ask": m.TakeoverRequest(1, False),
+    "ask-peers": m.TakeoverRequest(1, True),
+    "wait": m.TakeoverDelayed(),
+    "taken": m.TakeoverAccepted((LISTEN,), True),
+    "yours": m.ListenersReleased({LISTEN: 5}),
+    "news": m.LoadChanged({"new": True}, ()),
+    "news-attempts": m.LoadChanged({}, (m.AttemptsOut("w1", 1, 120.0),)),
+    "ban": m.BanChanged("w1", START + 120.0),
+    "ban-end": m.BanChanged("w1", None),
+    "client": m.ConnectionPassed(LISTEN, True, START - 828.0, b"", {LISTEN: 5}),
+    "client-begun": m.ConnectionPassed(LISTEN, False, START - 828.0, b"POST /safe/k HTT", {LISTEN: 5}),
+    "parked": m.ParkedBatch(LISTEN, (START - 1460.0,), (), {LISTEN: 5}),
+    "parked-copies": m.ParkedBatch(LISTEN, (START - 1460.0,), (13,), {LISTEN: 5}),
+    "got": m.ParkedBatchTaken(LISTEN, ()),
+    "departed": m.ParkedDeparted(LISTEN, (7,)),
+}
+
+
+@pytest.mark.parametrize("name", SHORT)
+def test_a_message_of_731b84e_is_read(name):
+    assert decode(name) == SHORT[name]
+
+
+@pytest.mark.parametrize("name", ["state", "state-peers"])
+def test_the_state_of_731b84e_is_read(name):
+    state = decode(name)
+    assert state.listeners == (LISTEN,) and state.with_peers == (name == "state-peers")
+    assert set(state.request_ids) == {"held1", "held2", "held3", "keyed"}
+    assert state.attempts == (m.AttemptsOut("w1", 1),) and state.bans == {"w2": START}
+    assert state.table.index == 3 and state.table.unbanned == (UnbannedWorker("w6", START, STATE_AT),)
+    slow = EndpointState("w3", "127.0.0.1:3", "SERVING", "z1", "", 0, 1.0, START - 100.0, None)
+    assert state.table.endpoints[2] == slow
+    statuses = {endpoint.name: endpoint.status for endpoint in state.table.endpoints}
+    assert statuses == {"w4": "DRAINING", "w5": "DELETED"} | dict.fromkeys(
+        ("w1", "w2", "w3", "w6"), "SERVING"
+    )
+    learnt = state.learnt
+    assert learnt.pacers[0] == m.PacerState(120.0, 4.0, 20.0, START + 290.0)
+    assert learnt.pacers[1] == learnt.pacers[2] == m.PacerState(0.0, None, 0.0, 0.0)
+    assert (learnt.retry_tokens, learnt.served_rate, learnt.served_at) == (5.0, 0.75, STATE_AT)
+    assert learnt.recent_work == (m.RecentWork(964320697, ((START + 10.0, 80.0),)),)
+    assert learnt.keys == ((11087761916137914656, 4), (11534753796086380509, 1))
+    assert learnt.slots == ((0, 2.0),) and learnt.outliers == (m.OutlierState(797615265, 2.0, 1),)
+
+
+@pytest.mark.parametrize("name", NAMES)
+def test_a_message_that_was_read_is_written_as_731b84e_did(name):
+    now = STATE_AT if name.startswith("state") else LATER
+    again = codec(now).encode(decode(name))
+    assert without_added(again) == recorded(name)[0]
+    assert ("now" in again) == (recorded(name)[0]["is"] in ("state", "ban", "client", "parked"))
+
+
+def recorder_module():
+    """The recorder, with the names that its few calls have now."""
+    spec = importlib.util.spec_from_file_location("record", GOLDEN / "record.py")
+    module = importlib.util.module_from_spec(spec)
+    spec.loader.exec_module(module)
+    module.accept = lambda handover, link: handover.accept(link)
+    module.take_over = lambda handover, link, finished: handover.take_over(link, finished)
+    module.pass_connection = lambda handover, let_go: handover._old._pass_connection(LISTEN, let_go)
+    module.tell_departed = lambda handover, keys: handover._new._tell_departed(LISTEN, keys)
+    return module
+
+
+@pytest.fixture(scope="module")
+def written(tmp_path_factory):
+    """All messages of the recorded scene, as the present program writes them."""
+    folder = tmp_path_factory.mktemp("handover")
+    module = recorder_module()
+    module.Program.Side = partial(Side, start=START)
+    module.Program.Wire, module.Program.Given = Wire, Given
+    for copies in (False, True):
+        module.play(folder, copies)
+    return {path.stem: json.loads(path.read_text()) for path in folder.glob("*.json")}
+
+
+def comparable(told):
+    """A message without what differs from run to run: the order of ids and the numbers of descriptors."""
+    message = without_added(told["message"])
+    if "ids" in message and isinstance(message["ids"], list):
+        message["ids"] = sorted(message["ids"])
+    if message.get("keys") and message["is"] == "parked":
+        message["keys"] = len(message["keys"])
+    return told["descriptors"], message
+
+
+@pytest.mark.parametrize("name", NAMES)
+def test_the_same_scene_is_told_in_the_messages_that_731b84e_accepts(name, written):
+    """731b84e reads these fields and passes over others, so a process of it may follow, or be followed."""
+    message, descriptors = recorded(name)
+    assert comparable(written[name]) == comparable({"message": message, "descriptors": descriptors})
+
+
+def test_the_recorded_scene_leaves_out_no_kind_of_message(written):
+    assert sorted(written) == NAMES
+
+
+@pytest.mark.parametrize("name", [name for name in NAMES if not name.startswith(("wait", "ask"))])
+def test_a_message_without_one_of_its_fields_is_named_as_malformed(name):
+    message, _ = recorded(name)
+    optional = {"peers", "parks", "is"}
+    for key in message.keys() - optional:
+        cut = {field: value for field, value in message.items() if field != key}
+        with pytest.raises(MalformedMessageError, match=key):
+            codec(LATER).decode(cut)
+
+
+def test_what_cannot_be_read_of_the_learnt_state_is_left_out_and_named():
+    message, _ = recorded("state")
+    logged = []
+    state = codec(STATE_AT, logged).decode({**message, "memory": {**message["memory"], "spent": [1.0]}})
+    assert state.learnt is None and state.listeners and "spent" in logged[0]
+
+
+def test_the_tests_dispatchers_start_where_the_recorded_ones_did():
+    assert Desk(start=START).now == START
