--- /dev/null
+++ b/eiderfield/program/core.py
@@ -0,0 +1,94 @@
+"""The parts that every request passes: the exchange, the connections to workers and the endpoint list."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from eiderfield.config import Config, ConfigError
+from eiderfield.exchange import Exchange
+from eiderfield.idmap import IdMap
+from eiderfield.net.bans import Bans, Runner
+from eiderfield.net.clock import WallClock
+from eiderfield.net.descriptors import ConnectionLimits
+from eiderfield.net.loop import Driver
+from eiderfield.net.routing import RoutingTable
+from eiderfield.net.worker import WorkerSide
+from eiderfield.program.log import log
+from eiderfield.program.part import Part
+from eiderfield.program.paths import state_path
+
+
+@dataclass(slots=True, frozen=True)
+class Core:
+    """What most parts work with."""
+
+    driver: Driver
+    ids: IdMap
+    exchange: Exchange
+    workers: WorkerSide
+    table: RoutingTable
+    wall: WallClock
+
+    @property
+    def clock(self) -> Callable[[], float]:
+        """The process's clock."""
+        return self.driver.clock
+
+
+def make_core(config: Config, driver: Driver, limits: ConnectionLimits, run_in_thread: Runner) -> Core:
+    """Joins exchange, workers and endpoint list; a `ConfigError` if the static endpoints are faulty."""
+    wall = WallClock(driver.clock)
+    ids = IdMap(config.zones, config.kinds)
+    exchange = Exchange(config.site, config.seed, driver.wheel, driver.wake, log)
+    driver.turn = exchange.turn
+    driver.absent = exchange.absent
+    workers = WorkerSide(
+        exchange,
+        driver.wheel,
+        driver.clock,
+        driver.dial,
+        config.dial_timeout,
+        config.conn_idle,
+        limits.workers,
+    )
+    path = state_path(config.listen, "bans.json")
+    bans = Bans(path, log, driver.wheel, driver.clock, run_in_thread, wall)
+    bans.read()
+    table = RoutingTable(exchange, workers, ids, bans, driver.clock, wall)
+    _load_known(config, table)
+    return Core(driver, ids, exchange, workers, table, wall)
+
+
+def _load_known(config: Config, table: RoutingTable) -> None:
+    if config.known is None:
+        return
+    try:
+        table.load(config.known, cached=True)
+    except ValueError as error:
+        if config.discovery.kind == "static":
+            raise ConfigError(f"known: {error}") from None
+        log(f"known: {error}; waiting for discovery")  # an old list is no reason not to serve
+
+
+class CorePart(Part):
+    """Requests and attempts, and the connections to workers."""
+
+    def __init__(self, core: Core) -> None:
+        """Takes over the settings and the end of the core."""
+        self._core = core
+
+    def reload(self, old: Config, new: Config) -> None:
+        """Gives the policy its settings and the worker side its timeouts."""
+        if new.site != old.site:
+            self._core.exchange.adopt(new.site)
+        self._core.workers.timeouts(new.dial_timeout, new.conn_idle)
+
+    @property
+    def busy(self) -> bool:
+        """Whether a request has no answer yet."""
+        return bool(self._core.exchange.unanswered)
+
+    def stop(self) -> None:
+        """Closes the connections to workers."""
+        self._core.workers.close()
--- /dev/null
+++ b/eiderfield/program/listeners.py
@@ -0,0 +1,152 @@
+"""The listeners of a dispatcher: for requests, for batch jobs and for operators."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import Counter
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from pathlib import Path
+
+from eiderfield.config import CONSOLE, Address, Config, ConfigError
+from eiderfield.crowd.governor import Governor
+from eiderfield.net.clients import Front, Listener
+from eiderfield.net.console import WAIT, ConsoleFront
+from eiderfield.net.memory import share_of
+from eiderfield.program.core import Core
+from eiderfield.program.log import log
+from eiderfield.program.part import Figures, Part
+
+CLIENTS = "listen "  # how the name of the listener for requests begins
+
+
+@dataclass(slots=True, frozen=True)
+class BoundListener:
+    """A listener and where it opens."""
+
+    kind: str  # the key of the configuration that names its address
+    listener: Listener
+    address: Address
+
+    @property
+    def name(self) -> str:
+        """The name by which two processes of a dispatcher know the listener."""
+        return f"{self.kind} {self.address[0]}:{self.address[1]}"
+
+
+def make_client_listener(config: Config, core: Core, front: Front, connections: int) -> Listener:
+    """A listener for clients, of which it takes so many connections."""
+    listener = Listener(
+        front,
+        core.driver.wheel,
+        core.clock,
+        connections,
+        config.admission.pace.whole,
+        config.idling,
+        Governor(config.admission, connections),
+        share_of(config.memory_mb),
+    )
+    listener.log = log
+    return listener
+
+
+class Opener:
+    """Opens listeners that no other process has handed over."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, socket_path: Path) -> None:
+        """`socket_path` is that of the process before, if there is one."""
+        self._loop = loop
+        self._process_before = socket_path.exists()
+
+    def open(self, bound: BoundListener, may_share: bool = True) -> None:
+        """Opens a listener unless it is open; a `ConfigError` if the system refuses.
+
+        It may share its address with a process that left its socket and does not hand over: that must not
+        block the start."""
+        if bound.listener.listening:
+            return
+        host, port = bound.address
+        try:
+            try:
+                bound.listener.listen(self._loop, bound.address)
+            except OSError:
+                if not (may_share and self._process_before):
+                    raise
+                bound.listener.listen(self._loop, bound.address, beside=True)
+        except OSError as error:
+            raise ConfigError(f"{bound.kind}: cannot listen on {host}:{port} ({error})") from None
+
+
+class ClientListeners(Part):
+    """The listeners for clients."""
+
+    def __init__(self, listeners: Sequence[BoundListener], opener: Opener) -> None:
+        """`listeners` begin with that for requests."""
+        self._bound = listeners
+        self._opener = opener
+
+    @property
+    def listeners(self) -> list[Listener]:
+        """The listeners themselves."""
+        return [bound.listener for bound in self._bound]
+
+    @property
+    def accepting(self) -> bool:
+        """Whether all of them take clients."""
+        return all(listener.listening and not listener.draining for listener in self.listeners)
+
+    async def start(self) -> None:
+        """Opens those that were not handed over."""
+        for bound in self._bound:
+            self._opener.open(bound)
+
+    def reload(self, old: Config, new: Config) -> None:
+        """Gives them their limits."""
+        for listener in self.listeners:
+            listener.idle(new.idling)
+            listener.govern(new.admission)
+
+    @property
+    def busy(self) -> bool:
+        """Whether a client is connected."""
+        return any(listener.connections for listener in self.listeners)
+
+    def figures(self) -> Figures:
+        """Connections, and who was admitted, at all of them together."""
+        connections: Counter[str] = Counter()
+        admission: Counter[str] = Counter()
+        for listener in self.listeners:
+            connections.update(listener.figures())
+            if listener.governor is not None:
+                admission.update(listener.governor.figures())
+        return {"connections": dict(connections), "admission": dict(admission)}
+
+
+class ConsolePart(Part):
+    """The listener for operators, if the configuration names one."""
+
+    def __init__(
+        self,
+        config: Config,
+        core: Core,
+        opener: Opener,
+        ready: Callable[[], bool],
+        figures: Callable[[], Figures],
+        settings: Callable[[], dict[str, object]],
+    ) -> None:
+        """`ready`, `figures` and `settings` give what the calls of the console answer."""
+        front = ConsoleFront(core.exchange, core.table, core.clock, ready, figures, settings)
+        self._opener = opener
+        self._listener = Listener(front, core.driver.wheel, core.clock, CONSOLE, WAIT)
+        self.bound: BoundListener | None = None
+        if config.console is not None:
+            self.bound = BoundListener("console", self._listener, config.console)
+
+    async def start(self) -> None:
+        """Opens it, and before anything that a start waits for."""
+        if self.bound is not None:
+            self._opener.open(self.bound, may_share=False)
+
+    def stop(self) -> None:
+        """Closes it."""
+        self._listener.close()
--- /dev/null
+++ b/eiderfield/program/peers.py
@@ -0,0 +1,53 @@
+"""The port to other dispatchers, where the configuration has one."""
+
+from __future__ import annotations
+
+import asyncio
+
+from eiderfield.config import Config
+from eiderfield.net.clock import unix_now
+from eiderfield.net.peers import Peers
+from eiderfield.program.core import Core
+from eiderfield.program.log import log
+from eiderfield.program.part import Figures, Part
+
+
+class PeersPart(Part):
+    """Tells the other dispatchers, and hears them."""
+
+    def __init__(self, peers: Peers) -> None:
+        """`peers` is not open yet."""
+        self.peers = peers
+
+    async def start(self) -> None:
+        """Opens the port unless it was handed over."""
+        if self.peers.sock is None:
+            self.peers.open()
+
+    def stop(self) -> None:
+        """Closes the port."""
+        self.peers.close()
+
+    def figures(self) -> Figures:
+        """Messages by what became of them."""
+        return {"peers": dict(self.peers.figures)}
+
+
+def make_peers(config: Config, core: Core, loop: asyncio.AbstractEventLoop) -> PeersPart | None:
+    """The part, if the configuration asks for it."""
+    settings = config.peers
+    if settings is None:
+        return None
+    peers = Peers(
+        loop,
+        settings.listen,
+        settings.peers,
+        settings.everyone,
+        config.site.me,
+        core.clock,
+        core.exchange.peer_said,
+        log,
+        unix_now,
+    )
+    core.exchange.speaker = peers
+    return PeersPart(peers)
--- /dev/null
+++ b/eiderfield/program/program.py
@@ -0,0 +1,171 @@
+"""One dispatcher: its parts, joined.
+
+A further part is made in `Program.__init__` and put into `_before_clients`, which start before anybody is
+served, or into `_with_clients`, which start once the endpoint list is known.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import TypeVar
+
+from eiderfield.batch.front import BatchFront
+from eiderfield.batch.jobs import Book
+from eiderfield.config import Config
+from eiderfield.net.bans import thread_runner
+from eiderfield.net.clients import RequestFront
+from eiderfield.net.descriptors import ConnectionLimits, allowed_descriptors
+from eiderfield.net.handover import Handover
+from eiderfield.net.loop import Driver
+from eiderfield.program.core import Core, CorePart, make_core
+from eiderfield.program.discovery import DiscoveryPart
+from eiderfield.program.durable_requests import DurableRequests, make_durable_requests
+from eiderfield.program.listeners import (
+    BoundListener,
+    ClientListeners,
+    ConsolePart,
+    Opener,
+    make_client_listener,
+)
+from eiderfield.program.log import log
+from eiderfield.program.part import Figures, Part
+from eiderfield.program.paths import state_path
+from eiderfield.program.peers import make_peers
+from eiderfield.program.settings import RunningSettings
+from eiderfield.program.shutdown import Shutdown
+from eiderfield.program.takeover import SuccessorPart, TakeoverPart
+
+PartType = TypeVar("PartType")
+
+
+class Program:
+    """The parts of one dispatcher: they start, take a new configuration and end together."""
+
+    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, clock: Callable[[], float]) -> None:
+        """Makes all parts; a `ConfigError` where the configuration cannot be used."""
+        self.ended = asyncio.Event()
+        self._settled = False  # whether all parts have started
+        limits = _connection_limits(config)
+        driver = Driver(loop, clock)
+        self.core = make_core(config, driver, limits, thread_runner(loop.call_soon_threadsafe))
+        self.settings = RunningSettings(config, self.core.exchange)
+        socket_path = state_path(config.listen, "sock")
+        opener = Opener(loop, socket_path)
+
+        durable = make_durable_requests(config, self.core, loop)
+        bound = _bind_listeners(config, self.core, durable, limits)
+        self._clients = ClientListeners(bound, opener)
+        console = ConsolePart(config, self.core, opener, self._ready, self._figures, self.settings.report)
+        peers = make_peers(config, self.core, loop)
+        handover = _make_handover(self.core, loop, [*bound, *_present(console.bound)])
+        handover.peers = None if peers is None else peers.peers
+        takeover = TakeoverPart(loop, handover, socket_path)
+        self.discovery = DiscoveryPart(config, self.core, lambda: takeover.took_over)
+        successor = SuccessorPart(loop, handover, socket_path, handover.peers)
+
+        self._before_clients: list[Part] = [
+            *_present(durable),
+            CorePart(self.core),
+            takeover,
+            console,
+            self.discovery,
+        ]
+        self._with_clients: list[Part] = [self._clients, *_present(peers), successor]
+        self.shutdown = Shutdown(
+            driver, self.core.exchange, self._parts, self._clients.listeners, handover, self.ended.set
+        )
+
+    @property
+    def _parts(self) -> list[Part]:
+        return [*self._before_clients, *self._with_clients]
+
+    async def start(self) -> None:
+        """Takes over from a process that serves already, if there is one, and opens the listeners."""
+        for part in self._before_clients:
+            await part.start()
+        if self.shutdown.begun:  # told to end before it served anybody
+            return
+        for part in self._with_clients:
+            await part.start()
+        self._settled = True
+
+    def reload(self, load: Callable[[], Config]) -> None:
+        """Takes a new configuration: the endpoint list and every request stay, whatever it says or lacks."""
+        old = self.settings.current
+        if not self.settings.take(load, self._apply_static_endpoints):
+            return
+        new = self.settings.current
+        for part in self._parts:
+            part.reload(old, new)
+        log(f"the configuration was read again; discovery is at {new.discovery.address}")
+
+    def stop(self) -> None:
+        """Begins the end: taken requests are answered, and clients are asked to go elsewhere."""
+        classes = self.settings.current.site.classes
+        self.shutdown.begin(max(each.deadline for each in classes))
+
+    def _apply_static_endpoints(self, config: Config) -> None:
+        if config.discovery.kind == "static" and config.known is not None:
+            self.core.table.load(config.known)
+
+    def _ready(self) -> bool:
+        """Whether this process takes clients."""
+        return self._settled and self.core.table.index is not None and self._clients.accepting
+
+    def _figures(self) -> Figures:
+        return {name: section for part in self._parts for name, section in part.figures().items()}
+
+
+def _present(part: PartType | None) -> list[PartType]:
+    """A part that the configuration may leave out."""
+    return [] if part is None else [part]
+
+
+def _connection_limits(config: Config) -> ConnectionLimits:
+    limits = ConnectionLimits.of(config, allowed_descriptors())
+    if limits.clients < config.client_connections:
+        log(
+            f"the system allows fewer descriptors than limits.sockets: at most {limits.clients} "
+            f"connections of clients and {limits.workers} to workers are held"
+        )
+    return limits
+
+
+def _bind_listeners(
+    config: Config, core: Core, durable: DurableRequests | None, limits: ConnectionLimits
+) -> list[BoundListener]:
+    """The listeners for clients, which share the connections that clients may have."""
+    keeper = None if durable is None else durable.keeper
+    share = limits.clients if config.batch is None else max(1, limits.clients // 2)
+    front = RequestFront(core.exchange, core.ids, core.clock, keeper)
+    bound = [BoundListener("listen", make_client_listener(config, core, front, share), config.listen)]
+    if (batch := config.batch) is not None:
+        book = Book(
+            core.exchange,
+            core.clock,
+            config.name,
+            batch.jobs_most,
+            batch.finished_most,
+            batch.finished_age,
+            batch.bytes_most,
+            keeper,
+        )
+        batch_front = BatchFront(book, keeper, core.wall.to_unix)
+        listener = make_client_listener(config, core, batch_front, share)
+        bound.append(BoundListener("batch.listen", listener, batch.listen))
+    return bound
+
+
+def _make_handover(core: Core, loop: asyncio.AbstractEventLoop, bound: list[BoundListener]) -> Handover:
+    return Handover(
+        loop,
+        core.exchange,
+        core.table,
+        core.workers,
+        {each.name: each.listener for each in bound},
+        core.driver.wheel,
+        core.clock,
+        log,
+        core.wall,
+    )
--- /dev/null
+++ b/eiderfield/program/shutdown.py
@@ -0,0 +1,105 @@
+"""The graceful shutdown of a process.
+
+    running ──(begin)──> accepting ──(close_listeners_at)──> no new connections ──┐
+                            └──(send_away_at, or nobody is connected)─────────────┴──> ending ──> ended
+
+    ending: connections on which nothing is owed are closed or passed on, until no part is busy
+
+What must never happen: a request that was taken and is not answered; a listener that is closed while somebody
+waits whom a full listener has not accepted, though there will be room.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from functools import partial
+
+from eiderfield.exchange import Exchange
+from eiderfield.net.clients import Listener
+from eiderfield.net.ending import Ending
+from eiderfield.net.handover import Handover
+from eiderfield.net.loop import Driver
+from eiderfield.program.part import DrainTimes, Part
+
+CHECK_INTERVAL = 50.0  # ms between checks of what is left to do
+
+
+class Shutdown:
+    """Ends a process once all that it has taken is answered."""
+
+    def __init__(
+        self,
+        driver: Driver,
+        exchange: Exchange,
+        parts: Sequence[Part],
+        listeners: Sequence[Listener],
+        handover: Handover,
+        ended: Callable[[], None],
+    ) -> None:
+        """`ended` is called once all parts are stopped."""
+        self._driver = driver
+        self._exchange = exchange
+        self._parts = parts
+        self._listeners = listeners
+        self._handover = handover
+        self._ended = ended
+        self._ending = False
+
+    @property
+    def begun(self) -> bool:
+        """Whether the process has been told to end."""
+        return any(listener.draining for listener in self._listeners)
+
+    def begin(self, longest_deadline: float) -> None:
+        """Begins the end: taken requests are answered, and clients are asked to go elsewhere."""
+        if self.begun:
+            return
+        now = self._driver.clock()
+        ending = Ending.of(longest_deadline)
+        times = DrainTimes(now + ending.accepting, now + ending.staying, now + ending.last)
+        for listener in self._listeners:
+            listener.draining = True
+        self._driver.wheel.at(times.close_listeners_at, partial(self.close_listeners, times.answered_by))
+        # Where the others are restarting too, clients sent away at once would have nowhere to go.
+        self._driver.wheel.at(times.send_away_at, self._send_clients_away)
+        for part in self._parts:
+            part.drain(times)
+        if self._handover.handed_over:  # the next process takes who connects and who is connected
+            for listener in self._listeners:
+                listener.stop_listening()
+            self._end_when_idle()
+
+    def close_listeners(self, answered_by: float) -> None:
+        """Closes the listeners, but not while somebody waits whom a full one cannot accept yet: closing would
+        reset them. Once clients are sent away there is room."""
+        for listener in self._listeners:
+            listener.until = answered_by
+        if not self._ending and any(listener.waited_for for listener in self._listeners):
+            self._again(partial(self.close_listeners, answered_by))
+            return
+        for listener in self._listeners:
+            listener.stop_listening()
+        if not self._exchange.unanswered and not any(each.connections for each in self._listeners):
+            self._send_clients_away()
+
+    def _send_clients_away(self) -> None:
+        for listener in self._listeners:
+            listener.leaving = listener.heir is None
+        if not self._ending:
+            self._end_when_idle()
+
+    def _end_when_idle(self) -> None:
+        self._ending = True
+        self._handover.pass_idle_clients()
+        for listener in self._listeners:
+            if listener.leaving:
+                listener.close_quiet()
+        if any(part.busy for part in self._parts):
+            self._again(self._end_when_idle)
+            return
+        for part in self._parts:
+            part.stop()
+        self._ended()
+
+    def _again(self, call: Callable[[], None]) -> None:
+        self._driver.wheel.at(self._driver.clock() + CHECK_INTERVAL, call)
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -6,13 +6,13 @@
 from support.processes import known, told
 from support.real_sockets import IDLING, House, Phone, message
 
-from eiderfield.__main__ import Program
 from eiderfield.config import read
 from eiderfield.crowd.settings import Idling
 from eiderfield.lab.ports import free_port
 from eiderfield.net.clients import LINGER, YOUNG, Phase
 from eiderfield.net.ending import ACCEPTING, LONGEST, MARGIN, TO_KILL, Ending
 from eiderfield.net.wheel import TICK
+from eiderfield.program.program import Program
 
 KEPT = Idling(keep=60_000.0)  # nobody is parked
 
@@ -141,13 +141,14 @@
     program = Program(config, loop, lambda: 1e6)
     full, other = Port(), Port()
     other.waited_for = False
-    program._listeners = [(full, ("127.0.0.1", 1)), (other, ("127.0.0.1", 2))]
-    program._ending = ending
-    program._close_listeners(5.0)
+    shutdown = program.shutdown
+    shutdown._listeners = [full, other]
+    shutdown._ending = ending
+    shutdown.close_listeners(5.0)
     assert full.until == other.until == 5.0, "what comes from now on is answered by then"
     assert full.closed == other.closed == ending
     full.waited_for = False
-    program._close_listeners(5.0)
+    shutdown.close_listeners(5.0)
     assert full.closed and other.closed
     loop.close()
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -13,9 +13,10 @@
 import pytest
 from support.processes import ROOT, Answering, Source, ask, known, running_program, told
 
-from eiderfield.__main__ import ASKING, Program
 from eiderfield.config import read
 from eiderfield.lab.ports import free_port
+from eiderfield.program.discovery import FIRST_LIST_TIMEOUT
+from eiderfield.program.program import Program
 
 JOB = b"POST /echo/a HTTP/1.1\r\nX-Request-Id: 1\r\nContent-Length: 3\r\n\r\nabc"
 LONG = 30_000.0  # ms: a grace that no test waits for
@@ -84,10 +85,11 @@
     config = read(told(free_port(), "127.0.0.1:9", known=known(8080)), {})
     waits, loop = [], asyncio.new_event_loop()
     program = Program(config, loop, lambda: 1e6)
-    monkeypatch.setattr(program._driver.wheel, "at", lambda when, call: waits.append(when) or call())
-    loop.run_until_complete(program._first_list())
+    wheel = program.core.driver.wheel
+    monkeypatch.setattr(wheel, "at", lambda when, call: waits.append(when) or call())
+    loop.run_until_complete(program.discovery.first_list())
     loop.close()
-    assert config.site.drain_grace == LONG and waits == [1e6 + ASKING]
+    assert config.site.drain_grace == LONG and waits == [1e6 + FIRST_LIST_TIMEOUT]
 
 
 def test_a_process_that_is_told_to_end_before_it_is_up_ends(tmp_path):
