--- a/eiderfield/decide.py
+++ b/eiderfield/decide.py
@@ -14,10 +14,10 @@
 from typing import Any
 
 from eiderfield.interface import (
-    NEVER_RAN, REPEAT, STARTED, Action, Arrived, Beside, Cancel, ClientGone, CloseIdle, Due, Effect, Ended,
-    Entry, Event, Fail, Flowing, JobClass, Listed, ListKind, Log, Noted, Outcome, PeerSaid, Probe, Probed,
-    Refuse, Scope, Send, SetTimer, Settings, Snapshot, State, Tell, Watch, mix, pack_counts, unpack_counts,
-)
+    HELD_UP, NEVER_RAN, REPEAT, STARTED, Action, Arrived, Beside, Cancel, ClientGone, CloseIdle, Due, Effect,
+    Ended, Entry, Event, Fail, Flowing, JobClass, Listed, ListKind, Log, Noted, Outcome, PeerSaid, Probe,
+    Probed, Refuse, Scope, Send, SetTimer, Settings, Snapshot, State, Tell, Watch, mix, pack_counts,
+    unpack_counts)
 
 
 WINDOW = 1000.0  # ms, the document's delta-T: a few answers of each class, yet shorter than a burst
@@ -108,7 +108,7 @@
     first = job.first_run()
     if first is None or job.cls.effect == Effect.SAFE:
         return True
-    if job.cls.effect == Effect.UNSAFE or now > first.sent + job.cls.window:
+    if job.cls.effect == Effect.UNSAFE or now > first.sent + job.cls.window - HELD_UP:
         return False
     zone, cell = worker.entry.zone == first.entry.zone, worker.entry.cell == first.entry.cell
     return {Scope.ALL: True, Scope.ZONE: zone, Scope.CELL: cell}[job.cls.scope]
--- a/eiderfield/exchange.py
+++ b/eiderfield/exchange.py
@@ -17,6 +17,7 @@
 from eiderfield.decide import Dispatcher
 from eiderfield.interface import (
     AWAY,
+    HELD_UP,
     NEVER_RAN,
     REPEAT,
     STARTED,
@@ -27,6 +28,7 @@
     ClientGone,
     CloseIdle,
     Due,
+    Effect,
     Ended,
     Entry,
     Event,
@@ -191,6 +193,7 @@
     legs: list[Leg] = field(default_factory=list)
     answered: bool = False
     kept: bool = False  # whether the custodian keeps it
+    client_waits: Callable[[], bool] | None = None  # asked before each attempt begins; None: always
     running: bool = False
     came: float = 0.0  # at the turn in which the module heard of it
     began: float = 0.0  # at the turn in which a worker's word of its start was heard, 0 if none was
@@ -293,10 +296,11 @@
 
     def submit(
         self, request: Request, answer: Callable[[Answer], None], kept: bool = False,
-        before: Iterable[tuple[Entry, float]] = (),
+        before: Iterable[tuple[Entry, float]] = (), client_waits: Callable[[], bool] | None = None,
     ) -> int:  # fmt: skip
         """Takes a job. `answer` is called once, never before this returns.
 
+        `client_waits` tells whether the client is still connected, also where its close has not been read.
         `before` are legs that a dispatcher which is lost had begun: the worker as it was then, and when."""
         if self.holds(request.id):
             raise ValueError(f"job {request.id} is there already")
@@ -304,7 +308,7 @@
         if self.witness is not None:
             self.witness.came(request.id)
         self._last_id += 1
-        job = Job(self._last_id, request, answer, kept=kept)
+        job = Job(self._last_id, request, answer, kept=kept, client_waits=client_waits)
         before = tuple(before)
         for number, (entry, sent) in enumerate(before):
             job.legs.append(Leg(job, number, entry.worker, sent, open=False, may_have_run=True))
@@ -398,11 +402,27 @@
         self._news.append(Listed(kind, version, entries))
         self._wake()
 
-    def may_write(self, leg: Leg) -> bool:
-        """Whether a leg whose connection is up may still begin: a drain may have been told meanwhile."""
-        if leg.job.kept and self.custodian is not None and not self.custodian.may_write(leg):
+    def may_write(self, leg: Leg, now: float) -> bool:
+        """Whether a leg whose connection is up may still begin.
+
+        A connection may come up late and this process be held up since the leg was decided: a drain may have
+        been told meanwhile, the client have left, its time or the window for repeats have ended."""
+        job = leg.job
+        if not leg.open or job.answered or self._table.get(leg.worker) != State.READY:
+            return False
+        if now > self._begin_by(leg) or (job.client_waits is not None and not job.client_waits()):
             return False
-        return leg.open and not leg.job.answered and self._table.get(leg.worker) == State.READY
+        return not job.kept or self.custodian is None or self.custodian.may_write(leg)
+
+    def _begin_by(self, leg: Leg) -> float:
+        """When a leg must have begun at the latest: in its client's time and, where an attempt before it may
+        have run, within the window in which workers discard the repeat of a keyed request."""
+        request = leg.job.request
+        cls = self.site.classes[request.cls]
+        if cls.effect != Effect.KEYED:
+            return request.due
+        ran = [other.sent for other in leg.job.legs if other is not leg and other.may_have_run]
+        return min([request.due, *[sent + cls.window - HELD_UP for sent in ran]])
 
     def entry(self, worker: int) -> Entry:
         """A worker as the list told it last; one of no place, and gone, where it never did."""
--- a/eiderfield/interface.py
+++ b/eiderfield/interface.py
@@ -24,6 +24,7 @@
     CONNECT_FAILED = 521
 
 
+HELD_UP = 150.0  # ms that a node may be held up between reading its clock and writing (standing test)
 AWAY = 0  # Noted.what: nothing is known, for this node itself was away and could not have heard
 STARTED = 1  # Noted.what: the job has started
 REPEAT = 2  # Arrived.flags: a client's repeat
--- a/eiderfield/net/clients.py
+++ b/eiderfield/net/clients.py
@@ -42,7 +42,7 @@
 from eiderfield.exchange import Answer, Exchange, Request, Timer, Timers, Verdict
 from eiderfield.idmap import IdMap, plain
 from eiderfield.interface import Effect
-from eiderfield.net.departures import Departures
+from eiderfield.net.departures import Departures, has_left
 from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept
 from eiderfield.net.http import Head, Malformed, Parser, answer_bytes
 
@@ -236,6 +236,13 @@
         if not self._taking:  # else its loop goes on: thousands of pipelined messages must not nest
             self._take()
 
+    @property
+    def client_waits(self) -> bool:
+        """Whether the client is there, as its socket tells: its close may not have been read yet."""
+        if self.phase == Phase.CLOSED:
+            return False
+        return self._sock is None or not has_left(self._sock.fileno())
+
     @property
     def quiet(self) -> bool:
         """Whether nothing is owed on this connection and nothing lies unread in its socket."""
@@ -246,10 +253,18 @@
     @property
     def spare(self) -> bool:
         """Whether this connection may give way to another."""
-        if self.phase == Phase.LINGERING:  # until its last answer has arrived
-            now = self.listener.clock()
-            return now >= self._from + YOUNG or self._sock is None or not unsent(self._sock.fileno())
-        return self.quiet or (not self.proven and self.listener.clock() >= self._heard + YOUNG)
+        if self.phase == Phase.LINGERING:
+            return self._last_answer_arrived()
+        if self.quiet:
+            return self._last_answer_arrived()
+        # Half a message has come: the rest may lie in the socket, and a request that was read is answered.
+        slow = not self.proven and self.listener.clock() >= self._heard + YOUNG
+        return slow and (self._sock is None or not unread(self._sock.fileno()))
+
+    def _last_answer_arrived(self) -> bool:
+        """Whether the last answer has reached the client, or has had time to: a reset would take it along."""
+        late = self.listener.clock() >= self._from + YOUNG
+        return late or not self._answered or self._sock is None or not unsent(self._sock.fileno())
 
     def let_go(self) -> tuple[int, Given] | None:
         """Gives the connection away between two jobs: its descriptor, which stays open, and what of the next
@@ -987,7 +1002,9 @@
             connection.reject(409, "X-Request-Id is that of a job which is not over yet")
             return None
         connection.proven = True
-        id_ = self._exchange.submit(request, lambda answer: tell(connection, answer))
+        id_ = self._exchange.submit(
+            request, lambda answer: tell(connection, answer), client_waits=lambda: connection.client_waits
+        )
         return lambda: self._gone(id_)
 
     def _gone(self, id_: int) -> None:
--- a/eiderfield/net/departures.py
+++ b/eiderfield/net/departures.py
@@ -21,6 +21,17 @@
 
 AT_ONCE = 64  # departures told of in one look
 
+_LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+
+
+def has_left(fd: int) -> bool:
+    """Whether a connection's peer has closed it, ended its sending or reset it, whatever lies unread."""
+    if fd < 0:
+        return True
+    poll = select.poll()  # `select.select` knows no descriptor above 1,023
+    poll.register(fd, select.POLLRDHUP)
+    return any(event & _LEFT for _, event in poll.poll(0))
+
 
 class Departures:
     """The connections of one loop that are not read at present."""
--- a/eiderfield/net/worker.py
+++ b/eiderfield/net/worker.py
@@ -37,6 +37,10 @@
 IDLE_MARGIN = 1000.0  # ms before workers close an idle connection: none is used nearer to that
 IDLE_SHARE = 0.5  # of that time, used at least, where it is short
 STALE = 10_000.0  # ms for which a worker's idle connections are not used after one proved dead under a leg
+# What a worker is told is left of the client's time may be 150 ms too much, all of which being held up before
+# the write may take. Reading the request took time too, for which sockets are allowed 50 ms (protocol page).
+DEADLINE_MARGIN = 50.0  # ms
+LEAST_DEADLINE = 1  # ms
 TAIL = 1000.0  # ms that a worker may take to end an answer whose last line has come
 
 Address = tuple[str, int]
@@ -157,8 +161,8 @@
         """Writes what it is to carry; it is up."""
         load, transport = self.load, self._transport
         assert load is not None and transport is not None
-        if isinstance(load, Leg) and not self.side.exchange.may_write(load):
-            # A drain may have been told while the connection came up, or the job have ended.
+        if isinstance(load, Leg) and not self.side.may_write(load):
+            # A drain may have been told while the connection came up, the job have ended or its client left.
             self.load = None
             self.side.pool(self)
             self.side.exchange.ended(load, Outcome.MOOT)
@@ -438,12 +442,17 @@
 
     # What connections call.
 
+    def may_write(self, leg: Leg) -> bool:
+        """Whether a leg whose connection is up may still begin."""
+        return self.exchange.may_write(leg, self._clock())
+
     def message(self, load: Leg | Probing) -> bytes:
         """The request that a leg or a probe is."""
         if isinstance(load, Probing):
             return request_bytes("GET", "/status/load" if load.load else "/health", "backend.local")
         a = load.job.request
-        headers = {"X-Request-Id": a.id, "X-Deadline-Ms": str(max(1, int(a.due - self._clock())))}
+        left = int(a.due - self._clock() - DEADLINE_MARGIN)
+        headers = {"X-Request-Id": a.id, "X-Deadline-Ms": str(max(LEAST_DEADLINE, left))}
         if a.idempotency_key:
             headers["Idempotency-Key"] = a.idempotency_key
         return request_bytes("POST", a.target, a.host, a.body, **headers)
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -97,6 +97,31 @@
     assert batch.status(job) == told and not batch.desk.dials
 
 
+@pytest.mark.parametrize("where", ["waits for its retry", "is being dialled"])
+def test_nothing_is_begun_for_a_job_that_was_cancelled(where):
+    """Cancelled in the very turn of its retry's timer, too."""
+    batch = Batch()
+    desk = batch.desk
+    job = batch.run()
+    dial = desk.dials[0]
+    if where == "is being dialled":
+        batch.terminate(job)
+        desk.dials.append(dial)  # it came up in the moment in which it was called off
+        assert not dial.up().pipe.written
+        return
+    end = dial.up()
+    end.status(503, X_Not_Run="1")
+    [worker] = desk.exchange._module._workers.values()
+    while desk.now < worker.full_until:
+        desk.settle()
+        desk.now = max(desk.now, desk.wheel.next_at())
+        desk.wheel.advance(desk.now)
+    assert desk.woken, "the timer has gone off and its turn has not come yet"
+    assert batch.terminate(job)["verdict"] == "terminated"
+    desk.advance(1000.0)
+    assert end.take() == [] and end.came == [job] and not desk.dials
+
+
 def test_a_result_that_is_in_wins_over_a_cancel():
     batch = Batch()
     job = batch.run()
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -88,6 +88,47 @@
     house.close()
 
 
+def test_an_idle_connection_whose_answer_is_on_its_way_gives_way_to_nobody_for_a_while():
+    """Closed at once, with a request that crosses the close it is a reset, which takes the answer along."""
+    house = House(KEPT, most=1)
+    phone = served(house)
+    assert not house.listener.make_room(), "its answer has not arrived"
+    assert phone.statuses() == [200]
+    assert house.listener.make_room()
+    house.turn()
+    assert not phone.open
+    house.close()
+
+
+def test_an_idle_connection_that_never_reads_its_answer_gives_way_after_a_while():
+    house = House(KEPT, most=1)
+    phone = served(house)
+    house.pass_time(YOUNG + 2 * TICK)
+    assert house.listener.make_room()
+    phone.sock.close()
+    house.close()
+
+
+@pytest.mark.parametrize("rest_comes", [False, True])
+def test_a_half_sent_request_whose_rest_lies_in_the_socket_does_not_give_way(rest_comes):
+    """A full house closed it after half a second without a look, and what had been read had no answer."""
+    house = House(KEPT, most=1)
+    phone = Phone(house)
+    whole = message("r0")
+    phone.send(whole[:20])
+    house.turn()
+    house.pass_time(YOUNG + 2 * TICK)
+    if rest_comes:
+        phone.send(whole[20:])  # the loop has not read it yet
+    assert house.listener.make_room() is not rest_comes
+    house.turn()
+    house.work()
+    assert phone.statuses() == ([200] if rest_comes else [])
+    phone.sock.close()
+    house.turn()
+    house.close()
+
+
 def test_a_lingering_connection_whose_answer_has_arrived_gives_way_at_once():
     house = House(KEPT, most=1)
     phone = Phone(house)
