--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -41,7 +41,9 @@
     return data
 
 
-@pytest.mark.parametrize("why", ["the program ends", "it has idled for too long"])
+@pytest.mark.parametrize(
+    "why", ["the program ends", "it has idled for too long", "new settings let it idle no more"]
+)
 def test_a_request_that_crosses_a_close_resets_nothing_and_is_not_sent_on(house, why):
     """Looked at for unread bytes, closed in the loop's next turn: a request in between made the close a
     reset, which took the last answer along where the client had not read it yet."""
@@ -49,6 +51,11 @@
     if why == "the program ends":
         house.listener.leaving = True
         house.listener.close_quiet()
+    elif why == "new settings let it idle no more":
+        house.desk.now += 5000.0
+        house.listener.idle(Idling(keep=1000.0))
+        house.listener.govern(house.governor.admission)
+        house.desk.wheel.advance(house.desk.now)
     else:
         [connection] = house.listener._connections
         house.desk.now += KEPT.keep
@@ -63,6 +70,30 @@
     assert not house.listener._connections, "the client's own close ends it"
 
 
+@pytest.mark.parametrize("why", ["idle", "make room", "end", "crowded"])
+def test_a_request_that_has_come_keeps_a_parked_connection_whatever_was_to_end_it(why):
+    """It lies in the socket, and the loop has not told of it yet."""
+    house = House(IDLING, most=1)
+    [phone] = house.parked()
+    phone.send(message("late"))
+    if why == "idle":
+        house.desk.now += IDLING.keep + 2000.0
+        house.listener._end()
+    elif why == "make room":
+        assert not house.listener.make_room()
+    elif why == "end":
+        house.listener.leaving = True
+        house.listener.close_quiet()
+    else:
+        house.desk.now += 10_000.0
+        house.listener.idle(Idling(keep=1000.0, park_after=IDLING.park_after))
+        house.listener._end()
+    house.turn()
+    house.work()
+    assert phone.statuses() == [200]
+    house.close()
+
+
 def test_who_neither_reads_nor_closes_is_closed_after_the_lingering(house):
     phone = served(house)
     house.listener.close_quiet()
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,12 +1,15 @@
 """Deadlines and windows of attempts where the process is held up between reading its clock and writing."""
 
+import socket
 from dataclasses import replace
 
 import pytest
 from support.memory_dispatcher import SITE, Client, Desk
 from support.policy import KEYED, SAFE, UNSAFE
+from support.real_sockets import House, Phone, message
 
-from eiderfield.interface import HELD_UP, Effect, Scope
+from eiderfield.interface import HELD_UP, Effect, Scope, Send
+from eiderfield.net.loop import Driver
 
 SLACK = 150.0  # ms by which a worker may be told too much (standing test)
 READING = 50.0  # ms that reading a request may take (protocol page)
@@ -169,3 +172,82 @@
     assert not (sent_unsafe and worker == "drops it" and statuses == [503]), "it may have run"
     assert not desk.exchange.unanswered
     assert SITE.classes[1].effect == Effect.UNSAFE
+
+
+class Discovery:
+    """A watch on a real socket: a byte that comes on it tells that the worker drains."""
+
+    def __init__(self, house):
+        self.ours, self.theirs = socket.socketpair()
+        house.loop.add_reader(self.theirs, self.heard)
+        self.house = house
+
+    def heard(self):
+        self.house.loop.remove_reader(self.theirs)
+        self.house.desk.tell((1, "DRAINING"))
+
+    def tell(self):
+        self.ours.send(b"d")
+
+    def close(self):
+        self.house.loop.remove_reader(self.theirs)
+        self.ours.close()
+        self.theirs.close()
+
+
+@pytest.fixture
+def house():
+    house = House()
+    house.discovery = Discovery(house)
+    driver = Driver(house.loop, house.desk.clock)
+    house.desk.exchange._wake = driver.wake
+    driver.turn = house.desk.exchange.turn
+    yield house
+    house.discovery.close()
+    house.close()
+
+
+@pytest.mark.parametrize("first", ["request", "drain"])
+def test_a_drain_that_lies_in_its_socket_is_heard_before_a_request_that_lies_in_another_is_sent(house, first):
+    phone = Phone(house)
+    phone.send(message("r0"))
+    house.turn(12)
+    house.desk.dials[0].up().finish()
+    house.turn(12)
+    assert phone.statuses() == [200]
+    tell = [lambda: phone.send(message("r1")), house.discovery.tell]
+    for call in tell if first == "request" else reversed(tell):
+        call()
+    house.turn(12)
+    [end] = house.desk.ends
+    assert end.take() == [] and not house.desk.dials
+
+
+def test_a_drain_told_while_a_turn_is_held_up_is_kept_within_its_grace(house):
+    """The decision, the drain, 0.15 s, the write: that is the last one that the draining worker gets."""
+    phone = Phone(house)
+    phone.send(message("r0"))
+    house.turn(12)
+    house.desk.dials[0].up().finish()
+    house.turn(12)
+    desk, told_at, sent_at = house.desk, [], []
+    handle = desk.exchange._module.handle
+
+    def held_up(now, events):
+        actions = handle(now, events)
+        if any(isinstance(action, Send) for action in actions):
+            house.discovery.tell()
+            told_at.append(desk.now)
+            desk.now += HELD_UP
+        return actions
+
+    desk.exchange._module.handle = held_up
+    [end] = desk.ends
+    write, end.pipe.write = end.pipe.write, lambda data: (sent_at.append(desk.now), write(data))
+    clients = [Phone(house) for _ in range(3)]
+    for number, client in enumerate(clients):
+        client.send(message(f"m{number}"))
+        house.turn(12)
+    house.pass_time(3000.0)
+    assert len(told_at) == 1 and sent_at == [told_at[0] + HELD_UP]
+    assert SITE.drain_grace > HELD_UP
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -108,6 +108,35 @@
     assert not moving.dials(8500) and not moving.dials(8550)
 
 
+@pytest.mark.parametrize("ports", [(8600, 8700, 8800), (8600, 8500), (8600, 8700, 8600), (8600, 8600)])
+@pytest.mark.parametrize("between", ["dialling", "up and silent", "refused", "has told"])
+def test_of_new_configurations_in_a_row_the_last_one_counts_and_the_source_in_force_is_heard(ports, between):
+    """What the source in force tells before the last one has told its list binds as well."""
+    moving = Moving()
+    old, version = moving.up(8500), 1
+    old.say(news(index=version))
+    for port in ports:
+        moving.move(port)
+        new = moving.dials(port)[-1]
+        if between == "refused":
+            new.refuse()
+        elif between != "dialling" and port != ports[-1]:
+            end = new.up()
+            if between == "has told":
+                end.say(news("SERVING", 40 + port))
+                old = end
+    version = 9000
+    if old.pipe.open:
+        old.say(news("DRAINING", version, snapshot=False), head=False)
+        assert moving.states == [State.DRAINING]
+    while not moving.dials(ports[-1]):
+        moving.desk.advance(50.0)
+    moving.up(ports[-1]).say(news("SERVING", 3))
+    assert moving.states == [State.READY]
+    moving.desk.advance(1.0)
+    assert not moving.desk.dials and sum(end.pipe.open for end in moving.desk.ends) == 1
+
+
 def test_a_program_that_ends_ends_both_feeds():
     moving = Moving()
     old = moving.up(8500)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -6,12 +6,12 @@
 from contextlib import suppress
 
 import pytest
-from test_parking import message
-from test_program import free_port
-from test_starting import known, told
+from support.processes import known, told
+from support.real_sockets import message
 
 from eiderfield.__main__ import Program
 from eiderfield.config import read
+from eiderfield.lab.ports import free_port
 from eiderfield.net.ending import ACCEPTING, LONGEST, TO_KILL
 from eiderfield.net.http import END, Head, Parser
 
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -3,9 +3,10 @@
 import asyncio
 import errno
 import json
+from dataclasses import replace
 
 import pytest
-from support.memory_dispatcher import Desk
+from support.memory_dispatcher import SITE, Desk
 
 from eiderfield.net.loop import Driver
 
@@ -190,3 +191,108 @@
         loop.run_until_complete(task)
     loop.close()
     assert not heard
+
+
+def may_hedge(desk, id_="r1"):
+    """A request whose first attempt has started and fallen silent, and the hedged request's connection."""
+    client = desk.client(id_=id_)
+    first = desk.dials[0].up()
+    first.take()
+    first.say({"id": id_, "from": "w", "state": "started"})
+    while not desk.dials:
+        desk.advance(20.0)
+    return client, first
+
+
+@pytest.mark.parametrize("fault", ["refused", "reset", "500", "handed back"])
+def test_a_hedged_request_that_fails_at_once_leaves_the_first_attempt_its_answer(fault):
+    desk = Desk(replace(SITE, may_copy=True, progress=100.0), workers=2)
+    client, first = may_hedge(desk)
+    if fault == "refused":
+        desk.dials[0].refuse()
+    else:
+        second = desk.dials[0].up()
+        second.take()
+        if fault == "reset":
+            second.pipe.break_off()
+            desk.settle()
+        else:
+            second.status(500 if fault == "500" else 503, **({} if fault == "500" else {"X_Not_Run": "1"}))
+    assert first.pipe.open and not client.answers()
+    first.say({"id": "r1", "from": "w", "state": "done", "result": "first"}, head=False, end=True)
+    assert [(status, body) for status, _, body in client.answers()] == [(200, b"first")]
+    desk.advance(1000.0)
+    assert not client.answers() and not desk.dials and not desk.exchange.unanswered
+
+
+def test_a_hedged_request_and_the_first_attempt_that_fail_in_one_turn_end_in_one_answer():
+    desk = Desk(replace(SITE, may_copy=True, progress=100.0, max_attempts=2), workers=2)
+    client, first = may_hedge(desk)
+    second = desk.dials[0].up()
+    second.take()
+    first.pipe.break_off()
+    second.pipe.break_off()
+    desk.settle()
+    desk.advance(6000.0)
+    assert [status for status, *_ in client.answers()] == [503], "safe, so that a rejection does no harm"
+    assert not desk.exchange.unanswered
+
+
+@pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a", "/keyed/a"])
+@pytest.mark.parametrize("fault", ["refused", "handed back", "500", "reset"])
+def test_retries_that_fail_at_once_end_in_one_answer_within_the_attempts_allowed(path, fault):
+    desk = Desk(workers=2)
+    client = desk.client(path=path, Idempotency_Key="k")
+    for _ in range(3 * SITE.max_attempts):
+        for dial in list(desk.dials):
+            if fault == "refused":
+                dial.refuse()
+                continue
+            end = dial.up()
+            end.take()
+            if fault == "reset":
+                end.pipe.break_off()
+                desk.settle()
+            else:
+                end.status(500 if fault == "500" else 503, **({} if fault == "500" else {"X_Not_Run": "1"}))
+        for end in desk.ends:
+            if end.pipe.open and end.take():
+                end.status(500 if fault == "500" else 503, **({} if fault == "500" else {"X_Not_Run": "1"}))
+        desk.advance(500.0)
+    [(status, *_)] = client.answers()
+    ran = fault in ("500", "reset")
+    assert status == (502 if path == "/unsafe/a" and ran else 503)
+    came = sum(len(end.came) for end in desk.ends)
+    assert came <= (1 if path == "/unsafe/a" and ran else SITE.max_attempts)
+    assert not desk.exchange.unanswered
+
+
+@pytest.mark.parametrize("path", ["/safe/a", "/keyed/a", "/unsafe/a"])
+@pytest.mark.parametrize("how", ["closes", "resets", "forgets"])
+@pytest.mark.parametrize("quiet", [10.0, 5000.0])
+def test_a_worker_that_has_let_go_of_an_idle_connection_costs_no_answer(path, how, quiet):
+    """Closed or reset, it is not used again; forgotten, it is reset by the request that is written to it."""
+    desk = Desk(workers=1)
+    first = desk.client(path=path, Idempotency_Key="k1")
+    kept = desk.dials[0].up()
+    kept.finish()
+    assert first.answers()[0][0] == 200
+    desk.advance(quiet)
+    if how == "closes":
+        kept.connection.eof_received()
+    elif how == "resets":
+        kept.pipe.break_off()
+    client = desk.client(path=path, id_="r2", Idempotency_Key="k2")
+    if how == "forgets":
+        assert kept.take() == ["r2"]
+        kept.pipe.break_off()
+        desk.settle()
+        desk.advance(250.0)
+    else:
+        assert "r2" not in kept.came
+    if how == "forgets" and path == "/unsafe/a":
+        assert [status for status, *_ in client.answers()] == [502], "it may have run"
+        return
+    [dial] = desk.dials
+    dial.up().finish()
+    assert [status for status, *_ in client.answers()] == [200]
