--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -11,6 +11,7 @@
 from collections import Counter, defaultdict, deque
 from dataclasses import dataclass, field, replace
 from itertools import count
+from math import sqrt
 
 from eiderfield.decide import Dispatcher
 from eiderfield.interface import (
@@ -38,6 +39,20 @@
 DELAY = 2.0  # ms one way between a node and a worker
 SLOTS = 5
 RUN = 400.0  # ms of every job
+EQUAL = {1.0: 1.0}
+MIXED = {0.25: 0.5, 1.0: 0.25, 2.5: 0.25}  # cost of a request in mean ones: how many are like that
+
+
+def uneven(me):
+    """A tenth of the nodes have five times the traffic of the others."""
+    return 5.0 if me % 10 == 3 else 1.0
+
+
+def even(me):
+    """All nodes have the same traffic."""
+    return 1.0
+
+
 SITE = replace(
     BASE,
     classes=(
@@ -70,13 +85,14 @@
 class Fleet:
     """Nodes, workers and a ledger."""
 
-    def __init__(self, nodes, workers, load, seed=1):
+    def __init__(self, nodes, workers, load, seed=1, traffic=uneven, costs=EQUAL):
         self.rng, self.now, self.events, self.order = random.Random(seed), 0.0, [], count()
         self.nodes = [Dispatcher(replace(SITE, balancers=nodes, me=me), me) for me in range(nodes)]
         self.boxes = {w: Box(Entry(w, zone=w % 4, cell=w % 4)) for w in range(1, workers + 1)}
         self.rate = load * workers * SLOTS / RUN  # jobs a ms that take this share of all slots
-        # A tenth of the nodes have five times the traffic of the others.
-        self.weights = [5.0 if me % 10 == 3 else 1.0 for me in range(nodes)]
+        self.weights = [traffic(me) for me in range(nodes)]
+        self.costs = costs  # of a request, as a multiple of the mean, and how often each is met
+        self.starts = {}  # by node and worker: the start that the node was told of
         self.told = defaultdict(dict)  # by node: the state of each worker, and since when
         self.jobs, self.answers, self.broken = {}, Counter(), []
         self.ids = count(1)
@@ -120,15 +136,17 @@
     def tell(self, me, entries, kind):
         for entry in entries:
             self.told[me][entry.worker] = (entry.state, self.now)
+            self.starts[me, entry.worker] = entry.ready_at
         self.handle(me, Listed(kind, 1, tuple(entries)))
 
     def arrive(self):
         self.at(self.now + self.rng.expovariate(self.rate), self.arrive)
         [me] = self.rng.choices(range(len(self.nodes)), self.weights)
         cls, id_ = int(self.rng.random() < 0.4), next(self.ids)
+        [cost] = self.rng.choices(list(self.costs), list(self.costs.values()))
         key = min(120, int(self.rng.paretovariate(0.9)))
         due = self.now + SITE.classes[cls].deadline
-        self.jobs[me, id_] = {"cls": cls, "due": due, "legs": [], "done": None}
+        self.jobs[me, id_] = {"cls": cls, "due": due, "legs": [], "done": None, "run": cost * RUN}
         self.handle(me, Arrived(id_, cls, due, key=key))
 
     def handle(self, me, *events):
@@ -155,7 +173,7 @@
         leg = {"me": me, "id": action.id, "n": len(job["legs"]), "box": box, "out": True, "may": True,
                "zone": box.entry.zone, "running": False, "sent": self.now}  # fmt: skip
         job["legs"].append(leg)
-        box.sent.append((self.now, RUN))
+        box.sent.append((self.now, job["run"], self.knows_start(me, box)))
         self.at(self.now + DELAY, self.reach, leg)
 
     def reach(self, leg):
@@ -174,7 +192,8 @@
                 box.free -= 1
                 leg["running"] = True
                 self.at(self.now + DELAY, self.note, leg)
-                self.at(self.now + RUN / box.share(self.now), self.finish, leg)
+                run = self.jobs[leg["me"], leg["id"]]["run"]
+                self.at(self.now + run / box.share(self.now), self.finish, leg)
 
     def note(self, leg):
         if leg["out"]:
@@ -217,7 +236,7 @@
 
     def sent_to(self, workers, since):
         """How many legs workers were sent after a time."""
-        return sum(at > since for worker in workers for at, _ in self.boxes[worker].sent)
+        return sum(at > since for worker in workers for at, *_ in self.boxes[worker].sent)
 
     def served(self):
         """The share of what is over that was served."""
@@ -228,12 +247,40 @@
         late = self.now - SITE.answer_slack
         return [job for job in self.jobs.values() if job["done"] is None and job["due"] < late]
 
+    def knows_start(self, me, box):
+        """Whether a node was told of the worker's present start."""
+        return self.starts.get((me, box.entry.worker)) == box.entry.ready_at
+
     def worst(self, worker, until):
-        """The most that a worker was sent in a window while cold, as a share of what rule 4 allows."""
+        """The most work that a worker was sent in a window while it warmed up, as a share of what it can do
+        by the settings alone, without the rule's slack."""
         box, most = self.boxes[worker], 0.0
-        sent = [(at, work) for at, work in box.sent if at >= box.entry.ready_at]
+        sent = [(at, work) for at, work, _ in box.sent if at >= box.entry.ready_at]
         for end, _ in sent:
             if end <= min(until, box.entry.ready_at + SITE.cold):
                 window = sum(work for at, work in sent if end - SITE.fall < at <= end)
                 most = max(most, window / (SITE.fall_multiple * SLOTS * box.share(end) * SITE.fall))
         return most
+
+    def slow_start_use(self, worker, until):
+        """The most that a worker was sent in a window while it warmed up, as a share of its budget.
+
+        Counted are requests of mean work. A window of which a third or more came from nodes that had not
+        been told of the start breaks nothing."""
+        box, most = self.boxes[worker], 0.0
+        sent = [one for one in box.sent if one[0] >= box.entry.ready_at]
+        for end, *_ in sent:
+            if end <= min(until, box.entry.ready_at + SITE.cold):
+                window = [one for one in sent if end - SITE.fall < one[0] <= end]
+                calls = sum(work for _, work, _ in window) / RUN
+                told = sum(work for _, work, knew in window if knew) / RUN
+                if told > 2 / 3 * calls:
+                    most = max(most, calls / slow_start_budget(box.share(end)))
+        return most
+
+
+def slow_start_budget(share):
+    """The calls of mean work that a worker bears at this share of its capacity (STANDING.md of the bench)."""
+    allowed = SITE.fall_multiple * SLOTS * share * SITE.fall / RUN
+    slack = 3.0 * sqrt(allowed) + 3.0 if allowed < 30.0 else 2.0 * sqrt(allowed) + 2.0
+    return allowed + slack
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -3,13 +3,15 @@
 from dataclasses import replace
 
 import pytest
-from support.simulated_fleet import Fleet
+from support.simulated_fleet import MIXED, Fleet, even, slow_start_budget, uneven
 
 from eiderfield.interface import State
 
 pytestmark = pytest.mark.long
 
 SIZES = [(4, 12), (40, 24), (200, 40)]
+# One node, few, which keep the budget by parts of it, and the first numbers of many, which keep it by lots.
+OTHER_SIZES = [(1, 8), (2, 8), (12, 16), (20, 24), (30, 24)]
 
 
 @pytest.mark.parametrize("part", ["one", "third", "six in ten"])
@@ -26,9 +28,58 @@
     assert not fleet.broken, fleet.broken[:3]
     print(nodes, workers, part, round(worst, 2))
     assert worst <= 1.0
+    assert max(fleet.slow_start_use(worker, 14_000.0) for worker in cold) <= 1.0
     assert fleet.sent_to(cold, 0.0) > 20 * new, "and they are not starved"
 
 
+@pytest.mark.parametrize("part", ["one", "third", "six in ten"])
+@pytest.mark.parametrize(("nodes", "workers"), OTHER_SIZES)
+def test_warming_workers_stay_within_the_slow_start_budget_with_mixed_costs(nodes, workers, part):
+    """Requests of a quarter to two and a half mean ones, a tenth of the nodes with five times the traffic."""
+    fleet = Fleet(nodes, workers, load=0.9, traffic=uneven, costs=MIXED)
+    fleet.run(4000.0)
+    new = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[part]
+    warming = replaced(fleet, range(1, new + 1))
+    fleet.run(9000.0)
+    used = max(fleet.slow_start_use(worker, 9000.0) for worker in warming)
+    print(nodes, workers, part, round(used, 2))
+    assert not fleet.broken, fleet.broken[:3]
+    assert used <= 1.0
+    assert fleet.sent_to(warming, 0.0) > 10 * new, "and they are not starved"
+
+
+@pytest.mark.parametrize("traffic", [even, uneven])
+@pytest.mark.parametrize(("nodes", "workers"), [(1, 8), (20, 24), (40, 24)])
+def test_a_returning_zone_stays_within_the_slow_start_budget_with_mixed_costs(nodes, workers, traffic):
+    fleet = Fleet(nodes, workers, load=0.65, traffic=traffic, costs=MIXED)
+    zone = lost_zone_returns(fleet)
+    fleet.run(14_000.0)
+    used = max(fleet.slow_start_use(worker, 14_000.0) for worker in zone)
+    print(nodes, workers, traffic.__name__, round(used, 2))
+    assert not fleet.broken, fleet.broken[:3]
+    assert used <= 1.0
+    assert fleet.sent_to(zone, 9600.0) > 5 * len(zone)
+
+
+def test_the_slow_start_budget_is_that_of_the_standing_test():
+    """N + 3 x root of N + 3 calls under 30, else N + 2 x root of N + 2; N being 46.9 for a whole worker."""
+    assert slow_start_budget(1.0) == pytest.approx(46.875 + 2.0 * 46.875**0.5 + 2.0)
+    assert slow_start_budget(0.33) == pytest.approx(15.46875 + 3.0 * 15.46875**0.5 + 3.0)
+
+
+def lost_zone_returns(fleet):
+    """A zone falls silent, is told to be gone and comes back to warm up; its workers."""
+    fleet.run(4000.0)
+    zone = [worker for worker, box in fleet.boxes.items() if box.entry.zone == 2]
+    fleet.fall_silent(zone)
+    fleet.run(7000.0)  # discovery tells late
+    fleet.change(*(replace(fleet.boxes[worker].entry, state=State.GONE) for worker in zone))
+    fleet.run(9000.0)
+    fleet.wake(zone)
+    fleet.change(*(replace(fleet.boxes[w].entry, state=State.READY, ready_at=fleet.now) for w in zone))
+    return zone
+
+
 def replaced(fleet, workers):
     """Workers go and cold ones take their places; the ids of the new ones."""
     places = [fleet.boxes[worker].entry for worker in workers]
@@ -53,17 +104,11 @@
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
 def test_a_zone_that_is_lost_and_comes_back_cold_is_not_pushed_over(nodes, workers):
     fleet = Fleet(nodes, workers, load=0.65)
-    fleet.run(4000.0)
-    zone = [worker for worker, box in fleet.boxes.items() if box.entry.zone == 2]
-    fleet.fall_silent(zone)
-    fleet.run(7000.0)  # discovery tells late
-    fleet.change(*(replace(fleet.boxes[worker].entry, state=State.GONE) for worker in zone))
-    fleet.run(9000.0)
-    fleet.wake(zone)
-    fleet.change(*(replace(fleet.boxes[w].entry, state=State.READY, ready_at=fleet.now) for w in zone))
+    zone = lost_zone_returns(fleet)
     fleet.run(18_000.0)
     assert not fleet.broken, fleet.broken[:3]
     assert max(fleet.worst(worker, 18_000.0) for worker in zone) <= 1.0
+    assert max(fleet.slow_start_use(worker, 18_000.0) for worker in zone) <= 1.0
     assert fleet.sent_to(zone, 9600.0) > 20 * len(zone) and not fleet.owed()
 
 
