--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -24,6 +24,9 @@
 from eiderfield.net.routing import RoutingTable
 
 WAIT = 1000.0  # ms for which callers wait for an answer, and that a call may take to come in
+WRITE_PATIENCE = (
+    0.8 * WAIT
+)  # for which an answer waits for the disk, so that it comes in time whatever the disk does
 
 # Each figure by class, and the verdicts that it counts.
 _BY_CLASS = {
@@ -89,21 +92,43 @@
                     _tell(connection, 200, self._config())
             case ["-", "workers", name, "disable" | "enable" as call]:
                 if _allowed(connection, head, "POST"):
-                    self._maintain(connection, unquote(name), call == "disable")
+                    self._maintain(listener, connection, unquote(name), call == "disable")
             case _:
                 connection.reject(404, "no such call")
         return None
 
-    def _maintain(self, connection: ClientConnection, name: str, out: bool) -> None:
-        def answer(written: bool) -> None:
-            if written:
-                _tell(connection, 200, {"worker": name, "disabled": out})
-            else:
-                connection.reject(500, "in force, but not written down yet: it is lost if the program ends")
-
-        known = self._table.ban(name, answer) if out else self._table.unban(name, answer)
-        if known is None:
+    def _maintain(self, listener: Listener, connection: ClientConnection, name: str, disable: bool) -> None:
+        """Disables a worker or enables it again; answers once that is on the disk, or cannot be for now."""
+        answer = _MaintenanceAnswer(connection, name, disable)
+        change = self._table.ban if disable else self._table.unban
+        if change(name, answer.write_ended) is None:
             connection.reject(404, "no worker of this id was ever listed")
+        elif not answer.given:
+            listener.timers.at(listener.clock() + WRITE_PATIENCE, answer.write_overdue)
+
+
+class _MaintenanceAnswer:
+    """The one answer to a call that disables or enables a worker."""
+
+    def __init__(self, connection: ClientConnection, name: str, disable: bool) -> None:
+        self._connection = connection
+        self._name = name
+        self._disable = disable
+        self.given = False
+
+    def write_ended(self, written: bool) -> None:
+        """The change is on the disk, or the disk has refused it."""
+        if self.given:
+            return
+        self.given = True
+        if written:
+            _tell(self._connection, 200, {"worker": self._name, "disabled": self._disable})
+        else:
+            self._connection.reject(500, "in force, but not written down yet: it is lost if the program ends")
+
+    def write_overdue(self) -> None:
+        """The disk takes longer than the caller waits."""
+        self.write_ended(False)
 
 
 def _allowed(connection: ClientConnection, head: Head, method: str) -> bool:
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -5,11 +5,13 @@
 
 import pytest
 from failing_files import ERRORS, failing_files
+from support.console import Console
+from support.memory_dispatcher import Client
 from test_bans import ask, state
-from test_console import Console
 
 from eiderfield.interface import State
 from eiderfield.net.bans import RETRY_INTERVAL, Bans, result_of, thread_runner
+from eiderfield.net.console import WAIT
 from eiderfield.net.table_state import RoutingTableState
 
 # What a write of the file does, with how many calls of the kind it makes.
@@ -164,6 +166,25 @@
     assert banned_on_file(tmp_path / "bans") == {"w1", "w2", "w3"} and disk.attempts == []
 
 
+@pytest.mark.parametrize("ends", ["in time", "late"])
+def test_the_console_answers_in_time_though_the_disk_takes_longer(tmp_path, ends):
+    """The rule is a second; the answer waited for the write, however long a sync took."""
+    console, disk = Console(bans=tmp_path / "bans"), SlowDisk()
+    console.desk.table.bans._run = disk.run
+    caller = Client(console.desk, console.listener)
+    caller.send(b"POST /-/workers/w1/disable HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
+    console.desk.settle()
+    assert caller.answers() == []
+    if ends == "in time":
+        disk.end_next()
+    console.desk.advance(WAIT)
+    assert [status for status, *_ in caller.answers()] == [200 if ends == "in time" else 500]
+    if ends == "late":
+        disk.end_next()
+        console.desk.advance(WAIT)
+    assert len(caller.answers()) == 0 and banned_on_file(tmp_path / "bans") == {"w1"}
+
+
 def test_a_thread_writes_and_the_loop_hears_of_it(tmp_path):
     calls, called = [], threading.Event()
 
