--- a/eiderfield/batch/client.py
+++ b/eiderfield/batch/client.py
@@ -1,7 +1,9 @@
-"""A small client of the batch front, with the names of DRMAA's session.
+"""A client of the batch front, with the operations of DRMAA's session.
 
-A `Session` holds one connection, opened when first needed. Submissions are not repeated by themselves: a
-submission whose answer is lost may have been taken.
+A `Session` holds one connection, opened when first needed. It never repeats a submission whose answer is
+lost: the dispatcher may have accepted it.
+
+DRMAA's own camelCase names (`runJob`, `jobId`, ...) are deprecated aliases of the names here.
 """
 
 from __future__ import annotations
@@ -13,54 +15,90 @@
 from dataclasses import dataclass
 from typing import Any
 
+from eiderfield.batch.deprecation import deprecated_aliases, deprecated_keywords
 from eiderfield.batch.drmaa import (
-    ERRORS,
+    ERRORS_BY_NAME,
     ControlAction,
     DrmaaError,
     DrmCommunicationError,
     ExitTimeoutError,
     JobState,
 )
-from eiderfield.batch.jobs import JobTemplate
+from eiderfield.batch.messages import JobTemplate, bulk_to_json
 from eiderfield.net.http import END, Head, Malformed, Parser, request_bytes
 
 TIMEOUT_WAIT_FOREVER = -1.0
 JOB_IDS_SESSION_ALL = "DRMAA_JOB_IDS_SESSION_ALL"
-POLL = 60.0  # seconds of one wait at the dispatcher
-SLACK = 10.0  # seconds that its answer may take on top
-
 
+LONGEST_WAIT_S = 60.0  # of one request that waits for a job's end
+ANSWER_TIMEOUT_S = 10.0  # for connecting, and for an answer beyond the wait that was asked for
+CLOCK_SLACK_S = 0.001  # by which a wait may end before its time
+READ_SIZE = 65536
+FIRST_ERROR_STATUS = 300
+
+
+@deprecated_aliases(
+    jobId="job_id",
+    hasExited="has_exited",
+    wasAborted="was_aborted",
+    exitStatus="exit_status",
+    mayHaveRun="may_have_run",
+    retryAfter="retry_after",
+    legs="attempts",
+)
 @dataclass(frozen=True, slots=True)
 class JobInfo:
-    """How a job ended. `retryAfter` is in seconds and set where the job was declined."""
+    """How a job ended. `retry_after` is in seconds and set where the job was rejected."""
 
-    jobId: str
-    hasExited: bool
-    wasAborted: bool
-    exitStatus: int
+    job_id: str
+    has_exited: bool
+    was_aborted: bool
+    exit_status: int
     result: str
     verdict: str
-    mayHaveRun: bool
-    legs: int
-    retryAfter: float | None
-
-
+    may_have_run: bool
+    attempts: int
+    retry_after: float | None
+
+    @classmethod
+    def from_json(cls, message: Mapping[str, Any]) -> JobInfo:
+        """The end that a final status tells of."""
+        served = message.get("verdict") == "served"
+        retry_after_ms = message.get("retryAfterMs")
+        return cls(
+            job_id=str(message.get("jobId")),
+            has_exited=served,
+            was_aborted=message.get("verdict") in ("declined", "terminated"),
+            exit_status=0 if served else 1,
+            result=str(message.get("result", "")),
+            verdict=str(message.get("verdict")),
+            may_have_run=bool(message.get("mayHaveRun")),
+            attempts=int(message.get("legs", 0)),
+            retry_after=None if retry_after_ms is None else float(retry_after_ms) / 1000.0,
+        )
+
+
+@deprecated_aliases(runJob="run_job", runBulkJobs="run_bulk_jobs", jobStatus="job_status")
 class Session:
-    """A DRMAA session with one dispatcher, or several that keep their work. All times are in seconds.
+    """A DRMAA session with one dispatcher, or with several that share their jobs. All times are in seconds.
 
-    Where one cannot be reached, the next of `others` is asked of a job that was submitted; a submission goes
-    to the next one only if it was not sent."""
+    Where a dispatcher cannot be reached, the next one is asked about jobs that were submitted; a submission
+    goes to the next one only if it was not sent.
+    """
 
     def __init__(self, host: str, port: int, others: Iterable[tuple[str, int]] = ()) -> None:
+        """Opens no connection yet. `others` are the addresses of the further dispatchers."""
         self._address = (host, port)
         self._others = list(others)
         self._socket: socket.socket | None = None
-        self._ids: dict[str, None] = {}
+        self._job_ids: dict[str, None] = {}  # of this session, in the order of their submission
 
     def __enter__(self) -> Session:
+        """Begins the session, which its `with` block ends."""
         return self
 
     def __exit__(self, *_: object) -> None:
+        """Closes the session."""
         self.exit()
 
     def exit(self) -> None:
@@ -69,123 +107,128 @@
             self._socket.close()
             self._socket = None
 
-    def runJob(self, template: JobTemplate) -> str:
-        """Submits a job."""
-        told = self._ask("POST", "/v1/jobs", _template(template))
-        return self._keep([str(told.get("jobId"))])[0]
+    def run_job(self, template: JobTemplate) -> str:
+        """Submits a job; returns its id."""
+        message = self._request("POST", "/v1/jobs", template.to_json())
+        return self._remember([str(message.get("jobId"))])[0]
 
-    def runBulkJobs(self, templates: Iterable[JobTemplate]) -> list[str]:
-        """Submits all of some jobs or none of them."""
-        told = self._ask("POST", "/v1/bulk-jobs", {"jobs": [_template(template) for template in templates]})
-        return self._keep([str(job_id) for job_id in told.get("jobIds", [])])
+    def run_bulk_jobs(self, templates: Iterable[JobTemplate]) -> list[str]:
+        """Submits all of some jobs or none of them; returns their ids."""
+        message = self._request("POST", "/v1/bulk-jobs", bulk_to_json(list(templates)))
+        return self._remember([str(job_id) for job_id in message.get("jobIds", [])])
 
-    def jobStatus(self, jobId: str) -> JobState:
+    @deprecated_keywords(jobId="job_id")
+    def job_status(self, job_id: str) -> JobState:
         """Where a job stands."""
-        return _state(self._ask("GET", f"/v1/jobs/{jobId}"))
+        return _state_of(self._request("GET", f"/v1/jobs/{job_id}"))
 
-    def wait(self, jobId: str, timeout: float = TIMEOUT_WAIT_FOREVER) -> JobInfo:
+    @deprecated_keywords(jobId="job_id")
+    def wait(self, job_id: str, timeout: float = TIMEOUT_WAIT_FOREVER) -> JobInfo:
         """Waits for a job's end. `ExitTimeoutError` if that does not come in time."""
         end = time.monotonic() + timeout
         while True:
-            left = POLL if timeout < 0 else min(POLL, max(0.0, end - time.monotonic()))
+            remaining = LONGEST_WAIT_S
+            if timeout >= 0:
+                remaining = min(LONGEST_WAIT_S, max(0.0, end - time.monotonic()))
+            path = f"/v1/jobs/{job_id}/wait?timeoutMs={int(remaining * 1000)}"
             try:
-                told = self._ask("GET", f"/v1/jobs/{jobId}/wait?timeoutMs={int(left * 1000)}", wait=left)
+                message = self._request("GET", path, wait=remaining)
             except ExitTimeoutError:
-                if timeout >= 0 and time.monotonic() >= end - 0.001:
+                if timeout >= 0 and time.monotonic() >= end - CLOCK_SLACK_S:
                     raise
                 continue
-            return _info(told)
+            return JobInfo.from_json(message)
 
+    @deprecated_keywords(jobIds="job_ids")
     def synchronize(
-        self, jobIds: Iterable[str] | str, timeout: float = TIMEOUT_WAIT_FOREVER, dispose: bool = False
+        self, job_ids: Iterable[str] | str, timeout: float = TIMEOUT_WAIT_FOREVER, dispose: bool = False
     ) -> list[JobInfo]:
         """Waits for the ends of several jobs, or of all of this session; `dispose` forgets them here."""
-        wanted = list(self._ids) if jobIds == JOB_IDS_SESSION_ALL else list(jobIds)
+        wanted = list(self._job_ids) if job_ids == JOB_IDS_SESSION_ALL else list(job_ids)
         end = time.monotonic() + timeout
-        infos = [self.wait(i, timeout if timeout < 0 else max(0.0, end - time.monotonic())) for i in wanted]
+        infos = []
+        for job_id in wanted:
+            remaining = timeout if timeout < 0 else max(0.0, end - time.monotonic())
+            infos.append(self.wait(job_id, remaining))
         if dispose:
             for job_id in wanted:
-                self._ids.pop(job_id, None)
+                self._job_ids.pop(job_id, None)
         return infos
 
-    def control(self, jobId: str, action: ControlAction) -> JobState:
-        """Does something to a job; the state it is in then."""
-        return _state(self._ask("POST", f"/v1/jobs/{jobId}/control", {"action": action.value}))
+    @deprecated_keywords(jobId="job_id")
+    def control(self, job_id: str, action: ControlAction) -> JobState:
+        """Applies an action to a job; returns the state that it is in then."""
+        return _state_of(self._request("POST", f"/v1/jobs/{job_id}/control", {"action": action.value}))
 
-    def info(self, jobId: str) -> JobInfo | None:
+    @deprecated_keywords(jobId="job_id")
+    def info(self, job_id: str) -> JobInfo | None:
         """How a job ended, None if it has not."""
-        told = self._ask("GET", f"/v1/jobs/{jobId}")
-        return _info(told) if _state(told).final else None
+        message = self._request("GET", f"/v1/jobs/{job_id}")
+        return JobInfo.from_json(message) if _state_of(message).final else None
 
-    def _keep(self, job_ids: list[str]) -> list[str]:
-        self._ids.update(dict.fromkeys(job_ids))
+    def _remember(self, job_ids: list[str]) -> list[str]:
+        self._job_ids.update(dict.fromkeys(job_ids))
         return job_ids
 
-    def _ask(self, method: str, path: str, told: object = None, wait: float = 0.0) -> Mapping[str, Any]:
+    def _request(
+        self, method: str, path: str, message: object = None, wait: float = 0.0
+    ) -> Mapping[str, Any]:
+        """The answer of the first dispatcher that can be reached."""
         for _ in self._others:
             try:
-                return self._ask_one(method, path, told, wait)
+                return self._request_once(method, path, message, wait)
             except DrmCommunicationError as error:
-                if error.sent and path.endswith("jobs"):  # a submission that may have been taken
+                is_submission = path.endswith("jobs")
+                if error.sent and is_submission:  # it may have been accepted
                     raise
                 self._others.append(self._address)
                 self._address = self._others.pop(0)
-        return self._ask_one(method, path, told, wait)
+        return self._request_once(method, path, message, wait)
 
-    def _ask_one(self, method: str, path: str, told: object, wait: float) -> Mapping[str, Any]:
-        body = b"" if told is None else json.dumps(told).encode()
+    def _request_once(self, method: str, path: str, message: object, wait: float) -> Mapping[str, Any]:
+        head, body = self._exchange(method, path, message, wait)
+        if not isinstance(body, dict):
+            raise DrmCommunicationError("the answer is not an object")
+        if head.status >= FIRST_ERROR_STATUS:
+            error = ERRORS_BY_NAME.get(str(body.get("error")), DrmaaError)
+            raise error(str(body.get("message")), _seconds(head.get("retry-after")) * 1000.0)
+        return body
+
+    def _exchange(self, method: str, path: str, message: object, wait: float) -> tuple[Head, object]:
+        """Sends a request and reads its answer, on a new connection where there is none."""
+        content = b"" if message is None else json.dumps(message).encode()
         sent = False
         try:
             if self._socket is None:
-                self._socket = socket.create_connection(self._address, SLACK)
+                self._socket = socket.create_connection(self._address, ANSWER_TIMEOUT_S)
             sent = True
-            self._socket.settimeout(wait + SLACK)
-            self._socket.sendall(request_bytes(method, path, "{}:{}".format(*self._address), body))
-            head, answer = self._answer(self._socket)
+            self._socket.settimeout(wait + ANSWER_TIMEOUT_S)
+            self._socket.sendall(request_bytes(method, path, "{}:{}".format(*self._address), content))
+            head, answer = _read_answer(self._socket)
             if not head.keeps:
                 self.exit()
-            found: object = json.loads(answer)
+            body: object = json.loads(answer)
         except (OSError, ValueError, RecursionError) as error:
             self.exit()
-            lost = DrmCommunicationError(f"{type(error).__name__}: {error}")
-            lost.sent = sent
-            raise lost from error
-        if not isinstance(found, dict):
-            raise DrmCommunicationError("the answer is not an object")
-        if head.status >= 300:
-            kind = ERRORS.get(str(found.get("error")), DrmaaError)
-            raise kind(str(found.get("message")), _seconds(head.get("retry-after")) * 1000.0)
-        return found
-
-    @staticmethod
-    def _answer(sock: socket.socket) -> tuple[Head, bytes]:
-        parser, head, body = Parser(answers=True, max_body=0), Head(), bytearray()
-        while True:
-            got = parser.poll()
-            if got is None:
-                data = sock.recv(65536)
-                if not data:
-                    raise Malformed("the connection ended within an answer")
-                parser.feed(data)
-            elif got is END:
-                return head, bytes(body)
-            elif isinstance(got, Head):
-                head = got
-            elif isinstance(got, bytes):
-                body += got
-
-
-def _template(template: JobTemplate) -> dict[str, object]:
-    told: dict[str, object] = {"jobClass": template.job_class}
-    if template.subject:
-        told["subject"] = template.subject
-    if template.body:
-        told["body"] = template.body
-    if template.deadline:
-        told["deadlineMs"] = template.deadline
-    if template.idempotency_key:
-        told["idempotencyKey"] = template.idempotency_key
-    return told
+            raise DrmCommunicationError(f"{type(error).__name__}: {error}", sent=sent) from error
+        return head, body
+
+
+def _read_answer(sock: socket.socket) -> tuple[Head, bytes]:
+    parser, head, body = Parser(answers=True, max_body=0), Head(), bytearray()
+    while True:
+        part = parser.poll()
+        if part is None:
+            data = sock.recv(READ_SIZE)
+            if not data:
+                raise Malformed("the connection ended within an answer")
+            parser.feed(data)
+        elif part is END:
+            return head, bytes(body)
+        elif isinstance(part, Head):
+            head = part
+        elif isinstance(part, bytes):
+            body += part
 
 
 def _seconds(text: str) -> float:
@@ -195,24 +238,8 @@
         return 0.0
 
 
-def _state(told: Mapping[str, Any]) -> JobState:
+def _state_of(message: Mapping[str, Any]) -> JobState:
     try:
-        return JobState(told.get("state"))
+        return JobState(message.get("state"))
     except ValueError:
-        raise DrmCommunicationError(f"no such state: {told.get('state')!r}") from None
-
-
-def _info(told: Mapping[str, Any]) -> JobInfo:
-    served = told.get("verdict") == "served"
-    retry = told.get("retryAfterMs")
-    return JobInfo(
-        jobId=str(told.get("jobId")),
-        hasExited=served,
-        wasAborted=told.get("verdict") in ("declined", "terminated"),
-        exitStatus=0 if served else 1,
-        result=str(told.get("result", "")),
-        verdict=str(told.get("verdict")),
-        mayHaveRun=bool(told.get("mayHaveRun")),
-        legs=int(told.get("legs", 0)),
-        retryAfter=None if retry is None else float(retry) / 1000.0,
-    )
+        raise DrmCommunicationError(f"no such state: {message.get('state')!r}") from None
--- a/eiderfield/batch/drmaa.py
+++ b/eiderfield/batch/drmaa.py
@@ -1,4 +1,4 @@
-"""DRMAA's words: states, control actions and errors, by the names of its specification (GFD-R.133)."""
+"""DRMAA's states, control actions and errors, by the names of its specification (GFD-R.133)."""
 
 from __future__ import annotations
 
@@ -31,14 +31,15 @@
 
 
 class DrmaaError(Exception):
-    """An error with DRMAA's name for it and the status it travels under."""
+    """An error with DRMAA's name for it and the HTTP status that carries it."""
 
     name = "InternalException"
     status = 500
 
-    def __init__(self, text: str, retry_after: float = 0.0) -> None:
-        super().__init__(text)
-        self.retry_after = retry_after  # ms, 0 for no advice
+    def __init__(self, message: str, retry_after: float = 0.0) -> None:
+        """`retry_after` is the advised wait in milliseconds, 0 for no advice."""
+        super().__init__(message)
+        self.retry_after = retry_after
 
 
 class InvalidJobError(DrmaaError):
@@ -56,14 +57,14 @@
 
 
 class DeniedByDrmError(DrmaaError):
-    """The job, or what is asked of it, can never be accepted here."""
+    """The job, or the action on it, can never be accepted here."""
 
     name = "DeniedByDrmException"
     status = 409
 
 
 class TryLaterError(DrmaaError):
-    """Too much at the moment."""
+    """The dispatcher has no capacity for this at the moment."""
 
     name = "TryLaterException"
     status = 503
@@ -81,13 +82,22 @@
 
     name = "DrmCommunicationException"
     status = 502
-    sent = False  # whether the request may have arrived
 
-
-ERRORS: dict[str, type[DrmaaError]] = {
-    kind.name: kind
-    for kind in (
-        DrmaaError, InvalidJobError, InvalidArgumentError, DeniedByDrmError, TryLaterError, ExitTimeoutError,
+    def __init__(self, message: str, retry_after: float = 0.0, *, sent: bool = False) -> None:
+        """`sent` says whether the request may have arrived."""
+        super().__init__(message, retry_after)
+        self.sent = sent
+
+
+ERRORS_BY_NAME: dict[str, type[DrmaaError]] = {
+    error.name: error
+    for error in (
+        DrmaaError,
+        InvalidJobError,
+        InvalidArgumentError,
+        DeniedByDrmError,
+        TryLaterError,
+        ExitTimeoutError,
         DrmCommunicationError,
     )
-}  # fmt: skip
+}
--- /dev/null
+++ b/eiderfield/batch/remote.py
@@ -0,0 +1,107 @@
+"""Requests about jobs of other dispatchers or of an earlier process: the durable store answers them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from eiderfield.batch.drmaa import ExitTimeoutError, InvalidJobError, JobState, TryLaterError
+from eiderfield.batch.durable import DurableJob, DurableJobLookup
+from eiderfield.batch.messages import SHOWN_CHARACTERS, JobEnd, JobStatus, ToUnix
+from eiderfield.batch.replies import send_error, send_status
+from eiderfield.exchange import Verdict
+from eiderfield.net.clients import ClientConnection
+
+RETRY_AFTER = 1000.0  # ms that a client is advised to wait where the store accepts nothing
+
+
+class RemoteWait:
+    """A client's request that waits for a job which another dispatcher has."""
+
+    def __init__(
+        self,
+        lookup: DurableJobLookup,
+        connection: ClientConnection,
+        job_id: str,
+        until: float,
+        to_unix: ToUnix,
+    ) -> None:
+        """`until` is when the wait is over, on this process's clock."""
+        self._to_unix = to_unix
+        self._lookup = lookup
+        self._connection = connection
+        self._job_id = job_id
+        self._until = until
+        self._stop_waiting: Callable[[], None] | None = None
+
+    def begin(self) -> None:
+        """Answers with the job's status once it is final, or with an error once the time is over."""
+        self._lookup.find(self._job_id, self._wait_if_unfinished)
+
+    def cancel_job(self) -> None:
+        """Requests the job's end, and waits for it."""
+        self._lookup.find(self._job_id, self._cancel_if_unfinished)
+
+    def abandon(self) -> None:
+        """Stops waiting: the client has gone."""
+        if self._stop_waiting is not None:
+            self._stop_waiting()
+
+    def _wait_if_unfinished(self, job: DurableJob | None) -> None:
+        if job is None or job.verdict:
+            self._send_found(job)
+            return
+        self._stop_waiting = self._lookup.wait(self._job_id, self._until, lambda _: self._look_up_end())
+
+    def _cancel_if_unfinished(self, job: DurableJob | None) -> None:
+        if job is None or job.verdict:
+            self._send_found(job)
+            return
+        self._lookup.cancel(self._job_id, partial(self._wait_once_stored, job))
+
+    def _wait_once_stored(self, job: DurableJob, stored: bool) -> None:
+        if stored:
+            self._wait_if_unfinished(job)
+        else:
+            error = TryLaterError("the wish for its end cannot be written down", RETRY_AFTER)
+            send_error(self._connection, error)
+
+    def _send_found(self, job: DurableJob | None) -> None:
+        send_found(self._connection, self._lookup, self._job_id, self._to_unix, job)
+
+    def _look_up_end(self) -> None:
+        """The wait is over by the job's answer or by its time, which the store tells apart."""
+        self._lookup.find(self._job_id, self._send_end)
+
+    def _send_end(self, job: DurableJob | None) -> None:
+        if job is not None and not job.verdict:
+            error = ExitTimeoutError(f"job {self._job_id[:SHOWN_CHARACTERS]} is not final yet")
+            send_error(self._connection, error)
+        else:
+            self._send_found(job)
+
+
+def send_found(
+    connection: ClientConnection,
+    lookup: DurableJobLookup,
+    job_id: str,
+    to_unix: ToUnix,
+    job: DurableJob | None,
+) -> None:
+    """Answers with what the store knows of a job."""
+    if job is None:
+        error = InvalidJobError(f"job {job_id[:SHOWN_CHARACTERS]!r} is not known")
+        send_error(connection, error)
+    else:
+        send_status(connection, status_of_durable(job, lookup.clock_of), to_unix)
+
+
+def status_of_durable(job: DurableJob, clock_of: Callable[[float], float]) -> JobStatus:
+    """The status of a job of the durable store; `clock_of` converts its times to the process's clock."""
+    state, end = JobState.QUEUED_ACTIVE, None
+    if job.verdict:
+        state = JobState.DONE if job.verdict == Verdict.SERVED.value else JobState.FAILED
+        end = JobEnd(job.answer, clock_of(job.finished))
+    elif job.legs:
+        state = JobState.RUNNING
+    return JobStatus(job.id, job.cls, state, clock_of(job.accepted), end)
--- a/eiderfield/program/program.py
+++ b/eiderfield/program/program.py
@@ -11,7 +11,7 @@
 from typing import TypeVar
 
 from eiderfield.batch.front import BatchFront
-from eiderfield.batch.jobs import Book
+from eiderfield.batch.registry import JobRegistry, RegistryLimits
 from eiderfield.config import Config
 from eiderfield.net.bans import thread_runner
 from eiderfield.net.clients import RequestFront
@@ -141,17 +141,11 @@
     front = RequestFront(core.exchange, core.ids, core.clock, keeper)
     bound = [BoundListener("listen", make_client_listener(config, core, front, share), config.listen)]
     if (batch := config.batch) is not None:
-        book = Book(
-            core.exchange,
-            core.clock,
-            config.name,
-            batch.jobs_most,
-            batch.finished_most,
-            batch.finished_age,
-            batch.bytes_most,
-            keeper,
+        registry_limits = RegistryLimits(
+            batch.jobs_most, batch.finished_most, batch.finished_age, batch.bytes_most
         )
-        batch_front = BatchFront(book, keeper, core.wall.to_unix)
+        registry = JobRegistry(core.exchange, core.clock, config.name, registry_limits, keeper)
+        batch_front = BatchFront(registry, keeper, core.wall.to_unix)
         listener = make_client_listener(config, core, batch_front, share)
         bound.append(BoundListener("batch.listen", listener, batch.listen))
     return bound
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -11,7 +11,7 @@
 from support.policy import KEYED, SAFE, UNSAFE
 
 from eiderfield.batch.front import BatchFront
-from eiderfield.batch.jobs import Book
+from eiderfield.batch.registry import JobRegistry, RegistryLimits
 from eiderfield.exchange import Exchange
 from eiderfield.interface import Scope
 from eiderfield.net.clients import Listener
@@ -27,10 +27,9 @@
         self, workers=1, site=SITE, finished_most=100, finished_age=60_000.0, jobs_most=1000, size=10**7
     ):
         self.desk = Desk(site, workers)
-        self.book = Book(
-            self.desk.exchange, self.desk.clock, "n0", jobs_most, finished_most, finished_age, size
-        )
-        self.listener = Listener(BatchFront(self.book), self.desk.wheel, self.desk.clock, 50)
+        limits = RegistryLimits(jobs_most, finished_most, finished_age, size)
+        self.registry = JobRegistry(self.desk.exchange, self.desk.clock, "n0", limits)
+        self.listener = Listener(BatchFront(self.registry), self.desk.wheel, self.desk.clock, 50)
         self.client = Client(self.desk, self.listener)
 
     def ask(self, method, path, told=None):
@@ -73,7 +72,7 @@
     batch.desk.advance(200.0)
     [(status, _, body)] = waiter.answers()
     assert status == 408 and b"ExitTimeoutException" in body
-    assert not batch.book._records[job].waiting
+    assert not batch.registry._jobs[job].waiting
 
 
 def test_a_cancelled_job_that_never_ran_is_final_and_sent_nowhere():
@@ -168,7 +167,7 @@
     batch = Batch(jobs_most=20)
     got, _, answer = batch.ask(method, path, told)
     assert (got, answer["error"]) == (status, error)
-    assert batch.book.known == 0
+    assert batch.registry.known == 0
 
 
 def test_what_workers_cannot_do_is_denied():
@@ -182,11 +181,11 @@
     jobs = [batch.run() for _ in range(5)]
     for job in jobs:
         batch.terminate(job)
-    assert batch.book.known == 3
+    assert batch.registry.known == 3
     assert batch.ask("GET", f"/v1/jobs/{jobs[0]}")[0] == 404
     batch.desk.advance(5001.0)
     assert batch.ask("GET", f"/v1/jobs/{jobs[4]}")[0] == 404
-    assert batch.book.known == 0
+    assert batch.registry.known == 0
 
 
 def test_bodies_and_results_stay_within_their_memory():
@@ -197,7 +196,7 @@
     status, _, told = batch.ask("POST", "/v1/jobs", {"jobClass": "safe", "body": "z" * 200})
     assert (status, told["error"]) == (503, "TryLaterException")
     assert batch.ask("GET", f"/v1/jobs/{first}")[0] == 404  # the finished one gave way
-    assert batch.book._bytes == 120
+    assert batch.registry._size == 120
 
 
 def test_a_batch_that_ends_takes_no_more():
@@ -221,13 +220,13 @@
     batch = Batch(6, MIXED, finished_most=jobs, finished_age=1e9, jobs_most=jobs)
     desk, left, open_jobs, final, answers = batch.desk, jobs, {}, {}, Counter()
     sent, zones, cancelled, doomed, shown = Counter(), {}, 0, [], Counter()
-    finish = batch.book._finish
+    finish = batch.registry._finish
 
     def counted(record, answer):
         answers[record.job_id] += 1
         finish(record, answer)
 
-    batch.book._finish = counted
+    batch.registry._finish = counted
     while left or open_jobs:
         if left and len(open_jobs) < 12:  # a scheduler that heeds declines keeps a window
             classes = [rng.choice(["safe", "unsafe", "keyed"]) for _ in range(min(left, rng.randint(1, 8)))]
@@ -271,7 +270,7 @@
 def test_a_scheduler_sees_every_job_end_once_within_its_classs_rule():
     batch, final, answers, sent, zones, cancelled = play_scheduler(JOBS)
     assert len(final) == JOBS and set(answers.values()) == {1} and len(answers) == JOBS
-    assert batch.book.unfinished == 0 and not batch.desk.exchange.unanswered
+    assert batch.registry.unfinished == 0 and not batch.desk.exchange.unanswered
     verdicts = Counter(told["verdict"] for _, told in final.values())
     assert cancelled > JOBS // 20 and verdicts["terminated"] > JOBS // 40 and verdicts["served"] > JOBS // 4
     for job, (cls, told) in final.items():
--- a/tests/test_custody_jobs.py
+++ b/tests/test_custody_jobs.py
@@ -13,7 +13,7 @@
 
 from eiderfield.batch.client import Session
 from eiderfield.batch.drmaa import ControlAction, JobState
-from eiderfield.batch.jobs import JobTemplate
+from eiderfield.batch.messages import JobTemplate
 from eiderfield.cli import main
 from eiderfield.custody.folder import Folder
 from eiderfield.custody.member import Accept, Claim, Finish, Wish
@@ -160,9 +160,9 @@
     first = fleet.dispatchers["n0"]
     with Session(*addresses[0], others=addresses[1:]) as session:
         templates = [JobTemplate("report", body=body(f"b{n}", 800.0)) for n in range(8)]
-        ids = session.runBulkJobs(templates)
+        ids = session.run_bulk_jobs(templates)
         with Session(*addresses[1]) as other:
-            assert all(other.jobStatus(id_) != JobState.UNDETERMINED for id_ in ids)
+            assert all(other.job_status(id_) != JobState.UNDETERMINED for id_ in ids)
         first.signal(signal.SIGKILL)
         first.wait()
         infos = session.synchronize(ids, timeout=50.0)
@@ -177,12 +177,12 @@
 def test_a_batch_job_is_ended_from_any_dispatcher_once(batch):
     _, addresses = batch
     with Session(*addresses[0]) as one_, Session(*addresses[1]) as other:
-        long = one_.runJob(JobTemplate("report", body=body("long", 20_000.0)))
-        wait_for("it runs", lambda: one_.jobStatus(long) == JobState.RUNNING)
+        long = one_.run_job(JobTemplate("report", body=body("long", 20_000.0)))
+        wait_for("it runs", lambda: one_.job_status(long) == JobState.RUNNING)
         assert other.control(long, ControlAction.TERMINATE) == JobState.FAILED
         infos = [session.info(long) for session in (one_, other)]
-        assert [info.verdict for info in infos] == ["terminated"] * 2 and infos[0].mayHaveRun
-        short = one_.runJob(JobTemplate("lookup", body=body("short", 10.0)))
+        assert [info.verdict for info in infos] == ["terminated"] * 2 and infos[0].may_have_run
+        short = one_.run_job(JobTemplate("lookup", body=body("short", 10.0)))
         served = one_.wait(short, 30.0)
         assert other.control(short, ControlAction.TERMINATE) == JobState.DONE, "its answer came first"
         assert other.info(short).result == served.result
@@ -192,10 +192,10 @@
 def test_after_the_loss_of_all_batch_jobs_go_on_with_those_that_start(batch):
     fleet, addresses = batch
     with Session(*addresses[0]) as session:
-        done = session.runJob(JobTemplate("lookup", body=body("done", 10.0)))
+        done = session.run_job(JobTemplate("lookup", body=body("done", 10.0)))
         result = session.wait(done, 30.0).result
-        ids = session.runBulkJobs([JobTemplate("report", body=body(f"c{n}", 500.0)) for n in range(5)])
-        once = session.runBulkJobs([JobTemplate("confirm", body=body(f"d{n}", 3000.0)) for n in range(2)])
+        ids = session.run_bulk_jobs([JobTemplate("report", body=body(f"c{n}", 500.0)) for n in range(5)])
+        once = session.run_bulk_jobs([JobTemplate("confirm", body=body(f"d{n}", 3000.0)) for n in range(2)])
     for dispatcher in fleet.dispatchers.values():
         dispatcher.signal(signal.SIGKILL)
     for dispatcher in fleet.dispatchers.values():
@@ -205,4 +205,4 @@
         assert session.info(done).result == result
         assert {session.wait(id_, 50.0).verdict for id_ in ids} == {"served"}
         ends = [session.wait(id_, 50.0) for id_ in once]
-        assert all(end.verdict == "served" or (end.verdict == "failed" and end.mayHaveRun) for end in ends)
+        assert all(end.verdict == "served" or (end.verdict == "failed" and end.may_have_run) for end in ends)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -11,7 +11,7 @@
 
 from eiderfield.batch.client import Session
 from eiderfield.batch.drmaa import ControlAction, InvalidJobError, JobState
-from eiderfield.batch.jobs import JobTemplate
+from eiderfield.batch.messages import JobTemplate
 from eiderfield.lab.ports import free_port
 
 
@@ -34,7 +34,7 @@
         assert ask(sock, b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")[0] == 200
         assert ask(sock, JOB) == (200, b"cba")
         with Session("127.0.0.1", batch) as session:
-            jobs = session.runBulkJobs([JobTemplate("echo", "s", f"n{i}") for i in range(3)])
+            jobs = session.run_bulk_jobs([JobTemplate("echo", "s", f"n{i}") for i in range(3)])
             assert [info.result for info in session.synchronize(jobs)] == ["0n", "1n", "2n"]
             assert session.control(jobs[0], ControlAction.TERMINATE) == JobState.DONE
             with pytest.raises(InvalidJobError):
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -14,7 +14,8 @@
 
 import eiderfield
 from eiderfield.batch.front import BatchFront
-from eiderfield.batch.jobs import Book, JobTemplate
+from eiderfield.batch.messages import JobTemplate
+from eiderfield.batch.registry import JobRegistry, RegistryLimits
 from eiderfield.interface import State
 from eiderfield.net.clients import Listener
 from eiderfield.net.clock import MonotonicClock, WallClock
@@ -126,7 +127,10 @@
     parts = [package / name for name in ("net", "crowd", "policy")]
     files = [path for part in parts for path in part.rglob("*.py")]
     files += [path for path in package.glob("*.py") if path.name != "tool.py"]
-    files += [package / "batch" / name for name in ("front.py", "jobs.py")]
+    files += [
+        package / "batch" / name
+        for name in ("front.py", "messages.py", "registry.py", "remote.py", "replies.py")
+    ]
     reads = {path.name for path in files if re.search(r"\btime\.time\b|datetime", path.read_text())}
     assert reads - {"machine.py"} == {"clock.py"}, "machine.py is for what has to last over a reboot"
 
@@ -599,8 +603,8 @@
     wall = Wall()
     desk = Desk(unix=wall)
     wall.runs_with(desk)
-    book = Book(desk.exchange, desk.clock, "n0", 100, 10, 60_000.0, 1 << 20)
-    listener = Listener(BatchFront(book, None, desk.wall.to_unix), desk.wheel, desk.clock, 50)
+    registry = JobRegistry(desk.exchange, desk.clock, "n0", RegistryLimits(100, 10, 60_000.0, 1 << 20))
+    listener = Listener(BatchFront(registry, None, desk.wall.to_unix), desk.wheel, desk.clock, 50)
     client = Client(desk, listener)
     [(_, _, body)] = client.ask("POST", "/v1/jobs", {"jobClass": "safe"})
     job = json.loads(body)["jobId"]
@@ -610,13 +614,14 @@
     assert json.loads(body)["submittedMs"] == int(wall() - 100.0)
     desk.dials[0].up().finish()
     desk.advance(59_000.0)
-    assert book.known == 1
+    assert registry.known == 1
     desk.advance(2_000.0)
-    book.run_job(JobTemplate("safe", subject="x"))
-    assert book.known == 1, "the finished one is forgotten by its age"
+    registry.run_job(JobTemplate("safe", subject="x"))
+    assert registry.known == 1, "the finished one is forgotten by its age"
 
 
 def test_names_of_batch_jobs_do_not_return_if_a_clock_shows_the_same_time_again():
     desk = Desk()
-    names = {Book(desk.exchange, desk.clock, "n0", 9, 9, 1.0, 99)._prefix for _ in range(3)}
+    limits = RegistryLimits(9, 9, 1.0, 99)
+    names = {JobRegistry(desk.exchange, desk.clock, "n0", limits)._id_prefix for _ in range(3)}
     assert len(names) == 3
