--- a/eiderfield/custody/folder.py
+++ b/eiderfield/custody/folder.py
@@ -276,6 +276,10 @@
         with suppress(FileExistsError):
             self._put(self.path / "wishes" / hashed(id_), json.dumps({"id": id_}))
 
+    def is_wished(self, id_: str) -> bool:
+        """Whether the end of a job is asked for."""
+        return (self.path / "wishes" / hashed(id_)).exists()
+
     def wishes(self) -> list[str]:
         """The ids whose end is asked for."""
         found = []
--- a/eiderfield/custody/keeper.py
+++ b/eiderfield/custody/keeper.py
@@ -25,6 +25,7 @@
     Claim,
     Claimed,
     Conflict,
+    EndRequested,
     Find,
     Finish,
     Found,
@@ -207,6 +208,7 @@
         """Asks for the end of a job, wherever it is. `then(False)` if that cannot be written down; whether
         the job ends so, or as it would have, is what its answer tells."""
         self._writer.write(Wish(id_), lambda outcome: then(outcome is True))
+        self._wished([id_])  # where it is here, nothing more is begun for it
 
     def _wished(self, ids: list[str]) -> None:
         for id_ in ids:
@@ -322,6 +324,8 @@
         self._writer.write(Claim(leg.job.request.id, note), partial(self._claimed, leg, go))
 
     def _claimed(self, leg: Leg, go: Callable[[bool], None], outcome: Outcome) -> None:
+        if isinstance(outcome, EndRequested):
+            self._wished([leg.job.request.id])
         if isinstance(outcome, Claimed) and leg.open:
             self._claims[leg] = outcome.life
         go(isinstance(outcome, Claimed))
--- a/eiderfield/custody/member.py
+++ b/eiderfield/custody/member.py
@@ -122,6 +122,11 @@
     """An `Accept`: the id, or the key, is that of another job."""
 
 
+@dataclass(frozen=True, slots=True)
+class EndRequested:
+    """An attempt is not claimed: somebody has asked for the end of its job."""
+
+
 @dataclass(frozen=True, slots=True)
 class Refused:
     """Nothing could be written down."""
@@ -129,7 +134,7 @@
     why: str
 
 
-Outcome = Taken | Joined | Over | Conflict | Refused | Claimed | Found | bool
+Outcome = Taken | Joined | Over | Conflict | Refused | Claimed | EndRequested | Found | bool
 
 
 def steady() -> float:
@@ -295,6 +300,8 @@
         if record.stage == Stage.FINAL:
             return False
         if isinstance(op, Claim):
+            if self.folder.is_wished(op.id):
+                return EndRequested()
             drafts[op.id] = record.claimed(op.leg)
             return Claimed(self.life)
         elif isinstance(op, Unclaim):
