--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -87,9 +87,9 @@
         config["settings"] = {**config["settings"], "classes": [{**cls, "give_up": longest}]}
         self.loop = asyncio.new_event_loop()
         self.program = Program(read(config, {}), self.loop, lambda: self.now)
-        [(self.listener, address)] = self.program._listeners
-        self.listener.listen(self.loop, address)
-        self.port = address[1]
+        [bound] = self.program._clients._bound
+        self.listener, self.port = bound.listener, bound.address[1]
+        self.listener.listen(self.loop, bound.address)
         self.clients = []
         self.count = 0
 
@@ -103,7 +103,7 @@
 
     def step(self):
         self.now += STEP
-        self.program._driver.wheel.advance(self.now)
+        self.program.core.driver.wheel.advance(self.now)
         self.turn()
 
     def connect(self):
@@ -119,7 +119,7 @@
     def close(self):
         for client in self.clients:
             client.sock.close()
-        self.program.workers.close()
+        self.program.core.workers.close()
         self.listener.close()
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
@@ -166,7 +166,7 @@
         late = asked > answered and client.sent_at[-1] > told_at + 700.0
         assert not late, "it came long after SIGTERM and SIGKILL finds it unanswered"
         assert asked == answered or (client.open and longest > LONGEST), "closed without an answer"
-    assert not running.program.exchange.unanswered or longest > LONGEST
+    assert not running.program.core.exchange.unanswered or longest > LONGEST
 
 
 @pytest.mark.parametrize(
