--- a/eiderfield/custody/folder.py
+++ b/eiderfield/custody/folder.py
@@ -26,22 +26,29 @@
 import os
 import re
 import struct
-import time
 from collections.abc import Mapping, Sequence
 from contextlib import suppress
 from hashlib import blake2b
 from pathlib import Path
 from typing import Any
 
+from eiderfield.durable import DRAFT, TRANSIENT, create_file, create_symlink, replace_file, sync_folder
+from eiderfield.machine import boot_id, process_started, unix_offset
+
 FORM = "1"
 PARTS = ("members", "beats", "votes", "fences", "lives", "ids", "keys", "wishes")
 _BEAT = struct.Struct("<Q")
 _PLAIN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}\Z")
-_BOOT = Path("/proc/sys/kernel/random/boot_id")
+CLOCK_STEP = 1000.0  # ms by which the wall clock must have parted from the steady one to count as stepped
 
 
 class FolderError(RuntimeError):
-    """The folder cannot be used; the text says why."""
+    """The folder cannot be used; the text says why. `transient`: it may be usable in a while."""
+
+    def __init__(self, text: str, transient: bool = False) -> None:
+        """With what operators are told."""
+        super().__init__(text)
+        self.transient = transient
 
 
 def hashed(*words: str) -> str:
@@ -49,49 +56,53 @@
     return blake2b("\0".join(words).encode(), digest_size=16).hexdigest()
 
 
-def boot() -> str:
-    """Names this run of the machine: steady clocks and process numbers begin anew with it."""
-    with suppress(OSError):
-        return _BOOT.read_text().strip()
-    return ""
-
-
-def started(pid: int) -> str:
-    """When a process began, in the kernel's ticks, '' if it is over: a number is used again."""
-    with suppress(OSError, IndexError):
-        told = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-        return "" if told[0] in "ZXx" else told[19]
-    return ""
-
-
 class Folder:
-    """The shared folder; `make` makes it where it is not there. `OSError` for what the system refuses."""
+    """The shared folder; `make` makes it where it is not there. `OSError` for what the system refuses.
+
+    With `flush`, what is written down is on the disk before a call returns."""
 
-    def __init__(self, path: Path, make: bool = True) -> None:
+    def __init__(self, path: Path, make: bool = True, flush: bool = False) -> None:
+        """Raises `FolderError`, but not for what may pass: `begin` tries again."""
         self.path = path
-        self._fences: dict[str, tuple[str, ...]] = {}
         self.later: list[tuple[str, ...]] = []
+        self._flush = flush
+        self._fences: dict[str, tuple[str, ...]] = {}
         self._gone: set[str] = set()
-        self._boot = boot()
-        self.offset = (time.time() - time.monotonic()) * 1000.0  # of Unix time from the steady clock, in ms
-        form = path / "form"
-        if make:
-            try:
-                for part in PARTS:
-                    (path / part).mkdir(parents=True, exist_ok=True, mode=0o700)
-                if not form.exists():
-                    with suppress(FileExistsError):  # another member makes it just now
-                        self._put(form, FORM)
-            except OSError as error:
-                raise FolderError(f"custody.folder: {path}: {error.strerror}") from None
+        self._boot = boot_id()
+        self.offset = unix_offset()  # as this process has written it down last
+        self._usable = False
         try:
-            found = form.read_text()
-        except OSError:
-            raise FolderError(f"{path} holds no work in hand") from None
+            self._open(make)
+        except FolderError as error:
+            if not (make and error.transient):
+                raise
+
+    def _open(self, make: bool) -> None:
+        form = self.path / "form"
+        try:
+            if make:
+                self._make(form)
+            found = _read_text(form)
+            owner = os.stat(self.path).st_uid
+        except OSError as error:
+            if make:
+                text = f"custody.folder: {self.path}: {error.strerror}"
+                raise FolderError(text, error.errno in TRANSIENT) from None
+            raise FolderError(f"{self.path} holds no work in hand") from None
         if found != FORM:
-            raise FolderError(f"custody.folder: {path} is of form {found[:20]!r}, not {FORM!r}")
-        if path.stat().st_uid != os.getuid():
-            raise FolderError(f"custody.folder: {path} belongs to another user")
+            raise FolderError(f"custody.folder: {self.path} is of form {found[:20]!r}, not {FORM!r}")
+        if owner != os.getuid():
+            raise FolderError(f"custody.folder: {self.path} belongs to another user")
+        self._usable = True
+
+    def _make(self, form: Path) -> None:
+        for part in PARTS:
+            (self.path / part).mkdir(parents=True, exist_ok=True, mode=0o700)
+        if not form.exists():
+            with suppress(FileExistsError):  # another member makes it just now
+                self._put(form, FORM)
+        if self._flush:
+            sync_folder(self.path)
 
     # Lives.
 
@@ -99,33 +110,54 @@
         """Begins a life of a dispatcher: a name that was never there before."""
         if not _PLAIN.match(name):
             raise FolderError(f"name is not a plain word, as custody needs it: {name[:40]!r}")
-        pid = os.getpid()
-        about = {"name": name, "pid": pid, "started": started(pid), "boot": self._boot, "offset": self.offset}
+        if not self._usable:
+            self._open(make=True)
+        self.offset = unix_offset()
         used = [*self._names("members", f"{name}."), *self._names("fences", f"{name}.")]
         number = 1 + max(map(_number, used), default=0)
         while True:
             life = f"{name}.{number}"
             try:
                 self.beat(life, 0)
-                self._put(self.path / "members" / life, json.dumps(about))
+                self._put(self.path / "members" / life, self._introduction(name))
                 return life
             except FileExistsError:
                 number += 1
 
+    def _introduction(self, name: str) -> str:
+        """What a life of this process says of itself."""
+        pid = os.getpid()
+        return json.dumps({
+            "name": name, "pid": pid, "started": process_started(pid), "boot": self._boot,
+            "offset": self.offset,
+        })  # fmt: skip
+
+    def follow_wall_clock(self, life: str, name: str) -> None:
+        """Writes the wall clock's offset down anew where it was stepped: after a reboot only that offset
+        brings the life's steady times to those of the next one."""
+        offset = unix_offset()
+        if abs(offset - self.offset) > CLOCK_STEP:
+            before, self.offset = self.offset, offset
+            try:
+                replace_file(self.path / "members" / life, self._introduction(name))
+            except OSError:
+                self.offset = before  # tried again at the next look
+                raise
+
     def lives(self) -> dict[str, dict[str, Any]]:
         """All lives that are not fenced, and what each says of itself."""
         found = {}
         for life in self._names("members"):
-            if life not in self._fences:
-                with suppress(OSError, ValueError):
-                    found[life] = json.loads((self.path / "members" / life).read_text())
+            if life not in self._fences and (about := self.about(life)):
+                found[life] = about
         return found
 
     def about(self, life: str) -> dict[str, Any]:
-        """What a life says of itself, fenced or not; nothing if it is forgotten."""
-        with suppress(OSError, ValueError):
-            told: dict[str, Any] = json.loads((self.path / "members" / life).read_text())
-            return told
+        """What a life says of itself, fenced or not; nothing if it is forgotten, or torn. What cannot be read
+        is not nothing: `OSError`."""
+        with suppress(FileNotFoundError, ValueError):
+            told = json.loads(_read_text(self.path / "members" / life))
+            return told if isinstance(told, dict) else {}
         return {}
 
     def beat(self, life: str, count: int) -> None:
@@ -149,7 +181,8 @@
         """Those of some lives whose process is not there any more, by the machine's word."""
         for life, about in lives.items():
             if life not in self._gone and (
-                about.get("boot") != self._boot or started(int(about.get("pid", 0))) != about.get("started")
+                about.get("boot") != self._boot
+                or process_started(int(about.get("pid", 0))) != about.get("started")
             ):
                 self._gone.add(life)
         return self._gone & lives.keys()
@@ -159,7 +192,7 @@
         begun a later life, which is its word that the earlier one is over."""
         about = self.about(life)
         pid, name = about.get("pid", 0), about.get("name", "")
-        if about.get("boot") != self._boot or started(int(pid)) != about.get("started"):
+        if about.get("boot") != self._boot or process_started(int(pid)) != about.get("started"):
             return False
         later = [other for other in self._names("members", f"{name}.") if _number(other) > _number(life)]
         return not any(self.about(other).get("pid") == pid for other in later)
@@ -194,8 +227,8 @@
         return self.fence(f"+{len(self.later) + 1}", heirs, by, "heirs were fenced at one moment")
 
     def fenced(self, life: str) -> bool:
-        """Whether a life is fenced now."""
-        return os.path.lexists(self.path / "fences" / life)
+        """Whether a life is fenced now. What cannot be looked at may be: `OSError`."""
+        return _is_there(self.path / "fences" / life)
 
     def fences(self) -> dict[str, tuple[str, ...]]:
         """The heirs of all fenced lives; a fence never changes, so each is read once."""
@@ -215,12 +248,14 @@
         return self._fences
 
     def _heirs(self, life: str) -> tuple[str, ...]:
-        return tuple(json.loads((self.path / "fences" / life).read_text())["heirs"])
+        return tuple(str(heir) for heir in self.why(life).get("heirs", ()))
 
     def why(self, life: str) -> dict[str, Any]:
-        """What a fence says."""
-        told: dict[str, Any] = json.loads((self.path / "fences" / life).read_text())
-        return told
+        """What a fence says; nothing of one that a loss of power tore: it has no heirs then."""
+        with suppress(ValueError):
+            told = json.loads(_read_text(self.path / "fences" / life))
+            return told if isinstance(told, dict) else {}
+        return {}
 
     # Ids and keys.
 
@@ -236,12 +271,12 @@
 
     def take(self, id_: str, life: str, number: int = 1) -> bool:
         """Takes an id for the `number`-th time. False if somebody has."""
-        return _link(life, self._id(id_, number))
+        return create_symlink(life, self._id(id_, number), self._flush)
 
     def hold_key(self, cls: str, key: str, id_: str) -> str:
         """Holds a class's key for an id, and gives the id that holds it: until that one is forgotten."""
         place = self._place("keys", hashed(cls, key))
-        while not _link(id_, place):
+        while not create_symlink(id_, place, self._flush):
             with suppress(FileNotFoundError):
                 return os.readlink(place)
         return id_
@@ -255,7 +290,7 @@
 
     def let_go(self, id_: str, number: int, cls: str = "", key: str = "") -> None:
         """Forgets an id that was taken `number` times, and its key; not if it was taken again."""
-        if not os.path.lexists(self._id(id_, number + 1)):
+        if not _is_there(self._id(id_, number + 1)):
             for each in range(number, 0, -1):  # the first of them last: it is the one that is looked for
                 with suppress(FileNotFoundError):
                     self._id(id_, each).unlink()
@@ -327,32 +362,27 @@
     def _names(self, part: str, prefix: str = "") -> list[str]:
         try:
             names = os.listdir(self.path / part)
-            return sorted(name for name in names if name.startswith(prefix) and not name.startswith("~"))
+            return sorted(name for name in names if name.startswith(prefix) and not name.startswith(DRAFT))
         except FileNotFoundError:
             return []
 
     def _put(self, place: Path, text: str) -> None:
         """Makes a file whole or not at all; `FileExistsError` if it is there."""
-        draft = place.with_name(f"~{place.name}.{os.getpid()}.{os.urandom(4).hex()}")
-        try:
-            fd = os.open(draft, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
-            with os.fdopen(fd, "w", encoding="utf-8") as file:
-                file.write(text)
-            os.link(draft, place)
-        finally:
-            with suppress(FileNotFoundError):
-                draft.unlink()
+        create_file(place, text, self._flush)
 
 
-def _link(target: str, place: Path) -> bool:
-    while True:
-        try:
-            os.symlink(target, place)
-            return True
-        except FileExistsError:
-            return False
-        except FileNotFoundError:
-            place.parent.mkdir(exist_ok=True, mode=0o700)
+def _read_text(path: Path) -> str:
+    descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
+    with os.fdopen(descriptor, encoding="utf-8") as file:
+        return file.read()
+
+
+def _is_there(path: Path) -> bool:
+    try:
+        os.lstat(path)
+    except FileNotFoundError:
+        return False
+    return True
 
 
 def _number(life: str) -> int:
--- a/eiderfield/custody/keeper.py
+++ b/eiderfield/custody/keeper.py
@@ -20,6 +20,7 @@
 from functools import partial
 from typing import Any
 
+from eiderfield.custody.folder import FolderError
 from eiderfield.custody.member import (
     Accept,
     Claim,
@@ -37,19 +38,21 @@
     Taken,
     Unclaim,
     Wish,
-    steady,
 )
 from eiderfield.custody.record import LegNote, Record, record_of, request_of
 from eiderfield.custody.settings import Custody
+from eiderfield.custody.store import StoreError
 from eiderfield.custody.writer import Call, Writer
 from eiderfield.exchange import Answer, Exchange, Job, Leg, Request, Timer, Timers, Verdict
 from eiderfield.idmap import IdMap
 from eiderfield.interface import Effect, Entry
+from eiderfield.machine import steady_ms
 
 EARLY = 20.0  # ms before its time is over that a kept job is decided, so that its answer can be written down
 REST = 1000.0  # ms after which somebody may come again whose job cannot be written down
 TRIES = 3  # of writing an answer that was refused, before a served one is told without
 AGAIN = 30.0  # ms between them
+AGAIN_MOST = 1000.0  # ms to which that grows while the disk refuses
 
 Told = Callable[[Answer], None]
 
@@ -106,8 +109,14 @@
         exchange.custodian = self
 
     def begin(self) -> None:
-        """Begins a life. Raises `FolderError` or `StoreError`."""
-        self.member.begin()
+        """Begins a life, now or, where the disk may take it in a while, later: until then no job is taken.
+        Raises `FolderError` or `StoreError` for what only an operator can mend."""
+        try:
+            self.member.begin()
+        except (FolderError, StoreError) as error:
+            if not error.transient:
+                raise
+            self._log(f"custody: no life could be begun, and no job is taken until one is: {error}")
 
     def start(self) -> None:
         """Begins to write, and to look at the others."""
@@ -221,11 +230,11 @@
 
     def clock_of(self, at: float) -> float:
         """A steady time on the clock of this process."""
-        return at - steady() + self._clock()
+        return at - steady_ms() + self._clock()
 
     def _ask(self, asker: Asker) -> None:
         a = asker.request
-        record = record_of(a, self._names[a.cls], self._clock(), steady(), asker.front)
+        record = record_of(a, self._names[a.cls], self._clock(), steady_ms(), asker.front)
         held = self._held.get(a.id)
         if held is None:
             held = self._held[a.id] = Held(a.cls)
@@ -319,11 +328,22 @@
         """Writes a leg down before it begins."""
         entry = self._exchange.entry(leg.worker)
         note = LegNote(
-            leg.number, self._ids.name(leg.worker), self._ids.zone_name(entry.zone), entry.cell, steady()
+            leg.number, self._ids.name(leg.worker), self._ids.zone_name(entry.zone), entry.cell, steady_ms()
         )
-        self._writer.write(Claim(leg.job.request.id, note), partial(self._claimed, leg, go))
-
-    def _claimed(self, leg: Leg, go: Callable[[bool], None], outcome: Outcome) -> None:
+        self._write_claim(leg, note, go, AGAIN)
+
+    def _write_claim(self, leg: Leg, note: LegNote, go: Callable[[bool], None], pause: float) -> None:
+        if leg.open:  # else its time was over while the disk refused it
+            claim = Claim(leg.job.request.id, note)
+            self._writer.write(claim, partial(self._claimed, leg, note, go, pause))
+
+    def _claimed(
+        self, leg: Leg, note: LegNote, go: Callable[[bool], None], pause: float, outcome: Outcome
+    ) -> None:
+        if isinstance(outcome, Refused):  # the job is still owed: the leg waits, as long as its time allows
+            longer = min(2.0 * pause, AGAIN_MOST)
+            self._timers.at(self._clock() + pause, partial(self._write_claim, leg, note, go, longer))
+            return
         if isinstance(outcome, EndRequested):
             self._wished([leg.job.request.id])
         if isinstance(outcome, Claimed) and leg.open:
@@ -333,7 +353,7 @@
     def may_write(self, leg: Leg) -> bool:
         """Whether a leg's claim still holds: its life is not over, nor can it be taken for that."""
         member = self.member
-        return self._claims.get(leg) == member.life != "" and member.lease.holds(steady())
+        return self._claims.get(leg) == member.life != "" and member.lease.holds(steady_ms())
 
     def ended(self, leg: Leg) -> None:
         """A leg is over; one that never ran is taken off the record."""
@@ -360,9 +380,10 @@
             if held.tries < TRIES:
                 self._timers.at(self._clock() + AGAIN, partial(self._finish, id_, held, answer, why))
                 return
-            self._log(f"custody: the answer to job {id_} is not written down: {outcome.why}")
+            self._log(f"custody: the answer to job {id_} is not written down yet: {outcome.why}")
             if answer.verdict != Verdict.SERVED:  # a decline that is not written down promises too much
                 answer = Answer(Verdict.FAILED, may_have_run=True, legs=answer.legs)
+            self._write_later(Finish(id_, answer, why), AGAIN, outcome)
         del self._held[id_]
         if outcome is False:  # others have it: their answer is the one
             self.member.counts.lost_answers += 1
@@ -372,11 +393,19 @@
         for asker in held.askers:
             asker.tell(answer)
 
+    def _write_later(self, finish: Finish, pause: float, outcome: Outcome) -> None:
+        """An answer that was told is written as soon as the disk takes it: until then the job would go on at
+        an heir, and who asks for it again would wait."""
+        if isinstance(outcome, Refused):
+            longer = min(2.0 * pause, AGAIN_MOST)
+            then = partial(self._write_later, finish, longer)
+            self._timers.at(self._clock() + pause, partial(self._writer.write, finish, then))
+
     # Lost and found.
 
     def _adopted(self, records: list[Record]) -> None:
         """Jobs of lost dispatchers, which are this one's from now on."""
-        now, at = self._clock(), steady()
+        now, at = self._clock(), steady_ms()
         for record in records:
             cls = self._names.index(record.cls) if record.cls in self._names else -1
             held = Held(cls)
--- a/eiderfield/custody/member.py
+++ b/eiderfield/custody/member.py
@@ -14,17 +14,18 @@
 from __future__ import annotations
 
 import sqlite3
-import time
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from contextlib import suppress
 from dataclasses import dataclass, replace
 
-from eiderfield.custody.folder import Folder, FolderError, boot
+from eiderfield.custody.folder import Folder, FolderError
 from eiderfield.custody.lease import Lease, Watch, agreed, chain_of
 from eiderfield.custody.record import Counts, LegNote, Record, Stage
 from eiderfield.custody.settings import Custody
-from eiderfield.custody.store import Store, StoreError
+from eiderfield.custody.store import EmptyStoreError, Store, StoreError
+from eiderfield.durable import TRANSIENT
 from eiderfield.exchange import Answer
+from eiderfield.machine import boot_id, steady_ms
 
 READERS = 6  # other lives' stores that are open at once: each takes three descriptors
 AT_ONCE = 100.0  # jobs taken over in one commit: a beat must not wait for thousands
@@ -137,11 +138,6 @@
 Outcome = Taken | Joined | Over | Conflict | Refused | Claimed | EndRequested | Found | bool
 
 
-def steady() -> float:
-    """The machine's steady clock, which all processes share, in ms."""
-    return time.monotonic() * 1000.0
-
-
 class Member:
     """A process's part in custody. `worths` orders classes, by name; `log` gets lines for operators."""
 
@@ -149,14 +145,16 @@
 
     def __init__(
         self, settings: Custody, name: str, worths: Mapping[str, float], log: Callable[[str], None],
-        now: Callable[[], float] = steady,
+        now: Callable[[], float] = steady_ms,
     ) -> None:  # fmt: skip
         self.settings, self.name = settings, name
-        self.folder = Folder(settings.folder)
+        self.folder = Folder(settings.folder, flush=settings.flush)
         self.counts = Counts()
         self.lease = Lease(settings.lease, settings.margin)
         self.life = ""  # '' while there is none
         self.left = False
+        self._begun = ""  # a life that was begun and has no store yet
+        self._not_free: list[Record] = []  # whose ids could not be let go of
         self.members = 0  # lives that are not fenced, as of the last look
         self.awaiting = 0  # jobs of lost lives that are still to be taken over here
         self._worths, self._log, self._now = worths, log, now
@@ -172,6 +170,9 @@
         self._owed_at = now()
         self._readers: dict[str, Store] = {}
         self._used: set[str] = set()  # readers that were used since the last clean-up
+        self._empty: set[str] = (
+            set()
+        )  # lives in whose stores nothing was written, as of the last look at each
         self._unread: set[str] = set()  # stores that cannot be read, named once
         self._tried = -AGAIN
         self._cleaned = self._settled = now()
@@ -181,13 +182,23 @@
     def begin(self) -> None:
         """Begins a life. Raises `FolderError` or `StoreError` if the folder cannot be used."""
         self._tried = self._now()
+        s = self.settings
         try:
-            life = self.folder.begin(self.name)
-            s = self.settings
+            # A life whose store could not be made is used at the next try, or a full disk would fill with
+            # names; unless it was fenced meanwhile.
+            if not self._begun or self.folder.fenced(self._begun):
+                self._begun = self.folder.begin(self.name)
+            life = self._begun
             self._store = Store(self.folder.store(life), flush=s.flush, most=2 * s.bytes_most)
+            if self.folder.fenced(life):
+                self._store.close()
+                self._store, self._begun = None, ""
+                raise FolderError(f"custody.folder: {life} was fenced before it began", transient=True)
         except OSError as error:
-            raise FolderError(f"custody.folder: {self.folder.path}: {error.strerror}") from None
-        self.life, self._open, self._todo, self._known = life, {}, [], None
+            text = f"custody.folder: {self.folder.path}: {error.strerror}"
+            raise FolderError(text, error.errno in TRANSIENT) from None
+        self.life, self._begun = life, ""
+        self._open, self._todo, self._known = {}, [], None
         self.lease = Lease(self.settings.lease, self.settings.margin)
         self._watch = Watch(life, self.settings.lease, self.settings.look)
         self._suspects = set()
@@ -211,10 +222,12 @@
 
     def leave(self) -> bool:
         """Gives what is left to the others, at once. False if there is nobody."""
-        heirs = [life for life in self.folder.lives() if life not in self._suspects | {self.life}]
-        if not self.life or not heirs:
+        if not self.life:
             return False
         with suppress(OSError):
+            heirs = [life for life in self.folder.lives() if life not in self._suspects | {self.life}]
+            if not heirs:
+                return False
             self.folder.fence(self.life, heirs, self.life, "it left")
             self.left = True
             self._end_life()
@@ -235,30 +248,33 @@
             return [self._answered(op) if isinstance(op, Find | Wish) else next(rest) for op in ops]
         if not ops:
             return []
-        if self.life and self._fenced():  # what would be written now would only look as if it had been done
-            return [self._too_late(op, Taken()) for op in ops]
+        try:
+            if self.life and self._fenced():  # what would be written now would only look as if it had been
+                return [self._too_late(op, Taken()) for op in ops]
+        except OSError as error:
+            return [self._refusal(op, f"{type(error).__name__}: {error}") for op in ops]
         if not self.life or self._store is None:
             return [self._refusal(op, NOT_BEGUN) for op in ops]
+        return self._write(self._store, ops)
+
+    def _write(self, store: Store, ops: Sequence[Op]) -> list[Outcome]:
         before, drafts, took, found = self._now(), dict[str, Record](), list[Record](), list[Outcome]()
         for name in sorted({type(op).__name__.lower() for op in ops}):
             self.point(name)
         try:
-            self._store.begin()
-            for op in ops:
-                found.append(self._one(op, drafts, took))
-            for record in drafts.values():
-                self._store.put(record)
-            self._store.commit()
-        except (sqlite3.Error, OSError) as error:
-            self._store.undo()
+            with store.group():
+                for op in ops:
+                    found.append(self._one(op, drafts, took))
+                for record in drafts.values():
+                    store.put(record)
+        except (sqlite3.Error, OSError, ValueError, LookupError) as error:
             for record in took:
-                with suppress(OSError):
-                    self.folder.let_go(record.id, record.number, record.cls, record.key)
+                self._free(record)
             self.counts.failed += 1
             return [self._refusal(op, f"{type(error).__name__}: {error}") for op in ops]
         self.counts.written += 1
         self.counts.slowest = max(self.counts.slowest, self._now() - before)
-        if self._fenced():
+        if self._over_after_commit():
             return [self._too_late(op, outcome) for op, outcome in zip(ops, found, strict=True)]
         for id_, record in drafts.items():
             if record.stage == Stage.FINAL:
@@ -269,6 +285,29 @@
             self.point(f"{name} done")
         return found
 
+    def _over_after_commit(self) -> bool:
+        """Whether this life is over, after it has written. Where that cannot be found out it is over: what it
+        wrote may be the heirs' already, and nothing may follow from it here. All of it is taken over."""
+        try:
+            return self._fenced()
+        except OSError as error:
+            self._say_once(f"custody: {self.life} ends: whether it is fenced cannot be read: {error}")
+            self._end_life()
+            return True
+
+    def _free(self, record: Record) -> None:
+        """Lets go of an id that was taken and not written down; later, if the system refuses it now."""
+        try:
+            self.folder.let_go(record.id, record.number, record.cls, record.key)
+        except OSError:
+            self._not_free.append(record)
+
+    def _free_again(self) -> None:
+        waiting, self._not_free = self._not_free, []
+        for record in waiting:
+            if record.id not in self._open:
+                self._free(record)
+
     def _answered(self, op: Find | Wish) -> Outcome:
         if isinstance(op, Find):
             return Found(self.find(op.id))
@@ -323,9 +362,13 @@
         if there is not None and there.stage != Stage.FINAL:
             return Joined(record.id) if there.digest == record.digest else Conflict()
         # Its holder died before it wrote anything, or it was declined: whoever asks next takes it anew.
-        if number and there is None and not self._dead(chain):
+        orphan = self._is_orphan(there, chain)
+        if number and there is None and not orphan and not self._dead(chain):
             return Joined(record.id)
-        if not self.folder.take(record.id, self.life, number + 1):
+        if orphan:
+            self._not_free = [each for each in self._not_free if each.id != record.id]
+            number -= 1
+        elif not self.folder.take(record.id, self.life, number + 1):
             return Joined(record.id)
         record = replace(record, number=number + 1)
         took.append(record)
@@ -344,12 +387,11 @@
     def _refusal(self, op: Op, why: str) -> Outcome:
         """What may be said where nothing could be written. An asker for a job that is somewhere waits for it:
         told that asking anew is harmless, it might have begun a second one."""
-        if isinstance(op, Finish):
-            return Refused(why)
         if not isinstance(op, Accept):
-            return False
+            mine = not isinstance(op, Find | Wish) and op.id in self._open
+            return Refused(why) if mine or isinstance(op, Finish) else False
         try:
-            number, there, _ = self._find(op.record.id)
+            number, there, chain = self._find(op.record.id)
         except (sqlite3.Error, OSError, ValueError, LookupError):
             return Joined(op.record.id)
         if there is not None and there.digest != op.record.digest:
@@ -357,8 +399,13 @@
         if there is not None and there.stage == Stage.FINAL and there.standing:
             return Over(there)
         fresh = not number or (there is not None and there.stage == Stage.FINAL)
+        fresh = fresh or self._is_orphan(there, chain)
         return Refused(why) if fresh else Joined(op.record.id)
 
+    def _is_orphan(self, there: Record | None, chain: Sequence[str]) -> bool:
+        """Whether an id was taken by this life, and no record of it written: nobody else will write one."""
+        return there is None and list(chain) == [self.life]
+
     def _key(self, record: Record) -> str:
         """The id that holds a record's key now: its own, unless another job that counts has it."""
         while True:
@@ -401,14 +448,15 @@
         """Renews the beat, and sees who is lost. False if this life is over, or there is none."""
         if not self.life:
             if not self.left and self._now() >= self._tried + AGAIN:
-                with suppress(FolderError, StoreError, sqlite3.Error):
-                    self.begin()
+                self._begin_again()
             return False
         try:
             fences = self.folder.fences()
             if self._fenced():
                 return False
             self._renew()
+            self._free_again()
+            self.folder.follow_wall_clock(self.life, self.name)
             lives = self.folder.lives()
             self.members = len(lives)
             gone = self.folder.gone(lives)
@@ -422,6 +470,12 @@
             self._say_once(f"custody: {type(error).__name__}: {error}")
         return bool(self.life)
 
+    def _begin_again(self) -> None:
+        try:
+            self.begin()
+        except (FolderError, StoreError, sqlite3.Error) as error:
+            self._say_once(f"custody: no life could be begun: {error}")
+
     def _renew(self) -> None:
         before = self._now()
         self._beat += 1
@@ -459,7 +513,7 @@
         todo, ownerless, self._unreadable = [], False, False
         for life in versions:
             if (reader := self._reader(life)) is None:
-                self._unreadable = True
+                self._unreadable = self._unreadable or life not in self._empty
                 continue
             for number, (id_, cls, accepted) in enumerate(reader.open_jobs()):
                 if number % BEAT_EVERY == BEAT_EVERY - 1:
@@ -484,46 +538,58 @@
         self._owed, self._owed_at = min(most, self._owed + (now - self._owed_at) * rate), now
         if not self._todo or not self.life or self._store is None:
             return []
-        found: dict[str, Record] = {}
-        while self._todo and self._owed >= 1.0:
-            _, _, id_, life = self._todo.pop()
-            record = self._left_by(id_, life)
-            if record is not None and id_ not in found:
-                found[id_] = record.inherited()
-                self._owed -= 1.0
+        found = self._gather()
         self.awaiting = len(self._todo)
         if not found:
             return []
         self.point("adopt")
         try:
-            self._store.begin()
-            for record in found.values():
-                self._store.put(record)
-            self._store.commit()
+            with self._store.group():
+                for record in found.values():
+                    self._store.put(record)
         except sqlite3.Error as error:
-            self._store.undo()
-            self.counts.failed += 1
-            self._say_once(f"custody: {error}")
-            self._known = None  # read again, and tried again
+            self._read_again(error)
             return []
-        if self._fenced():
+        if self._over_after_commit():
             return []
         self._open.update(found)
         self.counts.taken_over += len(found)
         self.point("adopt done")
         return list(found.values())
 
+    def _gather(self) -> dict[str, Record]:
+        """As many jobs of lost lives as may be taken over now, as this life is to write them down."""
+        found: dict[str, Record] = {}
+        while self._todo and self._owed >= 1.0:
+            _, _, id_, life = self._todo[-1]
+            try:
+                record = self._left_by(id_, life)
+            except (sqlite3.Error, OSError, ValueError, LookupError) as error:
+                self._read_again(error)  # it is still owed
+                break
+            self._todo.pop()
+            if record is not None and id_ not in found:
+                found[id_] = record.inherited()
+                self._owed -= 1.0
+        return found
+
+    def _read_again(self, error: Exception) -> None:
+        """What is to be taken over is read anew, and tried again: the system refused something."""
+        self.counts.failed += 1
+        self._say_once(f"custody: {type(error).__name__}: {error}")
+        self._todo, self._known, self._unreadable = [], None, True
+
     def _left_by(self, id_: str, life: str) -> Record | None:
-        """What the last owner wrote of a job that a lost life took; None if it has its answer."""
+        """What the last owner wrote of a job that a lost life took; None if it has its answer, or if the id
+        was taken anew. Raises where something cannot be read."""
         holder = self.folder.holder(id_)
+        if holder is None or life not in self._chain(id_, holder[1]):
+            return None  # the system refused to write it, so the id was let go, and a kill left it here
         for each in reversed(self._chain(id_, life)):
-            try:
-                record = self._read(each, id_)
-            except sqlite3.Error:
-                return None
+            record = self._read(each, id_)
             if record is not None:
                 # Written so late that somebody has taken the id anew meanwhile, or answered, or here already.
-                over = holder is None or holder[0] > record.number or record.stage == Stage.FINAL
+                over = holder[0] > record.number or record.stage == Stage.FINAL
                 return None if over or each == self.life else self._of_now(record, each)
         return None
 
@@ -531,13 +597,16 @@
         return chain_of(id_, life, self.folder.known_fences, self.folder.later)
 
     def _of_now(self, record: Record, life: str) -> Record:
-        """A record with the times of this run of the machine: an earlier run's steady clock is another."""
+        """A record with the times of this run of the machine: an earlier run's steady clock is another.
+
+        The wall clock alone joins the two, and may have been stepped: no job is given more time than it had
+        at first."""
         about = self.folder.about(life)
-        if about.get("boot") == boot():
+        boot = about.get("boot")
+        if boot == boot_id():
             return record
-        more = float(about.get("offset", 0.0)) - self.folder.offset
-        legs = tuple(replace(leg, sent=leg.sent + more) for leg in record.legs)
-        return replace(record, due=record.due + more, accepted=record.accepted + more, legs=legs)
+        more = float(about.get("offset", 0.0)) - self.folder.offset if boot else 0.0
+        return record.moved(more, self._now())
 
     # Reading.
 
@@ -564,7 +633,7 @@
         if life == self.life and self._store is not None:
             return self._store.get(id_)
         reader = self._reader(life)
-        if reader is None and self.folder.store(life).exists():
+        if reader is None and life not in self._empty and self.folder.store(life).exists():
             # What cannot be read is not nothing: a job in it may have begun.
             raise sqlite3.DatabaseError(f"what {life} wrote cannot be read")
         return None if reader is None else reader.get(id_)
@@ -577,10 +646,14 @@
             path = self.folder.store(life)
             if not path.exists():
                 return None
+            self._empty.discard(life)
             try:
                 self._readers[life] = Store(path, write=False)
                 if len(self._readers) > READERS:
                     self._readers.pop(next(iter(self._readers))).close()
+            except EmptyStoreError:
+                self._empty.add(life)
+                return None
             except StoreError as error:
                 if life not in self._unread and self.folder.fenced(life):
                     self._unread.add(life)
@@ -608,12 +681,16 @@
             return
         with suppress(sqlite3.Error, OSError):
             for record in records:
-                self.folder.let_go(record.id, record.number, record.cls, record.key)
-            self._store.begin()
-            self._store.forget([record.id for record in records])
-            self._store.commit()
-            return
-        self._store.undo()
+                self._let_go(record, self.life)
+            with self._store.group():
+                self._store.forget([record.id for record in records])
+
+    def _let_go(self, record: Record, life: str) -> None:
+        """Lets go of the id of a record in a life's store, unless it was taken anew: a kill, or a refusal of
+        the system, may have left the record here after its id was let go."""
+        holder = self.folder.holder(record.id)
+        if holder is not None and life in self._chain(record.id, holder[1]):
+            self.folder.let_go(record.id, record.number, record.cls, record.key)
 
     def _clean(self) -> None:
         """Forgets what was answered long ago, here and in the estates of which this life has the care."""
@@ -635,15 +712,19 @@
     def _settle(self, life: str, before: float) -> None:
         """Removes a lost life's store once all it left is taken over and its answers are old."""
         reader = self._reader(life)
-        if reader is None or self.folder.writing(life):
+        if self.folder.writing(life):
+            return
+        if reader is None:
+            if life in self._empty:
+                self.folder.forget(life)
             return
         if any(self._owed_by(life, id_) for id_, _, _ in reader.open_jobs()):
             return
         over = list(reader.records((Stage.FINAL,)))
-        if any(record.finished >= before for record in over):
+        if any(self._of_now(record, life).finished >= before for record in over):
             return
         for record in over:
-            self.folder.let_go(record.id, record.number, record.cls, record.key)
+            self._let_go(record, life)
         self._readers.pop(life).close()
         self.folder.forget(life)
 
--- a/eiderfield/custody/record.py
+++ b/eiderfield/custody/record.py
@@ -108,6 +108,15 @@
         legs = tuple(replace(leg, number=number) for number, leg in enumerate(self.legs))
         return replace(self, taken=self.taken + 1, legs=legs)
 
+    def moved(self, span: float, now: float) -> Record:
+        """With its times on a clock that is `span` ahead, on which it is `now`. All that was written lies in
+        the past, and no more time is left than there was at first."""
+        accepted = min(self.accepted + span, now)
+        legs = tuple(replace(leg, sent=min(leg.sent + span, now)) for leg in self.legs)
+        due = min(self.due + span, now + self.due - self.accepted)
+        finished = min(self.finished + span, now) if self.finished else 0.0
+        return replace(self, due=due, accepted=accepted, legs=legs, finished=finished)
+
     @property
     def answer(self) -> Answer:
         """Its final answer."""
--- a/eiderfield/custody/store.py
+++ b/eiderfield/custody/store.py
@@ -11,7 +11,7 @@
 import json
 import sqlite3
 from collections.abc import Iterable, Iterator, Sequence
-from contextlib import suppress
+from contextlib import contextmanager, suppress
 from pathlib import Path
 
 from eiderfield.custody.record import LegNote, Record, Stage
@@ -44,8 +44,25 @@
 )
 
 
+# What SQLite says where the system refused something that it may grant in a while.
+_TRANSIENT = frozenset({
+    sqlite3.SQLITE_FULL, sqlite3.SQLITE_IOERR, sqlite3.SQLITE_CANTOPEN, sqlite3.SQLITE_BUSY,
+    sqlite3.SQLITE_NOMEM,
+})  # fmt: skip
+_PRIMARY = 0xFF  # of an extended error code, the part that names the error
+
+
 class StoreError(RuntimeError):
-    """A store that cannot be used; the text says which and why."""
+    """A store that cannot be used; the text says which and why. `transient`: it may be usable in a while."""
+
+    def __init__(self, text: str, transient: bool = False) -> None:
+        """With what operators are told."""
+        super().__init__(text)
+        self.transient = transient
+
+
+class EmptyStoreError(StoreError):
+    """A store in which nothing was ever written: its writer was lost, or refused, before the first record."""
 
 
 class Store:
@@ -59,9 +76,16 @@
                 f"file:{path}?mode={mode}", uri=True, isolation_level=None, check_same_thread=False,
                 timeout=WAIT / 1000.0,
             )  # fmt: skip
+        except sqlite3.Error as error:
+            raise StoreError(f"{path}: {error}", _is_transient(error)) from None
+        try:
             self._open(write, flush, most)
         except sqlite3.Error as error:
-            raise StoreError(f"{path}: {error}") from None
+            self._db.close()
+            raise StoreError(f"{path}: {error}", _is_transient(error)) from None
+        except StoreError:
+            self._db.close()
+            raise
 
     def _open(self, write: bool, flush: bool, most: int) -> None:
         version, magic = (self._value(f"PRAGMA {name}") for name in ("user_version", "application_id"))
@@ -74,7 +98,7 @@
         if not write:
             self._db.execute("PRAGMA query_only = 1")
             if fresh:
-                raise StoreError(f"{self.path}: empty")
+                raise EmptyStoreError(f"{self.path}: empty")
             return
         if fresh:
             self._db.execute(f"PRAGMA page_size = {PAGE}")
@@ -104,6 +128,17 @@
         """Writes the group down."""
         self._db.execute("COMMIT")
 
+    @contextmanager
+    def group(self) -> Iterator[None]:
+        """A group of changes: committed at the end, or taken back on whatever is raised within."""
+        try:
+            self.begin()
+            yield
+            self.commit()
+        except BaseException:
+            self.undo()
+            raise
+
     def undo(self) -> None:
         """Takes the group back, as far as it had come."""
         with suppress(sqlite3.Error):
@@ -194,6 +229,10 @@
         self._db.execute("VACUUM")
 
 
+def _is_transient(error: sqlite3.Error) -> bool:
+    return (getattr(error, "sqlite_errorcode", 0) & _PRIMARY) in _TRANSIENT
+
+
 def _row(r: Record) -> tuple[object, ...]:
     legs = json.dumps([leg.told() for leg in r.legs])
     return (
--- a/eiderfield/custody/survey.py
+++ b/eiderfield/custody/survey.py
@@ -18,7 +18,7 @@
 from eiderfield.custody.folder import Folder, FolderError
 from eiderfield.custody.lease import chain_of
 from eiderfield.custody.record import Record, Stage
-from eiderfield.custody.store import Store, StoreError
+from eiderfield.custody.store import EmptyStoreError, Store, StoreError
 from eiderfield.exchange import Verdict
 
 
@@ -97,6 +97,8 @@
                         seen.add(record.id)
                         if (known := self.job(record.id)) is not None:
                             yield known
+            except EmptyStoreError:
+                continue
             except (StoreError, sqlite3.Error, ValueError, TypeError) as error:
                 self.faults.append(f"{life}: {error}")
 
@@ -128,6 +130,8 @@
                 with closing(Store(path, write=False)) as store:
                     if why := store.verify():
                         found.append(f"{path.name}: {why}")
+            except EmptyStoreError:
+                continue
             except StoreError as error:
                 found.append(str(error))
         for life in self.fences:
--- a/eiderfield/custody/writer.py
+++ b/eiderfield/custody/writer.py
@@ -13,13 +13,15 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from eiderfield.custody.member import POLLED, Member, Op, Outcome, steady
+from eiderfield.custody.member import POLLED, Member, Op, Outcome
 from eiderfield.custody.record import Record
+from eiderfield.machine import steady_ms
 
 GROUP = 256  # changes of one commit
 ADOPT = 20.0  # ms between two groups of jobs that are taken over
 POLL = 25.0  # ms between two looks for answers that are waited for
 
+Group = list[tuple[Op, Callable[[Outcome], None]]]
 Call = Callable[[Callable[[], None]], object]  # runs something in the loop, from any thread
 
 
@@ -97,47 +99,67 @@
                 over = self._ending and not group
                 leaving = self._leaving if not self._queue and not group else None
             if over:
-                self.member.close()
+                self._guarded(self.member.close)
                 return
-            try:
-                self._turn(group, leaving)
-            except Exception as error:  # a slip here must not end custody: nothing would be kept any more
-                self._say(error, group)
-
-    def _say(self, error: Exception, group: list[tuple[Op, Callable[[Outcome], None]]]) -> None:
-        self.member.report(f"custody: {error!r}")
-        for _, then in group:
-            self._loop(lambda then=then: then(False))  # type: ignore[misc]
+            self.turn(group, leaving)
 
     def _patience(self) -> float:
         at = min(self._next_look, self._next_poll) if self._watched else self._next_look
-        return max(1.0, min(at - steady(), ADOPT if self.member.awaiting else at))
-
-    def _turn(
-        self, group: list[tuple[Op, Callable[[Outcome], None]]], leaving: Callable[[bool], None] | None
-    ) -> None:
-        member = self.member
-        life = member.life
-        if group:
-            found = member.apply([op for op, _ in group])
-            calls = [(then, outcome) for (_, then), outcome in zip(group, found, strict=True)]
-            self._loop(lambda: _tell(calls))
+        return max(1.0, min(at - steady_ms(), ADOPT if self.member.awaiting else at))
+
+    def turn(self, group: Group, leaving: Callable[[bool], None] | None = None) -> None:
+        """Writes a group of changes, and does what is due. What fails in one step hinders none of the others:
+        nothing would be kept any more."""
+        life = self.member.life
+        self._write(group)
         if leaving is not None:
             self._leaving = None
-            left = member.leave()
-            self._loop(lambda: leaving(left))
-        now = steady()
-        if now >= self._next_look and not member.left:
-            self._next_look = now + member.settings.look
-            member.look()
-            if wishes := member.wished():
-                self._loop(lambda: self.wished(wishes))
-        if life and member.life != life:
+            self._guarded(lambda: self._leave(leaving))
+        self._guarded(self._look)
+        if life and self.member.life != life:
             self._loop(self.lost)
-        if member.life and member.awaiting and (records := member.adopt()):
+            if not self.member.life and not self.member.left:
+                self._next_look = 0.0  # a new life is begun as soon as may be
+        self._guarded(self._adopt)
+        self._guarded(self._poll_if_due)
+
+    def _guarded(self, step: Callable[[], None]) -> None:
+        try:
+            step()
+        except Exception as error:
+            self.member.report(f"custody: {error!r}")
+
+    def _write(self, group: Group) -> None:
+        """Each of a group hears once what came of it."""
+        if not group:
+            return
+        found: list[Outcome] = [False] * len(group)
+        try:
+            found = self.member.apply([op for op, _ in group])
+        except Exception as error:
+            self.member.report(f"custody: {error!r}")
+        calls = [(then, outcome) for (_, then), outcome in zip(group, found, strict=True)]
+        self._loop(lambda: _tell(calls))
+
+    def _leave(self, leaving: Callable[[bool], None]) -> None:
+        left = self.member.leave()
+        self._loop(lambda: leaving(left))
+
+    def _look(self) -> None:
+        now, member = steady_ms(), self.member
+        if now < self._next_look or member.left:
+            return
+        self._next_look = now + member.settings.look
+        member.look()
+        if wishes := member.wished():
+            self._loop(lambda: self.wished(wishes))
+
+    def _adopt(self) -> None:
+        if self.member.life and self.member.awaiting and (records := self.member.adopt()):
             self._loop(lambda: self.adopted(records))
-        if member.life == "" and life and not member.left:
-            self._next_look = 0.0  # a new life is begun as soon as may be
+
+    def _poll_if_due(self) -> None:
+        now = steady_ms()
         if self._watched and now >= self._next_poll:
             self._next_poll = now + POLL
             self._poll()
--- a/eiderfield/durable.py
+++ b/eiderfield/durable.py
@@ -22,6 +22,7 @@
     errno.ESTALE,
 })  # fmt: skip
 
+DRAFT = "~"  # names that begin so are drafts; whoever lists a folder passes over them
 PRIVATE = 0o600  # mode of files that only their owner reads
 SHARED = 0o666  # mode of files that operators read, less the umask
 
@@ -44,7 +45,7 @@
 
 def replace_file(path: Path, text: str, mode: int = PRIVATE) -> None:
     """Gives a file a new content, synced to the disk."""
-    draft = path.with_name(f".{path.name}.{os.getpid()}")
+    draft = path.with_name(f"{DRAFT}{path.name}.{os.getpid()}")
     with suppress(FileNotFoundError):
         os.unlink(draft)
     try:
@@ -59,7 +60,7 @@
 
 def create_file(path: Path, text: str, sync: bool = False) -> None:
     """Makes a file that must not be there; `FileExistsError` if it is."""
-    draft = path.with_name(f"~{path.name}.{os.getpid()}.{os.urandom(4).hex()}")
+    draft = path.with_name(f"{DRAFT}{path.name}.{os.getpid()}.{os.urandom(4).hex()}")
     try:
         _write_draft(draft, text, PRIVATE, sync)
         os.link(draft, path)
