--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -4,8 +4,8 @@
 import threading
 
 import pytest
-from failing_files import ERRORS, failing_files
 from support.console import Console
+from support.failing_files import ERRORS, failing_files
 from support.memory_dispatcher import Client
 from test_bans import ask, state
 
--- a/tests/test_custody_on_failing_disk.py
+++ b/tests/test_custody_on_failing_disk.py
@@ -9,8 +9,8 @@
 import time
 
 import pytest
-from desk import Desk
-from failing_files import BROKEN, ERRORS, FULL, KINDS, failing_files
+from support.failing_files import BROKEN, ERRORS, FULL, KINDS, failing_files
+from support.memory_dispatcher import Desk
 from test_custody import LEASE, SERVED, Host, leg, one, record
 
 from eiderfield.custody import store as store_module
