--- a/eiderfield/lab/fleet/worse.py
+++ b/eiderfield/lab/fleet/worse.py
@@ -64,7 +64,7 @@
     """Makes this process a worse program."""
     from eiderfield.exchange import Exchange
     from eiderfield.interface import Refuse, State
-    from eiderfield.net.routing import RoutingTable
+    from eiderfield.net.discovery.routing_table import RoutingTable
 
     send: Callable[..., None] = Exchange._send
     submit: Callable[..., int] = Exchange.submit
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -20,8 +20,8 @@
 
 from eiderfield.exchange import Exchange, Verdict
 from eiderfield.net.clients import ClientConnection, Listener
+from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.http import Head
-from eiderfield.net.routing import RoutingTable
 
 WAIT = 1000.0  # ms for which callers wait for an answer, and that a call may take to come in
 WRITE_PATIENCE = (
@@ -49,11 +49,11 @@
     told["backend_calls"] = exchange.legs_written
     told["called_off"] = dict(exchange.called_off)
     told["spoilt_answers"] = exchange.spoilt_answers
-    told["watches_reopened"] = dict(table.reopened)
+    told["watches_reopened"] = dict(table.watches_reopened)
     told["inflight"] = exchange.unanswered
     listed = table.listed
     told["hosts_listed"] = len(listed)
-    told["hosts_doubted"] = table.doubted
+    told["hosts_doubted"] = table.unconfirmed_removals
     told["hosts_banned"] = sorted(table.bans.since)
     told["hosts_down"] = len(exchange.snapshot(now).avoided & listed)
     told.update(crowd)
--- /dev/null
+++ b/eiderfield/net/discovery/consul_instances.py
@@ -0,0 +1,113 @@
+"""Instances in the answers of Consul's health and catalogue API, as endpoints.
+
+An instance is serving while its checks pass or warn, draining while one is critical (maintenance is a
+critical check) and gone once it is not listed. Service metadata may hold `zone`, `type`, `group` and
+`since_ms`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from math import isfinite
+
+from eiderfield.net.discovery.endpoint_list import Endpoint, EndpointListError, EndpointStatus
+
+JsonObject = Mapping[str, object]
+
+
+@dataclass(slots=True, frozen=True)
+class _Instance:
+    """The fields that the two APIs name differently."""
+
+    node: object
+    service_id: object
+    host: object
+    port: object
+    datacenter: object
+    meta: JsonObject
+    status: EndpointStatus
+    weight: object
+
+
+def endpoint_of_health(entry: object) -> Endpoint:
+    """An entry of `/v1/health/service`."""
+    node, service = _object_at(entry, "Node"), _object_at(entry, "Service")
+    checks = entry.get("Checks") if isinstance(entry, Mapping) else None
+    if not isinstance(checks, list) or not all(isinstance(check, Mapping) for check in checks):
+        raise EndpointListError("Checks is not a list")
+    statuses = {check.get("Status") for check in checks}
+    healthy = statuses <= {"passing", "warning"}
+    weights = _object_at(service, "Weights")
+    return _endpoint(
+        _Instance(
+            node=node.get("Node"),
+            service_id=service.get("ID"),
+            host=service.get("Address") or node.get("Address"),
+            port=service.get("Port"),
+            datacenter=node.get("Datacenter"),
+            meta=_object_at(service, "Meta"),
+            status=EndpointStatus.SERVING if healthy else EndpointStatus.DRAINING,
+            weight=weights.get("Warning" if "warning" in statuses else "Passing", 1),
+        )
+    )
+
+
+def endpoint_of_catalog(entry: object) -> Endpoint:
+    """An entry of `/v1/catalog/service`, which knows no checks."""
+    if not isinstance(entry, Mapping):
+        raise EndpointListError("an instance is not an object")
+    return _endpoint(
+        _Instance(
+            node=entry.get("Node"),
+            service_id=entry.get("ServiceID"),
+            host=entry.get("ServiceAddress") or entry.get("Address"),
+            port=entry.get("ServicePort"),
+            datacenter=entry.get("Datacenter"),
+            meta=_object_at(entry, "ServiceMeta"),
+            status=EndpointStatus.SERVING,
+            weight=_object_at(entry, "ServiceWeights").get("Passing", 1),
+        )
+    )
+
+
+def _endpoint(instance: _Instance) -> Endpoint:
+    node, service_id, host, port = instance.node, instance.service_id, instance.host, instance.port
+    if not isinstance(node, str) or not isinstance(service_id, str) or not service_id:
+        raise EndpointListError("an instance has no Node or no ID")
+    name = f"{node}/{service_id}"  # an ID is unique on its node alone
+    if not isinstance(host, str) or not host or not isinstance(port, int) or not 0 < port < 65536:
+        raise EndpointListError(f"{name}: no address or port")
+    meta, weight = instance.meta, instance.weight
+    return Endpoint(
+        name=name,
+        status=instance.status,
+        address=(host, port),
+        zone=str(meta.get("zone") or instance.datacenter or ""),
+        kind=str(meta.get("type", "")),
+        group=str(meta.get("group", "")),
+        weight=float(weight) if isinstance(weight, int | float) else 1.0,
+        since_ms=_parse_since(meta.get("since_ms"), name),
+    )
+
+
+def _object_at(container: object, key: str) -> JsonObject:
+    if not isinstance(container, Mapping):
+        raise EndpointListError(f"{key} is missing")
+    value = container.get(key) or {}
+    if not isinstance(value, Mapping):
+        raise EndpointListError(f"{key} is not an object")
+    return value
+
+
+def _parse_since(text: object, name: str) -> float:
+    """The start in an instance's metadata, which are texts; 0 where there is none."""
+    if text is None:
+        return 0.0
+    try:
+        since = float(str(text))
+    except ValueError:
+        since = -1.0
+    if not isfinite(since) or since < 0.0:
+        raise EndpointListError(f"{name}: since_ms is not a number")
+    return since
--- /dev/null
+++ b/eiderfield/net/discovery/endpoint_list.py
@@ -0,0 +1,100 @@
+"""The list of workers as a source of workers tells it, in typed form, and the platform's JSON form of it.
+
+A list is read whole before anything of it is applied: one that cannot be understood changes nothing.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import Enum
+from math import isfinite
+
+from eiderfield.config import Address, ConfigError, address_of
+
+
+class EndpointListError(ValueError):
+    """A list that cannot be understood. The text names the endpoint and the field."""
+
+
+class EndpointStatus(Enum):
+    """What a source says of a worker."""
+
+    SERVING = "SERVING"
+    DRAINING = "DRAINING"
+    DELETED = "DELETED"
+
+
+@dataclass(slots=True, frozen=True)
+class Endpoint:
+    """A worker as a source lists it."""
+
+    name: str
+    status: EndpointStatus
+    address: Address | None  # None for a deleted one
+    zone: str = ""
+    kind: str = ""
+    group: int | str = 0
+    weight: float = 1.0
+    since_ms: float = 0.0  # Unix time of its start; 0 for long ago or unknown
+    first_seen: float = 0.0  # where `since_ms` is 0: when it appeared, on this process's clock
+
+
+@dataclass(slots=True, frozen=True)
+class EndpointList:
+    """All endpoints at a version (`snapshot`), or those that changed up to it."""
+
+    index: int
+    snapshot: bool
+    endpoints: tuple[Endpoint, ...]
+
+
+def parse_endpoint_list(document: object) -> EndpointList:
+    """A list in the platform's form; raises `EndpointListError` for anything else."""
+    if not isinstance(document, dict) or not isinstance(document.get("endpoints"), list):
+        raise EndpointListError("a list without endpoints")
+    index = document.get("index")
+    if not isinstance(index, int) or isinstance(index, bool):
+        raise EndpointListError("index is not a whole number")
+    endpoints = tuple([_parse_endpoint(fields) for fields in document["endpoints"]])
+    return EndpointList(index, bool(document.get("snapshot")), endpoints)
+
+
+def _parse_endpoint(fields: object) -> Endpoint:
+    if not isinstance(fields, Mapping):
+        raise EndpointListError("an endpoint is not an object")
+    name = fields.get("name")
+    if not isinstance(name, str) or not name:
+        raise EndpointListError("an endpoint has no name")
+    status = _parse_status(fields.get("status"), name)
+    group = fields.get("group", 0)
+    return Endpoint(
+        name=name,
+        status=status,
+        address=_parse_address(fields.get("address"), name) if status != EndpointStatus.DELETED else None,
+        zone=str(fields.get("zone", "")),
+        kind=str(fields.get("type", "")),
+        group=group if isinstance(group, int) else str(group),
+        weight=_parse_number(fields.get("weight", 1.0), f"endpoint {name}: weight"),
+        since_ms=_parse_number(fields.get("since_ms", 0), f"endpoint {name}: since_ms"),
+    )
+
+
+def _parse_status(value: object, name: str) -> EndpointStatus:
+    try:
+        return EndpointStatus(value)
+    except ValueError:
+        raise EndpointListError(f"endpoint {name}: unknown status {value!r}") from None
+
+
+def _parse_address(value: object, name: str) -> Address:
+    try:
+        return address_of(str(value), f"endpoint {name}: address")
+    except ConfigError as error:
+        raise EndpointListError(str(error)) from None
+
+
+def _parse_number(value: object, key: str) -> float:
+    if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value):
+        raise EndpointListError(f"{key} is not a number")
+    return float(value)
--- a/eiderfield/net/handover/parts.py
+++ b/eiderfield/net/handover/parts.py
@@ -8,8 +8,8 @@
 
 from eiderfield.exchange import Exchange, Timers
 from eiderfield.net.clients import Listener
+from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.peers import Peers
-from eiderfield.net.routing import RoutingTable
 from eiderfield.net.worker import WorkerSide
 
 
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -19,6 +19,7 @@
 from eiderfield.exchange import Exchange, Timers
 from eiderfield.net.clients import Listener
 from eiderfield.net.clock import WallClock
+from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.handover.channel import Channel
 from eiderfield.net.handover.codec import Codec
 from eiderfield.net.handover.load_updates import LoadUpdates
@@ -41,7 +42,6 @@
 from eiderfield.net.handover.parts import Parts
 from eiderfield.net.link import Link, close_all
 from eiderfield.net.peers import Peers
-from eiderfield.net.routing import RoutingTable
 from eiderfield.net.worker import WorkerSide
 
 
@@ -164,7 +164,7 @@
 
     def _share_updates(self) -> None:
         self._parts.exchange.witness = self._updates
-        self._parts.table.ruled = self._tell_ban
+        self._parts.table.on_ban = self._tell_ban
 
     def _tell_ban(self, name: str, since: float | None) -> None:
         self._channel.send(BanChanged(name, since))
@@ -178,14 +178,14 @@
             exchange.legs_beside(ids.worker(attempts.worker), attempts.out, attempts.work)
 
     def _ban_changed(self, message: BanChanged, descriptors: list[int]) -> None:
-        self._parts.table.heed(message.worker, message.since)
+        self._parts.table.apply_ban(message.worker, message.since)
 
     def _link_lost(self) -> None:
         """The other process is gone, or of no use: this one is alone."""
         parts = self._parts
         had_handed_over = self._old.take_back()
         parts.exchange.alone()
-        parts.table.ruled = lambda name, since: None
+        parts.table.on_ban = lambda name, since: None
         parts.workers.share(False)
         for listener in self.listeners.values():
             _make_independent(listener)
--- a/eiderfield/program/core.py
+++ b/eiderfield/program/core.py
@@ -11,8 +11,8 @@
 from eiderfield.net.bans import Bans, Runner
 from eiderfield.net.clock import WallClock
 from eiderfield.net.descriptors import ConnectionLimits
+from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.loop import Driver
-from eiderfield.net.routing import RoutingTable
 from eiderfield.net.worker import WorkerSide
 from eiderfield.program.log import log
 from eiderfield.program.part import Part
--- a/eiderfield/program/discovery.py
+++ b/eiderfield/program/discovery.py
@@ -7,9 +7,11 @@
 from random import Random
 
 from eiderfield.config import Config, Discovery
-from eiderfield.consul import ConsulFollower
 from eiderfield.net.backoff import Backoff
-from eiderfield.net.routing import Follower, Following, Watcher
+from eiderfield.net.discovery.active_watch import ActiveWatch
+from eiderfield.net.discovery.consul import ConsulWatch
+from eiderfield.net.discovery.platform import PlatformWatch
+from eiderfield.net.discovery.watch import Watch
 from eiderfield.program.core import Core
 from eiderfield.program.log import log
 from eiderfield.program.part import Part
@@ -25,12 +27,12 @@
         self._config = config
         self._core = core
         self._took_over = took_over
-        self._following = Following()
+        self._active_watch = ActiveWatch()
 
     async def start(self) -> None:
         """Follows the source, and waits for its first list where there is none of a process before."""
         # That list may be of another source, which may have counted on its own.
-        self._following.follow(self._follower(self._config, whole=self._took_over()))
+        self._active_watch.follow(self._watch(self._config, needs_snapshot=self._took_over()))
         if not self._took_over():
             await self.first_list()
 
@@ -43,7 +45,7 @@
         if self._config.discovery.address is None:
             return
         listed = asyncio.Event()
-        self._core.table.heard = listed.set
+        self._core.table.on_list = listed.set
         wait = min(self._config.site.drain_grace, FIRST_LIST_TIMEOUT)
         self._core.driver.wheel.at(self._core.clock() + wait, listed.set)
         await listed.wait()
@@ -52,29 +54,31 @@
         """Moves to another source if there is one."""
         self._config = new
         if new.discovery != old.discovery:
-            self._following.follow(self._follower(new, whole=True))
+            self._active_watch.follow(self._watch(new, needs_snapshot=True))
 
     def stop(self) -> None:
         """Ends all watches."""
-        self._following.stop()
+        self._active_watch.stop()
 
-    def _follower(self, config: Config, whole: bool) -> Follower | None:
-        """What follows the source; `whole` for one whose lists need not continue the table's."""
+    def _watch(self, config: Config, needs_snapshot: bool) -> Watch | None:
+        """What follows the source; `needs_snapshot` for one whose lists need not continue the table's."""
         source = config.discovery
         if source.address is None:
             return None
-        follower = self._consul(source) if source.kind == "consul" else self._watcher(source, whole)
+        watch = self._consul(source) if source.kind == "consul" else self._platform(source, needs_snapshot)
         site = config.site
-        follower.backoff = Backoff(site.balancers, site.me, Random(config.seed), site.drain_grace)
-        return follower
+        watch.backoff = Backoff(site.balancers, site.me, Random(config.seed), site.drain_grace)
+        return watch
 
-    def _consul(self, source: Discovery) -> Follower:
+    def _consul(self, source: Discovery) -> Watch:
         core = self._core
-        return ConsulFollower(core.table, core.driver.wheel, core.clock, core.driver.dial, source, log)
+        return ConsulWatch(core.table, core.driver.wheel, core.clock, core.driver.dial, source, log)
 
-    def _watcher(self, source: Discovery, whole: bool) -> Follower:
+    def _platform(self, source: Discovery, needs_snapshot: bool) -> Watch:
         assert source.address is not None
         core = self._core
-        watcher = Watcher(core.table, core.driver.wheel, core.clock, core.driver.dial, source.address, log)
-        watcher.whole = whole
-        return watcher
+        watch = PlatformWatch(
+            core.table, core.driver.wheel, core.clock, core.driver.dial, source.address, log
+        )
+        watch.needs_snapshot = needs_snapshot
+        return watch
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -12,8 +12,8 @@
 from eiderfield.net.bans import Bans
 from eiderfield.net.clients import ClientConnection, Listener, RequestFront
 from eiderfield.net.clock import WallClock
+from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.http import END, Head, Parser
-from eiderfield.net.routing import RoutingTable
 from eiderfield.net.wheel import Wheel
 from eiderfield.net.worker import WorkerSide
 from support.policy import BASE, KEYED, SAFE, UNSAFE
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -9,8 +9,11 @@
 
 from eiderfield.interface import State
 from eiderfield.net.backoff import ANSWER, DIAL, FEW, FEW_MOST, FIRST, LEAST, MOST, TOLD, TURN, WAIT, Backoff
+from eiderfield.net.discovery.active_watch import ActiveWatch
+from eiderfield.net.discovery.json_stream import JsonStream
+from eiderfield.net.discovery.platform import PlatformWatch
+from eiderfield.net.discovery.watch import SILENCE
 from eiderfield.net.http import Malformed
-from eiderfield.net.routing import SILENCE, Following, Lines, Watcher
 from eiderfield.net.wheel import TICK
 
 SERVICE = 125.0  # ms of the source's time that a call takes
@@ -124,9 +127,11 @@
     """A desk whose table is or isn't known, and its watch of port 8500."""
     desk = Desk(workers=1)
     desk.table.index = index
-    watcher = Watcher(desk.table, desk.wheel, desk.clock, desk.dial, ("127.0.0.1", 8500), desk.logged.append)
+    watcher = PlatformWatch(
+        desk.table, desk.wheel, desk.clock, desk.dial, ("127.0.0.1", 8500), desk.logged.append
+    )
     watcher.backoff = Backoff(sharers, number, Random(number))
-    Following().follow(watcher)
+    ActiveWatch().follow(watcher)
     return desk
 
 
@@ -277,7 +282,7 @@
     first = told("SERVING", 4, indent)[:-1]
     odd = json.dumps({"index": 5, "note": 'a } in "quotes" and a \\', "x": []}, indent=indent).encode()
     stream = b"\n" + first + b"\n\n" + odd + b"\n" + first + b"\n"
-    lines, found = Lines(10_000), []
+    lines, found = JsonStream(10_000), []
     for at in range(0, len(stream), step):
         found += lines.feed(stream[at : at + step])
     assert [json.loads(text) for text in found if text.strip()] == [
@@ -289,13 +294,13 @@
 @pytest.mark.parametrize("indent", [None, 2])
 def test_a_list_is_whole_with_its_last_bracket(indent):
     """Its line feed may come with the next empty line, 2 s later: a drain binds after half a second."""
-    lines, text = Lines(10_000), told("DRAINING", 4, indent)
+    lines, text = JsonStream(10_000), told("DRAINING", 4, indent)
     assert not [part for part in lines.feed(text[:-2]) if part]
     assert [json.loads(part)["index"] for part in lines.feed(text[-2:-1])] == [4]
 
 
 def test_a_list_without_end_is_bounded():
-    lines = Lines(1000)
+    lines = JsonStream(1000)
     with pytest.raises(Malformed):
         for _ in range(100):
             lines.feed(b"[[[[[[[[[[[[[[\n")
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -113,7 +113,7 @@
 
 def test_a_ban_that_another_process_was_told_of_is_written_here_too(tmp_path):
     console = Console(workers=2, bans=tmp_path / "bans")
-    console.desk.table.heed("w2", 5.0)
+    console.desk.table.apply_ban("w2", 5.0)
     console.desk.advance(2.0 * RETRY_INTERVAL)
     assert banned_on_file(tmp_path / "bans") == {"w2"}
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -8,7 +8,8 @@
 from eiderfield.net.backoff import DIAL
 from eiderfield.net.clients import YOUNG
 from eiderfield.net.console import WAIT
-from eiderfield.net.routing import SILENCE, Watcher
+from eiderfield.net.discovery.platform import PlatformWatch
+from eiderfield.net.discovery.watch import SILENCE
 from eiderfield.net.wheel import TICK
 
 
@@ -131,8 +132,10 @@
 def test_watches_that_were_lost_are_counted_by_why():
     console = Console(workers=1)
     desk = console.desk
-    watcher = Watcher(desk.table, desk.wheel, desk.clock, desk.dial, ("127.0.0.1", 8500), desk.logged.append)
-    watcher.begin()
+    watcher = PlatformWatch(
+        desk.table, desk.wheel, desk.clock, desk.dial, ("127.0.0.1", 8500), desk.logged.append
+    )
+    watcher.start_in_turn()
     desk.dials[0].refuse()
     desk.advance(1000.0)
     desk.dials[0].up().pipe.break_off()
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -6,8 +6,8 @@
 from support.memory_dispatcher import Desk, Pipe
 
 from eiderfield.config import Discovery
-from eiderfield.consul import SLACK, ConsulFollower
 from eiderfield.interface import State
+from eiderfield.net.discovery.consul import ANSWER_SLACK, ConsulWatch
 from eiderfield.net.http import END, Head, Parser
 
 
@@ -32,10 +32,8 @@
         self.desk = Desk(workers=0)
         place = Discovery("consul", ("127.0.0.1", 8500), "claim workers", api, "secret", 30_000.0)
         desk = self.desk
-        self.follower = ConsulFollower(
-            desk.table, desk.wheel, desk.clock, desk.dial, place, desk.logged.append
-        )
-        self.follower.start()
+        self.follower = ConsulWatch(desk.table, desk.wheel, desk.clock, desk.dial, place, desk.logged.append)
+        self.follower.connect()
         self.connect()
 
     def connect(self):
@@ -135,7 +133,7 @@
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1))
-    consul.desk.advance(30_000.0 * 17 / 16 + SLACK + 50.0)
+    consul.desk.advance(30_000.0 * 17 / 16 + ANSWER_SLACK + 50.0)
     assert not consul.pipe.open and consul.states() == {"n/a": State.READY}
 
 
@@ -205,12 +203,12 @@
     consul.connect()
     consul.query()
     consul.answer(2)
-    assert len(consul.states()) == 3 and consul.desk.table.doubted == 3
+    assert len(consul.states()) == 3 and consul.desk.table.unconfirmed_removals == 3
     assert any("in doubt" in line or "leaves out 3 of 3" in line for line in consul.desk.logged)
     consul.desk.advance(1100.0)
     assert consul.query() == "/v1/health/service/claim%20workers"
     consul.answer(9, instance("a", 1), instance("b", 2), instance("c", 3))
-    assert consul.desk.table.doubted == 0 and consul.query().endswith("?index=9&wait=30s")
+    assert consul.desk.table.unconfirmed_removals == 0 and consul.query().endswith("?index=9&wait=30s")
 
 
 def test_a_drain_told_in_a_list_in_doubt_is_kept():
@@ -233,8 +231,8 @@
             head = "HTTP/1.1 200 OK\r\nX-Consul-Index: 9\r\nX-Consul-KnownLeader: false\r\n"
             consul.pipe.send(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
             consul.desk.settle()
-    assert consul.states() == {"n/a": State.READY} and consul.desk.table.doubted == 0
-    assert any("is taken now" in line for line in consul.desk.logged)
+    assert consul.states() == {"n/a": State.READY} and consul.desk.table.unconfirmed_removals == 0
+    assert any("is applied now" in line for line in consul.desk.logged)
 
 
 def test_a_shorter_list_with_a_leader_and_a_going_index_is_no_doubt():
@@ -243,4 +241,4 @@
     consul.answer(7, instance("a", 1), instance("b", 2), instance("c", 3))
     consul.query()
     consul.answer(8)
-    assert not consul.states() and consul.desk.table.doubted == 0
+    assert not consul.states() and consul.desk.table.unconfirmed_removals == 0
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -26,8 +26,10 @@
 from eiderfield.interface import Outcome
 from eiderfield.net.bans import Bans
 from eiderfield.net.clients import Listener, RequestFront
+from eiderfield.net.discovery.active_watch import ActiveWatch
+from eiderfield.net.discovery.platform import PlatformWatch
+from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.loop import Driver
-from eiderfield.net.routing import Following, RoutingTable, Watcher
 from eiderfield.net.selector import new_event_loop
 from eiderfield.net.worker import WorkerSide
 
@@ -184,10 +186,10 @@
             self.exchange, self.side, ids, Bans(None, self.logged.append), self.clock
         )  # fmt: skip
         self.indexes: queue.Queue[int | None] = queue.Queue()  # of each list that was taken in
-        self.table.heard = lambda: self.indexes.put(self.table.index)
-        self.following = Following()
+        self.table.on_list = lambda: self.indexes.put(self.table.index)
+        self.following = ActiveWatch()
         address = ("127.0.0.1", self.discovery.port)
-        watcher = Watcher(self.table, wheel, self.clock, self.driver.dial, address, self.logged.append)
+        watcher = PlatformWatch(self.table, wheel, self.clock, self.driver.dial, address, self.logged.append)
         self.following.follow(watcher)
         self.listener = Listener(RequestFront(self.exchange, ids, self.clock), wheel, self.clock, 64)
         self.listener.listen(self.loop, ("127.0.0.1", 0))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,8 +11,9 @@
 from eiderfield.config import ConfigError, load
 from eiderfield.interface import State
 from eiderfield.lab.ports import free_port
-from eiderfield.net.backoff import FEW_MOST
-from eiderfield.net.routing import DIAL, Following, Watcher
+from eiderfield.net.backoff import DIAL, FEW_MOST
+from eiderfield.net.discovery.active_watch import ActiveWatch
+from eiderfield.net.discovery.platform import PlatformWatch
 
 
 class Moving:
@@ -20,13 +21,13 @@
 
     def __init__(self):
         self.desk = Desk(workers=1)
-        self.following = Following()
+        self.following = ActiveWatch()
         self.move(8500, whole=False)
 
     def move(self, port, whole=True):
         desk, address = self.desk, ("127.0.0.1", port)
-        watcher = Watcher(desk.table, desk.wheel, desk.clock, desk.dial, address, desk.logged.append)
-        watcher.whole = whole
+        watcher = PlatformWatch(desk.table, desk.wheel, desk.clock, desk.dial, address, desk.logged.append)
+        watcher.needs_snapshot = whole
         self.following.follow(watcher)
 
     def dials(self, port):
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -7,8 +7,9 @@
 
 from eiderfield.interface import Outcome, State
 from eiderfield.net.clients import AT_ONCE
+from eiderfield.net.discovery.platform import PlatformWatch
+from eiderfield.net.discovery.watch import SILENCE
 from eiderfield.net.http import MAX_BODY
-from eiderfield.net.routing import SILENCE, Watcher
 from eiderfield.net.worker import DEADLINE_MARGIN, IDLE_MARGIN, STALE
 
 
@@ -308,9 +309,12 @@
     assert second.answers() and "ZeroDivisionError" in desk.logged[0]
 
 
+SOURCE = ("127.0.0.1", 8500)
+
+
 def watch(desk):
-    watcher = Watcher(desk.table, desk.wheel, desk.clock, desk.dial, ("127.0.0.1", 8500), desk.logged.append)
-    watcher.start()
+    watcher = PlatformWatch(desk.table, desk.wheel, desk.clock, desk.dial, SOURCE, desk.logged.append)
+    watcher.connect()
     return watcher, desk.dials[-1].up()
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -19,10 +19,10 @@
 from eiderfield.interface import State
 from eiderfield.net.clients import Listener
 from eiderfield.net.clock import MonotonicClock, WallClock
+from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.handover.codec import Codec
 from eiderfield.net.handover.messages import BanChanged, ConnectionPassed, ParkedBatch
 from eiderfield.net.peers import LIFE_HOLDS, Peers
-from eiderfield.net.routing import Watcher
 from eiderfield.net.start_times import ANNOUNCED, StartTimes
 
 SECONDS, HOUR = 5_000.0, 3_600_000.0
@@ -59,10 +59,10 @@
         self.wall = Wall()
         self.desk = desk = Desk(workers=0, unix=self.wall, start=start, **more)
         self.wall.runs_with(desk)
-        self.watch = Watcher(
+        self.watch = PlatformWatch(
             desk.table, desk.wheel, desk.clock, desk.dial, ("127.0.0.1", 1), desk.logged.append
         )
-        self.watch.start()
+        self.watch.connect()
         dial = self.desk.dials.pop()
         self.pipe = Pipe(dial.connection)
         dial.connection.connection_made(self.pipe)
