--- a/eiderfield/net/discovery/consul.py
+++ b/eiderfield/net/discovery/consul.py
@@ -15,12 +15,12 @@
 
 from eiderfield.config import Discovery
 from eiderfield.exchange import Timers
+from eiderfield.net.dialing import Dial
 from eiderfield.net.discovery.consul_instances import endpoint_of_catalog, endpoint_of_health
 from eiderfield.net.discovery.endpoint_list import Endpoint, EndpointList, EndpointListError
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.discovery.watch import Watch
 from eiderfield.net.http import Head, Malformed, request_bytes
-from eiderfield.net.worker import Dial
 
 CONFIRM_AFTER = 10_000.0  # ms for which an unconfirmed list takes nobody away: an agent synchronises in that
 SHORT_LIST = 0.5  # share of the ready workers known before, under which a list is sharply shorter
--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -20,7 +20,7 @@
 from eiderfield.net.discovery.endpoint_list import Endpoint, EndpointList, EndpointStatus, parse_endpoint_list
 from eiderfield.net.start_times import StartTimes
 from eiderfield.net.table_state import EndpointState, RoutingTableState, UnbannedWorker
-from eiderfield.net.worker import WorkerSide
+from eiderfield.net.worker_pool import WorkerPool
 
 _STATES = {
     EndpointStatus.SERVING: State.READY,
@@ -36,7 +36,7 @@
     def __init__(
         self,
         exchange: Exchange,
-        workers: WorkerSide,
+        workers: WorkerPool,
         ids: IdMap,
         bans: Bans,
         clock: Callable[[], float],
@@ -138,7 +138,7 @@
             self._entries = {worker: replace(old, state=State.GONE) for worker, old in self._entries.items()}
         for entry, endpoint in zip(entries, endpoints.endpoints, strict=True):
             self._entries[entry.worker] = entry
-            self._workers.readdress(entry.worker, endpoint.address)
+            self._workers.set_address(entry.worker, endpoint.address)
         self._exchange.routing(kind, endpoints.index, tuple([self._with_bans(entry) for entry in entries]))
         if kind != ListKind.CACHED:
             self.on_list()
--- a/eiderfield/net/discovery/watch.py
+++ b/eiderfield/net/discovery/watch.py
@@ -22,9 +22,9 @@
 from eiderfield.config import Address
 from eiderfield.exchange import Timer, Timers
 from eiderfield.net.backoff import DIAL, Backoff
+from eiderfield.net.dialing import Dial, PendingDial
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.http import Head, Malformed, Parser
-from eiderfield.net.worker import Dial, Dialling
 
 SILENCE = 2600.0  # ms without even an empty line, which comes every 2 s, until the watch is opened anew
 MAX_LIST = 4 * 1024 * 1024  # bytes of one list: thousands of workers
@@ -133,7 +133,7 @@
         self.connection: WatchConnection | None = None
         self._timers = timers
         self._dial = dial
-        self._dialling: Dialling | None = None
+        self._pending_dial: PendingDial | None = None
         self._timer: Timer | None = None
 
     # What a kind of source does its own way.
@@ -173,7 +173,7 @@
         lost = partial(self.on_lost, connection)
         self.set_timer(DIAL, partial(lost, Loss.UNREACHABLE, "it cannot be reached in time"))
         refused = partial(lost, Loss.REFUSED, "it cannot be reached")
-        self._dialling = self._dial(connection, self.address, refused)
+        self._pending_dial = self._dial(connection, self.address, refused)
 
     def stop(self) -> None:
         """Ends the watch for good."""
@@ -219,6 +219,6 @@
     def _close_connection(self) -> None:
         if self.connection is not None:
             self.connection.close()
-        if self._dialling is not None:
-            self._dialling.cancel()
-            self._dialling = None
+        if self._pending_dial is not None:
+            self._pending_dial.cancel()
+            self._pending_dial = None
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -78,7 +78,7 @@
     def take_listeners(self, message: ListenersReleased, descriptors: list[int]) -> None:
         """Begins to accept: the old process accepts no more."""
         self._count(message.connections)
-        self._parts.workers.share(True)
+        self._parts.workers.share_connections(True)
         if self._parts.peers is not None:
             self._parts.peers.rest(False)
         for name in self._adopted:
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -90,7 +90,7 @@
             parts.listeners[name].rest(True)
         if parts.peers is not None:  # the next one speaks for both
             parts.peers.rest(True)
-        parts.workers.share(True)
+        parts.workers.share_connections(True)
         parts.log("another process has taken over; this one serves the clients that it has")
         self._channel.send(ListenersReleased(self._connections()))
         self._lends = message.takes_parked
--- a/eiderfield/net/handover/parts.py
+++ b/eiderfield/net/handover/parts.py
@@ -10,7 +10,7 @@
 from eiderfield.net.clients import Listener
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.peers import Peers
-from eiderfield.net.worker import WorkerSide
+from eiderfield.net.worker_pool import WorkerPool
 
 
 @dataclass(slots=True)
@@ -20,7 +20,7 @@
     loop: asyncio.AbstractEventLoop
     exchange: Exchange
     table: RoutingTable
-    workers: WorkerSide
+    workers: WorkerPool
     listeners: Mapping[str, Listener]  # by name, the same in both processes
     timers: Timers
     clock: Callable[[], float]
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -42,7 +42,7 @@
 from eiderfield.net.handover.parts import Parts
 from eiderfield.net.link import Link, close_all
 from eiderfield.net.peers import Peers
-from eiderfield.net.worker import WorkerSide
+from eiderfield.net.worker_pool import WorkerPool
 
 
 class Handover:
@@ -53,7 +53,7 @@
         loop: asyncio.AbstractEventLoop,
         exchange: Exchange,
         table: RoutingTable,
-        workers: WorkerSide,
+        workers: WorkerPool,
         listeners: Mapping[str, Listener],
         timers: Timers,
         clock: Callable[[], float],
@@ -186,7 +186,7 @@
         had_handed_over = self._old.take_back()
         parts.exchange.alone()
         parts.table.on_ban = lambda name, since: None
-        parts.workers.share(False)
+        parts.workers.share_connections(False)
         for listener in self.listeners.values():
             _make_independent(listener)
         self._new.finish()
--- a/eiderfield/program/core.py
+++ b/eiderfield/program/core.py
@@ -13,7 +13,7 @@
 from eiderfield.net.descriptors import ConnectionLimits
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.loop import Driver
-from eiderfield.net.worker import WorkerSide
+from eiderfield.net.worker_pool import WorkerPool
 from eiderfield.program.log import log
 from eiderfield.program.part import Part
 from eiderfield.program.paths import state_path
@@ -26,7 +26,7 @@
     driver: Driver
     ids: IdMap
     exchange: Exchange
-    workers: WorkerSide
+    workers: WorkerPool
     table: RoutingTable
     wall: WallClock
 
@@ -43,7 +43,7 @@
     exchange = Exchange(config.site, config.seed, driver.wheel, driver.wake, log)
     driver.turn = exchange.turn
     driver.absent = exchange.absent
-    workers = WorkerSide(
+    workers = WorkerPool(
         exchange,
         driver.wheel,
         driver.clock,
@@ -82,7 +82,7 @@
         """Gives the policy its settings and the worker side its timeouts."""
         if new.site != old.site:
             self._core.exchange.adopt(new.site)
-        self._core.workers.timeouts(new.dial_timeout, new.conn_idle)
+        self._core.workers.set_timeouts(new.dial_timeout, new.conn_idle)
 
     @property
     def busy(self) -> bool:
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -15,7 +15,7 @@
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.http import END, Head, Parser
 from eiderfield.net.wheel import Wheel
-from eiderfield.net.worker import WorkerSide
+from eiderfield.net.worker_pool import WorkerPool
 from support.policy import BASE, KEYED, SAFE, UNSAFE
 
 SITE = replace(BASE, classes=(SAFE, UNSAFE, KEYED), may_copy=False)
@@ -218,7 +218,7 @@
         self.ends = []
         self.ids = IdMap()
         self.exchange = Exchange(site, seed, self.wheel, self._wake, self.logged.append)
-        self.side = WorkerSide(
+        self.side = WorkerPool(
             self.exchange, self.wheel, self.clock, self.dial, 100.0, 10_000.0, worker_connections
         )  # fmt: skip
         self.wall = None if unix is None else WallClock(self.clock, unix)
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -15,7 +15,7 @@
 from eiderfield.exchange import Exchange
 from eiderfield.interface import Scope
 from eiderfield.net.clients import Listener
-from eiderfield.net.worker import WorkerSide
+from eiderfield.net.worker_pool import WorkerPool
 
 JOBS = int(os.environ.get("BATCH_JOBS", "1500"))  # `make batch` plays 10,000
 
@@ -295,6 +295,6 @@
     monkeypatch.setattr(Exchange, "_finish", twice)
     assert set(play_scheduler(100)[2].values()) != {1}
     monkeypatch.undo()
-    start = WorkerSide.start
-    monkeypatch.setattr(WorkerSide, "start", lambda self, leg: [start(self, leg), start(self, leg)])
+    start = WorkerPool.start
+    monkeypatch.setattr(WorkerPool, "start", lambda self, leg: [start(self, leg), start(self, leg)])
     assert max(play_scheduler(100)[3].values()) > 1
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -11,7 +11,8 @@
 from eiderfield.exchange import Exchange
 from eiderfield.interface import Outcome
 from eiderfield.net.clients import ClientConnection
-from eiderfield.net.worker import WorkerConnection, WorkerSide
+from eiderfield.net.worker_connection import WorkerConnection
+from eiderfield.net.worker_pool import WorkerPool
 
 PATHS = ["/unsafe/b", "/safe/a", "/unsafe/b", "/keyed/c", "/safe"]
 STATUSES = [(500, {}), (503, {}), (503, {"X_Not_Run": "1"}), (504, {"X_Not_Run": "1"}), (200, {}), (302, {})]
@@ -185,18 +186,18 @@
 
 FAULTS = {
     "begun after a drain": lambda m: m.setattr(Exchange, "may_write", lambda self, leg, now: True),
-    "served what no worker made": lambda m: m.setattr(WorkerConnection, "_line", any_line),
+    "served what no worker made": lambda m: m.setattr(WorkerConnection, "_read_line", any_line),
     "answered twice|after the end": lambda m: m.setattr(
         ClientConnection, "answer", twice(ClientConnection.answer)
     ),
-    "may have run": lambda m: m.setattr(WorkerSide, "report", sure_of_it(WorkerSide.report)),
-    "two legs|may have run": lambda m: m.setattr(WorkerSide, "start", doubled(WorkerSide.start)),
+    "may have run": lambda m: m.setattr(WorkerPool, "report_failure", sure_of_it(WorkerPool.report_failure)),
+    "two legs|may have run": lambda m: m.setattr(WorkerPool, "start", doubled(WorkerPool.start)),
     "never answered": lambda m: m.setattr(ClientConnection, "answer", deaf(ClientConnection.answer)),
 }
 
 
 def any_line(self, line):
-    self.side.exchange.served(self.load, b"wrong") if self.load else None
+    self.pool.exchange.served(self.load, b"wrong") if self.load else None
 
 
 def twice(real):
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -23,7 +23,7 @@
         self.desk = desk
         self.sent = []  # how much longer than its client waits each worker was told that it would
         self.gives_up = {}  # by request, when its client gives up
-        message, desk.side.message = desk.side.message, self.message
+        message, desk.side.request_for = desk.side.request_for, self.message
         self._message = message
 
     def message(self, load):
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -31,7 +31,7 @@
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.loop import Driver
 from eiderfield.net.selector import new_event_loop
-from eiderfield.net.worker import WorkerSide
+from eiderfield.net.worker_pool import WorkerPool
 
 DEADLINE_MS = 3000
 # With the usual aim a worker would be taken for silent after 0.9 s, and a busy machine may take that long.
@@ -178,7 +178,7 @@
         self.driver.turn = self.exchange.turn
         self.outcomes: list[Outcome] = []
         self._record_outcomes()
-        self.side = WorkerSide(
+        self.side = WorkerPool(
             self.exchange, wheel, self.clock, self.driver.dial, DIAL_TIMEOUT_MS, CONNECTION_IDLE_MS, 64
         )
         ids = IdMap()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -92,7 +92,7 @@
 
 def test_a_worker_is_not_taken_for_silent_while_this_host_cannot_dial_it(desk):
     client = desk.client(path="/unsafe/a", wait=4900)
-    desk.side.timeouts(5000.0, 10_000.0)
+    desk.side.set_timeouts(5000.0, 10_000.0)
     desk.exchange.withdraw(1)
     del client
     desk.advance(100.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -138,7 +138,11 @@
     assert pair.new.desk.listener.beside == len(kept)
     pair.new.desk.listener._most = len(kept)
     assert not pair.new.desk.listener.make_room()
-    assert pair.old.desk.side._most == pair.new.desk.side._most == pair.old.desk.side._whole // 2
+    assert (
+        pair.old.desk.side._max_connections
+        == pair.new.desk.side._max_connections
+        == pair.old.desk.side._configured_connections // 2
+    )
 
 
 @pytest.mark.parametrize("when", ["after the question", "after the state", "when all is given"])
@@ -154,7 +158,7 @@
     pair.part(1)
     old = pair.old.desk
     assert pair.old.takes() and not pair.old.handover.handed_over and not old.exchange.holds("r")
-    assert old.side._most == old.side._whole and old.listener.beside == 0
+    assert old.side._max_connections == old.side._configured_connections and old.listener.beside == 0
     assert bool(heard) == (when == "when all is given")
     old.settle()
     assert not any(worker.beside for worker in old.exchange._module._workers.values())
@@ -166,7 +170,7 @@
     pair.part(0)
     new = pair.new.desk
     assert pair.new.takes() and not new.exchange.holds("r") and new.listener.beside == 0
-    assert new.side._most == new.side._whole
+    assert new.side._max_connections == new.side._configured_connections
 
 
 @pytest.mark.parametrize("cut", [0, 20, -1])
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -10,7 +10,8 @@
 from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.discovery.watch import SILENCE
 from eiderfield.net.http import MAX_BODY
-from eiderfield.net.worker import DEADLINE_MARGIN, IDLE_MARGIN, STALE
+from eiderfield.net.worker_messages import DEADLINE_MARGIN
+from eiderfield.net.worker_pool import DISTRUST, IDLE_MARGIN
 
 
 def outcomes(desk):
@@ -172,7 +173,7 @@
     assert again.take() == ["r3"]
     again.finish()
     assert not again.pipe.open, "nor is a new one kept for now"
-    desk.advance(STALE)
+    desk.advance(DISTRUST)
     desk.client(id_="r4")
     end = desk.dials[0].up()
     end.finish()
@@ -187,7 +188,7 @@
     desk.client(id_="r2")
     end.say({"id": "r2", "state": "started"})
     end.pipe.break_off()
-    assert not desk.side._stale
+    assert not desk.side._distrusted_until
 
 
 def test_a_client_that_leaves_takes_its_leg_along():
