--- a/eiderfield/config.py
+++ b/eiderfield/config.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from eiderfield.crowd.settings import KEEP, PARK_AFTER, WHOLE, Admission, Idling, Marks, Pace, Quota
+from eiderfield.connections.settings import KEEP, PARK_AFTER, WHOLE, Admission, Idling, Marks, Pace, Quota
 from eiderfield.idmap import number_of, plain
 from eiderfield.interface import Settings
 from eiderfield.wire import parse_settings
--- /dev/null
+++ b/eiderfield/connections/__init__.py
@@ -0,0 +1,1 @@
+"""Client connections without I/O: admission control, and the idle connections at little cost."""
--- a/eiderfield/crowd/governor.py
+++ b/eiderfield/connections/admission.py
@@ -1,26 +1,24 @@
-"""The governor at the listener: who may come in, how a message must come in, and who gives way.
+"""Admission control at a client listener: who may connect, how a message must come in, who is evicted first.
 
-No I/O, no clock.
+No I/O and no clock.
 
-Theory of operation. Each connection has a ticket, which names its address's entry. Entries count, for an
-address and for its prefix: connections held, messages begun and not whole, and a bucket of tokens for new
-connections.
+Each connection has a ticket, which names its address's entry. Entries count, for an address and for its
+prefix: connections, messages begun and not complete, and a token bucket for new connections.
 
-    comes ──> ticket ──> begins <──> ends ──> goes
-      └────> refusal, with its reason and with what to answer
+    admit ──> ticket ──> begin_message <──> end_message ──> release
+      └────> rejection, with its reason and with what to answer
 
-Beside that the house has a state, calm or crowded, told from shares of descriptors and of memory with two
-marks each: it becomes crowded at the high one and calm below the low one, and it stays crowded for a while
-at least. A crowded house asks for heads sooner, lets parked connections idle for less time and gives one
-address a share and no more. In a full house a newcomer, who may be the one with a job, takes the place of
-one that may give way. When memory is short the house is as large as what it holds then: memory that was
-once taken does not come back for certain, so to refuse everybody until it does would be to refuse them for
-ever.
+The listener is normal or overloaded, by the shares of descriptors and of memory in use, with two watermarks
+each: overloaded from the high one, normal below the low one, and overloaded for a while at least. An
+overloaded listener asks for heads sooner, lets idle connections stay for less time and limits one address
+to a share. At full capacity a new connection, which may bring a request, takes the place of one that may be
+evicted. When memory is short the capacity is what is held then: memory that was once taken does not come
+back for certain, so to reject everybody until it does would be to reject them for ever.
 
-What must never happen: counts that drift (each ticket goes once, what has begun ends before that); a count
-below zero; an entry that is forgotten while it holds something or while its bucket is not full, for a
-source could come back with a new one; a limit that a drip extends: a message's time is counted from its
-first byte, and what its bytes buy is never more than the time for the whole.
+What must never happen: counts that drift (each ticket is released once, and its message has ended before);
+a count below zero; an entry that is forgotten while it holds something or while its bucket is not full, for
+a source could come back with a new one; a time limit that dripped bytes extend: a message's time counts
+from its first byte, and what its bytes buy is never more than the time for the whole message.
 """
 
 from __future__ import annotations
@@ -32,15 +30,15 @@
 from enum import Enum
 from math import inf
 
-from eiderfield.crowd.settings import Admission, Marks, Quota
+from eiderfield.connections.settings import Admission, Marks, Quota
 
-LEAST = 16  # connections that a house holds however short memory is
-FORGET_AT = 1024  # entries that hold nothing, from which on those are looked for that may be forgotten
+LEAST_CAPACITY = 16  # connections that a listener holds however short memory is
+FORGET_THRESHOLD = 1024  # entries that hold nothing, from which on those are looked for that may be forgotten
 _V4_MAPPED = bytes(10) + b"\xff\xff"
 
 
 class Reason(Enum):
-    """Why somebody is refused, or a message is ended. The names are those of the metrics."""
+    """Why a connection is rejected, or a message is ended. The values are the names of the metrics."""
 
     ADDRESS_HELD = "address_held"
     ADDRESS_RATE = "address_rate"
@@ -53,20 +51,21 @@
     SLOW_BODY = "slow_body"
 
 
-class Kind(Enum):
-    """What a connection that might give way to a newcomer is."""
+class ConnectionKind(Enum):
+    """What a connection that may be evicted for a new one is."""
 
-    UNPROVEN = "unproven"  # it has brought no job yet, or has had its last answer
+    UNPROVEN = "unproven"  # it has sent no request yet, or has had its last answer
     PARKED = "parked"
     IDLE = "idle"  # it was answered not long ago
 
 
-ORDER = (Kind.UNPROVEN, Kind.PARKED, Kind.IDLE)  # who has shown least goes first, then who was quiet longest
+# The least proven first, then the longest idle.
+EVICTION_ORDER = (ConnectionKind.UNPROVEN, ConnectionKind.PARKED, ConnectionKind.IDLE)
 
 
 @dataclass(slots=True, frozen=True)
-class Refusal:
-    """Who is not let in. `answer`: whether it gets a 503 with advice, else it is closed without a word."""
+class Rejection:
+    """Why a connection is not admitted. `answer`: whether it gets a 503 with advice, or is just closed."""
 
     reason: Reason
     answer: bool
@@ -104,7 +103,7 @@
     return number, -1 - (number >> (32 - bits))
 
 
-class _Table:
+class _SourceTable:
     """What the sources of one kind have, in arrays by entry."""
 
     def __init__(self) -> None:
@@ -175,102 +174,106 @@
         self.empty -= len(gone)
 
 
-class _Level:
-    """Whether something is short: two marks, and a time for which it stays so."""
+_Source = tuple[_SourceTable, Quota, int]  # with its quota and its entry
+
+
+class _PressureGauge:
+    """Whether a resource is short: two watermarks, and a least time for which it counts as short."""
 
     def __init__(self) -> None:
-        self.crowded = False
+        self.overloaded = False
         self._since = -inf
 
-    def tell(self, share: float, marks: Marks, hold: float, now: float) -> None:
-        """How much of it is taken now."""
+    def update(self, share: float, marks: Marks, hold: float, now: float) -> None:
+        """Takes in the share that is in use now."""
         if share >= marks.high:
-            self.crowded, self._since = True, now
+            self.overloaded, self._since = True, now
         elif share < marks.low and now >= self._since + hold:
-            self.crowded = False
+            self.overloaded = False
 
 
-class Governor:
-    """Told of each connection at a listener, it says who may be there."""
+class AdmissionControl:
+    """Counts the connections of a listener by source and says which are admitted."""
 
     def __init__(self, admission: Admission | None = None, most: int = 1024) -> None:
+        """At most `most` connections, within the limits of the settings."""
         self.admission = admission or Admission()
-        self.counts: Counter[str] = Counter()  # refusals and ends by reason
+        self.counts: Counter[str] = Counter()  # rejections and slow messages by reason
         self._most = most
         self._cap = inf  # connections that were held when memory ran short
-        self._addresses = _Table()
-        self._prefixes = _Table()
+        self._addresses = _SourceTable()
+        self._prefixes = _SourceTable()
         self._prefix_of = array("I")  # by an address's entry
-        self._descriptors = _Level()
-        self._memory = _Level()
+        self._descriptors = _PressureGauge()
+        self._memory = _PressureGauge()
 
     @property
-    def crowded(self) -> bool:
-        """Whether the house is crowded."""
-        return self._descriptors.crowded or self._memory.crowded
+    def overloaded(self) -> bool:
+        """Whether descriptors or memory are short."""
+        return self._descriptors.overloaded or self._memory.overloaded
 
     @property
-    def house(self) -> int:
-        """How many connections may be held now."""
+    def capacity(self) -> int:
+        """How many connections may be open now."""
         return int(min(self._most, self._cap))
 
-    def tell(self, now: float, held: int, memory: float) -> None:
-        """How many connections the listener holds, and the share of the memory that is taken."""
+    def update_usage(self, now: float, held: int, memory: float) -> None:
+        """Takes in how many connections the listener holds, and the share of memory in use."""
         a = self.admission
-        self._descriptors.tell(held / max(1, self._most), a.descriptors, a.hold, now)
-        self._memory.tell(memory, a.memory, a.hold, now)
-        if not self._memory.crowded:
+        self._descriptors.update(held / max(1, self._most), a.descriptors, a.hold, now)
+        self._memory.update(memory, a.memory, a.hold, now)
+        if not self._memory.overloaded:
             self._cap = inf
-        elif self._cap == inf:  # set once: who leaves later must not make the house smaller
-            self._cap = max(held, LEAST)
+        elif self._cap == inf:  # set once: a connection that closes later must not lower it
+            self._cap = max(held, LEAST_CAPACITY)
 
-    def comes(self, address: str, now: float) -> int | Refusal:
-        """Somebody connects: their ticket, or why they may not."""
+    def admit(self, address: str, now: float) -> int | Rejection:
+        """Admits a new connection: its ticket, or why it is rejected."""
         ticket = self._entry(address, now)
-        refusal = self._refusal(ticket, now)
-        if refusal is not None:
-            self.counts[refusal.reason.value] += 1
-            return refusal
-        for table, quota, entry in self._both(ticket):
+        rejection = self._rejection(ticket, now)
+        if rejection is not None:
+            self.counts[rejection.reason.value] += 1
+            return rejection
+        for table, quota, entry in self._sources(ticket):
             table.spend(entry, quota, now)
             table.hold(entry)
         return ticket
 
-    def joins(self, address: str, now: float) -> int:
-        """Somebody is there already, as after a handover: their ticket, whatever the limits say."""
+    def register(self, address: str, now: float) -> int:
+        """Counts a connection that is open already, as after a handover: its ticket, whatever the limits."""
         ticket = self._entry(address, now)
-        for table, _, entry in self._both(ticket):
+        for table, _, entry in self._sources(ticket):
             table.hold(entry)
         return ticket
 
-    def goes(self, ticket: int) -> None:
-        """A connection is over."""
-        for table, _, entry in self._both(ticket):
+    def release(self, ticket: int) -> None:
+        """Gives a closed connection's ticket back."""
+        for table, _, entry in self._sources(ticket):
             table.release(entry)
 
-    def begins(self, ticket: int) -> Refusal | None:
-        """The first byte of a message has come; a refusal if the source has too many half-written ones."""
+    def begin_message(self, ticket: int) -> Rejection | None:
+        """Counts a message whose first byte has come; a rejection if its source has too many of these."""
         reasons = (Reason.ADDRESS_BEGUN, Reason.PREFIX_BEGUN)
-        for (table, quota, entry), reason in zip(self._both(ticket), reasons, strict=True):
+        for (table, quota, entry), reason in zip(self._sources(ticket), reasons, strict=True):
             if table.begun[entry] >= quota.begun:
                 self.counts[reason.value] += 1
-                return self._refuse(reason)
-        for table, _, entry in self._both(ticket):
+                return self._rejection_for(reason)
+        for table, _, entry in self._sources(ticket):
             table.begun[entry] += 1
         return None
 
-    def ends(self, ticket: int) -> None:
-        """A message that had begun is whole, or over."""
-        for table, _, entry in self._both(ticket):
+    def end_message(self, ticket: int) -> None:
+        """Counts a message off that is complete, or given up."""
+        for table, _, entry in self._sources(ticket):
             table.begun[entry] -= 1
 
-    def head_until(self, begun: float) -> Limit:
+    def head_limit(self, begun: float) -> Limit:
         """Until when the head must be whole of a message that began then."""
         pace = self.admission.pace
-        allowed = pace.head_crowded if self.crowded else pace.head
+        allowed = pace.head_crowded if self.overloaded else pace.head
         return Limit(begun + min(pace.whole, pace.head, allowed), Reason.SLOW_HEAD)
 
-    def body_until(self, begun: float, head_at: float, taken: int) -> Limit:
+    def body_limit(self, begun: float, head_at: float, taken: int) -> Limit:
         """Until when a body must have more than `taken` bytes, its head having been whole at `head_at`."""
         pace = self.admission.pace
         end = begun + pace.whole
@@ -278,38 +281,44 @@
             end = min(end, head_at + pace.body_grace + 1000.0 * taken / pace.body_rate)
         return Limit(end, Reason.SLOW_BODY)
 
-    def late(self, limit: Limit) -> None:
-        """A message was ended for its slowness."""
+    def count_slow_message(self, limit: Limit) -> None:
+        """Counts a message that was ended for its slowness."""
         if limit.reason is not None:
             self.counts[limit.reason.value] += 1
 
-    def keep(self, keep: float) -> float:
-        """How long a parked connection may idle now, `keep` being what is set."""
-        return min(keep, self.admission.keep_crowded) if self.crowded else keep
+    def idle_limit(self, keep: float) -> float:
+        """How long a connection may idle now, `keep` being what is set."""
+        return min(keep, self.admission.keep_crowded) if self.overloaded else keep
 
     def figures(self) -> dict[str, int]:
-        """What the console says: sources known, whether the house is crowded, refusals by reason."""
-        told = {reason.value: self.counts[reason.value] for reason in Reason}
+        """What the console says: sources known, whether the listener is overloaded, rejections by reason."""
+        by_reason = {reason.value: self.counts[reason.value] for reason in Reason}
         return {
-            "addresses": len(self._addresses), "crowded": int(self.crowded), "house": self.house, **told
-        }  # fmt: skip
-
-    def change(self, admission: Admission) -> None:
-        """New settings. They count for those who are there; nobody is sent away who is within the house."""
+            "addresses": len(self._addresses),
+            "crowded": int(self.overloaded),
+            "house": self.capacity,
+            **by_reason,
+        }
+
+    def reconfigure(self, admission: Admission) -> None:
+        """Takes new settings. They count for open connections too; none is closed for them."""
         if (admission.prefix_v4, admission.prefix_v6) != (self.admission.prefix_v4, self.admission.prefix_v6):
-            self._regroup(admission)
+            self._count_prefixes_anew(admission)
         self.admission = admission
 
-    def _both(self, ticket: int) -> tuple[tuple[_Table, Quota, int], tuple[_Table, Quota, int]]:
-        a = self.admission
+    def _sources(self, ticket: int) -> tuple[_Source, _Source]:
+        """The address and the prefix of a ticket."""
         prefix = self._prefix_of[ticket]
-        return (self._addresses, a.address, ticket), (self._prefixes, a.prefix, prefix)
+        return (
+            (self._addresses, self.admission.address, ticket),
+            (self._prefixes, self.admission.prefix, prefix),
+        )
 
     def _entry(self, address: str, now: float) -> int:
         a = self.admission
         key, prefix = key_of(address, a.prefix_v4, a.prefix_v6)
         for table, quota in ((self._addresses, a.address), (self._prefixes, a.prefix)):
-            if table.empty > FORGET_AT + len(table) // 2:
+            if table.empty > FORGET_THRESHOLD + len(table) // 2:
                 table.forget(quota, now)
         ticket = self._addresses.entry(key, now)
         while len(self._prefix_of) <= ticket:
@@ -317,26 +326,26 @@
         self._prefix_of[ticket] = self._prefixes.entry(prefix, now)
         return ticket
 
-    def _refusal(self, ticket: int, now: float) -> Refusal | None:
+    def _rejection(self, ticket: int, now: float) -> Rejection | None:
         a = self.admission
         reasons = ((Reason.ADDRESS_HELD, Reason.ADDRESS_RATE), (Reason.PREFIX_HELD, Reason.PREFIX_RATE))
-        for (table, quota, entry), (held, rate) in zip(self._both(ticket), reasons, strict=True):
+        for (table, quota, entry), (held, rate) in zip(self._sources(ticket), reasons, strict=True):
             if table.held[entry] >= quota.held:
-                return self._refuse(held)
+                return self._rejection_for(held)
             missing = table.spent(entry, quota, now) + 1.0 - quota.burst
             if quota.rate < inf and missing > 0.0:
-                # Who comes faster than allowed is closed: an answer to each would be at the others' cost.
-                return Refusal(rate, False, 1000.0 * missing / quota.rate)
-        if self.crowded and self._addresses.held[ticket] >= a.crowded_share * self._most:
-            return self._refuse(Reason.CROWDED_SHARE)
+                # A source above its rate is closed: an answer to each would be at the others' cost.
+                return Rejection(rate, False, 1000.0 * missing / quota.rate)
+        if self.overloaded and self._addresses.held[ticket] >= a.crowded_share * self._most:
+            return self._rejection_for(Reason.CROWDED_SHARE)
         return None
 
-    def _refuse(self, reason: Reason) -> Refusal:
-        return Refusal(reason, True, self.admission.retry_after)
+    def _rejection_for(self, reason: Reason) -> Rejection:
+        return Rejection(reason, True, self.admission.retry_after)
 
-    def _regroup(self, admission: Admission) -> None:
+    def _count_prefixes_anew(self, admission: Admission) -> None:
         """Counts prefixes of another length."""
-        prefixes = _Table()
+        prefixes = _SourceTable()
         for ticket, key in self._addresses.keys.items():
             prefix = prefixes.entry(_prefix(key, admission), self._addresses.at[ticket])
             for _ in range(self._addresses.held[ticket]):
--- /dev/null
+++ b/eiderfield/net/clients/parking.py
@@ -0,0 +1,248 @@
+"""The idle connections of a listener: parked without a protocol object, and lent to the next process.
+
+    connected ──(park: idle for `park_after`)──> parked ──(bytes)──> connected again, as if it had never left
+                                                   ├──(expired, or evicted)──> closed
+                                                   └──(lend, hand_over)──> at the next process
+
+The states of a parked connection itself are those of `eiderfield/connections/idle_connections.py`; this
+module joins them to the loop, the clock and the listener's admission control.
+
+What must never happen: a byte read from a borrowed connection before its lender was told that it left; a
+ticket of admission control that is released twice, or never.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from functools import partial
+from math import inf
+from typing import TYPE_CHECKING
+
+from eiderfield.connections.idle_connections import IdleConnections, WokenConnection
+from eiderfield.exchange import Timer
+from eiderfield.net.clients.connection import ClientConnection, ConnectionHandover, Detach
+
+if TYPE_CHECKING:
+    from eiderfield.net.clients.listener import Listener
+
+CLOSED_PER_PASS = 1024  # parked connections closed or taken back in one pass, some 10 ms
+
+
+def _mark_of(ticket: int | None) -> int:
+    """A ticket as the mark of an idle connection; 0 for none."""
+    return 0 if ticket is None else ticket + 1
+
+
+def _ticket_of(mark: int) -> int | None:
+    return mark - 1 if mark else None
+
+
+class ConnectionParking:
+    """The parked connections of one listener, if the settings and the system allow any."""
+
+    def __init__(self, listener: Listener) -> None:
+        """Parks nothing until it is opened."""
+        self._listener = listener
+        self._loop: asyncio.AbstractEventLoop | None = None
+        self._idle: IdleConnections | None = None
+        self._refusal_logged = False  # whether the system has refused a poll set
+        self._expiry: Timer | None = None
+        self.log: Callable[[str], None] = lambda text: None  # told once of what the system refuses
+        self.on_park: Callable[[], None] = lambda: None  # called when one more is parked
+        self.on_departure: Callable[[list[int]], None] = lambda keys: (
+            None
+        )  # the lender's names of those that left
+
+    def __len__(self) -> int:
+        """How many connections are parked."""
+        return 0 if self._idle is None else len(self._idle)
+
+    def open(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Makes the poll set; without one connections stay as they are, and are served."""
+        if self._idle is not None:
+            return
+        try:
+            self._idle = IdleConnections(self._release)
+        except OSError as error:
+            if not self._refusal_logged:
+                self._refusal_logged = True
+                self.log(f"idle connections are not parked: {error}")
+            return
+        self._loop = loop
+        loop.add_reader(self._idle.fileno(), self._wake)
+
+    def close(self) -> None:
+        """Closes every parked connection and the poll set."""
+        if self._idle is not None and self._loop is not None:
+            self._loop.remove_reader(self._idle.fileno())
+            self._idle.close()
+            self._idle = None
+
+    def figures(self) -> dict[str, int]:
+        """How many are parked, and how they went so far."""
+        idle = self._idle
+        return {
+            "parked": len(self),
+            "woken": idle.woken if idle is not None else 0,
+            "expired": idle.expired if idle is not None else 0,
+            "left": idle.closed_by_client if idle is not None else 0,
+            "gave_way": idle.evicted if idle is not None else 0,
+            "lent": idle.lent if idle is not None else 0,
+        }
+
+    # Parking and waking.
+
+    def park(self, connection: ClientConnection) -> bool:
+        """Parks an idle connection, if that is possible now."""
+        listener = self._listener
+        if self._idle is None or listener.successor is not None or listener.sending_away:
+            return False
+        if listener.idling.park_after == inf:
+            return False
+        ticket, connection.ticket = connection.ticket, None  # it keeps its place in admission's counts
+        if (detached := connection.detach()) is None:
+            connection.ticket = ticket
+            return False
+        fd, handover = detached
+        try:
+            self._idle.park(fd, handover.since, _mark_of(ticket))
+        except OSError:  # the kernel has no room for it in a poll set
+            listener.resume(socket.socket(fileno=fd), handover, ticket)
+        self._arm_if_unarmed()
+        self.on_park()
+        return True
+
+    def close_idle(self) -> None:
+        """Closes the parked connections on which no request can cross, a bounded number."""
+        if self._idle is not None:
+            self._idle.close_idle(CLOSED_PER_PASS)
+            self._report_departures()
+
+    def evict_one(self) -> bool:
+        """Closes the one that has idled longest, if there is one that may go."""
+        if self._idle is None:
+            return False
+        evicted = self._idle.evict_one()
+        self._report_departures()
+        return evicted
+
+    def expire(self) -> None:
+        """Closes those that have idled for long enough. What is beyond one pass's bound goes in the next."""
+        if self._idle is not None:
+            self._idle.expire(self._listener.clock(), self._listener.idle_limit())
+            self._report_departures()
+            self.arm()
+            self._listener.resume_accepting()
+
+    def arm(self) -> None:
+        """Sets the timer of the next expiry: the idle limit, or who is parked, may have changed."""
+        if self._expiry is not None:
+            self._expiry.cancel()
+            self._expiry = None
+        if self._idle is None:
+            return
+        at = self._idle.next_expiry(self._listener.idle_limit())
+        if at < inf:
+            self._expiry = self._listener.timers.at(at, self.expire, patient=True)
+
+    def _arm_if_unarmed(self) -> None:
+        if self._expiry is None:
+            self.arm()
+
+    def _wake(self) -> None:
+        """Something came on parked connections: each goes on as if it had never been parked."""
+        if self._idle is None:
+            return
+        woken = self._idle.poll_ready()
+        self._report_departures()
+        for one in woken:
+            self._unpark(one)
+        self._listener.resume_accepting()  # some may have closed
+
+    def _unpark(self, woken: WokenConnection) -> None:
+        handover = ConnectionHandover(True, woken.since)
+        self._listener.resume(socket.socket(fileno=woken.fd), handover, _ticket_of(woken.mark))
+
+    def _release(self, mark: int) -> None:
+        """A parked connection is closed."""
+        ticket = _ticket_of(mark)
+        if ticket is not None and self._listener.admission is not None:
+            self._listener.admission.release(ticket)
+
+    # The next process, and the one before.
+
+    def detachers(self, most: int) -> list[Detach]:
+        """What gives at most `most` parked connections away, the longest idle first."""
+        if self._idle is None:
+            return []
+        return [partial(self._detach, fd) for fd in self._idle.longest_idle(most)]
+
+    def _detach(self, fd: int) -> tuple[int, ConnectionHandover] | None:
+        """Gives a parked connection away, if it is still parked."""
+        if self._idle is None or fd not in self._idle:
+            return None
+        woken = self._idle.detach(fd)
+        self._report_departures()
+        self._release(woken.mark)
+        return fd, ConnectionHandover(True, woken.since)
+
+    def lend(self, most: int) -> list[tuple[int, float]]:
+        """At most `most` parked connections for the next process. Copies stay until it reports otherwise."""
+        return [] if self._idle is None else self._idle.lend(most)
+
+    def borrow(self, fd: int, since: float, key: int | None) -> bool:
+        """Takes a parked connection of the process before; `key` is its name there if a copy stays there.
+
+        False if there is no capacity for it, which only the lender of a copy need hear."""
+        listener = self._listener
+        if key is not None and (self._idle is None or not listener.has_capacity):
+            return False
+        sock = socket.socket(fileno=fd)
+        if self._idle is None:  # this process parks nobody, and it is the only one that has this connection
+            listener.adopt_connection(sock, ConnectionHandover(True, since))
+            return True
+        ticket = listener.register(sock)
+        try:
+            self._idle.park(fd, min(since, listener.clock()), _mark_of(ticket), key)
+        except OSError:  # the kernel has no room for it in a poll set
+            if key is None:
+                listener.resume(sock, ConnectionHandover(True, since), ticket)
+                return True
+            sock.detach()
+            self._release(_mark_of(ticket))
+            return False
+        sock.detach()
+        self._arm_if_unarmed()
+        return True
+
+    def close_lent(self, keys: list[int]) -> None:
+        """Closes the copies of connections that the next process has for good."""
+        if self._idle is not None:
+            for key in keys:
+                self._idle.close_lent(key)
+
+    def take_back(self, keys: list[int]) -> None:
+        """Parks connections again for which the next process has no capacity."""
+        if self._idle is not None:
+            for key in keys:
+                self._idle.take_back(key)
+        self.arm()
+
+    def take_back_all(self) -> None:
+        """Parks again what a next process that is gone was lent, a bounded number in a turn."""
+        if self._idle is not None and self._idle.take_back_lent(CLOSED_PER_PASS):
+            self._listener.timers.at(self._listener.clock(), self.take_back_all)
+        self.arm()
+
+    def forget_lender(self) -> None:
+        """Notes that the process before is gone: what it lent is this one's alone."""
+        if self._idle is not None:
+            self._idle.forget_lender()
+
+    def _report_departures(self) -> None:
+        """Reports what has left to the lender, before a byte of it is read."""
+        if self._idle is not None and self._idle.unreported:
+            keys, self._idle.unreported = self._idle.unreported, []
+            self.on_departure(keys)
--- /dev/null
+++ b/eiderfield/net/clients/request_front.py
@@ -0,0 +1,173 @@
+"""The front of the platform's protocol: a request is a POST that waits for its answer."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable
+from functools import partial
+from math import isfinite
+from typing import Protocol
+
+from eiderfield.exchange import Answer, Exchange, Request, Verdict
+from eiderfield.idmap import IdMap, plain
+from eiderfield.interface import Effect, JobClass
+from eiderfield.net.clients.connection import ClientConnection
+from eiderfield.net.clients.listener import Listener
+from eiderfield.net.http import Head, Malformed
+
+MOST_NEEDED = 100_000.0  # slots or units of memory that a request may need
+DEADLINE_DIGITS = 12  # of X-Deadline-Ms, at most
+
+_NEEDS = frozenset({"slots", "memory"})
+_WORD = re.compile(r"[!-~]{1,256}\Z")
+
+
+class DurableIntake(Protocol):
+    """Who writes requests of some classes down before they are answered (`eiderfield/custody/keeper.py`)."""
+
+    def keeps(self, cls: int) -> bool:
+        """Whether requests of a class are written down."""
+
+    def take(self, request: Request, told: Callable[[Answer], None]) -> Callable[[], None]:
+        """Takes a request, or joins its client to one that is known; what to call when the client leaves."""
+
+
+class RequestFront:
+    """Takes requests of the settings' classes, and answers readiness checks."""
+
+    def __init__(
+        self,
+        exchange: Exchange,
+        ids: IdMap,
+        clock: Callable[[], float],
+        durable: DurableIntake | None = None,
+    ) -> None:
+        """`durable` takes the requests of the classes that it keeps."""
+        self._exchange = exchange
+        self._durable = durable
+        self._ids = ids
+        self._clock = clock
+        self._classes = {cls.name: number for number, cls in enumerate(exchange.site.classes)}
+        self._tenants = {tenant.name: number for number, tenant in enumerate(exchange.site.tenants)}
+
+    def message(
+        self, listener: Listener, connection: ClientConnection, head: Head, body: bytes
+    ) -> Callable[[], None] | None:
+        """Takes a request, or says whether this dispatcher is ready."""
+        path = head.target.partition("?")[0]
+        if path == "/ready":
+            self._answer_readiness(listener, connection)
+            return None
+        parts = path.split("/")
+        number = self._classes.get(parts[1]) if len(parts) > 1 and not parts[0] else None
+        if number is None:
+            connection.reject(404, "no such class")
+            return None
+        if head.method != "POST":
+            connection.reject(405, "jobs arrive by POST", Allow="POST")
+            return None
+        try:
+            request = self._read_request(number, parts[2:], head, body, listener.answer_by)
+        except Malformed as error:
+            connection.reject(error.status, str(error))
+            return None
+        return self._take(connection, request)
+
+    def _answer_readiness(self, listener: Listener, connection: ClientConnection) -> None:
+        ready = self._exchange.knows_workers and listener.listening and not listener.draining
+        if listener.draining:
+            connection.reject(503, "not ready")
+        else:
+            connection.answer(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
+
+    def _take(self, connection: ClientConnection, request: Request) -> Callable[[], None] | None:
+        if self._durable is not None and self._durable.keeps(request.cls):
+            connection.proven = True
+            return self._durable.take(request, partial(write_answer, connection, durable=True))
+        if self._exchange.holds(request.id):  # the workers would see the request twice
+            connection.reject(409, "X-Request-Id is that of a job which is not over yet")
+            return None
+        connection.proven = True
+        id_ = self._exchange.submit(
+            request, partial(write_answer, connection), client_waits=lambda: connection.client_waits
+        )
+        return partial(self._withdraw, id_)
+
+    def _withdraw(self, id_: int) -> None:
+        self._exchange.withdraw(id_)
+
+    def _read_request(self, number: int, parts: list[str], head: Head, body: bytes, until: float) -> Request:
+        cls = self._exchange.site.classes[number]
+        _check_ids(head, cls)
+        needs = read_extras(head.get("x-extras"))
+        return Request(
+            id=head.get("x-request-id"),
+            cls=number,
+            due=min(self._clock() + _read_deadline(head, cls), until),
+            target=head.target,
+            host=head.get("host") or "backend.local",
+            body=body,
+            idempotency_key=head.get("idempotency-key"),
+            subject=self._ids.subject(parts[-1]) if parts else 0,
+            repeat=head.get("x-retry") == "1",
+            tenant=self._tenants.get(plain(head.get("x-tenant")), len(self._tenants)),
+            slots=needs.get("slots", 1.0),
+            memory=needs.get("memory", 0.0),
+        )
+
+
+def _check_ids(head: Head, cls: JobClass) -> None:
+    """Raises `Malformed` for a missing or odd request id or idempotency key."""
+    for name in ("X-Request-Id", "Idempotency-Key"):
+        word = head.get(name.lower())
+        if not word and (name == "X-Request-Id" or cls.effect == Effect.KEYED):
+            raise Malformed(f"{name} is missing")
+        if word and not _WORD.match(word):
+            raise Malformed(f"{name} is not a plain word")
+
+
+def _read_deadline(head: Head, cls: JobClass) -> float:
+    """How long the client waits, in ms; no longer than its class allows."""
+    if "x-deadline-ms" not in head.headers:
+        return cls.deadline
+    text = head.get("x-deadline-ms")
+    if not text.isascii() or not text.isdigit() or len(text) > DEADLINE_DIGITS:
+        raise Malformed("X-Deadline-Ms is not a whole number")
+    return min(float(text), cls.deadline)
+
+
+def read_extras(text: str) -> dict[str, float]:
+    """The figures of X-Extras; raises `Malformed`."""
+    figures = {}
+    for part in text.split(","):
+        name, _, value = part.strip().partition("=")
+        if not name:
+            continue
+        try:
+            figures[name] = float(value)
+        except ValueError:
+            raise Malformed(f"X-Extras: {name} is not a number") from None
+        if not isfinite(figures[name]):
+            raise Malformed(f"X-Extras: {name} is not a number")
+        if name in _NEEDS and not 0.0 <= figures[name] <= MOST_NEEDED:
+            raise Malformed(f"X-Extras: no worker has such {name}")
+    return figures
+
+
+def write_answer(connection: ClientConnection, answer: Answer, durable: bool = False) -> None:
+    """Writes a final answer in the platform's protocol.
+
+    Only a rejection of the policy's becomes a 503. The answer to a durable request that failed says whether
+    it may have run."""
+    if answer.verdict == Verdict.SERVED:
+        connection.answer(200, answer.result)
+    elif answer.verdict == Verdict.DECLINED:
+        advice = {"Retry_After": f"{answer.retry_after / 1000.0:.3f}"} if answer.retry_after > 0.0 else {}
+        connection.answer(503, b"declined\n", **advice)
+    elif answer.verdict == Verdict.CONFLICT:
+        connection.reject(409, "X-Request-Id or Idempotency-Key is that of another job")
+    elif answer.verdict == Verdict.REJECTED:
+        connection.reject(400, "no worker can use this job")
+    else:
+        more = {"X_May_Have_Run": "1" if answer.may_have_run else "0"} if durable else {}
+        connection.answer(502, b"failed\n", **more)
--- a/eiderfield/net/departures.py
+++ b/eiderfield/net/departures.py
@@ -37,6 +37,7 @@
     """The connections of one loop that are not read at present."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Watches nothing yet."""
         self._loop = loop
         self._poll: select.epoll | None = None
         self._watched: dict[int, Callable[[], None]] = {}
--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping
 
-from eiderfield.crowd.settings import KEEP, WHOLE
+from eiderfield.connections.settings import KEEP, WHOLE
 from eiderfield.net.clock import WallClock
 from eiderfield.net.handover.fields import (
     counts,
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -14,7 +14,7 @@
 from functools import partial
 
 from eiderfield.exchange import Timer
-from eiderfield.net.clients import Given
+from eiderfield.net.clients import ConnectionHandover
 from eiderfield.net.handover.channel import Channel
 from eiderfield.net.handover.learnt import to_policy
 from eiderfield.net.handover.messages import (
@@ -72,7 +72,7 @@
             parts.exchange.resume(to_policy(message.learnt), parts.clock())
         self._share_updates()
         for name in self._adopted:
-            parts.listeners[name].departs = partial(self._tell_departed, name)
+            parts.listeners[name].parking.on_departure = partial(self._tell_departed, name)
         self._channel.send(TakeoverAccepted(tuple(self._adopted), takes_parked=True))
 
     def take_listeners(self, message: ListenersReleased, descriptors: list[int]) -> None:
@@ -82,7 +82,7 @@
         if self._parts.peers is not None:
             self._parts.peers.rest(False)
         for name in self._adopted:
-            self._parts.listeners[name].rest(False)
+            self._parts.listeners[name].set_passive(False)
         self.finish()
 
     def take_parked(self, message: ParkedBatch, descriptors: list[int]) -> None:
@@ -92,7 +92,7 @@
         refused = []
         for place, since in enumerate(message.since):
             key = message.keys[place] if message.keys else None
-            if listener.borrow(descriptors[place], since, key):
+            if listener.parking.borrow(descriptors[place], since, key):
                 descriptors[place] = -1
             elif key is not None:
                 refused.append(key)
@@ -103,8 +103,8 @@
         self._count(message.connections)
         [descriptor] = descriptors
         descriptors.clear()
-        given = Given(message.proven, message.since, message.begun)
-        self._parts.listeners[message.listener].admit(socket.socket(fileno=descriptor), given)
+        state = ConnectionHandover(message.proven, message.since, message.begun)
+        self._parts.listeners[message.listener].adopt_connection(socket.socket(fileno=descriptor), state)
 
     def finish(self) -> None:
         """The handover is over, well or not."""
@@ -137,7 +137,7 @@
             listener = self._parts.listeners.get(name)
             if listener is not None and not listener.listening:
                 listener.adopt(self._parts.loop, sock)
-                listener.rest(True)  # until the old one has let go of it
+                listener.set_passive(True)  # until the old one has let go of it
                 self._adopted.append(name)
             else:
                 sock.close()
@@ -150,4 +150,4 @@
         """How many connections the old process still has counts within what this one may have."""
         for name, count in connections.items():
             if name in self._parts.listeners:
-                self._parts.listeners[name].beside = count
+                self._parts.listeners[name].held_by_other_process = count
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from eiderfield.net.clients import Letting, Listener
+from eiderfield.net.clients import Detach, Listener
 from eiderfield.net.handover.channel import Channel
 from eiderfield.net.handover.learnt import from_policy
 from eiderfield.net.handover.messages import (
@@ -87,7 +87,7 @@
         self.handed_over = True
         self._shared = [name for name in message.listeners if name in parts.listeners]
         for name in self._shared:
-            parts.listeners[name].rest(True)
+            parts.listeners[name].set_passive(True)
         if parts.peers is not None:  # the next one speaks for both
             parts.peers.rest(True)
         parts.workers.share_connections(True)
@@ -95,7 +95,7 @@
         self._channel.send(ListenersReleased(self._connections()))
         self._lends = message.takes_parked
         for name in self._shared:
-            parts.listeners[name].parks = self._lend_batch
+            parts.listeners[name].parking.on_park = self._lend_batch
         self._lend_batch()
 
     def _lend_batch(self) -> None:
@@ -104,7 +104,7 @@
             return
         for name in self._shared:
             listener = self._parts.listeners[name]
-            if batch := listener.lend(BATCH):
+            if batch := listener.parking.lend(BATCH):
                 self._lending = True
                 self._send_batch(name, listener, batch)
                 return
@@ -123,15 +123,15 @@
         except OSError as error:  # descriptors are short: they go one by one at the end
             self._parts.log(f"parked connections cannot be passed on in batches: {error}")
             self._lends = self._lending = False
-            listener.lent_is_refused(keys)
+            listener.parking.take_back(keys)
             return
         if not copies:
-            listener.lent_departs(keys)
+            listener.parking.close_lent(keys)
 
     def batch_taken(self, message: ParkedBatchTaken, descriptors: list[int]) -> None:
         """A batch has come to the new process."""
         self._lending = False
-        self._parts.listeners[message.listener].lent_is_refused(list(message.refused))
+        self._parts.listeners[message.listener].parking.take_back(list(message.refused))
         if message.refused:  # asked again and again, a full listener would have no time for anything else
             self._lends = False
         else:
@@ -139,17 +139,17 @@
 
     def parked_departed(self, message: ParkedDeparted, descriptors: list[int]) -> None:
         """Parked connections of which there are copies here are the new process's alone."""
-        self._parts.listeners[message.listener].lent_departs(list(message.keys))
+        self._parts.listeners[message.listener].parking.close_lent(list(message.keys))
 
     def pass_clients(self, listeners: list[str]) -> None:
         """Passes clients' connections on from now on, as soon as nothing is owed on them."""
         for name in listeners:
             if self.handed_over and name in self._shared:
-                self._parts.listeners[name].heir = partial(self._pass_connection, name)
+                self._parts.listeners[name].successor = partial(self._pass_connection, name)
 
-    def _pass_connection(self, name: str, let_go: Letting) -> bool:
+    def _pass_connection(self, name: str, detach: Detach) -> bool:
         # Sent to a process that stands still, it would wait with nobody reading it; there is a next time.
-        if not self.flushed or (gift := let_go()) is None:
+        if not self.flushed or (gift := detach()) is None:
             return False
         descriptor, given = gift
         message = ConnectionPassed(name, given.proven, given.since, given.begun, self._connections())
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -136,7 +136,7 @@
     def pass_idle_clients(self) -> None:
         """Passes on the clients' connections that can be passed on now."""
         for listener in self.listeners.values():
-            listener.pass_some()
+            listener.hand_over_some()
 
     def close(self) -> None:
         """Ends every link: all has been told."""
@@ -198,14 +198,14 @@
 
 def _make_independent(listener: Listener) -> None:
     """Lets a listener go on without another process."""
-    listener.heir = None
-    listener.beside = 0
-    listener.parks = _do_nothing
-    listener.departs = _do_nothing
-    listener.own()
-    listener.lent_returns()
-    if listener.resting:
-        listener.rest(False)
+    listener.successor = None
+    listener.held_by_other_process = 0
+    listener.parking.on_park = _do_nothing
+    listener.parking.on_departure = _do_nothing
+    listener.parking.forget_lender()
+    listener.parking.take_back_all()
+    if listener.passive:
+        listener.set_passive(False)
 
 
 def _do_nothing(*arguments: object) -> None:
--- a/eiderfield/program/listeners.py
+++ b/eiderfield/program/listeners.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from eiderfield.config import CONSOLE, Address, Config, ConfigError
-from eiderfield.crowd.governor import Governor
+from eiderfield.connections.admission import AdmissionControl
 from eiderfield.net.clients import Front, Listener
 from eiderfield.net.console import WAIT, ConsoleFront
 from eiderfield.net.memory import share_of
@@ -43,10 +43,10 @@
         connections,
         config.admission.pace.whole,
         config.idling,
-        Governor(config.admission, connections),
+        AdmissionControl(config.admission, connections),
         share_of(config.memory_mb),
     )
-    listener.log = log
+    listener.parking.log = log
     return listener
 
 
@@ -103,8 +103,8 @@
     def reload(self, old: Config, new: Config) -> None:
         """Gives them their limits."""
         for listener in self.listeners:
-            listener.idle(new.idling)
-            listener.govern(new.admission)
+            listener.set_idle_limits(new.idling)
+            listener.set_admission(new.admission)
 
     @property
     def busy(self) -> bool:
@@ -117,8 +117,8 @@
         admission: Counter[str] = Counter()
         for listener in self.listeners:
             connections.update(listener.figures())
-            if listener.governor is not None:
-                admission.update(listener.governor.figures())
+            if listener.admission is not None:
+                admission.update(listener.admission.figures())
         return {"connections": dict(connections), "admission": dict(admission)}
 
 
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -86,10 +86,10 @@
 class Client:
     """A client's connection."""
 
-    def __init__(self, desk, listener=None, given=None):
+    def __init__(self, desk, listener=None, handover=None):
         self.desk = desk
-        self.connection = ClientConnection(listener or desk.listener, given=given)
-        (listener or desk.listener).join(self.connection)
+        self.connection = ClientConnection(listener or desk.listener, handover=handover)
+        (listener or desk.listener).add(self.connection)
         self.pipe = Pipe(self.connection)
         self.connection.connection_made(self.pipe)
         self._parser = Parser(answers=True)
--- a/tests/support/real_sockets.py
+++ b/tests/support/real_sockets.py
@@ -7,8 +7,8 @@
 from hypothesis import Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from eiderfield.crowd.governor import Governor
-from eiderfield.crowd.settings import Admission, Idling
+from eiderfield.connections.admission import AdmissionControl
+from eiderfield.connections.settings import Admission, Idling
 from eiderfield.net.http import END, Head, Parser
 from eiderfield.net.wheel import TICK
 from support.memory_dispatcher import SITE, Desk
@@ -37,14 +37,14 @@
 class Phone:
     """A client at the other end of a pair of sockets."""
 
-    def __init__(self, house, given=None, address="192.0.2.1"):
+    def __init__(self, house, handover=None, address="192.0.2.1"):
         self.house = house
         self.sock, theirs = socket.socketpair()
         self.sock.setblocking(False)
         theirs.setblocking(False)
         self._parser = Parser(answers=True)
-        if given is not None:
-            house.listener.admit(theirs, given)
+        if handover is not None:
+            house.listener.adopt_connection(theirs, handover)
         else:
             house.listener._socket.waiting.append((theirs, (address, 1)))
             house.listener._accept()
@@ -95,12 +95,12 @@
         self.desk = Desk(site, workers=workers, most=most)
         self.listener = self.desk.listener
         self.memory = 0.0
-        self.governor = self.listener.governor = Governor(Admission(**admission), most)
+        self.admission = self.listener.admission = AdmissionControl(Admission(**admission), most)
         self.listener._memory = lambda: self.memory
         self.listener._loop = self.loop
         self.listener._socket = Port()
-        self.listener._knocking = lambda: bool(getattr(self.listener._socket, "waiting", ()))
-        self.listener.idle(idling)
+        self.listener._client_waits_in_backlog = lambda: bool(getattr(self.listener._socket, "waiting", ()))
+        self.listener.set_idle_limits(idling)
 
     def turn(self, turns=8):
         """A few turns of the loop; it never waits."""
@@ -141,7 +141,7 @@
     def close(self):
         self.listener.close()
         self.turn()
-        assert not any(self.governor._addresses.held) and not any(self.governor._addresses.begun)
+        assert not any(self.admission._addresses.held) and not any(self.admission._addresses.begun)
         self.loop.close()
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,8 +5,10 @@
 import pytest
 from support.real_sockets import IDLING, House, Phone, message
 
-from eiderfield.crowd.settings import WHOLE, Admission, Marks, Pace, Quota
-from eiderfield.net.clients import LINGER, TURNED_AWAY, Given
+from eiderfield.connections.settings import WHOLE, Admission, Marks, Pace, Quota
+from eiderfield.net.clients import ConnectionHandover
+from eiderfield.net.clients.connection import LINGER_TIME
+from eiderfield.net.clients.listener import REJECTIONS_AT_ONCE
 from eiderfield.net.wheel import TICK
 
 
@@ -16,8 +18,8 @@
     assert [phone.statuses() for phone in greedy] == [[], [], [], [503], [503]]
     assert greedy[4].advice == "1.500"
     assert Phone(house, address="192.0.2.2").ask("honest") == [200]
-    house.pass_time(LINGER + TICK)
-    assert not greedy[4].open and house.governor.figures()["address_held"] == 2
+    house.pass_time(LINGER_TIME + TICK)
+    assert not greedy[4].open and house.admission.figures()["address_held"] == 2
     house.close()
 
 
@@ -42,9 +44,9 @@
 def test_a_flood_is_closed_without_a_word_and_few_at_a_time_are_told():
     house = House(most=1000, address=Quota(held=1))
     flood = [Phone(house)]
-    flood += [Phone(house) for _ in range(TURNED_AWAY + 10)]
+    flood += [Phone(house) for _ in range(REJECTIONS_AT_ONCE + 10)]
     told = [phone.statuses() for phone in flood]
-    assert told.count([503]) == TURNED_AWAY and told.count([]) == 11
+    assert told.count([503]) == REJECTIONS_AT_ONCE and told.count([]) == 11
     house.close()
     house = House(most=1000, address=Quota(rate=1.0, burst=2.0))
     assert [phone.open for phone in [Phone(house) for _ in range(5)]] == [True, True, False, False, False]
@@ -60,7 +62,7 @@
     another = Phone(house)
     assert another.ask("again") == [200]
     assert phones[1].ask("woken") == [200]
-    house.pass_time(LINGER + TICK)
+    house.pass_time(LINGER_TIME + TICK)
     assert Phone(house).statuses() == [503]
     house.pass_time(IDLING.keep + 2000.0)
     assert not house.listener.connections
@@ -80,7 +82,7 @@
     assert slow[0].statuses() == [200]
     another = Phone(house).send(b"P")
     house.turn()
-    assert not another.statuses() and house.governor.figures()["address_begun"] == 1
+    assert not another.statuses() and house.admission.figures()["address_begun"] == 1
     house.close()
 
 
@@ -96,7 +98,7 @@
     house.pass_time(150.0)
     house.turn(30)
     assert [phone.statuses() for phone in drips] == [[408]] * 200
-    assert house.governor.figures()["slow_head"] == 200
+    assert house.admission.figures()["slow_head"] == 200
     house.close()
 
 
@@ -119,7 +121,7 @@
             break
     house.work()
     assert phone.statuses() == [answer]
-    assert house.governor.figures()["slow_body"] == (answer == 408)
+    assert house.admission.figures()["slow_body"] == (answer == 408)
     house.close()
 
 
@@ -128,7 +130,7 @@
     phone = Phone(house).send(b"POST /safe")
     house.turn()
     house.pass_time(1000.0)
-    house.listener.govern(Admission(pace=Pace(head=1500.0)))
+    house.listener.set_admission(Admission(pace=Pace(head=1500.0)))
     house.pass_time(490.0)
     assert not phone.statuses()
     house.pass_time(20.0)
@@ -142,7 +144,7 @@
     more = [Phone(house) for _ in range(4)]
     house.pass_time(200.0)
     more.append(Phone(house))
-    assert house.governor.crowded
+    assert house.admission.overloaded
     house.pass_time(5000.0)
     assert not any(phone.open for phone in parked)
     house.close()
@@ -154,13 +156,13 @@
     house.memory = 0.97
     house.pass_time(200.0)
     newcomer = Phone(house)
-    assert house.governor.house == 20 and house.listener.connections == 20
+    assert house.admission.capacity == 20 and house.listener.connections == 20
     assert newcomer.ask("n") == [200]
     assert sum(phone.open for phone in quiet) == 19
     house.memory = 0.5
     house.pass_time(2500.0)
     another = Phone(house)
-    assert house.governor.house == 60 and another.open
+    assert house.admission.capacity == 60 and another.open
     house.close()
 
 
@@ -171,6 +173,6 @@
         theirs, _ = listener.accept()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     client.close()
-    house.listener.admit(theirs, Given(True, house.desk.now))
+    house.listener.adopt_connection(theirs, ConnectionHandover(True, house.desk.now))
     house.turn()
     house.close()
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -8,7 +8,7 @@
 from support.real_sockets import House, Phone, message
 
 from eiderfield.interface import Due, Send
-from eiderfield.net.clients import AT_ONCE, PIPELINED
+from eiderfield.net.clients.connection import MESSAGES_PER_TURN, PIPELINED_BYTES
 from eiderfield.net.loop import Driver
 
 
@@ -58,7 +58,7 @@
     end = dial.up()
     assert end.take() == ["r0"]
     number = 0
-    while phone_takes(phone, message(f"more{number}")) and number < 2 * PIPELINED // len(message()):
+    while phone_takes(phone, message(f"more{number}")) and number < 2 * PIPELINED_BYTES // len(message()):
         number += 1
         house.turn(1)
     [connection] = house.listener._connections
@@ -87,8 +87,8 @@
     phone, count, statuses = Phone(house), 0, []
     while phone_takes(phone, message(f"m{count}")):
         count += 1
-        house.turn(count % AT_ONCE == 0)
-    assert count * len(message()) > PIPELINED
+        house.turn(count % MESSAGES_PER_TURN == 0)
+    assert count * len(message()) > PIPELINED_BYTES
     assert house.listener.departures._watched
     while len(statuses) < count:
         house.work()
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -7,9 +7,10 @@
 from support.real_sockets import IDLING, House, Phone, message
 
 from eiderfield.config import read
-from eiderfield.crowd.settings import Idling
+from eiderfield.connections.settings import Idling
 from eiderfield.lab.ports import free_port
-from eiderfield.net.clients import LINGER, YOUNG, Phase
+from eiderfield.net.clients import Phase
+from eiderfield.net.clients.connection import EVICTION_GRACE, LINGER_TIME
 from eiderfield.net.ending import ACCEPTING, LONGEST, MARGIN, TO_KILL, Ending
 from eiderfield.net.wheel import TICK
 from eiderfield.program.program import Program
@@ -49,17 +50,17 @@
     reset, which took the last answer along where the client had not read it yet."""
     phone = served(house)
     if why == "the program ends":
-        house.listener.leaving = True
-        house.listener.close_quiet()
+        house.listener.sending_away = True
+        house.listener.close_idle()
     elif why == "new settings let it idle no more":
         house.desk.now += 5000.0
-        house.listener.idle(Idling(keep=1000.0))
-        house.listener.govern(house.governor.admission)
+        house.listener.set_idle_limits(Idling(keep=1000.0))
+        house.listener.set_admission(house.admission.admission)
         house.desk.wheel.advance(house.desk.now)
     else:
         [connection] = house.listener._connections
         house.desk.now += KEPT.keep
-        connection._late()
+        connection._time_is_up()
     phone.send(message("r1"))  # after the look, before the loop's next turn
     house.turn()
     assert rest(phone).startswith(b"HTTP/1.1 200 ")
@@ -78,16 +79,16 @@
     phone.send(message("late"))
     if why == "idle":
         house.desk.now += IDLING.keep + 2000.0
-        house.listener._end()
+        house.listener.parking.expire()
     elif why == "make room":
         assert not house.listener.make_room()
     elif why == "end":
-        house.listener.leaving = True
-        house.listener.close_quiet()
+        house.listener.sending_away = True
+        house.listener.close_idle()
     else:
         house.desk.now += 10_000.0
-        house.listener.idle(Idling(keep=1000.0, park_after=IDLING.park_after))
-        house.listener._end()
+        house.listener.set_idle_limits(Idling(keep=1000.0, park_after=IDLING.park_after))
+        house.listener.parking.expire()
     house.turn()
     house.work()
     assert phone.statuses() == [200]
@@ -96,10 +97,10 @@
 
 def test_who_neither_reads_nor_closes_is_closed_after_the_lingering(house):
     phone = served(house)
-    house.listener.close_quiet()
+    house.listener.close_idle()
     house.turn()
     assert house.listener._connections
-    house.pass_time(LINGER + 2 * TICK)
+    house.pass_time(LINGER_TIME + 2 * TICK)
     assert not house.listener._connections and rest(phone).startswith(b"HTTP/1.1 200 ")
 
 
@@ -112,7 +113,7 @@
     [connection] = house.listener._connections
     assert connection.phase == Phase.LINGERING
     assert not house.listener.make_room(), "its answer has not arrived"
-    house.pass_time(YOUNG + 2 * TICK)
+    house.pass_time(EVICTION_GRACE + 2 * TICK)
     assert house.listener.make_room()
     house.turn()
     assert phone.statuses() == [404]
@@ -134,7 +135,7 @@
 def test_an_idle_connection_that_never_reads_its_answer_gives_way_after_a_while():
     house = House(KEPT, most=1)
     phone = served(house)
-    house.pass_time(YOUNG + 2 * TICK)
+    house.pass_time(EVICTION_GRACE + 2 * TICK)
     assert house.listener.make_room()
     phone.sock.close()
     house.close()
@@ -148,7 +149,7 @@
     whole = message("r0")
     phone.send(whole[:20])
     house.turn()
-    house.pass_time(YOUNG + 2 * TICK)
+    house.pass_time(EVICTION_GRACE + 2 * TICK)
     if rest_comes:
         phone.send(whole[20:])  # the loop has not read it yet
     assert house.listener.make_room() is not rest_comes
@@ -173,8 +174,8 @@
 def test_parked_connections_are_closed_as_others_are():
     house = House(IDLING)
     [phone] = house.parked()
-    house.listener.leaving = True
-    house.listener.close_quiet()
+    house.listener.sending_away = True
+    house.listener.close_idle()
     phone.sock.settimeout(0)
     house.turn()
     assert rest(phone) == b"" and not house.listener.connections
@@ -198,7 +199,7 @@
     """A listener of which somebody waits for room."""
 
     def __init__(self):
-        self.waited_for, self.closed, self.connections, self.until = True, False, 1, None
+        self.has_waiting_clients, self.closed, self.connections, self.answer_by = True, False, 1, None
 
     def stop_listening(self):
         self.closed = True
@@ -212,14 +213,14 @@
     loop = asyncio.new_event_loop()
     program = Program(config, loop, lambda: 1e6)
     full, other = Port(), Port()
-    other.waited_for = False
+    other.has_waiting_clients = False
     shutdown = program.shutdown
     shutdown._listeners = [full, other]
     shutdown._ending = ending
     shutdown.close_listeners(5.0)
-    assert full.until == other.until == 5.0, "what comes from now on is answered by then"
+    assert full.answer_by == other.answer_by == 5.0, "what comes from now on is answered by then"
     assert full.closed == other.closed == ending
-    full.waited_for = False
+    full.has_waiting_clients = False
     shutdown.close_listeners(5.0)
     assert full.closed and other.closed
     loop.close()
@@ -228,11 +229,11 @@
 def test_a_full_house_with_somebody_at_the_port_is_waited_for():
     house = House(KEPT, most=1)
     phone = served(house)
-    assert not house.listener.waited_for, "nobody is there"
+    assert not house.listener.has_waiting_clients, "nobody is there"
     house.listener._socket.waiting.append(None)
-    assert house.listener.waited_for
+    assert house.listener.has_waiting_clients
     phone.sock.close()
     house.turn()
-    assert not house.listener.waited_for, "there is room"
+    assert not house.listener.has_waiting_clients, "there is room"
     house.listener._socket.waiting.clear()
     house.close()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -6,7 +6,7 @@
 
 from eiderfield.interface import State
 from eiderfield.net.backoff import DIAL
-from eiderfield.net.clients import YOUNG
+from eiderfield.net.clients.connection import EVICTION_GRACE
 from eiderfield.net.console import WAIT
 from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.discovery.watch import SILENCE
@@ -101,7 +101,7 @@
     hanging = [Client(console.desk, console.listener) for _ in range(CALLERS)]
     for caller in hanging:
         caller.send(b"GET /-/re")
-    console.desk.advance(YOUNG)
+    console.desk.advance(EVICTION_GRACE)
     assert console.listener.make_room() and console.call("/-/ready")[0] == 200
     console.desk.advance(WAIT + 2 * TICK)
     assert all(not caller.pipe.open or caller.pipe.ended for caller in hanging)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,7 +13,7 @@
 from support.memory_dispatcher import Desk
 
 from eiderfield.interface import Outcome
-from eiderfield.net.clients import AT_ONCE
+from eiderfield.net.clients.listener import ACCEPTED_PER_TURN
 from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept, cause_of_dial, cause_of_loss
 from eiderfield.net.link import Ear, Link
 from eiderfield.net.selector import RetryingSelector, new_event_loop
@@ -176,14 +176,16 @@
         for tries in range(1, 6):
             port.turn(40)
             assert failing.calls[Call.ACCEPT] == tries, "it spins"
-            assert port.listener.waited_for, "a port that closes now would reset the client"
+            assert port.listener.has_waiting_clients, "a port that closes now would reset the client"
             port.desk.advance(RETRY_MS + TICK)
         port.turn()
-        assert port.listener.connections == 1 and not port.listener.waited_for
+        assert port.listener.connections == 1 and not port.listener.has_waiting_clients
 
 
 def test_accepts_that_fail_for_their_connections_do_not_hold_up_those_behind(port, monkeypatch):
-    with failing_calls(monkeypatch, Failure(Call.ACCEPT, 1, errno.EPERM, count=AT_ONCE - 1)) as failing:
+    with failing_calls(
+        monkeypatch, Failure(Call.ACCEPT, 1, errno.EPERM, count=ACCEPTED_PER_TURN - 1)
+    ) as failing:
         failing.start()
         port.turn()
         assert port.listener.connections == 1
@@ -193,7 +195,7 @@
     with failing_calls(monkeypatch, Failure(Call.ACCEPT, 1, errno.EPERM, count=10**6)) as failing:
         failing.start()
         port.turn(40)
-        assert failing.calls[Call.ACCEPT] == AT_ONCE
+        assert failing.calls[Call.ACCEPT] == ACCEPTED_PER_TURN
         failing.failure = None
         port.desk.advance(RETRY_MS + TICK)
         port.turn()
--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -1,4 +1,4 @@
-"""The governor, against plain counts."""
+"""Admission control, against plain counts."""
 
 from collections import Counter
 from dataclasses import replace
@@ -8,18 +8,26 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from eiderfield.crowd.governor import FORGET_AT, LEAST, Governor, Limit, Reason, Refusal, key_of
-from eiderfield.crowd.settings import Admission, Marks, Pace, Quota
+from eiderfield.connections.admission import (
+    FORGET_THRESHOLD,
+    LEAST_CAPACITY,
+    AdmissionControl,
+    Limit,
+    Reason,
+    Rejection,
+    key_of,
+)
+from eiderfield.connections.settings import Admission, Marks, Pace, Quota
 
-HOUSE = 100
+CAPACITY = 100
 
 
-def governor(most=HOUSE, **more):
-    return Governor(Admission(**more), most)
+def control_of(most=CAPACITY, **more):
+    return AdmissionControl(Admission(**more), most)
 
 
 def reason(come):
-    return come.reason if isinstance(come, Refusal) else None
+    return come.reason if isinstance(come, Rejection) else None
 
 
 def test_an_address_and_a_prefix_are_what_the_field_takes_them_for():
@@ -38,126 +46,126 @@
 
 
 def test_one_address_with_thousands_leaves_the_others_their_room():
-    house = governor(address=Quota(held=10), prefix=Quota(held=25))
-    taken = [house.comes("192.0.2.1", 0.0) for _ in range(10_000)]
+    control = control_of(address=Quota(held=10), prefix=Quota(held=25))
+    taken = [control.admit("192.0.2.1", 0.0) for _ in range(10_000)]
     assert sum(isinstance(come, int) for come in taken) == 10
     assert {reason(come) for come in taken[10:]} == {Reason.ADDRESS_HELD}
-    neighbours = [house.comes(f"192.0.2.{n}", 0.0) for n in range(2, 30)]
+    neighbours = [control.admit(f"192.0.2.{n}", 0.0) for n in range(2, 30)]
     assert Counter(map(reason, neighbours)) == {None: 15, Reason.PREFIX_HELD: 13}
-    assert isinstance(house.comes("198.51.100.1", 0.0), int)
-    assert house.figures()["address_held"] == 9990
+    assert isinstance(control.admit("198.51.100.1", 0.0), int)
+    assert control.figures()["address_held"] == 9990
 
 
 def test_who_comes_too_fast_is_closed_without_a_word_and_may_come_later():
-    house = governor(address=Quota(rate=2.0, burst=3.0))
-    come = [house.comes("192.0.2.1", 0.0) for _ in range(5)]
+    control = control_of(address=Quota(rate=2.0, burst=3.0))
+    come = [control.admit("192.0.2.1", 0.0) for _ in range(5)]
     assert [reason(c) for c in come] == [None, None, None, Reason.ADDRESS_RATE, Reason.ADDRESS_RATE]
     assert not come[-1].answer and come[-1].retry_after == 500.0
-    assert reason(house.comes("192.0.2.1", 499.0)) == Reason.ADDRESS_RATE
-    assert reason(house.comes("192.0.2.1", 500.0)) is None
-    came = [reason(house.comes("192.0.2.1", 60_000.0)) for _ in range(4)]
+    assert reason(control.admit("192.0.2.1", 499.0)) == Reason.ADDRESS_RATE
+    assert reason(control.admit("192.0.2.1", 500.0)) is None
+    came = [reason(control.admit("192.0.2.1", 60_000.0)) for _ in range(4)]
     assert came == [None] * 3 + [Reason.ADDRESS_RATE]
 
 
 def test_a_clock_that_runs_backwards_fills_no_bucket_and_empties_none():
-    house = governor(address=Quota(rate=1.0, burst=1.0))
-    assert reason(house.comes("192.0.2.1", 10_000.0)) is None
-    assert reason(house.comes("192.0.2.1", 5000.0)) == Reason.ADDRESS_RATE
-    assert reason(house.comes("192.0.2.1", 11_000.0)) is None
+    control = control_of(address=Quota(rate=1.0, burst=1.0))
+    assert reason(control.admit("192.0.2.1", 10_000.0)) is None
+    assert reason(control.admit("192.0.2.1", 5000.0)) == Reason.ADDRESS_RATE
+    assert reason(control.admit("192.0.2.1", 11_000.0)) is None
 
 
 def test_half_sent_messages_are_counted_by_source_and_given_back():
-    house = governor(address=Quota(begun=2), prefix=Quota(begun=3))
-    tickets = [house.comes(f"192.0.2.{last}", 0.0) for last in (1, 1, 1, 2, 2)]
-    assert [reason(house.begins(t)) for t in tickets] == [
+    control = control_of(address=Quota(begun=2), prefix=Quota(begun=3))
+    tickets = [control.admit(f"192.0.2.{last}", 0.0) for last in (1, 1, 1, 2, 2)]
+    assert [reason(control.begin_message(t)) for t in tickets] == [
         None, None, Reason.ADDRESS_BEGUN, None, Reason.PREFIX_BEGUN,
     ]  # fmt: skip
-    house.ends(tickets[0])
-    assert house.begins(tickets[2]) is None
+    control.end_message(tickets[0])
+    assert control.begin_message(tickets[2]) is None
 
 
 def test_a_drip_extends_nothing_and_a_body_that_flows_gets_the_time_of_the_whole():
     pace = Pace(whole=2800.0, head=1000.0, body_rate=1000.0, body_grace=200.0, head_crowded=300.0)
-    house = governor(pace=pace)
-    assert house.head_until(50.0) == Limit(1050.0, Reason.SLOW_HEAD)
-    assert house.body_until(0.0, 500.0, 0) == Limit(700.0, Reason.SLOW_BODY)
-    assert house.body_until(0.0, 500.0, 1000).at == 1700.0
-    assert house.body_until(0.0, 500.0, 10**9).at == 2800.0
-    house.tell(0.0, HOUSE, 0.0)
-    assert house.head_until(50.0).at == 350.0
-    house.late(house.head_until(50.0))
-    assert house.figures()["slow_head"] == 1
+    control = control_of(pace=pace)
+    assert control.head_limit(50.0) == Limit(1050.0, Reason.SLOW_HEAD)
+    assert control.body_limit(0.0, 500.0, 0) == Limit(700.0, Reason.SLOW_BODY)
+    assert control.body_limit(0.0, 500.0, 1000).at == 1700.0
+    assert control.body_limit(0.0, 500.0, 10**9).at == 2800.0
+    control.update_usage(0.0, CAPACITY, 0.0)
+    assert control.head_limit(50.0).at == 350.0
+    control.count_slow_message(control.head_limit(50.0))
+    assert control.figures()["slow_head"] == 1
 
 
 def test_a_crowd_at_the_marks_does_not_make_the_house_flap():
-    house = governor(descriptors=Marks(0.9, 0.7), hold=1000.0, keep_crowded=5000.0)
+    control = control_of(descriptors=Marks(0.9, 0.7), hold=1000.0, keep_crowded=5000.0)
     told = []
     for step in range(200):  # a crowd that swings between 85 and 95 every 50 ms
-        house.tell(step * 50.0, 95 if step % 2 else 85, 0.0)
-        told.append(house.crowded)
-    assert told[0] is False and all(told[1:]) and house.keep(60_000.0) == 5000.0
-    house.tell(10_400.0, 60, 0.0)
-    assert house.crowded, "it has been crowded for less than its time"
-    house.tell(11_000.0, 60, 0.0)
-    assert not house.crowded and house.keep(60_000.0) == 60_000.0
+        control.update_usage(step * 50.0, 95 if step % 2 else 85, 0.0)
+        told.append(control.overloaded)
+    assert told[0] is False and all(told[1:]) and control.idle_limit(60_000.0) == 5000.0
+    control.update_usage(10_400.0, 60, 0.0)
+    assert control.overloaded, "it has been crowded for less than its time"
+    control.update_usage(11_000.0, 60, 0.0)
+    assert not control.overloaded and control.idle_limit(60_000.0) == 60_000.0
 
 
 def test_in_a_crowded_house_one_address_has_a_share_and_no_more():
-    house = governor(crowded_share=0.1)
+    control = control_of(crowded_share=0.1)
     for _ in range(40):
-        assert isinstance(house.comes("192.0.2.1", 0.0), int)
-    house.tell(0.0, 96, 0.0)
-    assert reason(house.comes("192.0.2.1", 0.0)) == Reason.CROWDED_SHARE
-    assert isinstance(house.comes("192.0.2.2", 0.0), int)
+        assert isinstance(control.admit("192.0.2.1", 0.0), int)
+    control.update_usage(0.0, 96, 0.0)
+    assert reason(control.admit("192.0.2.1", 0.0)) == Reason.CROWDED_SHARE
+    assert isinstance(control.admit("192.0.2.2", 0.0), int)
 
 
 def test_short_memory_makes_the_house_as_large_as_what_it_holds_and_no_smaller_later():
     """Refusing all until memory came back would refuse them for ever: what was taken may stay taken."""
-    house = governor(hold=0.0)
-    house.tell(0.0, 60, 0.96)
-    assert house.house == 60 and house.crowded
-    house.tell(1.0, 20, 0.96)  # at night most leave
-    assert house.house == 60
-    house.tell(2.0, 20, 0.90)
-    assert house.house == 60
-    house.tell(3.0, 20, 0.84)
-    assert house.house == HOUSE
-    house.tell(4.0, 3, 0.99)
-    assert house.house == LEAST
-    small = governor(most=4)
-    small.tell(0.0, 1, 0.99)
-    assert small.house == 4
+    control = control_of(hold=0.0)
+    control.update_usage(0.0, 60, 0.96)
+    assert control.capacity == 60 and control.overloaded
+    control.update_usage(1.0, 20, 0.96)  # at night most leave
+    assert control.capacity == 60
+    control.update_usage(2.0, 20, 0.90)
+    assert control.capacity == 60
+    control.update_usage(3.0, 20, 0.84)
+    assert control.capacity == CAPACITY
+    control.update_usage(4.0, 3, 0.99)
+    assert control.capacity == LEAST_CAPACITY
+    small = control_of(most=4)
+    small.update_usage(0.0, 1, 0.99)
+    assert small.capacity == 4
 
 
 def test_entries_that_hold_nothing_are_forgotten_and_those_that_owe_are_not():
-    house = governor(address=Quota(rate=0.001, burst=1.0))
-    assert reason(house.comes("192.0.2.1", 0.0)) is None
-    for number in range(5 * FORGET_AT):
-        house.goes(house.joins(f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 0.0))
-    assert house.figures()["addresses"] < 3 * FORGET_AT
-    assert reason(house.comes("192.0.2.1", 1.0)) == Reason.ADDRESS_RATE, "its bucket is not full yet"
+    control = control_of(address=Quota(rate=0.001, burst=1.0))
+    assert reason(control.admit("192.0.2.1", 0.0)) is None
+    for number in range(5 * FORGET_THRESHOLD):
+        control.release(control.register(f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 0.0))
+    assert control.figures()["addresses"] < 3 * FORGET_THRESHOLD
+    assert reason(control.admit("192.0.2.1", 1.0)) == Reason.ADDRESS_RATE, "its bucket is not full yet"
 
 
 def test_prefixes_of_another_length_are_counted_anew():
-    house = governor(prefix=Quota(held=3))
+    control = control_of(prefix=Quota(held=3))
     for last in (1, 2, 3):
-        assert isinstance(house.comes(f"192.0.2.{last}", 0.0), int)
+        assert isinstance(control.admit(f"192.0.2.{last}", 0.0), int)
     for last in (1, 2):
-        assert isinstance(house.comes(f"2001:db8:{last}::1", 0.0), int)
-    assert reason(house.comes("192.0.2.4", 0.0)) == Reason.PREFIX_HELD
-    house.change(replace(house.admission, prefix_v4=30, prefix_v6=32))
-    assert reason(house.comes("192.0.2.4", 0.0)) is None
-    assert reason(house.comes("192.0.2.2", 0.0)) == Reason.PREFIX_HELD
-    assert reason(house.comes("2001:db8:9::1", 0.0)) is None
-    assert reason(house.comes("2001:db8:8::1", 0.0)) == Reason.PREFIX_HELD
+        assert isinstance(control.admit(f"2001:db8:{last}::1", 0.0), int)
+    assert reason(control.admit("192.0.2.4", 0.0)) == Reason.PREFIX_HELD
+    control.reconfigure(replace(control.admission, prefix_v4=30, prefix_v6=32))
+    assert reason(control.admit("192.0.2.4", 0.0)) is None
+    assert reason(control.admit("192.0.2.2", 0.0)) == Reason.PREFIX_HELD
+    assert reason(control.admit("2001:db8:9::1", 0.0)) is None
+    assert reason(control.admit("2001:db8:8::1", 0.0)) == Reason.PREFIX_HELD
 
 
 ADDRESSES = ["192.0.2.1", "192.0.2.2", "192.0.3.1", "2001:db8::1", "2001:db8:0:1::1", "2001:db9::1"]
 STEP = st.one_of(
-    st.tuples(st.just("comes"), st.sampled_from(ADDRESSES)),
-    st.tuples(st.just("joins"), st.sampled_from(ADDRESSES)),
-    st.tuples(st.sampled_from(["goes", "begins", "ends"]), st.integers(0, 30)),
-    st.tuples(st.just("change"), st.sampled_from([(24, 48), (16, 32), (32, 64)])),
+    st.tuples(st.just("admit"), st.sampled_from(ADDRESSES)),
+    st.tuples(st.just("register"), st.sampled_from(ADDRESSES)),
+    st.tuples(st.sampled_from(["release", "begin", "end"]), st.integers(0, 30)),
+    st.tuples(st.just("reconfigure"), st.sampled_from([(24, 48), (16, 32), (32, 64)])),
     st.tuples(st.just("wait"), st.sampled_from([1.0, 400.0, 10_000.0])),
 )
 
@@ -166,32 +174,32 @@
 @given(st.lists(STEP, max_size=80))
 def test_its_counts_are_those_of_what_is_there(steps):
     quota = Admission(Quota(3, 2, 5.0, 4.0), Quota(5, 3, 50.0, 20.0))
-    house, now, there, begun = Governor(quota, HOUSE), 0.0, [], []
+    control, now, there, begun = AdmissionControl(quota, CAPACITY), 0.0, [], []
     prefixes = (24, 48)
 
     def count(those, which, key):
         return sum(key_of(address, *prefixes)[which] == key for _, address in those)
 
     for what, value in steps:
-        if what in ("comes", "joins"):
+        if what in ("admit", "register"):
             keys = key_of(value, *prefixes)
-            come = getattr(house, what)(value, now)
+            come = getattr(control, what)(value, now)
             if reason(come) in (Reason.ADDRESS_HELD, Reason.PREFIX_HELD):
                 which = reason(come) == Reason.PREFIX_HELD
                 assert count(there, which, keys[which]) >= (quota.address, quota.prefix)[which].held
             elif isinstance(come, int):
-                assert what == "joins" or all(
+                assert what == "register" or all(
                     count(there, which, keys[which]) < (quota.address, quota.prefix)[which].held
                     for which in (0, 1)
                 )
                 there.append((come, value))
-        elif what == "goes" and there:
+        elif what == "release" and there:
             one = there.pop(value % len(there))
             if one in begun and begun.count(one) > there.count(one):
                 begun.remove(one)
-                house.ends(one[0])
-            house.goes(one[0])
-        elif what == "begins" and there:
+                control.end_message(one[0])
+            control.release(one[0])
+        elif what == "begin" and there:
             one = there[value % len(there)]
             if begun.count(one) >= there.count(one):
                 continue
@@ -199,23 +207,27 @@
                 count(begun, which, key) >= (quota.address, quota.prefix)[which].begun
                 for which, key in enumerate(key_of(one[1], *prefixes))
             ]
-            refusal = house.begins(one[0])
+            refusal = control.begin_message(one[0])
             assert (refusal is not None) == any(refused)
             if refusal is None:
                 begun.append(one)
-        elif what == "ends" and begun:
-            house.ends(begun.pop(value % len(begun))[0])
-        elif what == "change":
+        elif what == "end" and begun:
+            control.end_message(begun.pop(value % len(begun))[0])
+        elif what == "reconfigure":
             prefixes = value
-            house.change(replace(quota, prefix_v4=value[0], prefix_v6=value[1]))
+            control.reconfigure(replace(quota, prefix_v4=value[0], prefix_v6=value[1]))
         elif what == "wait":
             now += value
-        assert sum(house._addresses.held) == sum(house._prefixes.held) == len(there)
-        assert sum(house._addresses.begun) == sum(house._prefixes.begun) == len(begun)
-        assert house._addresses.empty == sum(not house._addresses.held[e] for e in house._addresses.keys)
+        assert sum(control._addresses.held) == sum(control._prefixes.held) == len(there)
+        assert sum(control._addresses.begun) == sum(control._prefixes.begun) == len(begun)
+        assert control._addresses.empty == sum(
+            not control._addresses.held[e] for e in control._addresses.keys
+        )
 
 
 def test_without_limits_everybody_comes():
-    house = governor()
-    assert all(isinstance(house.comes("192.0.2.1", 0.0), int) for _ in range(5000))
-    assert house.begins(house.joins("192.0.2.1", 0.0)) is None and house.keep(inf) == inf
+    control = control_of()
+    assert all(isinstance(control.admit("192.0.2.1", 0.0), int) for _ in range(5000))
+    assert (
+        control.begin_message(control.register("192.0.2.1", 0.0)) is None and control.idle_limit(inf) == inf
+    )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,7 +20,7 @@
 from eiderfield.idmap import IdMap
 from eiderfield.interface import State, pack_counts, unpack_counts
 from eiderfield.lab.ports import free_port
-from eiderfield.net.clients import AT_ONCE
+from eiderfield.net.clients.listener import ACCEPTED_PER_TURN
 from eiderfield.net.handover.new_process import PATIENCE, PATIENCE_DELAYED
 from eiderfield.net.link import Ear, reach
 
@@ -135,7 +135,7 @@
 def test_connections_are_counted_and_shared_out_together(pair):
     kept = [Client(pair.old.desk) for _ in range(5)]
     pair.go()
-    assert pair.new.desk.listener.beside == len(kept)
+    assert pair.new.desk.listener.held_by_other_process == len(kept)
     pair.new.desk.listener._most = len(kept)
     assert not pair.new.desk.listener.make_room()
     assert (
@@ -158,7 +158,10 @@
     pair.part(1)
     old = pair.old.desk
     assert pair.old.takes() and not pair.old.handover.handed_over and not old.exchange.holds("r")
-    assert old.side._max_connections == old.side._configured_connections and old.listener.beside == 0
+    assert (
+        old.side._max_connections == old.side._configured_connections
+        and old.listener.held_by_other_process == 0
+    )
     assert bool(heard) == (when == "when all is given")
     old.settle()
     assert not any(worker.beside for worker in old.exchange._module._workers.values())
@@ -169,7 +172,7 @@
     pair.go()
     pair.part(0)
     new = pair.new.desk
-    assert pair.new.takes() and not new.exchange.holds("r") and new.listener.beside == 0
+    assert pair.new.takes() and not new.exchange.holds("r") and new.listener.held_by_other_process == 0
     assert new.side._max_connections == new.side._configured_connections
 
 
@@ -185,14 +188,14 @@
         message = post("r1")
         client.send(message[:cut])
         if cut == -1:
-            assert client.connection.let_go() is None, "its head is whole: this process takes the job"
+            assert client.connection.detach() is None, "its head is whole: this process takes the job"
             return
-        fd, given_away = client.connection.let_go()
+        fd, given_away = client.connection.detach()
         with socket.socket(fileno=fd) as copy:
             assert not client.pipe.open and not old.listener.connections and given_away.begun == message[:cut]
             there.sendall(b"x")
             assert copy.recv(1) == b"x", "the connection itself is open"
-        heir = Client(new, given=given_away)
+        heir = Client(new, handover=given_away)
         heir.send(message[cut:])
         assert heir.connection.proven and heir.answers()[0][0] == 404, "it is one message"
 
@@ -200,7 +203,7 @@
 def test_what_owes_an_answer_is_not_given_away():
     desk = Desk()
     client = desk.client()
-    assert client.connection.let_go() is None and client.pipe.open
+    assert client.connection.detach() is None and client.pipe.open
 
 
 def test_a_process_that_says_nothing_is_not_waited_for(pair):
@@ -238,11 +241,11 @@
 def test_connections_pass_on_a_few_at_a_time():
     """All at once, each would hold a descriptor in both processes, more than the two may have."""
     desk = Desk(most=64)
-    clients = [Client(desk) for _ in range(AT_ONCE + 5)]
-    desk.listener.heir = lambda let_go: let_go.__self__.abort() is None
-    desk.listener.pass_some()
+    clients = [Client(desk) for _ in range(ACCEPTED_PER_TURN + 5)]
+    desk.listener.successor = lambda let_go: let_go.__self__.abort() is None
+    desk.listener.hand_over_some()
     assert sum(client.pipe.open for client in clients) == 5
-    desk.listener.pass_some()
+    desk.listener.hand_over_some()
     assert not desk.listener.connections
 
 
@@ -297,7 +300,7 @@
         assert wire.sent[1][0]["is"] == "taken" and wire.sent[1][0]["doors"] == [LISTEN]
         wire.receive(FirstForm.YOURS, [])
     assert new.done and new.takes() and wire.open and not [line for line in new.desk.logged if "read" in line]
-    assert new.desk.listener.beside == 3 and new.desk.exchange.holds("held")
+    assert new.desk.listener.held_by_other_process == 3 and new.desk.exchange.holds("held")
     assert state(new, 1) == State.READY and new.desk.table.bans.since == {"w2": 5.0}
     new.desk.listener._socket.close()
 
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -12,7 +12,7 @@
 from support.handover import LISTEN, Wire
 from support.real_sockets import IDLING, House, Phone, message, play
 
-from eiderfield.net.clients import Given
+from eiderfield.net.clients import ConnectionHandover
 from eiderfield.net.handover import Handover
 from eiderfield.net.handover.old_process import BATCH
 
@@ -31,7 +31,9 @@
         self.old.listener._socket.setblocking(False)
         self.new.listener._socket.close()
         self.new.listener._socket = None
-        self.phones = [Phone(self.old, given=Given(True, self.old.desk.now)) for _ in range(count)]
+        self.phones = [
+            Phone(self.old, handover=ConnectionHandover(True, self.old.desk.now)) for _ in range(count)
+        ]
         self.old.pass_time(IDLING.park_after + 10.0)
         assert self.old.listener.parked == count
         self.new.desk.now = self.old.desk.now
@@ -71,7 +73,7 @@
         """The new process (1) or the old one (0) dies: the kernel closes what it alone holds."""
         dead = self.houses[which]
         self.wires[which].close()
-        dead.listener.departs = lambda keys: None
+        dead.listener.parking.on_departure = lambda keys: None
         for connection in list(dead.listener._connections):
             connection.abort()
         dead.listener.close()
@@ -156,7 +158,7 @@
     assert removal.new.listener.parked == len(removal.phones)
     for number, phone in enumerate(removal.phones[:5]):
         assert asked(removal, phone, f"r{number}") == [200]
-    assert not removal.new.listener._lot.departed, "there is nobody to tell any more"
+    assert not removal.new.listener.parking._idle.unreported, "there is nobody to tell any more"
 
 
 def test_what_the_new_process_closes_is_over_for_its_client_though_there_was_a_copy(removal):
@@ -187,7 +189,7 @@
 def test_a_new_process_that_parks_nobody_takes_them_as_they_are():
     """It has the only descriptor of each: refused, they would be closed."""
     removal = Removal(30, IDLING)
-    removal.new.listener._lot = None
+    removal.new.listener.parking._idle = None
     removal.new.listener.idling = replace(IDLING, park_after=inf)
     removal.go()
     assert removal.new.listener.connections == 30 and removal.new.listener.parked == 0
@@ -202,7 +204,9 @@
     for idling, there in ((IDLING, 30), (COPIES, 0)):
         removal = Removal(30, idling)
         with monkeypatch.context() as patched:
-            patched.setattr(removal.new.listener._lot, "park", partial(full, removal.new.listener._lot))
+            patched.setattr(
+                removal.new.listener.parking._idle, "park", partial(full, removal.new.listener.parking._idle)
+            )
             removal.go()
         assert removal.new.listener.connections == there and removal.old.listener.connections == 30 - there
         assert all(phone.open for phone in removal.phones)
@@ -227,7 +231,7 @@
 
 
 def test_what_is_parked_later_follows(removal):
-    late = Phone(removal.old, given=Given(True, removal.old.desk.now))
+    late = Phone(removal.old, handover=ConnectionHandover(True, removal.old.desk.now))
     removal.go()
     assert removal.old.listener.connections == 1
     removal.old.pass_time(IDLING.park_after + 10.0)
@@ -296,8 +300,8 @@
         assert len(gone) <= lost
         for number in gone:
             self.sent.pop(number, None)
-            given = Given(True, self.removal.old.desk.now)
-            self.removal.phones[number] = Phone(self.removal.old, given=given)
+            handover = ConnectionHandover(True, self.removal.old.desk.now)
+            self.removal.phones[number] = Phone(self.removal.old, handover=handover)
             assert self.removal.phones[number].ask(f"again{number}") == [200]
 
     def teardown(self):
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -9,7 +9,7 @@
 from support.handover import LISTEN, Side, Wire
 from support.memory_dispatcher import Desk
 
-from eiderfield.net.clients import Given
+from eiderfield.net.clients import ConnectionHandover
 from eiderfield.net.clock import WallClock
 from eiderfield.net.handover import messages as m
 from eiderfield.net.handover.codec import Codec
@@ -118,6 +118,18 @@
     module.take_over = lambda handover, link, finished: handover.take_over(link, finished)
     module.pass_connection = lambda handover, let_go: handover._old._pass_connection(LISTEN, let_go)
     module.tell_departed = lambda handover, keys: handover._new._tell_departed(LISTEN, keys)
+    accept_all, park = module.accept_all, module.park
+
+    def accept_by_present_names(side, room):
+        accept_all(side, room)
+        listener = side.desk.listener
+        listener.parking.borrow, listener.adopt_connection = listener.borrow, listener.admit
+
+    def park_by_present_names(side, copies):
+        park(side, copies)
+        side.desk.listener.parking.lend = side.desk.listener.lend
+
+    module.accept_all, module.park = accept_by_present_names, park_by_present_names
     return module
 
 
@@ -127,7 +139,7 @@
     folder = tmp_path_factory.mktemp("handover")
     module = recorder_module()
     module.Program.Side = partial(Side, start=START)
-    module.Program.Wire, module.Program.Given = Wire, Given
+    module.Program.Wire, module.Program.Given = Wire, ConnectionHandover
     for copies in (False, True):
         module.play(folder, copies)
     return {path.stem: json.loads(path.read_text()) for path in folder.glob("*.json")}
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -6,17 +6,10 @@
 import pytest
 from support.memory_dispatcher import SITE, Client, Desk, Pipe
 
-from eiderfield.crowd.settings import KEEP
-from eiderfield.net.clients import (
-    AGAIN,
-    AT_ONCE,
-    LINGER,
-    LINGER_BYTES,
-    WHOLE,
-    YOUNG,
-    ClientConnection,
-    Phase,
-)  # fmt: skip
+from eiderfield.connections.settings import KEEP, WHOLE
+from eiderfield.net.clients import ClientConnection, Phase
+from eiderfield.net.clients.connection import EVICTION_GRACE, LINGER_BYTES, LINGER_TIME
+from eiderfield.net.clients.listener import ACCEPT_RETRY, ACCEPTED_PER_TURN
 from eiderfield.net.wheel import TICK, Wheel
 
 OWED = 3000.0  # ms from connecting within which a rude client must have an error or a close
@@ -65,7 +58,7 @@
     client = Client(desk)
     client.send(b"POST /none HTTP/1.1\r\n\r\nPOST /safe/a HTTP/1.1\r\nX-Request-Id: r1\r\n\r\n")
     assert [status for status, *_ in client.answers()] == [404] and not desk.dials
-    desk.advance(LINGER + TICK)
+    desk.advance(LINGER_TIME + TICK)
     assert not client.pipe.open
 
 
@@ -78,7 +71,7 @@
     assert not client.pipe.paused
     client.send(b"x" * 2000)
     assert client.pipe.paused
-    desk.advance(LINGER + TICK)
+    desk.advance(LINGER_TIME + TICK)
     assert not client.pipe.open
 
 
@@ -168,7 +161,7 @@
     client.send(b"GET /ready HTTP/1.1\r\n\r\n")
     client.connection.close()
     assert client.pipe.open
-    desk.advance(LINGER + TICK)
+    desk.advance(LINGER_TIME + TICK)
     assert not client.pipe.open
 
 
@@ -176,7 +169,7 @@
     """Its descriptor leaked, until none was left and accepting failed on and on."""
     desk = Desk(most=1)
     connection = ClientConnection(desk.listener)
-    desk.listener.join(connection)
+    desk.listener.add(connection)
     assert desk.listener.make_room() and connection.phase == Phase.CLOSED
 
     pipe = Pipe(connection)
@@ -190,7 +183,7 @@
     silent, half = Client(desk), Client(desk)
     half.send(b"POST /safe")
     assert desk.listener.make_room() and not silent.pipe.open and usual.pipe.open
-    desk.advance(YOUNG)
+    desk.advance(EVICTION_GRACE)
     busy = desk.client(id_="r7")
     assert desk.listener.make_room() and not half.pipe.open and usual.pipe.open
     Client(desk).post(id_="r8")
@@ -246,17 +239,17 @@
     desk.listener._loop, desk.listener._socket = loop, listener = Loop(), Port(fault=errno.EMFILE)
     desk.listener._accept()
     assert listener.asked == 1 and not loop.reading
-    desk.advance(AGAIN + TICK)
+    desk.advance(ACCEPT_RETRY + TICK)
     assert loop.reading
 
 
 def test_a_burst_of_connections_is_taken_in_turns_and_a_full_house_waits():
-    desk = Desk(most=AT_ONCE + 2)
+    desk = Desk(most=ACCEPTED_PER_TURN + 2)
     desk.listener._loop, desk.listener._socket = loop, _ = Loop(), Port(waiting=500)
-    desk.listener._knocking = lambda: True
+    desk.listener._client_waits_in_backlog = lambda: True
     busy = [desk.client(id_=f"r{n}") for n in range(2)]
     desk.listener._accept()
-    assert len(loop.tasks) == AT_ONCE and loop.reading
+    assert len(loop.tasks) == ACCEPTED_PER_TURN and loop.reading
     desk.listener._most = 2
     for connection in list(desk.listener._unproven):
         connection.abort()
@@ -283,7 +276,7 @@
     slow, stopped = Client(desk), Client(desk)
     for client in (slow, stopped):
         client.send(b"POST /sa")
-    desk.advance(YOUNG)
+    desk.advance(EVICTION_GRACE)
     slow.send(b"fe/a HTTP/1.1\r\n")
     assert desk.listener.make_room()
     assert slow.pipe.open and not stopped.pipe.open
@@ -291,6 +284,6 @@
     other.send(b"POST")
     assert not desk.listener.make_room(), "what has just come in is not given up for want of room"
     assert slow.pipe.open and other.pipe.open
-    desk.advance(WHOLE - YOUNG - 100.0)
+    desk.advance(WHOLE - EVICTION_GRACE - 100.0)
     slow.send(b"X-Request-Id: r1\r\n\r\n")
     assert desk.dials, "a job may take that long to come in"
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -16,9 +16,9 @@
 )
 from support.real_sockets import IDLING, LEAST_KEEP, House, Phone, message, play
 
-from eiderfield.crowd.lot import END_AT_ONCE, WAKE_AT_ONCE, Lot
-from eiderfield.crowd.settings import Idling
-from eiderfield.net.clients import WHOLE, ClientConnection, Given
+from eiderfield.connections.idle_connections import EXPIRED_PER_PASS, WOKEN_PER_POLL, IdleConnections
+from eiderfield.connections.settings import WHOLE, Idling
+from eiderfield.net.clients import ClientConnection, ConnectionHandover
 from eiderfield.net.wheel import TICK
 
 
@@ -67,11 +67,11 @@
     assert phone.ask("r1") == [200]
     [connection] = house.listener._connections
     phone.send(message("r2"))  # unread, and the timer comes first
-    assert not connection.quiet
-    connection._late()
+    assert not connection.is_idle
+    connection._time_is_up()
     assert not house.listener.parked, "something has come: it stays"
-    real, connection.__class__ = connection.__class__, type("Deaf", (ClientConnection,), {"quiet": True})
-    connection._late()  # the same between the look for unread bytes and the parking
+    real, connection.__class__ = connection.__class__, type("Deaf", (ClientConnection,), {"is_idle": True})
+    connection._time_is_up()  # the same between the look for unread bytes and the parking
     connection.__class__ = real
     assert house.listener.parked == 1
     house.turn()
@@ -130,7 +130,7 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client = socket.create_connection(listener.getsockname())
         theirs, _ = listener.accept()
-    house.listener.admit(theirs, Given(True, house.desk.now))
+    house.listener.adopt_connection(theirs, ConnectionHandover(True, house.desk.now))
     house.turn()
     house.pass_time(IDLING.park_after + 2 * TICK)
     assert house.listener.parked == 1
@@ -147,32 +147,32 @@
     assert phone.ask("r1") == [200]
     [connection] = house.listener._connections
     connection._transport.write(b"x" * 4_000_000)
-    assert not house.listener.park(connection)
+    assert not house.listener.parking.park(connection)
     house.pass_time(IDLING.park_after * 3)
     assert not house.listener.parked and phone.open
 
 
 def test_thousands_that_end_in_one_second_end_a_few_in_each_tick():
     house = House(most=1000)
-    phones = house.parked(3 * END_AT_ONCE)
-    house.pass_time(house.listener._ending.tick * TICK - house.desk.now - 1.0)
+    phones = house.parked(3 * EXPIRED_PER_PASS)
+    house.pass_time(house.listener.parking._expiry.tick * TICK - house.desk.now - 1.0)
     left = []
     while house.listener.connections:
         house.desk.now += TICK
         house.desk.wheel.advance(house.desk.now)
         left.append(house.listener.connections)
-    assert left[0] >= 2 * END_AT_ONCE and len(left) <= 5
+    assert left[0] >= 2 * EXPIRED_PER_PASS and len(left) <= 5
     assert not any(phone.open for phone in phones)
     house.close()
 
 
 def test_thousands_that_wake_at_once_wake_a_few_in_each_turn():
     house = House(most=1000)
-    phones = house.parked(3 * WAKE_AT_ONCE)
+    phones = house.parked(3 * WOKEN_PER_POLL)
     for number, phone in enumerate(phones):
         phone.send(message(f"w{number}"))
     house.turn(1)
-    assert 2 * WAKE_AT_ONCE <= house.listener.parked < 3 * WAKE_AT_ONCE
+    assert 2 * WOKEN_PER_POLL <= house.listener.parked < 3 * WOKEN_PER_POLL
     house.turn(20)
     for _ in range(10):
         house.work()
@@ -184,10 +184,10 @@
 
 def test_a_new_idle_time_counts_for_those_that_are_parked(house):
     [phone] = house.parked()
-    house.listener.idle(replace(IDLING, keep=3000.0))
+    house.listener.set_idle_limits(replace(IDLING, keep=3000.0))
     house.pass_time(3100.0)
     assert not phone.open
-    house.listener.idle(replace(IDLING, keep=600_000.0))
+    house.listener.set_idle_limits(replace(IDLING, keep=600_000.0))
     [phone] = house.parked()
     house.pass_time(IDLING.keep * 2)
     assert phone.open
@@ -195,7 +195,7 @@
 
 def test_parking_switched_off_keeps_who_is_parked_and_parks_nobody_more(house):
     [phone] = house.parked()
-    house.listener.idle(replace(IDLING, park_after=inf))
+    house.listener.set_idle_limits(replace(IDLING, park_after=inf))
     assert phone.ask("r2") == [200]
     house.pass_time(IDLING.keep / 2)
     assert not house.listener.parked and phone.open
@@ -263,7 +263,7 @@
     def full(self, fd, since, mark=0):
         raise OSError(28, "no space left on device")
 
-    monkeypatch.setattr(Lot, "park", full)
+    monkeypatch.setattr(IdleConnections, "park", full)
     house.pass_time(IDLING.park_after * 5)
     house.turn()
     assert not house.listener.parked and phone.ask("r2") == [200]
@@ -272,14 +272,14 @@
 def test_at_the_end_the_quiet_are_closed_and_who_speaks_is_answered(house):
     quiet, speaks = house.parked(2)
     speaks.send(message("last"))
-    house.listener.leaving = True
-    house.listener.close_quiet()
+    house.listener.sending_away = True
+    house.listener.close_idle()
     assert not quiet.open and house.listener.connections == 1
     house.turn()
     house.work()
     assert speaks.statuses() == [200]
     house.turn()
-    house.listener.close_quiet()
+    house.listener.close_idle()
 
 
 def test_parked_connections_pass_on_to_the_next_process_with_what_has_come(house):
@@ -290,11 +290,11 @@
     def take(let_go):
         if (let := let_go()) is None:
             return False
-        heir.listener.admit(socket.socket(fileno=let[0]), let[1])
+        heir.listener.adopt_connection(socket.socket(fileno=let[0]), let[1])
         return True
 
-    house.listener.heir = take
-    house.listener.pass_some()
+    house.listener.successor = take
+    house.listener.hand_over_some()
     assert not house.listener.connections and heir.listener.connections == 2
     for phone, id_ in ((quiet, "q"), (speaks, None)):
         if id_ is not None:
@@ -314,11 +314,11 @@
     house.turn()
     [connection] = house.listener._connections
     house.desk.now += 30_000.0  # a desk that stood still
-    connection._from = house.desk.now - 100.0
-    fd, given = connection.let_go()
+    connection._limited_since = house.desk.now - 100.0
+    fd, handover = connection.detach()
     heir = House(loop=house.loop)
     heir.desk.now = house.desk.now
-    heir.listener.admit(socket.socket(fileno=fd), given)
+    heir.listener.adopt_connection(socket.socket(fileno=fd), handover)
     heir.turn()
     heir.pass_time(WHOLE - 200.0)
     assert phone.open and not phone.statuses()
@@ -386,7 +386,7 @@
 
     @rule(keep=st.sampled_from([LEAST_KEEP, 60_000.0, 600_000.0]), after=st.sampled_from([10.0, 1000.0, inf]))
     def reload(self, keep, after):
-        self.house.listener.idle(Idling(keep, after))
+        self.house.listener.set_idle_limits(Idling(keep, after))
 
     @rule()
     def answered(self):
@@ -416,8 +416,10 @@
     def counted(self):
         listener = self.house.listener
         assert listener.connections == len(listener._connections) + listener.parked
-        assert sum(self.house.governor._addresses.held) == listener.connections
-        assert sum(self.house.governor._addresses.begun) == sum(a._counted for a in listener._connections)
+        assert sum(self.house.admission._addresses.held) == listener.connections
+        assert sum(self.house.admission._addresses.begun) == sum(
+            a._message_counted for a in listener._connections
+        )
 
     def teardown(self):
         self.answered()
--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -24,9 +24,9 @@
 def epoll(*_):
     raise no
 socket.socket = Filtered
-import eiderfield.crowd.lot as lot
+import eiderfield.connections.idle_connections as idle_connections
 if "epoll" in refused:
-    lot.select = types.SimpleNamespace(**{**vars(select), "epoll": epoll})
+    idle_connections.select = types.SimpleNamespace(**{**vars(select), "epoll": epoll})
 from eiderfield.__main__ import main
 sys.exit(main())
 """
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -6,7 +6,7 @@
 from support.memory_dispatcher import Client, Desk
 
 from eiderfield.interface import Outcome, State
-from eiderfield.net.clients import AT_ONCE
+from eiderfield.net.clients.connection import MESSAGES_PER_TURN
 from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.discovery.watch import SILENCE
 from eiderfield.net.http import MAX_BODY
@@ -250,9 +250,9 @@
     desk = Desk()
     client = Client(desk)
     client.send(b"GET /ready HTTP/1.1\r\n\r\n" * 3000)
-    assert len(client.answers()) == AT_ONCE, "one client's flood must leave the others their turn"
+    assert len(client.answers()) == MESSAGES_PER_TURN, "one client's flood must leave the others their turn"
     desk.advance(2000.0)
-    assert len(client.answers()) == 3000 - AT_ONCE
+    assert len(client.answers()) == 3000 - MESSAGES_PER_TURN
 
 
 def test_a_message_that_never_ends_is_given_up():
@@ -267,8 +267,8 @@
     desk = Desk()
     idle, busy, begun = Client(desk), desk.client(), Client(desk)
     begun.send(b"POST /safe")
-    desk.listener.draining = desk.listener.leaving = True
-    desk.listener.close_quiet()
+    desk.listener.draining = desk.listener.sending_away = True
+    desk.listener.close_idle()
     assert (idle.pipe.open, busy.pipe.open, begun.pipe.open) == (False, True, True)
     desk.dials[0].up().finish()
     [(status, head, _)] = busy.answers()
@@ -284,7 +284,7 @@
     end.finish()
     [(status, head, _)] = client.answers()
     assert status == 200 and not head.get("connection")
-    desk.listener.until = desk.now + 500.0
+    desk.listener.answer_by = desk.now + 500.0
     client.post(id_="r2", wait=5000)
     end.take()
     assert not client.answers()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -124,7 +124,7 @@
 def test_the_process_reads_the_wall_clock_in_one_place_alone():
     """The rest of the dispatcher converts there, or has no business with Unix time."""
     package = Path(eiderfield.__file__).parent
-    parts = [package / name for name in ("net", "crowd", "policy")]
+    parts = [package / name for name in ("net", "connections", "policy")]
     files = [path for part in parts for path in part.rglob("*.py")]
     files += [path for path in package.glob("*.py") if path.name != "tool.py"]
     files += [
