--- a/eiderfield/connections/settings.py
+++ b/eiderfield/connections/settings.py
@@ -1,11 +1,11 @@
-"""What an operator sets about connections that clients hold. Times are in ms, shares from 0 to 1."""
+"""What an operator sets about client connections. Times are in ms, shares from 0 to 1."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from math import inf
 
-KEEP = 300_000.0  # that a connection may idle which has brought a request
+KEEP = 300_000.0  # for which a connection may idle that has brought a request
 PARK_AFTER = 5000.0  # of silence after which it is parked
 WHOLE = 2800.0  # that a client's message may take to come in: what never comes is owed an end within 3 s
 
@@ -42,12 +42,12 @@
     head: float = WHOLE  # until its head must be whole
     body_rate: float = 0.0  # least bytes a second of a body
     body_grace: float = 1000.0  # before that rate is asked for
-    head_crowded: float = WHOLE  # the time for a head while the house is crowded
+    head_crowded: float = WHOLE  # the time for a head while the listener is overloaded
 
 
 @dataclass(slots=True, frozen=True)
 class Marks:
-    """From which share of something a house is crowded, and below which it is so no more."""
+    """Watermarks: the share of a resource from which it is short, and below which it is short no more."""
 
     high: float
     low: float
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Admission:
-    """Who is let in, and how much of the house one source may have."""
+    """Who is admitted, and how many of the connections one source may have."""
 
     address: Quota = field(default_factory=Quota)
     prefix: Quota = field(default_factory=Quota)
@@ -63,8 +63,8 @@
     prefix_v6: int = 48
     descriptors: Marks = Marks(0.95, 0.85)
     memory: Marks = Marks(0.95, 0.85)
-    crowded_share: float = 1.0  # of the house that one address may have while it is crowded
-    keep_crowded: float = inf  # that a parked connection may idle meanwhile
-    hold: float = 2000.0  # for which a house stays crowded at least: it must not flap
-    retry_after: float = 1000.0  # that a refusal advises
+    crowded_share: float = 1.0  # of the capacity that one address may have while the listener is overloaded
+    keep_crowded: float = inf  # for which a parked connection may idle meanwhile
+    hold: float = 2000.0  # for which a listener stays overloaded at least: it must not flap
+    retry_after: float = 1000.0  # that a rejection advises
     pace: Pace = field(default_factory=Pace)
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -31,7 +31,7 @@
 from eiderfield.net.clients.connection import ClientConnection, ConnectionHandover, Detach, Phase
 from eiderfield.net.clients.front import Front
 from eiderfield.net.clients.parking import ConnectionParking
-from eiderfield.net.departures import Departures
+from eiderfield.net.departures import DepartureWatch
 from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept
 
 ACCEPTED_PER_TURN = 16  # connections accepted, or handed over, in a turn of the loop
@@ -73,7 +73,7 @@
         self.successor: Callable[[Detach], bool] | None = None
         self.held_by_other_process = 0
         self.passive = False  # whether another process accepts
-        self.departures: Departures | None = None  # of connections that are not read at present
+        self.departures: DepartureWatch | None = None  # of connections that are not read at present
         self.discarded = 0  # connections closed of whose input some was thrown away
         self.departed = 0  # clients that left while a request of theirs was in hand
         self._memory = memory
@@ -195,7 +195,7 @@
         self.idling = idling
         if self._loop is not None:
             if self.departures is None:
-                self.departures = Departures(self._loop)
+                self.departures = DepartureWatch(self._loop)
             if idling.park_after < inf:
                 self.parking.open(self._loop)
         self.parking.arm()
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -1,10 +1,10 @@
-"""The console: where operators ask how the dispatcher is and take workers out and back.
+"""The console: where operators read the dispatcher's state, and disable and enable workers.
 
     GET  /-/ready               200 once this process takes clients, 503 before and while it ends
     GET  /-/metrics             the figures, as JSON
     GET  /-/config              what this process runs with: its settings, their generation and digest, and
                                 those that it was given last and did not take, with the reason
-    POST /-/workers/ID/disable  leaves worker ID out until it is enabled
+    POST /-/workers/ID/disable  sends worker ID nothing until it is enabled
     POST /-/workers/ID/enable   lets worker ID serve again
 
 One call per connection. It holds no state: every figure is read, when it is asked for, where it is counted,
@@ -24,9 +24,8 @@
 from eiderfield.net.http import Head
 
 WAIT = 1000.0  # ms for which callers wait for an answer, and that a call may take to come in
-WRITE_PATIENCE = (
-    0.8 * WAIT
-)  # for which an answer waits for the disk, so that it comes in time whatever the disk does
+# For which an answer waits for the disk, so that it comes in time whatever the disk does.
+WRITE_PATIENCE = 0.8 * WAIT
 
 # Each figure by class, and the verdicts that it counts.
 _BY_CLASS = {
@@ -36,42 +35,60 @@
 }
 
 
-def figures(exchange: Exchange, table: RoutingTable, crowd: Mapping[str, Any], now: float) -> dict[str, Any]:
-    """What `/-/metrics` says."""
+def figures(
+    exchange: Exchange, table: RoutingTable, of_parts: Mapping[str, Any], now: float
+) -> dict[str, Any]:
+    """What `/-/metrics` says: of requests, of workers, and the figures that the program's parts give."""
+    return {**_request_figures(exchange), **_worker_figures(exchange, table, now), **of_parts}
+
+
+def _request_figures(exchange: Exchange) -> dict[str, Any]:
     names = [cls.name for cls in exchange.site.classes]
-    told: dict[str, Any] = {
+    answered = {
         figure: {name: sum([exchange.answers[n, v] for v in verdicts]) for n, name in enumerate(names)}
         for figure, verdicts in _BY_CLASS.items()
     }
-    told["in_time"] = {name: exchange.in_time[n] for n, name in enumerate(names)}
-    told["waits"] = {name: exchange.waits.get(n, [0, 0.0, 0.0]) for n, name in enumerate(names)}
-    told["broken"] = dict(exchange.broken)
-    told["backend_calls"] = exchange.legs_written
-    told["called_off"] = dict(exchange.called_off)
-    told["spoilt_answers"] = exchange.spoilt_answers
-    told["watches_reopened"] = dict(table.watches_reopened)
-    told["inflight"] = exchange.unanswered
+    return {
+        **answered,
+        "in_time": {name: exchange.in_time[n] for n, name in enumerate(names)},
+        "waits": {name: exchange.waits.get(n, [0, 0.0, 0.0]) for n, name in enumerate(names)},
+        "broken": dict(exchange.broken),
+        "backend_calls": exchange.legs_written,
+        "called_off": dict(exchange.called_off),
+        "spoilt_answers": exchange.spoilt_answers,
+        "inflight": exchange.unanswered,
+    }
+
+
+def _worker_figures(exchange: Exchange, table: RoutingTable, now: float) -> dict[str, Any]:
     listed = table.listed
-    told["hosts_listed"] = len(listed)
-    told["hosts_doubted"] = table.unconfirmed_removals
-    told["hosts_banned"] = sorted(table.bans.since)
-    told["hosts_down"] = len(exchange.snapshot(now).avoided & listed)
-    told.update(crowd)
-    return told
+    return {
+        "watches_reopened": dict(table.watches_reopened),
+        "hosts_listed": len(listed),
+        "hosts_doubted": table.unconfirmed_removals,
+        "hosts_banned": sorted(table.bans.since),
+        "hosts_down": len(exchange.snapshot(now).avoided & listed),
+    }
 
 
 class ConsoleFront:
     """What the console's listener does with calls."""
 
     def __init__(
-        self, exchange: Exchange, table: RoutingTable, clock: Callable[[], float], ready: Callable[[], bool],
-        crowd: Callable[[], Mapping[str, Any]], config: Callable[[], Mapping[str, Any]] = dict,
-    ) -> None:  # fmt: skip
+        self,
+        exchange: Exchange,
+        table: RoutingTable,
+        clock: Callable[[], float],
+        ready: Callable[[], bool],
+        figures_of_parts: Callable[[], Mapping[str, Any]],
+        config: Callable[[], Mapping[str, Any]] = dict,
+    ) -> None:
+        """`figures_of_parts` and `config` give what `/-/metrics` adds, and what `/-/config` says."""
         self._exchange = exchange
         self._table = table
         self._clock = clock
         self._ready = ready
-        self._crowd = crowd
+        self._figures_of_parts = figures_of_parts
         self._config = config
 
     def message(
@@ -82,14 +99,13 @@
         match path.split("/")[1:]:
             case ["-", "ready"]:
                 if _allowed(connection, head, "GET"):
-                    ready = self._ready()
-                    connection.reject(200 if ready else 503, "ready" if ready else "not ready")
+                    self._answer_readiness(connection)
             case ["-", "metrics"]:
                 if _allowed(connection, head, "GET"):
-                    _tell(connection, 200, figures(self._exchange, self._table, self._crowd(), self._clock()))
+                    _write_json(connection, self._figures())
             case ["-", "config"]:
                 if _allowed(connection, head, "GET"):
-                    _tell(connection, 200, self._config())
+                    _write_json(connection, self._config())
             case ["-", "workers", name, "disable" | "enable" as call]:
                 if _allowed(connection, head, "POST"):
                     self._maintain(listener, connection, unquote(name), call == "disable")
@@ -97,6 +113,13 @@
                 connection.reject(404, "no such call")
         return None
 
+    def _answer_readiness(self, connection: ClientConnection) -> None:
+        ready = self._ready()
+        connection.reject(200 if ready else 503, "ready" if ready else "not ready")
+
+    def _figures(self) -> dict[str, Any]:
+        return figures(self._exchange, self._table, self._figures_of_parts(), self._clock())
+
     def _maintain(self, listener: Listener, connection: ClientConnection, name: str, disable: bool) -> None:
         """Disables a worker or enables it again; answers once that is on the disk, or cannot be for now."""
         answer = _MaintenanceAnswer(connection, name, disable)
@@ -122,7 +145,7 @@
             return
         self.given = True
         if written:
-            _tell(self._connection, 200, {"worker": self._name, "disabled": self._disable})
+            _write_json(self._connection, {"worker": self._name, "disabled": self._disable})
         else:
             self._connection.reject(500, "in force, but not written down yet: it is lost if the program ends")
 
@@ -137,5 +160,5 @@
     return head.method == method
 
 
-def _tell(connection: ClientConnection, status: int, told: Mapping[str, Any]) -> None:
-    connection.finish(status, json.dumps(told).encode() + b"\n", Content_Type="application/json")
+def _write_json(connection: ClientConnection, answer: Mapping[str, Any]) -> None:
+    connection.finish(200, json.dumps(answer).encode() + b"\n", Content_Type="application/json")
--- a/eiderfield/program/shutdown.py
+++ b/eiderfield/program/shutdown.py
@@ -16,9 +16,9 @@
 
 from eiderfield.exchange import Exchange
 from eiderfield.net.clients import Listener
-from eiderfield.net.ending import Ending
 from eiderfield.net.handover import Handover
 from eiderfield.net.loop import Driver
+from eiderfield.net.shutdown_times import ShutdownTimes
 from eiderfield.program.part import DrainTimes, Part
 
 CHECK_INTERVAL = 50.0  # ms between checks of what is left to do
@@ -55,8 +55,8 @@
         if self.begun:
             return
         now = self._driver.clock()
-        ending = Ending.of(longest_deadline)
-        times = DrainTimes(now + ending.accepting, now + ending.staying, now + ending.last)
+        after = ShutdownTimes.of(longest_deadline)
+        times = DrainTimes(now + after.close_listeners, now + after.send_away, now + after.answered)
         for listener in self._listeners:
             listener.draining = True
         self._driver.wheel.at(times.close_listeners_at, partial(self.close_listeners, times.answered_by))
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -11,7 +11,7 @@
 from eiderfield.lab.ports import free_port
 from eiderfield.net.clients import Phase
 from eiderfield.net.clients.connection import EVICTION_GRACE, LINGER_TIME
-from eiderfield.net.ending import ACCEPTING, LONGEST, MARGIN, TO_KILL, Ending
+from eiderfield.net.shutdown_times import ACCEPTING, LONGEST, MARGIN, TO_KILL, ShutdownTimes
 from eiderfield.net.wheel import TICK
 from eiderfield.program.program import Program
 
@@ -186,13 +186,13 @@
 def test_whatever_the_deadlines_are_all_is_answered_before_a_kill_may_come(longest):
     """SIGKILL follows SIGTERM after the longest deadline, 3 s at the most, and 0.7 s: the times of the end
     were those of deadlines of 3 s and more, whatever the settings said."""
-    end = Ending.of(longest)
+    end = ShutdownTimes.of(longest)
     kill = min(longest, LONGEST) + TO_KILL
-    assert 0.0 < end.accepting <= end.staying < end.last < kill
-    assert kill - end.last >= min(MARGIN, 0.2 * kill)
-    assert end.accepting <= ACCEPTING
+    assert 0.0 < end.close_listeners <= end.send_away < end.answered < kill
+    assert kill - end.answered >= min(MARGIN, 0.2 * kill)
+    assert end.close_listeners <= ACCEPTING
     if longest >= LONGEST:
-        assert (end.accepting, end.staying, end.last) == (700.0, 1500.0, 3200.0)
+        assert (end.close_listeners, end.send_away, end.answered) == (700.0, 1500.0, 3200.0)
 
 
 class Port:
--- a/tests/test_program_parts.py
+++ b/tests/test_program_parts.py
@@ -8,7 +8,7 @@
 
 from eiderfield.config import ConfigError, read
 from eiderfield.lab.ports import free_port
-from eiderfield.net.ending import Ending
+from eiderfield.net.shutdown_times import ShutdownTimes
 from eiderfield.program.part import DrainTimes, Part
 from eiderfield.program.program import Program
 from eiderfield.program.shutdown import CHECK_INTERVAL
@@ -118,8 +118,8 @@
 
 
 def test_each_part_hears_once_when_the_end_has_begun_and_what_binds(joined):
-    ending = Ending.of(DEADLINE)
-    times = DrainTimes(NOW + ending.accepting, NOW + ending.staying, NOW + ending.last)
+    ending = ShutdownTimes.of(DEADLINE)
+    times = DrainTimes(NOW + ending.close_listeners, NOW + ending.send_away, NOW + ending.answered)
     joined.program.stop()
     joined.program.stop()
     assert joined.calls == [("first", "drain", times), ("last", "drain", times)]
@@ -137,5 +137,5 @@
 
 def test_a_process_whom_nobody_keeps_ends_when_its_listeners_close(joined):
     joined.program.stop()
-    joined.pass_time(Ending.of(DEADLINE).accepting + CHECK_INTERVAL)
+    joined.pass_time(ShutdownTimes.of(DEADLINE).close_listeners + CHECK_INTERVAL)
     assert joined.names("stop") == ["first", "last"] and joined.program.ended.is_set()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,8 +12,8 @@
 from eiderfield.__main__ import Program
 from eiderfield.config import read
 from eiderfield.lab.ports import free_port
-from eiderfield.net.ending import ACCEPTING, LONGEST, TO_KILL
 from eiderfield.net.http import END, Head, Parser
+from eiderfield.net.shutdown_times import ACCEPTING, LONGEST, TO_KILL
 
 STEP = 10.0  # ms of the driven clock in one step
 ROUNDS = 6  # turns of the loop in a step: what comes in, its turn, and what that writes
