--- a/eiderfield/batch/client.py
+++ b/eiderfield/batch/client.py
@@ -25,7 +25,7 @@
     JobState,
 )
 from eiderfield.batch.messages import JobTemplate, bulk_to_json
-from eiderfield.net.http import END, Head, Malformed, Parser, request_bytes
+from eiderfield.net.http import END, Head, MalformedMessageError, Parser, request_bytes
 
 TIMEOUT_WAIT_FOREVER = -1.0
 JOB_IDS_SESSION_ALL = "DRMAA_JOB_IDS_SESSION_ALL"
@@ -221,7 +221,7 @@
         if part is None:
             data = sock.recv(READ_SIZE)
             if not data:
-                raise Malformed("the connection ended within an answer")
+                raise MalformedMessageError("the connection ended within an answer")
             parser.feed(data)
         elif part is END:
             return head, bytes(body)
--- a/eiderfield/lab/fleet/estate.py
+++ b/eiderfield/lab/fleet/estate.py
@@ -31,7 +31,7 @@
 from eiderfield.config import address_of
 from eiderfield.lab.fleet.book import Book
 from eiderfield.lab.fleet.stage import obey, say
-from eiderfield.net.http import END, Head, Malformed, Parser
+from eiderfield.net.http import END, Head, MalformedMessageError, Parser
 
 
 @dataclass(eq=False)
@@ -88,7 +88,7 @@
                     self.worker.take(self, self._head, self._body)
                 elif isinstance(got, bytes):
                     self._body += got
-        except (Malformed, ValueError, KeyError) as error:
+        except (MalformedMessageError, ValueError, KeyError) as error:
             self.worker.book.write("malformed", by=self.by, worker=self.worker.name, why=repr(error))
             self.close()
 
--- a/eiderfield/lab/phones.py
+++ b/eiderfield/lab/phones.py
@@ -36,7 +36,7 @@
 from eiderfield.config import address_of
 from eiderfield.lab.stream import LONGEST, histogram
 from eiderfield.lab.wire import Reader, job_bytes
-from eiderfield.net.http import Malformed
+from eiderfield.net.http import MalformedMessageError
 
 AT_ONCE = 8  # connections that are being opened at one time
 DEADLINE = 10_000.0  # ms that each job may take
@@ -238,7 +238,7 @@
         try:
             data = phone.sock.recv(65536)
             heads = phone.reader.feed(data) if phone.reader is not None else []
-        except (OSError, Malformed):
+        except (OSError, MalformedMessageError):
             data, heads = b"", []
         for head in heads:
             taken = int((time.monotonic() - phone.due) * 1e6)
--- a/eiderfield/lab/scale/workers.py
+++ b/eiderfield/lab/scale/workers.py
@@ -13,7 +13,7 @@
 
 from eiderfield.lab.scale.plan import SERVICE_MS
 from eiderfield.lab.wire import Reader
-from eiderfield.net.http import Malformed
+from eiderfield.net.http import MalformedMessageError
 
 FIRST_OCTETS = "127.20"
 ADDRESSES = 1 << 16  # below FIRST_OCTETS
@@ -63,7 +63,7 @@
         """Begins the requests that are complete."""
         try:
             heads = self._reader.feed(data)
-        except Malformed:
+        except MalformedMessageError:
             self._worker.counts.malformed += 1
             self.abort()
             return
--- a/eiderfield/lab/stream.py
+++ b/eiderfield/lab/stream.py
@@ -24,7 +24,7 @@
 
 from eiderfield.config import address_of
 from eiderfield.lab.wire import Reader, job_bytes
-from eiderfield.net.http import Malformed
+from eiderfield.net.http import MalformedMessageError
 
 LONGEST = 60_000_000  # µs that the histogram holds
 DIGITS = 3
@@ -101,7 +101,7 @@
             try:
                 data = connection.sock.recv(65536)
                 heads = connection.reader.feed(data)
-            except (OSError, Malformed):
+            except (OSError, MalformedMessageError):
                 data, heads = b"", []
             for head in heads:
                 took = int((time.monotonic() - connection.due) * 1e6)
--- a/eiderfield/lab/wire.py
+++ b/eiderfield/lab/wire.py
@@ -26,7 +26,7 @@
 
 
 class Reader:
-    """Whole messages out of pieces. Raises `Malformed` on what is none."""
+    """Whole messages out of pieces. Raises `MalformedMessageError` on what is none."""
 
     def __init__(self, answers: bool) -> None:
         self._parser = Parser(answers=answers)
--- a/eiderfield/net/discovery/consul.py
+++ b/eiderfield/net/discovery/consul.py
@@ -20,7 +20,7 @@
 from eiderfield.net.discovery.endpoint_list import Endpoint, EndpointList, EndpointListError
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.discovery.watch import Watch
-from eiderfield.net.http import Head, Malformed, request_bytes
+from eiderfield.net.http import Head, MalformedMessageError, request_bytes
 
 CONFIRM_AFTER = 10_000.0  # ms for which an unconfirmed list takes nobody away: an agent synchronises in that
 SHORT_LIST = 0.5  # share of the ready workers known before, under which a list is sharply shorter
@@ -75,7 +75,7 @@
         super().on_head(head)
         text = head.get("x-consul-index")
         if not text.isascii() or not text.isdigit() or len(text) > MAX_INDEX_DIGITS:
-            raise Malformed("X-Consul-Index is not a whole number")
+            raise MalformedMessageError("X-Consul-Index is not a whole number")
         self._answer_index = int(text)
         self._has_leader = head.get("x-consul-knownleader") != "false"
         self.body.clear()
--- a/eiderfield/net/discovery/json_stream.py
+++ b/eiderfield/net/discovery/json_stream.py
@@ -8,7 +8,7 @@
 
 import re
 
-from eiderfield.net.http import Malformed
+from eiderfield.net.http import MalformedMessageError
 
 MAX_DEPTH = 64  # brackets open in a value; a list of endpoints has three
 
@@ -61,9 +61,9 @@
 
     def _check_bounds(self) -> None:
         if len(self._value) + len(self._line) > self._max_bytes:
-            raise Malformed("a list is too long")
+            raise MalformedMessageError("a list is too long")
         if self._depth > MAX_DEPTH:
-            raise Malformed("a list is too deep")
+            raise MalformedMessageError("a list is too deep")
 
 
 def _open_brackets(line: bytes | bytearray) -> int:
--- a/eiderfield/net/discovery/platform.py
+++ b/eiderfield/net/discovery/platform.py
@@ -6,7 +6,7 @@
 
 from eiderfield.net.discovery.json_stream import JsonStream
 from eiderfield.net.discovery.watch import MAX_LIST, Watch
-from eiderfield.net.http import Malformed, request_bytes
+from eiderfield.net.http import MalformedMessageError, request_bytes
 
 
 class PlatformWatch(Watch):
@@ -44,4 +44,4 @@
 
     def on_end(self) -> None:
         """A watch has no end of its own."""
-        raise Malformed("the watch has ended")
+        raise MalformedMessageError("the watch has ended")
--- a/eiderfield/net/discovery/watch.py
+++ b/eiderfield/net/discovery/watch.py
@@ -24,7 +24,7 @@
 from eiderfield.net.backoff import DIAL, Backoff
 from eiderfield.net.dialing import Dial, PendingDial
 from eiderfield.net.discovery.routing_table import RoutingTable
-from eiderfield.net.http import Head, Malformed, Parser
+from eiderfield.net.http import Head, MalformedMessageError, Parser
 
 SILENCE = 2600.0  # ms without even an empty line, which comes every 2 s, until the watch is opened anew
 MAX_LIST = 4 * 1024 * 1024  # bytes of one list: thousands of workers
@@ -145,13 +145,13 @@
     def on_head(self, head: Head) -> None:
         """An answer's head has come."""
         if head.status != 200:
-            raise Malformed(f"the answer is {head.status}")
+            raise MalformedMessageError(f"the answer is {head.status}")
 
     def on_body(self, data: bytes) -> None:
         """A piece of an answer's body has come."""
         self.body += data
         if len(self.body) > MAX_LIST:
-            raise Malformed("a list is too long")
+            raise MalformedMessageError("a list is too long")
 
     def on_end(self) -> None:
         """An answer has ended."""
--- /dev/null
+++ b/eiderfield/net/http/head.py
@@ -0,0 +1,113 @@
+"""The head of a message: its start line, its headers, and how its body is framed.
+
+Input that could be read in two ways is rejected rather than guessed at: a second length, a length beside
+chunked coding, folded headers.
+"""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Iterable
+from dataclasses import dataclass
+from enum import Enum
+
+from eiderfield.net.http.message import CONTENT_TOO_LARGE, Head, MalformedMessageError
+
+MAX_HEAD = 16384  # bytes
+MAX_HEADERS = 100
+
+_TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
+_TARGET = re.compile(r"[!-~]+\Z")
+_VALUE = re.compile(r"[\t -~\x80-\xff]*\Z")
+_DIGITS = re.compile(r"[0-9]{1,15}\Z")
+_STATUS = re.compile(r"[1-5][0-9][0-9]\Z")
+_VERSIONS = ("HTTP/1.1", "HTTP/1.0")
+_SINGLE = frozenset({
+    "content-length", "transfer-encoding", "host", "x-request-id", "x-deadline-ms", "idempotency-key",
+})  # fmt: skip
+_NO_CONTENT = 204
+_NOT_MODIFIED = 304
+
+
+def parse_head(text: str, is_answer: bool) -> Head:
+    """A head's text, without the empty line that ends it."""
+    start, *lines = text.split("\r\n")
+    head = _parse_status_line(start) if is_answer else _parse_request_line(start)
+    if len(lines) > MAX_HEADERS:
+        raise MalformedMessageError("too many headers", CONTENT_TOO_LARGE)
+    _parse_headers(head, lines)
+    return head
+
+
+def _parse_status_line(line: str) -> Head:
+    parts = line.split(" ", 2)
+    if len(parts) < 2 or parts[0] not in _VERSIONS or not _STATUS.match(parts[1]):
+        raise MalformedMessageError("the status line is malformed")
+    return Head(status=int(parts[1]), version=int(parts[0][-1]))
+
+
+def _parse_request_line(line: str) -> Head:
+    parts = line.split(" ", 2)
+    if len(parts) != 3 or not _TOKEN.match(parts[0]) or not _TARGET.match(parts[1]):
+        raise MalformedMessageError("the request line is malformed")
+    if parts[2] not in _VERSIONS:
+        raise MalformedMessageError("this version is not spoken here")
+    return Head(parts[0], parts[1], version=int(parts[2][-1]))
+
+
+def _parse_headers(head: Head, lines: Iterable[str]) -> None:
+    headers = head.headers
+    for line in lines:
+        name, colon, value = line.partition(":")
+        value = value.strip(" \t")
+        if not colon or not _TOKEN.match(name) or not _VALUE.match(value):
+            raise MalformedMessageError("a header is malformed")
+        name = name.lower()
+        if name in headers:
+            if name in _SINGLE:  # two lengths, or two ids, could be read in two ways
+                raise MalformedMessageError(f"{name} stands there twice")
+            value = f"{headers[name]}, {value}"
+        headers[name] = value
+
+
+class BodyEnd(Enum):
+    """What ends a body."""
+
+    NONE = "there is no body"
+    LENGTH = "its length"
+    CHUNKED = "its last chunk"
+    CLOSE = "the connection's end"
+
+
+@dataclass(slots=True, frozen=True)
+class Framing:
+    """How a body is framed; `length` counts where that ends it."""
+
+    end: BodyEnd
+    length: int = 0
+
+
+def framing_of(head: Head, is_answer: bool) -> Framing:
+    """The framing that a head tells."""
+    if is_answer and (head.status < 200 or head.status in (_NO_CONTENT, _NOT_MODIFIED)):
+        return Framing(BodyEnd.NONE)
+    if head.get("transfer-encoding"):
+        return _coded_framing(head)
+    if "content-length" in head.headers:
+        text = head.get("content-length")
+        if not _DIGITS.match(text):
+            raise MalformedMessageError("the length is not a number")
+        length = int(text)
+        return Framing(BodyEnd.LENGTH if length else BodyEnd.NONE, length)
+    if "transfer-encoding" in head.headers:
+        raise MalformedMessageError("the transfer coding is empty")
+    return Framing(BodyEnd.CLOSE if is_answer else BodyEnd.NONE)
+
+
+def _coded_framing(head: Head) -> Framing:
+    if "content-length" in head.headers:
+        raise MalformedMessageError("a length stands beside a transfer coding")
+    coding = head.get("transfer-encoding")
+    if coding.lower() != "chunked" or head.version == 0:
+        raise MalformedMessageError("this transfer coding is not spoken here")
+    return Framing(BodyEnd.CHUNKED)
--- /dev/null
+++ b/eiderfield/net/http/parser.py
@@ -0,0 +1,181 @@
+"""An incremental parser of HTTP/1.1, for requests and answers alike. It does no I/O.
+
+    HEAD ──(a whole head)──> FIXED | CHUNK_SIZE | TO_CLOSE | DONE
+    CHUNK_SIZE ──> CHUNK ──> CHUNK_END ──> CHUNK_SIZE ... ──(a chunk of no bytes)──> TRAILER ──> DONE
+    FIXED ──(its last byte)──> DONE        TO_CLOSE ──(the connection's end)──> HEAD
+    DONE ──(the end is handed out)──> HEAD
+
+Bytes move it; nothing else does. What must never happen: input that could be read in two ways taken for one
+of them; more kept than the bounds say.
+"""
+
+from __future__ import annotations
+
+import re
+from enum import Enum
+
+from eiderfield.net.http.head import MAX_HEAD, BodyEnd, framing_of, parse_head
+from eiderfield.net.http.message import CONTENT_TOO_LARGE, END, End, Head, MalformedMessageError
+
+MAX_BODY = 65536  # bytes of a request's body
+MAX_CHUNK_LINE = 256  # bytes of the line that tells a chunk's size
+
+_CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{1,8}\Z")
+
+
+class _State(Enum):
+    HEAD = 0
+    FIXED = 1
+    CHUNK_SIZE = 2
+    CHUNK = 3
+    CHUNK_END = 4
+    TRAILER = 5
+    TO_CLOSE = 6
+    DONE = 7
+
+
+_AFTER_HEAD = {
+    BodyEnd.NONE: _State.DONE,
+    BodyEnd.LENGTH: _State.FIXED,
+    BodyEnd.CHUNKED: _State.CHUNK_SIZE,
+    BodyEnd.CLOSE: _State.TO_CLOSE,
+}
+_IN_BODY = (_State.FIXED, _State.CHUNK, _State.TO_CLOSE)
+
+
+class Parser:
+    """Feed it bytes, then take what they complete with `poll` until that gives None."""
+
+    def __init__(self, answers: bool = False, max_body: int = MAX_BODY) -> None:
+        """`max_body` 0 is no bound: such a body must be taken as it comes."""
+        self._is_answer = answers
+        self._max_body = max_body
+        self._buffer = bytearray()
+        self._state = _State.HEAD
+        self._left = 0  # bytes left of the fixed body or of the chunk
+        self._body_size = 0  # bytes of body so far
+        self._trailer_size = 0
+
+    @property
+    def buffered(self) -> int:
+        """Bytes that have come and are not yet taken."""
+        return len(self._buffer)
+
+    @property
+    def begun(self) -> bytes | None:
+        """What has come of a message whose head is not whole, None within a message."""
+        return bytes(self._buffer) if self._state == _State.HEAD else None
+
+    @property
+    def between(self) -> bool:
+        """Whether the parser stands between two messages, with nothing of the next one."""
+        return self._state == _State.HEAD and not self._buffer
+
+    def feed(self, data: bytes | bytearray | memoryview) -> None:
+        """Takes bytes in."""
+        self._buffer += data
+
+    def finish(self) -> End | None:
+        """The connection's end: it ends a body that has no other end, and breaks any other message."""
+        if self._state == _State.TO_CLOSE:
+            self._state = _State.HEAD
+            return END
+        if not self.between:
+            raise MalformedMessageError("the connection ended within a message")
+        return None
+
+    def poll(self) -> Head | bytes | End | None:
+        """The next head, piece of a body or end of a message; None until more bytes come."""
+        while True:
+            if self._state == _State.HEAD:
+                return self._read_head()
+            if self._state == _State.DONE:
+                self._state = _State.HEAD
+                return END
+            if self._state in _IN_BODY:
+                return self._read_body()
+            if not self._read_chunk_line():
+                return None
+
+    def _read_head(self) -> Head | None:
+        while self._buffer.startswith(b"\r\n"):  # empty lines before a start line are to be ignored
+            del self._buffer[:2]
+        end = self._buffer.find(b"\r\n\r\n", 0, MAX_HEAD)
+        if end < 0:
+            if len(self._buffer) >= MAX_HEAD:
+                raise MalformedMessageError("the head is too long", CONTENT_TOO_LARGE)
+            return None
+        text = self._buffer[:end].decode("latin-1")
+        del self._buffer[: end + 4]
+        head = parse_head(text, self._is_answer)
+        framing = framing_of(head, self._is_answer)
+        self._body_size = 0
+        self._left = framing.length
+        self._count_body(framing.length)
+        self._state = _AFTER_HEAD[framing.end]
+        return head
+
+    def _read_body(self) -> bytes | None:
+        if not self._buffer:
+            return None
+        if self._state == _State.TO_CLOSE:
+            data = bytes(self._buffer)
+            self._buffer.clear()
+            self._count_body(len(data))
+            return data
+        data = bytes(self._buffer[: self._left])
+        del self._buffer[: len(data)]
+        self._left -= len(data)
+        if not self._left:
+            self._state = _State.DONE if self._state == _State.FIXED else _State.CHUNK_END
+        return data
+
+    def _read_chunk_line(self) -> bool:
+        """Takes a line between chunks or behind the last one; whether there was one."""
+        line = self._read_line(MAX_HEAD if self._state == _State.TRAILER else MAX_CHUNK_LINE)
+        if line is None:
+            return False
+        if self._state == _State.CHUNK_END:
+            if line:
+                raise MalformedMessageError("a chunk is longer than its size says")
+            self._state = _State.CHUNK_SIZE
+        elif self._state == _State.CHUNK_SIZE:
+            self._begin_chunk(line)
+        else:
+            self._add_to_trailer(line)
+        return True
+
+    def _read_line(self, max_bytes: int) -> bytes | None:
+        end = self._buffer.find(b"\n", 0, max_bytes + 2)
+        if end < 0:
+            if len(self._buffer) > max_bytes:
+                raise MalformedMessageError("a line is too long", CONTENT_TOO_LARGE)
+            return None
+        if end == 0 or self._buffer[end - 1 : end] != b"\r":
+            raise MalformedMessageError("a line ends without a carriage return")
+        line = bytes(self._buffer[: end - 1])
+        del self._buffer[: end + 1]
+        return line
+
+    def _begin_chunk(self, line: bytes) -> None:
+        size = line.partition(b";")[0].strip(b" \t")
+        if not _CHUNK_SIZE.match(size):
+            raise MalformedMessageError("a chunk's size is not a number")
+        self._left = int(size, 16)
+        self._trailer_size = 0
+        self._state = _State.CHUNK if self._left else _State.TRAILER
+        self._count_body(self._left)
+
+    def _add_to_trailer(self, line: bytes) -> None:
+        """Skips a trailer's line; an empty one ends it."""
+        if not line:
+            self._state = _State.DONE
+            return
+        self._trailer_size += len(line)
+        if self._trailer_size > MAX_HEAD:
+            raise MalformedMessageError("the trailer is too long", CONTENT_TOO_LARGE)
+
+    def _count_body(self, more: int) -> None:
+        self._body_size += more
+        if self._max_body and self._body_size > self._max_body:
+            raise MalformedMessageError("the body is too long", CONTENT_TOO_LARGE)
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -27,7 +27,7 @@
 from eiderfield.interface import AWAY, STARTED, Outcome
 from eiderfield.net.dialing import PendingDial
 from eiderfield.net.faults import Cause, cause_of_loss
-from eiderfield.net.http import Head, Malformed, Parser
+from eiderfield.net.http import Head, MalformedMessageError, Parser
 from eiderfield.net.reports import from_object, from_text
 from eiderfield.net.worker_messages import (
     MAX_LINE,
@@ -243,7 +243,7 @@
         if isinstance(self.load, HealthCheck):
             self.load.body += data
             if len(self.load.body) > MAX_LINE:
-                raise Malformed("a load report is too long")
+                raise MalformedMessageError("a load report is too long")
         elif self.load is not None:  # else the rest of an answer whose outcome is known
             self._read_lines(data)
 
@@ -254,7 +254,7 @@
             del self._line[: end + 1]
             self._read_line(line)
         if len(self._line) > MAX_LINE:
-            raise Malformed("a line is too long")
+            raise MalformedMessageError("a line is too long")
 
     def _read_line(self, line: bytes) -> None:
         attempt = self.load
--- a/eiderfield/net/worker_messages.py
+++ b/eiderfield/net/worker_messages.py
@@ -1,7 +1,7 @@
 """What is said on a connection to a worker: requests as bytes, and the lines of answers as typed updates.
 
 An attempt's answer is a stream of JSON objects, one a line, each with the request's id and a `state`. What
-cannot be read, or is about another request, is `Malformed`.
+cannot be read, or is about another request, is `MalformedMessageError`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from eiderfield.exchange import Request
 from eiderfield.interface import Outcome
-from eiderfield.net.http import Head, Malformed, request_bytes
+from eiderfield.net.http import Head, MalformedMessageError, request_bytes
 
 MAX_LINE = 4 * 65536  # bytes: a result of 64 KiB, with every character escaped
 # What a worker is told is left of the client's time may be 150 ms too much, all of which being held up before
@@ -62,7 +62,7 @@
     fields = json.loads(line)
     # Another request's line must never be served as this one's answer.
     if not isinstance(fields, dict) or fields.get("id") != request_id:
-        raise Malformed("a line is not about this request")
+        raise MalformedMessageError("a line is not about this request")
     state = fields.get("state")
     if state == "started":
         return Started()
@@ -77,13 +77,13 @@
 
 def _parse_share(value: object) -> float:
     if not isinstance(value, int | float):
-        raise Malformed("a share is not a number")
+        raise MalformedMessageError("a share is not a number")
     return float(value)
 
 
 def _parse_result(value: object) -> bytes:
     if not isinstance(value, str):
-        raise Malformed("a result is not a text")
+        raise MalformedMessageError("a result is not a text")
     return value.encode()
 
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -13,7 +13,7 @@
 from eiderfield.net.discovery.json_stream import JsonStream
 from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.discovery.watch import SILENCE
-from eiderfield.net.http import Malformed
+from eiderfield.net.http import MalformedMessageError
 from eiderfield.net.wheel import TICK
 
 SERVICE = 125.0  # ms of the source's time that a call takes
@@ -301,7 +301,7 @@
 
 def test_a_list_without_end_is_bounded():
     lines = JsonStream(1000)
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         for _ in range(100):
             lines.feed(b"[[[[[[[[[[[[[[\n")
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from eiderfield.net.http import END, MAX_HEAD, Head, Malformed, Parser
+from eiderfield.net.http import END, MAX_HEAD, Head, MalformedMessageError, Parser
 
 POST = b"POST /a/b?c=d HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"
 CHUNKED = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nT: u\r\n\r\n"
@@ -46,7 +46,7 @@
     at = min(at, len(data))
     try:
         read(data[:at] + damage + data[at + len(damage) :], answers=answers)
-    except Malformed as error:
+    except MalformedMessageError as error:
         assert error.status in (400, 413)
 
 
@@ -75,7 +75,7 @@
     ],
 )
 def test_what_is_rejected(data, status):
-    with pytest.raises(Malformed) as caught:
+    with pytest.raises(MalformedMessageError) as caught:
         read(data)
     assert caught.value.status == status
 
@@ -84,5 +84,5 @@
     found, parser = read(b"HTTP/1.0 200 OK\r\n\r\nabc", answers=True)
     assert len(found) == 1
     assert parser.finish() is END
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         read(ANSWER[:-1], answers=True)[1].finish()
