--- a/eiderfield/net/backoff.py
+++ b/eiderfield/net/backoff.py
@@ -1,21 +1,22 @@
 """Backoff and pacing of calls to a source that many dispatchers share.
 
-A source of workers serves a fixed number of calls at a time. A dispatcher that calls at its start and tries
-again at once does no harm alone. Forty that start together do: each call that has waited too long fails, its
-caller tries again, and the queue stays as long as it was, so that nobody is ever told of a change. So each
-has a turn of its own for its first call, and the waits after failures grow with the number of those who share
-the source and are drawn at random, so that those who failed together do not come back together.
+A source of workers serves a fixed number of calls at a time. A dispatcher that calls at its start and
+retries at once does no harm alone. Forty that start together do: each call that has waited too long fails,
+its caller retries, and the queue stays as long as it was, so that nobody is ever notified of a change. So
+each has a turn of its own for its first call, and the waits after failures grow with the number of those
+who share the source and are drawn at random, so that those who failed together do not come back together.
 
-The protocol counts what a dispatcher did not ask for as told, whatever calls failed, were refused or given
-up. What the agent on its own machine holds counts at once, and a drain binds after a grace: all first calls
-lie within a share of that grace, and so does the first call after a source that had told something was lost.
-What discovery has to tell counts 6 s after it had it and could be reached. So no wait between two calls is
-longer than `MOST`, at any number of sharers and after any number of failures. From the moment at which a
-source can be reached to its whole list it takes at most
+The protocol counts what a dispatcher did not ask for as notified, whatever calls failed, were refused or
+given up. What the agent on its own machine holds counts at once, and a drain binds after a grace: all first
+calls lie within a share of that grace, and so does the first call after a source that had told something
+was lost. What discovery has to tell counts 6 s after it had it and could be reached. So no wait between two
+calls is longer than `MAX_WAIT`, at any number of sharers and after any number of failures. From the moment
+at which a source can be reached to its whole list it takes at most
 
-    MOST (a wait that has just begun) + DIAL (the connection) + ANSWER (the first whole list) = TOLD
+    MAX_WAIT (a wait that has just begun) + DIAL_TIMEOUT + FIRST_LIST_TIME = NOTIFIED_AFTER
 
-and after a watch that fell silent, SILENCE (`routing`) + DIAL + ANSWER, which is less.
+and after a watch that fell silent, SILENCE (`discovery/watch`) + DIAL_TIMEOUT + FIRST_LIST_TIME, which is
+less.
 
 A source that says nothing has no queue that a call would lengthen: the agent on the dispatcher's own machine
 is silent while discovery is down, replies at once and at no cost when it is back, and what it then holds
@@ -30,19 +31,19 @@
 from math import inf
 from random import Random
 
-TURN = 8.0  # between the first calls of two dispatchers, where all of them fit into FIRST
-FIRST = 0.6  # share of a drain's grace within which all first calls lie; the rest is for the call itself
-TOLD = 6000.0  # after which all counts as told that discovery had and could have told (protocol page)
-DIAL = 1000.0  # that a connection to the source may take to come up
-ANSWER = 600.0  # that the agent may take for the first whole list
-MOST = TOLD - DIAL - ANSWER  # the longest wait between two calls
-WAIT = 100.0  # before a second call that follows a failure, for each sharer where there are more than FEW
-FEW = 8  # who may call together: forty calls at once left a source that serves eight a second far behind
-FEW_MOST = 1000.0  # the longest wait of so few
-CALLS = 4.0  # calls a second that one dispatcher makes at the most, whatever its source does; among many
-SHARED = 32.0  # they share so many, but for half a call a second each
-BURST = 8.0  # calls that it may make at once: changes come together
-LEAST = 0.25  # share of a wait that is always kept; the rest is drawn
+FIRST_CALL_SPACING = 8.0  # between the first calls of two dispatchers, where all fit into the share below
+FIRST_CALLS_SHARE = 0.6  # of a drain's grace, within which all first calls lie; the rest is for the call
+NOTIFIED_AFTER = 6000.0  # after which all counts as notified that discovery had and could have told
+DIAL_TIMEOUT = 1000.0  # that a connection to the source may take to come up
+FIRST_LIST_TIME = 600.0  # that the agent may take for the first whole list
+MAX_WAIT = NOTIFIED_AFTER - DIAL_TIMEOUT - FIRST_LIST_TIME  # the longest wait between two calls
+WAIT_PER_SHARER = 100.0  # before the call after a failure, for each sharer where there are many
+FEW_SHARERS = 8  # who may call together: forty calls left a source that serves eight a second far behind
+MAX_WAIT_OF_FEW = 1000.0  # the longest wait of so few
+CALLS_PER_S = 4.0  # that one dispatcher makes at the most, whatever its source does
+SHARED_CALLS_PER_S = 32.0  # that many dispatchers make together, but for half a call a second each
+CALL_BURST = 8.0  # calls that it may make at once: changes come together
+LEAST_SHARE_OF_WAIT = 0.25  # that is always kept; the rest is drawn
 
 
 class Backoff:
@@ -51,47 +52,47 @@
     def __init__(
         self, sharers: int = 1, number: int = 0, rng: Random | None = None, grace: float = 500.0
     ) -> None:
-        crowd = sharers if sharers > FEW else 1
-        self.most = MOST if crowd > 1 else FEW_MOST  # the longest wait that `next` gives
-        self._least = self._wait = min(self.most, WAIT * crowd)
-        self._first = min(TURN, FIRST * grace / max(1, sharers)) * number
+        weight = sharers if sharers > FEW_SHARERS else 1
+        self.most = MAX_WAIT if weight > 1 else MAX_WAIT_OF_FEW  # the longest wait that `next_wait` draws
+        self._initial_wait = self._wait = min(self.most, WAIT_PER_SHARER * weight)
+        self._first = min(FIRST_CALL_SPACING, FIRST_CALLS_SHARE * grace / max(1, sharers)) * number
         self._rng = rng or Random(number)
-        self._rate = max(0.5, min(CALLS, SHARED / max(1, sharers))) / 1000.0
-        self._calls, self._at = BURST, -inf
-        self._fresh = False  # whether the source has told something since the last failure
+        self._rate = max(0.5, min(CALLS_PER_S, SHARED_CALLS_PER_S / max(1, sharers))) / 1000.0
+        self._credit, self._credited_at = CALL_BURST, -inf
+        self._heard_since_failure = False  # whether the source has told something since the last failure
 
-    def first(self, knows: bool) -> float:
+    def first_wait(self, has_list: bool) -> float:
         """Until the first call. One that knows no list yet serves nobody, and has no time to wait.
 
         Nor has one that holds an old list much: it sends to workers that drain or are gone, and answers for
         that as if it had asked."""
-        return self._first if knows else 0.0
+        return self._first if has_list else 0.0
 
-    def next(self, now: float) -> float:
+    def next_wait(self, now: float) -> float:
         """Until the call after one that failed, or after a watch that broke."""
-        if self._fresh:
-            self._fresh = False
+        if self._heard_since_failure:
+            self._heard_since_failure = False
             wait = self._first
         else:
-            wait = self._wait * (LEAST + (1.0 - LEAST) * self._rng.random())
+            wait = self._wait * (LEAST_SHARE_OF_WAIT + (1.0 - LEAST_SHARE_OF_WAIT) * self._rng.random())
             self._wait = min(self.most, 2.0 * self._wait)
-        self._save_up(now)
-        self._calls -= 1.0  # the call is made after this wait, whatever else comes
-        return min(MOST, max(wait, -self._calls / self._rate))
+        self._add_credit(now)
+        self._credit -= 1.0  # the call is made after this wait, whatever else comes
+        return min(MAX_WAIT, max(wait, -self._credit / self._rate))
 
     def pace(self, now: float) -> float:
         """Until a call may be made; 0 takes it. A source that answers at once, or badly, is not hammered."""
-        self._save_up(now)
-        if self._calls < 1.0:
-            return max(1.0, (1.0 - self._calls) / self._rate)
-        self._calls -= 1.0
+        self._add_credit(now)
+        if self._credit < 1.0:
+            return max(1.0, (1.0 - self._credit) / self._rate)
+        self._credit -= 1.0
         return 0.0
 
-    def _save_up(self, now: float) -> None:
-        if now > self._at:
-            self._calls = min(BURST, self._calls + (now - self._at) * self._rate)
-            self._at = now
+    def _add_credit(self, now: float) -> None:
+        if now > self._credited_at:
+            self._credit = min(CALL_BURST, self._credit + (now - self._credited_at) * self._rate)
+            self._credited_at = now
 
-    def heard(self) -> None:
-        """The source has told something whole: the next failure is the first."""
-        self._wait, self._fresh = self._least, True
+    def reset(self) -> None:
+        """The source has told a list or given a sign of life: the next failure is the first."""
+        self._wait, self._heard_since_failure = self._initial_wait, True
--- a/eiderfield/net/discovery/watch.py
+++ b/eiderfield/net/discovery/watch.py
@@ -5,7 +5,7 @@
     dialling ──(up)──> asked ──(a whole list, or an empty line)──> alive ──┐
        │                 │                                           ^──────┘
        │                 └──(no whole line for `silence`)──> dialling again, at once
-       ├──(DIAL passes)──> dialling again, at once
+       ├──(DIAL_TIMEOUT passes)──> dialling again, at once
        └──(refused; from any state: broken off, ended, unreadable)──> waiting ──(`Backoff`)──> dialling
 
 What must never happen: a table changed by a list that is not whole or not understood; a source that is silent
@@ -21,7 +21,7 @@
 
 from eiderfield.config import Address
 from eiderfield.exchange import Timer, Timers
-from eiderfield.net.backoff import DIAL, Backoff
+from eiderfield.net.backoff import DIAL_TIMEOUT, Backoff
 from eiderfield.net.dialing import Dial, PendingDial
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.http import Head, MalformedMessageError, Parser
@@ -161,7 +161,7 @@
 
     def start_in_turn(self) -> None:
         """Opens the first connection, when it is this dispatcher's turn."""
-        if wait := self.backoff.first(self.table.index is not None):
+        if wait := self.backoff.first_wait(self.table.index is not None):
             self.set_timer(wait, self.connect)
         else:
             self.connect()
@@ -171,7 +171,7 @@
         connection = self.connection = WatchConnection(self)
         self.body.clear()
         lost = partial(self.on_lost, connection)
-        self.set_timer(DIAL, partial(lost, Loss.UNREACHABLE, "it cannot be reached in time"))
+        self.set_timer(DIAL_TIMEOUT, partial(lost, Loss.UNREACHABLE, "it cannot be reached in time"))
         refused = partial(lost, Loss.REFUSED, "it cannot be reached")
         self._pending_dial = self._dial(connection, self.address, refused)
 
@@ -192,13 +192,13 @@
             return
         self._close_connection()
         self.table.watches_reopened[loss.value] += 1
-        wait = 0.0 if loss in _AT_ONCE else self.backoff.next(self.clock())
+        wait = 0.0 if loss in _AT_ONCE else self.backoff.next_wait(self.clock())
         self.log(f"discovery: {reason}; following again after index {self.table.index} in {wait:.0f} ms")
         self.set_timer(wait, self.connect)
 
     def source_alive(self) -> None:
         """The source has given a sign of life."""
-        self.backoff.heard()
+        self.backoff.reset()
         if self.connection is not None:
             self._wait_for_sign_of_life(self.connection)
 
--- a/eiderfield/net/start_times.py
+++ b/eiderfield/net/start_times.py
@@ -21,10 +21,10 @@
 from dataclasses import dataclass
 from math import inf
 
-from eiderfield.net.backoff import TOLD
+from eiderfield.net.backoff import NOTIFIED_AFTER
 from eiderfield.net.clock import WallClock
 
-ANNOUNCED = TOLD  # ms by which a change may be announced late, though the source was heard meanwhile
+ANNOUNCED = NOTIFIED_AFTER  # ms by which a change may be told late, though the source was heard meanwhile
 SKEW = 250.0  # ms by which a fresh start may seem to lie ahead, and from which the wall clock was stepped
 EARLIEST = 1.0  # the earliest time of a start; 0 says that it is not known
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -8,7 +8,19 @@
 from support.memory_dispatcher import Desk
 
 from eiderfield.interface import State
-from eiderfield.net.backoff import ANSWER, DIAL, FEW, FEW_MOST, FIRST, LEAST, MOST, TOLD, TURN, WAIT, Backoff
+from eiderfield.net.backoff import (
+    DIAL_TIMEOUT,
+    FEW_SHARERS,
+    FIRST_CALL_SPACING,
+    FIRST_CALLS_SHARE,
+    FIRST_LIST_TIME,
+    LEAST_SHARE_OF_WAIT,
+    MAX_WAIT,
+    MAX_WAIT_OF_FEW,
+    NOTIFIED_AFTER,
+    WAIT_PER_SHARER,
+    Backoff,
+)
 from eiderfield.net.discovery.active_watch import ActiveWatch
 from eiderfield.net.discovery.json_stream import JsonStream
 from eiderfield.net.discovery.platform import PlatformWatch
@@ -29,10 +41,10 @@
         begins = max(at, free)
         if begins - at > PATIENCE:  # it waits in vain, and the source finds out only when it gets to it
             free = begins + service
-            heapq.heappush(line, (at + PATIENCE + backoffs[number].next(at + PATIENCE), number))
+            heapq.heappush(line, (at + PATIENCE + backoffs[number].next_wait(at + PATIENCE), number))
         else:
             free = begins + service
-            backoffs[number].heard()
+            backoffs[number].reset()
             done[number] = free
     return done
 
@@ -45,7 +57,7 @@
     """Discovery failed 24 of 40 calls made at once, and none of those 24 ever got through again in 30 s, for
     waits that doubled to 1 s for everybody kept 27 calls a second at its listener."""
     backoffs = forty()
-    done = served(backoffs, 30_000.0, [backoff.first(True) for backoff in backoffs])
+    done = served(backoffs, 30_000.0, [backoff.first_wait(True) for backoff in backoffs])
     assert all(at is not None and at < 20_000.0 for at in done)
     assert served(forty(1), 30_000.0, [0.0] * 40).count(None) > 10
 
@@ -53,8 +65,8 @@
 def test_a_first_call_is_made_well_within_the_grace_of_a_drain():
     """With first calls spread over 6 s one that had restarted sent to workers that were gone: it would have
     been told of them, had it asked."""
-    assert max(backoff.first(True) for backoff in forty()) < 500.0
-    assert Backoff().first(True) == Backoff(4, 3).first(False) == 0.0
+    assert max(backoff.first_wait(True) for backoff in forty()) < 500.0
+    assert Backoff().first_wait(True) == Backoff(4, 3).first_wait(False) == 0.0
 
 
 @pytest.mark.parametrize("sharers", [4, 40, 200, 1000])
@@ -62,16 +74,16 @@
     """The 150th of 214 that restarted called 1.2 s after its start: a drain that its agent held all that time
     bound after 0.5 s, and three requests went to drained workers 0.59 s after. First waits were 20 s."""
     all_ = [Backoff(sharers, number, Random(number), grace=500.0) for number in range(sharers)]
-    firsts = [backoff.first(True) for backoff in all_]
-    assert max(firsts) <= FIRST * 500.0 and len(set(firsts)) == sharers
-    assert max(backoff.next(0.0) for backoff in all_) <= TOLD
-    assert Backoff(sharers, sharers - 1, grace=0.0).first(True) == 0.0
+    firsts = [backoff.first_wait(True) for backoff in all_]
+    assert max(firsts) <= FIRST_CALLS_SHARE * 500.0 and len(set(firsts)) == sharers
+    assert max(backoff.next_wait(0.0) for backoff in all_) <= NOTIFIED_AFTER
+    assert Backoff(sharers, sharers - 1, grace=0.0).first_wait(True) == 0.0
 
 
 @pytest.mark.parametrize(("service", "within"), [(25.0, 12_000.0), (12.5, 12_000.0)])
 def test_two_hundred_that_start_together_are_all_told_by_a_slow_source(service, within):
     backoffs = [Backoff(200, number, Random(number)) for number in range(200)]
-    done = served(backoffs, within, [backoff.first(True) for backoff in backoffs], service)
+    done = served(backoffs, within, [backoff.first_wait(True) for backoff in backoffs], service)
     assert all(at is not None for at in done)
 
 
@@ -80,7 +92,7 @@
     keeps the 6 s can tell them all, and the waits of up to 80 s that did broke the 6 s. Stated so that a
     change of either shows."""
     backoffs = [Backoff(200, number, Random(number)) for number in range(200)]
-    done = served(backoffs, 120_000.0, [backoff.first(True) for backoff in backoffs], 50.0)
+    done = served(backoffs, 120_000.0, [backoff.first_wait(True) for backoff in backoffs], 50.0)
     assert sum(at is not None for at in done) == 42
 
 
@@ -88,39 +100,40 @@
 def test_no_number_of_failures_makes_a_wait_longer_than_leaves_time_to_be_told(sharers):
     """Waits once grew to 80 s at 200 sharers, so that a source of 20 calls a second told them all in the end.
     But a change counts as told 6 s after the source could be reached, whatever calls failed before that."""
-    assert MOST + DIAL + ANSWER == TOLD and SILENCE + DIAL + ANSWER < TOLD
+    to_list = DIAL_TIMEOUT + FIRST_LIST_TIME
+    assert MAX_WAIT + to_list == NOTIFIED_AFTER and SILENCE + to_list < NOTIFIED_AFTER
     backoff, now = Backoff(sharers, sharers - 1, Random(1)), 0.0
     for failure in range(200):
         if failure % 50 == 49:
-            backoff.heard()
-        wait = backoff.next(now)
-        assert 0.0 <= wait <= MOST
+            backoff.reset()
+        wait = backoff.next_wait(now)
+        assert 0.0 <= wait <= MAX_WAIT
         now += wait
 
 
 def test_a_source_that_fails_at_once_is_asked_as_often_as_the_pace_allows():
     backoff, now = Backoff(4, 3, Random(1)), 0.0
     for _ in range(400):
-        backoff.heard()  # it tells its list and ends, again and again
-        now += backoff.next(now)
+        backoff.reset()  # it tells its list and ends, again and again
+        now += backoff.next_wait(now)
     assert now >= 400 / 4.2 * 1000.0 - 8 * 250.0
 
 
 def test_few_dispatchers_wait_as_short_as_ever():
-    waits = [Backoff(FEW, 0, Random(1)).next(0.0) for _ in range(3)]
-    assert all(LEAST * WAIT <= wait <= WAIT for wait in waits)
+    waits = [Backoff(FEW_SHARERS, 0, Random(1)).next_wait(0.0) for _ in range(3)]
+    assert all(LEAST_SHARE_OF_WAIT * WAIT_PER_SHARER <= wait <= WAIT_PER_SHARER for wait in waits)
     backoff = Backoff(4, 0, Random(1))
-    assert max(backoff.next(9e3 * n) for n in range(20)) <= backoff.most == FEW_MOST
+    assert max(backoff.next_wait(9e3 * n) for n in range(20)) <= backoff.most == MAX_WAIT_OF_FEW
 
 
 def test_waits_are_bounded_grow_with_failures_and_begin_anew_after_a_list():
     backoff = Backoff(40, 0, Random(2))
-    waits = [backoff.next(9e3 * n) for n in range(30)]
-    assert max(waits[:1]) <= WAIT * 40 and max(waits) <= backoff.most == MOST
-    assert min(waits[4:]) >= LEAST * backoff.most and len(set(waits)) == 30
-    backoff.heard()
-    assert backoff.next(1e6) == backoff.first(True), "after a list the first call comes in its turn"
-    assert LEAST * WAIT * 40 <= backoff.next(1e6) <= WAIT * 40
+    waits = [backoff.next_wait(9e3 * n) for n in range(30)]
+    assert max(waits[:1]) <= WAIT_PER_SHARER * 40 and max(waits) <= backoff.most == MAX_WAIT
+    assert min(waits[4:]) >= LEAST_SHARE_OF_WAIT * backoff.most and len(set(waits)) == 30
+    backoff.reset()
+    assert backoff.next_wait(1e6) == backoff.first_wait(True), "after a list the first call comes in its turn"
+    assert LEAST_SHARE_OF_WAIT * WAIT_PER_SHARER * 40 <= backoff.next_wait(1e6) <= WAIT_PER_SHARER * 40
 
 
 def follow(number, index, sharers=40):
@@ -137,7 +150,7 @@
 
 def test_a_dispatcher_that_holds_a_list_waits_for_its_turn_and_one_without_does_not():
     desk = follow(7, 3)
-    desk.advance(7 * min(TURN, FIRST * 500.0 / 40) - 6.0)
+    desk.advance(7 * min(FIRST_CALL_SPACING, FIRST_CALLS_SHARE * 500.0 / 40) - 6.0)
     assert not desk.dials
     desk.advance(10.0)
     assert len(desk.dials) == 1
@@ -156,7 +169,9 @@
             desk.dials[0].up()
             calls += 1
         gap = 0.0 if desk.ends and desk.ends[-1].pipe.open else gap + 100.0
-        assert gap <= (100.0 if calls else FIRST * 500.0), "it would not hear of a drain within the grace"
+        assert gap <= (100.0 if calls else FIRST_CALLS_SHARE * 500.0), (
+            "it would not hear of a drain within the grace"
+        )
     assert 6 <= calls <= 9, "and it does not hammer"
 
 
@@ -169,7 +184,7 @@
     feed.pipe.send(head + b"%x\r\n%s\r\n" % (len(bad), bad))
     assert desk.exchange._table == before and not feed.pipe.open
     assert "following again after index 3 in " in desk.logged[-1], json.dumps(desk.logged)
-    desk.advance(40.0 * WAIT + 5.0)
+    desk.advance(40.0 * WAIT_PER_SHARER + 5.0)
     assert len(desk.dials) == 1, "and it comes back"
 
 
@@ -256,7 +271,7 @@
             dial.up().pipe.send(HEAD + chunk(told("DRAINING")))
         drained = [*desk.exchange._table.values()] == [State.DRAINING]
         desk.advance(10.0)
-        assert desk.now - reachable <= TOLD
+        assert desk.now - reachable <= NOTIFIED_AFTER
 
 
 @pytest.mark.parametrize(("sharers", "number"), [(1, 0), (40, 39), (200, 199)])
@@ -265,12 +280,12 @@
     """What the agent holds counts at once: at 20 dispatchers a watch that was reset was opened anew after
     0.5 to 2 s, while a drain binds after half a second."""
     desk = follow(number, 3, sharers)
-    desk.advance(FIRST * 500.0)
+    desk.advance(FIRST_CALLS_SHARE * 500.0)
     feed = desk.dials[0].up()
     feed.pipe.send(HEAD + chunk(told("SERVING")))
     desk.advance(1000.0)
     feed.pipe.break_off()
-    desk.advance(FIRST * 500.0 + TICK)
+    desk.advance(FIRST_CALLS_SHARE * 500.0 + TICK)
     desk.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING")))
     assert [*desk.exchange._table.values()] == [State.DRAINING]
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -5,7 +5,7 @@
 from support.memory_dispatcher import Client
 
 from eiderfield.interface import State
-from eiderfield.net.backoff import DIAL
+from eiderfield.net.backoff import DIAL_TIMEOUT
 from eiderfield.net.clients.connection import EVICTION_GRACE
 from eiderfield.net.console import WAIT
 from eiderfield.net.discovery.platform import PlatformWatch
@@ -144,7 +144,7 @@
     desk.advance(1000.0)
     desk.dials[0].up()
     desk.advance(SILENCE + 10.0)
-    desk.advance(DIAL + 10.0)
+    desk.advance(DIAL_TIMEOUT + 10.0)
     assert console.figures()["watches_reopened"] == {
         "refused": 1, "broken": 1, "malformed": 1, "silent": 1, "unreachable": 1
     }  # fmt: skip
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,7 +11,7 @@
 from eiderfield.config import ConfigError, load
 from eiderfield.interface import State
 from eiderfield.lab.ports import free_port
-from eiderfield.net.backoff import DIAL, FEW_MOST
+from eiderfield.net.backoff import DIAL_TIMEOUT, MAX_WAIT_OF_FEW
 from eiderfield.net.discovery.active_watch import ActiveWatch
 from eiderfield.net.discovery.platform import PlatformWatch
 
@@ -74,7 +74,7 @@
     old.pipe.break_off()
     for _ in range(3):
         moving.dials(8600)[-1].refuse()
-        moving.desk.advance(FEW_MOST)
+        moving.desk.advance(MAX_WAIT_OF_FEW)
     again = moving.up(8500)
     again.say(news("DRAINING", 8, snapshot=False))
     assert moving.states == [State.DRAINING]
@@ -87,7 +87,7 @@
 def test_a_dial_that_never_comes_up_is_tried_again_well_within_the_time_to_be_told():
     moving = Moving()
     first = moving.dials(8500)
-    moving.desk.advance(DIAL + 150.0)
+    moving.desk.advance(DIAL_TIMEOUT + 150.0)
     assert first[0].cancelled and len(moving.dials(8500)) == 1
 
 
--- a/tests/test_wheel.py
+++ b/tests/test_wheel.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from eiderfield.net.wheel import AT_ONCE, PATIENT_AT_ONCE, SLOTS, TICK, Wheel
+from eiderfield.net.wheel import MAX_PATIENT_PER_TURN, MAX_PER_TURN, SLOTS, TICK, Wheel
 
 SPANS = [SLOTS * TICK, SLOTS**2 * TICK, SLOTS**3 * TICK]  # what each level reaches, in ms
 TIMES = st.one_of(*[st.floats(-50.0, 3.0 * span) for span in SPANS])
@@ -88,8 +88,8 @@
         before = len(idle)
         wheel.advance(1000.0)
         turns += 1
-        assert len(idle) - before <= PATIENT_AT_ONCE
-    assert idle == list(range(10_000)) and turns <= 10_000 / PATIENT_AT_ONCE + 10_000 / AT_ONCE + 2
+        assert len(idle) - before <= MAX_PATIENT_PER_TURN
+    assert idle == list(range(10_000)) and turns <= 10_000 / MAX_PATIENT_PER_TURN + 10_000 / MAX_PER_TURN + 2
 
 
 def test_a_job_that_comes_due_while_idlers_wait_is_not_behind_them():
@@ -99,7 +99,7 @@
     wheel.at(8.0, lambda: seen.append(len(idle)))
     wheel.advance(4.0)
     wheel.advance(8.0)
-    assert seen == [PATIENT_AT_ONCE]
+    assert seen == [MAX_PATIENT_PER_TURN]
 
 
 @pytest.mark.parametrize("ahead", [100.0, 300_000.0, 3_600_000.0])
@@ -125,14 +125,14 @@
     for at in (10.0, SPANS[0] * 3, SPANS[1] * 7, SPANS[2] * 4):
         wheel.at(at, lambda at=at: seen.append(at))
     steps = 0
-    real = wheel._open
+    real = wheel._enter_tick
 
     def counted():
         nonlocal steps
         steps += 1
         real()
 
-    wheel._open = counted
+    wheel._enter_tick = counted
     wheel.advance(SPANS[2] * 5)
     assert len(seen) == 4 and steps < 30
     wheel.advance(SPANS[2])  # back in time: nothing happens, and what is new is not early
