--- a/eiderfield/cli/rollout.py
+++ b/eiderfield/cli/rollout.py
@@ -142,21 +142,28 @@
 
 
 def _say(folder: Path, word: str) -> None:
-    from eiderfield.rollout.journal import ask
-
     state = _journal(folder).state
     lost = state.phase not in CODES and not state.paused and state.phase not in ("held", "undoing")
     if _led(folder):
-        ask(folder, word)
+        _ask(folder, word)
         click.echo(f"told the controller that leads it: {word}")
         return
     if word == "pause":
         raise click.ClickException("nobody leads this change: nothing is begun until it is resumed")
     if word == "undo" or not lost:  # one whose controller was lost just goes on
-        ask(folder, word)
+        _ask(folder, word)
     _lead(folder)
 
 
+def _ask(folder: Path, word: str) -> None:
+    from eiderfield.rollout.journal import JournalError, ask
+
+    try:
+        ask(folder, word)
+    except JournalError as error:
+        raise click.ClickException(f"not told: {error}") from None
+
+
 def _lead(folder: Path) -> None:
     from eiderfield.rollout.controller import Controller
     from eiderfield.rollout.journal import JournalError
--- a/eiderfield/durable.py
+++ b/eiderfield/durable.py
@@ -46,7 +46,7 @@
 def replace_file(path: Path, text: str, mode: int = PRIVATE) -> None:
     """Gives a file a new content, synced to the disk."""
     draft = path.with_name(f"{DRAFT}{path.name}.{os.getpid()}")
-    with suppress(FileNotFoundError):
+    with suppress(OSError):  # of an earlier process with this number; one that stays refuses the next draft
         os.unlink(draft)
     try:
         _write_draft(draft, text, mode, sync=True)
--- a/eiderfield/rollout/controller.py
+++ b/eiderfield/rollout/controller.py
@@ -1,6 +1,8 @@
 """Leads a change: looks, asks the course what to do, writes that down, and does it, until the change is over.
 
-Whatever the course decides is in the journal before it is done. The controller may be lost between any two
+Whatever the course decides is in the journal before it is done. Where the journal cannot be written, nothing
+that was decided counts: the course goes back to what was written last, as the next controller would, and
+decides anew. The controller may be lost between any two
 of its steps; the next one reads the journal, sees what runs, and goes on. `point` is called at each step with
 its name, so that the laboratory can lose a controller just there.
 """
@@ -9,6 +11,7 @@
 
 import time
 from collections.abc import Callable
+from contextlib import suppress
 from pathlib import Path
 from typing import Any
 from uuid import uuid4
@@ -16,9 +19,10 @@
 import structlog
 
 from eiderfield.config import ConfigError
+from eiderfield.durable import SHARED, append_line, replace_file
 from eiderfield.rollout.course import Course
 from eiderfield.rollout.hands import Hands, HandsError
-from eiderfield.rollout.journal import Journal, JournalError, Locks, read
+from eiderfield.rollout.journal import Journal, JournalError, JournalWriteError, Locks, read
 from eiderfield.rollout.meter import Meter
 from eiderfield.rollout.moves import Move
 from eiderfield.rollout.plan import Plan
@@ -30,7 +34,15 @@
 
 
 def begin(plan_file: Path, folder: Path) -> None:
-    """Makes a change's folder; `JournalError` if it is there already, `ConfigError` if the plan is faulty."""
+    """Makes a change's folder; `JournalError` if it is there already or cannot be written, `ConfigError` if
+    the plan is faulty."""
+    try:
+        _begin(plan_file, folder)
+    except OSError as error:
+        raise JournalError(f"{folder}: {error.strerror}") from None
+
+
+def _begin(plan_file: Path, folder: Path) -> None:
     plan = read_plan(plan_file.read_text(encoding="utf-8"))
     base = plan_file.resolve().parent
     for what, program in (("program", plan.program), ("before", plan.before)):
@@ -40,8 +52,8 @@
         raise JournalError(f"{folder} holds a change already: resume it, undo it, or name another folder")
     folder.mkdir(parents=True, exist_ok=True)
     prepare(plan, base, folder)
-    (folder / PLAN).write_text(plan_file.read_text(encoding="utf-8"), encoding="utf-8")
-    (folder / BASE).write_text(str(base), encoding="utf-8")
+    replace_file(folder / PLAN, plan_file.read_text(encoding="utf-8"), SHARED)
+    replace_file(folder / BASE, str(base), SHARED)
     Journal(folder, plan.digest, uuid4().hex[:12]).write(time.time())
 
 
@@ -59,11 +71,14 @@
     """Leads the change of a folder. It holds the fleet's locks from its making to `close`."""
 
     def __init__(
-        self, folder: Path, point: Callable[[str], None] = lambda name: None, hands: type[Hands] = Hands
-    ) -> None:
+        self, folder: Path, point: Callable[[str], None] = lambda name: None, hands: type[Hands] = Hands,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:  # fmt: skip
         self.plan, base = plan_of(folder)
         self.journal = read(folder, self.plan)
         self._point = point
+        self._clock = clock
+        self._unwritten = False  # whether the last word of the journal is still to be written
         self._locks = Locks(self.plan)
         try:
             texts = prepare(self.plan, base, folder)
@@ -74,13 +89,13 @@
             raise
         self._meter = Meter()
         self._log = structlog.wrap_logger(
-            structlog.WriteLogger((folder / "rollout.log").open("a", buffering=1)),
+            _LogFile(folder / "rollout.log"),
             processors=[
                 structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
                 structlog.processors.JSONRenderer(),
             ],
         )  # fmt: skip
-        self._last = time.monotonic()
+        self._last = self._clock()
         self._log.info("leads", plan=self.plan.name, phase=self.course.state.phase)
 
     def close(self) -> None:
@@ -95,15 +110,17 @@
             told(self.course)
             if self.course.over and not self.journal.wish():
                 return self.course.state.phase
-            time.sleep(max(0.0, self._last + self.plan.watching.look - time.monotonic()))
+            time.sleep(max(0.0, self._last + self.plan.watching.look - self._clock()))
 
     def turn(self) -> None:
         """One look, and what follows from it."""
-        course, journal = self.course, self.journal
-        now = time.monotonic()
+        now = self._clock()
         span, self._last = now - self._last, now
-        before = (course.state.phase, course.state.stage, course.state.why)
+        if self._unwritten and not self._write():
+            return
         self._heed()
+        course, journal = self.course, self.journal
+        before = (course.state.phase, course.state.stage, course.state.why)
         told = self._hands.look()
         found = {name: [one.found for one in there] for name, there in told.items()}
         seen = self._meter.look(told, course.new_side(found), course.ending)
@@ -117,21 +134,35 @@
         processes = self._hands.kept
         if moves or (course.state.phase, course.state.stage, course.state.why) != before:
             journal.processes = processes
-            journal.write(time.time())
+            if not self._write():
+                return
             self._point("written")
         for move in moves:
             self._do(move)
         if moves:
             journal.processes = self._hands.kept
-            journal.write(time.time())
-            self._point("done")
+            if self._write():
+                self._point("done")
 
     def _heed(self) -> None:
         if word := self.journal.wish():
             why = self.course.say(word)
             self._log.info("word", word=word, refused=why)
-            self.journal.write(time.time(), why or f"{word}, as asked")
-            self.journal.heeded()
+            if self._write(why or f"{word}, as asked"):
+                self.journal.heeded()
+
+    def _write(self, note: str = "") -> bool:
+        """Writes the journal. Where the system refuses it, the course goes back to what was written last."""
+        try:
+            self.journal.write(time.time(), note)
+        except JournalWriteError as error:
+            self._log.error("journal", error=str(error))
+            self.journal.go_back()
+            self.course = Course(self.plan, self.journal.state)
+            self._unwritten = True
+            return False
+        self._unwritten = False
+        return True
 
     def _do(self, move: Move) -> None:
         what = {"move": type(move).__name__.lower(), **_plain(move)}
@@ -146,6 +177,21 @@
         self._log.info("move", came=came, **what)
 
 
+class _LogFile:
+    """Lines for people, a write each. On a disk that takes nothing they are lost, and the change goes on."""
+
+    def __init__(self, path: Path) -> None:
+        """Opens nothing yet."""
+        self._path = path
+
+    def msg(self, line: str) -> None:
+        """Adds a line."""
+        with suppress(OSError):
+            append_line(self._path, line)
+
+    debug = info = warning = error = msg
+
+
 def _plain(move: Move) -> dict[str, Any]:
     told = {name: getattr(move, name) for name in move.__dataclass_fields__}
     return {name: getattr(value, "value", value) for name, value in told.items()}
--- a/eiderfield/rollout/hands.py
+++ b/eiderfield/rollout/hands.py
@@ -11,18 +11,18 @@
 import os
 import signal
 import subprocess
-import time
 from collections.abc import Iterable, Mapping
 from concurrent.futures import ThreadPoolExecutor
-from contextlib import suppress
+from contextlib import ExitStack, suppress
 from dataclasses import dataclass
 from http.client import HTTPConnection, HTTPException
 from pathlib import Path
-from typing import Any
+from typing import IO, Any
 
 import psutil
 
 from eiderfield.config import Address
+from eiderfield.machine import process_age
 from eiderfield.rollout.meter import Told
 from eiderfield.rollout.moves import Configure, End, Found, Move, Side, Start
 from eiderfield.rollout.plan import Member, Plan
@@ -31,6 +31,7 @@
 MARK = "EIDERFIELD_ROLLOUT"  # in a process's environment: the change's id, the member's name, the side
 PATIENCE = 1.0  # s for an answer of a console, as the product promises
 ASKERS = 32  # consoles asked at once
+START_TOLERANCE = 0.05  # s by which two tellings of one process's start may differ
 
 
 class HandsError(RuntimeError):
@@ -99,7 +100,7 @@
 
     def _one(self, pid: int, known: _Known, answer: dict[str, Any] | None) -> Told:
         process, refused = known.process, ""
-        age = max(0.0, time.time() - process.create_time())
+        age = process_age(pid)
         side = known.side
         if answer is None:
             return Told(Found(side, pid, known.console, None), age)
@@ -152,10 +153,13 @@
     def _recall(self, told: Mapping[str, Any]) -> None:
         with suppress(psutil.Error):
             process = psutil.Process(int(told["pid"]))
-            if abs(process.create_time() - float(told["created"])) < 0.05:
-                host, port = told["console"]
-                known = _Known(str(told["member"]), Side(told["side"]), (str(host), int(port)), process)
-                self._known[process.pid] = known
+            host, port = told["console"]
+            console = (str(host), int(port))
+            # Its start is told by the wall clock. Where that was stepped since, the process that listens at
+            # the console is still known to be the one.
+            same_start = abs(process.create_time() - float(told["created"])) < START_TOLERANCE
+            if same_start or _listener(console) == process.pid:
+                self._known[process.pid] = _Known(str(told["member"]), Side(told["side"]), console, process)
 
     def _find_marked(self) -> None:
         names = {member.name for member in self.plan.members}
@@ -204,7 +208,8 @@
         }  # fmt: skip
         environ = {name: value.format(**words) for name, value in member.environment.items()}
         environ |= {"LB_CONSOLE": words["console"], MARK: f"{self._id} {move.member} {move.side.value}"}
-        with (self._folder / f"{move.member}.log").open("ab") as log:
+        with ExitStack() as opened:
+            log = _open_log(self._folder / f"{move.member}.log", opened)
             child = subprocess.Popen(
                 [word.format(**words) for word in member.start], cwd=program, env={**os.environ, **environ},
                 stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True,
@@ -226,6 +231,14 @@
         connection.close()
 
 
+def _open_log(path: Path, opened: ExitStack) -> int | IO[bytes]:
+    """A process's log; none on a disk that takes nothing, for the process is needed more than its log."""
+    try:
+        return opened.enter_context(path.open("ab"))
+    except OSError:
+        return subprocess.DEVNULL
+
+
 def _runs(process: psutil.Process) -> bool:
     try:
         return bool(process.is_running() and process.status() != psutil.STATUS_ZOMBIE)
--- a/eiderfield/rollout/journal.py
+++ b/eiderfield/rollout/journal.py
@@ -4,8 +4,9 @@
     wish.json       an operator's word that the controller has not heeded yet
     moves.jsonl     every move before it is made, and what came of it: for people; nothing reads it back
 
-The journal is written to a draft, flushed to the disk and renamed: a controller that dies at any moment
-leaves the one before or this one. One that is torn, changed by hand or of another plan is refused by name.
+The journal is replaced as a whole (`durable.py`): a controller that dies at any moment leaves the one before
+or this one, and one that cannot write goes on from the one before. One that is torn, changed by hand or of
+another plan is refused by name.
 
 Locks are the system's own on a file for each console's address, so that two changes of one dispatcher cannot
 go on at once from whatever folder they are led, and a lock ends with its process.
@@ -18,7 +19,7 @@
 import os
 import tempfile
 from collections.abc import Iterable
-from contextlib import ExitStack
+from contextlib import ExitStack, suppress
 from dataclasses import dataclass, field
 from pathlib import Path
 from types import TracebackType
@@ -26,10 +27,12 @@
 from zlib import crc32
 
 from eiderfield.config import Address
+from eiderfield.durable import SHARED, append_line, replace_file
 from eiderfield.rollout.course import WORDS, State, state_of
 from eiderfield.rollout.plan import Plan
 
 FORM = 1
+WISH = "wish.json"  # an operator's word, in a change's folder
 KEPT = 200  # entries of what was said, the latest
 
 
@@ -37,6 +40,10 @@
     """A journal that cannot be gone on from, or a fleet that another controller leads."""
 
 
+class JournalWriteError(JournalError):
+    """A journal that the system refused to write: what it was to say does not count."""
+
+
 @dataclass
 class Journal:
     """The journal of one change."""
@@ -49,6 +56,8 @@
     processes: list[dict[str, Any]] = field(
         default_factory=list
     )  # that were known, with their side and console
+    body: str = ""  # what was written or read last
+    heeded_file: tuple[int, int] = (0, 0)  # the file of a word that was heeded and could not be removed
 
     @property
     def path(self) -> Path:
@@ -56,42 +65,68 @@
         return self.folder / "journal.json"
 
     def write(self, now: float, note: str = "") -> None:
-        """Writes it down, with a note of where things stand at `now` (Unix time, s)."""
+        """Writes it down, with a note of where things stand at `now` (Unix time, s, for people alone).
+        Raises `JournalWriteError`."""
         state = self.state
         entry = {"t": now, "phase": state.phase, "stage": state.stage, "why": note or state.why}
         last = self.said[-1] if self.said else {}
+        said = self.said
         if any(last.get(key) != entry[key] for key in ("phase", "stage", "why")):
-            self.said = [*self.said, entry][-KEPT:]
+            said = [*said, entry][-KEPT:]
         told = {
-            "form": FORM, "plan": self.plan, "id": self.id, "state": state.told(), "said": self.said,
+            "form": FORM, "plan": self.plan, "id": self.id, "state": state.told(), "said": said,
             "processes": self.processes,
         }  # fmt: skip
         body = json.dumps(told, sort_keys=True)
-        _replace(self.path, json.dumps({"sum": f"{crc32(body.encode()):08x}", "body": body}))
+        try:
+            replace_file(self.path, json.dumps({"sum": f"{crc32(body.encode()):08x}", "body": body}), SHARED)
+        except OSError as error:
+            raise JournalWriteError(f"{self.path}: {error.strerror}") from None
+        self.said, self.body = said, body
+
+    def go_back(self) -> None:
+        """To what was written or read last: what was decided since then does not count."""
+        told = json.loads(self.body)
+        self.state, self.said = state_of(told["state"]), list(told["said"])
 
     def note(self, **told: Any) -> None:
-        """A line of `moves.jsonl`."""
-        with (self.folder / "moves.jsonl").open("a", encoding="utf-8") as file:
-            file.write(json.dumps(told) + "\n")
+        """A line of `moves.jsonl`. On a disk that takes nothing it is lost: nothing reads it back."""
+        with suppress(OSError):
+            append_line(self.folder / "moves.jsonl", json.dumps(told))
 
     def wish(self) -> str:
         """The operator's word that waits, '' if there is none."""
         try:
-            word = json.loads((self.folder / "wish.json").read_text())["word"]
+            if _file_of(self._wish_path) == self.heeded_file:
+                return ""
+            word = json.loads(self._wish_path.read_text())["word"]
         except (OSError, ValueError, LookupError, TypeError):
             return ""
         return str(word) if word in WORDS else ""
 
     def heeded(self) -> None:
         """The word that waited has been heeded, or refused."""
-        (self.folder / "wish.json").unlink(missing_ok=True)
+        try:
+            os.unlink(self._wish_path)
+        except FileNotFoundError:
+            return
+        except OSError:  # it must not be heeded again
+            with suppress(OSError):
+                self.heeded_file = _file_of(self._wish_path)
+
+    @property
+    def _wish_path(self) -> Path:
+        return self.folder / WISH
 
 
 def ask(folder: Path, word: str) -> None:
-    """Leaves an operator's word for the controller of a folder."""
+    """Leaves an operator's word for the controller of a folder; `JournalWriteError` if it is not left."""
     if word not in WORDS:
         raise ValueError(f"no word for a controller: {word!r}")
-    _replace(folder / "wish.json", json.dumps({"word": word}))
+    try:
+        replace_file(folder / WISH, json.dumps({"word": word}), SHARED)
+    except OSError as error:
+        raise JournalWriteError(f"{folder / WISH}: {error.strerror}") from None
 
 
 def read(folder: Path, plan: Plan | None = None) -> Journal:
@@ -107,7 +142,7 @@
             raise ValueError(f"it has form {told['form']!r}, this program reads {FORM}")
         found = Journal(
             folder, str(told["plan"]), str(told["id"]), state_of(told["state"]), list(told["said"]),
-            list(told["processes"]),
+            list(told["processes"]), body,
         )  # fmt: skip
     except (OSError, ValueError, LookupError, TypeError, AttributeError) as error:
         raise JournalError(f"{path}: {error}") from None
@@ -143,10 +178,9 @@
                 ) from None
             except OSError as error:
                 raise JournalError(f"{name} cannot be locked: {path}: {error}") from None
-            file.seek(0)
-            file.truncate()
-            file.write(f"{os.getpid()}\n")
-            file.flush()
+            with suppress(OSError):  # on a full disk: the lock holds all the same
+                os.truncate(file.fileno(), 0)
+                os.pwrite(file.fileno(), f"{os.getpid()}\n".encode(), 0)
 
     def close(self) -> None:
         """Lets all go."""
@@ -160,10 +194,7 @@
         self.close()
 
 
-def _replace(path: Path, text: str) -> None:
-    draft = path.with_name(f".{path.name}.{os.getpid()}")
-    with draft.open("w", encoding="utf-8") as file:
-        file.write(text)
-        file.flush()
-        os.fsync(file.fileno())
-    draft.replace(path)
+def _file_of(path: Path) -> tuple[int, int]:
+    """Tells a file from the one that takes its place."""
+    found = os.stat(path)
+    return found.st_ino, found.st_mtime_ns
--- a/eiderfield/rollout/settings.py
+++ b/eiderfield/rollout/settings.py
@@ -19,6 +19,7 @@
 import tomlkit
 
 from eiderfield.config import ConfigError, digest_of, read, read_text
+from eiderfield.durable import SHARED, replace_file
 from eiderfield.rollout.moves import Side
 from eiderfield.rollout.plan import Plan
 
@@ -41,9 +42,7 @@
 
     def put(self, side: Side) -> None:
         """Puts a side's text in place: renamed, for a reader must never see half of it."""
-        draft = self.path.with_name(f".{self.path.name}.draft")
-        draft.write_text(self.text[side], encoding="utf-8")
-        draft.replace(self.path)
+        replace_file(self.path, self.text[side], SHARED)
 
 
 def prepare(plan: Plan, base: Path, folder: Path) -> dict[str, Texts]:
@@ -74,8 +73,8 @@
             except (OSError, ValueError) as error:
                 raise ConfigError(f"{at}: {target}: {error}") from None
             _check(new, target, at, member.environment)
-            kept[Side.OLD].write_text(old, encoding="utf-8")
-            kept[Side.NEW].write_text(new, encoding="utf-8")
+            replace_file(kept[Side.OLD], old, SHARED)  # half of one would be put in place by an undo
+            replace_file(kept[Side.NEW], new, SHARED)
         texts = {side: file.read_text(encoding="utf-8") for side, file in kept.items()}
         data = {side: _plain(text, target) for side, text in texts.items()}
         found[member.name] = Texts(target, texts, {side: digest_of(told) for side, told in data.items()})
--- /dev/null
+++ b/tests/test_rollout_on_failing_disk.py
@@ -0,0 +1,286 @@
+"""A rolling change while the disk fails for a while, files are cut short, or the wall clock is stepped."""
+
+import json
+import os
+import socket
+import time
+from collections import Counter
+
+import psutil
+import pytest
+from support.failing_files import ERRORS, FULL, failing_files
+from test_rollout_settings import FILE
+
+from eiderfield.rollout.controller import Controller, begin, plan_of
+from eiderfield.rollout.hands import Hands
+from eiderfield.rollout.journal import Journal, JournalError, JournalWriteError, ask, read
+from eiderfield.rollout.meter import Told
+from eiderfield.rollout.moves import End, Found, Side, Start
+from eiderfield.rollout.plan import read as read_plan
+from eiderfield.rollout.settings import prepare
+
+NAMES = ("n0", "n1", "n2")
+KINDS = ("open", "write", "sync", "rename", "unlink")
+TURNS = 120  # of a healthy change, and some more
+POSITIONS = 6  # of the first operation that fails, spread over those of a healthy change
+SHORT, LONG = 3, 15  # turns for which the disk fails
+
+PLAN = """\
+name = "change"
+[change]
+program = "new"
+before = "old"
+[watch]
+seconds = 20.0
+before = 3.0
+settle = 0.0
+ready = 40.0
+[stages]
+shares = [0.5]
+""" + "".join(
+    f"""
+[[dispatcher]]
+name = "{name}"
+console = "127.0.0.1:{8070 + number}"
+spare = "127.0.0.1:{8170 + number}"
+start = ["run"]
+"""
+    for number, name in enumerate(NAMES)
+)
+
+
+class Processes:
+    """Stands in for `Hands`: processes that start, get ready and end as they are told."""
+
+    def __init__(self, plan, id_, base, folder, texts, kept=()):
+        self.plan, self.folder = plan, folder
+        self.kept = [{"member": "n0", "pid": 1}]
+        self.running = {
+            member.name: {number: (Side.OLD, member.console)} for number, member in enumerate(plan.members)
+        }
+        self.next_pid, self.jobs = 100, Counter()
+
+    def close(self):
+        """Nothing is held."""
+
+    def look(self):
+        return {
+            name: [self.told(pid, *one) for pid, one in there.items()] for name, there in self.running.items()
+        }
+
+    def told(self, pid, side, console):
+        self.jobs[pid] += 200
+        figures = {"success": {"a": self.jobs[pid]}, "busy": {"a": 0}, "failure": {"a": 0}}
+        return Told(Found(side, pid, console, True), 100.0, figures, {"a": self.jobs[pid]})
+
+    def carry(self, move):
+        there = self.running[move.member]
+        if isinstance(move, Start):
+            assert move.console not in [console for _, console in there.values()], "two starts"
+            there[self.next_pid] = (move.side, move.console)
+            self.next_pid += 1
+        if isinstance(move, End):
+            del there[move.pid]
+            assert there, "nobody serves"
+        return "told"
+
+
+class Change:
+    """A change that is led turn by turn on a clock of its own."""
+
+    def __init__(self, folder, faults):
+        self.now, self.faults, self.folder = 0.0, faults, folder / "change"
+        self.base = folder
+        for program in ("old", "new"):
+            (folder / program / "eiderfield").mkdir(parents=True)
+        (folder / "plan.toml").write_text(PLAN)
+
+    def begin(self):
+        begin(self.base / "plan.toml", self.folder)
+        self.controller = Controller(self.folder, hands=Processes, clock=lambda: self.now)
+        self.carry, self.controller._hands.carry = self.controller._hands.carry, self.checked
+
+    def checked(self, move):
+        """Nothing is done before it is on the disk that it may be done."""
+        with self.faults.paused():
+            on_disk = read(self.folder).state
+        assert on_disk.phase == self.controller.course.state.phase
+        assert on_disk.stage == self.controller.course.state.stage
+        return self.carry(move)
+
+    def lead(self, heals_after=None):
+        for _ in range(TURNS):
+            self.now += 1.0
+            self.controller.turn()
+            with self.faults.paused():
+                read(self.folder)
+            if self.faults.failed and heals_after is not None:
+                heals_after -= 1
+                if heals_after == 0:
+                    self.faults.heal()
+            if self.controller.course.over and not self.controller.journal.wish():
+                break
+        return self.controller.course.state.phase
+
+    def sides(self):
+        running = self.controller._hands.running
+        return [side for there in running.values() for side, _ in there.values()]
+
+
+@pytest.fixture
+def faults(tmp_path, monkeypatch):
+    with failing_files(tmp_path, monkeypatch) as faults:
+        yield faults
+
+
+@pytest.mark.parametrize("turns", [SHORT, LONG], ids=["short", "long"])
+@pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
+@pytest.mark.parametrize("kind", KINDS)
+def test_a_change_goes_to_its_end_whatever_the_disk_refuses_for_a_while(kind, code, turns, tmp_path, faults):
+    healthy = Change(tmp_path / "healthy", faults)
+    healthy.begin()
+    faults.counts.clear()
+    assert healthy.lead() == "done" and set(healthy.sides()) == {Side.NEW}
+    healthy.controller.close()
+    many = faults.counts[kind]
+    for first in range(1, many + 1, max(1, many // POSITIONS)):
+        change = Change(tmp_path / f"{first}", faults)
+        change.begin()
+        faults.fail(kind, code, first)
+        assert change.lead(turns) == "done", f"operation {first} of {many}"
+        faults.heal()
+        assert change.sides() == [Side.NEW] * len(NAMES)
+        assert read(change.folder, change.controller.plan).state.phase == "done"
+        change.controller.close()
+
+
+@pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
+@pytest.mark.parametrize("kind", KINDS[:4])
+@pytest.mark.parametrize("first", [1, 2, 3, 4])
+def test_a_change_that_cannot_be_written_is_not_begun_and_may_be_begun_again(
+    kind, code, first, tmp_path, faults
+):
+    change = Change(tmp_path, faults)
+    faults.fail(kind, code, first, times=1)
+    try:
+        change.begin()
+    except JournalError as error:
+        assert str(change.folder) in str(error)
+        change.begin()
+    assert change.lead() == "done"
+
+
+@pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
+def test_a_word_is_heeded_once_although_its_file_stays(code, tmp_path, faults):
+    change = Change(tmp_path, faults)
+    change.begin()
+    for _ in range(5):
+        change.now += 1.0
+        change.controller.turn()
+    ask(change.folder, "pause")
+    faults.fail("unlink", code)
+    for _ in range(5):
+        change.now += 1.0
+        change.controller.turn()
+    assert change.controller.course.state.paused
+    assert (change.folder / "wish.json").exists() and change.controller.journal.wish() == ""
+    ask(change.folder, "resume")
+    for _ in range(3):
+        change.now += 1.0
+        change.controller.turn()
+    assert not change.controller.course.state.paused, "the earlier word came back"
+
+
+@pytest.mark.parametrize("kind", ["open", "write", "sync", "rename"])
+def test_a_word_that_cannot_be_left_says_so(kind, tmp_path, faults):
+    faults.fail(kind, FULL)
+    with pytest.raises(JournalWriteError, match=r"wish\.json"):
+        ask(tmp_path, "undo")
+
+
+def test_a_journal_cut_at_any_byte_is_refused_by_name_and_so_is_none(tmp_path, faults):
+    change = Change(tmp_path, faults)
+    change.begin()
+    path = change.folder / "journal.json"
+    whole = path.read_bytes()
+    for size in range(len(whole)):
+        path.write_bytes(whole[:size])
+        with pytest.raises(JournalError, match=r"journal\.json"):
+            read(change.folder, change.controller.plan)
+    path.write_bytes(whole)
+    assert read(change.folder, change.controller.plan).state.phase == "before"
+
+
+def test_a_line_after_one_that_was_cut_at_any_byte_stands_by_itself(tmp_path):
+    journal = Journal(tmp_path, "plan", "id")
+    path = tmp_path / "moves.jsonl"
+    journal.note(move="start", member="n0")
+    first = path.read_bytes()
+    for size in range(len(first)):
+        path.write_bytes(first[:size])
+        journal.note(move="end", member="n1")
+        last = path.read_text().splitlines()[-1]
+        assert json.loads(last) == {"move": "end", "member": "n1"}
+
+
+@pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
+@pytest.mark.parametrize("kind", ["open", "write", "sync", "rename"])
+@pytest.mark.parametrize("first", [1, 2, 3, 4])
+def test_half_of_a_dispatchers_own_file_is_never_kept_for_an_undo(kind, code, first, tmp_path, faults):
+    """What `prepare` finds in the change's folder is taken for whole, and put in place by an undo."""
+    (tmp_path / "n0.toml").write_text(FILE)
+    (tmp_path / "more.toml").write_text("[limits]\nsockets = 2048\n")
+    (tmp_path / "plan.toml").write_text(
+        'name = "c"\n[change]\nsettings = "more.toml"\n[[dispatcher]]\nname = "n0"\n'
+        'console = "127.0.0.1:8070"\nconfig = "n0.toml"\nstart = ["run"]\n'
+    )
+    folder = tmp_path / "change"
+    faults.partly = True
+    faults.fail(kind, code, first, times=1)
+    try:
+        begin(tmp_path / "plan.toml", folder)
+    except JournalError:
+        begin(tmp_path / "plan.toml", folder)
+    plan, base = plan_of(folder)
+    [texts] = prepare(plan, base, folder).values()
+    assert texts.text[Side.OLD] == FILE and texts.text[Side.NEW] != FILE
+    for side in (Side.NEW, Side.OLD):
+        texts.put(side)
+        assert texts.lies() is side
+
+
+# Wall clocks that are stepped.
+
+
+@pytest.mark.parametrize("step", [5.0, 3600.0, -5.0, -3600.0])
+def test_a_process_is_as_old_as_it_is_whatever_the_wall_clock_says(step, tmp_path, monkeypatch):
+    with socket.create_server(("127.0.0.1", 0)) as console:
+        plan, kept = hands_of(console, created=psutil.Process().create_time())
+        hands = Hands(plan, "id", tmp_path, tmp_path, {}, [kept])
+        before = hands.look()["n0"][0].age
+        real = time.time
+        monkeypatch.setattr(time, "time", lambda: real() + step)
+        [after] = hands.look()["n0"]
+        hands.close()
+    assert after.found.pid == os.getpid() and 0.0 <= after.age - before < 4.0
+
+
+@pytest.mark.parametrize("step", [5.0, 3600.0, -5.0, -3600.0])
+def test_a_controller_after_a_step_knows_the_process_that_listens_at_its_console(step, tmp_path):
+    with socket.create_server(("127.0.0.1", 0)) as console:
+        plan, kept = hands_of(console, created=psutil.Process().create_time() + step)
+        hands = Hands(plan, "id", tmp_path, tmp_path, {}, [kept])
+        assert [known["pid"] for known in hands.kept] == [os.getpid()]
+        hands.close()
+    hands = Hands(plan, "id", tmp_path, tmp_path, {}, [kept])
+    assert hands.kept == [], "another process may have the number by now"
+    hands.close()
+
+
+def hands_of(console, created):
+    """A plan of one dispatcher, whose console is this process's, and what a journal says of it."""
+    address = console.getsockname()
+    text = 'name = "c"\n[change]\nsettings = "s"\n[[dispatcher]]\nname = "n0"\nconfig = "n0.toml"\n'
+    plan = read_plan(f'{text}console = "127.0.0.1:{address[1]}"\nstart = ["run"]\n')
+    kept = {"member": "n0", "side": "old", "console": list(address), "pid": os.getpid(), "created": created}
+    return plan, kept
