--- a/eiderfield/batch/durable.py
+++ b/eiderfield/batch/durable.py
@@ -1,4 +1,4 @@
-"""What the batch front needs of the store that keeps jobs beyond their dispatcher (`eiderfield/custody`)."""
+"""What the batch front needs of the store that keeps jobs beyond their dispatcher."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class DurableJob(Protocol):
-    """A job that the store knows (`eiderfield/custody/record.py`)."""
+    """A job that the store knows (`eiderfield/durable_requests/record.py`)."""
 
     @property
     def id(self) -> str:
@@ -61,7 +61,7 @@
 
 
 class DurableJobLookup(Protocol):
-    """The store, as it is asked about jobs, wherever they are (`eiderfield/custody/keeper.py`)."""
+    """The store, as it is asked about jobs, wherever they are (`eiderfield/durable_requests/keeper.py`)."""
 
     def find(self, id_: str, then: Callable[[DurableJob | None], None]) -> None:
         """Looks a job up; `then` is called once, later."""
--- a/eiderfield/batch/registry.py
+++ b/eiderfield/batch/registry.py
@@ -1,7 +1,7 @@
 """The registry of batch jobs: what was submitted, where it stands, and how it ended. It knows no wire.
 
 Every job goes through the exchange like any request. The registry only remembers: it sends nothing again, and
-a job that the policy rejected stays rejected. Classes that the durable store keeps (`eiderfield/custody`) are
+a job that the policy rejected stays rejected. Classes that the durable store keeps are
 known at every dispatcher and outlive this one: the registry then remembers only who asked here.
 
 A job's states, and what moves it:
--- a/eiderfield/cli/jobs.py
+++ b/eiderfield/cli/jobs.py
@@ -21,8 +21,8 @@
 
 
 def _survey(folder: Path) -> Any:
-    from eiderfield.custody.folder import FolderError
-    from eiderfield.custody.survey import Survey
+    from eiderfield.durable_requests.folder import FolderError
+    from eiderfield.durable_requests.survey import Survey
 
     try:
         return Survey(folder)
@@ -38,7 +38,7 @@
     from rich.console import Console
     from rich.table import Table
 
-    from eiderfield.custody.survey import plain
+    from eiderfield.durable_requests.survey import plain
 
     if as_json:
         for row in rows:
@@ -198,7 +198,7 @@
 @click.argument("copy", type=click.Path(file_okay=False, path_type=Path))
 def snapshot(folder: Path, copy: Path) -> None:
     """Copies what is kept into the new folder COPY while the dispatchers go on."""
-    from eiderfield.custody.folder import FolderError
+    from eiderfield.durable_requests.folder import FolderError
 
     try:
         click.echo(f"{_survey(folder).snapshot(copy)} jobs")
@@ -211,8 +211,8 @@
 @click.argument("folder", type=click.Path(file_okay=False, path_type=Path))
 def restore(copy: Path, folder: Path) -> None:
     """Makes the new folder FOLDER out of a snapshot. Dispatchers that start on it take over what is open."""
-    from eiderfield.custody.folder import FolderError
-    from eiderfield.custody.survey import restore as restore_
+    from eiderfield.durable_requests.folder import FolderError
+    from eiderfield.durable_requests.survey import restore as restore_
 
     try:
         click.echo(f"{restore_(copy, folder)} jobs")
--- a/eiderfield/config.py
+++ b/eiderfield/config.py
@@ -22,7 +22,7 @@
 from eiderfield.wire import parse_settings
 
 if TYPE_CHECKING:
-    from eiderfield.custody.settings import Custody
+    from eiderfield.durable_requests.settings import Custody
 
 Address = tuple[str, int]
 
@@ -297,7 +297,7 @@
     admission = _admission(tree.table("admission"), strict)
     custody = None
     if tree.has("custody"):  # what it needs is imported only where it is on
-        from eiderfield.custody.settings import read as read_custody
+        from eiderfield.durable_requests.settings import read as read_custody
 
         custody = read_custody(tree.table("custody"), site)
     taken = (CONSOLE if console is not None else 0) + (CUSTODY if custody is not None else 0)
--- a/eiderfield/custody/keeper.py
+++ b/eiderfield/durable_requests/keeper.py
@@ -20,8 +20,8 @@
 from functools import partial
 from typing import Any
 
-from eiderfield.custody.folder import FolderError
-from eiderfield.custody.member import (
+from eiderfield.durable_requests.folder import FolderError
+from eiderfield.durable_requests.member import (
     Accept,
     Claim,
     Claimed,
@@ -39,10 +39,10 @@
     Unclaim,
     Wish,
 )
-from eiderfield.custody.record import LegNote, Record, record_of, request_of
-from eiderfield.custody.settings import Custody
-from eiderfield.custody.store import StoreError
-from eiderfield.custody.writer import Call, Writer
+from eiderfield.durable_requests.record import LegNote, Record, record_of, request_of
+from eiderfield.durable_requests.settings import Custody
+from eiderfield.durable_requests.store import StoreError
+from eiderfield.durable_requests.writer import Call, Writer
 from eiderfield.exchange import Answer, Exchange, Job, Leg, Request, Timer, Timers, Verdict
 from eiderfield.idmap import IdMap
 from eiderfield.interface import Effect, Entry
--- a/eiderfield/custody/member.py
+++ b/eiderfield/durable_requests/member.py
@@ -18,12 +18,12 @@
 from contextlib import suppress
 from dataclasses import dataclass, replace
 
-from eiderfield.custody.folder import Folder, FolderError
-from eiderfield.custody.lease import Lease, Watch, agreed, chain_of
-from eiderfield.custody.record import Counts, LegNote, Record, Stage
-from eiderfield.custody.settings import Custody
-from eiderfield.custody.store import EmptyStoreError, Store, StoreError
 from eiderfield.durable import TRANSIENT
+from eiderfield.durable_requests.folder import Folder, FolderError
+from eiderfield.durable_requests.lease import Lease, Watch, agreed, chain_of
+from eiderfield.durable_requests.record import Counts, LegNote, Record, Stage
+from eiderfield.durable_requests.settings import Custody
+from eiderfield.durable_requests.store import EmptyStoreError, Store, StoreError
 from eiderfield.exchange import Answer
 from eiderfield.machine import boot_id, steady_ms
 
--- a/eiderfield/custody/store.py
+++ b/eiderfield/durable_requests/store.py
@@ -14,7 +14,7 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from eiderfield.custody.record import LegNote, Record, Stage
+from eiderfield.durable_requests.record import LegNote, Record, Stage
 
 MAGIC = 0x65646572  # "eder": SQLite's application id of our files
 SCHEMA = 2
--- a/eiderfield/custody/survey.py
+++ b/eiderfield/durable_requests/survey.py
@@ -15,10 +15,10 @@
 from pathlib import Path
 from typing import Any
 
-from eiderfield.custody.folder import Folder, FolderError
-from eiderfield.custody.lease import chain_of
-from eiderfield.custody.record import Record, Stage
-from eiderfield.custody.store import EmptyStoreError, Store, StoreError
+from eiderfield.durable_requests.folder import Folder, FolderError
+from eiderfield.durable_requests.lease import chain_of
+from eiderfield.durable_requests.record import Record, Stage
+from eiderfield.durable_requests.store import EmptyStoreError, Store, StoreError
 from eiderfield.exchange import Verdict
 
 
--- a/eiderfield/custody/writer.py
+++ b/eiderfield/durable_requests/writer.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from eiderfield.custody.member import POLLED, Member, Op, Outcome
-from eiderfield.custody.record import Record
+from eiderfield.durable_requests.member import POLLED, Member, Op, Outcome
+from eiderfield.durable_requests.record import Record
 from eiderfield.machine import steady_ms
 
 GROUP = 256  # changes of one commit
--- a/eiderfield/lab/custody_cost.py
+++ b/eiderfield/lab/custody_cost.py
@@ -20,10 +20,10 @@
 import numpy as np
 import psutil
 
-from eiderfield.custody.member import Accept, Claim, Finish, Member
-from eiderfield.custody.record import LegNote, Record
-from eiderfield.custody.settings import Custody
-from eiderfield.custody.store import Store
+from eiderfield.durable_requests.member import Accept, Claim, Finish, Member
+from eiderfield.durable_requests.record import LegNote, Record
+from eiderfield.durable_requests.settings import Custody
+from eiderfield.durable_requests.store import Store
 from eiderfield.exchange import Answer, Verdict
 from eiderfield.lab.fleet.book import read
 from eiderfield.lab.fleet.run import Fleet
--- a/eiderfield/lab/custody_model.py
+++ b/eiderfield/lab/custody_model.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from eiderfield.custody.lease import chain_of
+from eiderfield.durable_requests.lease import chain_of
 
 SLIPS = ("claim unchecked", "sends first", "heirs choose", "answers first")
 OPEN, CLAIMED, SERVED, FAILED = "accepted", "claimed", "served", "failed"
--- a/eiderfield/lab/fleet/custody.py
+++ b/eiderfield/lab/fleet/custody.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import Any
 
-from eiderfield.custody.folder import Folder
+from eiderfield.durable_requests.folder import Folder
 from eiderfield.lab.fleet.book import Event, read
 from eiderfield.lab.fleet.rules import Finding, Struck
 from eiderfield.lab.fleet.run import Dispatcher, Fleet, Program
--- a/eiderfield/lab/fleet/pointed.py
+++ b/eiderfield/lab/fleet/pointed.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from eiderfield.__main__ import main
-from eiderfield.custody.member import Member
+from eiderfield.durable_requests.member import Member
 from eiderfield.exchange import Exchange
 
 
--- a/eiderfield/program/durable_requests.py
+++ b/eiderfield/program/durable_requests.py
@@ -11,7 +11,7 @@
 from eiderfield.program.part import DrainTimes, Figures, Part
 
 if TYPE_CHECKING:
-    from eiderfield.custody.keeper import Keeper
+    from eiderfield.durable_requests.keeper import Keeper
 
 
 class DurableRequests(Part):
@@ -50,9 +50,9 @@
     """The part, if the configuration asks for it; a `ConfigError` if its folder cannot be used."""
     if config.custody is None:
         return None
-    from eiderfield.custody.folder import FolderError
-    from eiderfield.custody.keeper import Keeper
-    from eiderfield.custody.store import StoreError
+    from eiderfield.durable_requests.folder import FolderError
+    from eiderfield.durable_requests.keeper import Keeper
+    from eiderfield.durable_requests.store import StoreError
 
     try:
         keeper = Keeper(
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -25,6 +25,7 @@
 from eiderfield.custody.record import LegNote, record_of
 from eiderfield.custody.settings import Custody
 from eiderfield.custody.survey import Survey
+
 from eiderfield.exchange import Answer, Request, Verdict
 from eiderfield.net.bans import Bans
 from eiderfield.rollout.course import Course, State
--- a/tests/test_custody_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -5,8 +5,8 @@
 import pytest
 from support.memory_dispatcher import Desk
 
-from eiderfield.custody.keeper import Keeper
-from eiderfield.custody.settings import Custody
+from eiderfield.durable_requests.keeper import Keeper
+from eiderfield.durable_requests.settings import Custody
 from eiderfield.exchange import Request, Verdict
 
 LEASE = 60_000.0  # ms: it holds for the whole of a test
--- a/tests/test_custody_jobs.py
+++ b/tests/test_durable_requests_jobs.py
@@ -9,14 +9,14 @@
 
 import pytest
 from click.testing import CliRunner
-from test_custody import DECLINED, SERVED, Host, leg, one, record
+from test_durable_requests_members import DECLINED, SERVED, Host, leg, one, record
 
 from eiderfield.batch.client import Session
 from eiderfield.batch.drmaa import ControlAction, JobState
 from eiderfield.batch.messages import JobTemplate
 from eiderfield.cli import main
-from eiderfield.custody.folder import Folder
-from eiderfield.custody.member import Accept, Claim, Finish, Wish
+from eiderfield.durable_requests.folder import Folder
+from eiderfield.durable_requests.member import Accept, Claim, Finish, Wish
 from eiderfield.exchange import Answer, Verdict
 from eiderfield.lab.fleet.custody import KINDS
 from eiderfield.lab.fleet.run import Fleet
--- a/tests/test_custody.py
+++ b/tests/test_durable_requests_members.py
@@ -13,9 +13,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from eiderfield.config import ConfigError, Tree
-from eiderfield.custody.folder import Folder, FolderError, hashed
-from eiderfield.custody.lease import Lease, Watch, agreed, chain_of
-from eiderfield.custody.member import (
+from eiderfield.durable_requests.folder import Folder, FolderError, hashed
+from eiderfield.durable_requests.lease import Lease, Watch, agreed, chain_of
+from eiderfield.durable_requests.member import (
     Accept,
     Claim,
     Claimed,
@@ -28,10 +28,10 @@
     Taken,
     Unclaim,
 )
-from eiderfield.custody.record import LegNote, Stage, record_of, request_of
-from eiderfield.custody.settings import Custody
-from eiderfield.custody.settings import read as read_settings
-from eiderfield.custody.store import MAGIC, SCHEMA, Store, StoreError
+from eiderfield.durable_requests.record import LegNote, Stage, record_of, request_of
+from eiderfield.durable_requests.settings import Custody
+from eiderfield.durable_requests.settings import read as read_settings
+from eiderfield.durable_requests.store import MAGIC, SCHEMA, Store, StoreError
 from eiderfield.exchange import Answer, Request, Verdict
 from eiderfield.interface import Effect, JobClass, Settings
 
--- a/tests/test_custody_on_failing_disk.py
+++ b/tests/test_durable_requests_on_failing_disk.py
@@ -11,13 +11,13 @@
 import pytest
 from support.failing_files import BROKEN, ERRORS, FULL, KINDS, failing_files
 from support.memory_dispatcher import Desk
-from test_custody import LEASE, SERVED, Host, leg, one, record
+from test_durable_requests_members import LEASE, SERVED, Host, leg, one, record
 
-from eiderfield.custody import store as store_module
-from eiderfield.custody.folder import FolderError
-from eiderfield.custody.keeper import Keeper
-from eiderfield.custody.lease import chain_of
-from eiderfield.custody.member import (
+from eiderfield.durable_requests import store as store_module
+from eiderfield.durable_requests.folder import FolderError
+from eiderfield.durable_requests.keeper import Keeper
+from eiderfield.durable_requests.lease import chain_of
+from eiderfield.durable_requests.member import (
     Accept,
     Claim,
     Claimed,
@@ -28,10 +28,10 @@
     Refused,
     Taken,
 )
-from eiderfield.custody.record import Stage
-from eiderfield.custody.settings import Custody
-from eiderfield.custody.store import Store, StoreError
-from eiderfield.custody.survey import Survey
+from eiderfield.durable_requests.record import Stage
+from eiderfield.durable_requests.settings import Custody
+from eiderfield.durable_requests.store import Store, StoreError
+from eiderfield.durable_requests.survey import Survey
 from eiderfield.exchange import Request, Verdict
 from eiderfield.machine import unix_offset
 
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from eiderfield.custody.member import Member
-from eiderfield.custody.record import Stage
-from eiderfield.custody.settings import Custody
-from eiderfield.custody.store import SCHEMA, Store
-from eiderfield.custody.survey import Survey
+from eiderfield.durable_requests.member import Member
+from eiderfield.durable_requests.record import Stage
+from eiderfield.durable_requests.settings import Custody
+from eiderfield.durable_requests.store import SCHEMA, Store
+from eiderfield.durable_requests.survey import Survey
 from eiderfield.net.bans import Bans
 from eiderfield.rollout.course import Course
 from eiderfield.rollout.journal import JournalError, read
