--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -194,6 +194,8 @@
         for endpoint in state.endpoints:
             if endpoint.started is not None:
                 self.starts.take_over(self.ids.worker(endpoint.name), endpoint.since_ms, endpoint.started)
+        if state.announced_offset is not None:
+            self.starts.take_over_offset(state.announced_offset)
         if state.endpoints:
             endpoints = [endpoint.listed() for endpoint in state.endpoints]
             self.load({"index": state.index, "snapshot": True, "endpoints": endpoints}, cached=True)
--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -190,6 +190,7 @@
         ),
         unbanned=tuple(unbanned),
         source_heard=None if heard is None else sender.past(heard),
+        announced_offset=None if sender.exact else sender.ahead_at_least,
     )
 
 
--- a/eiderfield/net/start_times.py
+++ b/eiderfield/net/start_times.py
@@ -78,6 +78,10 @@
         if since_ms > 0.0:
             self._announced[worker] = AnnouncedStart(since_ms, max(EARLIEST, min(started, self._clock())))
 
+    def take_over_offset(self, offset: float) -> None:
+        """By another process's clock Unix time was ahead by so much: starts may be stamped by that."""
+        self._earlier.append(EarlierOffset(offset, self._clock() + ANNOUNCED))
+
     def since_ms(self, worker: int, started: float) -> float:
         """The Unix time by which a worker's start is known outside."""
         known = self._announced.get(worker)
--- a/eiderfield/net/table_state.py
+++ b/eiderfield/net/table_state.py
@@ -52,3 +52,6 @@
     endpoints: tuple[EndpointState, ...]
     unbanned: tuple[UnbannedWorker, ...]
     source_heard: float | None  # when discovery was last heard
+    # By how much Unix time was ahead of this process's clock when starts were announced, as far as the other
+    # process's clock shows that; None if it told the starts themselves.
+    announced_offset: float | None = None
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -518,6 +518,32 @@
     assert process.now - at == 30.0
 
 
+@steps
+def test_a_worker_in_slow_start_stays_so_over_a_step_before_the_handover_of_731b84e(step):
+    """Its clock is that of its start: it would be taken for warm after a step forward."""
+    process = Process(lambda: STATE_AT + step, 9e9)
+    table = process.codec.decode(recorded("state")[0]).table
+    desk = Desk(workers=0, unix=lambda: STATE_AT + step, start=process.now)
+    desk.table.take_over(table, {})
+    desk.settle()
+    worker = desk.exchange._module._workers[desk.ids.worker("w3")]
+    assert process.now - worker.entry.ready_at == 140.0
+
+
+@pytest.mark.parametrize("step", [-HOUR, -SECONDS])
+def test_a_worker_that_started_after_a_step_back_is_not_warm_by_the_clock_of_731b84e(step):
+    unix = STATE_AT + step
+    message = recorded("state")[0]
+    for endpoint in message["table"]["endpoints"]:
+        endpoint["since_ms"] = unix - 100.0
+    process = Process(lambda: unix, 9e9)
+    desk = Desk(workers=0, unix=lambda: unix, start=process.now)
+    desk.table.take_over(process.codec.decode(message).table, {})
+    desk.settle()
+    worker = desk.exchange._module._workers[desk.ids.worker("w3")]
+    assert process.now - worker.entry.ready_at == 100.0
+
+
 def test_the_state_of_731b84e_is_exact_where_no_step_was():
     state, process = from_731b84e(0.0, elapsed=50.0)
     assert state.learnt.served_at == process.now - 50.0
