--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -31,6 +31,7 @@
 from eiderfield.connections.admission import Limit, Rejection
 from eiderfield.connections.idle_connections import unread_bytes, unsent_bytes
 from eiderfield.exchange import Timer
+from eiderfield.net.clients.arrivals import Arrivals
 from eiderfield.net.departures import has_left
 from eiderfield.net.http import Head, Malformed, Parser, answer_bytes
 
@@ -102,10 +103,13 @@
         self._message_counted = False  # whether admission control counts that message
         self._head_at = self.since  # when the head of the message was whole
         self._reading = False  # whether messages are being taken
+        self._reading_paused = False
+        self._arrivals = Arrivals()
         self._throttled = False  # whether no more messages are taken for now
         self._discarded_bytes = 0
         self._answered = handover is not None  # whether it was ever answered
         if handover is not None:
+            self._arrivals.came(len(handover.begun), self.since)
             self._parser.feed(handover.begun)
         self._set_time_limit(self.since)
 
@@ -136,8 +140,9 @@
             return
         if self.phase == Phase.CLOSED:
             return
-        self._parser.feed(_SCRATCH[:nbytes])
         self._last_byte_at = self.listener.clock()
+        self._arrivals.came(nbytes, self._last_byte_at)
+        self._parser.feed(_SCRATCH[:nbytes])
         if self.phase == Phase.READING:
             self.listener.mark_active(self)
             self._read_messages()
@@ -206,11 +211,11 @@
         self.phase = Phase.READING
         self.since = self.listener.clock()
         self.listener.mark_idle(self)
-        self._set_time_limit()
-        if self.listener.successor is not None:  # the next process serves it once this call is over
-            self.listener.timers.at(self.since, partial(self.listener.hand_over, self))
         if not self._throttled:
             self._resume_reading()
+        self._set_time_limit(self._message_began_at())
+        if self.listener.successor is not None:  # the next process serves it once this call is over
+            self.listener.timers.at(self.since, partial(self.listener.hand_over, self))
         if not self._reading:  # else its loop goes on: thousands of pipelined messages must not nest
             self._read_messages()
 
@@ -320,6 +325,10 @@
         else:
             self._timer = self.listener.timers.at(self._time_limit().at, self._time_is_up)
 
+    def _message_began_at(self) -> float:
+        """When the first byte came of what is not taken yet, which may have waited behind a request."""
+        return self._arrivals.first_at(self._parser.buffered, self.listener.clock())
+
     def _time_limit(self) -> Limit:
         """Until when what has begun, or has yet to begin on a new connection, may take."""
         admission = self.listener.admission
@@ -389,7 +398,7 @@
             self._timer = self.listener.timers.at(self.listener.clock(), self._read_more_messages)
         elif not self._message_begun and (self._head is not None or not self._parser.between):
             if self.proven:  # a new connection's time runs from its start, whatever it drips
-                self._set_time_limit()
+                self._set_time_limit(self._message_began_at())
             self._count_message_begun()
 
     def _take_messages(self) -> int:
@@ -447,12 +456,17 @@
         """Reads no more for now. A transport that is not read tells of no departure, so it is watched."""
         if self._transport is not None:
             self._transport.pause_reading()
+            self._reading_paused = True
             self._watch_for_departure(True)
 
     def _resume_reading(self) -> None:
-        if self._transport is not None:
-            self._watch_for_departure(False)
-            self._transport.resume_reading()
+        if self._transport is None:
+            return
+        if self._reading_paused:  # the client could not send the rest meanwhile
+            self._reading_paused = False
+            self._arrivals.restart(self.listener.clock())
+        self._watch_for_departure(False)
+        self._transport.resume_reading()
 
     def _watch_for_departure(self, watched: bool) -> None:
         departures = self.listener.departures
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -287,3 +287,68 @@
     desk.advance(WHOLE - EVICTION_GRACE - 100.0)
     slow.send(b"X-Request-Id: r1\r\n\r\n")
     assert desk.dials, "a job may take that long to come in"
+
+
+def half_behind_a_request(desk, after):
+    """A usual client that sends half a message while its request is at a worker; the worker's end."""
+    client = served(desk, Client(desk))
+    client.post(id_="r1", path="/unsafe/a")  # at one worker alone, however long it takes
+    [end] = desk.ends
+    desk.advance(after)
+    client.send(b"POST /safe/a HTTP/1.1\r\nX-Request")
+    return client, end
+
+
+@pytest.mark.parametrize("answered_after", [0.0, 1000.0, 2500.0])
+def test_half_a_message_behind_a_request_has_its_time_from_its_first_byte(answered_after):
+    """It had the whole time from the answer before: 408 came up to 5 s after the client had stopped."""
+    desk = Desk()
+    client, end = half_behind_a_request(desk, 500.0)
+    desk.advance(answered_after)
+    end.finish()
+    assert [status for status, *_ in client.answers()] == [200]
+    desk.advance(OWED - answered_after)
+    assert [status for status, *_ in client.answers()] == [408]
+
+
+def test_half_a_message_behind_a_request_that_takes_long_may_be_completed_in_the_moment_of_its_answer():
+    desk = Desk()
+    client, end = half_behind_a_request(desk, 0.0)
+    desk.advance(4000.0)
+    end.finish()
+    client.send(b"-Id: r2\r\nContent-Length: 0\r\n\r\n")
+    assert [status for status, *_ in client.answers()] == [200]
+    assert desk.exchange.holds("r2"), "taken"
+
+
+def test_each_of_several_messages_behind_one_another_has_its_own_time():
+    desk = Desk()
+    client = served(desk, Client(desk))
+    [end] = desk.ends
+    client.post(id_="r1", path="/unsafe/a")
+    client.send(b"GET /ready HTTP/1.1\r\n\r\n")
+    desk.advance(2000.0)
+    client.send(b"POST /safe/a HTTP/1.1\r\n")
+    desk.advance(500.0)
+    end.finish()
+    assert [status for status, *_ in client.answers()] == [200, 503], "it is not ready, for no port is open"
+    desk.advance(WHOLE - 600.0)
+    assert not client.answers(), "its first byte came 2 s after those of the one before"
+    client.send(b"X-Request-Id: r3\r\nContent-Length: 0\r\n\r\n")
+    assert desk.exchange.holds("r3")
+
+
+def test_bytes_that_wait_behind_a_pause_count_from_its_end():
+    """Reading stands still with 16 KiB of further messages: the client could not send the rest."""
+    desk = Desk()
+    client = served(desk, Client(desk))
+    [end] = desk.ends
+    client.post(id_="r1", path="/unsafe/a")
+    client.send(b"POST /safe/a HTTP/1.1\r\nContent-Length: 20000\r\nX-Request-Id: r2\r\n\r\n" + b"x" * 17_000)
+    assert client.pipe.paused
+    desk.advance(4000.0)
+    end.finish()
+    assert [status for status, *_ in client.answers()] == [200] and not client.pipe.paused
+    desk.advance(WHOLE / 2)
+    client.send(b"x" * 3000)
+    assert desk.exchange.holds("r2")
