--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -428,7 +428,14 @@
         self._cancel_timer()
         self._count_message_over()
         self.phase = Phase.WAITING
-        on_departure = self.listener.front.message(self.listener, self, head, bytes(self._body))
+        try:
+            on_departure = self.listener.front.message(self.listener, self, head, bytes(self._body))
+        except Malformed:
+            raise
+        except Exception as error:  # raised on, it would close the connection, and the request had no answer
+            self.listener.report_fault(error)
+            self.finish(500, b"failed\n", Content_Type="text/plain")
+            return
         if self._head is not None:  # else it was answered at once
             self._on_departure = on_departure
             self.listener.mark_busy(self)
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -247,6 +247,11 @@
 
     # What connections report.
 
+    def report_fault(self, error: Exception) -> None:
+        """Reports an error of the front's to the loop, as one that reaches the loop itself."""
+        if self._loop is not None:
+            self._loop.call_exception_handler({"message": "a front failed", "exception": error})
+
     def add(self, connection: ClientConnection) -> None:
         """Counts a new connection."""
         self._connections.add(connection)
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -237,3 +237,29 @@
     assert not house.listener.has_waiting_clients, "there is room"
     house.listener._socket.waiting.clear()
     house.close()
+
+
+class FailingFront:
+    """A front that fails for one kind of message and answers the others."""
+
+    def message(self, listener, connection, head, body):
+        if head.method == "POST":
+            raise OSError("no")
+        connection.answer(200, b"well\n")
+
+
+def test_a_request_whose_front_fails_has_its_answer_and_the_fault_is_reported(house):
+    """The error closed the connection: what had been read had no answer."""
+    faults = []
+    house.loop.set_exception_handler(lambda _, context: faults.append(context["exception"]))
+    house.listener.front = FailingFront()
+    phone = Phone(house)
+    phone.send(message("r0"))
+    house.turn()
+    assert phone.statuses() == [500] and [str(fault) for fault in faults] == ["no"]
+    house.turn()
+    assert not phone.open, "it was the last answer"
+    other = Phone(house)
+    other.send(b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
+    house.turn()
+    assert other.statuses() == [200]
