--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -80,7 +80,7 @@
         self._count(message.connections)
         self._parts.workers.share_connections(True)
         if self._parts.peers is not None:
-            self._parts.peers.rest(False)
+            self._parts.peers.resume()
         for name in self._adopted:
             self._parts.listeners[name].set_passive(False)
         self.finish()
@@ -129,7 +129,7 @@
             sock.close()
             return
         self._parts.peers.open(sock)
-        self._parts.peers.rest(True)  # until the old one has let go of it
+        self._parts.peers.pause()  # until the old one has let go of it
 
     def _adopt_listeners(self, names: tuple[str, ...], descriptors: list[int]) -> None:
         for name, descriptor in zip(names, descriptors, strict=True):
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -89,7 +89,7 @@
         for name in self._shared:
             parts.listeners[name].set_passive(True)
         if parts.peers is not None:  # the next one speaks for both
-            parts.peers.rest(True)
+            parts.peers.pause()
         parts.workers.share_connections(True)
         parts.log("another process has taken over; this one serves the clients that it has")
         self._channel.send(ListenersReleased(self._connections()))
--- a/eiderfield/net/handover/parts.py
+++ b/eiderfield/net/handover/parts.py
@@ -9,7 +9,7 @@
 from eiderfield.exchange import Exchange, Timers
 from eiderfield.net.clients import Listener
 from eiderfield.net.discovery.routing_table import RoutingTable
-from eiderfield.net.peers import Peers
+from eiderfield.net.peers import PeerPort
 from eiderfield.net.worker_pool import WorkerPool
 
 
@@ -25,4 +25,4 @@
     timers: Timers
     clock: Callable[[], float]
     log: Callable[[str], None]
-    peers: Peers | None = None  # the port to other dispatchers, if there is one
+    peers: PeerPort | None = None  # the port to other dispatchers, if there is one
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -41,7 +41,7 @@
 from eiderfield.net.handover.old_process import OldProcess
 from eiderfield.net.handover.parts import Parts
 from eiderfield.net.link import Link, close_all
-from eiderfield.net.peers import Peers
+from eiderfield.net.peers import PeerPort
 from eiderfield.net.worker_pool import WorkerPool
 
 
@@ -86,12 +86,12 @@
         }
 
     @property
-    def peers(self) -> Peers | None:
+    def peers(self) -> PeerPort | None:
         """The port to other dispatchers, which passes on too."""
         return self._parts.peers
 
     @peers.setter
-    def peers(self, peers: Peers | None) -> None:
+    def peers(self, peers: PeerPort | None) -> None:
         self._parts.peers = peers
 
     @property
--- a/eiderfield/net/peers.py
+++ b/eiderfield/net/peers.py
@@ -1,17 +1,15 @@
 """Datagrams between the dispatchers of a tier, where the settings allow them.
 
-A port sends what the module tells its peers and hands in what they tell. It lives by four rules:
+A port sends what the policy tells its peers and hands in what they tell. It lives by four rules:
 
 - A message is at most 256 bytes, envelope included; a longer one is neither sent nor read.
 - Who speaks is known by the address alone, which must be one of `peers`; strangers are counted, not heard.
-- The envelope (form, life, number) orders what one peer says: the network repeats, reorders and delays, and
-  a message from a peer's earlier life would count jobs that died with it. Lives are numbered by Unix time,
-  which may be stepped back: a life that has said nothing for `LIFE_HOLDS` gives way to an earlier number.
+- What a peer says is heard in its order, and at a bounded rate (`peer_filter`).
 - Nothing here is needed to serve. A port that is taken or refused is named once in the log; a message that
-  cannot be sent is lost, as the network may lose any; a peer that floods is heard `RATE` times a second.
+  cannot be sent is lost, as the network may lose any.
 
 In an upgrade both processes are one dispatcher to its peers: the next one takes the port over with the socket
-(`sock`), and the one before rests until it ends, or until the next one is lost.
+(`sock`), and the one before is paused until it ends, or until the next one is lost.
 """
 
 from __future__ import annotations
@@ -19,45 +17,42 @@
 import asyncio
 import socket
 from collections import Counter
-from collections.abc import Callable, Sequence
-from struct import Struct
+from collections.abc import Callable, Iterable, Sequence
 
+from eiderfield.config import Address
 from eiderfield.net.faults import Cause, cause_of_loss
+from eiderfield.net.peer_filter import MAX_MESSAGE, PeerFilter, Reception, first_envelope, fits
 
-Address = tuple[str, int]
+MAX_READS_PER_TURN = 64  # messages read in a turn of the loop
+ALL_PEERS = -1
 
-FORM = 1  # of the envelope
-LARGEST = 256  # bytes of a message, as the protocol says
-AT_ONCE = 64  # messages read in a turn of the loop
-LIFE_HOLDS = 2000.0  # ms for which what a peer said counts at most: after that its life matters no more
-RATE = 2000.0  # messages a second that one peer is heard for at most, and as many in one burst
 
-_ENVELOPE = Struct("<BIH")  # form, the sender's life, the message's number in it
-
-
-class Peers:
-    """The port of one dispatcher. `heard` gets a peer's number and what it said."""
+class PeerPort:
+    """The port of one dispatcher. `on_message` gets a peer's number and what it said."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, listen: Address, peers: Sequence[Address],
-        everyone: Address | None, me: int, clock: Callable[[], float], heard: Callable[[int, bytes], None],
-        log: Callable[[str], None], unix: Callable[[], float] | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        loop: asyncio.AbstractEventLoop,
+        listen: Address,
+        peers: Sequence[Address],
+        everyone: Address | None,
+        me: int,
+        clock: Callable[[], float],
+        on_message: Callable[[int, bytes], None],
+        log: Callable[[str], None],
+        unix: Callable[[], float] | None = None,
+    ) -> None:
+        """`everyone` is an address that reaches all peers; `unix` tells Unix time, in ms."""
         self._loop = loop
         self._listen = listen
         self._peers = list(peers)
         self._numbers = {address: number for number, address in enumerate(peers) if number != me}
         self._everyone = everyone
-        self._clock = clock
-        self._heard = heard
+        self._on_message = on_message
         self._log = log
-        # Later lives have greater numbers for 497 days, unless the wall clock is stepped back.
-        self._life = int((unix or clock)() / 10.0) & 0xFFFFFFFF
-        self._number = 0
-        # By peer: its life, the number of its last message, and when that came.
-        self._last: dict[int, tuple[int, int, float]] = {}
-        self._credit: dict[int, tuple[float, float]] = {}  # by peer: when, and messages it may send at once
-        self._resting = True
+        self._filter = PeerFilter(clock)
+        self._envelope = first_envelope((unix or clock)())
+        self._paused = True
         self.sock: socket.socket | None = None  # what the next process takes over
         self.figures: Counter[str] = Counter()  # sent, heard, and by cause what was not
 
@@ -65,98 +60,85 @@
         """Opens the port, or goes on with that of the process before."""
         try:
             if sock is None:
-                sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-                try:
-                    sock.bind(self._listen)
-                except OSError:
-                    sock.close()
-                    raise
+                sock = _bound(self._listen)
             sock.setblocking(False)
         except (OSError, OverflowError) as error:
             host, port = self._listen
             self._log(f"peer_listen: {host}:{port} cannot be had, peers are not heard ({error})")
             return
         self.sock = sock
-        self.rest(False)
+        self.resume()
 
-    def rest(self, resting: bool) -> None:
-        """Leaves the port to the dispatcher's other process, or takes it back."""
-        if self.sock is None or resting == self._resting:
-            return
-        self._resting = resting
-        if resting:
+    def pause(self) -> None:
+        """Leaves the port to the dispatcher's other process."""
+        if self.sock is not None and not self._paused:
+            self._paused = True
             self._loop.remove_reader(self.sock)
-        else:
+
+    def resume(self) -> None:
+        """Takes the port back."""
+        if self.sock is not None and self._paused:
+            self._paused = False
             self._loop.add_reader(self.sock, self._read)
 
     def close(self) -> None:
         """Closes the port."""
-        self.rest(True)
+        self.pause()
         if self.sock is not None:
             self.sock.close()
             self.sock = None
 
     def tell(self, peer: int, data: bytes) -> None:
-        """Sends bytes to one peer, or to all of them (-1)."""
-        if self.sock is None or self._resting:
+        """Sends bytes to one peer, or to `ALL_PEERS`."""
+        if self.sock is None or self._paused:
             return
-        if len(data) + _ENVELOPE.size > LARGEST:
+        if not fits(data):
             self.figures["too_long"] += 1
             return
-        self._number = (self._number + 1) & 0xFFFF
-        message = _ENVELOPE.pack(FORM, self._life, self._number) + data
-        if peer >= 0:
-            to = [self._peers[peer]] if peer < len(self._peers) else []
-        else:
-            to = [self._everyone] if self._everyone is not None else list(self._numbers)
-        for address in to:
+        self._envelope = self._envelope.next()
+        message = self._envelope.pack(data)
+        for address in self._addresses(peer):
             try:
                 self.sock.sendto(message, address)
                 self.figures["sent"] += 1
             except OSError:  # the buffer is full, or nobody is there: lost
                 self.figures["unsent"] += 1
 
+    def _addresses(self, peer: int) -> Iterable[Address]:
+        if peer >= 0:
+            return self._peers[peer : peer + 1]
+        return [self._everyone] if self._everyone is not None else list(self._numbers)
+
     def _read(self) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_READS_PER_TURN):
             if self.sock is None:
                 return
             try:
-                message, address = self.sock.recvfrom(LARGEST + 1)
+                message, address = self.sock.recvfrom(MAX_MESSAGE + 1)
             except BlockingIOError:
                 return
             except OSError as error:
                 if cause_of_loss(error) is Cause.LOCAL:
                     return
                 continue  # a message of ours found nobody
-            why = self._take(message, (address[0], address[1]))
-            self.figures[why] += 1
+            reception = self._receive(message, (address[0], address[1]))
+            self.figures[reception.value] += 1
 
-    def _take(self, message: bytes, address: Address) -> str:
-        """Hands a message in, or says why not."""
+    def _receive(self, message: bytes, address: Address) -> Reception:
         peer = self._numbers.get(address)
         if peer is None:
-            return "strangers"
-        if not self._may_speak(peer):
-            return "flood"
-        if not _ENVELOPE.size <= len(message) <= LARGEST:
-            return "malformed"
-        form, life, number = _ENVELOPE.unpack_from(message)
-        if form != FORM:  # another version's: what it says may mean something else
-            return "other_form"
-        if (known := self._last.get(peer)) is not None:
-            last_life, last_number, last_at = known
-            older = (last_life - life) & 0xFFFFFFFF
-            if 0 < older < 0x80000000 and self._clock() < last_at + LIFE_HOLDS:
-                return "earlier_life"
-            if older == 0 and not 0 < (number - last_number) & 0xFFFF < 0x8000:
-                return "out_of_order"
-        self._last[peer] = (life, number, self._clock())
-        self._heard(peer, message[_ENVELOPE.size :])
-        return "heard"
-
-    def _may_speak(self, peer: int) -> bool:
-        now = self._clock()
-        at, left = self._credit.get(peer, (now, RATE))
-        left = min(RATE, left + (now - at) * RATE / 1000.0)
-        self._credit[peer] = (now, left - 1.0 if left >= 1.0 else left)
-        return left >= 1.0
+            return Reception.STRANGER
+        reception, data = self._filter.receive(peer, message)
+        if reception is Reception.HEARD:
+            self._on_message(peer, data)
+        return reception
+
+
+def _bound(address: Address) -> socket.socket:
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    try:
+        sock.bind(address)
+    except OSError:
+        sock.close()
+        raise
+    return sock
--- a/eiderfield/program/core.py
+++ b/eiderfield/program/core.py
@@ -42,7 +42,7 @@
     ids = IdMap(config.zones, config.kinds)
     exchange = Exchange(config.site, config.seed, driver.wheel, driver.wake, log)
     driver.turn = exchange.turn
-    driver.absent = exchange.absent
+    driver.on_pause = exchange.absent
     workers = WorkerPool(
         exchange,
         driver.wheel,
--- a/eiderfield/program/peers.py
+++ b/eiderfield/program/peers.py
@@ -6,7 +6,7 @@
 
 from eiderfield.config import Config
 from eiderfield.machine import unix_ms
-from eiderfield.net.peers import Peers
+from eiderfield.net.peers import PeerPort
 from eiderfield.program.core import Core
 from eiderfield.program.log import log
 from eiderfield.program.part import Figures, Part
@@ -15,7 +15,7 @@
 class PeersPart(Part):
     """Tells the other dispatchers, and hears them."""
 
-    def __init__(self, peers: Peers) -> None:
+    def __init__(self, peers: PeerPort) -> None:
         """`peers` is not open yet."""
         self.peers = peers
 
@@ -38,7 +38,7 @@
     settings = config.peers
     if settings is None:
         return None
-    peers = Peers(
+    peers = PeerPort(
         loop,
         settings.listen,
         settings.peers,
--- a/eiderfield/program/takeover.py
+++ b/eiderfield/program/takeover.py
@@ -7,7 +7,7 @@
 
 from eiderfield.net.handover import Handover
 from eiderfield.net.link import Ear, reach
-from eiderfield.net.peers import Peers
+from eiderfield.net.peers import PeerPort
 from eiderfield.program.listeners import CLIENTS
 from eiderfield.program.log import log
 from eiderfield.program.part import DrainTimes, Part
@@ -38,7 +38,7 @@
     """Hands over to the next process of this dispatcher."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, handover: Handover, socket_path: Path, peers: Peers | None
+        self, loop: asyncio.AbstractEventLoop, handover: Handover, socket_path: Path, peers: PeerPort | None
     ) -> None:
         """`socket_path` is where this process listens for the next."""
         self._handover = handover
@@ -54,7 +54,7 @@
     def listen(self) -> None:
         """Listens for the next process, also after one that had taken over is gone."""
         if self._peers is not None:
-            self._peers.rest(False)
+            self._peers.resume()
         self._ear.close(unlink=False)
         try:
             self._ear.open()
--- a/tests/golden/handover/record.py
+++ b/tests/golden/handover/record.py
@@ -65,6 +65,12 @@
     def rest(self, resting):
         pass
 
+    def pause(self):
+        """As the present port calls it."""
+
+    def resume(self):
+        """As the present port calls it."""
+
 
 class Program:
     """What the scene needs of a program and its tests, for other revisions may have it elsewhere."""
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,7 +9,8 @@
 import pytest
 
 from eiderfield.config import ConfigError, read
-from eiderfield.net.peers import FORM, LARGEST, RATE, Peers
+from eiderfield.net.peer_filter import FORM, MAX_MESSAGE, RATE
+from eiderfield.net.peers import PeerPort
 
 ENVELOPE = Struct("<BIH")
 
@@ -44,7 +45,7 @@
         self.port.open()
 
     def new(self, everyone=None):
-        return Peers(
+        return PeerPort(
             self.loop, self.addresses[0], self.addresses, everyone, 0, lambda: self.now,
             lambda peer, data: self.heard.append((peer, data)), self.logged.append,
         )  # fmt: skip
@@ -80,7 +81,7 @@
 
 
 def test_nothing_longer_than_the_protocol_allows_leaves(tier):
-    room = LARGEST - ENVELOPE.size
+    room = MAX_MESSAGE - ENVELOPE.size
     tier.port.tell(1, b"x" * (room + 1))
     tier.port.tell(1, b"y" * room)
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"y" * room
@@ -123,7 +124,7 @@
 def test_other_forms_and_stumps_are_no_messages(tier):
     tier.say(1, 1, 1, form=FORM + 1)
     tier.ends[1].sendto(b"ab", tier.addresses[0])
-    tier.ends[1].sendto(b"z" * (LARGEST + 50), tier.addresses[0])
+    tier.ends[1].sendto(b"z" * (MAX_MESSAGE + 50), tier.addresses[0])
     tier.read()
     assert not tier.heard
     assert tier.port.figures["other_form"] == 1 and tier.port.figures["malformed"] == 2
@@ -157,7 +158,7 @@
     tier.now += 1000.0
     following = tier.new()
     following.open(tier.port.sock.dup())
-    tier.port.rest(True)
+    tier.port.pause()
     tier.say(1, 1, 1, b"to the next")
     tier.read()
     assert tier.heard == [(1, b"to the next")] and following.figures["heard"] == 1
@@ -165,7 +166,7 @@
     following.tell(1, b"said")
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"said"
     following.close()
-    tier.port.rest(False)
+    tier.port.resume()
     tier.say(1, 1, 2, b"back")
     tier.read()
     assert tier.heard[-1] == (1, b"back")
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -14,7 +14,7 @@
 from support.processes import CONFIG, Holding, Source, ask, post, running_program
 
 from eiderfield.lab.ports import free_port
-from eiderfield.net.loop import GAP, READS, Driver
+from eiderfield.net.loop import PAUSE, READ_ROUNDS, Driver
 
 
 class Loop:
@@ -51,7 +51,7 @@
     world.log = []
     world.loop = Loop()
     world.driver = Driver(world.loop, lambda: world.now)
-    world.driver.absent = lambda span: world.log.append(f"absent {span:.0f}")
+    world.driver.on_pause = lambda span: world.log.append(f"absent {span:.0f}")
     world.driver.turn = lambda now: world.log.append("turn")
     return world
 
@@ -63,7 +63,7 @@
     world.loop.arrives = [lambda: world.log.append("read"), lambda: world.driver.wake()]
     [fire] = world.loop.later
     fire()
-    for _ in range(READS + 3):
+    for _ in range(READ_ROUNDS + 3):
         world.loop.round()
     assert world.log == ["read", "absent 4000", "timer", "turn"]
 
@@ -72,14 +72,14 @@
     world.driver.wake()
     world.now += 3000.0
     world.loop.arrives = [lambda: world.log.append("read")]
-    for _ in range(READS + 3):
+    for _ in range(READ_ROUNDS + 3):
         world.loop.round()
     assert world.log == ["read", "absent 3000", "turn"]
 
 
 def test_a_small_delay_is_no_gap(world):
     world.driver.wake()
-    world.now += GAP - 1.0
+    world.now += PAUSE - 1.0
     world.loop.round()
     assert world.log == [], "one more poll comes first"
     world.loop.round()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -22,7 +22,8 @@
 from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.handover.codec import Codec
 from eiderfield.net.handover.messages import BanChanged, ConnectionPassed, ParkedBatch
-from eiderfield.net.peers import LIFE_HOLDS, Peers
+from eiderfield.net.peer_filter import LIFE_HOLDS
+from eiderfield.net.peers import PeerPort
 from eiderfield.net.start_times import ANNOUNCED, StartTimes
 
 SECONDS, HOUR = 5_000.0, 3_600_000.0
@@ -610,7 +611,7 @@
 def test_lives_are_numbered_by_unix_time_as_peers_of_731b84e_expect():
     tier = Tier()
     tier.port.close()
-    port = Peers(
+    port = PeerPort(
         tier.loop, tier.addresses[0], tier.addresses, None, 0, lambda: 5.0, None, tier.logged.append,
         lambda: UNIX,
     )  # fmt: skip
