--- a/eiderfield/net/link.py
+++ b/eiderfield/net/link.py
@@ -1,7 +1,14 @@
-"""The Unix socket between the two processes of an upgrade.
+"""The Unix socket between the two processes of an upgrade, as messages with descriptors.
 
 Packets carry JSON and, with it, descriptors. asyncio has no transport that carries descriptors, so these
-sockets are read with the loop's plain readers.
+sockets are read and written with the loop's plain readers and writers.
+
+    open ──(the system lacks room for a packet)──> waiting ──(RETRY_MS)──> open
+    open or waiting ──(the other end closes, breaks or says what is no message)──> closed, and reported once
+                 └──(`close`)──> closed
+
+What must never happen: a message that is not whole or out of order; a descriptor that comes and that nobody
+closes.
 """
 
 from __future__ import annotations
@@ -10,35 +17,43 @@
 import json
 import os
 import socket
-import struct
 from collections import deque
-from collections.abc import Callable, Iterator, Mapping, Sequence
-from contextlib import contextmanager, suppress
-from pathlib import Path
+from collections.abc import Callable, Mapping, Sequence
+from contextlib import suppress
+from dataclasses import dataclass
 from typing import Any
 
-from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept, cause_of_loss
+from eiderfield.net.faults import RETRY_MS, Cause, cause_of_loss
+
+MAX_PIECE = 60_000  # bytes of a message in a packet: well within a socket's buffer
+MAX_MESSAGE = 8 * 1024 * 1024  # bytes of a message, and of what may wait to leave
+MAX_DESCRIPTORS = 250  # of a message: the kernel takes 253 with a packet
+
+_RETRY_S = RETRY_MS / 1000.0
+_MORE, _LAST = b"+", b"."  # the first byte of a packet: whether the message goes on
+
 
-PIECE = 60_000  # bytes of a packet: well within a socket's buffer
-MOST = 8 * 1024 * 1024  # bytes of a message, and of what may wait to leave
-FDS_MOST = 250  # descriptors of a message: the kernel takes 253 with a packet
-PATH_MOST = 100  # bytes of a path that a Unix address holds
+@dataclass(slots=True, frozen=True)
+class _Packet:
+    """What leaves in one piece. The descriptors are copies of the link's own."""
 
-_MORE, _LAST = b"+", b"."
+    data: bytes
+    descriptors: list[int]
 
 
 class Link:
     """One end. Messages and their descriptors arrive whole and in order, or the link is lost."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        self.receive: Callable[[dict[str, Any], list[int]], None] = lambda told, fds: None
+        """Takes over the socket; `receive` and `lost` are set by whoever uses the link."""
+        self.receive: Callable[[dict[str, Any], list[int]], None] = lambda fields, descriptors: None
         self.lost: Callable[[], None] = lambda: None
         self._loop = loop
         self._sock = sock
         self._open = True
-        self._text = bytearray()
-        self._waiting: deque[tuple[bytes, list[int]]] = deque()  # packets, with descriptors that are ours
-        self._bytes = 0
+        self._received = bytearray()  # of a message that is not whole
+        self._waiting: deque[_Packet] = deque()
+        self._waiting_bytes = 0
         sock.setblocking(False)
         loop.add_reader(sock, self._read)
 
@@ -47,203 +62,129 @@
         """Whether all that was sent has left."""
         return not self._waiting
 
-    def send(self, told: Mapping[str, Any], fds: Sequence[int] = ()) -> None:
+    def send(self, fields: Mapping[str, Any], descriptors: Sequence[int] = ()) -> None:
         """Sends a message with copies of some descriptors. Raises `OSError` if there is no room for these."""
         if not self._open:
             return
-        copies: list[int] = []
-        try:
-            for fd in fds:
-                copies.append(os.dup(fd))
-        except OSError:
-            close_all(copies)
-            raise
-        text = json.dumps(told).encode()
-        for start in range(0, len(text), PIECE):
-            last = start + PIECE >= len(text)
-            piece = (_LAST if last else _MORE) + text[start : start + PIECE]
-            self._waiting.append((piece, copies if last else []))
-            self._bytes += len(piece)
+        copies = _copies(descriptors)
+        for packet in _packets(json.dumps(fields).encode(), copies):
+            self._waiting.append(packet)
+            self._waiting_bytes += len(packet.data)
         self._write()
-        if self._bytes > MOST:  # the other process stands still: it is of no use as a peer
-            self._end()
+        if self._waiting_bytes > MAX_MESSAGE:  # the other process stands still: it is of no use as a peer
+            self._lose()
 
     def close(self) -> None:
         """Ends the link; nothing is reported after that."""
+        if not self._open:
+            return
+        self._open = False
+        self._loop.remove_reader(self._sock)
+        self._loop.remove_writer(self._sock)
+        self._sock.close()
+        for packet in self._waiting:
+            close_all(packet.descriptors)
+        self._waiting.clear()
+
+    def _lose(self) -> None:
         if self._open:
-            self._open = False
-            self._loop.remove_reader(self._sock)
-            self._loop.remove_writer(self._sock)
-            self._sock.close()
-            for _, fds in self._waiting:
-                close_all(fds)
-            self._waiting.clear()
+            self.close()
+            self.lost()
+
+    # Writing.
 
     def _write(self) -> None:
         if not self._open:
             return
         while self._waiting:
-            piece, fds = self._waiting[0]
+            packet = self._waiting[0]
             try:
-                socket.send_fds(self._sock, [piece], fds)
+                socket.send_fds(self._sock, [packet.data], packet.descriptors)
             except (BlockingIOError, InterruptedError):
                 self._loop.add_writer(self._sock, self._write)
                 return
             except OSError as error:
-                if cause_of_loss(error) is not Cause.LOCAL:
-                    self._end()
-                    return
-                # Too many descriptors are on their way, say: the socket is writable and tells no end of it.
-                self._loop.remove_writer(self._sock)
-                self._loop.call_later(RETRY_MS / 1000.0, self._write)
+                self._write_failed(error)
                 return
             self._waiting.popleft()
-            self._bytes -= len(piece)
-            close_all(fds)
+            self._waiting_bytes -= len(packet.data)
+            close_all(packet.descriptors)
+        self._loop.remove_writer(self._sock)
+
+    def _write_failed(self, error: OSError) -> None:
+        if cause_of_loss(error) is not Cause.LOCAL:
+            self._lose()
+            return
+        # Too many descriptors are on their way, say: the socket is writable and tells no end of it.
         self._loop.remove_writer(self._sock)
+        self._loop.call_later(_RETRY_S, self._write)
+
+    # Reading.
 
     def _read(self) -> None:
         while self._open:
             try:
-                flag = socket.MSG_CMSG_CLOEXEC
-                piece, fds, flags, _ = socket.recv_fds(self._sock, PIECE + 1, FDS_MOST, flag)
+                data, descriptors, flags, _ = socket.recv_fds(
+                    self._sock, MAX_PIECE + 1, MAX_DESCRIPTORS, socket.MSG_CMSG_CLOEXEC
+                )
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                if cause_of_loss(error) is not Cause.LOCAL:
-                    self._end()
-                    return
-                self._loop.remove_reader(self._sock)
-                self._loop.call_later(RETRY_MS / 1000.0, self._read_again)
+                self._read_failed(error)
                 return
-            if not piece or flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
-                close_all(fds)
-                self._end()
+            if not data or flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
+                close_all(descriptors)
+                self._lose()
                 return
-            self._text += piece[1:]
-            if piece[:1] == _MORE and len(self._text) <= MOST:
-                continue
-            text, self._text = bytes(self._text), bytearray()
-            try:
-                told = json.loads(text)
-                if not isinstance(told, dict):
-                    raise ValueError("a message is not an object")
-            except (ValueError, RecursionError):
-                close_all(fds)
-                self._end()
-                return
-            self.receive(told, fds)
+            self._take_packet(data, descriptors)
 
-    def _read_again(self) -> None:
-        if self._open:
-            self._loop.add_reader(self._sock, self._read)
+    def _read_failed(self, error: OSError) -> None:
+        if cause_of_loss(error) is not Cause.LOCAL:
+            self._lose()
+            return
+        self._loop.remove_reader(self._sock)
+        self._loop.call_later(_RETRY_S, self._resume_reading)
 
-    def _end(self) -> None:
+    def _resume_reading(self) -> None:
         if self._open:
-            self.close()
-            self.lost()
-
-
-class Ear:
-    """Listens for the process that is to take over."""
+            self._loop.add_reader(self._sock, self._read)
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, path: Path, heard: Callable[[Link], None]) -> None:
-        self._loop = loop
-        self._path = path
-        self._heard = heard
-        self._listener: socket.socket | None = None
-
-    def open(self) -> None:
-        """Puts the socket in the place of an earlier process's; raises `OSError` if that fails."""
-        listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        draft = self._path.with_name(f"{self._path.name}.{os.getpid()}")
-        try:
-            with suppress(FileNotFoundError):
-                draft.unlink()
-            with _reachable(draft) as address:
-                listener.bind(address)
-            draft.chmod(0o600)
-            listener.listen(2)
-            listener.setblocking(False)
-            draft.replace(self._path)
-        except OSError:
-            listener.close()
-            raise
-        self._listener = listener
-        self._loop.add_reader(listener, self._accept)
-
-    def close(self, unlink: bool) -> None:
-        """Listens no more; `unlink` where no other process's socket stands in its place."""
-        if self._listener is not None:
-            self._loop.remove_reader(self._listener)
-            self._listener.close()
-            self._listener = None
-            if unlink:
-                with suppress(OSError):
-                    self._path.unlink()
-
-    def _accept(self) -> None:
-        assert self._listener is not None
-        try:
-            sock, _ = self._listener.accept()
-        except BlockingIOError:
+    def _take_packet(self, data: bytes, descriptors: list[int]) -> None:
+        self._received += data[1:]
+        if data[:1] == _MORE and len(self._received) <= MAX_MESSAGE:
             return
-        except OSError as error:
-            if cause_of_accept(error) is Cause.LOCAL:  # asked again at once it would spin
-                self._loop.remove_reader(self._listener)
-                self._loop.call_later(RETRY_MS / 1000.0, self._accept_again, self._listener)
+        message, self._received = bytes(self._received), bytearray()
+        try:
+            fields = json.loads(message)
+            if not isinstance(fields, dict):
+                raise ValueError("a message is not an object")
+        except (ValueError, RecursionError):
+            close_all(descriptors)
+            self._lose()
             return
-        if _ours(sock):
-            self._heard(Link(self._loop, sock))
-        else:
-            sock.close()
-
-    def _accept_again(self, listener: socket.socket) -> None:
-        if listener is self._listener:  # it may have been closed, or opened anew
-            self._loop.add_reader(listener, self._accept)
-
-
-def reach(loop: asyncio.AbstractEventLoop, path: Path) -> Link | None:
-    """The link to the process that listens there, None if there is none or the system has no such sockets."""
-    try:
-        sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    except OSError:  # refused outright: who can't be reached can't hand over, and the start goes on
-        return None
-    sock.setblocking(False)  # a peer that stands still must not block the start
-    try:
-        with _reachable(path) as address:
-            sock.connect(address)
-    except OSError:
-        sock.close()
-        return None
-    if not _ours(sock):
-        sock.close()
-        return None
-    return Link(loop, sock)
+        self.receive(fields, descriptors)
 
 
-def close_all(fds: Sequence[int]) -> None:
+def close_all(descriptors: Sequence[int]) -> None:
     """Closes descriptors."""
-    for fd in fds:
+    for descriptor in descriptors:
         with suppress(OSError):
-            os.close(fd)
+            os.close(descriptor)
 
 
-def _ours(sock: socket.socket) -> bool:
-    """Whether the other end belongs to this user: a directory for temporary files may be open to others."""
-    told = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
-    _, user, _ = struct.unpack("3i", told)
-    return bool(user == os.getuid())
+def _copies(descriptors: Sequence[int]) -> list[int]:
+    copies: list[int] = []
+    try:
+        for descriptor in descriptors:
+            copies.append(os.dup(descriptor))
+    except OSError:
+        close_all(copies)
+        raise
+    return copies
 
 
-@contextmanager
-def _reachable(path: Path) -> Iterator[str]:
-    """The path, by way of its directory's descriptor where it is too long for a Unix address."""
-    if len(os.fsencode(path)) <= PATH_MOST:
-        yield str(path)
-        return
-    folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
-    try:
-        yield f"/proc/self/fd/{folder}/{path.name}"
-    finally:
-        os.close(folder)
+def _packets(message: bytes, descriptors: list[int]) -> list[_Packet]:
+    """A message in pieces, the last of which carries the descriptors."""
+    pieces = [message[start : start + MAX_PIECE] for start in range(0, len(message), MAX_PIECE)]
+    packets = [_Packet(_MORE + piece, []) for piece in pieces[:-1]]
+    return [*packets, _Packet(_LAST + pieces[-1], descriptors)]
--- a/eiderfield/program/takeover.py
+++ b/eiderfield/program/takeover.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from eiderfield.net.handover import Handover
-from eiderfield.net.link import Ear, reach
+from eiderfield.net.link_socket import LinkListener, connect_link
 from eiderfield.net.peers import PeerPort
 from eiderfield.program.listeners import CLIENTS
 from eiderfield.program.log import log
@@ -25,7 +25,7 @@
 
     async def start(self) -> None:
         """Waits until the process before has handed over, or does not answer."""
-        link = reach(self._loop, self._socket_path)
+        link = connect_link(self._loop, self._socket_path)
         if link is None:
             return
         self.took_over = True
@@ -44,7 +44,7 @@
         self._handover = handover
         self._socket_path = socket_path
         self._peers = peers
-        self._ear = Ear(loop, socket_path, handover.accept)
+        self._link_listener = LinkListener(loop, socket_path, handover.accept)
         handover.successor_lost = self.listen
 
     async def start(self) -> None:
@@ -55,9 +55,9 @@
         """Listens for the next process, also after one that had taken over is gone."""
         if self._peers is not None:
             self._peers.resume()
-        self._ear.close(unlink=False)
+        self._link_listener.close(unlink=False)
         try:
-            self._ear.open()
+            self._link_listener.open()
         except OSError as error:  # it serves without; only an upgrade would be rough
             log(f"no process can take over from this one: {self._socket_path}: {error}")
 
@@ -74,5 +74,5 @@
 
     def stop(self) -> None:
         """Ends the links; the socket goes unless the next process has put its own there."""
-        self._ear.close(unlink=not self._handover.handed_over)
+        self._link_listener.close(unlink=not self._handover.handed_over)
         self._handover.close()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -15,7 +15,8 @@
 from eiderfield.interface import Outcome
 from eiderfield.net.clients.listener import ACCEPTED_PER_TURN
 from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept, cause_of_dial, cause_of_loss
-from eiderfield.net.link import Ear, Link
+from eiderfield.net.link import Link
+from eiderfield.net.link_socket import LinkListener
 from eiderfield.net.selector import RetryingSelector, new_event_loop
 from eiderfield.net.wheel import TICK
 
@@ -319,9 +320,9 @@
 ):
     loop, heard = new_event_loop(), []
     later = Later(monkeypatch, loop)
-    ear = Ear(loop, tmp_path / "socket", heard.append)
-    ear.open()
-    ear._listener = sock = Failing(ear._listener, "accept", errno.EMFILE, 2)
+    link_listener = LinkListener(loop, tmp_path / "socket", heard.append)
+    link_listener.open()
+    link_listener._listener = sock = Failing(link_listener._listener, "accept", errno.EMFILE, 2)
     client = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     client.connect(str(tmp_path / "socket"))
     for tries in (1, 2):
@@ -331,7 +332,7 @@
     turns(loop, 10)
     assert len(heard) == 1
     heard[0].close()
-    ear.close(unlink=True)
+    link_listener.close(unlink=True)
     client.close()
     loop.close()
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -22,7 +22,7 @@
 from eiderfield.lab.ports import free_port
 from eiderfield.net.clients.listener import ACCEPTED_PER_TURN
 from eiderfield.net.handover.new_process import PATIENCE, PATIENCE_DELAYED
-from eiderfield.net.link import Ear, reach
+from eiderfield.net.link_socket import LinkListener, connect_link
 
 ENVELOPE = Struct("<BIH")  # of messages between dispatchers
 PATIENT = {**CONFIG["settings"]["classes"][0], "give_up": 300_000}  # however long a process takes to start
@@ -328,15 +328,15 @@
 def test_a_socket_that_nobody_listens_at_is_no_process(tmp_path):
     deep = tmp_path / ("d" * 120)  # longer than a Unix address holds
     deep.mkdir()
-    assert reach(Loop(), deep / "s") is None
-    ear = Ear(Loop(), deep / "s", lambda link: None)
+    assert connect_link(Loop(), deep / "s") is None
+    ear = LinkListener(Loop(), deep / "s", lambda link: None)
     ear.open()
-    link = reach(Loop(), deep / "s")
+    link = connect_link(Loop(), deep / "s")
     assert link is not None
     link.close()
     ear.close(unlink=False)
-    assert (deep / "s").exists() and reach(Loop(), deep / "s") is None
-    again = Ear(Loop(), deep / "s", lambda link: None)
+    assert (deep / "s").exists() and connect_link(Loop(), deep / "s") is None
+    again = LinkListener(Loop(), deep / "s", lambda link: None)
     again.open()  # in the place of the dead one
     again.close(unlink=True)
     assert not list(deep.iterdir())
