--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -33,7 +33,7 @@
 from eiderfield.exchange import Timer
 from eiderfield.net.clients.arrivals import Arrivals
 from eiderfield.net.departures import has_left
-from eiderfield.net.http import Head, Malformed, Parser, answer_bytes
+from eiderfield.net.http import Head, MalformedMessageError, Parser, answer_bytes
 
 if TYPE_CHECKING:
     from eiderfield.net.clients.listener import Listener
@@ -122,7 +122,7 @@
         if self.phase == Phase.CLOSED:  # evicted before it was up: left open, its descriptor would leak
             transport.abort()
         elif self.rejection is not None:
-            self._reject_message(Malformed("come again later", 503), self.rejection.retry_after)
+            self._reject_message(MalformedMessageError("come again later", 503), self.rejection.retry_after)
         elif self._parser.buffered:  # what another process had read already
             self._read_messages()
 
@@ -302,7 +302,7 @@
                 self._resume_reading()
         self._timer = self.listener.timers.at(self.listener.clock() + LINGER_TIME, self.abort)
 
-    def _reject_message(self, error: Malformed, retry_after: float = 0.0) -> None:
+    def _reject_message(self, error: MalformedMessageError, retry_after: float = 0.0) -> None:
         self.phase = Phase.WAITING
         self._head = Head()
         advice = {"Retry_After": f"{retry_after / 1000.0:.3f}"} if retry_after > 0.0 else {}
@@ -348,7 +348,9 @@
         if rejection is None:
             self._message_counted = True
         else:
-            self._reject_message(Malformed("too many half-sent messages", 503), rejection.retry_after)
+            self._reject_message(
+                MalformedMessageError("too many half-sent messages", 503), rejection.retry_after
+            )
 
     def _count_message_over(self) -> None:
         """What had begun is whole, or its connection is over."""
@@ -369,7 +371,7 @@
                 return
             if self.listener.admission is not None:
                 self.listener.admission.count_slow_message(limit)
-            self._reject_message(Malformed("the message took too long", 408))
+            self._reject_message(MalformedMessageError("the message took too long", 408))
         elif self.is_idle:
             if not self.proven or self.listener.clock() >= self.since + self.listener.idling.keep:
                 self.close()
@@ -385,7 +387,7 @@
         self._reading = True
         try:
             taken = self._take_messages()
-        except Malformed as error:
+        except MalformedMessageError as error:
             self._reject_message(error)
             return
         finally:
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -13,7 +13,7 @@
 from eiderfield.interface import Effect, JobClass
 from eiderfield.net.clients.connection import ClientConnection
 from eiderfield.net.clients.listener import Listener
-from eiderfield.net.http import Head, Malformed
+from eiderfield.net.http import Head, MalformedMessageError
 
 MOST_NEEDED = 100_000.0  # slots or units of memory that a request may need
 DEADLINE_DIGITS = 12  # of X-Deadline-Ms, at most
@@ -68,7 +68,7 @@
             return None
         try:
             request = self._read_request(number, parts[2:], head, body, listener.answer_by)
-        except Malformed as error:
+        except MalformedMessageError as error:
             connection.reject(error.status, str(error))
             return None
         return self._take(connection, request)
@@ -117,13 +117,13 @@
 
 
 def _check_ids(head: Head, cls: JobClass) -> None:
-    """Raises `Malformed` for a missing or odd request id or idempotency key."""
+    """Raises `MalformedMessageError` for a missing or odd request id or idempotency key."""
     for name in ("X-Request-Id", "Idempotency-Key"):
         word = head.get(name.lower())
         if not word and (name == "X-Request-Id" or cls.effect == Effect.KEYED):
-            raise Malformed(f"{name} is missing")
+            raise MalformedMessageError(f"{name} is missing")
         if word and not _WORD.match(word):
-            raise Malformed(f"{name} is not a plain word")
+            raise MalformedMessageError(f"{name} is not a plain word")
 
 
 def _read_deadline(head: Head, cls: JobClass) -> float:
@@ -132,12 +132,12 @@
         return cls.deadline
     text = head.get("x-deadline-ms")
     if not text.isascii() or not text.isdigit() or len(text) > DEADLINE_DIGITS:
-        raise Malformed("X-Deadline-Ms is not a whole number")
+        raise MalformedMessageError("X-Deadline-Ms is not a whole number")
     return min(float(text), cls.deadline)
 
 
 def read_extras(text: str) -> dict[str, float]:
-    """The figures of X-Extras; raises `Malformed`."""
+    """The figures of X-Extras; raises `MalformedMessageError`."""
     figures = {}
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
@@ -146,11 +146,11 @@
         try:
             figures[name] = float(value)
         except ValueError:
-            raise Malformed(f"X-Extras: {name} is not a number") from None
+            raise MalformedMessageError(f"X-Extras: {name} is not a number") from None
         if not isfinite(figures[name]):
-            raise Malformed(f"X-Extras: {name} is not a number")
+            raise MalformedMessageError(f"X-Extras: {name} is not a number")
         if name in _NEEDS and not 0.0 <= figures[name] <= MOST_NEEDED:
-            raise Malformed(f"X-Extras: no worker has such {name}")
+            raise MalformedMessageError(f"X-Extras: no worker has such {name}")
     return figures
 
 
--- a/eiderfield/net/http/__init__.py
+++ b/eiderfield/net/http/__init__.py
@@ -5,15 +5,12 @@
 from eiderfield.net.http.parser import MAX_BODY, Parser
 from eiderfield.net.http.writer import answer_bytes, request_bytes
 
-Malformed = MalformedMessageError  # the name that net/clients.py still uses
-
 __all__ = [
     "END",
     "MAX_BODY",
     "MAX_HEAD",
     "End",
     "Head",
-    "Malformed",
     "MalformedMessageError",
     "Parser",
     "answer_bytes",
