--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -432,7 +432,7 @@
         self.phase = Phase.WAITING
         try:
             on_departure = self.listener.front.message(self.listener, self, head, bytes(self._body))
-        except Malformed:
+        except MalformedMessageError:
             raise
         except Exception as error:  # raised on, it would close the connection, and the request had no answer
             self.listener.report_fault(error)
--- a/eiderfield/net/discovery/watch.py
+++ b/eiderfield/net/discovery/watch.py
@@ -193,7 +193,7 @@
         self._close_connection()
         self.table.watches_reopened[loss.value] += 1
         wait = 0.0 if loss in _AT_ONCE else self.backoff.next_wait(self.clock())
-        self.log(f"discovery: {reason}; following again after index {self.table.index} in {wait:.0f} ms")
+        self.log(f"discovery: {reason}; watch reopened after index {self.table.index} in {wait:.0f} ms")
         self.set_timer(wait, self.connect)
 
     def source_alive(self) -> None:
--- a/eiderfield/net/faults.py
+++ b/eiderfield/net/faults.py
@@ -54,6 +54,11 @@
 })  # fmt: skip
 
 
+def is_shortage(error: OSError) -> bool:
+    """Whether this process or this host has no more of something, which may pass."""
+    return error.errno in RESOURCES
+
+
 def cause_of_dial(error: Exception) -> Cause:
     """The cause of a connection that did not come up."""
     number = error.errno if isinstance(error, OSError) else None
@@ -72,4 +77,4 @@
 
 def cause_of_loss(error: Exception | None) -> Cause:
     """The cause of a connection's end, which the error of its last send or recv tells; None is a close."""
-    return Cause.LOCAL if isinstance(error, OSError) and error.errno in RESOURCES else Cause.CONNECTION
+    return Cause.LOCAL if isinstance(error, OSError) and is_shortage(error) else Cause.CONNECTION
--- a/eiderfield/net/peers.py
+++ b/eiderfield/net/peers.py
@@ -64,7 +64,7 @@
             sock.setblocking(False)
         except (OSError, OverflowError) as error:
             host, port = self._listen
-            self._log(f"peer_listen: {host}:{port} cannot be had, peers are not heard ({error})")
+            self._log(f"peer_listen: {host}:{port} cannot be opened, peers are not heard ({error})")
             return
         self.sock = sock
         self.resume()
--- a/eiderfield/net/selector.py
+++ b/eiderfield/net/selector.py
@@ -21,7 +21,7 @@
 from contextlib import suppress
 from typing import Any
 
-from eiderfield.net.faults import RESOURCES, RETRY_MS
+from eiderfield.net.faults import RETRY_MS, is_shortage
 
 _RETRY_S = RETRY_MS / 1000.0
 
@@ -40,7 +40,7 @@
         try:
             return super().register(fileobj, events, data)
         except OSError as error:
-            if error.errno not in RESOURCES:
+            if not is_shortage(error):
                 raise
         key = selectors.SelectorKey(fileobj, _descriptor(fileobj), events, data)
         if not self._pending:
--- a/eiderfield/program/listeners.py
+++ b/eiderfield/program/listeners.py
@@ -12,6 +12,7 @@
 from eiderfield.connections.admission import AdmissionControl
 from eiderfield.net.clients import Front, Listener
 from eiderfield.net.console import WAIT, ConsoleFront
+from eiderfield.net.faults import RETRY_MS, is_shortage
 from eiderfield.net.memory import share_of
 from eiderfield.program.core import Core
 from eiderfield.program.log import log
@@ -58,23 +59,32 @@
         self._loop = loop
         self._process_before = socket_path.exists()
 
-    def open(self, bound: BoundListener, may_share: bool = True) -> None:
+    async def open(self, bound: BoundListener, may_share: bool = True) -> None:
         """Opens a listener unless it is open; a `ConfigError` if the system refuses.
 
         It may share its address with a process that left its socket and does not hand over: that must not
-        block the start."""
-        if bound.listener.listening:
-            return
+        block the start. Nor does a shortage of this host (`net/faults.py`) end it: that may pass."""
         host, port = bound.address
-        try:
+        waiting = False
+        while not bound.listener.listening and not bound.listener.draining:
             try:
-                bound.listener.listen(self._loop, bound.address)
-            except OSError:
-                if not (may_share and self._process_before):
-                    raise
-                bound.listener.listen(self._loop, bound.address, beside=True)
+                self._listen(bound, may_share)
+            except OSError as error:
+                text = f"{bound.kind}: cannot listen on {host}:{port} ({error})"
+                if not is_shortage(error):
+                    raise ConfigError(text) from None
+                if not waiting:
+                    log(f"{text}; trying again until it can")
+                waiting = True
+                await asyncio.sleep(RETRY_MS / 1000.0)
+
+    def _listen(self, bound: BoundListener, may_share: bool) -> None:
+        try:
+            bound.listener.listen(self._loop, bound.address)
         except OSError as error:
-            raise ConfigError(f"{bound.kind}: cannot listen on {host}:{port} ({error})") from None
+            if is_shortage(error) or not (may_share and self._process_before):
+                raise
+            bound.listener.listen(self._loop, bound.address, beside=True)
 
 
 class ClientListeners(Part):
@@ -98,7 +108,7 @@
     async def start(self) -> None:
         """Opens those that were not handed over."""
         for bound in self._bound:
-            self._opener.open(bound)
+            await self._opener.open(bound)
 
     def reload(self, old: Config, new: Config) -> None:
         """Gives them their limits."""
@@ -145,7 +155,7 @@
     async def start(self) -> None:
         """Opens it, and before anything that a start waits for."""
         if self.bound is not None:
-            self._opener.open(self.bound, may_share=False)
+            await self._opener.open(self.bound, may_share=False)
 
     def stop(self) -> None:
         """Closes it."""
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -183,7 +183,7 @@
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     feed.pipe.send(head + b"%x\r\n%s\r\n" % (len(bad), bad))
     assert desk.exchange._table == before and not feed.pipe.open
-    assert "following again after index 3 in " in desk.logged[-1], json.dumps(desk.logged)
+    assert "watch reopened after index 3 in " in desk.logged[-1], json.dumps(desk.logged)
     desk.advance(40.0 * WAIT_PER_SHARER + 5.0)
     assert len(desk.dials) == 1, "and it comes back"
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -7,11 +7,14 @@
 import os
 import selectors
 import socket
+from functools import partial
+from pathlib import Path
 
 import pytest
 from support.failing_calls import Call, Failure, failing_calls
 from support.memory_dispatcher import Desk
 
+from eiderfield.config import ConfigError
 from eiderfield.interface import Outcome
 from eiderfield.net.clients.listener import ACCEPTED_PER_TURN
 from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept, cause_of_dial, cause_of_loss
@@ -19,6 +22,7 @@
 from eiderfield.net.link_socket import LinkListener
 from eiderfield.net.selector import RetryingSelector, new_event_loop
 from eiderfield.net.wheel import TICK
+from eiderfield.program.listeners import BoundListener, Opener
 
 DIAL_TIMEOUT_MS = 100.0  # of a desk
 
@@ -377,3 +381,53 @@
     monkeypatch.setattr(program, "load", lambda *_, **__: None)
     assert program.main([]) == 0
     assert isinstance(selectors_used[0], RetryingSelector)
+
+
+@pytest.fixture
+def opening(monkeypatch):
+    """A listener that is to be opened on the loop, and how to do that."""
+
+    class Opening:
+        def __init__(self):
+            self.loop = new_event_loop()
+            self.listener = Desk().listener
+            self.logged = []
+            monkeypatch.setattr("eiderfield.program.listeners.log", self.logged.append)
+
+        def open(self, address=("127.0.0.1", 0)):
+            bound = BoundListener("listen", self.listener, address)
+            opener = Opener(self.loop, Path("/no/process/before"))
+            self.loop.run_until_complete(opener.open(bound))
+
+        def close(self):
+            self.listener.close()
+            self.loop.close()
+
+    opening = Opening()
+    yield opening
+    opening.close()
+
+
+@pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
+def test_a_start_outlasts_a_shortage_of_what_a_listener_needs(opening, monkeypatch, number):
+    """It ended, which is a refusal to start, for what may be over a moment later."""
+    with failing_calls(monkeypatch, Failure(Call.SOCKET, 1, number, count=3)) as failing:
+        failing.start()
+        opening.open()
+    assert opening.listener.listening and len(failing.failed) == 3
+    assert len(opening.logged) == 1 and "trying again" in opening.logged[0]
+
+
+def test_a_start_on_an_address_that_is_taken_ends_at_once(opening):
+    with socket.create_server(("127.0.0.1", 0)) as other, pytest.raises(ConfigError, match="cannot listen"):
+        opening.open(other.getsockname())
+    assert not opening.logged
+
+
+def test_a_start_that_waits_for_descriptors_ends_when_it_is_told_to(opening, monkeypatch):
+    with failing_calls(monkeypatch, Failure(Call.SOCKET, 1, errno.EMFILE, count=10**6)) as failing:
+        failing.start()
+        told_to_end = partial(setattr, opening.listener, "draining", True)
+        monkeypatch.setattr("eiderfield.program.listeners.log", lambda text: told_to_end())
+        opening.open()
+    assert not opening.listener.listening and failing.failed
