--- a/tests/golden/handover/record.py
+++ b/tests/golden/handover/record.py
@@ -82,15 +82,15 @@
 
 def use_731b84e():
     """Plays the scene with 731b84e, and lets the clock of its tests' dispatchers show Unix time."""
-    import desk
+    import dispatcher
     import test_handover
 
     from eiderfield.net.clients import Given
 
-    source = Path(desk.__file__).read_text()
+    source = Path(dispatcher.__file__).read_text()
     assert DESK_START in source
-    exec(compile(source.replace(DESK_START, UNIX_START), desk.__file__, "exec"), desk.__dict__)
-    test_handover.Desk = desk.Desk
+    exec(compile(source.replace(DESK_START, UNIX_START), dispatcher.__file__, "exec"), dispatcher.__dict__)
+    test_handover.InMemoryDispatcher = dispatcher.InMemoryDispatcher
     Program.Side, Program.Wire, Program.Given = test_handover.Side, test_handover.Wire, Given
 
 
@@ -98,32 +98,32 @@
     """An old process in the midst of its work."""
     side = Program.Side()
     listening = socket.create_server(("127.0.0.1", 0))
-    side.desk.listener.adopt(side.loop, listening)
-    desk = side.desk
-    desk.tell((3, "SERVING"), since=desk.now - 100.0)  # in slow start
-    desk.tell((4, "DRAINING"), (5, "DELETED"), (6, "SERVING"))
-    desk.table.ban("w2")
-    desk.table.ban("w6")
-    desk.advance(40.0)
-    desk.table.unban("w6")  # taken to be in slow start
+    side.dispatcher.listener.adopt(side.loop, listening)
+    dispatcher = side.dispatcher
+    dispatcher.tell((3, "SERVING"), since=dispatcher.now - 100.0)  # in slow start
+    dispatcher.tell((4, "DRAINING"), (5, "DELETED"), (6, "SERVING"))
+    dispatcher.table.ban("w2")
+    dispatcher.table.ban("w6")
+    dispatcher.advance(40.0)
+    dispatcher.table.unban("w6")  # taken to be in slow start
     for number in range(4):
-        desk.client(id_=f"held{number}")
-    while desk.dials:
-        desk.dials[0].up()
-    for end in list(desk.ends):
+        dispatcher.client(id_=f"held{number}")
+    while dispatcher.dials:
+        dispatcher.dials[0].up()
+    for end in list(dispatcher.ends):
         end.take()
         if end.requests:
             end.finish()
             break
-    desk.client(path="/keyed/claim-7", id_="keyed", Idempotency_Key="k")
-    module = desk.exchange._module
+    dispatcher.client(path="/keyed/claim-7", id_="keyed", Idempotency_Key="k")
+    module = dispatcher.exchange._module
     module._served_rate = 0.75
     pacer = module._pacers[0]
-    pacer.run, pacer.rate, pacer.uncut, pacer.next_at = 120.0, 4.0, 20.0, desk.now + 250.0
-    module._workers[desk.ids.worker("w3")].recent.append((desk.now - 30.0, 80.0))
-    erring = module._workers[desk.ids.worker("w1")]
+    pacer.run, pacer.rate, pacer.uncut, pacer.next_at = 120.0, 4.0, 20.0, dispatcher.now + 250.0
+    module._workers[dispatcher.ids.worker("w3")].recent.append((dispatcher.now - 30.0, 80.0))
+    erring = module._workers[dispatcher.ids.worker("w1")]
     erring.faults = 2.0
-    erring.strike(desk.now, erring=True)
+    erring.strike(dispatcher.now, erring=True)
     return side
 
 
@@ -133,7 +133,7 @@
     def __init__(self, folder, peers):
         self.folder = folder
         self.old, self.new = busy_side(), Program.Side(workers=0)
-        self.new.desk.now = self.old.desk.now
+        self.new.dispatcher.now = self.old.dispatcher.now
         self.wires = [Program.Wire(), Program.Wire()]
         for wire, peer in zip(self.wires, reversed(self.wires), strict=True):
             wire.peer = peer
@@ -158,14 +158,14 @@
         more = True
         while more:
             for side in (self.old, self.new):
-                side.desk.settle()
-                side.desk.advance(8.0)
+                side.dispatcher.settle()
+                side.dispatcher.advance(8.0)
             more = sum([wire.deliver() for wire in self.wires]) > 0
 
 
 def accept_all(side, room):
     """Lets a listener, which has no loop here, take what it is given; without `room`, no batches."""
-    listener = side.desk.listener
+    listener = side.dispatcher.listener
     listener.borrow = lambda fd, since, key: room and os.close(fd) is None
     listener.admit = lambda sock, given: sock.close()
 
@@ -174,7 +174,7 @@
     """Lets a listener have one parked connection to pass on."""
     here, _ = pair = socket.socketpair()
     kept.append(pair)
-    listener = side.desk.listener
+    listener = side.dispatcher.listener
     listener.idling = replace(listener.idling, copies=copies)
     batches = [[(here.fileno(), listener.clock() - 1500.0)]]
     listener.lend = lambda most: batches.pop() if batches else []
@@ -184,7 +184,7 @@
     """Passes a client's connection on."""
     here, _ = pair = socket.socketpair()
     kept.append(pair)
-    given = Program.Given(proven, side.desk.now - 900.0, begun)
+    given = Program.Given(proven, side.dispatcher.now - 900.0, begun)
     pass_connection(side.handover, lambda: (os.dup(here.fileno()), given))
 
 
@@ -197,13 +197,13 @@
     assert new.done
     give(old, proven=copies, begun=b"" if copies else b"POST /safe/k HTT")
     recorder.go()
-    new.desk.client(id_="new")
+    new.dispatcher.client(id_="new")
     recorder.go()
-    new.desk.advance(300.0)  # its class is paced
+    new.dispatcher.advance(300.0)  # its class is paced
     recorder.go()
-    old.desk.table.ban("w1")
+    old.dispatcher.table.ban("w1")
     recorder.go()
-    new.desk.table.unban("w1")
+    new.dispatcher.table.unban("w1")
     recorder.go()
     tell_departed(new.handover, [7])
     third = Program.Wire()
--- a/tests/support/console.py
+++ b/tests/support/console.py
@@ -4,27 +4,29 @@
 
 from eiderfield.net.clients import Listener
 from eiderfield.net.console import WAIT, ConsoleFront
-from support.memory_dispatcher import Client, Desk
+from support.memory_dispatcher import Client, InMemoryDispatcher
 
 CALLERS = 4
 
 
 class Console:
-    """A desk with a console."""
+    """A dispatcher with a console."""
 
     def __init__(self, **more):
-        self.desk = Desk(**more)
+        self.dispatcher = InMemoryDispatcher(**more)
         self.ready = True
-        desk = self.desk
-        front = ConsoleFront(desk.exchange, desk.table, desk.clock, lambda: self.ready, self._connections)
-        self.listener = Listener(front, self.desk.wheel, self.desk.clock, CALLERS, WAIT)
+        dispatcher = self.dispatcher
+        front = ConsoleFront(
+            dispatcher.exchange, dispatcher.table, dispatcher.clock, lambda: self.ready, self._connections
+        )
+        self.listener = Listener(front, self.dispatcher.wheel, self.dispatcher.clock, CALLERS, WAIT)
 
     def _connections(self):
-        return {"connections": self.desk.listener.figures()}
+        return {"connections": self.dispatcher.listener.figures()}
 
     def call(self, path, method="GET"):
         """One call's status and body, after which its connection takes nothing more."""
-        caller = Client(self.desk, self.listener)
+        caller = Client(self.dispatcher, self.listener)
         [(status, _, body)] = caller.ask(method, path)
         assert caller.pipe.ended
         return status, body
--- a/tests/support/deployments.py
+++ b/tests/support/deployments.py
@@ -38,4 +38,4 @@
     "two hundred dispatchers": replace(BASE, balancers=200, me=77, may_copy=False, progress=1000.0),
 }  # fmt: skip
 
-WORKERS = {"one worker": 1}  # of a deployment's desk, where it isn't two
+WORKERS = {"one worker": 1}  # of a deployment's dispatcher, where it isn't two
--- a/tests/support/handover.py
+++ b/tests/support/handover.py
@@ -5,7 +5,7 @@
 import socket
 
 from eiderfield.net.handover import Handover
-from support.memory_dispatcher import Desk
+from support.memory_dispatcher import InMemoryDispatcher
 
 LISTEN = "listen 127.0.0.1:1"
 
@@ -51,12 +51,12 @@
 
 
 class Side:
-    """A desk with a port and its end of the handover."""
+    """A dispatcher with a port and its end of the handover."""
 
     def __init__(self, **more):
-        self.desk = Desk(**more)
+        self.dispatcher = InMemoryDispatcher(**more)
         self.loop = Loop()
-        d = self.desk
+        d = self.dispatcher
         self.handover = Handover(
             self.loop, d.exchange, d.table, d.side, {LISTEN: d.listener}, d.wheel, d.clock,
             d.logged.append, d.wall,
@@ -67,7 +67,7 @@
         self.done = True
 
     def takes(self):
-        return self.desk.listener._socket in self.loop.reads
+        return self.dispatcher.listener._socket in self.loop.reads
 
 
 class Pair:
@@ -76,7 +76,7 @@
     def __init__(self, **more):
         self.old, self.new = Side(**more), Side(workers=0)
         listener = socket.create_server(("127.0.0.1", 0))
-        self.old.desk.listener.adopt(self.old.loop, listener)
+        self.old.dispatcher.listener.adopt(self.old.loop, listener)
         here, there = Wire(), Wire()
         here.peer, there.peer = there, here
         self.wires = here, there
@@ -87,8 +87,8 @@
         """Lets the two talk until nothing is left to say."""
         for _ in range(9):
             for side in (self.old, self.new):
-                side.desk.settle()
-                side.desk.advance(8.0)
+                side.dispatcher.settle()
+                side.dispatcher.advance(8.0)
             if sum(wire.deliver() for wire in self.wires) == 0:
                 return self
         raise AssertionError("they talk without end")
@@ -100,5 +100,5 @@
 
     def close(self):
         for side in (self.old, self.new):
-            if side.desk.listener._socket is not None:
-                side.desk.listener._socket.close()
+            if side.dispatcher.listener._socket is not None:
+                side.dispatcher.listener._socket.close()
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -86,10 +86,10 @@
 class Client:
     """A client's connection."""
 
-    def __init__(self, desk, listener=None, handover=None):
-        self.desk = desk
-        self.connection = ClientConnection(listener or desk.listener, handover=handover)
-        (listener or desk.listener).add(self.connection)
+    def __init__(self, dispatcher, listener=None, handover=None):
+        self.dispatcher = dispatcher
+        self.connection = ClientConnection(listener or dispatcher.listener, handover=handover)
+        (listener or dispatcher.listener).add(self.connection)
         self.pipe = Pipe(self.connection)
         self.connection.connection_made(self.pipe)
         self._parser = Parser(answers=True)
@@ -107,7 +107,7 @@
 
     def send(self, data):
         self.pipe.send(data)
-        self.desk.settle()
+        self.dispatcher.settle()
 
     def answers(self):
         """The whole answers so far, as status, headers and body."""
@@ -127,8 +127,8 @@
 class WorkerEnd:
     """A worker's end of a connection."""
 
-    def __init__(self, desk, connection, worker, stuck=False):
-        self.desk = desk
+    def __init__(self, dispatcher, connection, worker, stuck=False):
+        self.dispatcher = dispatcher
         self.connection = connection
         self.worker = worker
         self.pipe = Pipe(connection, stuck)
@@ -156,7 +156,7 @@
             text = json.dumps(line).encode() + b"\n"
             data += b"%x\r\n%s\r\n" % (len(text), text)
         self.pipe.send(data + (b"0\r\n\r\n" if end else b""))
-        self.desk.settle()
+        self.dispatcher.settle()
 
     def finish(self, state="done", result="ok"):
         """Answers the oldest request."""
@@ -173,36 +173,36 @@
         lines = [f"HTTP/1.1 {status} X", "Content-Length: 0"]
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
         self.pipe.send("\r\n".join([*lines, "", ""]).encode())
-        self.desk.settle()
+        self.dispatcher.settle()
 
 
-class Dialled:
+class PendingConnection:
     """A connection that is coming up."""
 
-    def __init__(self, desk, connection, address, failed, delayed):
-        self.desk, self.connection, self.address = desk, connection, address
+    def __init__(self, dispatcher, connection, address, failed, delayed):
+        self.dispatcher, self.connection, self.address = dispatcher, connection, address
         self.failed, self.delayed = failed, delayed
         self.cancelled = False
 
     def cancel(self):
         self.cancelled = True
-        if self in self.desk.dials:
-            self.desk.dials.remove(self)
+        if self in self.dispatcher.dials:
+            self.dispatcher.dials.remove(self)
 
     def up(self, stuck=False):
-        self.desk.dials.remove(self)
-        end = WorkerEnd(self.desk, self.connection, self.address[1], stuck)
-        self.desk.ends.append(end)
-        self.desk.settle()
+        self.dispatcher.dials.remove(self)
+        end = WorkerEnd(self.dispatcher, self.connection, self.address[1], stuck)
+        self.dispatcher.ends.append(end)
+        self.dispatcher.settle()
         return end
 
     def refuse(self):
-        self.desk.dials.remove(self)
+        self.dispatcher.dials.remove(self)
         self.failed()
-        self.desk.settle()
+        self.dispatcher.settle()
 
 
-class Desk:
+class InMemoryDispatcher:
     """The parts of a dispatcher, joined in memory. `unix` reads the wall clock; without it, that is `now`."""
 
     START = 1_000_000.0  # ms
@@ -237,7 +237,7 @@
         self.woken = True
 
     def dial(self, connection, address, failed, delayed=None):
-        self.dials.append(Dialled(self, connection, address, failed, delayed))
+        self.dials.append(PendingConnection(self, connection, address, failed, delayed))
         return self.dials[-1]
 
     def settle(self):
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -21,7 +21,7 @@
 JOB = b"POST /echo/a HTTP/1.1\r\nHost: h\r\nX-Request-Id: 1\r\nContent-Length: 3\r\n\r\nabc"
 
 
-class Answering(threading.Thread):
+class AnsweringWorker(threading.Thread):
     """A worker: one connection at a time, each request answered with a result."""
 
     def __init__(self):
@@ -57,7 +57,7 @@
                 )
 
 
-class Holding(Answering):
+class HoldingWorker(AnsweringWorker):
     """A worker that answers once it is let."""
 
     def __init__(self):
@@ -69,7 +69,7 @@
         assert self.let.wait(30)
 
 
-class Source(threading.Thread):
+class DiscoveryServer(threading.Thread):
     """A discovery that names workers, the first of them `w`, and keeps the watch open."""
 
     def __init__(self, worker, *others):
@@ -152,7 +152,7 @@
     return head.encode() + body
 
 
-def known(*ports, index=1):
+def endpoint_list(*ports, index=1):
     endpoints = [
         {"name": f"w{n}" if n > 1 else "w", "address": f"127.0.0.1:{port}", "status": "SERVING"}
         for n, port in enumerate(ports, 1)
@@ -160,6 +160,6 @@
     return {"index": index, "snapshot": True, "endpoints": endpoints}
 
 
-def told(port, discovery, grace=30_000.0, **more):
+def program_config(port, discovery, grace=30_000.0, **more):
     settings = {**CONFIG["settings"], "rules": {"drain_grace": grace}}
     return {**CONFIG, "listen": f"127.0.0.1:{port}", "discovery": discovery, "settings": settings, **more}
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -58,11 +58,11 @@
 }
 
 
-class RuleBroken(AssertionError):
+class RuleBrokenError(AssertionError):
     """One of the four rules does not hold."""
 
 
-class World:
+class EventPlayer:
     """The events that have been played and the ledger that the rules are judged by."""
 
     def __init__(self, settings, rng):
@@ -87,7 +87,7 @@
             waits = job["answered"] is None and not job["gone"]
             late = self.settings.answer_slack + LATEST
             if waits and self.now > job["due"] + late:
-                raise RuleBroken(f"rule 1: {id_} unanswered at {self.now}, due {job['due']}")
+                raise RuleBrokenError(f"rule 1: {id_} unanswered at {self.now}, due {job['due']}")
 
     def judge(self, action):
         """Checks one action against the rules."""
@@ -95,17 +95,17 @@
             self.timers.append((action.at, action.token))
         elif isinstance(action, Cancel):
             if not self.settings.may_cancel or action.attempt >= len(self.jobs[action.id]["attempts"]):
-                raise RuleBroken("cancel not allowed or of an attempt never sent")
+                raise RuleBrokenError("cancel not allowed or of an attempt never sent")
         elif isinstance(action, Refuse | Fail):
             job = self.jobs[action.id]
             if job["answered"] is not None and not job["gone"]:  # naming a client just gone does no harm
-                raise RuleBroken(f"rule 1: {action.id} answered twice")
+                raise RuleBrokenError(f"rule 1: {action.id} answered twice")
             job["answered"] = self.now
             cls = self.settings.classes[job["cls"]]
             ran = [a for a in job["attempts"] if a["may"]]
             free = cls.effect == Effect.SAFE or (cls.effect == Effect.KEYED and cls.scope == Scope.ALL)
             if isinstance(action, Refuse) and ran and not free:
-                raise RuleBroken(f"rule 2: {action.id} refused though it may have run")
+                raise RuleBrokenError(f"rule 2: {action.id} refused though it may have run")
         elif isinstance(action, Send):
             self.judge_send(action)
 
@@ -114,20 +114,20 @@
         job, entry = self.jobs[action.id], self.entries[action.worker]
         cls = self.settings.classes[job["cls"]]
         if job["answered"] is not None or job["gone"]:
-            raise RuleBroken(f"rule 1: {action.id} sent after its end")
+            raise RuleBrokenError(f"rule 1: {action.id} sent after its end")
         ran = [a for a in job["attempts"] if a["may"]]
         if any(a["out"] for a in job["attempts"]) and not self.settings.may_copy:
-            raise RuleBroken("two attempts at once")
+            raise RuleBrokenError("two attempts at once")
         if ran and cls.effect == Effect.UNSAFE:
-            raise RuleBroken(f"rule 2: unsafe {action.id} sent again")
+            raise RuleBrokenError(f"rule 2: unsafe {action.id} sent again")
         if ran and cls.effect == Effect.KEYED:
             first = ran[0]
             zone, cell = entry.zone == first["zone"], entry.cell == first["cell"]
             same = {Scope.ALL: True, Scope.ZONE: zone, Scope.CELL: cell}[cls.scope]
             if not same or self.now > first["sent"] + cls.window:
-                raise RuleBroken(f"rule 2: keyed {action.id} outside its group or window")
+                raise RuleBrokenError(f"rule 2: keyed {action.id} outside its group or window")
         if entry.state != State.READY:
-            raise RuleBroken(f"rule 3: {action.id} to a worker that drains or is gone")
+            raise RuleBrokenError(f"rule 3: {action.id} to a worker that drains or is gone")
         age = self.now - entry.ready_at
         if entry.ready_at > 0 and age < self.settings.cold:
             self.sent_cold.append((self.now, action.worker))
@@ -135,7 +135,7 @@
             share = self.settings.cold_share + (1 - self.settings.cold_share) * age / self.settings.cold
             allowed = self.settings.fall_multiple * share * self.served / QUIET_RATE * self.settings.fall
             if (recent - 1 + self.lot(action.worker, age)) * WORK > allowed:
-                raise RuleBroken(f"rule 4: {recent} jobs to a cold worker")
+                raise RuleBrokenError(f"rule 4: {recent} jobs to a cold worker")
         place = {"zone": entry.zone, "cell": entry.cell, "w": action.worker}
         job["attempts"].append({"sent": self.now, "may": True, "out": True, **place})
         self.out.append((action.id, len(job["attempts"]) - 1))
@@ -223,4 +223,4 @@
                 break
         left = [i for i, j in self.jobs.items() if j["answered"] is None and not j["gone"]]
         if left:
-            raise RuleBroken(f"rule 1: {left} never answered")
+            raise RuleBrokenError(f"rule 1: {left} never answered")
--- a/tests/support/real_sockets.py
+++ b/tests/support/real_sockets.py
@@ -11,7 +11,7 @@
 from eiderfield.connections.settings import Admission, Idling
 from eiderfield.net.http import END, Head, Parser
 from eiderfield.net.wheel import TICK
-from support.memory_dispatcher import SITE, Desk
+from support.memory_dispatcher import SITE, InMemoryDispatcher
 
 IDLING = Idling(keep=60_000.0, park_after=1000.0)
 LEAST_KEEP = 2000.0
@@ -21,7 +21,7 @@
     return f"POST {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: {id_}\r\nContent-Length: 1\r\n\r\nb".encode()
 
 
-class Port(socket.socket):
+class ListeningSocket(socket.socket):
     """Who knocks at it is let in with an address of the test's choice."""
 
     def __init__(self):
@@ -34,21 +34,21 @@
         return self.waiting.popleft()
 
 
-class Phone:
+class SocketClient:
     """A client at the other end of a pair of sockets."""
 
-    def __init__(self, house, handover=None, address="192.0.2.1"):
-        self.house = house
+    def __init__(self, harness, handover=None, address="192.0.2.1"):
+        self.harness = harness
         self.sock, theirs = socket.socketpair()
         self.sock.setblocking(False)
         theirs.setblocking(False)
         self._parser = Parser(answers=True)
         if handover is not None:
-            house.listener.adopt_connection(theirs, handover)
+            harness.listener.adopt_connection(theirs, handover)
         else:
-            house.listener._socket.waiting.append((theirs, (address, 1)))
-            house.listener._accept()
-        house.turn()
+            harness.listener._socket.waiting.append((theirs, (address, 1)))
+            harness.listener._accept()
+        harness.turn()
 
     def send(self, data):
         self.sock.send(data)
@@ -82,23 +82,23 @@
     def ask(self, id_):
         """A whole job, start to end."""
         self.send(message(id_))
-        self.house.turn()
-        self.house.work()
+        self.harness.turn()
+        self.harness.work()
         return self.statuses()
 
 
-class House:
-    """A desk whose listener has a lot and real sockets."""
+class ListenerHarness:
+    """A dispatcher whose listener has a lot and real sockets."""
 
     def __init__(self, idling=IDLING, most=64, loop=None, site=SITE, workers=1, **admission):
         self.loop = loop or asyncio.new_event_loop()
-        self.desk = Desk(site, workers=workers, most=most)
-        self.listener = self.desk.listener
+        self.dispatcher = InMemoryDispatcher(site, workers=workers, most=most)
+        self.listener = self.dispatcher.listener
         self.memory = 0.0
         self.admission = self.listener.admission = AdmissionControl(Admission(**admission), most)
         self.listener._memory = lambda: self.memory
         self.listener._loop = self.loop
-        self.listener._socket = Port()
+        self.listener._socket = ListeningSocket()
         self.listener._client_waits_in_backlog = lambda: bool(getattr(self.listener._socket, "waiting", ()))
         self.listener.set_idle_limits(idling)
 
@@ -107,36 +107,36 @@
         for _ in range(turns):
             self.loop.call_soon(self.loop.stop)
             self.loop.run_forever()
-            self.desk.settle()
+            self.dispatcher.settle()
 
     def work(self):
         """The worker answers all that it has."""
-        for dial in list(self.desk.dials):
+        for dial in list(self.dispatcher.dials):
             dial.up()
-        for end in self.desk.ends:
+        for end in self.dispatcher.ends:
             while end.pipe.open and end.take():
                 end.finish()
         self.turn()
 
     def pass_time(self, span):
         """Lets time pass, with turns of the loop at each timer."""
-        end = self.desk.now + span
-        while (at := self.desk.wheel.next_at()) <= end:
-            self.desk.now = max(self.desk.now, at)
-            self.desk.wheel.advance(self.desk.now)
-            self.desk.settle()
+        end = self.dispatcher.now + span
+        while (at := self.dispatcher.wheel.next_at()) <= end:
+            self.dispatcher.now = max(self.dispatcher.now, at)
+            self.dispatcher.wheel.advance(self.dispatcher.now)
+            self.dispatcher.settle()
             self.turn(3)
-        self.desk.now = end
+        self.dispatcher.now = end
 
     def parked(self, count=1):
-        """So many phones, each served once and then quiet until it was parked."""
-        phones = []
+        """So many clients, each served once and then quiet until it was parked."""
+        clients = []
         for number in range(count):
-            phones.append(Phone(self))
-            assert phones[-1].ask(f"first{number}") == [200]
+            clients.append(SocketClient(self))
+            assert clients[-1].ask(f"first{number}") == [200]
         self.pass_time(IDLING.park_after + 2 * TICK)
         assert self.listener.parked == count and not self.listener._connections
-        return phones
+        return clients
 
     def close(self):
         self.listener.close()
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(eq=False)
-class Box:
+class SimulatedWorker:
     """A worker: who runs in its slots, who waits, and what it has been sent."""
 
     entry: Entry
@@ -82,13 +82,15 @@
         return min(1.0, SITE.cold_share + (1.0 - SITE.cold_share) * age / SITE.cold)
 
 
-class Fleet:
+class SimulatedFleet:
     """Nodes, workers and a ledger."""
 
     def __init__(self, nodes, workers, load, seed=1, traffic=uneven, costs=EQUAL):
         self.rng, self.now, self.events, self.order = random.Random(seed), 0.0, [], count()
         self.nodes = [Dispatcher(replace(SITE, balancers=nodes, me=me), me) for me in range(nodes)]
-        self.boxes = {w: Box(Entry(w, zone=w % 4, cell=w % 4)) for w in range(1, workers + 1)}
+        self.simulated_workers = {
+            w: SimulatedWorker(Entry(w, zone=w % 4, cell=w % 4)) for w in range(1, workers + 1)
+        }
         self.rate = load * workers * SLOTS / RUN  # jobs a ms that take this share of all slots
         self.weights = [traffic(me) for me in range(nodes)]
         self.costs = costs  # of a request, as a multiple of the mean, and how often each is met
@@ -97,7 +99,7 @@
         self.jobs, self.answers, self.broken = {}, Counter(), []
         self.ids = count(1)
         for me in range(nodes):
-            self.tell(me, [box.entry for box in self.boxes.values()], ListKind.FULL)
+            self.tell(me, [simulated.entry for simulated in self.simulated_workers.values()], ListKind.FULL)
         self.at(0.0, self.arrive)
 
     def at(self, when, call, *more):
@@ -112,24 +114,26 @@
     def change(self, *entries):
         """Workers change, and every node is told within 0.6 s, each at its own time."""
         for entry in entries:
-            box = self.boxes.setdefault(entry.worker, Box(entry))
-            box.entry = entry
+            simulated = self.simulated_workers.setdefault(entry.worker, SimulatedWorker(entry))
+            simulated.entry = entry
         for me in range(len(self.nodes)):
             self.at(self.now + self.rng.uniform(0.0, 600.0), self.tell, me, entries, ListKind.DELTA)
 
     def fall_silent(self, workers):
         """Machines vanish without a word: what runs there is lost, and new connections never come up."""
         for worker in workers:
-            self.boxes[worker].silent = True
+            self.simulated_workers[worker].silent = True
 
     def wake(self, workers):
         """They are back, with empty hands; the connections of before are reset."""
         for worker in workers:
-            box = self.boxes[worker]
-            box.silent, box.free = False, SLOTS
-            box.waiting.clear()
+            simulated = self.simulated_workers[worker]
+            simulated.silent, simulated.free = False, SLOTS
+            simulated.waiting.clear()
         for job in list(self.jobs.values()):
-            for leg in [leg for leg in job["legs"] if leg["out"] and leg["box"].entry.worker in workers]:
+            for leg in [
+                leg for leg in job["legs"] if leg["out"] and leg["simulated"].entry.worker in workers
+            ]:
                 leg["running"] = False
                 self.at(self.now + DELAY, self.end, leg, Outcome.RESET)
 
@@ -161,50 +165,59 @@
                 self.at(action.at, self.handle, me, Due(action.token))
 
     def send(self, me, action):
-        job, box = self.jobs[me, action.id], self.boxes[action.worker]
+        job, simulated = self.jobs[me, action.id], self.simulated_workers[action.worker]
         state, since = self.told[me][action.worker]
         if state != State.READY and self.now > since + SITE.drain_grace:
             self.broken.append(f"3: node {me} to {action.worker}, told {self.now - since:.0f} ms before")
         if any(leg["out"] for leg in job["legs"]) or job["done"] is not None:
             self.broken.append(f"1, 2: job {action.id} of node {me} has a leg out or is over")
         ran = [leg for leg in job["legs"] if leg["may"]]
-        if ran and SITE.classes[job["cls"]].effect == Effect.KEYED and ran[0]["zone"] != box.entry.zone:
+        if ran and SITE.classes[job["cls"]].effect == Effect.KEYED and ran[0]["zone"] != simulated.entry.zone:
             self.broken.append(f"2: job {action.id} of node {me} repeated in another zone")
-        leg = {"me": me, "id": action.id, "n": len(job["legs"]), "box": box, "out": True, "may": True,
-               "zone": box.entry.zone, "running": False, "sent": self.now}  # fmt: skip
+        leg = {
+            "me": me,
+            "id": action.id,
+            "n": len(job["legs"]),
+            "simulated": simulated,
+            "out": True,
+            "may": True,
+            "zone": simulated.entry.zone,
+            "running": False,
+            "sent": self.now,
+        }
         job["legs"].append(leg)
-        box.sent.append((self.now, job["run"], self.knows_start(me, box)))
+        simulated.sent.append((self.now, job["run"], self.knows_start(me, simulated)))
         self.at(self.now + DELAY, self.reach, leg)
 
     def reach(self, leg):
-        if leg["out"] and leg["box"].silent:
+        if leg["out"] and leg["simulated"].silent:
             self.at(self.now + 100.0, self.end, leg, Outcome.CONNECT_FAILED)
-        elif leg["out"] and leg["box"].entry.state == State.GONE:
+        elif leg["out"] and leg["simulated"].entry.state == State.GONE:
             self.at(self.now + DELAY, self.end, leg, Outcome.CONNECT_FAILED)
         elif leg["out"]:
-            leg["box"].waiting.append(leg)
-            self.next(leg["box"])
+            leg["simulated"].waiting.append(leg)
+            self.next(leg["simulated"])
 
-    def next(self, box):
-        while box.free and box.waiting and not box.silent:
-            leg = box.waiting.popleft()
+    def next(self, simulated):
+        while simulated.free and simulated.waiting and not simulated.silent:
+            leg = simulated.waiting.popleft()
             if leg["out"]:
-                box.free -= 1
+                simulated.free -= 1
                 leg["running"] = True
                 self.at(self.now + DELAY, self.note, leg)
                 run = self.jobs[leg["me"], leg["id"]]["run"]
-                self.at(self.now + run / box.share(self.now), self.finish, leg)
+                self.at(self.now + run / simulated.share(self.now), self.finish, leg)
 
     def note(self, leg):
         if leg["out"]:
-            self.handle(leg["me"], Noted(leg["id"], leg["n"], leg["box"].entry.worker, STARTED, 0.0))
+            self.handle(leg["me"], Noted(leg["id"], leg["n"], leg["simulated"].entry.worker, STARTED, 0.0))
 
     def finish(self, leg):
         if leg["running"]:
             leg["running"] = False
-            leg["box"].free += 1
-            self.next(leg["box"])
-            if not leg["box"].silent:
+            leg["simulated"].free += 1
+            self.next(leg["simulated"])
+            if not leg["simulated"].silent:
                 self.at(self.now + DELAY, self.end, leg, Outcome.OK)
 
     def end(self, leg, outcome):
@@ -215,14 +228,14 @@
         if outcome == Outcome.OK and job["done"] is None:
             self.answer(me, leg["id"], "served")
         over, elapsed = job["done"] is not None, self.now - leg["sent"]
-        self.handle(me, Ended(leg["id"], leg["n"], leg["box"].entry.worker, outcome, elapsed, over))
+        self.handle(me, Ended(leg["id"], leg["n"], leg["simulated"].entry.worker, outcome, elapsed, over))
 
     def cancel(self, me, id_, number):
         leg = self.jobs[me, id_]["legs"][number]
         if leg["running"]:  # a running job is stopped, and its slot is free
             leg["running"] = False
-            leg["box"].free += 1
-            self.next(leg["box"])
+            leg["simulated"].free += 1
+            self.next(leg["simulated"])
         self.at(self.now, self.end, leg, Outcome.CANCELLED)
 
     def answer(self, me, id_, how):
@@ -236,7 +249,7 @@
 
     def sent_to(self, workers, since):
         """How many legs workers were sent after a time."""
-        return sum(at > since for worker in workers for at, *_ in self.boxes[worker].sent)
+        return sum(at > since for worker in workers for at, *_ in self.simulated_workers[worker].sent)
 
     def served(self):
         """The share of what is over that was served."""
@@ -247,19 +260,19 @@
         late = self.now - SITE.answer_slack
         return [job for job in self.jobs.values() if job["done"] is None and job["due"] < late]
 
-    def knows_start(self, me, box):
+    def knows_start(self, me, simulated):
         """Whether a node was told of the worker's present start."""
-        return self.starts.get((me, box.entry.worker)) == box.entry.ready_at
+        return self.starts.get((me, simulated.entry.worker)) == simulated.entry.ready_at
 
     def worst(self, worker, until):
         """The most work that a worker was sent in a window while it warmed up, as a share of what it can do
         by the settings alone, without the rule's slack."""
-        box, most = self.boxes[worker], 0.0
-        sent = [(at, work) for at, work, _ in box.sent if at >= box.entry.ready_at]
+        simulated, most = self.simulated_workers[worker], 0.0
+        sent = [(at, work) for at, work, _ in simulated.sent if at >= simulated.entry.ready_at]
         for end, _ in sent:
-            if end <= min(until, box.entry.ready_at + SITE.cold):
+            if end <= min(until, simulated.entry.ready_at + SITE.cold):
                 window = sum(work for at, work in sent if end - SITE.fall < at <= end)
-                most = max(most, window / (SITE.fall_multiple * SLOTS * box.share(end) * SITE.fall))
+                most = max(most, window / (SITE.fall_multiple * SLOTS * simulated.share(end) * SITE.fall))
         return most
 
     def slow_start_use(self, worker, until):
@@ -267,15 +280,15 @@
 
         Counted are requests of mean work. A window of which a third or more came from nodes that had not
         been told of the start breaks nothing."""
-        box, most = self.boxes[worker], 0.0
-        sent = [one for one in box.sent if one[0] >= box.entry.ready_at]
+        simulated, most = self.simulated_workers[worker], 0.0
+        sent = [one for one in simulated.sent if one[0] >= simulated.entry.ready_at]
         for end, *_ in sent:
-            if end <= min(until, box.entry.ready_at + SITE.cold):
+            if end <= min(until, simulated.entry.ready_at + SITE.cold):
                 window = [one for one in sent if end - SITE.fall < one[0] <= end]
                 calls = sum(work for _, work, _ in window) / RUN
                 told = sum(work for _, work, knew in window if knew) / RUN
                 if told > 2 / 3 * calls:
-                    most = max(most, calls / slow_start_budget(box.share(end)))
+                    most = max(most, calls / slow_start_budget(simulated.share(end)))
         return most
 
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from support.memory_dispatcher import Desk
+from support.memory_dispatcher import InMemoryDispatcher
 
 from eiderfield.interface import State
 from eiderfield.net.backoff import (
@@ -137,23 +137,28 @@
 
 
 def follow(number, index, sharers=40):
-    """A desk whose table is or isn't known, and its watch of port 8500."""
-    desk = Desk(workers=1)
-    desk.table.index = index
+    """A dispatcher whose table is or isn't known, and its watch of port 8500."""
+    dispatcher = InMemoryDispatcher(workers=1)
+    dispatcher.table.index = index
     watcher = PlatformWatch(
-        desk.table, desk.wheel, desk.clock, desk.dial, ("127.0.0.1", 8500), desk.logged.append
+        dispatcher.table,
+        dispatcher.wheel,
+        dispatcher.clock,
+        dispatcher.dial,
+        ("127.0.0.1", 8500),
+        dispatcher.logged.append,
     )
     watcher.backoff = Backoff(sharers, number, Random(number))
     ActiveWatch().follow(watcher)
-    return desk
+    return dispatcher
 
 
 def test_a_dispatcher_that_holds_a_list_waits_for_its_turn_and_one_without_does_not():
-    desk = follow(7, 3)
-    desk.advance(7 * min(FIRST_CALL_SPACING, FIRST_CALLS_SHARE * 500.0 / 40) - 6.0)
-    assert not desk.dials
-    desk.advance(10.0)
-    assert len(desk.dials) == 1
+    dispatcher = follow(7, 3)
+    dispatcher.advance(7 * min(FIRST_CALL_SPACING, FIRST_CALLS_SHARE * 500.0 / 40) - 6.0)
+    assert not dispatcher.dials
+    dispatcher.advance(10.0)
+    assert len(dispatcher.dials) == 1
     assert len(follow(7, None).dials) == 1
 
 
@@ -161,14 +166,14 @@
 def test_a_source_that_says_nothing_has_a_call_waiting_whenever_it_comes_back(sharers, number):
     """Discovery was down for 8 s, its agents silent; dispatchers called again after up to 11.9 s. What
     the agent then held counted as told at once: 63 requests went to drained workers 0.58 s after or later."""
-    desk = follow(number, 3, sharers)
+    dispatcher = follow(number, 3, sharers)
     gap, calls = 0.0, 0
     for _ in range(200):  # 20 s of silence, looked at every 100 ms
-        desk.advance(100.0)
-        while desk.dials:
-            desk.dials[0].up()
+        dispatcher.advance(100.0)
+        while dispatcher.dials:
+            dispatcher.dials[0].up()
             calls += 1
-        gap = 0.0 if desk.ends and desk.ends[-1].pipe.open else gap + 100.0
+        gap = 0.0 if dispatcher.ends and dispatcher.ends[-1].pipe.open else gap + 100.0
         assert gap <= (100.0 if calls else FIRST_CALLS_SHARE * 500.0), (
             "it would not hear of a drain within the grace"
         )
@@ -177,15 +182,15 @@
 
 @pytest.mark.parametrize("bad", [b"garbage\n", b'{"index":1}\n', b'{"index":"x","endpoints":[]}\n', b"[]\n"])
 def test_garbage_changes_nothing_and_is_followed_by_a_drawn_wait_that_the_log_names(bad):
-    desk = follow(0, 3)
-    before = dict(desk.exchange._table)
-    feed = desk.dials[-1].up()
+    dispatcher = follow(0, 3)
+    before = dict(dispatcher.exchange._table)
+    feed = dispatcher.dials[-1].up()
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     feed.pipe.send(head + b"%x\r\n%s\r\n" % (len(bad), bad))
-    assert desk.exchange._table == before and not feed.pipe.open
-    assert "watch reopened after index 3 in " in desk.logged[-1], json.dumps(desk.logged)
-    desk.advance(40.0 * WAIT_PER_SHARER + 5.0)
-    assert len(desk.dials) == 1, "and it comes back"
+    assert dispatcher.exchange._table == before and not feed.pipe.open
+    assert "watch reopened after index 3 in " in dispatcher.logged[-1], json.dumps(dispatcher.logged)
+    dispatcher.advance(40.0 * WAIT_PER_SHARER + 5.0)
+    assert len(dispatcher.dials) == 1, "and it comes back"
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -201,39 +206,39 @@
     return json.dumps(list_, indent=indent).encode() + b"\n"
 
 
-def refuses(desk, dial):
+def refuses(dispatcher, dial):
     dial.refuse()
 
 
-def hangs(desk, dial):
+def hangs(dispatcher, dial):
     """Its connection never comes up."""
 
 
-def says_nothing(desk, dial):
+def says_nothing(dispatcher, dial):
     dial.up()
 
 
-def ends_early(desk, dial):
+def ends_early(dispatcher, dial):
     dial.up().pipe.send(HEAD + b"0\r\n\r\n")
 
 
-def is_reset(desk, dial):
+def is_reset(dispatcher, dial):
     dial.up().pipe.break_off()
 
 
-def answers_503(desk, dial):
+def answers_503(dispatcher, dial):
     dial.up().pipe.send(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
 
 
-def answers_garbage(desk, dial):
+def answers_garbage(dispatcher, dial):
     dial.up().pipe.send(HEAD + chunk(b"garbage\n"))
 
 
-def sends_half_a_line(desk, dial):
+def sends_half_a_line(dispatcher, dial):
     dial.up().pipe.send(HEAD + chunk(told("SERVING")[:40]))
 
 
-def dribbles(desk, dial):
+def dribbles(dispatcher, dial):
     """A byte of a line that never ends now and then."""
     feed = dial.up()
     feed.pipe.send(HEAD)
@@ -241,7 +246,7 @@
     def drop():
         if feed.pipe.open:
             feed.pipe.send(chunk(b" "))
-            desk.wheel.at(desk.now + 300.0, drop)
+            dispatcher.wheel.at(dispatcher.now + 300.0, drop)
 
     drop()
 
@@ -259,19 +264,19 @@
     """At 200 sharers the first wait was drawn from 1.5 to 6 s and doubled up to 80 s, so that a drain was
     heard of more than 6 s after discovery could tell it; and any byte counted as a sign of life, so that a
     source that dribbled one was never left."""
-    desk = follow(number, 3, sharers)
-    until = desk.now + span
-    while desk.now < until:
-        while desk.dials and desk.dials[0].address[1] == 8500 and fault is not hangs:
-            fault(desk, desk.dials[0])
-        desk.advance(10.0)
-    reachable, drained, hung = desk.now, False, list(desk.dials)  # what hung goes on hanging
+    dispatcher = follow(number, 3, sharers)
+    until = dispatcher.now + span
+    while dispatcher.now < until:
+        while dispatcher.dials and dispatcher.dials[0].address[1] == 8500 and fault is not hangs:
+            fault(dispatcher, dispatcher.dials[0])
+        dispatcher.advance(10.0)
+    reachable, drained, hung = dispatcher.now, False, list(dispatcher.dials)  # what hung goes on hanging
     while not drained:
-        for dial in [dial for dial in desk.dials if dial not in hung]:
+        for dial in [dial for dial in dispatcher.dials if dial not in hung]:
             dial.up().pipe.send(HEAD + chunk(told("DRAINING")))
-        drained = [*desk.exchange._table.values()] == [State.DRAINING]
-        desk.advance(10.0)
-        assert desk.now - reachable <= NOTIFIED_AFTER
+        drained = [*dispatcher.exchange._table.values()] == [State.DRAINING]
+        dispatcher.advance(10.0)
+        assert dispatcher.now - reachable <= NOTIFIED_AFTER
 
 
 @pytest.mark.parametrize(("sharers", "number"), [(1, 0), (40, 39), (200, 199)])
@@ -279,15 +284,15 @@
 def test_a_watch_that_breaks_is_open_again_within_the_grace_of_a_drain(fault, sharers, number):
     """What the agent holds counts at once: at 20 dispatchers a watch that was reset was opened anew after
     0.5 to 2 s, while a drain binds after half a second."""
-    desk = follow(number, 3, sharers)
-    desk.advance(FIRST_CALLS_SHARE * 500.0)
-    feed = desk.dials[0].up()
+    dispatcher = follow(number, 3, sharers)
+    dispatcher.advance(FIRST_CALLS_SHARE * 500.0)
+    feed = dispatcher.dials[0].up()
     feed.pipe.send(HEAD + chunk(told("SERVING")))
-    desk.advance(1000.0)
+    dispatcher.advance(1000.0)
     feed.pipe.break_off()
-    desk.advance(FIRST_CALLS_SHARE * 500.0 + TICK)
-    desk.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING")))
-    assert [*desk.exchange._table.values()] == [State.DRAINING]
+    dispatcher.advance(FIRST_CALLS_SHARE * 500.0 + TICK)
+    dispatcher.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING")))
+    assert [*dispatcher.exchange._table.values()] == [State.DRAINING]
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
@@ -323,6 +328,6 @@
 
 @pytest.mark.parametrize("indent", [None, 2])
 def test_a_watch_takes_an_indented_list(indent):
-    desk = follow(0, 3)
-    desk.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING", indent=indent)))
-    assert [*desk.exchange._table.values()] == [State.DRAINING]
+    dispatcher = follow(0, 3)
+    dispatcher.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING", indent=indent)))
+    assert [*dispatcher.exchange._table.values()] == [State.DRAINING]
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -9,52 +9,52 @@
 from eiderfield.interface import State
 
 
-def state(desk, worker):
-    return desk.exchange._table[desk.ids.known(f"w{worker}")]
+def state(dispatcher, worker):
+    return dispatcher.exchange._table[dispatcher.ids.known(f"w{worker}")]
 
 
-def sent_to(desk):
-    return {dial.address[1] for dial in desk.dials}
+def sent_to(dispatcher):
+    return {dial.address[1] for dial in dispatcher.dials}
 
 
 def ask(console, call, worker="w1"):
     status, _ = console.call(f"/-/workers/{worker}/{call}", "POST")
-    console.desk.settle()
+    console.dispatcher.settle()
     return status
 
 
 @pytest.mark.parametrize("news", ["nothing", "change", "whole list", "gone and back", "drain and back"])
 def test_a_ban_holds_whatever_the_list_says_until_one_call_back(news):
     console = Console(workers=2)
-    desk = console.desk
+    dispatcher = console.dispatcher
     assert [ask(console, "disable"), ask(console, "disable")] == [200, 200]
     if news == "change":
-        desk.tell((1, "SERVING"))
+        dispatcher.tell((1, "SERVING"))
     elif news == "whole list":
-        desk.tell((1, "SERVING"), (2, "SERVING"), snapshot=True)
+        dispatcher.tell((1, "SERVING"), (2, "SERVING"), snapshot=True)
     elif news == "gone and back":
-        desk.tell((2, "SERVING"), snapshot=True)
-        desk.tell((1, "SERVING"))
+        dispatcher.tell((2, "SERVING"), snapshot=True)
+        dispatcher.tell((1, "SERVING"))
     elif news == "drain and back":
-        desk.tell((1, "DRAINING"))
-        desk.tell((1, "SERVING"))
-    assert state(desk, 1) == State.DRAINING and console.figures()["hosts_down"] == 1
+        dispatcher.tell((1, "DRAINING"))
+        dispatcher.tell((1, "SERVING"))
+    assert state(dispatcher, 1) == State.DRAINING and console.figures()["hosts_down"] == 1
     for n in range(4):
-        desk.client(path="/safe", id_=f"r{n}")
-    assert sent_to(desk) == {2}
+        dispatcher.client(path="/safe", id_=f"r{n}")
+    assert sent_to(dispatcher) == {2}
     assert [ask(console, "enable"), ask(console, "enable")] == [200, 200]
-    assert state(desk, 1) == State.READY and console.figures()["hosts_down"] == 0
+    assert state(dispatcher, 1) == State.READY and console.figures()["hosts_down"] == 0
 
 
 def test_what_was_about_to_be_sent_to_a_banned_worker_goes_elsewhere():
     console = Console(workers=2)
-    desk = console.desk
-    client = desk.client()
-    [dial] = desk.dials
+    dispatcher = console.dispatcher
+    client = dispatcher.client()
+    [dial] = dispatcher.dials
     ask(console, "disable", f"w{dial.address[1]}")
     end = dial.up()
     assert not end.take(), "begun after the yes"
-    [other] = desk.dials
+    [other] = dispatcher.dials
     assert other.address != dial.address
     other.up().finish()
     assert client.answers()[0][0] == 200
@@ -62,7 +62,7 @@
 
 def test_a_job_that_runs_at_a_banned_worker_may_end_there():
     console = Console(workers=1)
-    client, end = console.desk.client(), console.desk.dials[0].up()
+    client, end = console.dispatcher.client(), console.dispatcher.dials[0].up()
     ask(console, "disable")
     end.finish()
     assert client.answers()[0][0] == 200
@@ -71,37 +71,37 @@
 def test_enable_gives_back_what_discovery_last_said():
     console = Console(workers=2)
     ask(console, "disable")
-    console.desk.tell((1, "DELETED"))
+    console.dispatcher.tell((1, "DELETED"))
     ask(console, "enable")
-    assert state(console.desk, 1) == State.GONE
-    console.desk.tell((1, "SERVING"))
-    assert state(console.desk, 1) == State.READY
+    assert state(console.dispatcher, 1) == State.GONE
+    console.dispatcher.tell((1, "SERVING"))
+    assert state(console.dispatcher, 1) == State.READY
 
 
 @pytest.mark.parametrize("told", [False, True])
 def test_a_worker_given_back_is_cold_unless_discovery_has_told_of_its_start(told):
     """It is restarted while it is banned, and discovery tells of that seconds late."""
     console = Console(workers=2)
-    desk = console.desk
+    dispatcher = console.dispatcher
     ask(console, "disable")
-    desk.advance(100.0)
-    started = desk.now
+    dispatcher.advance(100.0)
+    started = dispatcher.now
     if told:
-        desk.tell((1, "SERVING"), since=started)
-    desk.advance(3000.0)
+        dispatcher.tell((1, "SERVING"), since=started)
+    dispatcher.advance(3000.0)
     ask(console, "enable")
-    worker = desk.exchange._module._workers[desk.ids.known("w1")]
-    assert worker.entry.ready_at == (started if told else desk.now)
-    desk.tell((1, "SERVING"), since=started if told else 0)  # what was told already, once more
+    worker = dispatcher.exchange._module._workers[dispatcher.ids.known("w1")]
+    assert worker.entry.ready_at == (started if told else dispatcher.now)
+    dispatcher.tell((1, "SERVING"), since=started if told else 0)  # what was told already, once more
     assert worker.entry.ready_at >= started
-    desk.tell((1, "SERVING"), since=started)
+    dispatcher.tell((1, "SERVING"), since=started)
     assert worker.entry.ready_at == started
 
 
 def test_only_what_was_ever_listed_can_be_banned():
     console = Console(workers=2)
     assert ask(console, "disable", "w9") == 404 and ask(console, "enable", "w9") == 404
-    console.desk.tell((2, "DELETED"))
+    console.dispatcher.tell((2, "DELETED"))
     assert ask(console, "disable", "w2") == 200, "it was listed once"
     assert console.call("/-/workers/w1/disable")[0] == 405
     assert console.call("/-/workers/w1/restart", "POST")[0] == 404
@@ -110,16 +110,16 @@
 def test_names_may_be_written_in_percents():
     console = Console(workers=1)
     assert ask(console, "disable", "%77%31") == 200
-    assert state(console.desk, 1) == State.DRAINING
+    assert state(console.dispatcher, 1) == State.DRAINING
 
 
 def test_bans_outlive_the_process(tmp_path):
     first = Console(bans=tmp_path / "bans")
     ask(first, "disable")
     second = Console(bans=tmp_path / "bans")
-    assert state(second.desk, 1) == State.DRAINING
+    assert state(second.dispatcher, 1) == State.DRAINING
     ask(second, "enable")
-    assert state(Console(bans=tmp_path / "bans").desk, 1) == State.READY
+    assert state(Console(bans=tmp_path / "bans").dispatcher, 1) == State.READY
     assert [file.name for file in tmp_path.iterdir()] == ["bans"], "no draft stays behind"
 
 
@@ -129,7 +129,7 @@
 def test_a_torn_file_stops_nothing(tmp_path, text):
     (tmp_path / "bans").write_text(text)
     console = Console(bans=tmp_path / "bans")
-    assert "not taken" in console.desk.logged[0] and state(console.desk, 1) == State.READY
+    assert "not taken" in console.dispatcher.logged[0] and state(console.dispatcher, 1) == State.READY
     assert ask(console, "disable") == 200
     assert json.loads((tmp_path / "bans").read_text())["banned"].keys() == {"w1"}
 
@@ -137,12 +137,12 @@
 def test_a_ban_that_cannot_be_written_is_in_force_and_says_so(tmp_path):
     console = Console(bans=tmp_path / "none" / "bans")
     assert ask(console, "disable") == 500
-    assert state(console.desk, 1) == State.DRAINING
+    assert state(console.dispatcher, 1) == State.DRAINING
 
 
 def test_a_caller_that_goes_away_leaves_the_console_working():
     console = Console()
-    caller = Client(console.desk, console.listener)
+    caller = Client(console.dispatcher, console.listener)
     caller.send(b"POST /-/workers/w1/disa")
     caller.pipe.break_off()
-    assert state(console.desk, 1) == State.READY and ask(console, "disable") == 200
+    assert state(console.dispatcher, 1) == State.READY and ask(console, "disable") == 200
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -40,7 +40,7 @@
         for call, worker in CALLS:
             status = ask(console, call, worker)
             in_force = in_force | {worker} if call == "disable" else in_force - {worker}
-            assert set(console.desk.table.bans.since) == in_force, "in force, written or not"
+            assert set(console.dispatcher.table.bans.since) == in_force, "in force, written or not"
             assert status in (200, 500)
             with faults.paused():
                 if status == 200:
@@ -48,9 +48,9 @@
                 assert banned_on_file(path) is not None, "a torn file"
         assert faults.failed or first > len(CALLS), "the kind is not part of a write"
         faults.heal()
-        console.desk.advance(2.0 * RETRY_INTERVAL)
+        console.dispatcher.advance(2.0 * RETRY_INTERVAL)
         assert banned_on_file(path) == in_force, "not written after the disk was well again"
-    assert not [line for line in console.desk.logged if "not taken" in line]
+    assert not [line for line in console.dispatcher.logged if "not taken" in line]
 
 
 def test_a_yes_comes_after_the_file_and_its_folder_are_synced(tmp_path, monkeypatch):
@@ -87,7 +87,7 @@
         path.write_bytes(whole[:size])
         assert banned_on_file(path) is None
         fresh = Console(workers=2, bans=path)
-        assert state(fresh.desk, 1) == State.READY
+        assert state(fresh.dispatcher, 1) == State.READY
     path.write_bytes(whole)
     assert banned_on_file(path) == {"w1", "w2"}
 
@@ -97,24 +97,24 @@
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("sync", ERRORS[0])
         ask(console, "disable", "w1")
-        console.desk.advance(10.0 * RETRY_INTERVAL)
+        console.dispatcher.advance(10.0 * RETRY_INTERVAL)
         assert faults.failed > 5, "it is tried again and again"
-        assert len([line for line in console.desk.logged if "cannot be written" in line]) == 1
+        assert len([line for line in console.dispatcher.logged if "cannot be written" in line]) == 1
         faults.heal()
-        console.desk.advance(2.0 * RETRY_INTERVAL)
-    assert len([line for line in console.desk.logged if "written again" in line]) == 1
+        console.dispatcher.advance(2.0 * RETRY_INTERVAL)
+    assert len([line for line in console.dispatcher.logged if "written again" in line]) == 1
 
 
 def test_what_the_process_before_could_not_write_is_written_by_the_next(tmp_path):
     console = Console(workers=2, bans=tmp_path / "bans")
-    console.desk.table.take_over(RoutingTableState(1, (), (), None), {"w2": 5.0})
+    console.dispatcher.table.take_over(RoutingTableState(1, (), (), None), {"w2": 5.0})
     assert banned_on_file(tmp_path / "bans") == {"w2"}
 
 
 def test_a_ban_that_another_process_was_told_of_is_written_here_too(tmp_path):
     console = Console(workers=2, bans=tmp_path / "bans")
-    console.desk.table.apply_ban("w2", 5.0)
-    console.desk.advance(2.0 * RETRY_INTERVAL)
+    console.dispatcher.table.apply_ban("w2", 5.0)
+    console.dispatcher.advance(2.0 * RETRY_INTERVAL)
     assert banned_on_file(tmp_path / "bans") == {"w2"}
 
 
@@ -129,12 +129,12 @@
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("open", code)
         console = Console(workers=4, bans=path)
-        assert state(console.desk, 1) == State.READY, "the start is not stopped"
+        assert state(console.dispatcher, 1) == State.READY, "the start is not stopped"
         assert ask(console, "enable", "w2") == 500 and ask(console, "disable", "w3") == 500
-        console.desk.advance(5.0 * RETRY_INTERVAL)
+        console.dispatcher.advance(5.0 * RETRY_INTERVAL)
         faults.heal()
-        console.desk.advance(2.0 * RETRY_INTERVAL)
-    assert state(console.desk, 1) == State.DRAINING and state(console.desk, 2) == State.READY
+        console.dispatcher.advance(2.0 * RETRY_INTERVAL)
+    assert state(console.dispatcher, 1) == State.DRAINING and state(console.dispatcher, 2) == State.READY
     assert banned_on_file(path) == {"w1", "w3"}
 
 
@@ -170,18 +170,18 @@
 def test_the_console_answers_in_time_though_the_disk_takes_longer(tmp_path, ends):
     """The rule is a second; the answer waited for the write, however long a sync took."""
     console, disk = Console(bans=tmp_path / "bans"), SlowDisk()
-    console.desk.table.bans._run = disk.run
-    caller = Client(console.desk, console.listener)
+    console.dispatcher.table.bans._run = disk.run
+    caller = Client(console.dispatcher, console.listener)
     caller.send(b"POST /-/workers/w1/disable HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
-    console.desk.settle()
+    console.dispatcher.settle()
     assert caller.answers() == []
     if ends == "in time":
         disk.end_next()
-    console.desk.advance(WAIT)
+    console.dispatcher.advance(WAIT)
     assert [status for status, *_ in caller.answers()] == [200 if ends == "in time" else 500]
     if ends == "late":
         disk.end_next()
-        console.desk.advance(WAIT)
+        console.dispatcher.advance(WAIT)
     assert len(caller.answers()) == 0 and banned_on_file(tmp_path / "bans") == {"w1"}
 
 
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 import pytest
-from support.memory_dispatcher import SITE, Client, Desk
+from support.memory_dispatcher import SITE, Client, InMemoryDispatcher
 from support.policy import KEYED, SAFE, UNSAFE
 
 from eiderfield.batch.front import BatchFront
@@ -26,11 +26,11 @@
     def __init__(
         self, workers=1, site=SITE, finished_most=100, finished_age=60_000.0, jobs_most=1000, size=10**7
     ):
-        self.desk = Desk(site, workers)
+        self.dispatcher = InMemoryDispatcher(site, workers)
         limits = RegistryLimits(jobs_most, finished_most, finished_age, size)
-        self.registry = JobRegistry(self.desk.exchange, self.desk.clock, "n0", limits)
-        self.listener = Listener(BatchFront(self.registry), self.desk.wheel, self.desk.clock, 50)
-        self.client = Client(self.desk, self.listener)
+        self.registry = JobRegistry(self.dispatcher.exchange, self.dispatcher.clock, "n0", limits)
+        self.listener = Listener(BatchFront(self.registry), self.dispatcher.wheel, self.dispatcher.clock, 50)
+        self.client = Client(self.dispatcher, self.listener)
 
     def ask(self, method, path, told=None):
         [(status, head, body)] = self.client.ask(method, path, told)
@@ -51,10 +51,10 @@
 def test_a_job_goes_from_queued_to_done_and_its_waiter_hears_at_once():
     batch = Batch()
     job = batch.run(subject="field-7", body="wet")
-    waiter = Client(batch.desk, batch.listener)
+    waiter = Client(batch.dispatcher, batch.listener)
     assert batch.status(job)["state"] == "queued_active"
     assert waiter.ask("GET", f"/v1/jobs/{job}/wait?timeoutMs=9000") == []
-    end = batch.desk.dials[0].up()
+    end = batch.dispatcher.dials[0].up()
     assert end.take() == [job]
     end.say({"id": job, "state": "started"})
     assert batch.status(job)["state"] == "running"
@@ -67,9 +67,9 @@
 def test_a_wait_that_takes_too_long_gets_drmaas_timeout():
     batch = Batch()
     job = batch.run()
-    waiter = Client(batch.desk, batch.listener)
+    waiter = Client(batch.dispatcher, batch.listener)
     waiter.ask("GET", f"/v1/jobs/{job}/wait?timeoutMs=100")
-    batch.desk.advance(200.0)
+    batch.dispatcher.advance(200.0)
     [(status, _, body)] = waiter.answers()
     assert status == 408 and b"ExitTimeoutException" in body
     assert not batch.registry._jobs[job].waiting
@@ -80,51 +80,51 @@
     job = batch.run()
     told = batch.terminate(job)
     assert (told["state"], told["verdict"], told["mayHaveRun"]) == ("failed", "terminated", False)
-    assert not batch.desk.dials  # its connection was called off
+    assert not batch.dispatcher.dials  # its connection was called off
     assert batch.terminate(job) == told
 
 
 def test_a_cancelled_job_that_may_run_closes_its_leg_and_says_so():
     batch = Batch()
     job = batch.run(jobClass="unsafe")
-    end = batch.desk.dials[0].up()
+    end = batch.dispatcher.dials[0].up()
     end.take()
     told = batch.terminate(job)
     assert (told["verdict"], told["mayHaveRun"]) == ("terminated", True)
     assert not end.pipe.open
-    batch.desk.advance(10_000.0)
-    assert batch.status(job) == told and not batch.desk.dials
+    batch.dispatcher.advance(10_000.0)
+    assert batch.status(job) == told and not batch.dispatcher.dials
 
 
 @pytest.mark.parametrize("where", ["waits for its retry", "is being dialled"])
 def test_nothing_is_begun_for_a_job_that_was_cancelled(where):
     """Cancelled in the very turn of its retry's timer, too."""
     batch = Batch()
-    desk = batch.desk
+    dispatcher = batch.dispatcher
     job = batch.run()
-    dial = desk.dials[0]
+    dial = dispatcher.dials[0]
     if where == "is being dialled":
         batch.terminate(job)
-        desk.dials.append(dial)  # it came up in the moment in which it was called off
+        dispatcher.dials.append(dial)  # it came up in the moment in which it was called off
         assert not dial.up().pipe.written
         return
     end = dial.up()
     end.status(503, X_Not_Run="1")
-    [worker] = desk.exchange._module._workers.values()
-    while desk.now < worker.full_until:
-        desk.settle()
-        desk.now = max(desk.now, desk.wheel.next_at())
-        desk.wheel.advance(desk.now)
-    assert desk.woken, "the timer has gone off and its turn has not come yet"
+    [worker] = dispatcher.exchange._module._workers.values()
+    while dispatcher.now < worker.full_until:
+        dispatcher.settle()
+        dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_at())
+        dispatcher.wheel.advance(dispatcher.now)
+    assert dispatcher.woken, "the timer has gone off and its turn has not come yet"
     assert batch.terminate(job)["verdict"] == "terminated"
-    desk.advance(1000.0)
-    assert end.take() == [] and end.came == [job] and not desk.dials
+    dispatcher.advance(1000.0)
+    assert end.take() == [] and end.came == [job] and not dispatcher.dials
 
 
 def test_a_result_that_is_in_wins_over_a_cancel():
     batch = Batch()
     job = batch.run()
-    batch.desk.dials[0].up().finish(result="paid")
+    batch.dispatcher.dials[0].up().finish(result="paid")
     assert batch.terminate(job)["result"] == "paid"
 
 
@@ -139,9 +139,9 @@
 def test_a_deadline_is_the_jobs_own():
     batch = Batch(workers=0)
     job = batch.run(deadlineMs=300)
-    batch.desk.advance(290.0)
+    batch.dispatcher.advance(290.0)
     assert batch.status(job)["state"] == "queued_active"
-    batch.desk.advance(20.0)
+    batch.dispatcher.advance(20.0)
     assert batch.status(job)["state"] == "failed"
 
 
@@ -183,7 +183,7 @@
         batch.terminate(job)
     assert batch.registry.known == 3
     assert batch.ask("GET", f"/v1/jobs/{jobs[0]}")[0] == 404
-    batch.desk.advance(5001.0)
+    batch.dispatcher.advance(5001.0)
     assert batch.ask("GET", f"/v1/jobs/{jobs[4]}")[0] == 404
     assert batch.registry.known == 0
 
@@ -191,7 +191,7 @@
 def test_bodies_and_results_stay_within_their_memory():
     batch = Batch(size=250)
     first = batch.run(body="x" * 100)
-    batch.desk.dials[0].up().finish(result="y" * 120)
+    batch.dispatcher.dials[0].up().finish(result="y" * 120)
     batch.run(body="z" * 120)
     status, _, told = batch.ask("POST", "/v1/jobs", {"jobClass": "safe", "body": "z" * 200})
     assert (status, told["error"]) == (503, "TryLaterException")
@@ -218,7 +218,7 @@
     """A stand-in scheduler submits in bulk, cancels a tenth, and asks about each until it is final."""
     rng = random.Random(7)
     batch = Batch(6, MIXED, finished_most=jobs, finished_age=1e9, jobs_most=jobs)
-    desk, left, open_jobs, final, answers = batch.desk, jobs, {}, {}, Counter()
+    dispatcher, left, open_jobs, final, answers = batch.dispatcher, jobs, {}, {}, Counter()
     sent, zones, cancelled, doomed, shown = Counter(), {}, 0, [], Counter()
     finish = batch.registry._finish
 
@@ -241,10 +241,10 @@
             doomed.remove(job)
             batch.terminate(job)
             cancelled += 1
-        for dial in list(desk.dials):
-            if dial in desk.dials and rng.random() < 0.9:
+        for dial in list(dispatcher.dials):
+            if dial in dispatcher.dials and rng.random() < 0.9:
                 dial.refuse() if rng.random() < 0.05 else dial.up()
-        for end in desk.ends:
+        for end in dispatcher.ends:
             end.take()
             for job in end.came[shown[end] :]:
                 sent[job] += 1
@@ -257,9 +257,9 @@
                     sent[job] -= 1
                     zones[job].pop()
                 end.pipe.break_off() if how == "break" else end.finish(how, f"of {job}")
-        desk.ends = [end for end in desk.ends if end.pipe.open]
-        desk.settle()
-        desk.advance(rng.choice([5.0, 20.0, 60.0]))
+        dispatcher.ends = [end for end in dispatcher.ends if end.pipe.open]
+        dispatcher.settle()
+        dispatcher.advance(rng.choice([5.0, 20.0, 60.0]))
         for job in rng.sample(sorted(open_jobs), min(len(open_jobs), 40)):
             told = batch.status(job)
             if told["state"] in ("done", "failed"):
@@ -270,7 +270,7 @@
 def test_a_scheduler_sees_every_job_end_once_within_its_classs_rule():
     batch, final, answers, sent, zones, cancelled = play_scheduler(JOBS)
     assert len(final) == JOBS and set(answers.values()) == {1} and len(answers) == JOBS
-    assert batch.registry.unfinished == 0 and not batch.desk.exchange.unanswered
+    assert batch.registry.unfinished == 0 and not batch.dispatcher.exchange.unanswered
     verdicts = Counter(told["verdict"] for _, told in final.values())
     assert cancelled > JOBS // 20 and verdicts["terminated"] > JOBS // 40 and verdicts["served"] > JOBS // 4
     for job, (cls, told) in final.items():
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -3,8 +3,8 @@
 import asyncio
 
 import pytest
-from support.processes import known, told
-from support.real_sockets import IDLING, House, Phone, message
+from support.processes import endpoint_list, program_config
+from support.real_sockets import IDLING, ListenerHarness, SocketClient, message
 
 from eiderfield.config import read
 from eiderfield.connections.settings import Idling
@@ -19,25 +19,25 @@
 
 
 @pytest.fixture
-def house():
-    house = House(KEPT)
-    yield house
-    house.close()
+def harness():
+    harness = ListenerHarness(KEPT)
+    yield harness
+    harness.close()
 
 
-def served(house, id_="r0"):
+def served(harness, id_="r0"):
     """A client whose answer has left and is not read by it yet."""
-    phone = Phone(house)
-    phone.send(message(id_))
-    house.turn()
-    house.work()
-    return phone
+    client = SocketClient(harness)
+    client.send(message(id_))
+    harness.turn()
+    harness.work()
+    return client
 
 
-def rest(phone):
+def rest(client):
     """All that comes until the end; raises `ConnectionResetError` where that is a reset."""
     data = b""
-    while more := phone.sock.recv(65536):
+    while more := client.sock.recv(65536):
         data += more
     return data
 
@@ -45,141 +45,143 @@
 @pytest.mark.parametrize(
     "why", ["the program ends", "it has idled for too long", "new settings let it idle no more"]
 )
-def test_a_request_that_crosses_a_close_resets_nothing_and_is_not_sent_on(house, why):
+def test_a_request_that_crosses_a_close_resets_nothing_and_is_not_sent_on(harness, why):
     """Looked at for unread bytes, closed in the loop's next turn: a request in between made the close a
     reset, which took the last answer along where the client had not read it yet."""
-    phone = served(house)
+    client = served(harness)
     if why == "the program ends":
-        house.listener.sending_away = True
-        house.listener.close_idle()
+        harness.listener.sending_away = True
+        harness.listener.close_idle()
     elif why == "new settings let it idle no more":
-        house.desk.now += 5000.0
-        house.listener.set_idle_limits(Idling(keep=1000.0))
-        house.listener.set_admission(house.admission.admission)
-        house.desk.wheel.advance(house.desk.now)
+        harness.dispatcher.now += 5000.0
+        harness.listener.set_idle_limits(Idling(keep=1000.0))
+        harness.listener.set_admission(harness.admission.admission)
+        harness.dispatcher.wheel.advance(harness.dispatcher.now)
     else:
-        [connection] = house.listener._connections
-        house.desk.now += KEPT.keep
+        [connection] = harness.listener._connections
+        harness.dispatcher.now += KEPT.keep
         connection._time_is_up()
-    phone.send(message("r1"))  # after the look, before the loop's next turn
-    house.turn()
-    assert rest(phone).startswith(b"HTTP/1.1 200 ")
-    assert not house.desk.exchange.unanswered and [end.came for end in house.desk.ends] == [["r0"]]
-    assert house.listener.figures()["discarded"] == 1
-    phone.sock.close()
-    house.turn()
-    assert not house.listener._connections, "the client's own close ends it"
+    client.send(message("r1"))  # after the look, before the loop's next turn
+    harness.turn()
+    assert rest(client).startswith(b"HTTP/1.1 200 ")
+    assert not harness.dispatcher.exchange.unanswered and [end.came for end in harness.dispatcher.ends] == [
+        ["r0"]
+    ]
+    assert harness.listener.figures()["discarded"] == 1
+    client.sock.close()
+    harness.turn()
+    assert not harness.listener._connections, "the client's own close ends it"
 
 
 @pytest.mark.parametrize("why", ["idle", "make room", "end", "crowded"])
 def test_a_request_that_has_come_keeps_a_parked_connection_whatever_was_to_end_it(why):
     """It lies in the socket, and the loop has not told of it yet."""
-    house = House(IDLING, most=1)
-    [phone] = house.parked()
-    phone.send(message("late"))
+    harness = ListenerHarness(IDLING, most=1)
+    [client] = harness.parked()
+    client.send(message("late"))
     if why == "idle":
-        house.desk.now += IDLING.keep + 2000.0
-        house.listener.parking.expire()
+        harness.dispatcher.now += IDLING.keep + 2000.0
+        harness.listener.parking.expire()
     elif why == "make room":
-        assert not house.listener.make_room()
+        assert not harness.listener.make_room()
     elif why == "end":
-        house.listener.sending_away = True
-        house.listener.close_idle()
+        harness.listener.sending_away = True
+        harness.listener.close_idle()
     else:
-        house.desk.now += 10_000.0
-        house.listener.set_idle_limits(Idling(keep=1000.0, park_after=IDLING.park_after))
-        house.listener.parking.expire()
-    house.turn()
-    house.work()
-    assert phone.statuses() == [200]
-    house.close()
+        harness.dispatcher.now += 10_000.0
+        harness.listener.set_idle_limits(Idling(keep=1000.0, park_after=IDLING.park_after))
+        harness.listener.parking.expire()
+    harness.turn()
+    harness.work()
+    assert client.statuses() == [200]
+    harness.close()
 
 
-def test_who_neither_reads_nor_closes_is_closed_after_the_lingering(house):
-    phone = served(house)
-    house.listener.close_idle()
-    house.turn()
-    assert house.listener._connections
-    house.pass_time(LINGER_TIME + 2 * TICK)
-    assert not house.listener._connections and rest(phone).startswith(b"HTTP/1.1 200 ")
+def test_who_neither_reads_nor_closes_is_closed_after_the_lingering(harness):
+    client = served(harness)
+    harness.listener.close_idle()
+    harness.turn()
+    assert harness.listener._connections
+    harness.pass_time(LINGER_TIME + 2 * TICK)
+    assert not harness.listener._connections and rest(client).startswith(b"HTTP/1.1 200 ")
 
 
 def test_a_last_answer_that_is_on_its_way_gives_way_to_nobody_for_a_while():
-    """A full house closed first who was being told why it may not stay."""
-    house = House(KEPT, most=1)
-    phone = Phone(house)
-    phone.send(b"POST /none HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
-    house.turn()
-    [connection] = house.listener._connections
+    """A full harness closed first who was being told why it may not stay."""
+    harness = ListenerHarness(KEPT, most=1)
+    client = SocketClient(harness)
+    client.send(b"POST /none HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
+    harness.turn()
+    [connection] = harness.listener._connections
     assert connection.phase == Phase.LINGERING
-    assert not house.listener.make_room(), "its answer has not arrived"
-    house.pass_time(EVICTION_GRACE + 2 * TICK)
-    assert house.listener.make_room()
-    house.turn()
-    assert phone.statuses() == [404]
-    house.close()
+    assert not harness.listener.make_room(), "its answer has not arrived"
+    harness.pass_time(EVICTION_GRACE + 2 * TICK)
+    assert harness.listener.make_room()
+    harness.turn()
+    assert client.statuses() == [404]
+    harness.close()
 
 
 def test_an_idle_connection_whose_answer_is_on_its_way_gives_way_to_nobody_for_a_while():
     """Closed at once, with a request that crosses the close it is a reset, which takes the answer along."""
-    house = House(KEPT, most=1)
-    phone = served(house)
-    assert not house.listener.make_room(), "its answer has not arrived"
-    assert phone.statuses() == [200]
-    assert house.listener.make_room()
-    house.turn()
-    assert not phone.open
-    house.close()
+    harness = ListenerHarness(KEPT, most=1)
+    client = served(harness)
+    assert not harness.listener.make_room(), "its answer has not arrived"
+    assert client.statuses() == [200]
+    assert harness.listener.make_room()
+    harness.turn()
+    assert not client.open
+    harness.close()
 
 
 def test_an_idle_connection_that_never_reads_its_answer_gives_way_after_a_while():
-    house = House(KEPT, most=1)
-    phone = served(house)
-    house.pass_time(EVICTION_GRACE + 2 * TICK)
-    assert house.listener.make_room()
-    phone.sock.close()
-    house.close()
+    harness = ListenerHarness(KEPT, most=1)
+    client = served(harness)
+    harness.pass_time(EVICTION_GRACE + 2 * TICK)
+    assert harness.listener.make_room()
+    client.sock.close()
+    harness.close()
 
 
 @pytest.mark.parametrize("rest_comes", [False, True])
 def test_a_half_sent_request_whose_rest_lies_in_the_socket_does_not_give_way(rest_comes):
-    """A full house closed it after half a second without a look, and what had been read had no answer."""
-    house = House(KEPT, most=1)
-    phone = Phone(house)
+    """A full harness closed it after half a second without a look, and what had been read had no answer."""
+    harness = ListenerHarness(KEPT, most=1)
+    client = SocketClient(harness)
     whole = message("r0")
-    phone.send(whole[:20])
-    house.turn()
-    house.pass_time(EVICTION_GRACE + 2 * TICK)
+    client.send(whole[:20])
+    harness.turn()
+    harness.pass_time(EVICTION_GRACE + 2 * TICK)
     if rest_comes:
-        phone.send(whole[20:])  # the loop has not read it yet
-    assert house.listener.make_room() is not rest_comes
-    house.turn()
-    house.work()
-    assert phone.statuses() == ([200] if rest_comes else [])
-    phone.sock.close()
-    house.turn()
-    house.close()
+        client.send(whole[20:])  # the loop has not read it yet
+    assert harness.listener.make_room() is not rest_comes
+    harness.turn()
+    harness.work()
+    assert client.statuses() == ([200] if rest_comes else [])
+    client.sock.close()
+    harness.turn()
+    harness.close()
 
 
 def test_a_lingering_connection_whose_answer_has_arrived_gives_way_at_once():
-    house = House(KEPT, most=1)
-    phone = Phone(house)
-    phone.send(b"POST /none HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
-    house.turn()
-    assert phone.statuses() == [404]
-    assert house.listener.make_room()
-    house.close()
+    harness = ListenerHarness(KEPT, most=1)
+    client = SocketClient(harness)
+    client.send(b"POST /none HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
+    harness.turn()
+    assert client.statuses() == [404]
+    assert harness.listener.make_room()
+    harness.close()
 
 
 def test_parked_connections_are_closed_as_others_are():
-    house = House(IDLING)
-    [phone] = house.parked()
-    house.listener.sending_away = True
-    house.listener.close_idle()
-    phone.sock.settimeout(0)
-    house.turn()
-    assert rest(phone) == b"" and not house.listener.connections
-    house.close()
+    harness = ListenerHarness(IDLING)
+    [client] = harness.parked()
+    harness.listener.sending_away = True
+    harness.listener.close_idle()
+    client.sock.settimeout(0)
+    harness.turn()
+    assert rest(client) == b"" and not harness.listener.connections
+    harness.close()
 
 
 @pytest.mark.parametrize("longest", [50.0, 200.0, 500.0, 1000.0, 2000.0, 3000.0, 12_000.0, 600_000.0])
@@ -209,7 +211,7 @@
 def test_a_port_stays_open_while_somebody_waits_behind_a_full_house(ending):
     """Closed, it resets who is connected and was not taken for want of room. Once clients were sent away, and
     the program is about to end, it closes all the same."""
-    config = read(told(free_port(), "127.0.0.1:9", known=known(8080)), {})
+    config = read(program_config(free_port(), "127.0.0.1:9", known=endpoint_list(8080)), {})
     loop = asyncio.new_event_loop()
     program = Program(config, loop, lambda: 1e6)
     full, other = Port(), Port()
@@ -227,16 +229,16 @@
 
 
 def test_a_full_house_with_somebody_at_the_port_is_waited_for():
-    house = House(KEPT, most=1)
-    phone = served(house)
-    assert not house.listener.has_waiting_clients, "nobody is there"
-    house.listener._socket.waiting.append(None)
-    assert house.listener.has_waiting_clients
-    phone.sock.close()
-    house.turn()
-    assert not house.listener.has_waiting_clients, "there is room"
-    house.listener._socket.waiting.clear()
-    house.close()
+    harness = ListenerHarness(KEPT, most=1)
+    client = served(harness)
+    assert not harness.listener.has_waiting_clients, "nobody is there"
+    harness.listener._socket.waiting.append(None)
+    assert harness.listener.has_waiting_clients
+    client.sock.close()
+    harness.turn()
+    assert not harness.listener.has_waiting_clients, "there is room"
+    harness.listener._socket.waiting.clear()
+    harness.close()
 
 
 class FailingFront:
@@ -248,18 +250,18 @@
         connection.answer(200, b"well\n")
 
 
-def test_a_request_whose_front_fails_has_its_answer_and_the_fault_is_reported(house):
+def test_a_request_whose_front_fails_has_its_answer_and_the_fault_is_reported(harness):
     """The error closed the connection: what had been read had no answer."""
     faults = []
-    house.loop.set_exception_handler(lambda _, context: faults.append(context["exception"]))
-    house.listener.front = FailingFront()
-    phone = Phone(house)
-    phone.send(message("r0"))
-    house.turn()
-    assert phone.statuses() == [500] and [str(fault) for fault in faults] == ["no"]
-    house.turn()
-    assert not phone.open, "it was the last answer"
-    other = Phone(house)
+    harness.loop.set_exception_handler(lambda _, context: faults.append(context["exception"]))
+    harness.listener.front = FailingFront()
+    client = SocketClient(harness)
+    client.send(message("r0"))
+    harness.turn()
+    assert client.statuses() == [500] and [str(fault) for fault in faults] == ["no"]
+    harness.turn()
+    assert not client.open, "it was the last answer"
+    other = SocketClient(harness)
     other.send(b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
-    house.turn()
+    harness.turn()
     assert other.statuses() == [200]
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -6,7 +6,7 @@
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
-from support.memory_dispatcher import Client, Desk
+from support.memory_dispatcher import Client, InMemoryDispatcher
 
 from eiderfield.exchange import Exchange
 from eiderfield.interface import Outcome
@@ -24,7 +24,7 @@
 class Connections(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.desk = Desk(workers=3, most=50, worker_connections=50)
+        self.dispatcher = InMemoryDispatcher(workers=3, most=50, worker_connections=50)
         self.clients = []  # client, id and path of those that wait
         self.count = 0
         self.sound = True
@@ -37,7 +37,7 @@
     @rule(path=st.sampled_from(PATHS), wait=st.sampled_from([50, 400, 5000]))
     def arrive(self, path, wait):
         self.count += 1
-        client = Client(self.desk)
+        client = Client(self.dispatcher)
         self.clients.append((client, f"r{self.count}", path))
         client.post(path, f"r{self.count}", wait, Idempotency_Key="k")
         self.look()
@@ -47,12 +47,12 @@
         if self.clients:
             client, *_ = self.clients.pop(data.draw(st.integers(0, len(self.clients) - 1)))
             client.pipe.break_off()
-            self.desk.settle()
+            self.dispatcher.settle()
 
     @rule(data=st.data(), stuck=st.booleans(), refused=st.booleans())
     def dialled(self, data, stuck, refused):
-        if self.desk.dials:
-            dial = data.draw(st.sampled_from(self.desk.dials))
+        if self.dispatcher.dials:
+            dial = data.draw(st.sampled_from(self.dispatcher.dials))
             if refused:
                 dial.refuse()
             else:
@@ -62,8 +62,8 @@
 
     @rule()
     def dialled_all(self):
-        for dial in list(self.desk.dials):
-            if dial not in self.desk.dials or not dial.up().pipe.written:
+        for dial in list(self.dispatcher.dials):
+            if dial not in self.dispatcher.dials or not dial.up().pipe.written:
                 continue
             assert self.serves(dial.address[1]), "begun after a drain"
         self.look()
@@ -73,7 +73,7 @@
 
     @rule(data=st.data(), how=st.sampled_from(HOWS))
     def work(self, data, how):
-        ends = [end for end in self.desk.ends if end.pipe.open]
+        ends = [end for end in self.dispatcher.ends if end.pipe.open]
         ends = [end for end in ends if end.take() or end.pipe.stuck] or ends
         if not ends:
             return
@@ -102,40 +102,40 @@
             if how == "done":
                 self.results[holds[0]] = f"result of {holds[0]} {self.ran[holds[0]]}"
             end.finish(how, self.results.get(holds[0], ""))
-        self.desk.settle()
+        self.dispatcher.settle()
         self.look()
 
     @rule(data=st.data(), status=st.sampled_from(["SERVING", "DRAINING", "DELETED"]))
     def news(self, data, status):
-        worker = data.draw(st.sampled_from([dial.address[1] for dial in self.desk.dials] or [1, 2, 3]))
+        worker = data.draw(st.sampled_from([dial.address[1] for dial in self.dispatcher.dials] or [1, 2, 3]))
         self.status[worker] = status
-        self.desk.tell((worker, status))
+        self.dispatcher.tell((worker, status))
         self.look()
 
     @rule(data=st.data(), out=st.booleans())
     def maintain(self, data, out):
-        worker = data.draw(st.sampled_from([dial.address[1] for dial in self.desk.dials] or [1, 2, 3]))
-        assert (self.desk.table.ban if out else self.desk.table.unban)(f"w{worker}")
+        worker = data.draw(st.sampled_from([dial.address[1] for dial in self.dispatcher.dials] or [1, 2, 3]))
+        assert (self.dispatcher.table.ban if out else self.dispatcher.table.unban)(f"w{worker}")
         (self.banned.add if out else self.banned.discard)(worker)
-        self.desk.settle()
+        self.dispatcher.settle()
         self.look()
 
     @rule(junk=st.sampled_from(DAMAGED))
     def bad_client(self, junk):
-        client = Client(self.desk)
+        client = Client(self.dispatcher)
         client.send(junk)
         assert all(status in (400, 413) for status, *_ in client.answers())
 
     @rule(span=st.sampled_from([1.0, 60.0, 150.0, 1000.0, 8000.0]))
     def time(self, span):
-        self.desk.advance(span)
+        self.dispatcher.advance(span)
         self.look()
 
     def look(self):
         """Takes in what workers got and clients were told."""
         self.sound = False
         out = Counter()
-        for end in self.desk.ends:
+        for end in self.dispatcher.ends:
             held = end.take()
             self.ran.update(end.came[self.seen[end] :])
             self.seen[end] = len(end.came)
@@ -158,15 +158,15 @@
 
     @invariant()
     def bounded(self):
-        assert self.desk.side.connections <= 50
+        assert self.dispatcher.side.connections <= 50
 
     def teardown(self):
         if not self.sound:  # a rule has been broken already; what follows would hide which
             return
-        self.desk.advance(13_000.0)
+        self.dispatcher.advance(13_000.0)
         self.look()
         assert not self.clients, "never answered"
-        assert not self.desk.exchange.unanswered
+        assert not self.dispatcher.exchange.unanswered
 
 
 def run(examples):
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -30,20 +30,20 @@
 
 def test_what_is_served_within_its_class_s_aim_counts_as_in_time_and_what_is_late_does_not():
     console = Console(workers=1)
-    desk, aim = console.desk, console.desk.exchange.site.classes[0].aim
+    dispatcher, aim = console.dispatcher, console.dispatcher.exchange.site.classes[0].aim
     for wait, in_time in ((aim / 2.0, 1), (2.0 * aim, 1)):
-        desk.client(id_=f"r{wait}")
-        end = desk.dials[0].up() if desk.dials else desk.ends[-1]
-        desk.advance(wait)
+        dispatcher.client(id_=f"r{wait}")
+        end = dispatcher.dials[0].up() if dispatcher.dials else dispatcher.ends[-1]
+        dispatcher.advance(wait)
         end.finish()
-        desk.advance(5.0)
+        dispatcher.advance(5.0)
         assert console.figures()["in_time"]["safe"] == in_time
     assert console.figures()["success"]["safe"] == 2
 
 
 def test_figures_count_jobs_by_how_they_end_and_legs_as_they_leave():
     console = Console(workers=1)
-    desk = console.desk
+    dispatcher = console.dispatcher
     none = {"safe": 0, "unsafe": 0, "keyed": 0}
     assert console.figures() == {
         "success": none, "busy": none, "failure": none, "backend_calls": 0, "inflight": 0,
@@ -53,17 +53,17 @@
         "connections": {"open": 0, "departed": 0, "discarded": 0, "parked": 0, "woken": 0, "expired": 0,
                         "left": 0, "gave_way": 0, "lent": 0},
     }  # fmt: skip
-    first, end = desk.client(), desk.dials[0].up(stuck=True)
+    first, end = dispatcher.client(), dispatcher.dials[0].up(stuck=True)
     assert console.figures()["backend_calls"] == 0, "its last byte has not left"
     end.pipe.unstick()
     told = console.figures()
     assert (told["backend_calls"], told["inflight"]) == (1, 1), "counted as it leaves, not at its end"
     end.finish()
-    desk.client(path="/unsafe/a", id_="r2")
+    dispatcher.client(path="/unsafe/a", id_="r2")
     end.finish("failed")
-    desk.tell((1, "DRAINING"))
-    desk.client(path="/keyed/a", id_="r3", wait=100, Idempotency_Key="k")
-    desk.advance(200.0)
+    dispatcher.tell((1, "DRAINING"))
+    dispatcher.client(path="/keyed/a", id_="r3", wait=100, Idempotency_Key="k")
+    dispatcher.advance(200.0)
     told = console.figures()
     assert told["success"] == {**none, "safe": 1} and first.answers()[0][0] == 200
     assert told["failure"] == {**none, "unsafe": 1}
@@ -73,78 +73,83 @@
 
 def test_hosts_are_those_of_the_list_and_down_those_that_are_left_alone():
     console = Console(workers=3)
-    desk = console.desk
-    desk.client()
-    desk.dials[0].refuse()
+    dispatcher = console.dispatcher
+    dispatcher.client()
+    dispatcher.dials[0].refuse()
     told = console.figures()
     assert (told["hosts_listed"], told["hosts_down"]) == (3, 1)
-    desk.tell((1, "DELETED"), (2, "DELETED"))
+    dispatcher.tell((1, "DELETED"), (2, "DELETED"))
     assert console.figures()["hosts_listed"] == 1
-    desk.tell((3, "DRAINING"))
+    dispatcher.tell((3, "DRAINING"))
     assert console.figures()["hosts_down"] == 1
-    desk.tell((1, "SERVING"), (3, "SERVING"), snapshot=True)
+    dispatcher.tell((1, "SERVING"), (3, "SERVING"), snapshot=True)
     assert console.figures()["hosts_listed"] == 2
-    assert State.READY in desk.exchange._table.values()
+    assert State.READY in dispatcher.exchange._table.values()
 
 
 def test_a_rest_that_is_over_counts_no_more_though_nothing_happened_since():
     console = Console(workers=1)
-    console.desk.client(wait=100)
-    console.desk.dials[0].refuse()
+    console.dispatcher.client(wait=100)
+    console.dispatcher.dials[0].refuse()
     assert console.figures()["hosts_down"] == 1
-    console.desk.now += 10_000.0
+    console.dispatcher.now += 10_000.0
     assert console.figures()["hosts_down"] == 0
 
 
 def test_callers_that_complete_no_call_keep_nobody_out():
     console = Console()
-    hanging = [Client(console.desk, console.listener) for _ in range(CALLERS)]
+    hanging = [Client(console.dispatcher, console.listener) for _ in range(CALLERS)]
     for caller in hanging:
         caller.send(b"GET /-/re")
-    console.desk.advance(EVICTION_GRACE)
+    console.dispatcher.advance(EVICTION_GRACE)
     assert console.listener.make_room() and console.call("/-/ready")[0] == 200
-    console.desk.advance(WAIT + 2 * TICK)
+    console.dispatcher.advance(WAIT + 2 * TICK)
     assert all(not caller.pipe.open or caller.pipe.ended for caller in hanging)
 
 
 def test_what_was_called_off_and_what_could_not_be_read_is_counted_by_why():
     console = Console(workers=1)
-    desk = console.desk
-    client, end = desk.client(), desk.dials[0].up()
+    dispatcher = console.dispatcher
+    client, end = dispatcher.client(), dispatcher.dials[0].up()
     client.pipe.break_off()
-    desk.settle()
-    desk.advance(1000.0)
-    desk.client(path="/unsafe/a", id_="r2", wait=100)
-    end = desk.dials[0].up()
+    dispatcher.settle()
+    dispatcher.advance(1000.0)
+    dispatcher.client(path="/unsafe/a", id_="r2", wait=100)
+    end = dispatcher.dials[0].up()
     end.take()
-    desk.advance(200.0)
+    dispatcher.advance(200.0)
     told = console.figures()
     assert told["called_off"] == {"nobody waits": 1, "decided": 1} and told["connections"]["departed"] == 1
-    desk.advance(1000.0)
-    desk.client(path="/unsafe/a", id_="r3")
-    end = desk.dials[0].up()
+    dispatcher.advance(1000.0)
+    dispatcher.client(path="/unsafe/a", id_="r3")
+    end = dispatcher.dials[0].up()
     end.take()
     end.say({"id": "another", "state": "done", "result": "x"})
     assert console.figures()["spoilt_answers"] == 1
-    assert any("an answer cannot be used: a line is not about this" in line for line in desk.logged)
+    assert any("an answer cannot be used: a line is not about this" in line for line in dispatcher.logged)
 
 
 def test_watches_that_were_lost_are_counted_by_why():
     console = Console(workers=1)
-    desk = console.desk
+    dispatcher = console.dispatcher
     watcher = PlatformWatch(
-        desk.table, desk.wheel, desk.clock, desk.dial, ("127.0.0.1", 8500), desk.logged.append
+        dispatcher.table,
+        dispatcher.wheel,
+        dispatcher.clock,
+        dispatcher.dial,
+        ("127.0.0.1", 8500),
+        dispatcher.logged.append,
     )
     watcher.start_in_turn()
-    desk.dials[0].refuse()
-    desk.advance(1000.0)
-    desk.dials[0].up().pipe.break_off()
-    desk.advance(1000.0)
-    desk.dials[0].up().pipe.send(b"nonsense\r\n\r\n")
-    desk.advance(1000.0)
-    desk.dials[0].up()
-    desk.advance(SILENCE + 10.0)
-    desk.advance(DIAL_TIMEOUT + 10.0)
+    dispatcher.dials[0].refuse()
+    dispatcher.advance(1000.0)
+    dispatcher.dials[0].up().pipe.break_off()
+    dispatcher.advance(1000.0)
+    dispatcher.dials[0].up().pipe.send(b"nonsense\r\n\r\n")
+    dispatcher.advance(1000.0)
+    dispatcher.dials[0].up()
+    dispatcher.advance(SILENCE + 10.0)
+    dispatcher.advance(DIAL_TIMEOUT + 10.0)
     assert console.figures()["watches_reopened"] == {
         "refused": 1, "broken": 1, "malformed": 1, "silent": 1, "unreachable": 1
     }  # fmt: skip
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from support.memory_dispatcher import Desk, Pipe
+from support.memory_dispatcher import InMemoryDispatcher, Pipe
 
 from eiderfield.config import Discovery
 from eiderfield.interface import State
@@ -29,15 +29,22 @@
     """The stand-in: answers one query at a time."""
 
     def __init__(self, api="health"):
-        self.desk = Desk(workers=0)
+        self.dispatcher = InMemoryDispatcher(workers=0)
         place = Discovery("consul", ("127.0.0.1", 8500), "claim workers", api, "secret", 30_000.0)
-        desk = self.desk
-        self.follower = ConsulWatch(desk.table, desk.wheel, desk.clock, desk.dial, place, desk.logged.append)
+        dispatcher = self.dispatcher
+        self.follower = ConsulWatch(
+            dispatcher.table,
+            dispatcher.wheel,
+            dispatcher.clock,
+            dispatcher.dial,
+            place,
+            dispatcher.logged.append,
+        )
         self.follower.connect()
         self.connect()
 
     def connect(self):
-        dial = self.desk.dials.pop()
+        dial = self.dispatcher.dials.pop()
         self.pipe = Pipe(dial.connection)
         dial.connection.connection_made(self.pipe)
         self.parser = Parser()
@@ -56,11 +63,11 @@
         body = json.dumps(instances).encode() if raw is None else raw
         head = f"HTTP/1.1 200 OK\r\nX-Consul-Index: {index}\r\nContent-Length: {len(body)}\r\n\r\n"
         self.pipe.send(head.encode() + body)
-        self.desk.settle()
+        self.dispatcher.settle()
 
     def states(self):
-        names = self.desk.ids
-        return {names.name(w): s for w, s in self.desk.exchange._table.items() if s != State.GONE}
+        names = self.dispatcher.ids
+        return {names.name(w): s for w, s in self.dispatcher.exchange._table.items() if s != State.GONE}
 
 
 def test_health_is_followed_by_blocking_queries():
@@ -71,7 +78,7 @@
     assert consul.query() == "/v1/health/service/claim%20workers?index=7&wait=30s"
     consul.answer(9, instance("b", 2))
     assert consul.states() == {"n/b": State.READY}
-    assert consul.desk.exchange.knows_workers
+    assert consul.dispatcher.exchange.knows_workers
 
 
 def test_the_catalogue_knows_of_no_checks():
@@ -90,7 +97,7 @@
         },
     )
     assert consul.states() == {"n/a": State.READY}
-    assert list(consul.desk.side._addresses.values()) == [("127.0.0.8", 5)]
+    assert list(consul.dispatcher.side._addresses.values()) == [("127.0.0.8", 5)]
 
 
 def test_an_index_that_goes_backwards_is_begun_anew_from_nothing():
@@ -101,7 +108,7 @@
     consul.answer(4, instance("a", 1), instance("b", 2))  # restored from a snapshot
     assert len(consul.states()) == 2
     assert consul.query() is None  # such a query would not block: it waits a little
-    consul.desk.advance(1100.0)
+    consul.dispatcher.advance(1100.0)
     assert consul.query() == "/v1/health/service/claim%20workers"
     consul.answer(5, instance("a", 1))
     assert consul.query().endswith("?index=5&wait=30s")
@@ -124,7 +131,7 @@
     consul.answer(7, instance("a", 1))
     consul.answer(8, raw=raw)
     assert not consul.pipe.open and consul.states() == {"n/a": State.READY}
-    consul.desk.advance(1500.0)
+    consul.dispatcher.advance(1500.0)
     consul.connect()
     assert consul.query() == "/v1/health/service/claim%20workers"
 
@@ -133,29 +140,29 @@
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1))
-    consul.desk.advance(30_000.0 * 17 / 16 + ANSWER_SLACK + 50.0)
+    consul.dispatcher.advance(30_000.0 * 17 / 16 + ANSWER_SLACK + 50.0)
     assert not consul.pipe.open and consul.states() == {"n/a": State.READY}
 
 
 def test_an_instance_that_appears_later_counts_as_just_started():
     consul = Consul()
     consul.answer(7, instance("a", 1), instance("c", 3, since_ms="12"))
-    consul.desk.advance(100.0)
+    consul.dispatcher.advance(100.0)
     consul.answer(8, instance("a", 1), instance("b", 2), instance("c", 3, since_ms="12"))
     since = {
-        consul.desk.ids.name(w.entry.worker): w.entry.ready_at
-        for w in consul.desk.exchange._module._workers.values()
+        consul.dispatcher.ids.name(w.entry.worker): w.entry.ready_at
+        for w in consul.dispatcher.exchange._module._workers.values()
     }
-    assert since == {"n/a": 0.0, "n/b": consul.desk.now, "n/c": 12.0}
+    assert since == {"n/a": 0.0, "n/b": consul.dispatcher.now, "n/c": 12.0}
 
 
 def steps(consul, span, most=400):
     """Lets time pass while the stand-in answers every query at once; gives how many it got."""
     asked = 0
-    until = consul.desk.now + span
-    while consul.desk.now < until and asked < most:
+    until = consul.dispatcher.now + span
+    while consul.dispatcher.now < until and asked < most:
         if consul.query() is None:
-            consul.desk.advance(10.0)
+            consul.dispatcher.advance(10.0)
         else:
             asked += 1
             yield asked
@@ -176,19 +183,19 @@
     for index in range(1, 8):
         assert consul.query() is not None
         consul.answer(index, instance("a", index))
-    consul.desk.advance(60_000.0 * 0.5)
+    consul.dispatcher.advance(60_000.0 * 0.5)
 
 
 def test_broken_answers_are_asked_again_at_the_same_pace():
     consul = Consul()
     asked = 0
-    until = consul.desk.now + 10_000.0
-    while consul.desk.now < until:
+    until = consul.dispatcher.now + 10_000.0
+    while consul.dispatcher.now < until:
         if consul.query() is not None:
             asked += 1
             consul.answer(1, raw=b"nonsense")
-        consul.desk.advance(10.0)
-        if consul.desk.dials:
+        consul.dispatcher.advance(10.0)
+        if consul.dispatcher.dials:
             consul.connect()
     assert asked <= 8 + 10 * 4
 
@@ -199,16 +206,16 @@
     consul.answer(7, instance("a", 1), instance("b", 2), instance("c", 3))
     consul.query()
     consul.pipe.break_off()
-    consul.desk.advance(1500.0)
+    consul.dispatcher.advance(1500.0)
     consul.connect()
     consul.query()
     consul.answer(2)
-    assert len(consul.states()) == 3 and consul.desk.table.unconfirmed_removals == 3
-    assert any("in doubt" in line or "leaves out 3 of 3" in line for line in consul.desk.logged)
-    consul.desk.advance(1100.0)
+    assert len(consul.states()) == 3 and consul.dispatcher.table.unconfirmed_removals == 3
+    assert any("in doubt" in line or "leaves out 3 of 3" in line for line in consul.dispatcher.logged)
+    consul.dispatcher.advance(1100.0)
     assert consul.query() == "/v1/health/service/claim%20workers"
     consul.answer(9, instance("a", 1), instance("b", 2), instance("c", 3))
-    assert consul.desk.table.unconfirmed_removals == 0 and consul.query().endswith("?index=9&wait=30s")
+    assert consul.dispatcher.table.unconfirmed_removals == 0 and consul.query().endswith("?index=9&wait=30s")
 
 
 def test_a_drain_told_in_a_list_in_doubt_is_kept():
@@ -225,14 +232,14 @@
     consul.query()
     consul.answer(7, instance("a", 1), instance("b", 2), instance("c", 3))
     for _ in range(30):
-        consul.desk.advance(500.0)
+        consul.dispatcher.advance(500.0)
         if consul.query() is not None:
             body = json.dumps([instance("a", 1)]).encode()
             head = "HTTP/1.1 200 OK\r\nX-Consul-Index: 9\r\nX-Consul-KnownLeader: false\r\n"
             consul.pipe.send(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
-            consul.desk.settle()
-    assert consul.states() == {"n/a": State.READY} and consul.desk.table.unconfirmed_removals == 0
-    assert any("is applied now" in line for line in consul.desk.logged)
+            consul.dispatcher.settle()
+    assert consul.states() == {"n/a": State.READY} and consul.dispatcher.table.unconfirmed_removals == 0
+    assert any("is applied now" in line for line in consul.dispatcher.logged)
 
 
 def test_a_shorter_list_with_a_leader_and_a_going_index_is_no_doubt():
@@ -241,4 +248,4 @@
     consul.answer(7, instance("a", 1), instance("b", 2), instance("c", 3))
     consul.query()
     consul.answer(8)
-    assert not consul.states() and consul.desk.table.unconfirmed_removals == 0
+    assert not consul.states() and consul.dispatcher.table.unconfirmed_removals == 0
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -11,9 +11,9 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from support.deployments import DEPLOYMENTS, WORKERS
-from support.memory_dispatcher import Desk
+from support.memory_dispatcher import InMemoryDispatcher
 from support.policy import Node
-from support.random_events import RuleBroken, World
+from support.random_events import EventPlayer, RuleBrokenError
 
 from eiderfield import exchange as core
 from eiderfield.decide import Dispatcher
@@ -40,36 +40,40 @@
 )
 @given(seed=st.integers(0, 1 << 32), steps=st.integers(20, 150))
 def test_the_rules_hold(name, seed, steps):
-    world = World(DEPLOYMENTS[name], random.Random(seed))
-    world.run(steps)
-    assert all(job["answered"] is not None or job["gone"] for job in world.jobs.values())
+    player = EventPlayer(DEPLOYMENTS[name], random.Random(seed))
+    player.run(steps)
+    assert all(job["answered"] is not None or job["gone"] for job in player.jobs.values())
 
 
 def test_one_of_many_that_minds_no_cold_worker_is_caught(monkeypatch):
     monkeypatch.setattr(Dispatcher, "_cold_left", lambda self, worker, now: inf)
-    with pytest.raises(RuleBroken, match="rule 4"):
+    with pytest.raises(RuleBrokenError, match="rule 4"):
         for seed in range(400):
-            World(DEPLOYMENTS["reports by probes only"], random.Random(seed)).run(150)
+            EventPlayer(DEPLOYMENTS["reports by probes only"], random.Random(seed)).run(150)
 
 
-def desk_of(name):
-    return Desk(DEPLOYMENTS[name], workers=WORKERS.get(name, 2))
+def dispatcher_of(name):
+    return InMemoryDispatcher(DEPLOYMENTS[name], workers=WORKERS.get(name, 2))
 
 
 @pytest.fixture(params=NAMES)
-def desk(request):
-    return desk_of(request.param)
+def dispatcher(request):
+    return dispatcher_of(request.param)
 
 
-def ask(desk, cls, id_="r1", **headers):
+def ask(dispatcher, cls, id_="r1", **headers):
     more = {"Idempotency_Key": "k"} if cls.effect == Effect.KEYED else {}
-    return desk.client(path=f"/{cls.name}", id_=id_, **more, **headers)
+    return dispatcher.client(path=f"/{cls.name}", id_=id_, **more, **headers)
 
 
-def test_each_class_is_served_once_with_the_workers_result(desk):
-    for number, cls in enumerate(desk.exchange.site.classes):
-        client = ask(desk, cls, id_=f"r{number}")
-        end = desk.dials[0].up() if desk.dials else next(end for end in desk.ends if end.take())
+def test_each_class_is_served_once_with_the_workers_result(dispatcher):
+    for number, cls in enumerate(dispatcher.exchange.site.classes):
+        client = ask(dispatcher, cls, id_=f"r{number}")
+        end = (
+            dispatcher.dials[0].up()
+            if dispatcher.dials
+            else next(end for end in dispatcher.ends if end.take())
+        )
         end.finish(result=cls.name)
         assert [(status, body) for status, _, body in client.answers()] == [(200, cls.name.encode())]
 
@@ -77,26 +81,26 @@
 @pytest.mark.parametrize("name", NAMES)
 def test_what_broke_after_its_last_byte_goes_only_where_its_class_allows(name):
     for cls in DEPLOYMENTS[name].classes:
-        desk = desk_of(name)
-        client = ask(desk, cls, wait=900)
-        end = desk.dials[0].up()
+        dispatcher = dispatcher_of(name)
+        client = ask(dispatcher, cls, wait=900)
+        end = dispatcher.dials[0].up()
         assert end.take() == ["r1"]
         end.pipe.break_off()
-        desk.settle()
+        dispatcher.settle()
         if cls.effect == Effect.UNSAFE:  # it may have run: no word of coming again
-            assert [status for status, _, _ in client.answers()] == [502] and not desk.dials
+            assert [status for status, _, _ in client.answers()] == [502] and not dispatcher.dials
         for _ in range(20):
-            while desk.dials:
-                desk.dials[0].up().pipe.break_off()
-            desk.advance(100.0)
+            while dispatcher.dials:
+                dispatcher.dials[0].up().pipe.break_off()
+            dispatcher.advance(100.0)
         assert len(client.answers()) == (cls.effect != Effect.UNSAFE), "once, and before the client leaves"
-        assert sum(len(end.came) for end in desk.ends) <= DEPLOYMENTS[name].max_attempts
+        assert sum(len(end.came) for end in dispatcher.ends) <= DEPLOYMENTS[name].max_attempts
 
 
 @pytest.mark.parametrize("name", [name for name in NAMES if DEPLOYMENTS[name].max_attempts > 1])
 def test_what_never_left_whole_is_sent_again_whatever_its_class(name):
     for cls in DEPLOYMENTS[name].classes:
-        fresh = desk_of(name)
+        fresh = dispatcher_of(name)
         client = ask(fresh, cls)
         fresh.dials[0].refuse()
         while not fresh.dials:  # at once at a second worker; the only one rests for a while
@@ -104,21 +108,21 @@
             fresh.advance(20.0)
 
 
-def test_a_tenant_is_known_by_name_and_an_unknown_one_has_no_share(desk, monkeypatch):
+def test_a_tenant_is_known_by_name_and_an_unknown_one_has_no_share(dispatcher, monkeypatch):
     came = []
     monkeypatch.setattr(core, "Arrived", lambda *args: came.append(args[3]) or REAL(*args))
-    cls, tenants = desk.exchange.site.classes[0], desk.exchange.site.tenants
+    cls, tenants = dispatcher.exchange.site.classes[0], dispatcher.exchange.site.tenants
     words = [tenant.name for tenant in tenants] + ["nobody", ""]
     for number, word in enumerate(words):
-        ask(desk, cls, id_=f"t{number}", **({"X_Tenant": word} if word else {}))
+        ask(dispatcher, cls, id_=f"t{number}", **({"X_Tenant": word} if word else {}))
     assert came == [*range(len(tenants)), len(tenants), len(tenants)]
 
 
 REAL = core.Arrived
 
 
-def test_every_action_of_the_module_has_a_taker(desk):
-    assert set(Action.__args__) == set(desk.exchange._takers)
+def test_every_action_of_the_module_has_a_taker(dispatcher):
+    assert set(Action.__args__) == set(dispatcher.exchange._takers)
 
 
 def told(actions, kind):
@@ -136,37 +140,37 @@
 
 
 def test_two_answers_of_second_copies_in_one_turn_are_one_answer():
-    desk = Desk(DEPLOYMENTS["admissions"])
-    client = ask(desk, desk.exchange.site.classes[0])
-    first = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(DEPLOYMENTS["admissions"])
+    client = ask(dispatcher, dispatcher.exchange.site.classes[0])
+    first = dispatcher.dials[0].up()
     first.say({"id": "r1", "from": "w", "state": "started"})
-    while not desk.dials:  # silence: the class may have a second copy
-        desk.advance(50.0)
-    second = desk.dials[0].up()
+    while not dispatcher.dials:  # silence: the class may have a second copy
+        dispatcher.advance(50.0)
+    second = dispatcher.dials[0].up()
     assert second.take() == ["r1"] and first.take() == ["r1"]
-    settle, desk.settle = desk.settle, lambda: None
+    settle, dispatcher.settle = dispatcher.settle, lambda: None
     second.finish(result="second")
     first.say({"id": "r1", "from": "w", "state": "done", "result": "first"}, head=False, end=True)
-    desk.settle = settle
-    desk.settle()
+    dispatcher.settle = settle
+    dispatcher.settle()
     assert [(status, body) for status, _, body in client.answers()] == [(200, b"second")]
-    assert desk.exchange.unanswered == 0 and not desk.exchange.holds("r1")
+    assert dispatcher.exchange.unanswered == 0 and not dispatcher.exchange.holds("r1")
 
 
 @pytest.mark.parametrize("cut", ["before", "within", "after"])
 def test_a_never_twice_job_whose_leg_broke_before_within_or_after_its_last_byte(cut):
     site = DEPLOYMENTS["admissions"]
-    desk = Desk(site)
-    client = ask(desk, next(cls for cls in site.classes if cls.effect == Effect.UNSAFE))
+    dispatcher = InMemoryDispatcher(site)
+    client = ask(dispatcher, next(cls for cls in site.classes if cls.effect == Effect.UNSAFE))
     if cut == "before":
-        desk.dials[0].refuse()
+        dispatcher.dials[0].refuse()
     else:
-        desk.dials[0].up(stuck=cut == "within").pipe.break_off()
-    desk.settle()
+        dispatcher.dials[0].up(stuck=cut == "within").pipe.break_off()
+    dispatcher.settle()
     if cut == "after":  # it may have run: the truth, at once, and no word of coming again
-        assert [status for status, _, _ in client.answers()] == [502] and not desk.dials
+        assert [status for status, _, _ in client.answers()] == [502] and not dispatcher.dials
     else:
-        desk.dials[0].up().finish(result="once")
+        dispatcher.dials[0].up().finish(result="once")
         assert [(status, body) for status, _, body in client.answers()] == [(200, b"once")]
 
 
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -15,7 +15,15 @@
 from math import inf
 
 import pytest
-from support.processes import CONFIG, Answering, ask, known, log_until_listening, post, running_program
+from support.processes import (
+    CONFIG,
+    AnsweringWorker,
+    ask,
+    endpoint_list,
+    log_until_listening,
+    post,
+    running_program,
+)
 
 from eiderfield.config import RESERVED, read
 from eiderfield.lab.ports import free_port
@@ -55,7 +63,7 @@
     port = free_port()
     config = {
         **CONFIG, "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{free_port()}",
-        "known": known(*[worker.port] * 4), "connections": {"park_after_ms": 10},
+        "known": endpoint_list(*[worker.port] * 4), "connections": {"park_after_ms": 10},
     }  # fmt: skip
     (path / "config.json").write_text(json.dumps(config))
     command = [sys.executable, "-c", START.format(limit=limit)]
@@ -67,7 +75,7 @@
         assert process.poll() is None
 
 
-class Worker(Answering):
+class Worker(AnsweringWorker):
     """A worker that can close all its connections, and answer only once several requests are there."""
 
     def __init__(self):
@@ -123,7 +131,7 @@
 
 
 def test_a_dial_at_the_limit_goes_on_when_a_descriptor_is_free(tmp_path):
-    worker = Answering()
+    worker = AnsweringWorker()
     with dispatcher(tmp_path, worker, 1024) as target:
         assert not target.shrunk
         before = target.descriptors
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 import pytest
-from support.memory_dispatcher import Desk
+from support.memory_dispatcher import InMemoryDispatcher
 
 from eiderfield.durable_requests.keeper import Keeper
 from eiderfield.durable_requests.settings import Custody
@@ -37,25 +37,33 @@
     """A dispatcher that keeps its first class, with one job of it taken."""
 
     def __init__(self, path):
-        self.desk = Desk(workers=1)
+        self.dispatcher = InMemoryDispatcher(workers=1)
         self.answers = []
         settings = Custody(path / "custody", frozenset({0}), lease=LEASE)
         self.keeper = Keeper(
-            settings, "a", self.desk.exchange, self.desk.ids, self.desk.wheel, self.desk.clock,
-            lambda call: call(), self.desk.logged.append,
-        )  # fmt: skip
+            settings,
+            "a",
+            self.dispatcher.exchange,
+            self.dispatcher.ids,
+            self.dispatcher.wheel,
+            self.dispatcher.clock,
+            lambda call: call(),
+            self.dispatcher.logged.append,
+        )
         self.keeper.begin()
         self.keeper.member.look()
         self.keeper._writer = self.writer = DirectWriter(self.keeper.member)
 
     def take(self, id_="j"):
-        self.keeper.take(Request(id_, 0, self.desk.now + 5000.0, "/safe/x", body=b"b"), self.answers.append)
+        self.keeper.take(
+            Request(id_, 0, self.dispatcher.now + 5000.0, "/safe/x", body=b"b"), self.answers.append
+        )
         self.writer.run()  # it is written down
-        self.desk.settle()
+        self.dispatcher.settle()
 
     def run(self):
         self.writer.run()
-        self.desk.settle()
+        self.dispatcher.settle()
         self.writer.run()
 
     @property
@@ -73,7 +81,7 @@
 def test_a_kept_job_that_nobody_cancels_is_sent(kept):
     kept.take()
     kept.run()
-    [dial] = kept.desk.dials
+    [dial] = kept.dispatcher.dials
     dial.up().finish()
     kept.run()
     assert kept.verdicts == [Verdict.SERVED]
@@ -83,11 +91,11 @@
     """It was heard at the next look at the folder, a twelfth of a lease later."""
     kept.take()
     kept.run()
-    [dial] = kept.desk.dials
+    [dial] = kept.dispatcher.dials
     told = []
     kept.keeper.cancel("j", told.append)
     assert dial.cancelled
-    kept.desk.dials.append(dial)  # it came up in the moment in which it was called off
+    kept.dispatcher.dials.append(dial)  # it came up in the moment in which it was called off
     assert not dial.up().pipe.written
     kept.run()
     assert told == [True] and kept.verdicts == [Verdict.TERMINATED]
@@ -97,8 +105,8 @@
     kept.take()
     kept.keeper.member.folder.wish("j")
     kept.run()
-    kept.desk.advance(1000.0)
-    assert not kept.desk.dials and kept.verdicts == [Verdict.TERMINATED]
+    kept.dispatcher.advance(1000.0)
+    assert not kept.dispatcher.dials and kept.verdicts == [Verdict.TERMINATED]
 
 
 def test_no_attempt_is_claimed_after_a_takeover_of_a_job_that_was_cancelled(kept):
@@ -106,9 +114,9 @@
     [record] = kept.keeper.member._open.values()
     kept.keeper._lost()  # this process gives its jobs up, and the next life has them
     kept.writer.queue.clear()
-    kept.desk.settle()
+    kept.dispatcher.settle()
     kept.keeper.member.folder.wish("j")
     kept.keeper._adopted([record])
     kept.run()
-    kept.desk.advance(1000.0)
-    assert not kept.desk.dials and not kept.desk.exchange.unanswered
+    kept.dispatcher.advance(1000.0)
+    assert not kept.dispatcher.dials and not kept.dispatcher.exchange.unanswered
--- a/tests/test_durable_requests_on_failing_disk.py
+++ b/tests/test_durable_requests_on_failing_disk.py
@@ -10,7 +10,7 @@
 
 import pytest
 from support.failing_files import BROKEN, ERRORS, FULL, KINDS, failing_files
-from support.memory_dispatcher import Desk
+from support.memory_dispatcher import InMemoryDispatcher
 from test_durable_requests_members import LEASE, SERVED, Host, leg, one, record
 
 from eiderfield.durable_requests import store as store_module
@@ -375,18 +375,20 @@
 
 
 class Loop:
-    """A keeper in the loop of a desk, whose writer's turns are the test's: no thread, no waiting."""
+    """A keeper in the loop of a dispatcher, whose writer's turns are the test's: no thread, no waiting."""
 
     def __init__(self, folder, cls=0):
-        self.desk = Desk(workers=1)
+        self.dispatcher = InMemoryDispatcher(workers=1)
         settings = Custody(folder, frozenset({cls}), lease=600_000.0)
         self.calls, self.answers = [], []
-        desk = self.desk
-        call, log = self.calls.append, desk.logged.append
-        self.keeper = Keeper(settings, "a", desk.exchange, desk.ids, desk.wheel, desk.clock, call, log)
+        dispatcher = self.dispatcher
+        call, log = self.calls.append, dispatcher.logged.append
+        self.keeper = Keeper(
+            settings, "a", dispatcher.exchange, dispatcher.ids, dispatcher.wheel, dispatcher.clock, call, log
+        )
         self.keeper.begin()
         self.keeper.member.look()
-        request = Request("j", cls, desk.now + 4000.0, "/safe/x")
+        request = Request("j", cls, dispatcher.now + 4000.0, "/safe/x")
         self.keeper.take(request, self.answers.append)
 
     def play(self, span=200.0):
@@ -397,8 +399,8 @@
             writer.turn(group)
             while self.calls:
                 self.calls.pop(0)()
-            self.desk.settle()
-            self.desk.advance(10.0)
+            self.dispatcher.settle()
+            self.dispatcher.advance(10.0)
 
     @property
     def stage(self):
@@ -414,7 +416,7 @@
 
 def test_an_answer_that_was_told_on_a_full_disk_is_written_once_the_disk_is_well(loop, tmp_path, monkeypatch):
     loop.play(30.0)
-    end = loop.desk.dials[0].up()
+    end = loop.dispatcher.dials[0].up()
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("database write", FULL)
         end.finish()
@@ -432,12 +434,12 @@
         monkeypatch.setattr(loop.keeper, "claim", fails_from_here(faults, loop.keeper.claim))
         loop.play(600.0)
         assert faults.failed and loop.stage == Stage.ACCEPTED
-        assert not loop.desk.dials and not loop.desk.ends, "sent without a claim"
+        assert not loop.dispatcher.dials and not loop.dispatcher.ends, "sent without a claim"
         faults.heal()
     for _ in range(200):
-        if not loop.desk.dials:
+        if not loop.dispatcher.dials:
             loop.play(10.0)
-    loop.desk.dials[0].up().finish()
+    loop.dispatcher.dials[0].up().finish()
     loop.play()
     assert [answer.verdict for answer in loop.answers] == [Verdict.SERVED] and loop.stage == Stage.FINAL
 
@@ -491,13 +493,13 @@
         loop = Loop(tmp_path / "custody")
         loop.play(100.0)
         assert [answer.verdict for answer in loop.answers] == [Verdict.DECLINED]
-        assert any("no life could be begun" in line for line in loop.desk.logged)
+        assert any("no life could be begun" in line for line in loop.dispatcher.logged)
         faults.heal()
     assert loop.keeper.member.life == ""
     loop.keeper.member.begin()
-    loop.keeper.take(Request("k", 0, loop.desk.now + 4000.0, "/safe/x"), loop.answers.append)
+    loop.keeper.take(Request("k", 0, loop.dispatcher.now + 4000.0, "/safe/x"), loop.answers.append)
     loop.play(30.0)
-    assert loop.desk.dials and loop.keeper.member.find("k") is not None
+    assert loop.dispatcher.dials and loop.keeper.member.find("k") is not None
     loop.keeper.member.close()
 
 
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -96,7 +96,7 @@
     assert not sends(node.play(Ended(id_, 0, worker, Outcome.RESET, 1.0, False), at=node.now + 1.0))
 
 
-def house(site, slots=4.0, workers=2):
+def node_with_slots(site, slots=4.0, workers=2):
     """A node whose workers of one kind are known to have so many slots."""
     node = Node(site, workers=workers)
     node.dispatcher._slots[0] = slots
@@ -104,7 +104,7 @@
 
 
 def test_a_job_of_several_slots_waits_here_and_not_before_a_worker_that_lacks_them():
-    node = house(BASE, workers=1)
+    node = node_with_slots(BASE, workers=1)
     first, actions = node.arrive(cls=0, slots=2.0)
     assert sends(actions), "an empty worker always takes one"
     node.play(Noted(first, 0, 1, STARTED, 0.0))
@@ -117,7 +117,7 @@
 
 
 def test_a_large_job_does_not_starve_it_waits_at_a_worker_once_it_would_be_late():
-    node = house(replace(ONE, classes=(replace(SAFE, late_worth=0.0),)), slots=2.0, workers=1)
+    node = node_with_slots(replace(ONE, classes=(replace(SAFE, late_worth=0.0),)), slots=2.0, workers=1)
     first, _ = node.arrive(cls=0)
     node.play(Noted(first, 0, 1, STARTED, 0.0))
     large, actions = node.arrive(cls=0, slots=2.0)
@@ -126,7 +126,7 @@
 
 
 def test_alone_and_with_reports_nothing_waits_unseen_at_a_worker():
-    node = house(ONE, slots=2.0, workers=1)
+    node = node_with_slots(ONE, slots=2.0, workers=1)
     for expected in (True, True, False):
         id_, actions = node.arrive(cls=0)
         assert bool(sends(actions)) is expected
@@ -135,7 +135,7 @@
 
 
 def test_without_reports_one_may_wait_there_or_more_slots_would_never_be_found():
-    node = house(replace(ONE, report_fields=()), slots=1.0, workers=1)
+    node = node_with_slots(replace(ONE, report_fields=()), slots=1.0, workers=1)
     for expected in (True, True, False):  # the third finds the second waiting, and so the slots are known
         assert bool(sends(node.arrive(cls=0)[1])) is expected
         if expected:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,7 +12,7 @@
 
 import pytest
 from support.failing_calls import Call, Failure, failing_calls
-from support.memory_dispatcher import Desk
+from support.memory_dispatcher import InMemoryDispatcher
 
 from eiderfield.config import ConfigError
 from eiderfield.interface import Outcome
@@ -24,7 +24,7 @@
 from eiderfield.net.wheel import TICK
 from eiderfield.program.listeners import BoundListener, Opener
 
-DIAL_TIMEOUT_MS = 100.0  # of a desk
+DIAL_TIMEOUT_MS = 100.0  # of a dispatcher
 
 
 def failed(number):
@@ -65,79 +65,79 @@
 
 
 @pytest.fixture
-def desk():
-    """A desk that keeps the outcomes of its attempts."""
-    desk = Desk(workers=2)
-    desk.outcomes = []
-    ended = desk.exchange.ended
+def dispatcher():
+    """A dispatcher that keeps the outcomes of its attempts."""
+    dispatcher = InMemoryDispatcher(workers=2)
+    dispatcher.outcomes = []
+    ended = dispatcher.exchange.ended
 
     def recording(leg, outcome, load=()):
         if leg.open:
-            desk.outcomes.append(outcome)
+            dispatcher.outcomes.append(outcome)
         ended(leg, outcome, load)
 
-    desk.exchange.ended = recording
-    return desk
+    dispatcher.exchange.ended = recording
+    return dispatcher
 
 
-def test_a_worker_that_could_not_be_dialled_for_want_of_descriptors_is_not_blamed(desk):
+def test_a_worker_that_could_not_be_dialled_for_want_of_descriptors_is_not_blamed(dispatcher):
     """After the dial's time limit it was: with descriptors short for a second, every worker was ejected."""
-    client = desk.client(path="/unsafe/a")
-    [dial] = desk.dials
+    client = dispatcher.client(path="/unsafe/a")
+    [dial] = dispatcher.dials
     for _ in range(int(DIAL_TIMEOUT_MS / RETRY_MS)):
         dial.delayed(Cause.LOCAL)
-        desk.advance(RETRY_MS)
-    desk.advance(RETRY_MS)
-    assert dial.cancelled and desk.outcomes == [Outcome.MOOT]
-    assert not desk.exchange.snapshot(desk.now).avoided
-    desk.advance(RETRY_MS)
-    desk.dials[0].up().finish()
+        dispatcher.advance(RETRY_MS)
+    dispatcher.advance(RETRY_MS)
+    assert dial.cancelled and dispatcher.outcomes == [Outcome.MOOT]
+    assert not dispatcher.exchange.snapshot(dispatcher.now).avoided
+    dispatcher.advance(RETRY_MS)
+    dispatcher.dials[0].up().finish()
     assert client.answers()[0][0] == 200
 
 
-def test_a_worker_is_not_taken_for_silent_while_this_host_cannot_dial_it(desk):
-    client = desk.client(path="/unsafe/a", wait=4900)
-    desk.side.set_timeouts(5000.0, 10_000.0)
-    desk.exchange.withdraw(1)
+def test_a_worker_is_not_taken_for_silent_while_this_host_cannot_dial_it(dispatcher):
+    client = dispatcher.client(path="/unsafe/a", wait=4900)
+    dispatcher.side.set_timeouts(5000.0, 10_000.0)
+    dispatcher.exchange.withdraw(1)
     del client
-    desk.advance(100.0)
-    desk.client(path="/unsafe/a", id_="r2", wait=4900)
-    [dial] = desk.dials
+    dispatcher.advance(100.0)
+    dispatcher.client(path="/unsafe/a", id_="r2", wait=4900)
+    [dial] = dispatcher.dials
     for _ in range(200):
         dial.delayed(Cause.LOCAL)
-        desk.settle()
-        desk.advance(RETRY_MS)
-    assert not [line for line in desk.logged if "silent" in line]
+        dispatcher.settle()
+        dispatcher.advance(RETRY_MS)
+    assert not [line for line in dispatcher.logged if "silent" in line]
 
 
-def test_an_address_without_a_route_counts_against_its_worker_once_others_are_heard(desk):
+def test_an_address_without_a_route_counts_against_its_worker_once_others_are_heard(dispatcher):
     """No route to one address alone would cost each attempt there the whole time of a dial."""
-    desk.client(path="/unsafe/a")
-    [first] = desk.dials
+    dispatcher.client(path="/unsafe/a")
+    [first] = dispatcher.dials
     first.delayed(Cause.ROUTE)
-    desk.settle()
-    assert not desk.outcomes, "it may be this host's fault"
-    desk.client(path="/unsafe/a", id_="r2")
-    [other] = [dial for dial in desk.dials if dial is not first]
+    dispatcher.settle()
+    assert not dispatcher.outcomes, "it may be this host's fault"
+    dispatcher.client(path="/unsafe/a", id_="r2")
+    [other] = [dial for dial in dispatcher.dials if dial is not first]
     assert other.connection.worker != first.connection.worker
-    desk.advance(1.0)
+    dispatcher.advance(1.0)
     other.up().finish()
     first.delayed(Cause.ROUTE)
-    desk.settle()
-    assert desk.outcomes.count(Outcome.CONNECT_FAILED) == 1
-    assert desk.exchange.snapshot(desk.now).avoided == {first.connection.worker}
+    dispatcher.settle()
+    assert dispatcher.outcomes.count(Outcome.CONNECT_FAILED) == 1
+    assert dispatcher.exchange.snapshot(dispatcher.now).avoided == {first.connection.worker}
 
 
 @pytest.mark.parametrize(("stuck", "outcome", "status"), [
     (True, Outcome.MOOT, None), (False, Outcome.CANCELLED, 502),
 ])  # fmt: skip
-def test_a_connection_lost_for_want_of_buffers_is_not_the_workers_fault(desk, stuck, outcome, status):
-    client = desk.client(path="/unsafe/a")
-    end = desk.dials[0].up(stuck)
+def test_a_connection_lost_for_want_of_buffers_is_not_the_workers_fault(dispatcher, stuck, outcome, status):
+    client = dispatcher.client(path="/unsafe/a")
+    end = dispatcher.dials[0].up(stuck)
     end.pipe.open = False
     end.connection.connection_lost(failed(errno.ENOBUFS))
-    desk.settle()
-    assert desk.outcomes == [outcome] and not desk.exchange.snapshot(desk.now).avoided
+    dispatcher.settle()
+    assert dispatcher.outcomes == [outcome] and not dispatcher.exchange.snapshot(dispatcher.now).avoided
     assert [answer[0] for answer in client.answers()] == ([status] if status else [])
 
 
@@ -149,19 +149,19 @@
 
 @pytest.fixture
 def port(monkeypatch):
-    """A desk whose listener has a real port, and a client that has connected to it."""
+    """A dispatcher whose listener has a real port, and a client that has connected to it."""
 
     class Port:
         def __init__(self):
-            self.desk = Desk()
+            self.dispatcher = InMemoryDispatcher()
             self.loop = new_event_loop()
-            self.listener = self.desk.listener
+            self.listener = self.dispatcher.listener
             self.listener.listen(self.loop, ("127.0.0.1", 0))
             self.client = socket.create_connection(self.listener._socket.getsockname())
 
         def turn(self, count=8):
             turns(self.loop, count)
-            self.desk.settle()
+            self.dispatcher.settle()
 
         def close(self):
             self.client.close()
@@ -182,7 +182,7 @@
             port.turn(40)
             assert failing.calls[Call.ACCEPT] == tries, "it spins"
             assert port.listener.has_waiting_clients, "a port that closes now would reset the client"
-            port.desk.advance(RETRY_MS + TICK)
+            port.dispatcher.advance(RETRY_MS + TICK)
         port.turn()
         assert port.listener.connections == 1 and not port.listener.has_waiting_clients
 
@@ -202,7 +202,7 @@
         port.turn(40)
         assert failing.calls[Call.ACCEPT] == ACCEPTED_PER_TURN
         failing.failure = None
-        port.desk.advance(RETRY_MS + TICK)
+        port.dispatcher.advance(RETRY_MS + TICK)
         port.turn()
         assert port.listener.connections == 1
 
@@ -390,7 +390,7 @@
     class Opening:
         def __init__(self):
             self.loop = new_event_loop()
-            self.listener = Desk().listener
+            self.listener = InMemoryDispatcher().listener
             self.logged = []
             monkeypatch.setattr("eiderfield.program.listeners.log", self.logged.append)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""One process of a dispatcher hands over to the next: two desks joined in memory, and two real processes."""
+"""One process of a dispatcher hands over to the next: two joined in memory, and two real processes."""
 
 import json
 import os
@@ -14,8 +14,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from support.handover import LISTEN, Loop, Pair, Side, Wire
-from support.memory_dispatcher import Client, Desk
-from support.processes import CONFIG, ROOT, Holding, Source, ask, post
+from support.memory_dispatcher import Client, InMemoryDispatcher
+from support.processes import CONFIG, ROOT, DiscoveryServer, HoldingWorker, ask, post
 
 from eiderfield.idmap import IdMap
 from eiderfield.interface import State, pack_counts, unpack_counts
@@ -36,112 +36,114 @@
 
 
 def state(side, worker):
-    return side.desk.exchange._table.get(side.desk.ids.known(f"w{worker}"))
+    return side.dispatcher.exchange._table.get(side.dispatcher.ids.known(f"w{worker}"))
 
 
 def test_the_new_process_takes_port_list_and_bans_and_the_old_one_accepts_no_more(pair):
-    pair.old.desk.table.ban("w2")
-    pair.old.desk.tell((3, "SERVING"), (3, "DELETED"))
-    assert not pair.new.done and not pair.new.desk.listener.listening
+    pair.old.dispatcher.table.ban("w2")
+    pair.old.dispatcher.tell((3, "SERVING"), (3, "DELETED"))
+    assert not pair.new.done and not pair.new.dispatcher.listener.listening
     pair.go()
     assert pair.new.done and pair.new.takes() and not pair.old.takes() and pair.old.handover.handed_over
     assert [state(pair.new, w) for w in (1, 2)] == [State.READY, State.DRAINING]
-    assert pair.new.desk.table.ban("w3"), "ids that were ever listed are remembered"
-    assert pair.new.desk.table.ban("w4") is None
-    assert pair.new.desk.table.listed == pair.old.desk.table.listed
+    assert pair.new.dispatcher.table.ban("w3"), "ids that were ever listed are remembered"
+    assert pair.new.dispatcher.table.ban("w4") is None
+    assert pair.new.dispatcher.table.listed == pair.old.dispatcher.table.listed
 
 
 def test_the_new_process_accepts_only_once_the_old_one_has_stopped(pair):
     pair.wires[1].deliver()
     pair.wires[0].deliver()
-    assert pair.new.desk.listener.listening and not pair.new.takes() and not pair.new.done
+    assert pair.new.dispatcher.listener.listening and not pair.new.takes() and not pair.new.done
 
 
 def test_an_id_that_one_process_holds_is_not_taken_by_the_other(pair):
-    first = pair.old.desk.client(id_="before")
+    first = pair.old.dispatcher.client(id_="before")
     pair.go()
-    pair.old.desk.client(id_="after")
-    pair.new.desk.client(id_="there")
+    pair.old.dispatcher.client(id_="after")
+    pair.new.dispatcher.client(id_="there")
     pair.go()
     for side, ids in ((pair.new, ["before", "after"]), (pair.old, ["there"])):
         for id_ in ids:
-            client = Client(side.desk)
+            client = Client(side.dispatcher)
             client.post(id_=id_)
             assert client.answers()[0][0] == 409
     first.pipe.break_off()
     pair.go()
-    assert not pair.new.desk.exchange.holds("before") and pair.new.desk.exchange.holds("after")
+    assert not pair.new.dispatcher.exchange.holds("before") and pair.new.dispatcher.exchange.holds("after")
 
 
 def test_an_id_that_goes_and_comes_at_once_is_held(pair):
     pair.go()
-    client = pair.old.desk.client(id_="r")
+    client = pair.old.dispatcher.client(id_="r")
     client.pipe.break_off()
-    pair.old.desk.client(id_="r")
+    pair.old.dispatcher.client(id_="r")
     pair.go()
-    assert pair.new.desk.exchange.holds("r")
+    assert pair.new.dispatcher.exchange.holds("r")
 
 
 @pytest.mark.parametrize("who", ["old", "new"])
 def test_a_ban_at_either_process_holds_at_both_and_so_does_its_end(pair, who):
     pair.go()
     side = getattr(pair, who)
-    side.desk.table.ban("w1")
+    side.dispatcher.table.ban("w1")
     pair.go()
     assert state(pair.old, 1) == state(pair.new, 1) == State.DRAINING
-    side.desk.table.unban("w1")
+    side.dispatcher.table.unban("w1")
     pair.go()
     assert state(pair.old, 1) == state(pair.new, 1) == State.READY
-    assert not pair.old.desk.table.bans.since and not pair.new.desk.table.bans.since
+    assert not pair.old.dispatcher.table.bans.since and not pair.new.dispatcher.table.bans.since
 
 
 def test_legs_and_work_of_either_process_are_known_to_the_other(pair):
-    pair.old.desk.client(id_="before")
+    pair.old.dispatcher.client(id_="before")
     pair.go()
-    pair.new.desk.client(id_="after")
+    pair.new.dispatcher.client(id_="after")
     pair.go()
     for here, there in ((pair.old, pair.new), (pair.new, pair.old)):
-        out = here.desk.exchange.out_at
+        out = here.dispatcher.exchange.out_at
         assert sum(out.values()) == 1
-        workers = there.desk.exchange._module._workers
+        workers = there.dispatcher.exchange._module._workers
         assert {w.entry.worker: w.beside for w in workers.values() if w.beside} == out
-    assert pair.old.desk.exchange.out_at != pair.new.desk.exchange.out_at, "fewest jobs of both goes first"
-    [worker] = pair.new.desk.exchange.out_at
-    [(_, work)] = pair.old.desk.exchange._module._workers[worker].recent
+    assert pair.old.dispatcher.exchange.out_at != pair.new.dispatcher.exchange.out_at, (
+        "fewest jobs of both goes first"
+    )
+    [worker] = pair.new.dispatcher.exchange.out_at
+    [(_, work)] = pair.old.dispatcher.exchange._module._workers[worker].recent
     assert work > 0.0
 
 
 def test_what_the_module_learnt_goes_along(pair):
-    module = pair.old.desk.exchange._module
+    module = pair.old.dispatcher.exchange._module
     module._pacers[0].run, module._pacers[0].rate, module._retry_tokens = 77.0, 5.0, 0.25
     module._keys.update({7: 40, 8: 2})
     pair.go()
-    heir = pair.new.desk.exchange._module
+    heir = pair.new.dispatcher.exchange._module
     assert (heir._pacers[0].run, heir._pacers[0].rate, heir._retry_tokens) == (77.0, 5.0, 0.25)
     assert heir._keyed == 42 and heir._keys[7] == 40
 
 
 def test_a_worker_known_to_fail_is_known_to_the_next_process(pair):
     """Each new process of sofia's upgrade day sent jobs that must never run twice to find it out anew."""
-    old = pair.old.desk.exchange._module
-    [id_] = [w for w in old._workers if w == pair.old.desk.ids.worker("w1")]
+    old = pair.old.dispatcher.exchange._module
+    [id_] = [w for w in old._workers if w == pair.old.dispatcher.ids.worker("w1")]
     old._workers[id_].faults = 2.0
     old._workers[id_].strike(0.0, erring=True)
     pair.go()
-    heir = pair.new.desk.exchange._module._workers[id_]
+    heir = pair.new.dispatcher.exchange._module._workers[id_]
     assert (heir.faults, heir.strikes, heir.erring) == (2.0, 1, True)
 
 
 def test_connections_are_counted_and_shared_out_together(pair):
-    kept = [Client(pair.old.desk) for _ in range(5)]
+    kept = [Client(pair.old.dispatcher) for _ in range(5)]
     pair.go()
-    assert pair.new.desk.listener.held_by_other_process == len(kept)
-    pair.new.desk.listener._most = len(kept)
-    assert not pair.new.desk.listener.make_room()
+    assert pair.new.dispatcher.listener.held_by_other_process == len(kept)
+    pair.new.dispatcher.listener._most = len(kept)
+    assert not pair.new.dispatcher.listener.make_room()
     assert (
-        pair.old.desk.side._max_connections
-        == pair.new.desk.side._max_connections
-        == pair.old.desk.side._configured_connections // 2
+        pair.old.dispatcher.side._max_connections
+        == pair.new.dispatcher.side._max_connections
+        == pair.old.dispatcher.side._configured_connections // 2
     )
 
 
@@ -153,10 +155,10 @@
         pair.wires[1].deliver()
     elif when == "when all is given":
         pair.go()
-        pair.new.desk.client(id_="r")
+        pair.new.dispatcher.client(id_="r")
         pair.go()
     pair.part(1)
-    old = pair.old.desk
+    old = pair.old.dispatcher
     assert pair.old.takes() and not pair.old.handover.handed_over and not old.exchange.holds("r")
     assert (
         old.side._max_connections == old.side._configured_connections
@@ -168,10 +170,10 @@
 
 
 def test_the_new_process_is_alone_once_the_old_one_has_ended(pair):
-    pair.old.desk.client(id_="r")
+    pair.old.dispatcher.client(id_="r")
     pair.go()
     pair.part(0)
-    new = pair.new.desk
+    new = pair.new.dispatcher
     assert pair.new.takes() and not new.exchange.holds("r") and new.listener.held_by_other_process == 0
     assert new.side._max_connections == new.side._configured_connections
 
@@ -179,7 +181,7 @@
 @pytest.mark.parametrize("cut", [0, 20, -1])
 def test_a_client_goes_along_with_what_of_its_next_message_was_read(cut):
     """Closed on instead, its job would be lost at the listener."""
-    old, new = Desk(), Desk()
+    old, new = InMemoryDispatcher(), InMemoryDispatcher()
     client = Client(old)
     here, there = socket.socketpair()
     with here, there:
@@ -201,13 +203,13 @@
 
 
 def test_what_owes_an_answer_is_not_given_away():
-    desk = Desk()
-    client = desk.client()
+    dispatcher = InMemoryDispatcher()
+    client = dispatcher.client()
     assert client.connection.detach() is None and client.pipe.open
 
 
 def test_a_process_that_says_nothing_is_not_waited_for(pair):
-    pair.new.desk.advance(PATIENCE + 8.0)
+    pair.new.dispatcher.advance(PATIENCE + 8.0)
     assert pair.new.done and not pair.wires[1].open
 
 
@@ -223,30 +225,30 @@
     assert not other.open, "one may wait"
     there.deliver()
     here.deliver()
-    third.desk.advance(PATIENCE + 8.0)
+    third.dispatcher.advance(PATIENCE + 8.0)
     assert here.open and not third.done
     pair.part(0)
     for wire in (here, there, here):
         wire.deliver()
     assert third.done and third.takes() and not pair.new.takes() and pair.new.handover.handed_over
-    third.desk.listener._socket.close()
+    third.dispatcher.listener._socket.close()
 
 
 def test_a_process_that_waits_waits_no_longer_than_its_patience(pair):
     pair.wires[1].receive({"is": "wait"}, [])
-    pair.new.desk.advance(PATIENCE_DELAYED + 8.0)
+    pair.new.dispatcher.advance(PATIENCE_DELAYED + 8.0)
     assert pair.new.done
 
 
 def test_connections_pass_on_a_few_at_a_time():
     """All at once, each would hold a descriptor in both processes, more than the two may have."""
-    desk = Desk(most=64)
-    clients = [Client(desk) for _ in range(ACCEPTED_PER_TURN + 5)]
-    desk.listener.successor = lambda let_go: let_go.__self__.abort() is None
-    desk.listener.hand_over_some()
+    dispatcher = InMemoryDispatcher(most=64)
+    clients = [Client(dispatcher) for _ in range(ACCEPTED_PER_TURN + 5)]
+    dispatcher.listener.successor = lambda let_go: let_go.__self__.abort() is None
+    dispatcher.listener.hand_over_some()
     assert sum(client.pipe.open for client in clients) == 5
-    desk.listener.hand_over_some()
-    assert not desk.listener.connections
+    dispatcher.listener.hand_over_some()
+    assert not dispatcher.listener.connections
 
 
 WORDS = st.sampled_from(["ask", "state", "taken", "yours", "news", "ban", "client", "wait", "none"])
@@ -260,8 +262,8 @@
     pair = Pair().go()
     for side, wire in zip((pair.old, pair.new), pair.wires, strict=True):
         wire.receive({**told, "is": word}, [])
-        assert side.desk.listener.listening
-    pair.old.desk.settle()
+        assert side.dispatcher.listener.listening
+    pair.old.dispatcher.settle()
     pair.close()
 
 
@@ -293,21 +295,26 @@
     [(asked, _)] = wire.sent
     assert {**asked, **FirstForm.ASK} == asked, "what the first form asks for is said as it was"
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        classes = len(new.desk.exchange.site.classes)
+        classes = len(new.dispatcher.exchange.site.classes)
         memory = {**FirstForm.STATE["memory"], "pacers": FirstForm.STATE["memory"]["pacers"] * classes}
         wire.receive({**FirstForm.STATE, "memory": memory}, [os.dup(listener.fileno())])
-        new.desk.settle()
+        new.dispatcher.settle()
         assert wire.sent[1][0]["is"] == "taken" and wire.sent[1][0]["doors"] == [LISTEN]
         wire.receive(FirstForm.YOURS, [])
-    assert new.done and new.takes() and wire.open and not [line for line in new.desk.logged if "read" in line]
-    assert new.desk.listener.held_by_other_process == 3 and new.desk.exchange.holds("held")
-    assert state(new, 1) == State.READY and new.desk.table.bans.since == {"w2": 5.0}
-    new.desk.listener._socket.close()
+    assert (
+        new.done
+        and new.takes()
+        and wire.open
+        and not [line for line in new.dispatcher.logged if "read" in line]
+    )
+    assert new.dispatcher.listener.held_by_other_process == 3 and new.dispatcher.exchange.holds("held")
+    assert state(new, 1) == State.READY and new.dispatcher.table.bans.since == {"w2": 5.0}
+    new.dispatcher.listener._socket.close()
 
 
 def test_an_old_process_hands_over_to_one_of_the_first_form():
     old = Side()
-    old.desk.listener.adopt(old.loop, socket.create_server(("127.0.0.1", 0)))
+    old.dispatcher.listener.adopt(old.loop, socket.create_server(("127.0.0.1", 0)))
     wire, there = Wire(), Wire()
     wire.peer = there
     old.handover.accept(wire)
@@ -318,11 +325,11 @@
     os.close(fds[0])
     wire.receive(FirstForm.TAKEN, [])
     assert old.handover.handed_over and not old.takes()
-    old.desk.client(id_="a")
-    old.desk.settle()
-    old.desk.advance(8.0)
+    old.dispatcher.client(id_="a")
+    old.dispatcher.settle()
+    old.dispatcher.advance(8.0)
     assert {told["is"] for told, _ in wire.sent} <= {"state", "yours", "news"}, "no words that it lacks"
-    old.desk.listener._socket.close()
+    old.dispatcher.listener._socket.close()
 
 
 def test_a_socket_that_nobody_listens_at_is_no_process(tmp_path):
@@ -385,8 +392,8 @@
 
 @pytest.fixture
 def releases(tmp_path):
-    worker = Holding()
-    source = Source(worker.port)
+    worker = HoldingWorker()
+    source = DiscoveryServer(worker.port)
     releases = Releases(tmp_path, source.port)
     releases.worker, releases.source = worker, source
     yield releases
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -1,4 +1,4 @@
-"""A restart with a full house: parked connections go to the next process in batches, and none is lost."""
+"""A restart with a full harness: parked connections go to the next process in batches, and none is lost."""
 
 import asyncio
 import socket
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 from support.handover import LISTEN, Wire
-from support.real_sockets import IDLING, House, Phone, message, play
+from support.real_sockets import IDLING, ListenerHarness, SocketClient, message, play
 
 from eiderfield.net.clients import ConnectionHandover
 from eiderfield.net.handover import Handover
@@ -24,24 +24,25 @@
 
     def __init__(self, count, idling=COPIES, room=1000):
         self.loop = asyncio.new_event_loop()
-        self.old = House(idling, most=1000, loop=self.loop)
-        self.new = House(idling, most=room, loop=self.loop)
-        self.houses = [self.old, self.new]
+        self.old = ListenerHarness(idling, most=1000, loop=self.loop)
+        self.new = ListenerHarness(idling, most=room, loop=self.loop)
+        self.harnesses = [self.old, self.new]
         self.old.listener._socket = socket.create_server(("127.0.0.1", 0))
         self.old.listener._socket.setblocking(False)
         self.new.listener._socket.close()
         self.new.listener._socket = None
-        self.phones = [
-            Phone(self.old, handover=ConnectionHandover(True, self.old.desk.now)) for _ in range(count)
+        self.clients = [
+            SocketClient(self.old, handover=ConnectionHandover(True, self.old.dispatcher.now))
+            for _ in range(count)
         ]
         self.old.pass_time(IDLING.park_after + 10.0)
         assert self.old.listener.parked == count
-        self.new.desk.now = self.old.desk.now
+        self.new.dispatcher.now = self.old.dispatcher.now
         self.ends = []
         self.wires = here, there = Wire(), Wire()
         here.peer, there.peer = there, here
-        for house in self.houses:
-            d = house.desk
+        for harness in self.harnesses:
+            d = harness.dispatcher
             self.ends.append(Handover(
                 self.loop, d.exchange, d.table, d.side, {LISTEN: d.listener}, d.wheel, d.clock,
                 d.logged.append,
@@ -57,33 +58,33 @@
         for _ in range(most):
             if not self.step():
                 return
-            for house in self.houses:
-                house.turn(2)
+            for harness in self.harnesses:
+                harness.turn(2)
 
     def settle(self):
         """All that was said is heard, and all that was asked is answered."""
         for _ in range(6):
-            for house in self.houses:
-                house.pass_time(8.0)
-                house.turn()
-                house.work()
+            for harness in self.harnesses:
+                harness.pass_time(8.0)
+                harness.turn()
+                harness.work()
             self.go()
 
     def kill(self, which):
         """The new process (1) or the old one (0) dies: the kernel closes what it alone holds."""
-        dead = self.houses[which]
+        dead = self.harnesses[which]
         self.wires[which].close()
         dead.listener.parking.on_departure = lambda keys: None
         for connection in list(dead.listener._connections):
             connection.abort()
         dead.listener.close()
         dead.turn()
-        self.houses = [house for house in self.houses if house is not dead]
+        self.harnesses = [harness for harness in self.harnesses if harness is not dead]
         self.wires[1 - which].lost()
 
     def close(self):
-        for house in self.houses:
-            house.listener.close()
+        for harness in self.harnesses:
+            harness.listener.close()
         self.old.turn()
         self.loop.close()
 
@@ -95,22 +96,22 @@
     removal.close()
 
 
-def asked(removal, phone, id_):
-    """What becomes of a job on a phone."""
-    phone.send(message(id_))
+def asked(removal, client, id_):
+    """What becomes of a job on a client."""
+    client.send(message(id_))
     removal.settle()
-    return phone.statuses()
+    return client.statuses()
 
 
 def test_a_full_house_passes_on_in_batches_and_every_phone_is_served_by_the_new_process(removal):
     removal.go()
-    assert removal.new.listener.parked == len(removal.phones) and removal.old.listener.parked == 0
+    assert removal.new.listener.parked == len(removal.clients) and removal.old.listener.parked == 0
     old = removal.old.listener
-    assert old.figures()["lent"] == len(removal.phones) and old.connections == 0
-    for number, phone in enumerate(removal.phones[:20]):
-        assert asked(removal, phone, f"r{number}") == [200]
+    assert old.figures()["lent"] == len(removal.clients) and old.connections == 0
+    for number, client in enumerate(removal.clients[:20]):
+        assert asked(removal, client, f"r{number}") == [200]
     lent = removal.old.listener.figures()["lent"]
-    assert lent == len(removal.phones) - 20, "what woke is the new one's alone"
+    assert lent == len(removal.clients) - 20, "what woke is the new one's alone"
 
 
 def test_what_is_on_its_way_is_bounded(removal):
@@ -128,7 +129,7 @@
 def test_a_new_process_that_dies_half_way_gives_all_back(removal, steps):
     for _ in range(steps):
         removal.step()
-    woken = removal.phones[-1]  # the first of its second
+    woken = removal.clients[-1]  # the first of its second
     taken = removal.new.listener.parked
     if taken:
         woken.send(message("lost"))
@@ -137,10 +138,10 @@
     removal.kill(1)
     for _ in range(5):
         removal.old.pass_time(8.0)
-    assert removal.old.listener.connections == len(removal.phones) - bool(taken)
+    assert removal.old.listener.connections == len(removal.clients) - bool(taken)
     assert woken.open == (not taken), "a connection that the dead process was reading ends with it"
-    for number, phone in enumerate(removal.phones[:5]):
-        assert asked(removal, phone, f"r{number}") == [200]
+    for number, client in enumerate(removal.clients[:5]):
+        assert asked(removal, client, f"r{number}") == [200]
 
 
 def test_without_copies_nothing_counts_twice_and_nothing_is_lost_in_a_usual_upgrade():
@@ -148,25 +149,25 @@
     removal.go()
     assert removal.old.listener.figures()["lent"] == 0 and removal.new.listener.parked == BATCH + 5
     removal.kill(0)
-    assert asked(removal, removal.phones[0], "r") == [200]
+    assert asked(removal, removal.clients[0], "r") == [200]
     removal.close()
 
 
 def test_the_end_of_the_old_process_leaves_all_with_the_new_one(removal):
     removal.go()
     removal.kill(0)
-    assert removal.new.listener.parked == len(removal.phones)
-    for number, phone in enumerate(removal.phones[:5]):
-        assert asked(removal, phone, f"r{number}") == [200]
+    assert removal.new.listener.parked == len(removal.clients)
+    for number, client in enumerate(removal.clients[:5]):
+        assert asked(removal, client, f"r{number}") == [200]
     assert not removal.new.listener.parking._idle.unreported, "there is nobody to tell any more"
 
 
 def test_what_the_new_process_closes_is_over_for_its_client_though_there_was_a_copy(removal):
     removal.go()
     removal.new.pass_time(IDLING.keep + 2000.0)
-    assert removal.new.listener.parked == 0 and any(phone.open for phone in removal.phones)
+    assert removal.new.listener.parked == 0 and any(client.open for client in removal.clients)
     removal.go()
-    assert not any(phone.open for phone in removal.phones) and removal.old.listener.figures()["lent"] == 0
+    assert not any(client.open for client in removal.clients) and removal.old.listener.figures()["lent"] == 0
 
 
 def test_what_the_new_process_has_no_room_for_stays_until_the_old_one_ends():
@@ -174,15 +175,15 @@
     removal.go()
     assert removal.new.listener.parked == 50, "both are one dispatcher"
     assert removal.old.listener.parked == BATCH
-    assert asked(removal, removal.phones[0], "r") == [200], "at the old process"
+    assert asked(removal, removal.clients[0], "r") == [200], "at the old process"
     removal.ends[0].pass_clients([LISTEN])
     for _ in range(40):
         removal.ends[0].pass_idle_clients()
         removal.go()
     assert removal.old.listener.connections == 0
-    assert all(phone.open for phone in removal.phones)
+    assert all(client.open for client in removal.clients)
     removal.kill(0)
-    assert asked(removal, removal.phones[50], "s") == [200]
+    assert asked(removal, removal.clients[50], "s") == [200]
     removal.close()
 
 
@@ -193,7 +194,7 @@
     removal.new.listener.idling = replace(IDLING, park_after=inf)
     removal.go()
     assert removal.new.listener.connections == 30 and removal.new.listener.parked == 0
-    assert asked(removal, removal.phones[3], "r") == [200] and all(phone.open for phone in removal.phones)
+    assert asked(removal, removal.clients[3], "r") == [200] and all(client.open for client in removal.clients)
     removal.close()
 
 
@@ -209,8 +210,8 @@
             )
             removal.go()
         assert removal.new.listener.connections == there and removal.old.listener.connections == 30 - there
-        assert all(phone.open for phone in removal.phones)
-        assert asked(removal, removal.phones[3], "r") == [200]
+        assert all(client.open for client in removal.clients)
+        assert asked(removal, removal.clients[3], "r") == [200]
         removal.close()
 
 
@@ -226,12 +227,12 @@
     removal.go()
     monkeypatch.undo()
     removal.settle()
-    assert removal.old.listener.connections + removal.new.listener.connections == len(removal.phones)
-    assert asked(removal, removal.phones[0], "r") == [200]
+    assert removal.old.listener.connections + removal.new.listener.connections == len(removal.clients)
+    assert asked(removal, removal.clients[0], "r") == [200]
 
 
 def test_what_is_parked_later_follows(removal):
-    late = Phone(removal.old, handover=ConnectionHandover(True, removal.old.desk.now))
+    late = SocketClient(removal.old, handover=ConnectionHandover(True, removal.old.dispatcher.now))
     removal.go()
     assert removal.old.listener.connections == 1
     removal.old.pass_time(IDLING.park_after + 10.0)
@@ -250,7 +251,7 @@
     for _ in range(5):
         removal.ends[0].pass_idle_clients()
         removal.go()
-    assert removal.old.listener.connections == 0 and asked(removal, removal.phones[3], "r") == [200]
+    assert removal.old.listener.connections == 0 and asked(removal, removal.clients[3], "r") == [200]
     removal.close()
 
 
@@ -270,7 +271,7 @@
         if number not in self.sent:
             self.count += 1
             self.sent[number] = None
-            self.removal.phones[number].send(message(f"m{self.count}"))
+            self.removal.clients[number].send(message(f"m{self.count}"))
 
     @rule()
     def hear(self):
@@ -278,14 +279,14 @@
 
     @rule(which=st.integers(0, 1), turns=st.integers(1, 4))
     def turn(self, which, turns):
-        if which < len(self.removal.houses):
-            self.removal.houses[which].turn(turns)
+        if which < len(self.removal.harnesses):
+            self.removal.harnesses[which].turn(turns)
 
     @rule()
     def settle(self):
         self.removal.settle()
         for number in list(self.sent):
-            assert self.removal.phones[number].statuses() == [200]
+            assert self.removal.clients[number].statuses() == [200]
             del self.sent[number]
 
     @precondition(lambda self: not self.dead)
@@ -296,13 +297,13 @@
         lost = len(held)
         self.removal.kill(1)
         self.removal.settle()
-        gone = [n for n, phone in enumerate(self.removal.phones) if not phone.open]
+        gone = [n for n, client in enumerate(self.removal.clients) if not client.open]
         assert len(gone) <= lost
         for number in gone:
             self.sent.pop(number, None)
-            handover = ConnectionHandover(True, self.removal.old.desk.now)
-            self.removal.phones[number] = Phone(self.removal.old, handover=handover)
-            assert self.removal.phones[number].ask(f"again{number}") == [200]
+            handover = ConnectionHandover(True, self.removal.old.dispatcher.now)
+            self.removal.clients[number] = SocketClient(self.removal.old, handover=handover)
+            assert self.removal.clients[number].ask(f"again{number}") == [200]
 
     def teardown(self):
         self.settle()
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -7,7 +7,7 @@
 
 import pytest
 from support.handover import LISTEN, Side, Wire
-from support.memory_dispatcher import Desk
+from support.memory_dispatcher import InMemoryDispatcher
 
 from eiderfield.net.clients import ConnectionHandover
 from eiderfield.net.clock import WallClock
@@ -122,12 +122,12 @@
 
     def accept_by_present_names(side, room):
         accept_all(side, room)
-        listener = side.desk.listener
+        listener = side.dispatcher.listener
         listener.parking.borrow, listener.adopt_connection = listener.borrow, listener.admit
 
     def park_by_present_names(side, copies):
         park(side, copies)
-        side.desk.listener.parking.lend = side.desk.listener.lend
+        side.dispatcher.listener.parking.lend = side.dispatcher.listener.lend
 
     module.accept_all, module.park = accept_by_present_names, park_by_present_names
     return module
@@ -184,4 +184,4 @@
 
 
 def test_the_tests_dispatchers_start_where_the_recorded_ones_did():
-    assert Desk(start=START).now == START
+    assert InMemoryDispatcher(start=START).now == START
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,7 +6,7 @@
 from hypothesis import HealthCheck, given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from support.random_events import VARIANTS, RuleBroken, World
+from support.random_events import VARIANTS, EventPlayer, RuleBrokenError
 
 import eiderfield.decide as brain
 
@@ -17,9 +17,9 @@
 )
 @given(seed=st.integers(0, 1 << 32), steps=st.integers(20, 150))
 def test_rules_hold(variant, seed, steps):
-    world = World(VARIANTS[variant], random.Random(seed))
-    world.run(steps)
-    assert all(job["answered"] is not None or job["gone"] for job in world.jobs.values())
+    player = EventPlayer(VARIANTS[variant], random.Random(seed))
+    player.run(steps)
+    assert all(job["answered"] is not None or job["gone"] for job in player.jobs.values())
 
 
 def ignore_drains(real):
@@ -56,23 +56,23 @@
 def test_a_broken_dispatcher_is_caught(fault, monkeypatch):
     variant, breaks = BROKEN[fault]
     breaks(monkeypatch)
-    with pytest.raises(RuleBroken, match=fault):
+    with pytest.raises(RuleBrokenError, match=fault):
         for seed in range(400):
-            World(VARIANTS[variant], random.Random(seed)).run(150)
+            EventPlayer(VARIANTS[variant], random.Random(seed)).run(150)
 
 
 def test_the_same_events_give_the_same_actions(monkeypatch):
     logs = []
     for _ in range(2):
-        world = World(VARIANTS["tenants"], random.Random(5))
+        player = EventPlayer(VARIANTS["tenants"], random.Random(5))
         log = []
-        handle = world.node.handle
+        handle = player.node.handle
 
         def record(now, events, handle=handle, log=log):
             log.append(handle(now, events))
             return log[-1]
 
-        monkeypatch.setattr(world.node, "handle", record)
-        world.run(300)
+        monkeypatch.setattr(player.node, "handle", record)
+        player.run(300)
         logs.append(log)
     assert logs[0] == logs[1] and len(logs[0]) > 100
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from support.memory_dispatcher import SITE, Client, Desk, Pipe
+from support.memory_dispatcher import SITE, Client, InMemoryDispatcher, Pipe
 
 from eiderfield.connections.settings import KEEP, WHOLE
 from eiderfield.net.clients import ClientConnection, Phase
@@ -15,74 +15,74 @@
 OWED = 3000.0  # ms from connecting within which a rude client must have an error or a close
 
 
-def served(desk, client, id_="r0"):
+def served(dispatcher, client, id_="r0"):
     """Lets a client be a usual one: it has had a job served."""
     client.post(id_=id_)
-    (desk.dials[0].up() if desk.dials else desk.ends[-1]).finish()
+    (dispatcher.dials[0].up() if dispatcher.dials else dispatcher.ends[-1]).finish()
     assert client.answers()[0][0] == 200
     return client
 
 
 def test_a_new_connection_that_says_nothing_is_closed_and_a_usual_client_may_idle():
-    desk = Desk()
-    silent, usual = Client(desk), served(desk, Client(desk))
-    desk.advance(OWED)
+    dispatcher = InMemoryDispatcher()
+    silent, usual = Client(dispatcher), served(dispatcher, Client(dispatcher))
+    dispatcher.advance(OWED)
     assert not silent.pipe.open and not silent.answers() and usual.pipe.open
-    desk.advance(KEEP)
+    dispatcher.advance(KEEP)
     assert not usual.pipe.open
 
 
 def test_dripped_bytes_extend_nothing():
-    desk = Desk()
-    client = Client(desk)
+    dispatcher = InMemoryDispatcher()
+    client = Client(dispatcher)
     for _ in range(30):
         client.send(b"x")
-        desk.advance(OWED / 30)
+        dispatcher.advance(OWED / 30)
     assert client.answers()[0][0] == 408
 
 
 def test_a_usual_client_has_the_same_time_for_each_message():
-    desk = Desk()
-    client = served(desk, Client(desk))
-    desk.advance(60_000.0)
+    dispatcher = InMemoryDispatcher()
+    client = served(dispatcher, Client(dispatcher))
+    dispatcher.advance(60_000.0)
     client.send(b"POST /safe/a HTTP/1.1\r\n")
-    desk.advance(WHOLE / 2)
+    dispatcher.advance(WHOLE / 2)
     client.send(b"X-Request-Id: r1\r\n")
     assert not client.answers()
-    desk.advance(WHOLE / 2 + 2 * TICK)
+    dispatcher.advance(WHOLE / 2 + 2 * TICK)
     assert client.answers()[0][0] == 408
 
 
 def test_who_sends_what_cannot_be_taken_keeps_no_descriptor():
-    desk = Desk()
-    client = Client(desk)
+    dispatcher = InMemoryDispatcher()
+    client = Client(dispatcher)
     client.send(b"POST /none HTTP/1.1\r\n\r\nPOST /safe/a HTTP/1.1\r\nX-Request-Id: r1\r\n\r\n")
-    assert [status for status, *_ in client.answers()] == [404] and not desk.dials
-    desk.advance(LINGER_TIME + TICK)
+    assert [status for status, *_ in client.answers()] == [404] and not dispatcher.dials
+    dispatcher.advance(LINGER_TIME + TICK)
     assert not client.pipe.open
 
 
 def test_most_of_a_huge_body_stays_unread():
-    desk = Desk()
-    client = Client(desk)
+    dispatcher = InMemoryDispatcher()
+    client = Client(dispatcher)
     client.send(b"POST /safe/a HTTP/1.1\r\nX-Request-Id: r1\r\nContent-Length: 60000000\r\n\r\n")
     assert client.answers()[0][0] == 413
     client.send(b"x" * (LINGER_BYTES - 1000))
     assert not client.pipe.paused
     client.send(b"x" * 2000)
     assert client.pipe.paused
-    desk.advance(LINGER_TIME + TICK)
+    dispatcher.advance(LINGER_TIME + TICK)
     assert not client.pipe.open
 
 
 @pytest.mark.parametrize("leg", ["held", "out"])
 def test_the_id_of_an_open_job_is_not_taken_again(leg):
-    desk = Desk(workers=1)
-    first, second = desk.client(), Client(desk)
-    end = desk.dials[0].up() if leg == "out" else None
+    dispatcher = InMemoryDispatcher(workers=1)
+    first, second = dispatcher.client(), Client(dispatcher)
+    end = dispatcher.dials[0].up() if leg == "out" else None
     second.post(body=b"another")
     assert second.answers()[0][0] == 409
-    end = end or desk.dials[0].up()
+    end = end or dispatcher.dials[0].up()
     assert end.take() == ["r1"]
     second.pipe.break_off()  # which must not withdraw the first one
     end.finish()
@@ -92,12 +92,12 @@
 
 
 def test_an_id_stays_taken_while_a_leg_of_an_answered_job_is_out():
-    desk = Desk(site=replace(SITE, may_cancel=False), workers=1)
-    client = desk.client(path="/unsafe/a", wait=100)
-    desk.dials[0].up().take()
-    [job] = desk.exchange._jobs.values()
+    dispatcher = InMemoryDispatcher(site=replace(SITE, may_cancel=False), workers=1)
+    client = dispatcher.client(path="/unsafe/a", wait=100)
+    dispatcher.dials[0].up().take()
+    [job] = dispatcher.exchange._jobs.values()
     job.legs[0].timer.cancel()  # its leg outlives the job
-    desk.advance(110.0)
+    dispatcher.advance(110.0)
     assert client.answers()[0][0] == 502 and job.legs[0].open
     client.post()
     assert client.answers()[0][0] == 409
@@ -107,46 +107,46 @@
 @pytest.mark.parametrize("status", [400, 404, 413])
 def test_a_job_that_a_worker_cannot_use_is_rejected_at_once(path, status):
     """Sent on, it would waste every worker's time, and its errors would speak against healthy workers."""
-    desk = Desk(workers=2)
-    client = desk.client(path=path)
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=2)
+    client = dispatcher.client(path=path)
+    end = dispatcher.dials[0].up()
     end.status(status)
-    assert client.answers()[0][0] == 400 and not desk.dials and not desk.exchange.unanswered
-    assert all(not w.strikes for w in desk.exchange._module._workers.values())
+    assert client.answers()[0][0] == 400 and not dispatcher.dials and not dispatcher.exchange.unanswered
+    assert all(not w.strikes for w in dispatcher.exchange._module._workers.values())
 
 
 @pytest.mark.parametrize("status", [408, 429])
 def test_a_workers_word_about_time_or_load_does_not_reject_the_job(status):
-    desk = Desk(workers=2)
-    client = desk.client()
-    desk.dials[0].up().status(status)
-    assert not client.answers() and desk.exchange.unanswered
+    dispatcher = InMemoryDispatcher(workers=2)
+    client = dispatcher.client()
+    dispatcher.dials[0].up().status(status)
+    assert not client.answers() and dispatcher.exchange.unanswered
 
 
 @pytest.mark.parametrize(
     "extras", ["slots=-1", "memory=-0.5", "slots=1e300", "memory=nan", "slots=1,slots", "slots=\xff"]
 )
 def test_needs_that_no_worker_meets_are_rejected_before_a_leg(extras):
-    desk = Desk()
-    client = Client(desk)
+    dispatcher = InMemoryDispatcher()
+    client = Client(dispatcher)
     client.post(X_Extras=extras)
-    assert client.answers()[0][0] == 400 and not desk.dials
+    assert client.answers()[0][0] == 400 and not dispatcher.dials
 
 
 @pytest.mark.parametrize("headers", [{"id_": "a b"}, {"id_": "\xe9"}, {"id_": "x" * 300},
                                      {"Idempotency_Key": "a\tb"}])  # fmt: skip
 def test_ids_that_are_no_plain_words_are_rejected(headers):
-    desk = Desk()
-    client = Client(desk)
+    dispatcher = InMemoryDispatcher()
+    client = Client(dispatcher)
     headers = {"Idempotency_Key": "k", **headers}
     lines = f"POST /keyed/a HTTP/1.1\r\nX-Request-Id: {headers.pop('id_', 'r1')}\r\n"
     client.send((lines + f"Idempotency-Key: {headers['Idempotency_Key']}\r\n\r\n").encode("latin-1"))
-    assert client.answers()[0][0] == 400 and not desk.dials
+    assert client.answers()[0][0] == 400 and not dispatcher.dials
 
 
 def test_a_client_that_does_not_read_is_not_read_either():
-    desk = Desk()
-    client = Client(desk)
+    dispatcher = InMemoryDispatcher()
+    client = Client(dispatcher)
     client.pipe.stuck = True
     client.send(b"GET /ready HTTP/1.1\r\n\r\n" * 10)
     assert client.pipe.paused and len(client.answers()) == 1
@@ -155,22 +155,22 @@
 
 
 def test_a_client_that_never_reads_its_last_answer_keeps_no_descriptor():
-    desk = Desk()
-    client = Client(desk)
+    dispatcher = InMemoryDispatcher()
+    client = Client(dispatcher)
     client.pipe.stuck = True
     client.send(b"GET /ready HTTP/1.1\r\n\r\n")
     client.connection.close()
     assert client.pipe.open
-    desk.advance(LINGER_TIME + TICK)
+    dispatcher.advance(LINGER_TIME + TICK)
     assert not client.pipe.open
 
 
 def test_a_connection_that_gave_way_before_it_was_up_is_closed_when_it_comes_up():
     """Its descriptor leaked, until none was left and accepting failed on and on."""
-    desk = Desk(most=1)
-    connection = ClientConnection(desk.listener)
-    desk.listener.add(connection)
-    assert desk.listener.make_room() and connection.phase == Phase.CLOSED
+    dispatcher = InMemoryDispatcher(most=1)
+    connection = ClientConnection(dispatcher.listener)
+    dispatcher.listener.add(connection)
+    assert dispatcher.listener.make_room() and connection.phase == Phase.CLOSED
 
     pipe = Pipe(connection)
     connection.connection_made(pipe)
@@ -178,16 +178,16 @@
 
 
 def test_who_has_proved_nothing_gives_way_before_an_idle_usual_client():
-    desk = Desk(most=3)
-    usual = served(desk, Client(desk))
-    silent, half = Client(desk), Client(desk)
+    dispatcher = InMemoryDispatcher(most=3)
+    usual = served(dispatcher, Client(dispatcher))
+    silent, half = Client(dispatcher), Client(dispatcher)
     half.send(b"POST /safe")
-    assert desk.listener.make_room() and not silent.pipe.open and usual.pipe.open
-    desk.advance(EVICTION_GRACE)
-    busy = desk.client(id_="r7")
-    assert desk.listener.make_room() and not half.pipe.open and usual.pipe.open
-    Client(desk).post(id_="r8")
-    assert desk.listener.make_room() and not usual.pipe.open and busy.pipe.open
+    assert dispatcher.listener.make_room() and not silent.pipe.open and usual.pipe.open
+    dispatcher.advance(EVICTION_GRACE)
+    busy = dispatcher.client(id_="r7")
+    assert dispatcher.listener.make_room() and not half.pipe.open and usual.pipe.open
+    Client(dispatcher).post(id_="r8")
+    assert dispatcher.listener.make_room() and not usual.pipe.open and busy.pipe.open
 
 
 class Loop:
@@ -235,25 +235,25 @@
 
 
 def test_a_lack_of_descriptors_does_not_spin_the_loop():
-    desk = Desk()
-    desk.listener._loop, desk.listener._socket = loop, listener = Loop(), Port(fault=errno.EMFILE)
-    desk.listener._accept()
+    dispatcher = InMemoryDispatcher()
+    dispatcher.listener._loop, dispatcher.listener._socket = loop, listener = Loop(), Port(fault=errno.EMFILE)
+    dispatcher.listener._accept()
     assert listener.asked == 1 and not loop.reading
-    desk.advance(ACCEPT_RETRY + TICK)
+    dispatcher.advance(ACCEPT_RETRY + TICK)
     assert loop.reading
 
 
 def test_a_burst_of_connections_is_taken_in_turns_and_a_full_house_waits():
-    desk = Desk(most=ACCEPTED_PER_TURN + 2)
-    desk.listener._loop, desk.listener._socket = loop, _ = Loop(), Port(waiting=500)
-    desk.listener._client_waits_in_backlog = lambda: True
-    busy = [desk.client(id_=f"r{n}") for n in range(2)]
-    desk.listener._accept()
+    dispatcher = InMemoryDispatcher(most=ACCEPTED_PER_TURN + 2)
+    dispatcher.listener._loop, dispatcher.listener._socket = loop, _ = Loop(), Port(waiting=500)
+    dispatcher.listener._client_waits_in_backlog = lambda: True
+    busy = [dispatcher.client(id_=f"r{n}") for n in range(2)]
+    dispatcher.listener._accept()
     assert len(loop.tasks) == ACCEPTED_PER_TURN and loop.reading
-    desk.listener._most = 2
-    for connection in list(desk.listener._unproven):
+    dispatcher.listener._most = 2
+    for connection in list(dispatcher.listener._unproven):
         connection.abort()
-    desk.listener._accept()
+    dispatcher.listener._accept()
     assert not loop.reading and all(client.pipe.open for client in busy)
     busy[0].pipe.break_off()
     assert loop.reading
@@ -272,29 +272,29 @@
 
 def test_who_writes_slowly_gives_way_after_who_has_stopped_writing():
     """In a crowd of half-written requests those that still come in were closed on, being the oldest."""
-    desk = Desk(most=2)
-    slow, stopped = Client(desk), Client(desk)
+    dispatcher = InMemoryDispatcher(most=2)
+    slow, stopped = Client(dispatcher), Client(dispatcher)
     for client in (slow, stopped):
         client.send(b"POST /sa")
-    desk.advance(EVICTION_GRACE)
+    dispatcher.advance(EVICTION_GRACE)
     slow.send(b"fe/a HTTP/1.1\r\n")
-    assert desk.listener.make_room()
+    assert dispatcher.listener.make_room()
     assert slow.pipe.open and not stopped.pipe.open
-    other = Client(desk)
+    other = Client(dispatcher)
     other.send(b"POST")
-    assert not desk.listener.make_room(), "what has just come in is not given up for want of room"
+    assert not dispatcher.listener.make_room(), "what has just come in is not given up for want of room"
     assert slow.pipe.open and other.pipe.open
-    desk.advance(WHOLE - EVICTION_GRACE - 100.0)
+    dispatcher.advance(WHOLE - EVICTION_GRACE - 100.0)
     slow.send(b"X-Request-Id: r1\r\n\r\n")
-    assert desk.dials, "a job may take that long to come in"
+    assert dispatcher.dials, "a job may take that long to come in"
 
 
-def half_behind_a_request(desk, after):
+def half_behind_a_request(dispatcher, after):
     """A usual client that sends half a message while its request is at a worker; the worker's end."""
-    client = served(desk, Client(desk))
+    client = served(dispatcher, Client(dispatcher))
     client.post(id_="r1", path="/unsafe/a")  # at one worker alone, however long it takes
-    [end] = desk.ends
-    desk.advance(after)
+    [end] = dispatcher.ends
+    dispatcher.advance(after)
     client.send(b"POST /safe/a HTTP/1.1\r\nX-Request")
     return client, end
 
@@ -302,53 +302,53 @@
 @pytest.mark.parametrize("answered_after", [0.0, 1000.0, 2500.0])
 def test_half_a_message_behind_a_request_has_its_time_from_its_first_byte(answered_after):
     """It had the whole time from the answer before: 408 came up to 5 s after the client had stopped."""
-    desk = Desk()
-    client, end = half_behind_a_request(desk, 500.0)
-    desk.advance(answered_after)
+    dispatcher = InMemoryDispatcher()
+    client, end = half_behind_a_request(dispatcher, 500.0)
+    dispatcher.advance(answered_after)
     end.finish()
     assert [status for status, *_ in client.answers()] == [200]
-    desk.advance(OWED - answered_after)
+    dispatcher.advance(OWED - answered_after)
     assert [status for status, *_ in client.answers()] == [408]
 
 
 def test_half_a_message_behind_a_request_that_takes_long_may_be_completed_in_the_moment_of_its_answer():
-    desk = Desk()
-    client, end = half_behind_a_request(desk, 0.0)
-    desk.advance(4000.0)
+    dispatcher = InMemoryDispatcher()
+    client, end = half_behind_a_request(dispatcher, 0.0)
+    dispatcher.advance(4000.0)
     end.finish()
     client.send(b"-Id: r2\r\nContent-Length: 0\r\n\r\n")
     assert [status for status, *_ in client.answers()] == [200]
-    assert desk.exchange.holds("r2"), "taken"
+    assert dispatcher.exchange.holds("r2"), "taken"
 
 
 def test_each_of_several_messages_behind_one_another_has_its_own_time():
-    desk = Desk()
-    client = served(desk, Client(desk))
-    [end] = desk.ends
+    dispatcher = InMemoryDispatcher()
+    client = served(dispatcher, Client(dispatcher))
+    [end] = dispatcher.ends
     client.post(id_="r1", path="/unsafe/a")
     client.send(b"GET /ready HTTP/1.1\r\n\r\n")
-    desk.advance(2000.0)
+    dispatcher.advance(2000.0)
     client.send(b"POST /safe/a HTTP/1.1\r\n")
-    desk.advance(500.0)
+    dispatcher.advance(500.0)
     end.finish()
     assert [status for status, *_ in client.answers()] == [200, 503], "it is not ready, for no port is open"
-    desk.advance(WHOLE - 600.0)
+    dispatcher.advance(WHOLE - 600.0)
     assert not client.answers(), "its first byte came 2 s after those of the one before"
     client.send(b"X-Request-Id: r3\r\nContent-Length: 0\r\n\r\n")
-    assert desk.exchange.holds("r3")
+    assert dispatcher.exchange.holds("r3")
 
 
 def test_bytes_that_wait_behind_a_pause_count_from_its_end():
     """Reading stands still with 16 KiB of further messages: the client could not send the rest."""
-    desk = Desk()
-    client = served(desk, Client(desk))
-    [end] = desk.ends
+    dispatcher = InMemoryDispatcher()
+    client = served(dispatcher, Client(dispatcher))
+    [end] = dispatcher.ends
     client.post(id_="r1", path="/unsafe/a")
     client.send(b"POST /safe/a HTTP/1.1\r\nContent-Length: 20000\r\nX-Request-Id: r2\r\n\r\n" + b"x" * 17_000)
     assert client.pipe.paused
-    desk.advance(4000.0)
+    dispatcher.advance(4000.0)
     end.finish()
     assert [status for status, *_ in client.answers()] == [200] and not client.pipe.paused
-    desk.advance(WHOLE / 2)
+    dispatcher.advance(WHOLE / 2)
     client.send(b"x" * 3000)
-    assert desk.exchange.holds("r2")
+    assert dispatcher.exchange.holds("r2")
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -10,8 +10,8 @@
 import time
 
 import pytest
-from support.memory_dispatcher import Desk
-from support.processes import CONFIG, Holding, Source, ask, post, running_program
+from support.memory_dispatcher import InMemoryDispatcher
+from support.processes import CONFIG, DiscoveryServer, HoldingWorker, ask, post, running_program
 
 from eiderfield.lab.ports import free_port
 from eiderfield.net.loop import PAUSE, READ_ROUNDS, Driver
@@ -95,15 +95,15 @@
 
 
 def test_the_silence_of_a_worker_counts_from_the_end_of_the_gap():
-    desk = Desk()
-    client = desk.client()
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher()
+    client = dispatcher.client()
+    end = dispatcher.dials[0].up()
     end.say({"id": "r1", "from": "w", "state": "started"})
-    desk.now += 4_000.0  # nothing was read and no timer went off
-    desk.exchange.absent(4_000.0)
-    desk.settle()
-    assert end.pipe.open and not desk.exchange.snapshot(desk.now).avoided
-    assert any("stood still for 4000 ms" in line for line in desk.logged)
+    dispatcher.now += 4_000.0  # nothing was read and no timer went off
+    dispatcher.exchange.absent(4_000.0)
+    dispatcher.settle()
+    assert end.pipe.open and not dispatcher.exchange.snapshot(dispatcher.now).avoided
+    assert any("stood still for 4000 ms" in line for line in dispatcher.logged)
     end.say({"id": "r1", "from": "w", "state": "done", "result": "ok"}, head=False, end=True)
     assert client.answers()
 
@@ -111,11 +111,11 @@
 @pytest.mark.real_time
 def test_a_stopped_program_sends_nothing_again_that_was_answered_meanwhile(tmp_path):
     """Measured before, with 4 dispatchers and one of them stopped for 4 s: 15 of 240 jobs ran whole twice."""
-    workers = [Holding(), Holding()]
-    source = Source(*[worker.port for worker in workers])
+    workers = [HoldingWorker(), HoldingWorker()]
+    source = DiscoveryServer(*[worker.port for worker in workers])
     served = []
     for worker in workers:
-        worker.hold = lambda worker=worker: (served.append(worker), Holding.hold(worker))
+        worker.hold = lambda worker=worker: (served.append(worker), HoldingWorker.hold(worker))
     port = free_port()
     echo = {**CONFIG["settings"]["classes"][0], "give_up": 300_000, "idempotency": "retryable"}
     settings = {
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from support.processes import DISPATCHER, JOB, ROOT, Answering, ask, running_program
+from support.processes import DISPATCHER, JOB, ROOT, AnsweringWorker, ask, running_program
 
 from eiderfield.batch.client import Session
 from eiderfield.batch.drmaa import ControlAction, InvalidJobError, JobState
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def program(tmp_path):
-    worker, port, batch = Answering(), free_port(), free_port()
+    worker, port, batch = AnsweringWorker(), free_port(), free_port()
     words = f"init --name t --listen 127.0.0.1:{port} --worker 127.0.0.1:{worker.port}"
     words += f" --batch 127.0.0.1:{batch} --class echo:safe"
     command = [sys.executable, "-m", "eiderfield.tool", *words.split()]
--- a/tests/test_program_parts.py
+++ b/tests/test_program_parts.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from support.processes import known, told
+from support.processes import endpoint_list, program_config
 
 from eiderfield.config import ConfigError, read
 from eiderfield.lab.ports import free_port
@@ -52,7 +52,7 @@
         monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
         self.now = NOW
         self.loop = asyncio.new_event_loop()
-        self.config = read(told(free_port(), "127.0.0.1:9", known=known(8080)), {})
+        self.config = read(program_config(free_port(), "127.0.0.1:9", known=endpoint_list(8080)), {})
         self.program = Program(self.config, self.loop, lambda: self.now)
         self.calls = []
         self.first, self.last = Recording("first", self.calls), Recording("last", self.calls)
--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from support.processes import JOB, Answering, ask, log_until_listening, running_program
+from support.processes import JOB, AnsweringWorker, ask, log_until_listening, running_program
 
 from eiderfield.lab.ports import free_port
 
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("refused", ["unix", "epoll", "unix,epoll"])
 def test_what_is_refused_is_named_once_and_the_dispatcher_serves(refused, tmp_path):
     """On the fleet days a start may not fail for a call that only upgrades or parking need."""
-    worker, port = Answering(), free_port()
+    worker, port = AnsweringWorker(), free_port()
     config = {
         "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{free_port()}",
         "connections": {"park_after_ms": 10},
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -5,8 +5,8 @@
 import socket
 
 import pytest
-from support.memory_dispatcher import Desk
-from support.processes import CONFIG, Holding, Source, ask, running_program
+from support.memory_dispatcher import InMemoryDispatcher
+from support.processes import CONFIG, DiscoveryServer, HoldingWorker, ask, running_program
 
 from eiderfield.config import ConfigError, load
 from eiderfield.interface import State
@@ -17,28 +17,35 @@
 
 
 class Moving:
-    """A desk that follows a source at port 8500 and may be told of others."""
+    """A dispatcher that follows a source at port 8500 and may be told of others."""
 
     def __init__(self):
-        self.desk = Desk(workers=1)
+        self.dispatcher = InMemoryDispatcher(workers=1)
         self.following = ActiveWatch()
         self.move(8500, whole=False)
 
     def move(self, port, whole=True):
-        desk, address = self.desk, ("127.0.0.1", port)
-        watcher = PlatformWatch(desk.table, desk.wheel, desk.clock, desk.dial, address, desk.logged.append)
+        dispatcher, address = self.dispatcher, ("127.0.0.1", port)
+        watcher = PlatformWatch(
+            dispatcher.table,
+            dispatcher.wheel,
+            dispatcher.clock,
+            dispatcher.dial,
+            address,
+            dispatcher.logged.append,
+        )
         watcher.needs_snapshot = whole
         self.following.follow(watcher)
 
     def dials(self, port):
-        return [dial for dial in self.desk.dials if dial.address[1] == port]
+        return [dial for dial in self.dispatcher.dials if dial.address[1] == port]
 
     def up(self, port):
         return self.dials(port)[-1].up()
 
     @property
     def states(self):
-        return list(self.desk.exchange._table.values())
+        return list(self.dispatcher.exchange._table.values())
 
 
 def news(status="SERVING", index=7, snapshot=True):
@@ -48,7 +55,7 @@
 
 def test_the_old_source_is_heard_until_the_new_one_has_told_its_list():
     moving = Moving()
-    client = moving.desk.client()
+    client = moving.dispatcher.client()
     worker, old = moving.up(1), moving.up(8500)
     old.say(news())
     moving.move(8600)
@@ -59,7 +66,7 @@
     new.say(news("SERVING", 3))
     assert not old.pipe.open and moving.states == [State.READY]
     new.pipe.break_off()
-    moving.desk.advance(150.0)
+    moving.dispatcher.advance(150.0)
     assert b"after=3 " in moving.up(8600).pipe.written and not moving.dials(8500)
     worker.finish()
     assert client.answers()[0][0] == 200
@@ -74,20 +81,20 @@
     old.pipe.break_off()
     for _ in range(3):
         moving.dials(8600)[-1].refuse()
-        moving.desk.advance(MAX_WAIT_OF_FEW)
+        moving.dispatcher.advance(MAX_WAIT_OF_FEW)
     again = moving.up(8500)
     again.say(news("DRAINING", 8, snapshot=False))
     assert moving.states == [State.DRAINING]
     moving.up(8600).say(news("SERVING", 3))
     assert moving.states == [State.READY] and not again.pipe.open
-    moving.desk.advance(20_000.0)
+    moving.dispatcher.advance(20_000.0)
     assert not moving.dials(8500)
 
 
 def test_a_dial_that_never_comes_up_is_tried_again_well_within_the_time_to_be_told():
     moving = Moving()
     first = moving.dials(8500)
-    moving.desk.advance(DIAL_TIMEOUT + 150.0)
+    moving.dispatcher.advance(DIAL_TIMEOUT + 150.0)
     assert first[0].cancelled and len(moving.dials(8500)) == 1
 
 
@@ -101,10 +108,10 @@
     if state == "between":  # the second move comes before the first has told anything
         moving.move(8550)
     moving.move(8600)
-    moving.desk.advance(50.0)
+    moving.dispatcher.advance(50.0)
     assert not moving.dials(8550)
     moving.up(8600).say(news("DRAINING"))
-    moving.desk.advance(20_000.0)
+    moving.dispatcher.advance(20_000.0)
     assert moving.states == [State.DRAINING]
     assert not moving.dials(8500) and not moving.dials(8550)
 
@@ -131,11 +138,11 @@
         old.say(news("DRAINING", version, snapshot=False), head=False)
         assert moving.states == [State.DRAINING]
     while not moving.dials(ports[-1]):
-        moving.desk.advance(50.0)
+        moving.dispatcher.advance(50.0)
     moving.up(ports[-1]).say(news("SERVING", 3))
     assert moving.states == [State.READY]
-    moving.desk.advance(1.0)
-    assert not moving.desk.dials and sum(end.pipe.open for end in moving.desk.ends) == 1
+    moving.dispatcher.advance(1.0)
+    assert not moving.dispatcher.dials and sum(end.pipe.open for end in moving.dispatcher.ends) == 1
 
 
 def test_a_program_that_ends_ends_both_feeds():
@@ -143,7 +150,7 @@
     old = moving.up(8500)
     moving.move(8600)
     moving.following.stop()
-    moving.desk.advance(20_000.0)
+    moving.dispatcher.advance(20_000.0)
     assert not old.pipe.open and not moving.dials(8600)
 
 
@@ -160,8 +167,13 @@
 
 
 def test_the_program_moves_on_sighup_and_keeps_the_job_that_is_out(tmp_path):
-    worker = Holding()
-    old, new, port, path = Source(worker.port), Source(worker.port), free_port(), tmp_path / "config.json"
+    worker = HoldingWorker()
+    old, new, port, path = (
+        DiscoveryServer(worker.port),
+        DiscoveryServer(worker.port),
+        free_port(),
+        tmp_path / "config.json",
+    )
     told = {**CONFIG, "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{old.port}"}
     path.write_text(json.dumps(told))
     with running_program(path, LB_DISCOVERY=told["discovery"]) as process:
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from support.deployments import DEPLOYMENTS
-from support.memory_dispatcher import Desk
+from support.memory_dispatcher import InMemoryDispatcher
 from support.policy import BASE, Node, sends
 
 from eiderfield.decide import Dispatcher
@@ -70,9 +70,9 @@
         return real(module, event, now)
 
     monkeypatch.setattr(Dispatcher, "_ended", heard)
-    desk = Desk(DEPLOYMENTS["admissions"])
-    desk.client(path="/safe")
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(DEPLOYMENTS["admissions"])
+    dispatcher.client(path="/safe")
+    end = dispatcher.dials[0].up()
     how(end, end.take()[0])
     return loads
 
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -8,7 +8,7 @@
 
 import pytest
 import tomlkit
-from support.memory_dispatcher import SITE, Desk
+from support.memory_dispatcher import SITE, InMemoryDispatcher
 from support.processes import DISPATCHER, log_until_listening, running_program
 
 from eiderfield.interface import Tenant
@@ -24,26 +24,29 @@
 
 
 def test_new_numbers_count_for_what_comes_and_what_is_held_is_answered():
-    desk = Desk(workers=1)
-    first, end = desk.client(), desk.dials[0].up()
-    desk.exchange.fits(site := replace(changed(SITE, worth=50.0, aim=9000.0), max_attempts=1))
-    desk.exchange.adopt(site)
+    dispatcher = InMemoryDispatcher(workers=1)
+    first, end = dispatcher.client(), dispatcher.dials[0].up()
+    dispatcher.exchange.fits(site := replace(changed(SITE, worth=50.0, aim=9000.0), max_attempts=1))
+    dispatcher.exchange.adopt(site)
     end.finish()
     assert first.answers()[0][0] == 200
-    second = desk.client(id_="r2")
-    desk.ends[-1].finish("lost")
-    desk.advance(20.0)
+    second = dispatcher.client(id_="r2")
+    dispatcher.ends[-1].finish("lost")
+    dispatcher.advance(20.0)
     assert second.answers()[0][0] != 200, "one attempt is allowed now, and it is lost"
 
 
 def test_a_class_that_becomes_worth_more_is_sent_first():
-    desk = Desk(workers=1)
+    dispatcher = InMemoryDispatcher(workers=1)
     worths = zip(SITE.classes, (1.0, 1.0, 10.0), strict=True)
     site = replace(SITE, classes=tuple(replace(cls, worth=worth) for cls, worth in worths))
-    desk.exchange.adopt(site)
-    lanes = desk.exchange._module._by_worth
+    dispatcher.exchange.adopt(site)
+    lanes = dispatcher.exchange._module._by_worth
     assert [lane.cls.name for lane in lanes[:2]] == [SITE.classes[2].name] * 2
-    assert desk.exchange._module._pacers[2].floor_share > desk.exchange._module._pacers[0].floor_share
+    assert (
+        dispatcher.exchange._module._pacers[2].floor_share
+        > dispatcher.exchange._module._pacers[0].floor_share
+    )
 
 
 @pytest.mark.parametrize(
@@ -58,7 +61,7 @@
 )
 def test_what_only_a_new_process_can_take_is_named_by_its_key(site, key):
     with pytest.raises(ValueError, match=key):
-        Desk(workers=1).exchange.fits(site)
+        InMemoryDispatcher(workers=1).exchange.fits(site)
 
 
 CLASS = {"name": "echo", "value": 1, "goal_time": 300, "give_up": 5000, "idempotency": "retryable"}
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 
 import pytest
-from support.processes import known, told
+from support.processes import endpoint_list, program_config
 from support.real_sockets import message
 
 from eiderfield.__main__ import Program
@@ -82,7 +82,7 @@
     def __init__(self, longest):
         self.now = 1_000_000.0
         self.worker = Worker()
-        config = told(free_port(), "127.0.0.1:9", known=known(self.worker.port))
+        config = program_config(free_port(), "127.0.0.1:9", known=endpoint_list(self.worker.port))
         [cls] = config["settings"]["classes"]
         config["settings"] = {**config["settings"], "classes": [{**cls, "give_up": longest}]}
         self.loop = asyncio.new_event_loop()
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from support.simulated_fleet import MIXED, Fleet, even, slow_start_budget, uneven
+from support.simulated_fleet import MIXED, SimulatedFleet, even, slow_start_budget, uneven
 
 from eiderfield.interface import State
 
@@ -19,7 +19,7 @@
 def test_cold_workers_are_not_pushed_over_by_all_together(nodes, workers, part):
     """Six in ten replaced at once were sent 1.11 of rule 4 by forty nodes and 1.04 by two hundred: what the
     whole fleet had served lately was divided by the few that were still warm."""
-    fleet = Fleet(nodes, workers, load=0.9)
+    fleet = SimulatedFleet(nodes, workers, load=0.9)
     fleet.run(5000.0)
     new = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[part]
     cold = replaced(fleet, range(1, new + 1))
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize(("nodes", "workers"), OTHER_SIZES)
 def test_warming_workers_stay_within_the_slow_start_budget_with_mixed_costs(nodes, workers, part):
     """Requests of a quarter to two and a half mean ones, a tenth of the nodes with five times the traffic."""
-    fleet = Fleet(nodes, workers, load=0.9, traffic=uneven, costs=MIXED)
+    fleet = SimulatedFleet(nodes, workers, load=0.9, traffic=uneven, costs=MIXED)
     fleet.run(4000.0)
     new = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[part]
     warming = replaced(fleet, range(1, new + 1))
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize("traffic", [even, uneven])
 @pytest.mark.parametrize(("nodes", "workers"), [(1, 8), (20, 24), (40, 24)])
 def test_a_returning_zone_stays_within_the_slow_start_budget_with_mixed_costs(nodes, workers, traffic):
-    fleet = Fleet(nodes, workers, load=0.65, traffic=traffic, costs=MIXED)
+    fleet = SimulatedFleet(nodes, workers, load=0.65, traffic=traffic, costs=MIXED)
     zone = lost_zone_returns(fleet)
     fleet.run(14_000.0)
     used = max(fleet.slow_start_use(worker, 14_000.0) for worker in zone)
@@ -70,19 +70,21 @@
 def lost_zone_returns(fleet):
     """A zone falls silent, is told to be gone and comes back to warm up; its workers."""
     fleet.run(4000.0)
-    zone = [worker for worker, box in fleet.boxes.items() if box.entry.zone == 2]
+    zone = [worker for worker, simulated in fleet.simulated_workers.items() if simulated.entry.zone == 2]
     fleet.fall_silent(zone)
     fleet.run(7000.0)  # discovery tells late
-    fleet.change(*(replace(fleet.boxes[worker].entry, state=State.GONE) for worker in zone))
+    fleet.change(*(replace(fleet.simulated_workers[worker].entry, state=State.GONE) for worker in zone))
     fleet.run(9000.0)
     fleet.wake(zone)
-    fleet.change(*(replace(fleet.boxes[w].entry, state=State.READY, ready_at=fleet.now) for w in zone))
+    fleet.change(
+        *(replace(fleet.simulated_workers[w].entry, state=State.READY, ready_at=fleet.now) for w in zone)
+    )
     return zone
 
 
 def replaced(fleet, workers):
     """Workers go and cold ones take their places; the ids of the new ones."""
-    places = [fleet.boxes[worker].entry for worker in workers]
+    places = [fleet.simulated_workers[worker].entry for worker in workers]
     gone = [replace(entry, state=State.GONE) for entry in places]
     cold = [replace(entry, worker=1000 + entry.worker, ready_at=fleet.now) for entry in places]
     fleet.change(*gone, *cold)
@@ -91,9 +93,9 @@
 
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
 def test_a_drained_worker_gets_nothing_new_from_any_node_that_was_told(nodes, workers):
-    fleet = Fleet(nodes, workers, load=0.8)
+    fleet = SimulatedFleet(nodes, workers, load=0.8)
     fleet.run(3000.0)
-    fleet.change(replace(fleet.boxes[1].entry, state=State.DRAINING))
+    fleet.change(replace(fleet.simulated_workers[1].entry, state=State.DRAINING))
     fleet.run(3600.0)
     before = fleet.sent_to([1], 0.0)
     fleet.run(9000.0)
@@ -103,7 +105,7 @@
 
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
 def test_a_zone_that_is_lost_and_comes_back_cold_is_not_pushed_over(nodes, workers):
-    fleet = Fleet(nodes, workers, load=0.65)
+    fleet = SimulatedFleet(nodes, workers, load=0.65)
     zone = lost_zone_returns(fleet)
     fleet.run(18_000.0)
     assert not fleet.broken, fleet.broken[:3]
@@ -115,7 +117,7 @@
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
 def test_a_silent_fifth_costs_no_job_its_answer_and_comes_back_into_use(nodes, workers):
     """Nobody tells of it, and one of two hundred nodes meets a given worker every few seconds."""
-    fleet = Fleet(nodes, workers, load=0.6)
+    fleet = SimulatedFleet(nodes, workers, load=0.6)
     fleet.run(4000.0)
     silent = list(range(1, workers // 5 + 1))
     fleet.fall_silent(silent)
