--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from support.memory_dispatcher import Client, Desk
+from support.memory_dispatcher import Client, InMemoryDispatcher
 
 from eiderfield.interface import Outcome, State
 from eiderfield.net.clients.connection import MESSAGES_PER_TURN
@@ -14,33 +14,33 @@
 from eiderfield.net.worker_pool import DISTRUST, IDLE_MARGIN
 
 
-def outcomes(desk):
+def outcomes(dispatcher):
     """The outcomes that the module hears from now on."""
-    heard, real = [], desk.exchange._module.handle
+    heard, real = [], dispatcher.exchange._module.handle
 
     def handle(now, events):
         heard.extend(event.outcome for event in events if hasattr(event, "outcome"))
         return real(now, events)
 
-    desk.exchange._module.handle = handle
+    dispatcher.exchange._module.handle = handle
     return heard
 
 
 def test_a_drain_told_while_the_connection_comes_up_stops_the_leg():
-    desk = Desk(workers=1)
-    desk.client()
-    heard = outcomes(desk)
-    desk.tell((1, "DRAINING"))
-    assert not desk.dials[0].up().take()
+    dispatcher = InMemoryDispatcher(workers=1)
+    dispatcher.client()
+    heard = outcomes(dispatcher)
+    dispatcher.tell((1, "DRAINING"))
+    assert not dispatcher.dials[0].up().take()
     assert heard == [Outcome.MOOT]
 
 
 def test_news_of_a_turn_come_before_its_sends():
-    desk = Desk(workers=1)
-    desk.table.load({"index": 9, "snapshot": True, "endpoints": []})
-    client = Client(desk)
+    dispatcher = InMemoryDispatcher(workers=1)
+    dispatcher.table.load({"index": 9, "snapshot": True, "endpoints": []})
+    client = Client(dispatcher)
     client.post()
-    assert not desk.dials and not client.answers()
+    assert not dispatcher.dials and not client.answers()
 
 
 @pytest.mark.parametrize(
@@ -61,18 +61,18 @@
     ],
 )
 def test_what_proves_that_a_job_never_ran(what, outcome):
-    desk = Desk(workers=1)
-    desk.client()
-    heard = outcomes(desk)
+    dispatcher = InMemoryDispatcher(workers=1)
+    dispatcher.client()
+    heard = outcomes(dispatcher)
     if what == "refused":
-        desk.dials[0].refuse()
+        dispatcher.dials[0].refuse()
     elif what == "never up":
-        desk.advance(150.0)
+        dispatcher.advance(150.0)
     else:
-        end = desk.dials[0].up(stuck=what == "cut before its last byte")
+        end = dispatcher.dials[0].up(stuck=what == "cut before its last byte")
         if what.startswith("cut"):
             end.pipe.break_off()
-            desk.settle()
+            dispatcher.settle()
         elif what[0] == "5":
             end.status(int(what[:3]), **({"X_Not_Run": "1"} if "unstarted" in what else {}))
         else:
@@ -81,27 +81,27 @@
 
 
 def test_a_workers_own_503_never_reaches_a_client():
-    desk = Desk(workers=1)
-    client = desk.client(path="/unsafe/a")
-    desk.dials[0].up().status(503, Retry_After="1")
+    dispatcher = InMemoryDispatcher(workers=1)
+    client = dispatcher.client(path="/unsafe/a")
+    dispatcher.dials[0].up().status(503, Retry_After="1")
     [(status, head, _)] = client.answers()
     assert status == 502 and not head.get("retry-after")
 
 
 def test_a_result_is_served_as_it_is_and_its_connection_used_again():
-    desk = Desk(workers=1)
-    client = desk.client(body=b"x" * MAX_BODY)
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=1)
+    client = dispatcher.client(body=b"x" * MAX_BODY)
+    end = dispatcher.dials[0].up()
     end.finish(result="naïve ✓")
     assert [(s, b.decode()) for s, _, b in client.answers()] == [(200, "naïve ✓")]
     client.post(id_="r2")
-    assert end.take() == ["r2"] and not desk.dials
+    assert end.take() == ["r2"] and not dispatcher.dials
 
 
 def test_what_passes_to_a_worker_is_unchanged():
-    desk = Desk(workers=1)
-    Client(desk).post("/keyed/a%20b?c=d&e", "id-1", 3000, b"\x00body", Idempotency_Key="k1")
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=1)
+    Client(dispatcher).post("/keyed/a%20b?c=d&e", "id-1", 3000, b"\x00body", Idempotency_Key="k1")
+    end = dispatcher.dials[0].up()
     sent = bytes(end.pipe.written)
     end.take()
     head = end.requests[0]
@@ -111,116 +111,116 @@
 
 
 def test_no_connection_is_used_near_the_time_at_which_workers_close_it():
-    desk = Desk(workers=1)
-    desk.client()
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=1)
+    dispatcher.client()
+    end = dispatcher.dials[0].up()
     end.finish()
-    desk.advance(10_000.0 - IDLE_MARGIN + 10.0)
+    dispatcher.advance(10_000.0 - IDLE_MARGIN + 10.0)
     assert not end.pipe.open
-    desk.client(id_="r2")
-    assert len(desk.dials) == 1
+    dispatcher.client(id_="r2")
+    assert len(dispatcher.dials) == 1
 
 
 def test_idle_connections_take_turns():
     """The one used last would let the others idle out, and each new one costs the worker a handshake."""
-    desk = Desk(workers=1)
+    dispatcher = InMemoryDispatcher(workers=1)
     ends = []
     for id_ in ("r1", "r2"):
-        desk.client(id_=id_)
-        ends.append(desk.dials[0].up())
+        dispatcher.client(id_=id_)
+        ends.append(dispatcher.dials[0].up())
         ends[-1].say({"id": id_, "state": "started"})
     for end, id_ in zip(ends, ("r1", "r2"), strict=True):
         end.take()
         end.requests.clear()
         end.say({"id": id_, "state": "done", "result": ""}, head=False, end=True)
     for number, end in enumerate([*ends, *ends]):
-        desk.advance(4000.0)
-        desk.client(id_=f"t{number}")
-        assert end.take() == [f"t{number}"] and not desk.dials
+        dispatcher.advance(4000.0)
+        dispatcher.client(id_=f"t{number}")
+        assert end.take() == [f"t{number}"] and not dispatcher.dials
         end.finish()
 
 
 def test_no_leg_is_put_on_a_connection_that_its_worker_has_just_ended():
     """Its write would fail, and the failed connection would rest a healthy worker."""
-    desk = Desk(workers=1)
-    desk.client()
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=1)
+    dispatcher.client()
+    end = dispatcher.dials[0].up()
     end.finish()
     end.connection.eof_received()
-    desk.client(id_="r2")
-    assert len(desk.dials) == 1 and desk.side.connections == 1
+    dispatcher.client(id_="r2")
+    assert len(dispatcher.dials) == 1 and dispatcher.side.connections == 1
 
 
 def test_where_a_kept_connection_proved_dead_the_others_are_not_used():
     """Every fifth job of a day was lost on connections that their workers had quietly ended."""
-    desk = Desk(workers=1)
+    dispatcher = InMemoryDispatcher(workers=1)
     ends = []
     for id_ in ("r1", "r2"):
-        desk.client(id_=id_)
-        ends.append(desk.dials[0].up())
+        dispatcher.client(id_=id_)
+        ends.append(dispatcher.dials[0].up())
         ends[-1].say({"id": id_, "state": "started"})
     for end in ends:
         id_ = end.take()[0]
         end.requests.clear()
         end.say({"id": id_, "state": "done", "result": ""}, head=False, end=True)
-    desk.client(id_="r3")
+    dispatcher.client(id_="r3")
     assert ends[0].take() == ["r3"]
     ends[0].pipe.break_off()
-    desk.settle()
+    dispatcher.settle()
     assert not ends[1].pipe.open, "the other kept one"
-    desk.advance(210.0)
-    again = desk.dials[0].up()
+    dispatcher.advance(210.0)
+    again = dispatcher.dials[0].up()
     assert again.take() == ["r3"]
     again.finish()
     assert not again.pipe.open, "nor is a new one kept for now"
-    desk.advance(DISTRUST)
-    desk.client(id_="r4")
-    end = desk.dials[0].up()
+    dispatcher.advance(DISTRUST)
+    dispatcher.client(id_="r4")
+    end = dispatcher.dials[0].up()
     end.finish()
     assert end.pipe.open
 
 
 def test_a_connection_that_breaks_under_an_answer_says_nothing_of_the_others():
-    desk = Desk(workers=1)
-    desk.client()
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=1)
+    dispatcher.client()
+    end = dispatcher.dials[0].up()
     end.finish()
-    desk.client(id_="r2")
+    dispatcher.client(id_="r2")
     end.say({"id": "r2", "state": "started"})
     end.pipe.break_off()
-    assert not desk.side._distrusted_until
+    assert not dispatcher.side._distrusted_until
 
 
 def test_a_client_that_leaves_takes_its_leg_along():
-    desk = Desk(workers=1)
-    client = desk.client()
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=1)
+    client = dispatcher.client()
+    end = dispatcher.dials[0].up()
     client.pipe.break_off()
-    desk.settle()
-    assert not end.pipe.open and not desk.exchange.unanswered
+    dispatcher.settle()
+    assert not end.pipe.open and not dispatcher.exchange.unanswered
 
 
 def test_descriptors_stay_bounded_on_both_sides():
-    desk = Desk(workers=1, most=3, worker_connections=2)
-    idle = [Client(desk) for _ in range(3)]
-    assert desk.listener.make_room() and not idle[0].pipe.open  # the longest idle one gave way
-    Client(desk)
+    dispatcher = InMemoryDispatcher(workers=1, most=3, worker_connections=2)
+    idle = [Client(dispatcher) for _ in range(3)]
+    assert dispatcher.listener.make_room() and not idle[0].pipe.open  # the longest idle one gave way
+    Client(dispatcher)
     for client in (idle[1], idle[2]):
         client.post(id_=f"r{id(client)}")
-    assert desk.listener.make_room()
-    desk.client(id_="r9")
-    assert not desk.listener.make_room() and desk.side.connections <= 2
+    assert dispatcher.listener.make_room()
+    dispatcher.client(id_="r9")
+    assert not dispatcher.listener.make_room() and dispatcher.side.connections <= 2
 
 
 def test_an_unready_dispatcher_says_so():
-    desk = Desk(workers=0)
-    client = Client(desk)
+    dispatcher = InMemoryDispatcher(workers=0)
+    client = Client(dispatcher)
     assert client.ask("GET", "/ready")[0][0] == 503
-    desk.tell((1, "SERVING"))
+    dispatcher.tell((1, "SERVING"))
     assert client.ask("GET", "/ready")[0][0] == 503  # the port is not open
-    desk.listener._socket = object()
+    dispatcher.listener._socket = object()
     assert client.ask("GET", "/ready")[0][0] == 200
-    desk.listener.draining = True
+    dispatcher.listener.draining = True
     [(status, head, _)] = client.ask("GET", "/ready")
     assert status == 503 and head.get("connection") == "close"
 
@@ -239,89 +239,96 @@
     ],
 )
 def test_bad_messages_are_answered_and_reach_no_worker(message, status):
-    desk = Desk()
-    client = Client(desk)
+    dispatcher = InMemoryDispatcher()
+    client = Client(dispatcher)
     client.send(message)
     assert [answer[0] for answer in client.answers()] == [status]
-    assert not desk.dials and not desk.exchange.unanswered
+    assert not dispatcher.dials and not dispatcher.exchange.unanswered
 
 
 def test_thousands_of_pipelined_messages_do_not_nest():
-    desk = Desk()
-    client = Client(desk)
+    dispatcher = InMemoryDispatcher()
+    client = Client(dispatcher)
     client.send(b"GET /ready HTTP/1.1\r\n\r\n" * 3000)
     assert len(client.answers()) == MESSAGES_PER_TURN, "one client's flood must leave the others their turn"
-    desk.advance(2000.0)
+    dispatcher.advance(2000.0)
     assert len(client.answers()) == 3000 - MESSAGES_PER_TURN
 
 
 def test_a_message_that_never_ends_is_given_up():
-    desk = Desk()
-    client = Client(desk)
+    dispatcher = InMemoryDispatcher()
+    client = Client(dispatcher)
     client.send(b"POST /safe HTTP/1.1\r\n")
-    desk.advance(40_000.0)
+    dispatcher.advance(40_000.0)
     assert client.answers()[0][0] == 408 and not client.pipe.open
 
 
 def test_only_quiet_connections_are_closed_at_the_end():
-    desk = Desk()
-    idle, busy, begun = Client(desk), desk.client(), Client(desk)
+    dispatcher = InMemoryDispatcher()
+    idle, busy, begun = Client(dispatcher), dispatcher.client(), Client(dispatcher)
     begun.send(b"POST /safe")
-    desk.listener.draining = desk.listener.sending_away = True
-    desk.listener.close_idle()
+    dispatcher.listener.draining = dispatcher.listener.sending_away = True
+    dispatcher.listener.close_idle()
     assert (idle.pipe.open, busy.pipe.open, begun.pipe.open) == (False, True, True)
-    desk.dials[0].up().finish()
+    dispatcher.dials[0].up().finish()
     [(status, head, _)] = busy.answers()
     assert status == 200 and head.get("connection") == "close" and busy.pipe.ended
 
 
 def test_while_a_program_ends_its_clients_stay_until_it_leaves_and_later_jobs_are_answered_in_time():
     """With the other dispatchers restarting too, clients sent away at once found none that took them."""
-    desk = Desk()
-    client = desk.client()
-    desk.listener.draining = True
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher()
+    client = dispatcher.client()
+    dispatcher.listener.draining = True
+    end = dispatcher.dials[0].up()
     end.finish()
     [(status, head, _)] = client.answers()
     assert status == 200 and not head.get("connection")
-    desk.listener.answer_by = desk.now + 500.0
+    dispatcher.listener.answer_by = dispatcher.now + 500.0
     client.post(id_="r2", wait=5000)
     end.take()
     assert not client.answers()
-    desk.advance(500.0)
+    dispatcher.advance(500.0)
     assert client.answers()[0][0] == 503
 
 
 def test_a_module_that_forgets_a_job_is_made_good():
-    desk = Desk(workers=0)
-    desk.exchange._module._expire = lambda now: None
-    client = desk.client(wait=400)
-    desk.advance(430.0)
-    assert client.answers()[0][0] == 502 and desk.logged
+    dispatcher = InMemoryDispatcher(workers=0)
+    dispatcher.exchange._module._expire = lambda now: None
+    client = dispatcher.client(wait=400)
+    dispatcher.advance(430.0)
+    assert client.answers()[0][0] == 502 and dispatcher.logged
 
 
 def test_an_answer_that_cannot_be_given_leaves_the_turns_other_actions(monkeypatch):
-    desk = Desk(workers=0)
-    first, second = Client(desk), Client(desk)
+    dispatcher = InMemoryDispatcher(workers=0)
+    first, second = Client(dispatcher), Client(dispatcher)
     monkeypatch.setattr(first.connection, "answer", lambda *a, **k: 1 / 0)
     first.post(id_="r1", wait=300)
     second.post(id_="r2", wait=300)
-    desk.advance(310.0)
-    assert second.answers() and "ZeroDivisionError" in desk.logged[0]
+    dispatcher.advance(310.0)
+    assert second.answers() and "ZeroDivisionError" in dispatcher.logged[0]
 
 
 SOURCE = ("127.0.0.1", 8500)
 
 
-def watch(desk):
-    watcher = PlatformWatch(desk.table, desk.wheel, desk.clock, desk.dial, SOURCE, desk.logged.append)
+def watch(dispatcher):
+    watcher = PlatformWatch(
+        dispatcher.table,
+        dispatcher.wheel,
+        dispatcher.clock,
+        dispatcher.dial,
+        SOURCE,
+        dispatcher.logged.append,
+    )
     watcher.connect()
-    return watcher, desk.dials[-1].up()
+    return watcher, dispatcher.dials[-1].up()
 
 
 def test_a_silent_watch_is_opened_anew_after_the_last_index():
-    desk = Desk(workers=1)
-    _, end = watch(desk)
+    dispatcher = InMemoryDispatcher(workers=1)
+    _, end = watch(dispatcher)
     assert b"after=1 " in end.pipe.written
     line = {
         "index": 5,
@@ -329,14 +336,14 @@
         "endpoints": [{"name": "w1", "address": "127.0.0.1:1", "status": "DRAINING", "since_ms": 3}],
     }
     end.say(line)
-    assert list(desk.exchange._table.values()) == [State.DRAINING]
+    assert list(dispatcher.exchange._table.values()) == [State.DRAINING]
     for _ in range(3):  # empty lines are signs of life
-        desk.advance(2000.0)
+        dispatcher.advance(2000.0)
         end.pipe.send(b"1\r\n\n\r\n")
     assert end.pipe.open
-    desk.advance(SILENCE + 500.0)
-    assert not end.pipe.open and list(desk.exchange._table.values()) == [State.DRAINING]
-    again = desk.dials[-1].up()
+    dispatcher.advance(SILENCE + 500.0)
+    assert not end.pipe.open and list(dispatcher.exchange._table.values()) == [State.DRAINING]
+    again = dispatcher.dials[-1].up()
     assert b"after=5 " in again.pipe.written
 
 
@@ -351,26 +358,26 @@
     ],
 )
 def test_nonsense_from_discovery_leaves_the_table(line):
-    desk = Desk(workers=1)
-    _, end = watch(desk)
+    dispatcher = InMemoryDispatcher(workers=1)
+    _, end = watch(dispatcher)
     end.pipe.send(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n" % (len(line) + 1, line)
     )
-    assert not end.pipe.open and desk.exchange.knows_workers
-    desk.advance(300.0)
-    assert desk.dials
+    assert not end.pipe.open and dispatcher.exchange.knows_workers
+    dispatcher.advance(300.0)
+    assert dispatcher.dials
 
 
 @pytest.mark.parametrize("line", [b"{", b"{\n", b'{"index":\n', b"{\n\n\n"])
 def test_a_list_that_never_ends_leaves_the_table_and_its_source(line):
     """It may be the first line of an indented list; but a source of which no list becomes whole is silent,
     whatever it dribbles."""
-    desk = Desk(workers=1)
-    _, end = watch(desk)
+    dispatcher = InMemoryDispatcher(workers=1)
+    _, end = watch(dispatcher)
     end.pipe.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     for _ in range(int(SILENCE / 100.0) + 1):
         end.pipe.send(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
-        desk.advance(100.0)
-    assert not end.pipe.open and desk.exchange.knows_workers
-    desk.advance(300.0)
-    assert desk.dials
+        dispatcher.advance(100.0)
+    assert not end.pipe.open and dispatcher.exchange.knows_workers
+    dispatcher.advance(300.0)
+    assert dispatcher.dials
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -11,7 +11,15 @@
 from contextlib import suppress
 
 import pytest
-from support.processes import ROOT, Answering, Source, ask, known, running_program, told
+from support.processes import (
+    ROOT,
+    AnsweringWorker,
+    DiscoveryServer,
+    ask,
+    endpoint_list,
+    program_config,
+    running_program,
+)
 
 from eiderfield.config import read
 from eiderfield.lab.ports import free_port
@@ -22,7 +30,7 @@
 LONG = 30_000.0  # ms: a grace that no test waits for
 
 
-class Counting(Answering):
+class CountingWorker(AnsweringWorker):
     """A worker that knows whether it was asked."""
 
     def __init__(self):
@@ -33,7 +41,7 @@
         self.asked.set()
 
 
-class Held(Source):
+class HeldDiscoveryServer(DiscoveryServer):
     """A discovery that tells its list once it is let; the first of its workers drains."""
 
     def __init__(self, worker, *others):
@@ -56,9 +64,11 @@
 
 def test_nobody_is_served_from_a_known_list_before_the_agent_was_asked(tmp_path):
     """What the agent holds counts as told from the first moment; the list in the configuration is older."""
-    draining, ready, port = Counting(), Counting(), free_port()
-    source, path = Held(draining.port, ready.port), tmp_path / "config.json"
-    path.write_text(json.dumps(told(port, f"127.0.0.1:{source.port}", known=known(draining.port))))
+    draining, ready, port = CountingWorker(), CountingWorker(), free_port()
+    source, path = HeldDiscoveryServer(draining.port, ready.port), tmp_path / "config.json"
+    path.write_text(
+        json.dumps(program_config(port, f"127.0.0.1:{source.port}", known=endpoint_list(draining.port)))
+    )
     with running_program(path, wait=False) as process:
         assert b"watch=1" in source.asked.get(timeout=30)
         with pytest.raises(ConnectionRefusedError):
@@ -71,9 +81,9 @@
 
 
 def test_a_silent_agent_delays_a_start_for_the_grace_of_a_drain_and_no_longer(tmp_path):
-    worker, port, path = Counting(), free_port(), tmp_path / "config.json"
-    source = Held(worker.port)
-    config = told(port, f"127.0.0.1:{source.port}", grace=200.0, known=known(worker.port))
+    worker, port, path = CountingWorker(), free_port(), tmp_path / "config.json"
+    source = HeldDiscoveryServer(worker.port)
+    config = program_config(port, f"127.0.0.1:{source.port}", grace=200.0, known=endpoint_list(worker.port))
     path.write_text(json.dumps(config))
     with running_program(path), socket.create_connection(("127.0.0.1", port)) as sock:
         assert ask(sock, JOB) == (200, b"cba")
@@ -82,7 +92,7 @@
 
 def test_a_long_grace_does_not_keep_a_process_from_being_ready(monkeypatch):
     """A grace of 30 s and a silent agent made a start of 30 s, which counts as a crash."""
-    config = read(told(free_port(), "127.0.0.1:9", known=known(8080)), {})
+    config = read(program_config(free_port(), "127.0.0.1:9", known=endpoint_list(8080)), {})
     waits, loop = [], asyncio.new_event_loop()
     program = Program(config, loop, lambda: 1e6)
     wheel = program.core.driver.wheel
@@ -93,9 +103,11 @@
 
 
 def test_a_process_that_is_told_to_end_before_it_is_up_ends(tmp_path):
-    worker, port, path = Counting(), free_port(), tmp_path / "config.json"
-    source = Held(worker.port)
-    path.write_text(json.dumps(told(port, f"127.0.0.1:{source.port}", known=known(worker.port))))
+    worker, port, path = CountingWorker(), free_port(), tmp_path / "config.json"
+    source = HeldDiscoveryServer(worker.port)
+    path.write_text(
+        json.dumps(program_config(port, f"127.0.0.1:{source.port}", known=endpoint_list(worker.port)))
+    )
     with running_program(path, wait=False) as process:
         source.asked.get(timeout=30)
         process.send_signal(signal.SIGTERM)
@@ -107,15 +119,15 @@
 def test_a_hang_up_while_the_file_is_read_ends_nothing_and_is_heeded(tmp_path):
     """It came before its handler was there, and ended the process: a crash. The file is a pipe here, so that
     the process stands at reading it."""
-    worker, port, path = Counting(), free_port(), tmp_path / "config.json"
-    old, new = Source(worker.port), Source(worker.port)
+    worker, port, path = CountingWorker(), free_port(), tmp_path / "config.json"
+    old, new = DiscoveryServer(worker.port), DiscoveryServer(worker.port)
     anew = tmp_path / "anew.json"
     os.mkfifo(path)
     with running_program(path, wait=False, LB_DISCOVERY=f"127.0.0.1:{old.port}") as process:
         with open(path, "w") as file:  # it stands at reading it now, and until this is closed
             process.send_signal(signal.SIGHUP)
-            file.write(json.dumps(told(port, f"127.0.0.1:{old.port}")))
-            anew.write_text(json.dumps(told(port, f"127.0.0.1:{new.port}")))
+            file.write(json.dumps(program_config(port, f"127.0.0.1:{old.port}")))
+            anew.write_text(json.dumps(program_config(port, f"127.0.0.1:{new.port}")))
             anew.replace(path)
         assert b"watch=1" in new.asked.get(timeout=30)
         assert "read again" in process.stderr.readline()
@@ -127,9 +139,9 @@
         run = tomllib.load(file)["run"]
     command = run.replace(".venv/bin/python", sys.executable)
     assert command != run and "exec " in run
-    worker, port, path = Counting(), free_port(), tmp_path / "config.json"
-    source = Source(worker.port)
-    path.write_text(json.dumps(told(port, f"127.0.0.1:{source.port}")))
+    worker, port, path = CountingWorker(), free_port(), tmp_path / "config.json"
+    source = DiscoveryServer(worker.port)
+    path.write_text(json.dumps(program_config(port, f"127.0.0.1:{source.port}")))
     with running_program(path, ["sh", "-c", f"kill -HUP $$; {command}"], wait=False) as dead:
         assert dead.wait(30) == -signal.SIGHUP, "without the trap it is the end"
     trap, _, rest = command.partition(";")
@@ -155,9 +167,9 @@
 def test_hang_ups_while_a_start_waits_for_its_list_are_heeded_or_refused(tmp_path):
     """The source it waits for is silent; a faulty file changes nothing, and one that names another source is
     followed there."""
-    worker, port, path = Counting(), free_port(), tmp_path / "config.json"
-    silent, other = Held(worker.port), Source(worker.port)
-    config = told(port, f"127.0.0.1:{silent.port}", known=known(worker.port))
+    worker, port, path = CountingWorker(), free_port(), tmp_path / "config.json"
+    silent, other = HeldDiscoveryServer(worker.port), DiscoveryServer(worker.port)
+    config = program_config(port, f"127.0.0.1:{silent.port}", known=endpoint_list(worker.port))
     path.write_text(json.dumps(config))
     with running_program(path, wait=False) as process:
         assert b"watch=1" in silent.asked.get(timeout=30)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -7,7 +7,7 @@
 
 import pytest
 from support.handover import LISTEN, Side, Wire
-from support.memory_dispatcher import Client, Desk, Pipe
+from support.memory_dispatcher import Client, InMemoryDispatcher, Pipe
 from test_consul import Consul, instance
 from test_handover_messages import recorded
 from test_peers import Tier
@@ -39,14 +39,14 @@
 
     def __init__(self):
         self.stepped = self.start = 0.0
-        self.desk = None
+        self.dispatcher = None
 
-    def runs_with(self, desk):
+    def runs_with(self, dispatcher):
         """Goes on by the clock of a dispatcher."""
-        self.desk, self.start = desk, desk.now
+        self.dispatcher, self.start = dispatcher, dispatcher.now
 
     def __call__(self):
-        elapsed = 0.0 if self.desk is None else self.desk.now - self.start
+        elapsed = 0.0 if self.dispatcher is None else self.dispatcher.now - self.start
         return UNIX + elapsed + self.stepped
 
     def step(self, by):
@@ -58,13 +58,18 @@
 
     def __init__(self, start=9e9, **more):
         self.wall = Wall()
-        self.desk = desk = Desk(workers=0, unix=self.wall, start=start, **more)
-        self.wall.runs_with(desk)
+        self.dispatcher = dispatcher = InMemoryDispatcher(workers=0, unix=self.wall, start=start, **more)
+        self.wall.runs_with(dispatcher)
         self.watch = PlatformWatch(
-            desk.table, desk.wheel, desk.clock, desk.dial, ("127.0.0.1", 1), desk.logged.append
+            dispatcher.table,
+            dispatcher.wheel,
+            dispatcher.clock,
+            dispatcher.dial,
+            ("127.0.0.1", 1),
+            dispatcher.logged.append,
         )
         self.watch.connect()
-        dial = self.desk.dials.pop()
+        dial = self.dispatcher.dials.pop()
         self.pipe = Pipe(dial.connection)
         dial.connection.connection_made(self.pipe)
         self.pipe.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -87,19 +92,19 @@
     def pass_time(self, span):
         """Lets time pass while discovery gives signs of life."""
         while span > 0.0:
-            self.desk.advance(min(span, 1000.0))
+            self.dispatcher.advance(min(span, 1000.0))
             self.beat()
             span -= 1000.0
 
     def _line(self, text):
         self.pipe.send(b"%x\r\n%s\n\r\n" % (len(text) + 1, text))
-        self.desk.settle()
+        self.dispatcher.settle()
 
     def started(self, name):
         """How long ago a worker started, as the policy knows it; None for long ago."""
-        self.desk.settle()
-        worker = self.desk.exchange._module._workers[self.desk.ids.worker(name)]
-        return self.desk.now - worker.entry.ready_at if worker.entry.ready_at > 0.0 else None
+        self.dispatcher.settle()
+        worker = self.dispatcher.exchange._module._workers[self.dispatcher.ids.worker(name)]
+        return self.dispatcher.now - worker.entry.ready_at if worker.entry.ready_at > 0.0 else None
 
 
 @pytest.fixture
@@ -107,7 +112,7 @@
     machine = Machine()
     machine.tell(("old", 0), snapshot=True)
     machine.pass_time(1000.0)
-    machine.desk.advance(1000.0)
+    machine.dispatcher.advance(1000.0)
     return machine
 
 
@@ -157,9 +162,9 @@
 def test_a_step_in_the_middle_of_slow_start_changes_nothing_of_it(machine, step):
     since = machine.wall()
     machine.tell(("new", since))
-    machine.desk.advance(2000.0)
+    machine.dispatcher.advance(2000.0)
     machine.wall.step(step)
-    machine.desk.advance(1000.0)
+    machine.dispatcher.advance(1000.0)
     machine.beat()
     machine.tell(("new", since), ("old", 0))
     assert machine.started("new") == 3000.0 and machine.started("old") is None
@@ -168,9 +173,9 @@
 @steps
 def test_a_start_after_a_step_is_as_old_as_it_is(machine, step):
     machine.wall.step(step)
-    machine.desk.advance(1000.0)
+    machine.dispatcher.advance(1000.0)
     since = machine.wall()
-    machine.desk.advance(400.0)
+    machine.dispatcher.advance(400.0)
     machine.tell(("new", since))
     assert machine.started("new") == pytest.approx(400.0)
 
@@ -178,9 +183,9 @@
 @steps
 def test_a_start_before_a_step_that_is_announced_after_it_is_as_old_as_it_is(machine, step):
     since = machine.wall()
-    machine.desk.advance(500.0)
+    machine.dispatcher.advance(500.0)
     machine.wall.step(step)
-    machine.desk.advance(500.0)
+    machine.dispatcher.advance(500.0)
     machine.tell(("new", since))
     assert machine.started("new") == pytest.approx(1000.0)
 
@@ -206,11 +211,11 @@
 
 
 def test_a_start_in_a_silence_of_discovery_is_as_old_as_it_says(machine):
-    machine.desk.advance(1000.0)
+    machine.dispatcher.advance(1000.0)
     since = machine.wall()
-    machine.desk.advance(7000.0)
-    started = machine.desk.table.starts.started_at(machine.desk.ids.worker("x"), since)
-    assert machine.desk.now - started == 7000.0
+    machine.dispatcher.advance(7000.0)
+    started = machine.dispatcher.table.starts.started_at(machine.dispatcher.ids.worker("x"), since)
+    assert machine.dispatcher.now - started == 7000.0
 
 
 @pytest.mark.parametrize("age", [0.0, 3000.0, HOUR])
@@ -238,32 +243,32 @@
 @steps
 def test_an_instance_of_consul_in_slow_start_stays_so_over_a_step(step):
     wall, consul = Wall(), Consul()
-    desk = consul.desk
-    wall.runs_with(desk)
-    desk.table.starts = StartTimes(desk.clock, WallClock(desk.clock, wall))
+    dispatcher = consul.dispatcher
+    wall.runs_with(dispatcher)
+    dispatcher.table.starts = StartTimes(dispatcher.clock, WallClock(dispatcher.clock, wall))
     consul.answer(7, instance("a", 1))
-    desk.advance(100.0)
+    dispatcher.advance(100.0)
     since = str(wall())
     consul.answer(8, instance("a", 1), instance("b", 2, since_ms=since), instance("c", 3))
-    desk.advance(1000.0)
+    dispatcher.advance(1000.0)
     wall.step(step)
     consul.answer(9, instance("a", 1), instance("b", 2, since_ms=since), instance("c", 3))
-    workers = desk.exchange._module._workers.values()
-    ages = {desk.ids.name(w.entry.worker): desk.now - w.entry.ready_at for w in workers}
+    workers = dispatcher.exchange._module._workers.values()
+    ages = {dispatcher.ids.name(w.entry.worker): dispatcher.now - w.entry.ready_at for w in workers}
     assert ages["n/b"] == pytest.approx(1000.0) and ages["n/c"] == pytest.approx(1000.0)
 
 
 @pytest.mark.parametrize("off", [-HOUR, HOUR])
 def test_an_instance_of_consul_that_is_new_starts_neither_ahead_nor_an_hour_ago(off):
     wall, consul = Wall(), Consul()
-    desk = consul.desk
-    wall.runs_with(desk)
-    desk.table.starts = StartTimes(desk.clock, WallClock(desk.clock, wall))
+    dispatcher = consul.dispatcher
+    wall.runs_with(dispatcher)
+    dispatcher.table.starts = StartTimes(dispatcher.clock, WallClock(dispatcher.clock, wall))
     consul.answer(7, instance("a", 1))
-    desk.advance(100.0)
+    dispatcher.advance(100.0)
     consul.answer(8, instance("a", 1), instance("b", 2, since_ms=str(wall() + off)))
-    worker = desk.exchange._module._workers[desk.ids.worker("n/b")]
-    assert worker.entry.ready_at == desk.now
+    worker = dispatcher.exchange._module._workers[dispatcher.ids.worker("n/b")]
+    assert worker.entry.ready_at == dispatcher.now
 
 
 # Bans.
@@ -273,14 +278,14 @@
 def test_a_step_in_the_middle_of_a_ban_hides_no_start(machine, step):
     """The worker is restarted while it is banned, which discovery has not told when the ban is lifted."""
     machine.tell(("w", machine.wall()))
-    machine.desk.advance(500.0)
-    machine.desk.table.ban("w")
-    machine.desk.advance(500.0)
+    machine.dispatcher.advance(500.0)
+    machine.dispatcher.table.ban("w")
+    machine.dispatcher.advance(500.0)
     machine.wall.step(step)
     machine.pass_time(COLD)
-    machine.desk.table.unban("w")
+    machine.dispatcher.table.unban("w")
     assert machine.started("w") == 0.0
-    machine.desk.advance(1000.0)
+    machine.dispatcher.advance(1000.0)
     machine.tell(("w", machine.wall() - 1500.0))
     assert machine.started("w") == pytest.approx(1500.0), "discovery has told of the start by now"
 
@@ -290,16 +295,16 @@
     first = Machine(bans=tmp_path / "bans.json")
     started = first.wall()
     first.tell(("w", started), snapshot=True)
-    first.desk.advance(1000.0)
-    assert first.desk.table.ban("w")
+    first.dispatcher.advance(1000.0)
+    assert first.dispatcher.table.ban("w")
     stored = json.loads((tmp_path / "bans.json").read_text())
     assert stored == {"banned": {"w": started + 1000.0}}, "the file holds Unix time"
     second = Machine(bans=tmp_path / "bans.json", start=77e9)
     second.wall.step(step)
     second.tell(("w", started), snapshot=True)
-    entry = second.desk.exchange._table[second.desk.ids.worker("w")]
+    entry = second.dispatcher.exchange._table[second.dispatcher.ids.worker("w")]
     assert entry == State.DRAINING
-    second.desk.table.unban("w")
+    second.dispatcher.table.unban("w")
     assert second.started("w") == 0.0
 
 
@@ -308,16 +313,16 @@
 
 @steps
 def test_a_step_amid_waits_and_deadlines_moves_none_of_them(machine, step):
-    desk = machine.desk
+    dispatcher = machine.dispatcher
     machine.tell(("w", 0), snapshot=True)
-    client = desk.client(id_="r1", wait=1000)
-    end = desk.dials[0].up()
+    client = dispatcher.client(id_="r1", wait=1000)
+    end = dispatcher.dials[0].up()
     assert end.take() == ["r1"]
     machine.wall.step(step)
-    desk.advance(900.0)
+    dispatcher.advance(900.0)
     assert not client.answers() and client.pipe.open
-    second = desk.client(id_="r2", wait=1000)
-    desk.advance(200.0)
+    second = dispatcher.client(id_="r2", wait=1000)
+    dispatcher.advance(200.0)
     assert client.answers()[0][0] in (502, 503)
     assert not second.answers()
 
@@ -325,9 +330,9 @@
 @steps
 def test_a_step_makes_no_watch_silent_and_keeps_none_that_is(machine, step):
     machine.wall.step(step)
-    machine.desk.advance(1000.0)
+    machine.dispatcher.advance(1000.0)
     assert machine.pipe.open
-    machine.desk.advance(2000.0)
+    machine.dispatcher.advance(2000.0)
     assert not machine.pipe.open
 
 
@@ -340,17 +345,17 @@
     def __init__(self, step):
         self.wall = Wall()
         self.old = Side(workers=0, unix=self.wall)
-        self.wall.runs_with(self.old.desk)
+        self.wall.runs_with(self.old.dispatcher)
         self.step = step
-        desk = self.old.desk
+        dispatcher = self.old.dispatcher
         self.since = self.wall()
         endpoints = [
             {"name": "slow", "address": "127.0.0.1:1", "status": "SERVING", "since_ms": self.since},
             {"name": "banned", "address": "127.0.0.1:2", "status": "SERVING", "since_ms": self.since},
         ]
         self.list = {"index": 4, "snapshot": True, "endpoints": endpoints}
-        desk.table.load(self.list)
-        desk.settle()
+        dispatcher.table.load(self.list)
+        dispatcher.settle()
 
     def go(self):
         """The wall clock is stepped, and a new process takes over."""
@@ -366,15 +371,15 @@
 
     def talk(self):
         while sum([wire.deliver() for wire in self.wires]):
-            self.old.desk.settle()
-            self.new.desk.settle()
+            self.old.dispatcher.settle()
+            self.new.dispatcher.settle()
 
     def module(self):
-        return self.new.desk.exchange._module
+        return self.new.dispatcher.exchange._module
 
     def age(self, at):
         """How long ago a time of the new process is."""
-        return self.new.desk.now - at
+        return self.new.dispatcher.now - at
 
 
 @pytest.fixture(params=STEPS)
@@ -384,7 +389,7 @@
 
 def test_what_the_policy_learnt_keeps_its_age_over_a_step_between_two_starts(takeover):
     """A pacer would have waited an hour, or a worker in slow start have been sent its work twice."""
-    old = takeover.old.desk
+    old = takeover.old.dispatcher
     old.advance(500.0)
     module = old.exchange._module
     module._pacers[0].rate, module._pacers[0].next_at = 4.0, old.now + 250.0
@@ -398,22 +403,22 @@
 
 
 def test_slow_start_goes_on_over_a_step_between_two_starts(takeover):
-    takeover.old.desk.advance(3000.0)
+    takeover.old.dispatcher.advance(3000.0)
     heir = takeover.go().module()
-    worker = heir._workers[takeover.old.desk.ids.worker("slow")]
+    worker = heir._workers[takeover.old.dispatcher.ids.worker("slow")]
     assert takeover.age(worker.entry.ready_at) == pytest.approx(3000.0)
-    takeover.new.desk.table.load(takeover.list)
-    takeover.new.desk.settle()
+    takeover.new.dispatcher.table.load(takeover.list)
+    takeover.new.dispatcher.settle()
     assert takeover.age(worker.entry.ready_at) == pytest.approx(3000.0), "discovery's list changes nothing"
 
 
 def test_a_start_that_is_first_announced_after_the_handover_did_not_happen_an_hour_ago():
     """The process before has heard discovery a moment ago, so that the worker cannot have been there long."""
     takeover = Takeover(HOUR)
-    takeover.old.desk.table.starts.source_heard()
+    takeover.old.dispatcher.table.starts.source_heard()
     since = takeover.wall()
-    takeover.old.desk.advance(500.0)
-    new = takeover.go().new.desk
+    takeover.old.dispatcher.advance(500.0)
+    new = takeover.go().new.dispatcher
     endpoint = {"name": "new", "address": "127.0.0.1:3", "status": "SERVING", "since_ms": since}
     new.table.load({"index": 5, "snapshot": False, "endpoints": [endpoint]})
     new.settle()
@@ -422,11 +427,11 @@
 
 
 def test_a_ban_keeps_its_place_over_a_step_between_two_starts(takeover):
-    old = takeover.old.desk
+    old = takeover.old.dispatcher
     old.advance(1000.0)
     old.table.ban("banned")
     old.advance(1000.0)
-    new = takeover.go().new.desk
+    new = takeover.go().new.dispatcher
     assert takeover.age(new.table.bans.since["banned"]) == pytest.approx(1000.0)
     new.advance(COLD)
     new.table.unban("banned")
@@ -436,25 +441,25 @@
 
 
 def test_a_lifted_ban_keeps_its_age_over_a_step_between_two_starts(takeover):
-    old = takeover.old.desk
+    old = takeover.old.dispatcher
     old.advance(1000.0)
     old.table.ban("banned")
     old.advance(500.0)
     old.table.unban("banned")
     old.advance(200.0)
-    new = takeover.go().new.desk
+    new = takeover.go().new.dispatcher
     entry = takeover.module()._workers[new.ids.worker("banned")].entry
     assert takeover.age(entry.ready_at) == pytest.approx(200.0)
 
 
 def test_a_ban_during_the_handover_is_told_by_its_age(takeover):
     takeover.go()
-    takeover.old.desk.table.ban("slow")
-    takeover.new.desk.table.ban("banned")
+    takeover.old.dispatcher.table.ban("slow")
+    takeover.new.dispatcher.table.ban("banned")
     takeover.talk()
-    assert takeover.age(takeover.new.desk.table.bans.since["slow"]) == pytest.approx(0.0)
-    since = takeover.old.desk.table.bans.since["banned"]
-    assert takeover.old.desk.now - since == pytest.approx(0.0)
+    assert takeover.age(takeover.new.dispatcher.table.bans.since["slow"]) == pytest.approx(0.0)
+    since = takeover.old.dispatcher.table.bans.since["banned"]
+    assert takeover.old.dispatcher.now - since == pytest.approx(0.0)
 
 
 class Process:
@@ -524,10 +529,10 @@
     """Its clock is that of its start: it would be taken for warm after a step forward."""
     process = Process(lambda: STATE_AT + step, 9e9)
     table = process.codec.decode(recorded("state")[0]).table
-    desk = Desk(workers=0, unix=lambda: STATE_AT + step, start=process.now)
-    desk.table.take_over(table, {})
-    desk.settle()
-    worker = desk.exchange._module._workers[desk.ids.worker("w3")]
+    dispatcher = InMemoryDispatcher(workers=0, unix=lambda: STATE_AT + step, start=process.now)
+    dispatcher.table.take_over(table, {})
+    dispatcher.settle()
+    worker = dispatcher.exchange._module._workers[dispatcher.ids.worker("w3")]
     assert process.now - worker.entry.ready_at == 140.0
 
 
@@ -538,10 +543,10 @@
     for endpoint in message["table"]["endpoints"]:
         endpoint["since_ms"] = unix - 100.0
     process = Process(lambda: unix, 9e9)
-    desk = Desk(workers=0, unix=lambda: unix, start=process.now)
-    desk.table.take_over(process.codec.decode(message).table, {})
-    desk.settle()
-    worker = desk.exchange._module._workers[desk.ids.worker("w3")]
+    dispatcher = InMemoryDispatcher(workers=0, unix=lambda: unix, start=process.now)
+    dispatcher.table.take_over(process.codec.decode(message).table, {})
+    dispatcher.settle()
+    worker = dispatcher.exchange._module._workers[dispatcher.ids.worker("w3")]
     assert process.now - worker.entry.ready_at == 100.0
 
 
@@ -577,9 +582,9 @@
 def test_731b84e_is_told_of_starts_as_discovery_announced_them(step):
     """Told otherwise, it would take discovery's next list for a new start of each worker."""
     takeover = Takeover(step)
-    takeover.old.desk.advance(500.0)
+    takeover.old.dispatcher.advance(500.0)
     takeover.wall.step(step)
-    state = takeover.old.desk.table.state()
+    state = takeover.old.dispatcher.table.state()
     assert [endpoint.since_ms for endpoint in state.endpoints] == [takeover.since] * 2
 
 
@@ -628,27 +633,31 @@
 @steps
 def test_the_status_of_a_batch_job_shows_the_time_of_day_and_its_age_is_kept(step):
     wall = Wall()
-    desk = Desk(unix=wall)
-    wall.runs_with(desk)
-    registry = JobRegistry(desk.exchange, desk.clock, "n0", RegistryLimits(100, 10, 60_000.0, 1 << 20))
-    listener = Listener(BatchFront(registry, None, desk.wall.to_unix), desk.wheel, desk.clock, 50)
-    client = Client(desk, listener)
+    dispatcher = InMemoryDispatcher(unix=wall)
+    wall.runs_with(dispatcher)
+    registry = JobRegistry(
+        dispatcher.exchange, dispatcher.clock, "n0", RegistryLimits(100, 10, 60_000.0, 1 << 20)
+    )
+    listener = Listener(
+        BatchFront(registry, None, dispatcher.wall.to_unix), dispatcher.wheel, dispatcher.clock, 50
+    )
+    client = Client(dispatcher, listener)
     [(_, _, body)] = client.ask("POST", "/v1/jobs", {"jobClass": "safe"})
     job = json.loads(body)["jobId"]
-    desk.advance(100.0)
+    dispatcher.advance(100.0)
     wall.step(step)
     [(_, _, body)] = client.ask("GET", f"/v1/jobs/{job}")
     assert json.loads(body)["submittedMs"] == int(wall() - 100.0)
-    desk.dials[0].up().finish()
-    desk.advance(59_000.0)
+    dispatcher.dials[0].up().finish()
+    dispatcher.advance(59_000.0)
     assert registry.known == 1
-    desk.advance(2_000.0)
+    dispatcher.advance(2_000.0)
     registry.run_job(JobTemplate("safe", subject="x"))
     assert registry.known == 1, "the finished one is forgotten by its age"
 
 
 def test_names_of_batch_jobs_do_not_return_if_a_clock_shows_the_same_time_again():
-    desk = Desk()
+    dispatcher = InMemoryDispatcher()
     limits = RegistryLimits(9, 9, 1.0, 99)
-    names = {JobRegistry(desk.exchange, desk.clock, "n0", limits)._id_prefix for _ in range(3)}
+    names = {JobRegistry(dispatcher.exchange, dispatcher.clock, "n0", limits)._id_prefix for _ in range(3)}
     assert len(names) == 3
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from support.memory_dispatcher import SITE, Desk
+from support.memory_dispatcher import SITE, InMemoryDispatcher
 
 from eiderfield.net.loop import Driver
 
@@ -18,39 +18,39 @@
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
-def renamed(desk, port):
+def renamed(dispatcher, port):
     """The list names worker 1 again, elsewhere."""
-    desk.index += 1
+    dispatcher.index += 1
     entry = {"name": "w1", "address": f"127.0.0.1:{port}", "status": "SERVING", "since_ms": 0}
-    desk.table.load({"index": desk.index, "snapshot": False, "endpoints": [entry]})
-    desk.settle()
+    dispatcher.table.load({"index": dispatcher.index, "snapshot": False, "endpoints": [entry]})
+    dispatcher.settle()
 
 
 @pytest.mark.parametrize("dropped", [False, True])
 def test_a_worker_that_is_named_again_elsewhere_is_not_dialled_at_its_old_place(dropped):
     """Whoever listens there by now is somebody else."""
-    desk = Desk(workers=1)
-    client = desk.client(path="/unsafe/a")
-    [old] = desk.dials
+    dispatcher = InMemoryDispatcher(workers=1)
+    client = dispatcher.client(path="/unsafe/a")
+    [old] = dispatcher.dials
     if dropped:
         gone = {"name": "w1", "status": "DELETED"}
-        desk.table.load({"index": 8, "snapshot": False, "endpoints": [gone]})
-    renamed(desk, 77)
+        dispatcher.table.load({"index": 8, "snapshot": False, "endpoints": [gone]})
+    renamed(dispatcher, 77)
     assert old.cancelled
-    desk.advance(50.0)
-    [new] = desk.dials
+    dispatcher.advance(50.0)
+    [new] = dispatcher.dials
     assert new.address == ("127.0.0.1", 77)
     new.up().finish()
     assert client.answers()[0][0] == 200
 
 
 def test_a_connection_that_comes_up_after_its_attempt_was_given_up_carries_nothing():
-    desk = Desk(workers=1)
-    client = desk.client()
-    [dial] = desk.dials
+    dispatcher = InMemoryDispatcher(workers=1)
+    client = dispatcher.client()
+    [dial] = dispatcher.dials
     client.pipe.break_off()
-    desk.settle()
-    desk.dials.append(dial)  # it came up in the moment in which it was called off
+    dispatcher.settle()
+    dispatcher.dials.append(dial)  # it came up in the moment in which it was called off
     end = dial.up()
     assert not end.pipe.open and not end.pipe.written
 
@@ -58,24 +58,24 @@
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a"])
 @pytest.mark.parametrize("half", [b"", b'20\r\n{"id": "r1", "state"', b'5\r\n{"id"\r\n'])
 def test_half_an_answer_and_then_a_reset_serves_nothing(path, half):
-    desk = Desk(workers=2)
-    client = desk.client(path=path)
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=2)
+    client = dispatcher.client(path=path)
+    end = dispatcher.dials[0].up()
     end.take()
     end.pipe.send(HEAD + line("r1", state="started") + half)
     end.pipe.break_off()
-    desk.settle()
-    desk.advance(50.0)
+    dispatcher.settle()
+    dispatcher.advance(50.0)
     if path == "/safe/a":
-        assert not client.answers() and len(desk.dials) == 1, "it may be sent again"
+        assert not client.answers() and len(dispatcher.dials) == 1, "it may be sent again"
     else:
-        assert client.answers()[0][0] == 502 and not desk.dials, "it may have run"
+        assert client.answers()[0][0] == 502 and not dispatcher.dials, "it may have run"
 
 
 def test_a_second_answer_on_a_connection_that_rests_closes_it():
-    desk = Desk(workers=1)
-    client = desk.client()
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=1)
+    client = dispatcher.client()
+    end = dispatcher.dials[0].up()
     end.finish()
     assert client.answers()[0][0] == 200 and end.pipe.open
     end.pipe.send(HEAD + line("r1", state="done", result="again") + b"0\r\n\r\n")
@@ -83,30 +83,30 @@
 
 
 def test_a_second_answer_that_comes_under_the_next_request_is_never_its_answer():
-    desk = Desk(workers=1)
-    first = desk.client()
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=1)
+    first = dispatcher.client()
+    end = dispatcher.dials[0].up()
     end.finish()
     assert first.answers()[0][0] == 200
-    second = desk.client(id_="r2")
+    second = dispatcher.client(id_="r2")
     assert end.take() == ["r2"]
     end.pipe.send(HEAD + line("r1", state="done", result="again") + b"0\r\n\r\n")
-    desk.settle()
+    dispatcher.settle()
     assert not end.pipe.open and not second.answers()
-    assert any("cannot be used: a line is not about" in text for text in desk.logged)
+    assert any("cannot be used: a line is not about" in text for text in dispatcher.logged)
 
 
 @pytest.mark.parametrize("endless", [b"x" * 4000, line("r1", state="running", share=0.5), b"1\r\n\n\r\n"])
 def test_an_answer_without_end_is_bounded_by_its_length_or_the_clients_time(endless):
-    desk = Desk(workers=1)
-    client = desk.client(path="/unsafe/a", wait=2000)
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=1)
+    client = dispatcher.client(path="/unsafe/a", wait=2000)
+    end = dispatcher.dials[0].up()
     end.take()
     end.pipe.send(HEAD)
     for _ in range(200):
         if end.pipe.open:
             end.pipe.send(b"fa0\r\n%s\r\n" % endless if endless[:1] == b"x" else endless)
-        desk.advance(11.0)
+        dispatcher.advance(11.0)
     assert not end.pipe.open and client.answers()[0][0] == 502
 
 
@@ -127,32 +127,32 @@
         def finish(self, job, answer):
             job.answer(answer)
 
-    desk = Desk(workers=1)
-    desk.exchange.custodian = claiming = Claiming()
-    front = desk.listener.front
-    submit = desk.exchange.submit
-    desk.exchange.submit = lambda request, answer, **more: submit(request, answer, kept=True, **more)
+    dispatcher = InMemoryDispatcher(workers=1)
+    dispatcher.exchange.custodian = claiming = Claiming()
+    front = dispatcher.listener.front
+    submit = dispatcher.exchange.submit
+    dispatcher.exchange.submit = lambda request, answer, **more: submit(request, answer, kept=True, **more)
     assert front is not None
-    desk.client()
-    desk.tell((1, "DRAINING"))
+    dispatcher.client()
+    dispatcher.tell((1, "DRAINING"))
     claiming.go(True)
-    desk.settle()
-    for dial in list(desk.dials):
+    dispatcher.settle()
+    for dial in list(dispatcher.dials):
         end = dial.up()
         assert end.take() == [] and not end.pipe.written
 
 
 @pytest.mark.parametrize("tail", [b"0\r\n\r\n", b'5\r\n{"id"\r\n0\r\n\r\n', b"2\r\n{\n\r\n0\r\n\r\n"])
 def test_an_answer_that_ends_before_its_last_line_is_no_answer_and_is_logged(tail):
-    desk = Desk(workers=1)
-    client = desk.client(path="/unsafe/a")
-    end = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=1)
+    client = dispatcher.client(path="/unsafe/a")
+    end = dispatcher.dials[0].up()
     end.take()
     end.pipe.send(HEAD + line("r1", state="started") + tail)
-    desk.settle()
+    dispatcher.settle()
     assert client.answers()[0][0] == 502 and not end.pipe.open
-    assert desk.exchange.spoilt_answers == 1
-    assert "an answer cannot be used: " in desk.logged[-1]
+    assert dispatcher.exchange.spoilt_answers == 1
+    assert "an answer cannot be used: " in dispatcher.logged[-1]
 
 
 @pytest.mark.parametrize(("faults", "failed"), [
@@ -193,58 +193,58 @@
     assert not heard
 
 
-def may_hedge(desk, id_="r1"):
+def may_hedge(dispatcher, id_="r1"):
     """A request whose first attempt has started and fallen silent, and the hedged request's connection."""
-    client = desk.client(id_=id_)
-    first = desk.dials[0].up()
+    client = dispatcher.client(id_=id_)
+    first = dispatcher.dials[0].up()
     first.take()
     first.say({"id": id_, "from": "w", "state": "started"})
-    while not desk.dials:
-        desk.advance(20.0)
+    while not dispatcher.dials:
+        dispatcher.advance(20.0)
     return client, first
 
 
 @pytest.mark.parametrize("fault", ["refused", "reset", "500", "handed back"])
 def test_a_hedged_request_that_fails_at_once_leaves_the_first_attempt_its_answer(fault):
-    desk = Desk(replace(SITE, may_copy=True, progress=100.0), workers=2)
-    client, first = may_hedge(desk)
+    dispatcher = InMemoryDispatcher(replace(SITE, may_copy=True, progress=100.0), workers=2)
+    client, first = may_hedge(dispatcher)
     if fault == "refused":
-        desk.dials[0].refuse()
+        dispatcher.dials[0].refuse()
     else:
-        second = desk.dials[0].up()
+        second = dispatcher.dials[0].up()
         second.take()
         if fault == "reset":
             second.pipe.break_off()
-            desk.settle()
+            dispatcher.settle()
         else:
             second.status(500 if fault == "500" else 503, **({} if fault == "500" else {"X_Not_Run": "1"}))
     assert first.pipe.open and not client.answers()
     first.say({"id": "r1", "from": "w", "state": "done", "result": "first"}, head=False, end=True)
     assert [(status, body) for status, _, body in client.answers()] == [(200, b"first")]
-    desk.advance(1000.0)
-    assert not client.answers() and not desk.dials and not desk.exchange.unanswered
+    dispatcher.advance(1000.0)
+    assert not client.answers() and not dispatcher.dials and not dispatcher.exchange.unanswered
 
 
 def test_a_hedged_request_and_the_first_attempt_that_fail_in_one_turn_end_in_one_answer():
-    desk = Desk(replace(SITE, may_copy=True, progress=100.0, max_attempts=2), workers=2)
-    client, first = may_hedge(desk)
-    second = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(replace(SITE, may_copy=True, progress=100.0, max_attempts=2), workers=2)
+    client, first = may_hedge(dispatcher)
+    second = dispatcher.dials[0].up()
     second.take()
     first.pipe.break_off()
     second.pipe.break_off()
-    desk.settle()
-    desk.advance(6000.0)
+    dispatcher.settle()
+    dispatcher.advance(6000.0)
     assert [status for status, *_ in client.answers()] == [503], "safe, so that a rejection does no harm"
-    assert not desk.exchange.unanswered
+    assert not dispatcher.exchange.unanswered
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a", "/keyed/a"])
 @pytest.mark.parametrize("fault", ["refused", "handed back", "500", "reset"])
 def test_retries_that_fail_at_once_end_in_one_answer_within_the_attempts_allowed(path, fault):
-    desk = Desk(workers=2)
-    client = desk.client(path=path, Idempotency_Key="k")
+    dispatcher = InMemoryDispatcher(workers=2)
+    client = dispatcher.client(path=path, Idempotency_Key="k")
     for _ in range(3 * SITE.max_attempts):
-        for dial in list(desk.dials):
+        for dial in list(dispatcher.dials):
             if fault == "refused":
                 dial.refuse()
                 continue
@@ -252,19 +252,19 @@
             end.take()
             if fault == "reset":
                 end.pipe.break_off()
-                desk.settle()
+                dispatcher.settle()
             else:
                 end.status(500 if fault == "500" else 503, **({} if fault == "500" else {"X_Not_Run": "1"}))
-        for end in desk.ends:
+        for end in dispatcher.ends:
             if end.pipe.open and end.take():
                 end.status(500 if fault == "500" else 503, **({} if fault == "500" else {"X_Not_Run": "1"}))
-        desk.advance(500.0)
+        dispatcher.advance(500.0)
     [(status, *_)] = client.answers()
     ran = fault in ("500", "reset")
     assert status == (502 if path == "/unsafe/a" and ran else 503)
-    came = sum(len(end.came) for end in desk.ends)
+    came = sum(len(end.came) for end in dispatcher.ends)
     assert came <= (1 if path == "/unsafe/a" and ran else SITE.max_attempts)
-    assert not desk.exchange.unanswered
+    assert not dispatcher.exchange.unanswered
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/keyed/a", "/unsafe/a"])
@@ -272,27 +272,27 @@
 @pytest.mark.parametrize("quiet", [10.0, 5000.0])
 def test_a_worker_that_has_let_go_of_an_idle_connection_costs_no_answer(path, how, quiet):
     """Closed or reset, it is not used again; forgotten, it is reset by the request that is written to it."""
-    desk = Desk(workers=1)
-    first = desk.client(path=path, Idempotency_Key="k1")
-    kept = desk.dials[0].up()
+    dispatcher = InMemoryDispatcher(workers=1)
+    first = dispatcher.client(path=path, Idempotency_Key="k1")
+    kept = dispatcher.dials[0].up()
     kept.finish()
     assert first.answers()[0][0] == 200
-    desk.advance(quiet)
+    dispatcher.advance(quiet)
     if how == "closes":
         kept.connection.eof_received()
     elif how == "resets":
         kept.pipe.break_off()
-    client = desk.client(path=path, id_="r2", Idempotency_Key="k2")
+    client = dispatcher.client(path=path, id_="r2", Idempotency_Key="k2")
     if how == "forgets":
         assert kept.take() == ["r2"]
         kept.pipe.break_off()
-        desk.settle()
-        desk.advance(250.0)
+        dispatcher.settle()
+        dispatcher.advance(250.0)
     else:
         assert "r2" not in kept.came
     if how == "forgets" and path == "/unsafe/a":
         assert [status for status, *_ in client.answers()] == [502], "it may have run"
         return
-    [dial] = desk.dials
+    [dial] = dispatcher.dials
     dial.up().finish()
     assert [status for status, *_ in client.answers()] == [200]
