--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import importlib
+import pkgutil
 import signal
 import tempfile
 from pathlib import Path
@@ -9,9 +11,22 @@
 import pytest
 from support.policy import Node
 
+import eiderfield
+
 pytest_plugins = ["support.known_red", "support.schedule"]
 
 
+def pytest_configure() -> None:
+    """Imports the whole package before the first test.
+
+    hypothesis draws from the constants of all modules of the project that are loaded when it first needs
+    some: with a package loaded in part, the examples of one test would depend on which others ran before it.
+    """
+    for module in pkgutil.walk_packages(eiderfield.__path__, "eiderfield."):
+        if not module.name.endswith("__main__"):
+            importlib.import_module(module.name)
+
+
 @pytest.fixture(scope="session", autouse=True)
 def signals_as_a_shell_leaves_them() -> None:
     """Hang-ups end a process, also where the tests run under `nohup`: what they start inherits that."""
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -71,7 +71,9 @@
             self.go()
 
     def kill(self, which):
-        """The new process (1) or the old one (0) dies: the kernel closes what it alone holds."""
+        """The new process (1) or the old one (0) dies.
+
+        The kernel closes what it alone holds, and still delivers what it had sent."""
         dead = self.harnesses[which]
         self.wires[which].close()
         dead.listener.parking.on_departure = lambda keys: None
@@ -80,6 +82,7 @@
         dead.listener.close()
         dead.turn()
         self.harnesses = [harness for harness in self.harnesses if harness is not dead]
+        self.wires[which].deliver()
         self.wires[1 - which].lost()
 
     def close(self):
@@ -255,6 +258,20 @@
     removal.close()
 
 
+def test_a_client_whose_message_a_killed_process_had_read_is_closed():
+    """The new process says that a connection is its own alone before it reads a byte of it; the old one
+    hears of that and does not keep its copy open for a message that nobody has."""
+    removal = Removal(12)
+    removal.settle()
+    removal.clients[0].send(message("r1"))
+    removal.new.turn(4)
+    removal.kill(1)
+    removal.settle()
+    assert [client.open for client in removal.clients] == [False] + 11 * [True]
+    assert asked(removal, removal.clients[1], "r2") == [200]
+    removal.close()
+
+
 class Passing(RuleBasedStateMachine):
     """Phones speak while they pass on, at any step of it, and the new process may die: each message that was
     sent is answered once, unless its connection was being read by a process that died."""
