--- /dev/null
+++ b/tests/test_recorded_decisions.py
@@ -0,0 +1,77 @@
+"""The decisions of seeded event sequences, as they were before the decisions became a package.
+
+A digest covers every action in its order, in the simulator's wire form with the expected work of each attempt,
+so that it outlasts names. A change of behaviour that is meant changes digests: the commit says which, and why.
+"""
+
+import hashlib
+import random
+import struct
+from dataclasses import replace
+
+import pytest
+from support.policy import BASE
+from support.random_events import VARIANTS, World
+from support.simulated_fleet import Fleet
+
+from eiderfield.interface import Send
+from eiderfield.wire import encode
+
+PROBING = replace(BASE, tells_start=False, may_probe=True, report_fields=("x0",), balancers=40)
+SITES = {
+    **VARIANTS,
+    "reports and probes": PROBING,
+    "peers": replace(BASE, may_tell=True, balancers=6, progress=40.0),
+    "many": replace(BASE, balancers=40, me=3, may_copy=False, progress=40.0, cross_zone_price=0.1),
+}
+WORLDS = {
+    "plain": "723a652a94ca8dc5",
+    "cells": "f3e3b60bbec901fd",
+    "zones": "bf21452e8946d67c",
+    "all unsafe": "ef0d67957a1c296d",
+    "nothing offered": "cdf86866df3f0a4a",
+    "no copies": "cb667098f9845649",
+    "tenants": "fe1aeca224391cc6",
+    "reports and probes": "886776793b4fce76",
+    "peers": "44c24b4554486262",
+    "many": "b299f776fc1711c4",
+}
+FLEETS = {(4, 12): "a027f7bd3630faf5", (12, 24): "fe1cd6a9f2887527"}
+
+
+def record(digest, dispatcher, number=0):
+    """Feeds each action of a dispatcher to a digest."""
+    real = dispatcher.handle
+
+    def handle(now, events):
+        actions = real(now, events)
+        for action in actions:
+            work = struct.pack("<d", action.work) if isinstance(action, Send) else b""
+            digest.update(struct.pack("<d", now) + encode(number, action) + work)
+        return actions
+
+    dispatcher.handle = handle
+
+
+@pytest.mark.parametrize("variant", WORLDS)
+def test_decisions_under_drawn_events_are_those_recorded(variant):
+    digest = hashlib.sha256()
+    for seed in range(6):
+        world = World(SITES[variant], random.Random(seed))
+        record(digest, world.node)
+        world.run(250)
+    assert digest.hexdigest()[:16] == WORLDS[variant]
+
+
+@pytest.mark.parametrize("size", FLEETS, ids=str)
+def test_decisions_of_a_simulated_fleet_are_those_recorded(size):
+    nodes, workers = size
+    digest, fleet = hashlib.sha256(), Fleet(nodes, workers, load=0.9)
+    for number, dispatcher in enumerate(fleet.nodes):
+        record(digest, dispatcher, number)
+    fleet.run(3000.0)
+    fleet.fall_silent([1, 2])
+    fleet.run(6000.0)
+    fleet.wake([1, 2])
+    fleet.run(8000.0)
+    assert digest.hexdigest()[:16] == FLEETS[size]
