--- a/eiderfield/adapter.py
+++ b/eiderfield/adapter.py
@@ -5,8 +5,8 @@
 import sys
 from typing import BinaryIO
 
-from eiderfield.decide import Dispatcher
 from eiderfield.interface import Event
+from eiderfield.policy.dispatcher import Dispatcher
 from eiderfield.wire import (
     HEADER,
     Create,
--- a/eiderfield/exchange.py
+++ b/eiderfield/exchange.py
@@ -14,7 +14,6 @@
 from math import log
 from typing import Any, Protocol
 
-from eiderfield.decide import Dispatcher
 from eiderfield.interface import (
     AWAY,
     HELD_UP,
@@ -51,6 +50,7 @@
     Tell,
     Watch,
 )
+from eiderfield.policy.dispatcher import Dispatcher
 
 NAMED = 1000.0  # ms that this process stood still, from which on the log says so
 
--- a/eiderfield/policy/affinity.py
+++ b/eiderfield/policy/affinity.py
@@ -12,12 +12,19 @@
 from __future__ import annotations
 
 from bisect import bisect_left
+from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass
+from math import ceil
 
 from eiderfield.interface import mix, mix_below
 from eiderfield.policy.endpoint import Worker
 
+HOMES = 2  # workers to which the requests of a key go first, at least: one may be busy
+HOME_ROOM = 2.0  # homes of a key, in workers that its share of the requests fills
+HOME_ROOM_OF_MANY = 1.5  # the same where dispatchers are many and call off what waits
+KEY_MEMORY = 5000  # requests with keys that are counted
+KEYS_TOLD = 500  # keys, of those counted, that are told to the next process
 FIRST_KEPT = 12  # workers of an order that are kept at first: two homes, and those that stand in for them
 CHANGES_KEPT = 256  # changes of the list; an order that has missed more is made anew
 
@@ -116,3 +123,39 @@
             else:
                 del order.hashes[index], order.workers[index]
         order.taken_in = self._forgotten + len(self._changes)
+
+
+class KeyCounts:
+    """How many requests there were of each key lately, from which the number of its homes follows."""
+
+    def __init__(self) -> None:
+        self.by_key: Counter[int] = Counter()
+        self.total = 0
+
+    def count(self, key: int) -> bool:
+        """Counts a request; returns whether rare keys were forgotten, or they would fill the memory."""
+        self.by_key[key] += 1
+        self.total += 1
+        if self.total <= KEY_MEMORY:
+            return False
+        self.by_key = Counter({key: number // 2 for key, number in self.by_key.items() if number > 1})
+        self.total = self.by_key.total()
+        return True
+
+    def homes(self, key: int, workers: int, many: bool) -> int:
+        """How many homes a key needs among so many workers (incident ia7713c).
+
+        One of many dispatchers counts it without the request itself: of few requests each would make a
+        rare key hot."""
+        share = (self.by_key[key] - many) / max(1, self.total - many)
+        room = HOME_ROOM_OF_MANY if many else HOME_ROOM
+        return max(HOMES, ceil(room * share * workers))
+
+    def most_common(self) -> list[tuple[int, int]]:
+        """The counts of the keys that the next process should know."""
+        return self.by_key.most_common(KEYS_TOLD)
+
+    def resume(self, counts: Iterable[tuple[int, int]]) -> None:
+        """Goes on from the counts of the process before."""
+        self.by_key.update(dict(counts))
+        self.total = self.by_key.total()
--- /dev/null
+++ b/eiderfield/policy/dispatcher.py
@@ -0,0 +1,557 @@
+"""The dispatcher: takes events in, keeps the ledger of requests and attempts, and decides.
+
+Types, events and actions: `eiderfield/interface.py`; reasons: `docs/design.md`. No clock, no I/O; times: ms.
+
+A request, from its arrival to its one final answer:
+
+    held in the GRB ──> held in its class's SLB ──> out at a worker ──(served)──> answered by its result
+         │                     │    ^                    │
+         │                     │    └────────────────────┘ (failed, called off or silent, and may be retried)
+         └──(shed, or its time ends)──> answered with a refusal if rule 2 allows it, else with a failure
+
+What must never happen: two answers to a request, or none before its client's time ends; an attempt for a
+client that has gone; an attempt that the retry rules, the list or the slow start budget forbid, whoever asked
+for it.
+"""
+
+from __future__ import annotations
+
+import heapq
+import random
+from collections.abc import Callable
+from math import inf
+from typing import Any
+
+from eiderfield.interface import (
+    NEVER_RAN,
+    REPEAT,
+    STARTED,
+    Action,
+    Arrived,
+    Beside,
+    Cancel,
+    ClientGone,
+    CloseIdle,
+    Due,
+    Effect,
+    Ended,
+    Event,
+    Fail,
+    Flowing,
+    Listed,
+    ListKind,
+    Noted,
+    Outcome,
+    PeerSaid,
+    Probed,
+    Refuse,
+    Send,
+    SetTimer,
+    Settings,
+    Snapshot,
+    State,
+    Watch,
+)
+from eiderfield.policy.admission import TenantQuotas, expected_wait, is_full
+from eiderfield.policy.affinity import KeyCounts
+from eiderfield.policy.context import Context
+from eiderfield.policy.endpoint import FAULTY, Worker
+from eiderfield.policy.fleet import Fleet
+from eiderfield.policy.gossip import Gossip
+from eiderfield.policy.load_reports import LoadReports
+from eiderfield.policy.outlier_detection import SILENT_RUNS, OutlierDetector
+from eiderfield.policy.queues import ClassQueue, ClassQueues
+from eiderfield.policy.rate_control import WINDOW_MS
+from eiderfield.policy.request import Attempt, Job
+from eiderfield.policy.retry_rules import RetryBudget, may_refuse, retry_cost
+from eiderfield.policy.selection import EndpointSelector
+from eiderfield.policy.slow_start import SlowStart
+
+LOOK_AGAIN_MS = 200.0  # after which what was full is looked at again: a queue place frees in about that
+PAUSES = 5.0  # waits for which a worker is left to others, at most: one of many never sees all its slots
+MOST_FULL_PAUSES = 2  # pauses after which a worker that says 'full' again and again is asked
+DEADLINE_TICKS = 2.0  # clock ticks before a client's time ends at which its request is answered
+
+
+class Dispatcher:
+    """One dispatcher's decisions. Feed it events in order; carry out the actions it returns in order."""
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        if not settings.classes:
+            raise ValueError("settings.classes is empty")
+        self._now = 0.0
+        self._context = Context(settings, random.Random(seed))
+        self._fleet = Fleet(self._context)
+        self._queues = ClassQueues(settings)
+        self._quotas = TenantQuotas(self._context)
+        self._key_counts = KeyCounts()
+        self._slow_start = SlowStart(self._context, self._fleet)
+        self._reports = LoadReports(self._context, self._fleet)
+        self._gossip = Gossip(self._context, self._fleet)
+        self._retry_budget = RetryBudget()
+        self._outliers = OutlierDetector(self._context, self._fleet, self._give_up)
+        self._selector = EndpointSelector(
+            self._context, self._fleet, self._slow_start, self._reports, self._gossip, self._key_counts
+        )
+        self._jobs: dict[int, Job] = {}
+        self._late_attempts: dict[tuple[int, int], Attempt] = {}  # of answered jobs: still out at a worker
+        self._out = 0  # own attempts out
+        self._deadlines: list[tuple[float, int]] = []  # a heap of times and jobs
+        self._timer_at = 0.0  # when the pending timer fires, 0 for none
+        self._timer_token = 0
+        self._watching = False
+        self._split_anew()
+        self._handlers: dict[type, Callable[[Any, float], None]] = {
+            Arrived: self._request_received,
+            Listed: self._endpoints_updated,
+            Flowing: self._stream_started,
+            Ended: self._attempt_ended,
+            Noted: self._attempt_progressed,
+            ClientGone: self._client_disconnected,
+            Due: self._timer_fired,
+            Probed: self._probe_completed,
+            PeerSaid: self._peer_report_received,
+            Beside: self._sibling_report_received,
+        }
+
+    def snapshot(self, now: float | None = None) -> Snapshot:
+        """What is held and out, the rate of each class, and which listed workers are sent nothing."""
+        at = self._now if now is None else now
+        known = [worker for worker in self._fleet.workers.values() if worker.entry.state != State.GONE]
+        avoided = [w for w in known if w.entry.state != State.READY or not self._fleet.is_usable(w, at)]
+        rates = [pacer.rate for pacer in self._queues.pacers]
+        numbers = frozenset(worker.entry.worker for worker in avoided)
+        return Snapshot(self._queues.held, self._out, rates, numbers)
+
+    def adopt(self, settings: Settings) -> None:
+        """Takes new numbers of the same classes and tenants. What came before keeps its class as it was."""
+        if not settings.classes:
+            raise ValueError("settings.classes is empty")
+        self._context.settings = settings
+        self._queues.adopt(settings)
+        self._quotas.adopt()
+        self._fleet.adopt()
+        self._split_anew()
+
+    def memory(self) -> dict[str, Any]:
+        """What the next process in this dispatcher's place goes on from, in plain values."""
+        workers = self._fleet.workers.values()
+        pacers = [(p.run, p.rate, p.uncut, p.next_at) for p in self._queues.pacers]
+        slow_start = self._slow_start
+        return {
+            "pacers": pacers,
+            "spent": (self._retry_budget.tokens, slow_start.served_rate, slow_start.served_at),
+            "cold": [(worker.entry.worker, list(worker.recent)) for worker in workers if worker.recent],
+            "keys": self._key_counts.most_common(),
+            "slots": list(self._reports.slots.items()),
+            "erring": [(w.entry.worker, w.faults, w.strikes) for w in workers if w.erring],
+        }
+
+    def resume(self, memory: dict[str, Any]) -> None:
+        """Goes on from the memory of the process before. The list must be known."""
+        for pacer, told in zip(self._queues.pacers, memory["pacers"], strict=True):
+            pacer.run, pacer.rate, pacer.uncut, pacer.next_at = told
+        slow_start = self._slow_start
+        self._retry_budget.tokens, slow_start.served_rate, slow_start.served_at = memory["spent"]
+        self._reports.slots.update(memory["slots"])
+        self._key_counts.resume(memory["keys"])
+        for number, recent in memory["cold"]:
+            if number in self._fleet.workers:
+                self._fleet.workers[number].recent.extend((at, work) for at, work in recent)
+        for number, faults, strikes in memory.get("erring", ()):
+            if number in self._fleet.workers:
+                worker = self._fleet.workers[number]
+                worker.faults, worker.strikes, worker.erring = faults, strikes, True
+        if self._key_counts.total and self._fleet.saw_key():
+            self._split_anew()
+
+    def handle(self, now: float, events: list[Event]) -> list[Action]:
+        """Takes what has come in at this time and decides."""
+        if now < self._now:
+            raise ValueError(f"time runs backwards: {now} after {self._now}")
+        self._now = now
+        actions = self._context.actions = []
+        self._keep_watching()
+        for event in events:  # all before any send: a later one may end or forbid what an earlier asks
+            if type(event) not in self._handlers:
+                raise ValueError(f"unknown event {event!r}")
+            self._handlers[type(event)](event, now)
+        self._expire(now)
+        self._outliers.check(now)
+        self._queues.close_windows(now, WINDOW_MS)
+        if self._queues.held and opens_something(events):
+            self._release(now)
+        self._set_timer(now)
+        self._gossip.send()
+        return actions
+
+    # Events.
+
+    def _timer_fired(self, event: Due, now: float) -> None:
+        if event.token == self._timer_token:  # only the latest timer counts
+            self._timer_at = 0.0
+
+    def _client_disconnected(self, event: ClientGone, now: float) -> None:
+        job = self._jobs.get(event.id)
+        if job is not None:
+            self._finish(job)
+
+    def _stream_started(self, event: Flowing, now: float) -> None:
+        job = self._jobs.get(event.id)
+        if job is not None:
+            job.bound = True
+            self._queues.remove(job)
+
+    def _probe_completed(self, event: Probed, now: float) -> None:
+        self._reports.report(self._fleet.workers.get(event.worker), event.load, now)
+
+    def _peer_report_received(self, event: PeerSaid, now: float) -> None:
+        self._gossip.receive(event.peer, event.data, now)
+
+    def _sibling_report_received(self, event: Beside, now: float) -> None:
+        worker = self._fleet.workers.get(event.worker)
+        if worker is not None:
+            worker.beside = event.out
+            worker.recent.append((now, event.work))
+            self._gossip.changed(worker)
+
+    def _endpoints_updated(self, event: Listed, now: float) -> None:
+        if event.kind == ListKind.FAILED:
+            self._watching = False
+        elif self._fleet.apply(event.entries, event.kind != ListKind.DELTA, now):
+            self._split_anew()
+
+    def _request_received(self, event: Arrived, now: float) -> None:
+        if event.cls >= len(self._queues.pacers) or event.id in self._jobs:
+            raise ValueError(f"request {event.id}: unknown class {event.cls} or id in use")
+        job, slack = self._job_of(event, now)
+        self._slow_start.least_cost = min(self._slow_start.least_cost, job.cost)
+        if job.key:
+            self._count_key(job.key)
+        self._jobs[job.id] = job
+        for entry, sent in event.before:  # of a dispatcher that is lost: they may have run or still do so
+            worker = self._fleet.known(entry)
+            job.attempts.append(Attempt(job, len(job.attempts), worker, entry, sent, sent, open=False))
+        deadline = job.due - DEADLINE_TICKS * self._context.settings.tick
+        heapq.heappush(self._deadlines, (deadline, job.id))
+        self._queues.add(job, job.class_queue.grb)
+        if event.before and self._fleet.ready.by_number and not self._selector.may_go_on(job, now):
+            self._answer(job)
+        wait = expected_wait(self._queues, self._out)
+        if is_full(self._queues, wait, slack, len(self._fleet.subset)):
+            self._shed(wait)
+
+    def _job_of(self, event: Arrived, now: float) -> tuple[Job, float]:
+        """The job of a request, and how long it may wait and still be in time."""
+        client_retry = bool(event.flags & REPEAT)
+        queue = self._queue_of(event, client_retry, now)
+        pacer = queue.pacer
+        run, left = pacer.run_of(event.work), event.due - now
+        pacer.patience = max(pacer.patience, left)
+        # A client's repeat brings what is left of its time: its aim began with the first try.
+        age = pacer.patience - left if client_retry else 0.0
+        aim = queue.cls.aim + queue.cls.stretch * (event.work or run) - age
+        slack = min(aim, left) - run
+        job = Job(
+            id=event.id,
+            key=event.key,
+            due=event.due,
+            hint=event.work,
+            class_queue=queue,
+            cls=queue.cls,
+            cost=event.work or run,
+            run=run,
+            timely=inf if queue.cls.late_worth else now + slack,
+            slots=event.slots or 1.0,
+        )
+        return job, slack
+
+    def _queue_of(self, event: Arrived, client_retry: bool, now: float) -> ClassQueue:
+        over_quota = self._quotas.is_over(event.tenant, client_retry, now)
+        tenant = event.tenant if event.tenant < len(self._quotas) else 0
+        return self._queues.by_id[event.cls, tenant, over_quota]
+
+    def _count_key(self, key: int) -> None:
+        forgot = self._key_counts.count(key)
+        if self._fleet.saw_key():
+            self._split_anew()
+        if forgot:
+            self._fleet.key_orders.forget()
+
+    def _attempt_ended(self, event: Ended, now: float) -> None:
+        job, attempt = self._find(event.id, event.attempt)
+        if attempt is None or not attempt.open:
+            return  # an attempt from before this dispatcher's present life
+        self._close(attempt)
+        outcome, worker = event.outcome, attempt.worker
+        self._reports.report(worker, event.load, now)
+        attempt.may_have_run = outcome not in NEVER_RAN
+        self._fleet.resting[worker.entry.worker] = worker
+        if outcome in (Outcome.OK, Outcome.ERROR):
+            worker.count_end(outcome == Outcome.ERROR)
+        if attempt.started is not None:
+            worker.learn(now, (now - attempt.started) / attempt.job.run, outcome == Outcome.OK)
+        self._judge_worker(attempt, event, now)
+        if job is None:
+            del self._late_attempts[event.id, event.attempt]
+        elif event.final:
+            self._finish(job)
+        elif not job.out() and job.queue is None:
+            self._go_on(job, now, outcome == Outcome.ERROR)
+
+    def _judge_worker(self, attempt: Attempt, event: Ended, now: float) -> None:
+        """Takes in what an attempt's end says of its worker."""
+        worker, outcome = attempt.worker, event.outcome
+        if outcome == Outcome.OK:
+            self._served(attempt, event, now)
+        elif outcome == Outcome.FULL:
+            self._worker_is_full(attempt, now)
+        elif outcome == Outcome.CONNECT_FAILED:
+            worker.strike(now)
+        elif outcome == Outcome.RESET:
+            worker.resets += 1
+            worker.full_until = now + LOOK_AGAIN_MS
+            if worker.resets > 1 and now >= worker.suspect_until:  # one can break under a worker that is well
+                worker.strike(now)
+        elif outcome == Outcome.ERROR:
+            worker.alive(now)
+            if worker.faults > FAULTY:  # who fails its jobs at once holds fewest and would draw others in
+                worker.strike(now, erring=self._context.trial_effect != Effect.UNSAFE)
+        elif outcome == Outcome.CANCELLED and attempt.started is None:
+            self._called_off_unstarted(attempt, now)
+
+    def _served(self, attempt: Attempt, event: Ended, now: float) -> None:
+        job, pacer = attempt.job, attempt.job.class_queue.pacer
+        late = event.elapsed >= SILENT_RUNS * max(pacer.run_of(job.hint), job.cls.aim)
+        attempt.worker.alive(now, not late)
+        pacer.learn(event.elapsed if attempt.started is None else now - attempt.started, job.hint)
+        self._slow_start.count_served(job.cost, now)
+
+    def _worker_is_full(self, attempt: Attempt, now: float) -> None:
+        worker = attempt.worker
+        worker.alive(now)
+        worker.fulls += 1
+        worker.full_until = now + LOOK_AGAIN_MS * min(worker.fulls, MOST_FULL_PAUSES)
+        # No sign: a draining worker's hand-backs, nor one worker's word while others are free.
+        if worker.entry.state == State.READY and not self._selector.is_any_free(now):
+            attempt.job.class_queue.pacer.accepted -= 1
+
+    def _called_off_unstarted(self, attempt: Attempt, now: float) -> None:
+        waited = now - attempt.sent
+        if waited >= self._outliers.short_wait(attempt.job):
+            self._outliers.count_wait(waited)
+            # Where one has waited too long the next would too.
+            attempt.worker.full_until = now + 2.0 * LOOK_AGAIN_MS
+
+    def _attempt_progressed(self, event: Noted, now: float) -> None:
+        _, attempt = self._find(event.id, event.attempt)
+        if attempt is None or not attempt.open:
+            return
+        attempt.heard = now
+        attempt.worker.alive(now)
+        if attempt.started is None and event.what == STARTED:
+            self._started(attempt, now)
+
+    def _started(self, attempt: Attempt, now: float) -> None:
+        worker, waited = attempt.worker, now - attempt.sent
+        attempt.started = now
+        worker.fulls = 0
+        worker.unstarted -= 1
+        self._outliers.count_wait(waited)
+        self._reports.started(worker)
+        # One waiting job of each dispatcher is a long queue (i1da742): after a wait others come first.
+        others = self._fleet.subset.sharers / self._reports.slots_of(worker) - 1.0
+        worker.full_until = max(worker.full_until, now + waited * min(PAUSES, others))
+        self._fleet.resting[worker.entry.worker] = worker
+
+    # Ends and retries.
+
+    def _find(self, id_: int, number: int) -> tuple[Job | None, Attempt | None]:
+        job = self._jobs.get(id_)
+        attempts = job.attempts if job is not None else []
+        if number < len(attempts):
+            return job, attempts[number]
+        return job, self._late_attempts.get((id_, number))
+
+    def _close(self, attempt: Attempt) -> None:
+        """Takes in that an attempt is over."""
+        worker = attempt.worker
+        attempt.open = False
+        self._out -= 1
+        worker.taken -= attempt.job.slots
+        worker.open.pop((attempt.job.id, attempt.number), None)
+        worker.unstarted -= attempt.started is None
+        if not worker.open:
+            self._fleet.busy.pop(worker.entry.worker, None)
+            worker.silent = False  # with nothing left there, a trial must tell
+        self._gossip.changed(worker)
+
+    def _finish(self, job: Job) -> None:
+        """Forgets a job that is over. What is still out is called off, which frees workers that heed it."""
+        job.answered = True
+        self._queues.remove(self._jobs.pop(job.id))
+        for attempt in job.attempts:
+            if attempt.open:
+                self._late_attempts[job.id, attempt.number] = attempt
+                if self._context.settings.may_cancel:
+                    self._context.actions.append(Cancel(job.id, attempt.number))
+
+    def _answer(self, job: Job, retry_after: float = 0.0) -> None:
+        """The one place of this dispatcher's final answers: a refusal if rule 2 allows it, else a failure."""
+        settings = self._context.settings
+        self._finish(job)
+        advice = min(retry_after, settings.max_retry_after) if settings.may_advise else 0.0
+        self._context.actions.append(Refuse(job.id, advice) if may_refuse(job) else Fail(job.id))
+
+    def _go_on(self, job: Job, now: float, failed: bool) -> None:
+        """Retries a job that is not out any more, or answers it."""
+        if self._may_retry(job, now, failed):
+            self._queues.add_first(job)
+        else:
+            self._answer(job)
+
+    def _may_retry(self, job: Job, now: float, failed: bool = False) -> bool:
+        """Whether a further attempt is legal and within the retry budget, from which its cost is taken."""
+        cost = retry_cost(job, now, self._context.settings.tells_start, failed)
+        if job.answered or self._retry_budget.tokens < cost or not self._selector.may_go_on(job, now):
+            return False
+        self._retry_budget.spend(cost)
+        return True
+
+    def _give_up(self, attempt: Attempt, now: float) -> None:
+        """Sends a job on whose worker or connection says nothing, within what its class allows."""
+        job, settings = attempt.job, self._context.settings
+        if attempt.given_up or job.answered or job.queue is not None:
+            return
+        if settings.may_copy:  # a hedged request
+            if self._may_retry(job, now):
+                attempt.given_up = True
+                self._queues.add_first(job)
+        elif settings.may_cancel and (attempt.started is None or self._retry_budget.tokens >= 1.0):
+            hopeless = attempt.started is None and self._outliers.is_hopeless(job, now)
+            if hopeless or self._selector.has_alternative(job, now):
+                self._call_off(attempt)
+
+    def _call_off(self, attempt: Attempt) -> None:
+        """Cancels an attempt; its end, when that is told, sends the job on."""
+        attempt.given_up = True
+        self._context.actions.append(Cancel(attempt.job.id, attempt.number))
+        if attempt.worker.silent:  # a trial on a connection open already would fall silent too
+            self._context.actions.append(CloseIdle(attempt.worker.entry.worker))
+
+    def _expire(self, now: float) -> None:
+        """Rule 1: whatever is left when a client's time ends gets its answer just before."""
+        while self._deadlines and self._deadlines[0][0] <= now:
+            _, id_ = heapq.heappop(self._deadlines)
+            job = self._jobs.get(id_)
+            if job is not None and not job.bound:
+                self._answer(job)
+
+    def _shed(self, wait: float) -> None:
+        """The GRB is full: the lowest worth goes first, the newest of it, with a hint when to come again."""
+        for job in self._queues.shed_order():
+            if may_refuse(job) and not job.out():
+                self._answer(job, wait)
+                return
+
+    # Sending.
+
+    def _release(self, now: float) -> None:
+        """GRB to SLBs, SLBs to workers: highest worth first, first come first within a buffer."""
+        for queue in self._queues.by_worth:
+            queue.set_late_aside(now)
+            for job in [job for job in queue.late.values() if self._outliers.is_hopeless(job, now)]:
+                self._answer(job, self._outliers.mean_wait)
+            queue.fill_slb()
+        self._fleet.doubt_again()
+        self._slow_start.fade(now)
+        free: list[Worker] | None = None  # found when a job without a key is to go, or probes may be wanted
+        if self._reports.probing:
+            free = [worker for worker in self._fleet.subset.workers if self._selector.is_free(worker, now)]
+            shown = any(self._reports.shown(worker, now) > 0.0 for worker in free)
+            if not shown and self._reports.probe(now):
+                return
+        for queue, jobs in self._queues.to_release():
+            free = self._release_from(queue, jobs, free, now)
+
+    def _release_from(
+        self, queue: ClassQueue, jobs: list[Job], free: list[Worker] | None, now: float
+    ) -> list[Worker] | None:
+        """Sends the jobs of one buffer as its rate lets them go. Returns the free workers, once found."""
+        for job in jobs:
+            if queue.pacer.must_wait(now):
+                break
+            if not job.key:
+                free = self._selector.free_workers(now) if free is None else free
+                if not free:
+                    break
+            worker = self._selector.pick(job, free or [], now)
+            if worker is not None:
+                self._send(job, worker, now)
+                if free and worker in free and not self._selector.is_free(worker, now):
+                    free.remove(worker)
+            elif not job.key and not job.attempts and job.slots <= 1.0:
+                break  # the next of this buffer would hardly find one either
+        return free
+
+    def _send(self, job: Job, worker: Worker, now: float) -> None:
+        """The one gate of attempts: enforces rules 2, 3 and 4 whatever the callers meant."""
+        if job.answered or worker.entry.state != State.READY:
+            return
+        if not self._slow_start.covers(worker, job.cost) or not self._selector.is_legal(job, worker, now):
+            return
+        self._queues.remove(job)
+        attempt = Attempt(job, len(job.attempts), worker, worker.entry, now, now)
+        job.attempts.append(attempt)
+        self._out += 1
+        self._add_to_worker(attempt, now)
+        self._outliers.attempt_sent(attempt)
+        job.class_queue.pacer.count_send(now)
+        self._retry_budget.count_attempt()
+        self._context.actions.append(Send(job.id, worker.entry.worker, work=job.cost))
+
+    def _add_to_worker(self, attempt: Attempt, now: float) -> None:
+        """Takes in at its worker that an attempt is out."""
+        job, worker = attempt.job, attempt.worker
+        worker.open[job.id, attempt.number] = attempt
+        worker.unstarted += 1
+        worker.taken += job.slots
+        worker.slots_free -= job.slots
+        if worker.cold_left < inf:
+            worker.recent.append((now, job.cost))
+        self._fleet.busy[worker.entry.worker] = worker
+        self._gossip.changed(worker)
+
+    # The list and the timer.
+
+    def _split_anew(self) -> None:
+        """The fleet has been split anew: reports and peers are others."""
+        self._reports.choose()
+        self._gossip.choose()
+
+    def _keep_watching(self) -> None:
+        """Opens the subscription to the list, where the settings want one, and again after it failed."""
+        if self._context.settings.subscribe and not self._watching:
+            self._watching = True
+            self._context.actions.append(Watch(True))
+
+    def _set_timer(self, now: float) -> None:
+        """One pending timer, at the earliest time at which something may change without an event."""
+        deadline = self._deadlines[0][0] if self._deadlines else inf
+        at = min(deadline, self._outliers.next_check)
+        if self._queues.held:
+            times = [*self._fleet.rest_ends(now), self._reports.waits_until]
+            times += [pacer.next_at for pacer in self._queues.pacers if pacer.rate is not None]
+            at = min([at, now + LOOK_AGAIN_MS, *[time for time in times if time > now]])
+        at = max(at, now + self._context.settings.tick)
+        if at < inf and (not self._timer_at or at < self._timer_at):
+            self._timer_at = at
+            self._timer_token += 1
+            self._context.actions.append(SetTimer(at, self._timer_token))
+
+
+def opens_something(events: list[Event]) -> bool:
+    """Whether held jobs may find a worker after these events: a job's progress opens nothing."""
+    if not events:
+        return True
+    return any(not isinstance(event, Noted) or event.what == STARTED for event in events)
--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -1,4 +1,14 @@
-"""A worker as this dispatcher sees it: its place in the list, its answers, and its silence."""
+"""A worker as this dispatcher sees it: its entry in the list, its answers, and its silence.
+
+Theory of operation. A worker is trusted until it fails: a strike (a failed connection, two resets in a row,
+silence, or many errors) rests it for a while, twice as long after each further one. After the rest it is half
+open: one attempt at a time tries it, of the class that may best be repeated. A timely answer ends suspicion.
+One that fails its requests at once but answers others well is not rested but marked as erring: it comes
+behind all others, and gets only what may run twice.
+
+A sign of life ends silence alone. What must never happen: a resting worker that is sent anything; a worker
+that draws requests in by failing them fast.
+"""
 
 from __future__ import annotations
 
@@ -12,10 +22,13 @@
 if TYPE_CHECKING:
     from eiderfield.policy.request import Attempt
 
-STRIKE_PAUSE, STRIKE_PAUSE_MOST = 500.0, 4000.0  # ms without sends after a failed connection: doubled, up to
-FAULT_FADE, FAULTY = 0.8, 1.5  # how much less each error weighs than the next; at which a worker is rested
+STRIKE_PAUSE_MS = 500.0  # without sends after a first strike, doubled with each further one
+LONGEST_STRIKE_PAUSE_MS = 4000.0
+FAULT_FADE = 0.8  # weight of an error, compared with the next one
+FAULTY = 1.5  # sum of errors at which a worker is rested: two in a row, or one in three
 PACE_JOBS = 3.0  # jobs of the usual length that a worker is credited with, so that one long job says little
-PACE_HOLDS = 5000.0  # ms over which what a worker has had running is remembered
+PACE_MEMORY_MS = 5000.0  # over which what a worker has had running is forgotten
+RECENT_ATTEMPTS = 64  # attempts to a warming worker that are remembered
 
 
 @dataclass(slots=True, eq=False)
@@ -39,7 +52,9 @@
     suspect_until: float = 0.0
     silent: bool = False
     erring: bool = False  # it fails jobs at once, and others well: for what may run twice, behind all others
-    recent: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=64))  # cold: time, work
+    recent: deque[tuple[float, float]] = field(
+        default_factory=lambda: deque(maxlen=RECENT_ATTEMPTS)
+    )  # cold: time, work
     cold_left: float = inf
     ticket: float = 1.0  # cold: the share of a job's cost that must be left of the budget
     slots_free: float = 0.0  # as last reported, less own sends since
@@ -50,27 +65,45 @@
     others_until: float = 0.0
 
     def total(self, now: float) -> float:
-        """The slots that the jobs of this node and, as far as they told, of its peers take or wait for."""
+        """The slots taken or waited for by jobs of this dispatcher and, as far as they told, of its peers."""
         return self.taken + self.beside + (self.others if now < self.others_until else 0)
 
     def alive(self, now: float, well: bool = False) -> None:
         """A sign of life ends silence. Only a timely answer ends suspicion, or a slow worker never rests."""
-        self.heard, self.silent, self.resets = now, False, 0
+        self.heard = now
+        self.silent = False
+        self.resets = 0
         if well and self.faults <= FAULTY:
-            self.strikes, self.suspect_until, self.erring = 0, 0.0, False
+            self.strikes = 0
+            self.suspect_until = 0.0
+            self.erring = False
+
+    def restarted(self, now: float) -> None:
+        """A new process is there, which owes nothing to the past."""
+        self.faults = 0.0
+        self.reported = -inf
+        self.alive(now, True)
+
+    def count_end(self, failed: bool) -> None:
+        """Counts an attempt that ended well, or with an error."""
+        self.faults = self.faults * FAULT_FADE + failed
 
     def learn(self, now: float, ran: float, done: bool) -> None:
         """Takes in that a job which had started is over, after so many usual running times."""
-        kept = max(0.0, 1.0 - (now - self.faded) / PACE_HOLDS)
-        self.ran, self.done, self.faded = self.ran * kept + ran, self.done * kept + done, now
+        kept = max(0.0, 1.0 - (now - self.faded) / PACE_MEMORY_MS)
+        self.ran = self.ran * kept + ran
+        self.done = self.done * kept + done
+        self.faded = now
 
     def pace(self, now: float) -> float:
         """How much longer than usual jobs run here; those still running show first that it turns slow."""
-        kept = max(0.0, 1.0 - (now - self.faded) / PACE_HOLDS)
+        kept = max(0.0, 1.0 - (now - self.faded) / PACE_MEMORY_MS)
         out = sum([(now - a.started) / a.job.run for a in self.open.values() if a.started is not None])
         return (PACE_JOBS + self.ran * kept + out) / (PACE_JOBS + self.done * kept)
 
     def strike(self, now: float, erring: bool = False) -> None:
         """A failed connection, a reset, silence, errors: no sends for a while, then one trial (half-open)."""
-        self.strikes, self.erring = self.strikes + 1, erring
-        self.suspect_until = now + min(STRIKE_PAUSE_MOST, STRIKE_PAUSE * 2.0 ** (self.strikes - 1))
+        self.strikes += 1
+        self.erring = erring
+        pause = STRIKE_PAUSE_MS * 2.0 ** (self.strikes - 1)
+        self.suspect_until = now + min(LONGEST_STRIKE_PAUSE_MS, pause)
--- /dev/null
+++ b/eiderfield/policy/fleet.py
@@ -0,0 +1,143 @@
+"""The fleet as this dispatcher knows it: all workers of the list, and the ones that it sends to.
+
+What the list says of one worker is taken in at a cost that does not grow with the fleet. Workers that are
+gone stay known, for an attempt may still be out there, and a worker may come back.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import replace
+
+from eiderfield.interface import Entry, State
+from eiderfield.policy.affinity import KeyOrders
+from eiderfield.policy.context import Context
+from eiderfield.policy.endpoint import Worker
+from eiderfield.policy.ready import ReadyWorkers
+from eiderfield.policy.subsetting import (
+    Subset,
+    balanced_groups,
+    group_of_dispatcher,
+    keyed_groups,
+    place_of,
+)
+
+EXAMINED = 256  # workers that are looked at for what may go to any: of more, so many drawn at random
+
+
+class Fleet:
+    """All workers that were ever listed, and this dispatcher's subset of those that are ready."""
+
+    def __init__(self, context: Context) -> None:
+        self.workers: dict[int, Worker] = {}
+        self.ready = ReadyWorkers()
+        self.key_orders = KeyOrders()  # of the subset
+        self.subset = Subset(self.key_orders.join, self.key_orders.leave)
+        self.keyed = False  # whether any request so far had a key
+        self.busy: dict[int, Worker] = {}  # workers with own attempts out
+        self.resting: dict[int, Worker] = {}  # workers that may be resting
+        self.warming: dict[int, Worker] = {}  # workers that may be warming up
+        self._context = context
+        self._most_silent: bool | None = None  # None: not counted yet
+        self.deal()
+
+    def apply(self, entries: Iterable[Entry], whole: bool, now: float) -> bool:
+        """Takes in changes, or a whole list; returns whether the fleet was split anew."""
+        first = not self.ready.by_number
+        named = set()
+        for entry in entries:
+            named.add(entry.worker)
+            self._update(entry, now, first)
+        if whole:
+            for number in self.workers.keys() - named:
+                worker = self.workers[number]
+                if worker.entry.state != State.GONE:
+                    self._update(replace(worker.entry, state=State.GONE), now, first)
+        if first or self._groups() != self.subset.groups:
+            self.deal()
+            return True
+        return False
+
+    def known(self, entry: Entry) -> Worker:
+        """The worker of an entry; one that was never listed is taken to be gone."""
+        return self.workers.setdefault(entry.worker, Worker(replace(entry, state=State.GONE)))
+
+    def saw_key(self) -> bool:
+        """Takes in that a request has a key; returns whether the fleet was split anew."""
+        if self.keyed:
+            return False
+        self.keyed = True
+        self.deal()
+        return True
+
+    def deal(self) -> None:
+        """Splits the fleet anew."""
+        settings, groups = self._context.settings, self._groups()
+        group = group_of_dispatcher(settings.me, settings.balancers, groups, self.keyed)
+        sharers = settings.balancers / groups
+        self.subset.deal(self.ready.by_number.values(), self.keyed, groups, group, sharers)
+        self.key_orders.reset(self.subset.workers)
+
+    def adopt(self) -> None:
+        """Takes new settings."""
+        started = {number: w for number, w in self.workers.items() if w.entry.ready_at > 0.0}
+        self.warming = started
+        self.deal()
+
+    def examined(self) -> list[Worker]:
+        """The workers that are looked at for what may go to any: all of a subset or, of hundreds, some."""
+        workers = self.subset.workers
+        return workers if len(workers) <= EXAMINED else self._context.random.sample(workers, EXAMINED)
+
+    def doubt_again(self) -> None:
+        """Lets the silent workers be counted anew."""
+        self._most_silent = None
+
+    def is_usable(self, worker: Worker, now: float) -> bool:
+        """Whether the worker is neither silent nor, after a strike, left alone.
+
+        If most workers are silent, doubt the evidence and keep serving. A failed connection is certain."""
+        if not worker.silent:
+            return now >= worker.suspect_until or worker.erring
+        if self._most_silent is None:
+            silent = sum([other.silent for other in self.subset.workers])
+            self._most_silent = 2 * silent > len(self.subset)
+        return self._most_silent
+
+    def rest_ends(self, now: float) -> list[float]:
+        """The times at which resting workers of the subset may be sent to again."""
+        rested = [n for n, w in self.resting.items() if max(w.full_until, w.suspect_until) <= now]
+        for number in rested:
+            del self.resting[number]
+        here = [worker for worker in self.resting.values() if worker in self.subset]
+        return [time for worker in here for time in (worker.full_until, worker.suspect_until)]
+
+    def _update(self, entry: Entry, now: float, first: bool) -> None:
+        """Takes in what the list says of one worker. After the `first` list all are dealt anew."""
+        worker = self.known(entry)
+        old = worker.entry
+        if entry is old:
+            return
+        if entry.ready_at != old.ready_at:
+            worker.restarted(now)
+        if entry.ready_at > 0.0:
+            self.warming[entry.worker] = worker
+        was_ready, is_ready = old.state == State.READY, entry.state == State.READY
+        in_place = place_of(old) == place_of(entry) and old.cell == entry.cell
+        stays = was_ready and is_ready and in_place
+        if was_ready and not stays:
+            self.ready.remove(old)
+            if not first:
+                self.subset.leave(old)
+        worker.entry = entry
+        if is_ready and not stays:
+            self.ready.add(worker)
+            if not first:
+                self.subset.join(worker)
+
+    def _groups(self) -> int:
+        """How many groups the fleet should be split into."""
+        settings, ready = self._context.settings, len(self.ready.by_number)
+        if self.keyed:
+            return keyed_groups(self.subset.groups, settings.balancers, ready)
+        return balanced_groups(self.subset.groups, settings.balancers, settings.may_tell, ready)
--- /dev/null
+++ b/eiderfield/policy/gossip.py
@@ -0,0 +1,56 @@
+"""Gossip: dispatchers that share workers tell each other the slots that their jobs take there.
+
+A count that was lost is replaced by the next, and forgotten after a while: its sender may have died.
+"""
+
+from __future__ import annotations
+
+from eiderfield.interface import Tell, pack_counts, unpack_counts
+from eiderfield.policy.context import Context
+from eiderfield.policy.endpoint import Worker
+from eiderfield.policy.fleet import Fleet
+from eiderfield.policy.subsetting import SHARERS, group_of_dispatcher
+
+FRESH_MS = 2000.0  # for which a peer's count holds
+
+
+class Gossip:
+    """The reports to and from this dispatcher's peers."""
+
+    def __init__(self, context: Context, fleet: Fleet) -> None:
+        self.peers: list[int] = []  # dispatchers that share this one's workers and may talk
+        self._changed: dict[int, Worker] = {}  # workers where own jobs came or went in this call
+        self._context = context
+        self._fleet = fleet
+
+    def choose(self) -> None:
+        """Finds the peers: the dispatchers of the same group, unless they are too many to listen to."""
+        settings, subset = self._context.settings, self._fleet.subset
+        nodes, groups, keyed = settings.balancers, subset.groups, self._fleet.keyed
+        self.peers = []
+        if settings.may_tell and subset.sharers < 2 * SHARERS[True]:
+            own = group_of_dispatcher(settings.me, nodes, groups, keyed)
+            alike = [n for n in range(nodes) if group_of_dispatcher(n, nodes, groups, keyed) == own]
+            self.peers = [number for number in alike if number != settings.me]
+
+    def changed(self, worker: Worker) -> None:
+        """Own jobs came or went at a worker."""
+        self._changed[worker.entry.worker] = worker
+
+    def receive(self, peer: int, data: bytes, now: float) -> None:
+        """A peer tells how many slots its jobs take at workers."""
+        for number, count in unpack_counts(data):
+            worker = self._fleet.workers.get(number)
+            if worker is not None:
+                worker.told[peer] = (now, count)
+                worker.others_until = now + FRESH_MS
+                fresh = [jobs for told_at, jobs in worker.told.values() if told_at > now - FRESH_MS]
+                worker.others = sum(fresh)
+
+    def send(self) -> None:
+        """Tells the peers of the workers where own jobs came or went."""
+        counts = [(number, round(w.taken) + w.beside) for number, w in self._changed.items()]
+        data = pack_counts(counts)
+        if data:
+            self._context.actions += [Tell(peer, data) for peer in self.peers]
+        self._changed.clear()
--- /dev/null
+++ b/eiderfield/policy/outlier_detection.py
@@ -0,0 +1,123 @@
+"""Outlier detection: workers that fall silent, and attempts that are stuck.
+
+Theory of operation. A worker with attempts out shows by answers and notes that it lives. Where none came for
+some intervals of notes (or, where workers send no notes, for some running times) it is silent: it is struck,
+and what is out there is given up. A single attempt is stuck when its own notes stay away, for a connection
+can fall silent under a worker that is well, or when it waits unstarted for much longer than a run. Of many
+dispatchers each sees so little of a worker's queue that an attempt is called off after a short wait, unless
+all queues are long: then leaving one loses the place in it.
+
+    trusted ──(no sign of life in time)──> silent ──(any sign of life, or nothing left out there)──> trusted
+
+What must never happen: a look at all workers in each turn (incident ic8135f).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from math import inf
+
+from eiderfield.interface import Log, State
+from eiderfield.policy.context import Context
+from eiderfield.policy.endpoint import Worker
+from eiderfield.policy.fleet import Fleet
+from eiderfield.policy.request import Attempt, Job
+
+SILENT_NOTES = 1.6  # intervals of notes without any sign of life: a process's pause swallows some
+STUCK_NOTES = 3.6  # intervals without a note of one attempt, at a worker that is well
+SILENT_RUNS = 3.0  # mean running times that may pass where there are no notes
+STUCK_RUNS = 8.0  # mean running times that an attempt may wait unstarted
+STUCK_RUNS_OF_MANY = 0.2  # and among many dispatchers
+WAIT_WEIGHT = 0.1  # of one job's wait in their mean
+CHECKED_AGAIN_MS = 200.0  # after which a suspicion that has come true is looked at again
+
+
+class OutlierDetector:
+    """Looks for silent workers and stuck attempts when one may have become so."""
+
+    def __init__(self, context: Context, fleet: Fleet, give_up: Callable[[Attempt, float], None]) -> None:
+        self.next_check = inf  # nobody is suspect before
+        self.mean_wait = 0.0  # of jobs, at workers, until they start, in ms
+        self._context = context
+        self._fleet = fleet
+        self._give_up = give_up
+
+    def attempt_sent(self, attempt: Attempt) -> None:
+        """An attempt is out, and may fall silent."""
+        silence, stuck = self._silent_from(attempt.worker), self._stuck_from(attempt)
+        self.next_check = min(self.next_check, silence, stuck)
+
+    def count_wait(self, wait: float) -> None:
+        """Takes in how long a job waited at a worker."""
+        self.mean_wait += WAIT_WEIGHT * (wait - self.mean_wait)
+
+    def check(self, now: float) -> None:
+        """Strikes workers that have become silent, and gives up what is stuck."""
+        if now < self.next_check:
+            return
+        self.next_check = inf
+        for worker in list(self._fleet.busy.values()):
+            self._check_worker(worker, now)
+            for attempt in worker.open.values():
+                stuck_from = self._stuck_from(attempt)
+                if now >= stuck_from or worker.silent:
+                    self._give_up(attempt, now)
+                else:
+                    self.next_check = min(self.next_check, stuck_from)
+        if self.next_check <= now:
+            self.next_check = now + CHECKED_AGAIN_MS
+
+    def short_wait(self, job: Job) -> float:
+        """The wait that one of many dispatchers takes for a short one, in ms."""
+        return STUCK_RUNS_OF_MANY * self._usual_run(job)
+
+    def is_hopeless(self, job: Job, now: float) -> bool:
+        """Whether a job that can't be in time would, at queues everywhere, make others late as well."""
+        late = self._context.many and now >= job.timely
+        return late and self.mean_wait > self.short_wait(job)
+
+    def _check_worker(self, worker: Worker, now: float) -> None:
+        if worker.silent:
+            return
+        silent_from = self._silent_from(worker)
+        if worker.entry.state == State.READY and now >= silent_from:
+            worker.silent = True
+            worker.strike(now)
+            self._fleet.resting[worker.entry.worker] = worker
+            text = f"worker {worker.entry.worker} silent, {len(worker.open)} jobs out"
+            self._context.actions.append(Log(text))
+        else:
+            self.next_check = min(self.next_check, silent_from)
+
+    def _silent_from(self, worker: Worker) -> float:
+        """When the worker's silence becomes suspect: measured from its last sign of life."""
+        oldest = next(iter(worker.open.values()))
+        runs = SILENT_RUNS * self._usual_run(oldest.job)
+        notes = SILENT_NOTES * self._context.settings.progress
+        return max(worker.heard, oldest.sent) + (notes or runs)
+
+    def _stuck_from(self, attempt: Attempt) -> float:
+        """When an attempt is stuck: no note came in time or, if not started, its wait is too long."""
+        settings = self._context.settings
+        if attempt.given_up or attempt.job.bound:
+            return inf
+        if attempt.started is not None:
+            notes = SILENT_NOTES if attempt.worker.silent else STUCK_NOTES
+            return attempt.heard + notes * settings.progress if settings.progress else inf
+        if not settings.tells_start:
+            return inf
+        if self._context.many:
+            return self._impatient_from(attempt)
+        return attempt.sent + STUCK_RUNS / STUCK_RUNS_OF_MANY * self.short_wait(attempt.job)
+
+    def _impatient_from(self, attempt: Attempt) -> float:
+        """When one of many dispatchers calls an unstarted attempt off: each wait is twice the last."""
+        short = self.short_wait(attempt.job)
+        patient_until = attempt.sent + max(short, self.mean_wait) * 2.0**attempt.number
+        if self.mean_wait <= short:
+            return patient_until
+        # Where all queues are long, leaving one loses the place and the data.
+        return min(patient_until, max(attempt.job.timely, attempt.sent + short))
+
+    def _usual_run(self, job: Job) -> float:
+        return max(job.class_queue.pacer.run_of(job.hint), job.cls.aim)
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -1,13 +1,24 @@
-"""Queues of the requests that wait here: for each class and tenant a part of the GRB, and an SLB."""
+"""Queues of the requests that wait here, by class and tenant.
+
+Theory of operation. The design names two stages. A job first enters the global request buffer (GRB), which
+bounds what is held in all; each class has its part of it. From there it moves to the second-level buffer
+(SLB) of its class, which is short and from which jobs are released at the class's rate, first come first
+served. While an SLB is nearly full, its class stays in the GRB. What can be worth nothing any more moves
+aside, so that it doesn't make what comes after it late as well.
+
+What must never happen: a job in two queues; a job that is answered and still in one.
+"""
 
 from __future__ import annotations
 
 from collections import OrderedDict
+from collections.abc import Iterator
 from dataclasses import dataclass, field
+from itertools import islice
 from typing import TYPE_CHECKING
 
-from eiderfield.interface import JobClass
-from eiderfield.policy.rate_control import FLOOR_TOP, Pacer
+from eiderfield.interface import JobClass, Settings
+from eiderfield.policy.rate_control import FLOOR_REST, FLOOR_TOP, Pacer
 
 if TYPE_CHECKING:
     from eiderfield.policy.request import Job
@@ -17,8 +28,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class Lane:
-    """The buffers of one class and tenant, within or above its share: a part of the GRB, and the SLB."""
+class ClassQueue:
+    """The buffers of one class and tenant, within or above its quota: a part of the GRB, and the SLB."""
 
     cls: JobClass
     pacer: Pacer
@@ -33,3 +44,96 @@
         if self.pacer.rate is not None and self.pacer.floor_share == FLOOR_TOP:
             size *= max(1.0, self.pacer.uncut / self.pacer.rate)
         return len(self.slb) < NEAR_FULL * size
+
+    def set_late_aside(self, now: float) -> None:
+        """Moves what can be in time no more behind what can."""
+        for queue in (self.slb, self.grb):
+            late = [job for job in islice(queue.values(), SLB_SIZE) if now > job.timely]
+            for job in late:
+                job.queue = self.late
+                self.late[job.id] = queue.pop(job.id)
+
+    def fill_slb(self) -> None:
+        """Moves jobs from the GRB to the SLB while that has room."""
+        while self.grb and self.room():
+            _, job = self.grb.popitem(last=False)
+            job.queue = self.slb
+            self.slb[job.id] = job
+
+
+QueueId = tuple[int, int, bool]  # class, tenant, and whether the tenant is above its quota
+
+
+class ClassQueues:
+    """All queues of a dispatcher, highest worth first, and what is held in them."""
+
+    def __init__(self, settings: Settings) -> None:
+        floors = {max(cls.worth for cls in settings.classes): FLOOR_TOP}
+        self.pacers = [Pacer(floors.get(cls.worth, FLOOR_REST), 0.5 * cls.aim) for cls in settings.classes]
+        self.by_id: dict[QueueId, ClassQueue] = {}
+        for number, (cls, pacer) in enumerate(zip(settings.classes, self.pacers, strict=True)):
+            for tenant in range(max(1, len(settings.tenants))):
+                for over_quota in (False, True):
+                    worth = cls.worth * (settings.over_share_worth if over_quota else 1.0)
+                    self.by_id[number, tenant, over_quota] = ClassQueue(cls, pacer, worth)
+        self.by_worth: list[ClassQueue] = []
+        self._sort()
+        self.held = 0  # jobs that wait here
+        self.held_run = 0.0  # their expected running time, in ms
+
+    def adopt(self, settings: Settings) -> None:
+        """Takes new numbers of the same classes and tenants. What came before keeps its class as it was."""
+        fresh = ClassQueues(settings)
+        for queue, new in zip(self.by_id.values(), fresh.by_id.values(), strict=True):
+            queue.cls = new.cls
+            queue.worth = new.worth
+            queue.pacer.floor_share = new.pacer.floor_share
+        self._sort()
+
+    def add(self, job: Job, queue: OrderedDict[int, Job]) -> None:
+        """Holds a job in a queue, behind the others."""
+        job.queue = queue
+        queue[job.id] = job
+        self.held += 1
+        self.held_run += job.run
+
+    def add_first(self, job: Job) -> None:
+        """Holds a job that goes on before the others of its class: it has waited longest."""
+        self.add(job, job.class_queue.slb)
+        job.class_queue.slb.move_to_end(job.id, last=False)
+
+    def remove(self, job: Job) -> None:
+        """Takes a job out of its queue, if it is in one."""
+        if job.queue is None:
+            return
+        del job.queue[job.id]
+        job.queue = None
+        self.held -= 1
+        self.held_run -= job.run
+
+    def close_windows(self, now: float, window_ms: float) -> None:
+        """Ends the windows of rate control that are over."""
+        for pacer in self.pacers:
+            if now >= pacer.start + window_ms:
+                waiting = any(queue.slb or queue.grb for queue in self.by_worth if queue.pacer is pacer)
+                pacer.close_window(now, waiting)
+
+    def to_release(self) -> Iterator[tuple[ClassQueue, list[Job]]]:
+        """The first jobs of each queue, in the order of release; late ones only while no other waits."""
+        timely = any(queue.slb for queue in self.by_worth)
+        for queue in self.by_worth:
+            buffer = queue.slb if timely else queue.late
+            yield queue, list(islice(buffer.values(), SLB_SIZE))
+
+    def shed_order(self) -> Iterator[Job]:
+        """The jobs that are held, in the order in which they are shed: what is late, then the lowest worth,
+        of that the GRB before the SLB, and the newest first."""
+        by_worth = [(queue.worth, queue.grb) for queue in self.by_worth]
+        by_worth += [(queue.worth, queue.slb) for queue in self.by_worth]
+        by_worth.sort(key=lambda pair: pair[0])
+        late = [queue.late for queue in self.by_worth]
+        for buffer in late + [buffer for _, buffer in by_worth]:
+            yield from reversed(buffer.values())
+
+    def _sort(self) -> None:
+        self.by_worth = sorted(self.by_id.values(), key=lambda queue: queue.worth, reverse=True)
--- a/eiderfield/policy/rate_control.py
+++ b/eiderfield/policy/rate_control.py
@@ -1,12 +1,25 @@
-"""Rate control: the rate at which each class of requests is released, cut where workers refuse some."""
+"""Rate control: the rate at which each class of requests is released, cut where workers refuse some.
+
+Theory of operation. A class is unpaced until workers answer 'full'. From then on it is released at a rate D,
+which the design's contribution formula sets at the end of each window: with R the rate of attempts and E that
+of the accepted ones, D + C x (E - R). The contribution C = D / R is the part of the traffic at the workers
+that is this dispatcher's own, as far as its rate shows. A window without a refusal raises the rate again, and
+a rate that is back where it was before its first cut, with nothing waiting, ends the pacing.
+
+What must never happen: a rate under the class's floor; an end other than 'full' that cuts a rate.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+WINDOW_MS = 1000.0  # the design's delta-T: a few answers of each class, yet shorter than a burst
 RAISE = 1.25  # factor on a cut rate after a window without 'full'
-FLOOR_REST, FLOOR_TOP = 0.3, 0.7  # shares of its uncut rate that a class keeps, and that of highest worth
-EWMA = 0.05  # weight of a new observation in a mean
+FLOOR_TOP = 0.7  # share of its uncut rate that the class of highest worth keeps
+FLOOR_REST = 0.3  # and each of the others
+LEAST_RATE = 0.5  # requests a second: a class that is cut must still find out that workers take some again
+RUN_WEIGHT = 0.05  # of a new observation in the mean running time
+MS_PER_S = 1000.0
 
 
 @dataclass(slots=True, eq=False)
@@ -30,25 +43,38 @@
 
     def learn(self, ran: float, hint: float) -> None:
         """Takes in how long a job ran."""
-        self.run += EWMA * (ran / (hint or 1.0) - self.run) if self.run else ran / (hint or 1.0)
+        self.run += RUN_WEIGHT * (ran / (hint or 1.0) - self.run) if self.run else ran / (hint or 1.0)
 
     def count_send(self, now: float) -> None:
-        """Counts a send and, while paced, sets when the next may follow."""
-        self.sent, self.accepted = self.sent + 1, self.accepted + 1
+        """Counts an attempt and, while paced, sets when the next may follow."""
+        self.sent += 1
+        self.accepted += 1
         if self.rate is not None:
-            self.next_at = max(now, self.next_at) + 1000.0 / self.rate
+            self.next_at = max(now, self.next_at) + MS_PER_S / self.rate
+
+    def must_wait(self, now: float) -> bool:
+        """Whether the next job may not be released yet."""
+        return self.rate is not None and now < self.next_at
 
     def close_window(self, now: float, waiting: bool) -> None:
-        """Applies D + C x (E - R) with C = D / R when the window held refusals, else raises."""
-        per_s = 1000.0 / (now - self.start)
-        sent, accepted = per_s * self.sent, per_s * max(0, self.accepted)  # 'full' may come a window late
+        """Applies the contribution formula when the window held refusals, else raises a cut rate."""
+        windows_per_s = MS_PER_S / (now - self.start)
+        sent = windows_per_s * self.sent
+        accepted = windows_per_s * max(0, self.accepted)  # 'full' may come a window late
         if sent and accepted < sent:
-            if self.rate is None:
-                self.rate = self.uncut = sent
-            rate = self.rate + self.rate / sent * (accepted - sent)
-            self.rate = max(rate, self.floor_share * self.uncut, 0.5)
+            self._cut(sent, accepted)
         elif self.rate is not None:
             self.rate *= RAISE
             if self.rate >= self.uncut and not waiting:
                 self.rate = None  # the cap binds no longer
-        self.start, self.sent, self.accepted = now, 0, 0
+        self.start = now
+        self.sent = 0
+        self.accepted = 0
+
+    def _cut(self, sent: float, accepted: float) -> None:
+        """Cuts the rate by the refused part of the traffic, down to the class's floor."""
+        if self.rate is None:
+            self.rate = self.uncut = sent
+        contribution = self.rate / sent
+        rate = self.rate + contribution * (accepted - sent)
+        self.rate = max(rate, self.floor_share * self.uncut, LEAST_RATE)
--- a/tests/golden/handover/record.py
+++ b/tests/golden/handover/record.py
@@ -39,6 +39,18 @@
     handover._tell_departed(LISTEN, keys)
 
 
+def teach(dispatcher):
+    """Lets the decisions of a process have learnt something that the next one goes on from."""
+    module = dispatcher.exchange._module
+    module._served_rate = 0.75
+    pacer = module._pacers[0]
+    pacer.run, pacer.rate, pacer.uncut, pacer.next_at = 120.0, 4.0, 20.0, dispatcher.now + 250.0
+    module._workers[dispatcher.ids.worker("w3")].recent.append((dispatcher.now - 30.0, 80.0))
+    erring = module._workers[dispatcher.ids.worker("w1")]
+    erring.faults = 2.0
+    erring.strike(dispatcher.now, erring=True)
+
+
 def name_of(message):
     """The name of a message's file: its kind, and what sets it apart from others of the kind."""
     kind = message["is"]
@@ -116,14 +128,7 @@
             end.finish()
             break
     dispatcher.client(path="/keyed/claim-7", id_="keyed", Idempotency_Key="k")
-    module = dispatcher.exchange._module
-    module._served_rate = 0.75
-    pacer = module._pacers[0]
-    pacer.run, pacer.rate, pacer.uncut, pacer.next_at = 120.0, 4.0, 20.0, dispatcher.now + 250.0
-    module._workers[dispatcher.ids.worker("w3")].recent.append((dispatcher.now - 30.0, 80.0))
-    erring = module._workers[dispatcher.ids.worker("w1")]
-    erring.faults = 2.0
-    erring.strike(dispatcher.now, erring=True)
+    teach(dispatcher)
     return side
 
 
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -4,7 +4,6 @@
 
 from dataclasses import replace
 
-from eiderfield.decide import Dispatcher
 from eiderfield.interface import (
     Arrived,
     Effect,
@@ -16,6 +15,7 @@
     Send,
     Settings,
 )
+from eiderfield.policy.dispatcher import Dispatcher
 
 SAFE = JobClass("safe", 1.0, aim=300.0, deadline=5000.0, effect=Effect.SAFE, late_worth=0.3, stretch=2.0)
 UNSAFE = replace(SAFE, name="unsafe", worth=10.0, effect=Effect.UNSAFE)
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -5,7 +5,6 @@
 
 from dataclasses import replace
 
-from eiderfield.decide import MANY, QUIET_RATE, Dispatcher
 from eiderfield.interface import (
     NEVER_RAN,
     Arrived,
@@ -28,6 +27,9 @@
     Tenant,
     mix,
 )
+from eiderfield.policy.context import MANY
+from eiderfield.policy.dispatcher import Dispatcher
+from eiderfield.policy.slow_start import SERVED_RATE_MS
 from support.policy import BASE, KEYED, SAFE, UNSAFE
 
 LATEST = 60.0  # ms by which this player's steps may be late with a timer
@@ -133,7 +135,7 @@
             self.sent_cold.append((self.now, action.worker))
             recent = sum(w == action.worker and t > self.now - self.settings.fall for t, w in self.sent_cold)
             share = self.settings.cold_share + (1 - self.settings.cold_share) * age / self.settings.cold
-            allowed = self.settings.fall_multiple * share * self.served / QUIET_RATE * self.settings.fall
+            allowed = self.settings.fall_multiple * share * self.served / SERVED_RATE_MS * self.settings.fall
             if (recent - 1 + self.lot(action.worker, age)) * WORK > allowed:
                 raise RuleBrokenError(f"rule 4: {recent} jobs to a cold worker")
         place = {"zone": entry.zone, "cell": entry.cell, "w": action.worker}
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -13,7 +13,6 @@
 from itertools import count
 from math import sqrt
 
-from eiderfield.decide import Dispatcher
 from eiderfield.interface import (
     NEVER_RAN,
     STARTED,
@@ -34,6 +33,7 @@
     SetTimer,
     State,
 )
+from eiderfield.policy.dispatcher import Dispatcher
 from support.policy import BASE, KEYED, SAFE
 
 DELAY = 2.0  # ms one way between a node and a worker
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -190,7 +190,7 @@
     dispatcher = harness.dispatcher
     end = dispatcher.dials[0].up()
     end.status(503, X_Not_Run="1")
-    [worker] = dispatcher.exchange._module._workers.values()
+    [worker] = dispatcher.exchange._module._fleet.workers.values()
     while True:
         dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_at())
         dispatcher.wheel.advance(dispatcher.now)
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -16,7 +16,6 @@
 from support.random_events import EventPlayer, RuleBrokenError
 
 from eiderfield import exchange as core
-from eiderfield.decide import Dispatcher
 from eiderfield.interface import (
     Action,
     Arrived,
@@ -30,6 +29,7 @@
     Tenant,
     pack_counts,
 )
+from eiderfield.policy.slow_start import SlowStart
 
 NAMES = list(DEPLOYMENTS)
 
@@ -46,7 +46,7 @@
 
 
 def test_one_of_many_that_minds_no_cold_worker_is_caught(monkeypatch):
-    monkeypatch.setattr(Dispatcher, "_cold_left", lambda self, worker, now: inf)
+    monkeypatch.setattr(SlowStart, "budget_left", lambda self, worker, now: inf)
     with pytest.raises(RuleBrokenError, match="rule 4"):
         for seed in range(400):
             EventPlayer(DEPLOYMENTS["reports by probes only"], random.Random(seed)).run(150)
@@ -176,7 +176,7 @@
 
 def test_a_peer_that_falls_silent_is_believed_for_two_seconds_and_no_longer():
     node = Node(replace(DEPLOYMENTS["admissions"], tenants=()), workers=1)
-    node.dispatcher._slots[0] = 4.0
+    node.dispatcher._reports.slots[0] = 4.0
     node.play(PeerSaid(1, pack_counts([(1, 9)])))
     assert not told(node.arrive(cls=0)[1], Send)
     node.play(at=1900.0)
@@ -188,17 +188,19 @@
     site = replace(DEPLOYMENTS["admissions"], tenants=())
     nodes = [Node(replace(site, me=me), workers=1, seed=me) for me in (0, 1)]
     for node in nodes:
-        node.dispatcher._slots[0] = 2.0
+        node.dispatcher._reports.slots[0] = 2.0
     sent = [node.arrive(cls=0, slots=2.0)[1] for node in nodes]
     assert all(told(actions, Send) for actions in sent), "neither could know: one waits at the worker"
     for node, actions in zip(nodes, reversed(sent), strict=True):
-        node.play(*[PeerSaid(1 - node.dispatcher._set.me, tell.data) for tell in told(actions, Tell)])
+        node.play(
+            *[PeerSaid(1 - node.dispatcher._context.settings.me, tell.data) for tell in told(actions, Tell)]
+        )
     assert not any(told(node.arrive(cls=0, slots=2.0)[1], Send) for node in nodes)
 
 
 def test_an_older_report_than_the_slots_seen_does_not_shrink_a_worker():
     node = Node(replace(DEPLOYMENTS["admissions"], tenants=(), balancers=1), workers=1)
-    node.dispatcher._slots[0] = 4.0
+    node.dispatcher._reports.slots[0] = 4.0
     id_, _ = node.arrive(cls=0)
     node.play(Ended(id_, 0, 1, Outcome.OK, 1.0, True, load=(9.0, 9.0, 0.0)))
     assert told(node.arrive(cls=0)[1], Send), "what was free seconds ago is no limit"
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -40,7 +40,7 @@
             node.now += 1.0
             outcome = Outcome.ERROR if send.worker == 1 else Outcome.OK
             actions = node.play(Ended(send.id, number, send.worker, outcome, 2.0, send.worker == 2))
-        if node.dispatcher._workers[1].strikes:
+        if node.dispatcher._fleet.workers[1].strikes:
             return node
     raise AssertionError("the failing worker was never known for one")
 
@@ -82,7 +82,7 @@
     id_, actions = node.arrive(cls=0)
     worker = sends(actions)[0].worker
     node.play(Noted(id_, 0, worker, STARTED, 0.0))
-    node.dispatcher._retry_tokens = 0.1
+    node.dispatcher._retry_budget.tokens = 0.1
     ended = node.play(Ended(id_, 0, worker, Outcome.ERROR, ran, False), at=node.now + ran)
     assert bool(sends(ended)) is again
 
@@ -92,14 +92,14 @@
     id_, actions = node.arrive(cls=0)
     worker = sends(actions)[0].worker
     node.play(Noted(id_, 0, worker, STARTED, 0.0))
-    node.dispatcher._retry_tokens = 0.1
+    node.dispatcher._retry_budget.tokens = 0.1
     assert not sends(node.play(Ended(id_, 0, worker, Outcome.RESET, 1.0, False), at=node.now + 1.0))
 
 
 def node_with_slots(site, slots=4.0, workers=2):
     """A node whose workers of one kind are known to have so many slots."""
     node = Node(site, workers=workers)
-    node.dispatcher._slots[0] = slots
+    node.dispatcher._reports.slots[0] = slots
     return node
 
 
@@ -148,6 +148,6 @@
     assert told[0].data[-1] == 3
     other = Node(replace(site, me=1), workers=1)
     other.play(Listed(ListKind.DELTA, 2, (Entry(1),)))
-    other.dispatcher._slots[0] = 4.0
+    other.dispatcher._reports.slots[0] = 4.0
     other.play(PeerSaid(0, pack_counts([(1, 3)])))
     assert not sends(other.arrive(cls=0, slots=3.0)[1])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -103,34 +103,38 @@
     for here, there in ((pair.old, pair.new), (pair.new, pair.old)):
         out = here.dispatcher.exchange.out_at
         assert sum(out.values()) == 1
-        workers = there.dispatcher.exchange._module._workers
+        workers = there.dispatcher.exchange._module._fleet.workers
         assert {w.entry.worker: w.beside for w in workers.values() if w.beside} == out
     assert pair.old.dispatcher.exchange.out_at != pair.new.dispatcher.exchange.out_at, (
         "fewest jobs of both goes first"
     )
     [worker] = pair.new.dispatcher.exchange.out_at
-    [(_, work)] = pair.old.dispatcher.exchange._module._workers[worker].recent
+    [(_, work)] = pair.old.dispatcher.exchange._module._fleet.workers[worker].recent
     assert work > 0.0
 
 
 def test_what_the_module_learnt_goes_along(pair):
     module = pair.old.dispatcher.exchange._module
-    module._pacers[0].run, module._pacers[0].rate, module._retry_tokens = 77.0, 5.0, 0.25
-    module._keys.update({7: 40, 8: 2})
+    module._queues.pacers[0].run, module._queues.pacers[0].rate, module._retry_budget.tokens = 77.0, 5.0, 0.25
+    module._key_counts.by_key.update({7: 40, 8: 2})
     pair.go()
     heir = pair.new.dispatcher.exchange._module
-    assert (heir._pacers[0].run, heir._pacers[0].rate, heir._retry_tokens) == (77.0, 5.0, 0.25)
-    assert heir._keyed == 42 and heir._keys[7] == 40
+    assert (heir._queues.pacers[0].run, heir._queues.pacers[0].rate, heir._retry_budget.tokens) == (
+        77.0,
+        5.0,
+        0.25,
+    )
+    assert heir._key_counts.total == 42 and heir._key_counts.by_key[7] == 40
 
 
 def test_a_worker_known_to_fail_is_known_to_the_next_process(pair):
     """Each new process of sofia's upgrade day sent jobs that must never run twice to find it out anew."""
     old = pair.old.dispatcher.exchange._module
-    [id_] = [w for w in old._workers if w == pair.old.dispatcher.ids.worker("w1")]
-    old._workers[id_].faults = 2.0
-    old._workers[id_].strike(0.0, erring=True)
+    [id_] = [w for w in old._fleet.workers if w == pair.old.dispatcher.ids.worker("w1")]
+    old._fleet.workers[id_].faults = 2.0
+    old._fleet.workers[id_].strike(0.0, erring=True)
     pair.go()
-    heir = pair.new.dispatcher.exchange._module._workers[id_]
+    heir = pair.new.dispatcher.exchange._module._fleet.workers[id_]
     assert (heir.faults, heir.strikes, heir.erring) == (2.0, 1, True)
 
 
@@ -166,7 +170,7 @@
     )
     assert bool(heard) == (when == "when all is given")
     old.settle()
-    assert not any(worker.beside for worker in old.exchange._module._workers.values())
+    assert not any(worker.beside for worker in old.exchange._module._fleet.workers.values())
 
 
 def test_the_new_process_is_alone_once_the_old_one_has_ended(pair):
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -109,6 +109,18 @@
     assert ("now" in again) == (recorded(name)[0]["is"] in ("state", "ban", "client", "parked"))
 
 
+def teach(dispatcher):
+    """What the recorder's function of this name does, by the present names."""
+    module = dispatcher.exchange._module
+    module._slow_start.served_rate = 0.75
+    pacer = module._queues.pacers[0]
+    pacer.run, pacer.rate, pacer.uncut, pacer.next_at = 120.0, 4.0, 20.0, dispatcher.now + 250.0
+    module._fleet.workers[dispatcher.ids.worker("w3")].recent.append((dispatcher.now - 30.0, 80.0))
+    erring = module._fleet.workers[dispatcher.ids.worker("w1")]
+    erring.faults = 2.0
+    erring.strike(dispatcher.now, erring=True)
+
+
 def recorder_module():
     """The recorder, with the names that its few calls have now."""
     spec = importlib.util.spec_from_file_location("record", GOLDEN / "record.py")
@@ -117,6 +129,7 @@
     module.accept = lambda handover, link: handover.accept(link)
     module.take_over = lambda handover, link, finished: handover.take_over(link, finished)
     module.pass_connection = lambda handover, let_go: handover._old._pass_connection(LISTEN, let_go)
+    module.teach = teach
     module.tell_departed = lambda handover, keys: handover._new._tell_departed(LISTEN, keys)
     accept_all, park = module.accept_all, module.park
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,6 +1,8 @@
 """The four rules under drawn event sequences, and proof that each check can fail."""
 
 import random
+from dataclasses import replace
+from math import inf
 
 import pytest
 from hypothesis import HealthCheck, given
@@ -8,7 +10,10 @@
 from hypothesis import strategies as st
 from support.random_events import VARIANTS, EventPlayer, RuleBrokenError
 
-import eiderfield.decide as brain
+from eiderfield.interface import State
+from eiderfield.policy import dispatcher, outlier_detection, selection
+from eiderfield.policy.dispatcher import Dispatcher
+from eiderfield.policy.slow_start import SlowStart
 
 
 @pytest.mark.parametrize("variant", VARIANTS)
@@ -24,28 +29,28 @@
 
 def ignore_drains(real):
     def listed(self, event, now):
-        ready = [brain.replace(entry, state=brain.State.READY) for entry in event.entries]
-        real(self, brain.replace(event, entries=tuple(ready)), now)
+        ready = [replace(entry, state=State.READY) for entry in event.entries]
+        real(self, replace(event, entries=tuple(ready)), now)
 
     return listed
 
 
 BROKEN = {
-    "rule 1": ("plain", lambda m: m.setattr(brain.Dispatcher, "_expire", lambda self, now: None)),
+    "rule 1": ("plain", lambda m: m.setattr(Dispatcher, "_expire", lambda self, now: None)),
     "rule 2: unsafe": ("all unsafe", lambda m: (
-        m.setattr(brain, "may_resend", lambda *a: True),
-        m.setattr(brain.Dispatcher, "_give_up", lambda self, attempt, now: self._hold(attempt.job)
+        m.setattr(selection, "may_resend", lambda *a: True),
+        m.setattr(Dispatcher, "_give_up", lambda self, attempt, now: self._queues.add_first(attempt.job)
                   if attempt.job.queue is None and not attempt.job.answered else None))),
-    "rule 2: keyed": ("zones", lambda m: m.setattr(brain, "may_resend", lambda *a: True)),
-    "rule 2: .* refused": ("all unsafe", lambda m: m.setattr(brain, "may_refuse", lambda job: True)),
+    "rule 2: keyed": ("zones", lambda m: m.setattr(selection, "may_resend", lambda *a: True)),
+    "rule 2: .* refused": ("all unsafe", lambda m: m.setattr(dispatcher, "may_refuse", lambda job: True)),
     "rule 3": ("plain", lambda m: m.setattr(
-        brain.Dispatcher, "_list", ignore_drains(brain.Dispatcher._list))),
+        Dispatcher, "_endpoints_updated", ignore_drains(Dispatcher._endpoints_updated))),
     "rule 4": ("plain", lambda m: m.setattr(
-        brain.Dispatcher, "_cold_left", lambda self, worker, now: brain.inf)),
+        SlowStart, "budget_left", lambda self, worker, now: inf)),
     "two attempts at once": ("no copies", lambda m: (
-        m.setattr(brain, "STUCK_RUNS", 0.1),
-        m.setattr(brain, "may_resend", lambda *a: True),
-        m.setattr(brain.Dispatcher, "_give_up", lambda self, attempt, now: self._hold(attempt.job)
+        m.setattr(outlier_detection, "STUCK_RUNS", 0.1),
+        m.setattr(selection, "may_resend", lambda *a: True),
+        m.setattr(Dispatcher, "_give_up", lambda self, attempt, now: self._queues.add_first(attempt.job)
                   if attempt.job.queue is None and not attempt.job.answered else None))),
 }  # fmt: skip
 
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -112,7 +112,7 @@
     end = dispatcher.dials[0].up()
     end.status(status)
     assert client.answers()[0][0] == 400 and not dispatcher.dials and not dispatcher.exchange.unanswered
-    assert all(not w.strikes for w in dispatcher.exchange._module._workers.values())
+    assert all(not w.strikes for w in dispatcher.exchange._module._fleet.workers.values())
 
 
 @pytest.mark.parametrize("status", [408, 429])
--- a/tests/test_policy_boundaries.py
+++ b/tests/test_policy_boundaries.py
@@ -1,13 +1,13 @@
-"""The limits that the operators set for the decision module, and that hold for each file of its package."""
+"""The limits that the operators set for the decisions, for each file of their package."""
 
 from pathlib import Path
 
 import pytest
 
-import eiderfield.decide
 import eiderfield.policy
 
-FILES = [Path(eiderfield.decide.__file__), *sorted(Path(eiderfield.policy.__file__).parent.glob("**/*.py"))]
+FILES = sorted(Path(eiderfield.policy.__file__).parent.glob("**/*.py"))
+DISPATCHER = Path(eiderfield.policy.__file__).with_name("dispatcher.py")
 
 
 @pytest.fixture(params=FILES, ids=lambda path: path.name)
@@ -16,11 +16,11 @@
 
 
 def test_every_module_of_the_package_is_checked():
-    assert len(FILES) >= 9
+    assert len(FILES) >= 18
 
 
 def test_size(lines):
-    assert len([line for line in lines if line.strip()]) <= 750
+    assert len([line for line in lines if line.strip()]) <= 500
 
 
 def test_line_length(lines):
@@ -28,7 +28,7 @@
 
 
 def test_names_the_interface_in_its_opening_lines():
-    assert any("eiderfield/interface.py" in line for line in FILES[0].read_text().splitlines()[:4])
+    assert any("eiderfield/interface.py" in line for line in DISPATCHER.read_text().splitlines()[:4])
 
 
 def test_reads_no_clock_and_does_no_io(lines):
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -1,11 +1,11 @@
 """The design's steps, each with figures worked out by hand."""
 
 from dataclasses import replace
+from math import inf
 
 import pytest
 from support.policy import BASE, SAFE, UNSAFE, Node, sends
 
-from eiderfield.decide import COLD_REST, GRB_PER_WORKER, Job, Lane, Pacer, inf
 from eiderfield.interface import (
     STARTED,
     Arrived,
@@ -18,6 +18,11 @@
     Refuse,
     State,
 )
+from eiderfield.policy.admission import GRB_PER_WORKER
+from eiderfield.policy.queues import ClassQueue
+from eiderfield.policy.rate_control import Pacer
+from eiderfield.policy.request import Job
+from eiderfield.policy.selection import COLD_REST
 
 
 def window(pacer, start, sent, fulls, waiting=False):
@@ -52,7 +57,7 @@
 
 def test_the_highest_worth_class_has_the_higher_floor():
     node = Node()
-    assert [p.floor_share for p in node.dispatcher._pacers] == [0.3, 0.7, 0.3]
+    assert [p.floor_share for p in node.dispatcher._queues.pacers] == [0.3, 0.7, 0.3]
 
 
 def test_only_full_counts_as_not_accepted():
@@ -60,9 +65,9 @@
     for outcome, lost in lost_by.items():
         node = Node()
         id_, actions = node.arrive(cls=1)
-        pacer = node.dispatcher._pacers[1]
+        pacer = node.dispatcher._queues.pacers[1]
         worker = sends(actions)[0].worker
-        for other in node.dispatcher._workers.values():
+        for other in node.dispatcher._fleet.workers.values():
             other.full_until = 1000.0 * (other.entry.worker != worker)
         before = pacer.sent - pacer.accepted
         node.play(Listed(ListKind.DELTA, 2, tuple(Entry(w, state=State.READY) for w in (worker,))))
@@ -74,14 +79,14 @@
     """A worker that took nothing held a class at its floor for ten seconds, with most of the fleet idle."""
     node = Node()
     id_, actions = node.arrive(cls=1)
-    pacer = node.dispatcher._pacers[1]
+    pacer = node.dispatcher._queues.pacers[1]
     node.end(id_, 0, sends(actions)[0].worker, Outcome.FULL)
     assert pacer.sent - 1 == pacer.accepted - 1 == 1, "sent again, and neither send counted as not accepted"
 
 
 def test_a_worker_that_answers_full_again_is_asked_less_often():
     node = Node(workers=1)
-    worker, waits = node.dispatcher._workers[1], []
+    worker, waits = node.dispatcher._fleet.workers[1], []
     for _ in range(4):
         node.now += 10_000.0
         id_, actions = node.arrive(due=100.0)
@@ -102,18 +107,18 @@
     worker = sends(actions)[0].worker
     node.play(Listed(ListKind.DELTA, 2, (Entry(worker, state=State.DRAINING),)))
     node.end(id_, 0, worker, Outcome.FULL)
-    pacer = node.dispatcher._pacers[0]
+    pacer = node.dispatcher._queues.pacers[0]
     assert pacer.accepted == pacer.sent
 
 
 def test_the_top_class_buffer_grows_as_it_is_cut():
-    lane = Lane(SAFE, Pacer(0.7, 100.0), 1.0)
+    lane = ClassQueue(SAFE, Pacer(0.7, 100.0), 1.0)
     for n in range(6):
         lane.slb[n] = None
     assert not lane.room()  # 6 of 8 is near-full
     lane.pacer.rate, lane.pacer.uncut = 20.0, 40.0
     assert lane.room()  # 6 of 16
-    rest = Lane(SAFE, Pacer(0.3, 100.0), 1.0)
+    rest = ClassQueue(SAFE, Pacer(0.3, 100.0), 1.0)
     rest.slb.update(dict.fromkeys(range(6)))
     rest.pacer.rate, rest.pacer.uncut = 20.0, 40.0
     assert not rest.room()
@@ -124,14 +129,14 @@
     for _ in range(8):
         node.arrive(cls=0)
     node.arrive(cls=1)
-    lanes = node.dispatcher._lanes
+    lanes = node.dispatcher._queues.by_id
     first, second = lanes[0, 0, False], lanes[1, 0, False]
     assert [len(x) for x in (first.slb, first.grb, second.slb, second.grb)] == [6, 2, 1, 0]
 
 
 def test_a_paced_class_is_released_in_order_at_its_rate():
     node = Node(workers=8)
-    pacer = node.dispatcher._pacers[0]
+    pacer = node.dispatcher._queues.pacers[0]
     pacer.rate, pacer.uncut, pacer.start = 10.0, 10.0, 0.0
     ids = [node.next_id + n for n in range(3)]
     got = sends(node.play(*(Arrived(i, 0, 5000.0) for i in ids)))
@@ -182,14 +187,14 @@
     worths = []
     for _ in range(4):
         id_, _ = node.arrive(cls=1)
-        worths.append(node.dispatcher._jobs[id_].lane.worth)
+        worths.append(node.dispatcher._jobs[id_].class_queue.worth)
     full, reduced = UNSAFE.worth, 0.01 * UNSAFE.worth
     assert worths == [full, full, reduced, reduced]  # a share of 2 a second, saved up for a second
 
 
 def test_the_grb_is_bounded_by_count_too():
     node = Node(replace(BASE, classes=(replace(SAFE, aim=4000.0),)), workers=0)
-    node.dispatcher._pacers[0].learn(1.0, 0.0)  # jobs of 1 ms: no wait would fill it
+    node.dispatcher._queues.pacers[0].learn(1.0, 0.0)  # jobs of 1 ms: no wait would fill it
     answers = [node.arrive()[1] for _ in range(GRB_PER_WORKER * 4 + 1)]
     refused = [any(isinstance(a, Refuse) for a in actions) for actions in answers]
     assert refused == [False] * (GRB_PER_WORKER * 4) + [True]
@@ -209,20 +214,20 @@
 
 def keyed(key):
     pacer = Pacer(0.3, 100.0)
-    return Job(0, key, 5000.0, 0.0, Lane(UNSAFE, pacer, 1.0), UNSAFE, 100.0, 100.0, 5000.0)
+    return Job(0, key, 5000.0, 0.0, ClassQueue(UNSAFE, pacer, 1.0), UNSAFE, 100.0, 100.0, 5000.0)
 
 
 def test_a_home_that_takes_nothing_or_only_trials_gives_way_to_the_keys_next():
     """Jobs waited for such homes while other workers were idle."""
     node = Node(workers=6)
     node.now = 1.0
-    first, second = (w.entry.worker for w in node.dispatcher._homes(keyed(101), node.now))
-    workers = node.dispatcher._workers
+    first, second = (w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), node.now))
+    workers = node.dispatcher._fleet.workers
     workers[first].fulls, workers[first].full_until = 2, 500.0
     workers[second].strikes = 1
-    homes = {w.entry.worker for w in node.dispatcher._homes(keyed(101), node.now)}
+    homes = {w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), node.now)}
     assert len(homes) == 2 and not homes & {first, second}
-    assert first in {w.entry.worker for w in node.dispatcher._homes(keyed(101), 600.0)}
+    assert first in {w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), 600.0)}
 
 
 def test_a_rare_key_has_two_homes_the_same_at_every_node():
@@ -230,7 +235,9 @@
     for node in (first, second):
         for key in range(100, 140):
             sent_to(node, key, 1)
-    homes = [[w.entry.worker for w in n.dispatcher._homes(keyed(101), n.now)] for n in (first, second)]
+    homes = [
+        [w.entry.worker for w in n.dispatcher._selector.homes(keyed(101), n.now)] for n in (first, second)
+    ]
     assert homes[0] == homes[1] and len(homes[0]) == 2
 
 
@@ -250,11 +257,11 @@
 
 
 def test_counts_of_keys_do_not_grow_without_end(monkeypatch):
-    monkeypatch.setattr("eiderfield.decide.KEY_MEMORY", 50)
+    monkeypatch.setattr("eiderfield.policy.affinity.KEY_MEMORY", 50)
     node = Node(workers=2)
     for key in range(1, 300):
         sent_to(node, key, 1)
-    assert len(node.dispatcher._keys) <= 50 and len(node.dispatcher._orders) <= 51
+    assert len(node.dispatcher._key_counts.by_key) <= 50 and len(node.dispatcher._fleet.key_orders) <= 51
 
 
 def late_site():
@@ -270,7 +277,7 @@
     fresh, _ = node.arrive()
     order = []
     for _ in range(4):
-        worker = node.dispatcher._workers[1]
+        worker = node.dispatcher._fleet.workers[1]
         [(id_, attempt)] = worker.open
         actions = node.play(Noted(id_, attempt, 1, 1, 0.0))
         worker.full_until = 0.0
@@ -291,7 +298,7 @@
     node.arrive()
     node.arrive()
     node.play(at=400.0)
-    assert not any(lane.late for lane in node.dispatcher._by_worth)
+    assert not any(lane.late for lane in node.dispatcher._queues.by_worth)
 
 
 def test_a_cold_worker_is_a_home_again_after_the_first_part_of_its_warm_up_and_within_its_budget():
@@ -309,7 +316,7 @@
             got += [node.now - started] if send.worker == 1 else []
             node.end(send.id, 0, send.worker, Outcome.OK, final=True, elapsed=40.0)
     assert got and COLD_REST * BASE.cold <= got[0] < (COLD_REST + 0.1) * BASE.cold
-    node.dispatcher._workers[1].recent.append((node.now, inf))
+    node.dispatcher._fleet.workers[1].recent.append((node.now, inf))
     assert [send.worker for send in sends(node.arrive(key=7)[1])] == [2], "its budget is spent"
 
 
@@ -332,8 +339,8 @@
     node.play(Beside(1, 0, 0.0))
     assert [send.worker for send in sends(node.arrive()[1])] == [1]
     module, node.now = node.dispatcher, 10_000.0
-    module._served_rate, module._served_at = 1.0, node.now
+    module._slow_start.served_rate, module._slow_start.served_at = 1.0, node.now
     node.play(Listed(ListKind.DELTA, 2, (Entry(1, ready_at=node.now - 100.0),)))
-    left = module._cold_left(module._workers[1], node.now)
+    left = module._slow_start.budget_left(module._fleet.workers[1], node.now)
     node.play(Beside(1, 1, left))
-    assert module._cold_left(module._workers[1], node.now) == pytest.approx(0.0)
+    assert module._slow_start.budget_left(module._fleet.workers[1], node.now) == pytest.approx(0.0)
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,7 +1,8 @@
 """The decisions of seeded event sequences, as they were before the decisions became a package.
 
-A digest covers every action in its order, in the simulator's wire form with the expected work of each attempt,
-so that it outlasts names. A change of behaviour that is meant changes digests: the commit says which, and why.
+A digest covers every action in its order, in the simulator's wire form with the expected work of each
+attempt, so that it outlasts names. A change of behaviour that is meant changes digests: the commit says
+which, and why.
 """
 
 import hashlib
@@ -11,8 +12,8 @@
 
 import pytest
 from support.policy import BASE
-from support.random_events import VARIANTS, World
-from support.simulated_fleet import Fleet
+from support.random_events import VARIANTS, EventPlayer
+from support.simulated_fleet import SimulatedFleet
 
 from eiderfield.interface import Send
 from eiderfield.wire import encode
@@ -57,16 +58,16 @@
 def test_decisions_under_drawn_events_are_those_recorded(variant):
     digest = hashlib.sha256()
     for seed in range(6):
-        world = World(SITES[variant], random.Random(seed))
-        record(digest, world.node)
-        world.run(250)
+        player = EventPlayer(SITES[variant], random.Random(seed))
+        record(digest, player.node)
+        player.run(250)
     assert digest.hexdigest()[:16] == WORLDS[variant]
 
 
 @pytest.mark.parametrize("size", FLEETS, ids=str)
 def test_decisions_of_a_simulated_fleet_are_those_recorded(size):
     nodes, workers = size
-    digest, fleet = hashlib.sha256(), Fleet(nodes, workers, load=0.9)
+    digest, fleet = hashlib.sha256(), SimulatedFleet(nodes, workers, load=0.9)
     for number, dispatcher in enumerate(fleet.nodes):
         record(digest, dispatcher, number)
     fleet.run(3000.0)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -13,9 +13,9 @@
 from support.memory_dispatcher import InMemoryDispatcher
 from support.policy import BASE, Node, sends
 
-from eiderfield.decide import Dispatcher
 from eiderfield.interface import Ended, Entry, Listed, ListKind, Outcome
 from eiderfield.net.reports import from_body, from_object, from_text
+from eiderfield.policy.dispatcher import Dispatcher
 
 FIELDS = ("active", "rps", "x0")
 NAN = math.nan
@@ -63,13 +63,13 @@
 def told(monkeypatch, how):
     """What the module hears with the end of a leg."""
     loads = []
-    real = Dispatcher._ended
+    real = Dispatcher._attempt_ended
 
     def heard(module, event, now):
         loads.append(event.load)
         return real(module, event, now)
 
-    monkeypatch.setattr(Dispatcher, "_ended", heard)
+    monkeypatch.setattr(Dispatcher, "_attempt_ended", heard)
     dispatcher = InMemoryDispatcher(DEPLOYMENTS["admissions"])
     dispatcher.client(path="/safe")
     end = dispatcher.dials[0].up()
@@ -102,8 +102,8 @@
     node = Node(replace(BASE, report_fields=FIELDS), workers=1)
     id_, _ = node.arrive()
     ended(node, id_, 1, (3.0, 1.0, NAN))
-    assert node.dispatcher._workers[1].reported == -math.inf
-    assert node.dispatcher._slots[0] == 2.0
+    assert node.dispatcher._fleet.workers[1].reported == -math.inf
+    assert node.dispatcher._reports.slots[0] == 2.0
 
 
 def test_free_slots_are_not_believed_against_full():
@@ -115,7 +115,7 @@
 
 def test_a_restarted_worker_owes_nothing_to_its_old_reports_or_faults():
     node = Node(replace(BASE, report_fields=FIELDS, cold=0.0), workers=1)
-    worker = node.dispatcher._workers[1]
+    worker = node.dispatcher._fleet.workers[1]
     node.now = 100.0
     id_, _ = node.arrive()
     ended(node, id_, 1, (0.0, 0.0, 0.0))
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -41,11 +41,11 @@
     worths = zip(SITE.classes, (1.0, 1.0, 10.0), strict=True)
     site = replace(SITE, classes=tuple(replace(cls, worth=worth) for cls, worth in worths))
     dispatcher.exchange.adopt(site)
-    lanes = dispatcher.exchange._module._by_worth
+    lanes = dispatcher.exchange._module._queues.by_worth
     assert [lane.cls.name for lane in lanes[:2]] == [SITE.classes[2].name] * 2
     assert (
-        dispatcher.exchange._module._pacers[2].floor_share
-        > dispatcher.exchange._module._pacers[0].floor_share
+        dispatcher.exchange._module._queues.pacers[2].floor_share
+        > dispatcher.exchange._module._queues.pacers[0].floor_share
     )
 
 
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -6,7 +6,6 @@
 import pytest
 from support.policy import BASE, SAFE, Node, sends
 
-from eiderfield.decide import HOMES, MANY, PAUSES, STUCK_MANY
 from eiderfield.interface import (
     REPEAT,
     Cancel,
@@ -27,6 +26,10 @@
     pack_counts,
     unpack_counts,
 )
+from eiderfield.policy.affinity import HOMES
+from eiderfield.policy.context import MANY
+from eiderfield.policy.dispatcher import PAUSES
+from eiderfield.policy.outlier_detection import STUCK_RUNS_OF_MANY
 
 FLEET = tuple(Entry(w, zone=w % 2, kind=w // 2 % 2) for w in range(1, 41))
 TALKING = replace(BASE, balancers=3, may_tell=True)
@@ -42,16 +45,16 @@
 def test_many_nodes_share_the_fleet_evenly():
     """antigua-reparto-later, 152 nodes: each sent to all of 207 workers and knew none of them."""
     nodes = [part(me, 40) for me in range(40)]
-    used = Counter(w.entry.worker for n in nodes for w in n.dispatcher._mine)
+    used = Counter(w.entry.worker for n in nodes for w in n.dispatcher._fleet.subset.workers)
     assert set(used.values()) == {4} and len(used) == 40
     for node in nodes:
-        zones = Counter((w.entry.zone, w.entry.kind) for w in node.dispatcher._mine)
-        assert len(node.dispatcher._mine) == 4 and max(zones.values()) == 1
+        zones = Counter((w.entry.zone, w.entry.kind) for w in node.dispatcher._fleet.subset.workers)
+        assert len(node.dispatcher._fleet.subset.workers) == 4 and max(zones.values()) == 1
 
 
 def test_a_node_keeps_to_its_part_but_for_repeats_bound_elsewhere():
     node = part(3, 40)
-    mine = {w.entry.worker for w in node.dispatcher._mine}
+    mine = {w.entry.worker for w in node.dispatcher._fleet.subset.workers}
     for _ in range(4):
         id_, actions = node.arrive()
         (sent,) = sends(actions)
@@ -61,7 +64,7 @@
 
 @pytest.mark.parametrize(("balancers", "fleet"), [(3, FLEET), (40, FLEET[:5])])
 def test_few_nodes_or_workers_are_not_parted(balancers, fleet):
-    assert len(part(0, balancers, fleet).dispatcher._mine) == len(fleet)
+    assert len(part(0, balancers, fleet).dispatcher._fleet.subset.workers) == len(fleet)
 
 
 def test_keyed_jobs_have_homes_in_the_whole_fleet():
@@ -72,7 +75,7 @@
         for sent in sends(actions):
             used.add(sent.worker)
             node.end(id_, 0, sent.worker, Outcome.OK, final=True)
-    assert len(used) > 20 and len(node.dispatcher._mine) == 40
+    assert len(used) > 20 and len(node.dispatcher._fleet.subset.workers) == 40
 
 
 def test_keys_spread_evenly_over_workers():
@@ -93,9 +96,9 @@
 def test_nodes_stop_talking_when_the_fleet_shrinks_below_their_parts():
     """The list of peers outlived the part that it was made for."""
     node = part(0, 40, may_tell=True)
-    assert len(node.dispatcher._peers) == 9
+    assert len(node.dispatcher._gossip.peers) == 9
     node.play(Listed(ListKind.FULL, 3, FLEET[:4]))
-    assert len(node.dispatcher._mine) == 4 and not node.dispatcher._peers
+    assert len(node.dispatcher._fleet.subset.workers) == 4 and not node.dispatcher._gossip.peers
 
 
 def test_nothing_is_told_where_nodes_may_not_talk():
@@ -137,7 +140,7 @@
 def silent(**more):
     """A node of eight that cannot talk, its part of eight workers, and the ids of these four."""
     node = Node(replace(SILENT, **more), workers=8)
-    return node, [w.entry.worker for w in node.dispatcher._mine]
+    return node, [w.entry.worker for w in node.dispatcher._fleet.subset.workers]
 
 
 def test_a_job_waits_for_probes_and_goes_where_a_slot_is_free():
@@ -175,11 +178,11 @@
 def test_most_of_a_part_back_cold_gets_no_more_for_what_few_warm_ones_serve():
     """A lost zone came back among 49 nodes: what six workers served, over one warm one, allowed too much."""
     node = Node(BASE, workers=6)
-    node.dispatcher._served_rate, node.dispatcher._served_at = 6.0, 60_000.0
+    node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = 6.0, 60_000.0
     cold = tuple(Entry(w, ready_at=60_000.0) for w in range(2, 7))
     node.play(Listed(ListKind.DELTA, 2, cold), at=60_000.0)
     node.arrive(work=1.0)
-    assert node.dispatcher._each == pytest.approx(2.0)
+    assert node.dispatcher._slow_start.served_by_each == pytest.approx(2.0)
 
 
 def cold_day(nodes, rate, work):
@@ -190,18 +193,18 @@
     many = [Node(replace(settings, me=me), workers=10, seed=me) for me in range(nodes)]
     each = rate * work / 1000.0 / nodes  # what one node has served in a ms
     for node in many:
-        node.dispatcher._served_rate, node.dispatcher._served_at = each, 60_000.0
+        node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = each, 60_000.0
         node.play(Listed(ListKind.DELTA, 2, (Entry(1, ready_at=60_000.0),)), at=60_000.0)
     sent, worst, allowed = [], 0.0, 0.0
     warm = rate * work / 1000.0 / 10.0  # one warm worker's work in a ms
     for turn in range(int(rate * 8.0)):
         age, node = 1000.0 * turn / rate, many[turn % nodes]
         node.now = 60_000.0 + age
-        out = [a for w in node.dispatcher._mine for a in w.open.values()]
+        out = [a for w in node.dispatcher._fleet.subset.workers for a in w.open.values()]
         for attempt in [a for a in out if node.now >= a.sent + work]:
             node.end(attempt.job.id, 0, 0, Outcome.OK, final=True, elapsed=work)
-        node.dispatcher._served_rate, node.dispatcher._served_at = each, node.now
-        node.dispatcher._pacers[0].run = work
+        node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = each, node.now
+        node.dispatcher._queues.pacers[0].run = work
         for send in sends(node.arrive(key=7)[1]):
             node.play(Noted(send.id, 0, send.worker, 1, 0.0))
             sent += [age] * (send.worker == 1)
@@ -227,13 +230,13 @@
     queued at the warm ones."""
     node = Node(CROWD, workers=8)
     module, node.now = node.dispatcher, 60_000.0
-    module._served_rate, module._served_at = 100.0, node.now
+    module._slow_start.served_rate, module._slow_start.served_at = 100.0, node.now
     node.play(Listed(ListKind.DELTA, 2, (Entry(3, ready_at=node.now - 4000.0),)))
-    drawn = module._workers[3].ticket
-    module._keys[7] = module._keyed = 100  # a hot key: all workers are its homes
+    drawn = module._fleet.workers[3].ticket
+    module._key_counts.by_key[7] = module._key_counts.total = 100  # a hot key: all workers are its homes
     assert [send.worker for send in sends(node.arrive(key=7)[1])] == [3], drawn
     few = Node(replace(CROWD, balancers=MANY), workers=8)
-    few.dispatcher._served_rate, few.dispatcher._served_at = 100.0, 60_000.0
+    few.dispatcher._slow_start.served_rate, few.dispatcher._slow_start.served_at = 100.0, 60_000.0
     few.play(Listed(ListKind.DELTA, 2, (Entry(3, ready_at=56_000.0),)), at=60_000.0)
     assert {send.worker for _ in range(7) for send in sends(few.arrive(key=7)[1])} > {3}
 
@@ -256,12 +259,14 @@
     """Forty nodes see a fortieth of a worker's queue each: up to 18 jobs waited at one worker, a second long,
     while slots were free at others."""
     node, id_, worker = waiting()
-    patience = STUCK_MANY * SAFE.aim
+    patience = STUCK_RUNS_OF_MANY * SAFE.aim
     assert not cancels(node.play(Due(0), at=patience - 2.0))
     assert cancels(node.play(Due(0), at=patience + 2.0)) == [Cancel(id_, 0)]
     again = sends(node.end(id_, 0, worker, Outcome.CANCELLED))
     assert [send.id for send in again] == [id_] and again[0].worker != worker
-    assert not node.dispatcher._free(node.dispatcher._workers[worker], node.now), "the next would wait too"
+    assert not node.dispatcher._selector.is_free(node.dispatcher._fleet.workers[worker], node.now), (
+        "the next would wait too"
+    )
 
 
 def test_few_nodes_know_the_queue_that_they_made_and_leave_a_job_in_its_place():
@@ -272,18 +277,18 @@
 def test_where_all_queues_are_long_a_job_keeps_its_place():
     """While workers fetched for a fleet replaced, every job went from queue to queue, four legs each."""
     node, id_, worker = waiting()
-    node.dispatcher._queued = 400.0
+    node.dispatcher._outliers.mean_wait = 400.0
     assert not cancels(node.play(Due(0), at=395.0))
     assert cancels(node.play(Due(0), at=405.0)) == [Cancel(id_, 0)]
     node.end(id_, 0, worker, Outcome.CANCELLED)
-    assert node.dispatcher._queued > 400.0, "what was called off has waited too"
+    assert node.dispatcher._outliers.mean_wait > 400.0, "what was called off has waited too"
     for _ in range(60):
         node.now += 1000.0
         other, actions = node.arrive(key=7)
         for send in sends(actions):
             node.play(Noted(other, 0, send.worker, 1, 0.0), at=node.now + 10.0)
             node.end(other, 0, send.worker, Outcome.OK, final=True)
-    assert node.dispatcher._queued < STUCK_MANY * SAFE.aim
+    assert node.dispatcher._outliers.mean_wait < STUCK_RUNS_OF_MANY * SAFE.aim
 
 
 def test_a_wait_at_one_worker_does_not_keep_one_of_many_nodes_away_for_twenty_waits():
@@ -291,7 +296,7 @@
     that jobs went where their data was not."""
     node, id_, worker = waiting()
     node.play(Noted(id_, 0, worker, 1, 0.0), at=50.0)
-    assert node.dispatcher._workers[worker].full_until == 50.0 + PAUSES * 50.0
+    assert node.dispatcher._fleet.workers[worker].full_until == 50.0 + PAUSES * 50.0
 
 
 def test_among_many_nodes_a_key_keeps_closer_to_its_homes():
@@ -299,12 +304,12 @@
     homes = []
     for balancers in (MANY, 40):
         node = Node(replace(CROWD, balancers=balancers), workers=40)
-        node.dispatcher._keys.update({1: 800, 2: 200})
-        node.dispatcher._keyed = 1000
+        node.dispatcher._key_counts.by_key.update({1: 800, 2: 200})
+        node.dispatcher._key_counts.total = 1000
         id_, _ = node.arrive(key=2)
         job = node.dispatcher._jobs[id_]
         job.attempts.clear()
-        homes.append(len(node.dispatcher._homes(job, 600.0)))
+        homes.append(len(node.dispatcher._selector.homes(job, 600.0)))
     assert homes[0] > homes[1] >= 10, homes
 
 
@@ -314,8 +319,10 @@
     [again] = sends(node.end(id_, 0, worker, Outcome.CONNECT_FAILED))
     assert again.worker != worker, "the job goes elsewhere at once"
     node.end(id_, 1, again.worker, Outcome.OK, final=True)
-    full = node.dispatcher._workers[worker]
-    assert not node.dispatcher._free(full, node.now + 400.0) and node.dispatcher._free(full, node.now + 600.0)
+    full = node.dispatcher._fleet.workers[worker]
+    assert not node.dispatcher._selector.is_free(
+        full, node.now + 400.0
+    ) and node.dispatcher._selector.is_free(full, node.now + 600.0)
     node.now += 600.0
     for _ in range(40):  # a trial comes, and its answer makes an end of the matter
         for send in sends(node.arrive(key=7)[1]):
@@ -325,11 +332,11 @@
 
 def test_what_is_called_off_unstarted_is_no_repeat_of_what_may_have_run():
     node, id_, worker = waiting()
-    node.dispatcher._retry_tokens = 0.0
-    node.play(Due(0), at=STUCK_MANY * SAFE.aim + 2.0)
+    node.dispatcher._retry_budget.tokens = 0.0
+    node.play(Due(0), at=STUCK_RUNS_OF_MANY * SAFE.aim + 2.0)
     assert sends(node.end(id_, 0, worker, Outcome.CANCELLED)), "it costs no work, and so no budget"
     node, id_, worker = waiting()
-    node.dispatcher._retry_tokens = 0.0
+    node.dispatcher._retry_budget.tokens = 0.0
     node.play(Noted(id_, 0, worker, 1, 0.0), at=10.0)
     assert not sends(node.end(id_, 0, worker, Outcome.RESET))
 
@@ -338,14 +345,19 @@
     """Jobs called off waited for homes in other zones until their clients gave up."""
     zonal = replace(CROWD.classes[2], scope=Scope.ZONE, window=20_000.0)
     node = Node(replace(CROWD, classes=(SAFE, zonal)), workers=30)
-    node.dispatcher._keys[1] = node.dispatcher._keyed = 1000  # beside which the others are rare
+    node.dispatcher._key_counts.by_key[1] = node.dispatcher._key_counts.total = (
+        1000  # beside which the others are rare
+    )
     for key in range(2, 20):
         id_, actions = node.arrive(cls=1, key=key)
         [first] = sends(actions)
         zone = first.worker % 3
-        if all(w.entry.zone != zone for w in node.dispatcher._homes(node.dispatcher._jobs[id_], node.now)):
+        if all(
+            w.entry.zone != zone
+            for w in node.dispatcher._selector.homes(node.dispatcher._jobs[id_], node.now)
+        ):
             break
-    node.play(Due(0), at=STUCK_MANY * SAFE.aim + 2.0)
+    node.play(Due(0), at=STUCK_RUNS_OF_MANY * SAFE.aim + 2.0)
     [again] = [s for s in sends(node.end(id_, 0, first.worker, Outcome.CANCELLED)) if s.id == id_]
     assert again.worker % 3 == zone and again.worker != first.worker
 
@@ -356,7 +368,7 @@
     id_, _ = node.arrive()
     node.play(Noted(id_, 0, 1, 1, 0.0))
     node.end(id_, 0, 1, Outcome.OK, final=True)
-    assert node.dispatcher._workers[1].unstarted == 0 and sends(node.arrive()[1])
+    assert node.dispatcher._fleet.workers[1].unstarted == 0 and sends(node.arrive()[1])
 
 
 FULL = replace(CROWD, balancers=200, classes=(replace(SAFE, late_worth=0.0),))
@@ -373,7 +385,7 @@
         for send in sends(actions):
             node.play(Noted(id_, 0, send.worker, 1, 0.0))  # and so it is free for the next
         jobs[-1].attempts.clear()
-    assert max(len(module._homes(job, 0.0)) for job in jobs) <= HOMES
+    assert max(len(module._selector.homes(job, 0.0)) for job in jobs) <= HOMES
 
 
 def test_the_share_of_a_key_that_many_nodes_guess_is_right_on_the_mean():
@@ -383,9 +395,9 @@
         node = Node(replace(FULL, me=me), workers=2, seed=me)
         for turn in range(20):
             key = 1 if mix(me, turn) % 10 < 2 else 1000 + turn  # a fifth of all
-            node.dispatcher._keys[key] += 1
-            node.dispatcher._keyed += 1
-        seen = node.dispatcher._keys
+            node.dispatcher._key_counts.by_key[key] += 1
+            node.dispatcher._key_counts.total += 1
+        seen = node.dispatcher._key_counts.by_key
         guesses += [(seen[key] - 1) / 19.0 for key in seen.elements() if key == 1]
     assert len(guesses) / 4000.0 == pytest.approx(0.2, abs=0.02)
     assert sum(guesses) / len(guesses) == pytest.approx(0.2, abs=0.03)
@@ -395,10 +407,12 @@
     """split+mass: 278 of 900 declined jobs had spent five attempts in under a second, four of them called off
     after 0.06 s each, so that one refused connection was the end."""
     node, id_, _ = waiting(FULL)
-    soon = STUCK_MANY * SAFE.aim
+    soon = STUCK_RUNS_OF_MANY * SAFE.aim
     for number in range(3):
-        node.dispatcher._keys[7] = node.dispatcher._keyed = 100  # all workers are its homes
-        node.dispatcher._queued = 0.0
+        node.dispatcher._key_counts.by_key[7] = node.dispatcher._key_counts.total = (
+            100  # all workers are its homes
+        )
+        node.dispatcher._outliers.mean_wait = 0.0
         sent, wait = node.now, soon * 2.0**number
         assert not cancels(node.play(Due(0), at=sent + wait - 2.0))
         assert cancels(node.play(Due(0), at=sent + wait + 2.0)) == [Cancel(id_, number)]
@@ -408,7 +422,7 @@
 def crowded(settings=FULL, **more):
     """A node that has learnt of long queues everywhere, and one job that waits unstarted."""
     node, id_, _ = waiting(settings, **more)
-    node.dispatcher._queued = 2.0 * SAFE.aim
+    node.dispatcher._outliers.mean_wait = 2.0 * SAFE.aim
     return node, id_
 
 
@@ -426,11 +440,11 @@
     for settings, queued in ((FULL, 0.0), (replace(FULL, balancers=MANY), 600.0), (CROWD, 600.0)):
         node, id_, worker = waiting(settings)
         module = node.dispatcher
-        module._queued = queued
+        module._outliers.mean_wait = queued
         for number, wait in enumerate((5.0, 5.0)):
             node.play(Due(0), at=node.now + wait)
             node.end(id_, number, worker, Outcome.CONNECT_FAILED)
-        module._queued, node.now = queued, 2000.0
+        module._outliers.mean_wait, node.now = queued, 2000.0
         told = node.end(id_, 2, worker, Outcome.CONNECT_FAILED)
         assert not [a for a in told if isinstance(a, Refuse)] and id_ in module._jobs
 
@@ -454,5 +468,7 @@
         id_, _ = node.arrive(key=7)
         job = node.dispatcher._jobs[id_]
         job.attempts.clear()
-        homes.append(len(node.dispatcher._homes(job, 0.0)) + 1)  # the one that has the job is not free
+        homes.append(
+            len(node.dispatcher._selector.homes(job, 0.0)) + 1
+        )  # the one that has the job is not free
     assert homes == [12, HOMES]
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -7,11 +7,13 @@
 import pytest
 from support.policy import BASE, KEYED, SAFE, Node, sends
 
-from eiderfield.decide import EXAMINED, Dispatcher
 from eiderfield.interface import Ended, Entry, Listed, ListKind, Outcome, Scope, State, mix
 from eiderfield.policy import affinity, subsetting
 from eiderfield.policy.affinity import CHANGES_KEPT, KeyOrders
 from eiderfield.policy.endpoint import Worker
+from eiderfield.policy.fleet import EXAMINED, Fleet
+from eiderfield.policy.selection import EndpointSelector
+from eiderfield.policy.slow_start import SlowStart
 from eiderfield.policy.subsetting import KEYED_SUBSET, SHARERS, SUBSET
 
 SITE = replace(BASE, may_copy=False, zones=4)
@@ -38,7 +40,7 @@
 
 
 def members(node):
-    return {worker.entry.worker for worker in node.dispatcher._subset.workers}
+    return {worker.entry.worker for worker in node.dispatcher._fleet.subset.workers}
 
 
 @pytest.fixture
@@ -55,8 +57,13 @@
 
         monkeypatch.setattr(owner, name, call)
 
-    for name in ("_free", "_open_home", "_usable", "_share"):
-        counted(Dispatcher, name, lambda args: 1)
+    for owner, name in (
+        (EndpointSelector, "is_free"),
+        (EndpointSelector, "_is_open_home"),
+        (Fleet, "is_usable"),
+        (SlowStart, "capacity_share"),
+    ):
+        counted(owner, name, lambda args: 1)
     counted(affinity, "mix", lambda args: 1)
     counted(subsetting, "mix", lambda args: 1)
     counted(affinity, "mix_below", lambda args: len(args[1]))
@@ -125,7 +132,7 @@
     for key in range(100, 1100):
         serve(node, key=key)
     busy, _ = node.arrive(key=7)
-    for worker in node.dispatcher._orders.first(7, 20)[0]:
+    for worker in node.dispatcher._fleet.key_orders.first(7, 20)[0]:
         worker.full_until = 1e9
     waiting = [node.arrive(key=7)[0] for _ in range(4)]
     assert busy in node.dispatcher._jobs and waiting[-1] in node.dispatcher._jobs
@@ -202,13 +209,13 @@
         entries[new.worker] = new
         for node in nodes:
             node.play(Listed(ListKind.DELTA, 2, (replace(gone, state=State.GONE), new)))
-    zones = [Counter(worker.entry.zone for worker in node.dispatcher._subset.workers) for node in nodes]
+    zones = [Counter(worker.entry.zone for worker in node.dispatcher._fleet.subset.workers) for node in nodes]
     assert sum(max(each.values()) <= 2 for each in zones) >= 0.8 * len(zones)
 
 
 @pytest.mark.parametrize(("dispatchers", "size"), [(200, 3200), (3200, 3200)])
 def test_large_subsets_cover_the_fleet_evenly_by_zone_and_kind(dispatchers, size):
-    groups = node_of(size, 0, dispatchers).dispatcher._subset.groups
+    groups = node_of(size, 0, dispatchers).dispatcher._fleet.subset.groups
     group_of = {
         me: subsetting.group_of_dispatcher(me, dispatchers, groups, True) for me in range(dispatchers)
     }
@@ -218,7 +225,7 @@
     nodes = [node_of(size, me, dispatchers) for me in one_of_each.values()]
     assert sorted(worker for node in nodes for worker in members(node)) == list(range(1, size + 1))
     for node in nodes:
-        subset = node.dispatcher._subset.workers
+        subset = node.dispatcher._fleet.subset.workers
         assert 0.9 * size / groups <= len(subset) <= 1.1 * size / groups
         parts = Counter((worker.entry.zone, worker.entry.kind) for worker in subset)
         even = len(subset) / 8
@@ -228,7 +235,7 @@
 @pytest.mark.parametrize("zones", [3, 4, 5])
 def test_the_dispatchers_of_one_zone_still_serve_every_part_of_a_large_fleet(zones):
     """Were a zone's dispatchers all of one group, the loss of the zone would leave its workers idle."""
-    groups = node_of(3200, 0, 200).dispatcher._subset.groups
+    groups = node_of(3200, 0, 200).dispatcher._fleet.subset.groups
     seen = {subsetting.group_of_dispatcher(me, 200, groups, keyed=True) for me in range(0, 200, zones)}
     assert groups > 1 and seen == set(range(groups))
 
@@ -241,13 +248,13 @@
 def test_a_large_fleet_that_breathes_is_not_split_anew():
     """Where the number of groups changes, all homes of keys do."""
     node = node_of(3200, 0, 3200)
-    groups = node.dispatcher._subset.groups
+    groups = node.dispatcher._fleet.subset.groups
     entries = fleet(3200)
     for away in (600, 1200):
         node.play(Listed(ListKind.FULL, 2, tuple(entries[away:])))
-        assert node.dispatcher._subset.groups == groups
+        assert node.dispatcher._fleet.subset.groups == groups
         node.play(Listed(ListKind.FULL, 3, tuple(entries)))
-    assert node.dispatcher._subset.groups == groups
+    assert node.dispatcher._fleet.subset.groups == groups
 
 
 # Homes of keys.
@@ -265,7 +272,7 @@
     young = node_of(3200, 0, 3200, entries=list(entries.values()))
     assert members(old) == members(young)
     for key in range(1, 400):
-        homes = [node.dispatcher._orders.first(key, 4)[0][:4] for node in (old, young)]
+        homes = [node.dispatcher._fleet.key_orders.first(key, 4)[0][:4] for node in (old, young)]
         assert [w.entry.worker for w in homes[0]] == [w.entry.worker for w in homes[1]]
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -103,7 +103,7 @@
     def started(self, name):
         """How long ago a worker started, as the policy knows it; None for long ago."""
         self.dispatcher.settle()
-        worker = self.dispatcher.exchange._module._workers[self.dispatcher.ids.worker(name)]
+        worker = self.dispatcher.exchange._module._fleet.workers[self.dispatcher.ids.worker(name)]
         return self.dispatcher.now - worker.entry.ready_at if worker.entry.ready_at > 0.0 else None
 
 
@@ -253,7 +253,7 @@
     dispatcher.advance(1000.0)
     wall.step(step)
     consul.answer(9, instance("a", 1), instance("b", 2, since_ms=since), instance("c", 3))
-    workers = dispatcher.exchange._module._workers.values()
+    workers = dispatcher.exchange._module._fleet.workers.values()
     ages = {dispatcher.ids.name(w.entry.worker): dispatcher.now - w.entry.ready_at for w in workers}
     assert ages["n/b"] == pytest.approx(1000.0) and ages["n/c"] == pytest.approx(1000.0)
 
@@ -267,7 +267,7 @@
     consul.answer(7, instance("a", 1))
     dispatcher.advance(100.0)
     consul.answer(8, instance("a", 1), instance("b", 2, since_ms=str(wall() + off)))
-    worker = dispatcher.exchange._module._workers[dispatcher.ids.worker("n/b")]
+    worker = dispatcher.exchange._module._fleet.workers[dispatcher.ids.worker("n/b")]
     assert worker.entry.ready_at == dispatcher.now
 
 
@@ -392,20 +392,23 @@
     old = takeover.old.dispatcher
     old.advance(500.0)
     module = old.exchange._module
-    module._pacers[0].rate, module._pacers[0].next_at = 4.0, old.now + 250.0
-    module._served_rate, module._served_at = 0.5, old.now - 100.0
-    module._workers[old.ids.worker("slow")].recent.append((old.now - 30.0, 80.0))
+    module._queues.pacers[0].rate, module._queues.pacers[0].next_at = 4.0, old.now + 250.0
+    module._slow_start.served_rate, module._slow_start.served_at = 0.5, old.now - 100.0
+    module._fleet.workers[old.ids.worker("slow")].recent.append((old.now - 30.0, 80.0))
     heir = takeover.go().module()
-    assert takeover.age(heir._pacers[0].next_at) == pytest.approx(-250.0)
-    assert takeover.age(heir._served_at) == pytest.approx(100.0) and heir._served_rate == 0.5
-    [(at, work)] = heir._workers[old.ids.worker("slow")].recent
+    assert takeover.age(heir._queues.pacers[0].next_at) == pytest.approx(-250.0)
+    assert (
+        takeover.age(heir._slow_start.served_at) == pytest.approx(100.0)
+        and heir._slow_start.served_rate == 0.5
+    )
+    [(at, work)] = heir._fleet.workers[old.ids.worker("slow")].recent
     assert takeover.age(at) == pytest.approx(30.0) and work == 80.0
 
 
 def test_slow_start_goes_on_over_a_step_between_two_starts(takeover):
     takeover.old.dispatcher.advance(3000.0)
     heir = takeover.go().module()
-    worker = heir._workers[takeover.old.dispatcher.ids.worker("slow")]
+    worker = heir._fleet.workers[takeover.old.dispatcher.ids.worker("slow")]
     assert takeover.age(worker.entry.ready_at) == pytest.approx(3000.0)
     takeover.new.dispatcher.table.load(takeover.list)
     takeover.new.dispatcher.settle()
@@ -422,7 +425,7 @@
     endpoint = {"name": "new", "address": "127.0.0.1:3", "status": "SERVING", "since_ms": since}
     new.table.load({"index": 5, "snapshot": False, "endpoints": [endpoint]})
     new.settle()
-    entry = takeover.module()._workers[new.ids.worker("new")].entry
+    entry = takeover.module()._fleet.workers[new.ids.worker("new")].entry
     assert entry.ready_at == new.now
 
 
@@ -436,7 +439,7 @@
     new.advance(COLD)
     new.table.unban("banned")
     new.settle()
-    entry = takeover.module()._workers[new.ids.worker("banned")].entry
+    entry = takeover.module()._fleet.workers[new.ids.worker("banned")].entry
     assert entry.ready_at == new.now, "it may have been restarted meanwhile"
 
 
@@ -448,7 +451,7 @@
     old.table.unban("banned")
     old.advance(200.0)
     new = takeover.go().new.dispatcher
-    entry = takeover.module()._workers[new.ids.worker("banned")].entry
+    entry = takeover.module()._fleet.workers[new.ids.worker("banned")].entry
     assert takeover.age(entry.ready_at) == pytest.approx(200.0)
 
 
@@ -532,7 +535,7 @@
     dispatcher = InMemoryDispatcher(workers=0, unix=lambda: STATE_AT + step, start=process.now)
     dispatcher.table.take_over(table, {})
     dispatcher.settle()
-    worker = dispatcher.exchange._module._workers[dispatcher.ids.worker("w3")]
+    worker = dispatcher.exchange._module._fleet.workers[dispatcher.ids.worker("w3")]
     assert process.now - worker.entry.ready_at == 140.0
 
 
@@ -546,7 +549,7 @@
     dispatcher = InMemoryDispatcher(workers=0, unix=lambda: unix, start=process.now)
     dispatcher.table.take_over(process.codec.decode(message).table, {})
     dispatcher.settle()
-    worker = dispatcher.exchange._module._workers[dispatcher.ids.worker("w3")]
+    worker = dispatcher.exchange._module._fleet.workers[dispatcher.ids.worker("w3")]
     assert process.now - worker.entry.ready_at == 100.0
 
 
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -5,7 +5,6 @@
 import pytest
 from support.policy import BASE, SAFE, Node, sends
 
-from eiderfield.decide import SLOW, Dispatcher
 from eiderfield.interface import (
     Arrived,
     Beside,
@@ -27,6 +26,8 @@
     State,
     Watch,
 )
+from eiderfield.policy.dispatcher import Dispatcher
+from eiderfield.policy.selection import SLOW
 
 
 def test_a_failed_connection_sends_the_job_elsewhere_and_rests_the_worker():
@@ -46,7 +47,7 @@
     """An overloaded day with a lost zone: 6 attempts a request went to workers that refused connections."""
     node = Node(workers=3)
     for worker in (1, 2, 3):
-        node.dispatcher._workers[worker].strike(0.0)
+        node.dispatcher._fleet.workers[worker].strike(0.0)
     assert not sends(node.arrive()[1])
 
 
@@ -61,7 +62,7 @@
 
 def test_a_fleet_that_is_silent_throughout_is_still_served():
     node = Node(workers=3)
-    for worker in node.dispatcher._workers.values():
+    for worker in node.dispatcher._fleet.workers.values():
         worker.silent = True
     assert sends(node.arrive()[1])
 
@@ -69,7 +70,7 @@
 def test_only_a_timely_answer_ends_suspicion():
     """Slow days: a start note brought a slow worker straight back."""
     node = Node(workers=1)
-    worker = node.dispatcher._workers[1]
+    worker = node.dispatcher._fleet.workers[1]
     worker.strike(0.0)
     worker.alive(10.0)
     assert worker.strikes == 1
@@ -150,7 +151,7 @@
     other, _ = started(node)
     for at in (1000.0, 2000.0, 3000.0):
         node.play(Noted(other, 0, 3 - worker, 2, 0.1), at=at)
-        node.dispatcher._workers[worker].alive(at)  # by others of this node's jobs
+        node.dispatcher._fleet.workers[worker].alive(at)  # by others of this node's jobs
     assert not [a for a in node.play(at=3500.0) if isinstance(a, Cancel)]
     assert [(a.id, a.attempt) for a in node.play(at=3650.0) if isinstance(a, Cancel)] == [(id_, 0)]
     assert [s.id for s in sends(node.end(id_, 0, worker, Outcome.CANCELLED))] == [id_]
@@ -160,7 +161,7 @@
     node = Node(NOTED, workers=2)
     started(node)
     for at in (500.0, 1000.0, 1500.0, 2500.0):
-        for worker in node.dispatcher._workers.values():
+        for worker in node.dispatcher._fleet.workers.values():
             worker.alive(at)
         assert not [a for a in node.play(at=at) if isinstance(a, Cancel)]
 
@@ -182,14 +183,14 @@
 
 def test_a_single_reset_does_not_rest_a_worker_and_two_in_a_row_do():
     node = Node(workers=2)
-    worker = node.dispatcher._workers[1]
+    worker = node.dispatcher._fleet.workers[1]
     for _ in range(2):
-        node.dispatcher._workers[2].full_until = node.now + 1.0
+        node.dispatcher._fleet.workers[2].full_until = node.now + 1.0
         id_, actions = node.arrive(cls=1)
         assert [s.worker for s in sends(actions)] == [1]
         node.end(id_, 0, 1, Outcome.RESET)
         node.now += 300.0
-        node.dispatcher._workers[2].full_until = node.now + 1.0
+        node.dispatcher._fleet.workers[2].full_until = node.now + 1.0
     assert worker.strikes == 1
     worker.alive(node.now, well=True)
     assert worker.resets == 0
@@ -198,7 +199,7 @@
 def test_jobs_at_a_slow_worker_count_for_more():
     """It filled up like the others and made its jobs late; and only its last answer would have told."""
     node = Node(NOTED, workers=2)
-    slow, usual = node.dispatcher._workers[1], node.dispatcher._workers[2]
+    slow, usual = node.dispatcher._fleet.workers[1], node.dispatcher._fleet.workers[2]
     usual.full_until = 1.0
     id_, _ = started(node)  # which runs on at worker 1 for ten times its usual time
     node.play(Noted(id_, 0, 1, 2, 0.1), at=1000.0)
@@ -217,7 +218,7 @@
 def test_a_worker_that_fails_its_jobs_at_once_does_not_draw_all_others_in():
     """It held fewest jobs at any time, so that every third job of a day failed there."""
     node = Node(workers=2)
-    bad = node.dispatcher._workers[1]
+    bad = node.dispatcher._fleet.workers[1]
     at_bad = 0
     for _ in range(40):
         node.now += 20.0
@@ -233,7 +234,7 @@
 
 def test_one_answer_does_not_clear_a_worker_that_fails_every_third_job():
     node = Node(workers=1)
-    worker = node.dispatcher._workers[1]
+    worker = node.dispatcher._fleet.workers[1]
     worker.faults = 3.0
     worker.strike(0.0)
     worker.alive(1.0, well=True)
