--- a/eiderfield/durable_requests/keeper.py
+++ b/eiderfield/durable_requests/keeper.py
@@ -3,7 +3,8 @@
 Theory of operation. An asker brings a request of a kept class. It is written down before the exchange
 hears of it (`accept`); each leg is written down before its first byte leaves (`claim`); the answer is written
 down before anybody is told it (`finish`). An asker for a job that is somewhere already waits for its answer,
-wherever it comes to be. A job goes on when its askers have gone: it was taken.
+wherever it comes to be. When its askers have left, an attempt that is out goes on and its result is kept, and
+nothing more is begun (`_abandon_unless_waited_for`).
 
 Jobs of lost dispatchers come in with `adopted` and go through the same exchange and the same decisions. When
 this process is the one that was taken for lost (`lost`), all its kept jobs are the others': their legs are
@@ -43,7 +44,7 @@
 from eiderfield.durable_requests.settings import Custody
 from eiderfield.durable_requests.store import StoreError
 from eiderfield.durable_requests.writer import Call, Writer
-from eiderfield.exchange import Answer, Exchange, Job, Leg, Request, Timer, Timers, Verdict
+from eiderfield.exchange import Answer, Exchange, Job, Leg, Request, Standing, Timer, Timers, Verdict
 from eiderfield.idmap import IdMap
 from eiderfield.interface import Effect, Entry
 from eiderfield.machine import steady_ms
@@ -87,6 +88,11 @@
     tries: int = 0
     asked: bool = True  # whether it is not known yet if the job is this process's
 
+    @property
+    def waited_for(self) -> bool:
+        """Whether somebody waits for its answer, or may come again: one taken over has no asker yet."""
+        return not self.askers or any(not asker.over for asker in self.askers)
+
 
 class Keeper:
     """The custodian of one process, and its fronts' way to it."""
@@ -284,6 +290,8 @@
             held.number = self._exchange.submit(early, lambda answer: None, kept=True, before=before)
         except ValueError:  # a leg of its earlier time here is not over yet
             self._timers.at(self._clock() + AGAIN, partial(self._submit_again, a, held, before))
+        else:
+            self._abandon_unless_waited_for(a.id)  # its client may have left while it was written down
 
     def _submit_again(self, a: Request, held: Held, before: tuple[tuple[Entry, float], ...]) -> None:
         if self._held.get(a.id) is not held:
@@ -317,10 +325,30 @@
         asker.tell(Answer(Verdict.FAILED, may_have_run=True))
 
     def _gone(self, asker: Asker) -> None:
-        """The job goes on: it was taken, and may be asked for again."""
+        """An asker's client has left."""
         asker.over = True
         if asker.timer is not None:
             asker.timer.cancel()
+        self._abandon_unless_waited_for(asker.request.id)
+
+    def _abandon_unless_waited_for(self, id_: str) -> None:
+        """Begins nothing more for a job whose clients have all left.
+
+        An attempt that is out goes on, and its result is kept for whoever asks again. Where none is out the
+        job ends: declined, which frees its id, unless an attempt may have run."""
+        held = self._held.get(id_)
+        if held is None or not held.number or held.waited_for:
+            return
+        if self._exchange.standing(held.number) is not Standing.HELD:
+            return
+        ended = self._exchange.withdraw(held.number)
+        if ended is None:
+            return
+        if ended.may_have_run:
+            answer = Answer(Verdict.FAILED, may_have_run=True, legs=ended.legs)
+        else:
+            answer = Answer(Verdict.DECLINED, retry_after=REST, legs=ended.legs)
+        self._finish(id_, held, answer, "its clients have left")
 
     # The exchange.
 
@@ -351,7 +379,11 @@
         go(isinstance(outcome, Claimed))
 
     def may_write(self, leg: Leg) -> bool:
-        """Whether a leg's claim still holds: its life is not over, nor can it be taken for that."""
+        """Whether a leg may begin under its claim: somebody waits for the job, and the claiming life is not
+        over, nor can it be taken for that."""
+        held = self._held.get(leg.job.request.id)
+        if held is not None and not held.waited_for:
+            return False
         member = self.member
         return self._claims.get(leg) == member.life != "" and member.lease.holds(steady_ms())
 
@@ -360,6 +392,7 @@
         self._claims.pop(leg, None)
         if not leg.may_have_run:
             self._writer.write(Unclaim(leg.job.request.id, leg.number), lambda outcome: None)
+        self._abandon_unless_waited_for(leg.job.request.id)
 
     def finish(self, job: Job, answer: Answer) -> None:
         """Writes an answer down; its askers are told after that."""
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -1,4 +1,4 @@
-"""A kept job that was cancelled: no attempt is begun for it, here, elsewhere or after a takeover."""
+"""A kept job that was cancelled, or whose clients have left: no attempt is begun for it."""
 
 from collections import deque
 
@@ -26,6 +26,10 @@
     def watch(self, id_, on=True):
         pass
 
+    @property
+    def waiting(self):
+        return len(self.queue)
+
     def run(self):
         while self.queue:
             op, then = self.queue.popleft()
@@ -54,12 +58,17 @@
         self.keeper.member.look()
         self.keeper._writer = self.writer = DirectWriter(self.keeper.member)
 
-    def take(self, id_="j"):
-        self.keeper.take(
-            Request(id_, 0, self.dispatcher.now + 5000.0, "/safe/x", body=b"b"), self.answers.append
-        )
-        self.writer.run()  # it is written down
+    def ask(self, front="platform"):
+        """An asker for the job; gives what to call when it leaves."""
+        request = Request("j", 0, 1_005_000.0, "/safe/x", body=b"b")
+        return self.keeper.take(request, self.answers.append, front)
+
+    def take(self, front="platform"):
+        """The job is asked for and written down."""
+        leave = self.ask(front)
+        self.writer.run()
         self.dispatcher.settle()
+        return leave
 
     def run(self):
         self.writer.run()
@@ -120,3 +129,107 @@
     kept.run()
     kept.dispatcher.advance(1000.0)
     assert not kept.dispatcher.dials and not kept.dispatcher.exchange.unanswered
+
+
+def test_a_client_that_leaves_while_its_job_is_written_down_has_nothing_begun(kept):
+    leave = kept.ask()
+    leave()
+    kept.run()
+    kept.run()
+    kept.dispatcher.advance(1000.0)
+    assert not kept.dispatcher.dials and not kept.dispatcher.exchange.unanswered and kept.keeper.idle
+
+
+@pytest.mark.parametrize("when", ["before the claim", "while it is dialled", "in the moment it is up"])
+def test_a_client_that_leaves_before_its_attempt_begins_has_none_and_may_ask_anew(kept, when):
+    """A kept job went on for a client that had left, with further attempts up to its deadline."""
+    leave = kept.take()
+    if when == "before the claim":
+        leave()
+        kept.run()
+    else:
+        kept.run()
+        [dial] = kept.dispatcher.dials
+        leave()
+        end = dial.up()
+        assert not end.pipe.written
+        kept.run()
+    kept.dispatcher.advance(1000.0)
+    kept.run()
+    assert not any(end.pipe.written for end in kept.dispatcher.ends) and kept.keeper.idle
+    kept.take()
+    kept.run()
+    end = kept.dispatcher.dials[0].up() if kept.dispatcher.dials else kept.dispatcher.ends[-1]
+    end.finish()
+    kept.run()
+    assert kept.verdicts == [Verdict.SERVED], "the id was free again"
+
+
+def test_an_attempt_that_is_out_when_the_client_leaves_goes_on_and_its_result_is_kept(kept):
+    leave = kept.take()
+    kept.run()
+    end = kept.dispatcher.dials[0].up()
+    assert end.take() == ["j"]
+    leave()
+    end.finish()
+    kept.run()
+    assert kept.answers == []
+    kept.take()
+    assert kept.verdicts == [Verdict.SERVED] and end.came == ["j"] and not kept.dispatcher.dials
+
+
+@pytest.mark.parametrize(("status", "verdict"), [(500, Verdict.FAILED), (503, Verdict.DECLINED)])
+def test_no_retry_is_begun_for_a_client_that_has_left(kept, status, verdict):
+    leave = kept.take()
+    kept.run()
+    end = kept.dispatcher.dials[0].up()
+    end.take()
+    leave()
+    end.status(status, **({"X_Not_Run": "1"} if status == 503 else {}))
+    kept.run()
+    kept.dispatcher.advance(2000.0)
+    assert end.came == ["j"] and not kept.dispatcher.dials and kept.keeper.idle
+    assert kept.keeper.member.find("j").answer.verdict == verdict
+
+
+def test_a_job_goes_on_while_one_of_two_clients_waits(kept):
+    first = kept.take()
+    kept.take()
+    first()
+    kept.run()
+    end = kept.dispatcher.dials[0].up()
+    end.status(503, X_Not_Run="1")
+    kept.dispatcher.advance(500.0)
+    kept.run()
+    kept.dispatcher.advance(500.0)
+    assert end.take() == ["j"]
+    end.finish()
+    kept.run()
+    assert kept.verdicts == [Verdict.SERVED]
+
+
+def test_a_job_that_was_taken_over_goes_on_without_a_client(kept):
+    kept.take()
+    [record] = kept.keeper.member._open.values()
+    kept.keeper._held.clear()
+    kept.dispatcher.exchange.withdraw(1)
+    kept.writer.queue.clear()
+    kept.dispatcher.settle()
+    kept.writer.queue.clear()
+    kept.keeper._adopted([record])
+    kept.dispatcher.settle()
+    kept.run()
+    kept.dispatcher.dials[0].up().finish()
+    kept.run()
+    assert kept.keeper.member.find("j").answer.verdict == Verdict.SERVED
+
+
+def test_a_job_that_waits_for_its_retry_ends_at_once_when_its_client_leaves(kept):
+    leave = kept.take()
+    kept.run()
+    end = kept.dispatcher.dials[0].up()
+    end.status(503, X_Not_Run="1")
+    kept.run()
+    leave()
+    kept.run()
+    assert kept.keeper.idle and kept.keeper.member.find("j").answer.verdict == Verdict.DECLINED
