--- a/eiderfield/net/faults.py
+++ b/eiderfield/net/faults.py
@@ -27,7 +27,7 @@
 import socket
 from enum import Enum
 
-RETRY_MS = 20.0  # until a call is made again that failed for a want of this host
+RETRY_MS = 20.0  # until a call is made again that failed for a shortage of this host
 
 
 class Cause(Enum):
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -295,7 +295,7 @@
     assert stage.exchange.snapshot(stage.clock()).avoided <= draining
 
 
-FAULTS_HERE = [
+LOCAL_FAULTS = [
     *cases(Call.ACCEPT, (1, 2), ACCEPT),
     *cases(Call.SOCKET, (1, 2), [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]),
     *cases(Call.CONNECT, (1, 2), LOCAL_DIAL),
@@ -306,8 +306,19 @@
 ]
 
 
-@pytest.mark.parametrize("stage", FAULTS_HERE, indirect=True, ids=str)
-def test_a_call_that_fails_for_a_want_here_costs_nobody_anything(stage):
+# For longer than a dial may take.
+LASTING = 25
+LASTING_LOCAL_FAULTS = [
+    Failure(Call.ACCEPT, 1, errno.EMFILE, LASTING),
+    Failure(Call.SOCKET, 1, errno.ENFILE, LASTING),
+    Failure(Call.CONNECT, 1, errno.EADDRNOTAVAIL, LASTING),
+    Failure(Call.CONNECT, 1, errno.ENETUNREACH, LASTING),
+    Failure(Call.REGISTER, 1, errno.ENOSPC, LASTING),
+]
+
+
+@pytest.mark.parametrize("stage", [*LOCAL_FAULTS, *LASTING_LOCAL_FAULTS], indirect=True, ids=str)
+def test_a_fault_of_this_host_costs_no_request_its_result_and_no_worker_its_name(stage):
     judge_local(stage, stage.play(stage.conversation))
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""What a failed call means, and what becomes of dials, accepts and poll sets that fail for a want here."""
+"""What a failed call means, and what becomes of dials, accepts and poll sets that this host holds up."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
     return dispatcher
 
 
-def test_a_worker_that_could_not_be_dialled_for_want_of_descriptors_is_not_blamed(dispatcher):
+def test_a_worker_that_could_not_be_dialled_for_lack_of_descriptors_is_not_blamed(dispatcher):
     """After the dial's time limit it was: with descriptors short for a second, every worker was ejected."""
     client = dispatcher.client(path="/unsafe/a")
     [dial] = dispatcher.dials
@@ -131,7 +131,7 @@
 @pytest.mark.parametrize(("stuck", "outcome", "status"), [
     (True, Outcome.MOOT, None), (False, Outcome.CANCELLED, 502),
 ])  # fmt: skip
-def test_a_connection_lost_for_want_of_buffers_is_not_the_workers_fault(dispatcher, stuck, outcome, status):
+def test_a_connection_lost_for_lack_of_buffers_is_not_the_workers_fault(dispatcher, stuck, outcome, status):
     client = dispatcher.client(path="/unsafe/a")
     end = dispatcher.dials[0].up(stuck)
     end.pipe.open = False
@@ -319,7 +319,7 @@
             call(*args)
 
 
-def test_an_upgrade_that_cannot_be_accepted_for_want_of_descriptors_waits_and_does_not_spin(
+def test_an_upgrade_that_cannot_be_accepted_for_lack_of_descriptors_waits_and_does_not_spin(
     tmp_path, monkeypatch
 ):
     loop, heard = new_event_loop(), []
