--- /dev/null
+++ b/tests/test_endpoint_list.py
@@ -0,0 +1,74 @@
+"""The platform's form of the list of workers, read into typed endpoints or rejected whole."""
+
+import pytest
+from support.memory_dispatcher import InMemoryDispatcher
+
+from eiderfield.net.discovery.endpoint_list import (
+    Endpoint,
+    EndpointList,
+    EndpointListError,
+    EndpointStatus,
+    parse_endpoint_list,
+)
+
+WORKER = {
+    "name": "s-5be2a07c", "address": "10.1.0.18:8080", "zone": "a", "type": "m2", "group": 3,
+    "status": "SERVING", "weight": 1.5, "since_ms": 12,
+}  # fmt: skip
+
+
+def document(**changes):
+    endpoint = {key: value for key, value in {**WORKER, **changes}.items() if value is not None}
+    return {"index": 41, "snapshot": True, "endpoints": [endpoint]}
+
+
+def test_a_list_is_read_with_all_its_fields():
+    address = ("10.1.0.18", 8080)
+    endpoint = Endpoint(
+        "s-5be2a07c", EndpointStatus.SERVING, address, "a", "m2", 3, weight=1.5, since_ms=12.0
+    )
+    assert parse_endpoint_list(document()) == EndpointList(41, True, (endpoint,))
+
+
+def test_what_an_endpoint_may_lack_has_its_usual_value():
+    bare = {"index": 2, "endpoints": [{"name": "w", "status": "DRAINING", "address": "h:1"}]}
+    assert parse_endpoint_list(bare) == EndpointList(
+        2, False, (Endpoint("w", EndpointStatus.DRAINING, ("h", 1)),)
+    )
+
+
+def test_a_deleted_endpoint_needs_no_address():
+    [endpoint] = parse_endpoint_list(document(status="DELETED", address=None)).endpoints
+    assert endpoint.status is EndpointStatus.DELETED and endpoint.address is None
+
+
+@pytest.mark.parametrize(("changes", "text"), [
+    ({"name": ""}, "no name"),
+    ({"status": "RESTING"}, "unknown status 'RESTING'"),
+    ({"status": ["SERVING"]}, "unknown status"),
+    ({"address": "nowhere"}, "endpoint s-5be2a07c: address"),
+    ({"weight": "heavy"}, "weight is not a number"),
+    ({"since_ms": True}, "since_ms is not a number"),
+    ({"since_ms": float("inf")}, "since_ms is not a number"),
+])  # fmt: skip
+def test_a_faulty_field_is_named(changes, text):
+    with pytest.raises(EndpointListError, match=text):
+        parse_endpoint_list(document(**changes))
+
+
+@pytest.mark.parametrize("faulty", [
+    None, [], {"endpoints": []}, {"index": True, "endpoints": []}, {"index": 1, "endpoints": {}},
+    {"index": 1, "endpoints": [5]},
+])  # fmt: skip
+def test_what_is_no_list_is_rejected(faulty):
+    with pytest.raises(EndpointListError):
+        parse_endpoint_list(faulty)
+
+
+def test_a_list_with_one_faulty_endpoint_changes_nothing():
+    dispatcher = InMemoryDispatcher(workers=2)
+    before = dispatcher.table.index, dispatcher.table.listed, dispatcher.table.ready
+    faulty = {"index": 9, "snapshot": True, "endpoints": [{**WORKER}, {**WORKER, "name": "x", "status": 1}]}
+    with pytest.raises(EndpointListError):
+        dispatcher.table.load(faulty)
+    assert (dispatcher.table.index, dispatcher.table.listed, dispatcher.table.ready) == before
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -132,12 +132,12 @@
         self.sock: socket.socket | None = None
         self.lost: list[int] = []  # own ports of connections that ended without an answer
 
-    def ask(self, path: str, id_: str) -> tuple[int, bytes] | None:
+    def ask(self, path: str, id_: str, deadline_ms: int = DEADLINE_MS) -> tuple[int, bytes] | None:
         """The answer, None where the connection broke."""
         if self.sock is None:
             self.sock = socket.create_connection(("127.0.0.1", self.port), timeout=DEADLINE_MS / 1000 + 1)
         own = self.sock.getsockname()[1]
-        head = f"POST /{path}/k HTTP/1.1\r\nX-Request-Id: {id_}\r\nX-Deadline-Ms: {DEADLINE_MS}\r\n"
+        head = f"POST /{path}/k HTTP/1.1\r\nX-Request-Id: {id_}\r\nX-Deadline-Ms: {deadline_ms}\r\n"
         try:
             self.sock.sendall(f"{head}Content-Length: 1\r\n\r\nb".encode())
             with self.sock.makefile("rb") as lines:
@@ -306,8 +306,9 @@
 ]
 
 
-# For longer than a dial may take.
+# Calls in a row: for longer than a dial may take, and until a test ends it.
 LASTING = 25
+FOR_EVER = 10**6
 LASTING_LOCAL_FAULTS = [
     Failure(Call.ACCEPT, 1, errno.EMFILE, LASTING),
     Failure(Call.SOCKET, 1, errno.ENFILE, LASTING),
@@ -346,3 +347,25 @@
         # What may have run and must not be repeated has failed; anything else is tried again.
         assert len(failed) <= 1 and all(id_.startswith("unsafe") for id_ in failed)
         assert all(answer[0] == 502 for answer in failed.values())
+
+
+@pytest.mark.parametrize("stage", [
+    Failure(Call.CONNECT, 1, errno.ENETUNREACH, FOR_EVER), Failure(Call.SOCKET, 1, errno.EMFILE, FOR_EVER),
+], indirect=True, ids=str)  # fmt: skip
+def test_while_no_worker_can_be_dialled_requests_end_in_time_and_nobody_is_blamed(stage):
+    """It recovers with the first dial that can be made. One whose dial is still being tried at its deadline
+    ends as failed: the policy does not know that nothing of it has left."""
+
+    def conversation():
+        client = Client(stage.port)
+        ended = [client.ask("unsafe", "unsafe-0", 600), client.ask("safe", "safe-1", 600)]
+        stage.failing.failure = None
+        served = client.ask("unsafe", "unsafe-2")
+        client.close()
+        return ended, served
+
+    ended, served = stage.play(conversation)
+    judge_always(stage)
+    assert all(answer[0] in (502, 503) for answer in ended) and served == (200, b"unsafe-2")
+    assert stage.ids_at_workers() == ["unsafe-2"]
+    assert not {Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT} & set(stage.outcomes)
