--- a/eiderfield/lab/custody_cost.py
+++ b/eiderfield/lab/custody_cost.py
@@ -144,13 +144,16 @@
 
 
 def _writes(path: Path, seconds: float, hold: bool) -> None:
-    """A process that writes as fast as it can and prints how long each commit took, in ms; with `hold` it
-    stops itself within its tenth commit, until somebody ends its sleep."""
+    """A process that writes as fast as it can and prints how long each commit took, in ms.
+
+    The time of attempts that failed before it is included. With `hold` it stops itself within its tenth
+    commit, until somebody ends its sleep.
+    """
     store = Store(path)
     end = time.monotonic() + seconds
     number, took = 0, []
+    began = time.monotonic()
     while time.monotonic() < end:
-        began = time.monotonic()
         number += 1
         try:
             store.begin()
@@ -166,7 +169,9 @@
         except Exception:  # the store is locked for longer than anybody waits
             store.undo()
             continue
-        took.append((time.monotonic() - began) * 1000.0)
+        committed = time.monotonic()
+        took.append((committed - began) * 1000.0)
+        began = committed
     print(*[f"{each:.3f}" for each in took])
 
 
