--- a/eiderfield/lab/custody_cost.py
+++ b/eiderfield/lab/custody_cost.py
@@ -1,6 +1,6 @@
 """What custody costs: on against off in one run, the ways to keep records beside each other, and recovery.
 
-`compare` plays the same jobs on a fleet off, on, off, on, and reads times from the clients' book alone.
+`compare` plays the same jobs on a fleet off, on, off, on, and reads times from the clients' event log alone.
 `ways` lets processes write records as fast as they can, each into a store of its own or all into one, and
 once with a process that is stopped within a transaction. `recovery` lets a member take over what a lost life
 left.
@@ -25,14 +25,15 @@
 from eiderfield.durable_requests.settings import Custody
 from eiderfield.durable_requests.store import Store
 from eiderfield.exchange import Answer, Verdict
-from eiderfield.lab.fleet.book import read
-from eiderfield.lab.fleet.run import Fleet
-from eiderfield.lab.fleet.script import JobKind, Script, checked
+from eiderfield.lab.fleet.event_log import CLIENT_EVENTS, read_events
+from eiderfield.lab.fleet.fleet import Fleet
+from eiderfield.lab.fleet.scenario import JobClass, Scenario
+from eiderfield.lab.fleet.scenario_file import validated
 
 LINKED = 50_000  # ids that have their links in a measurement of recovery: more than it takes over
-KINDS = (
-    JobKind("kept", "dedup", 0.5, (20.0, 60.0), goal=2000.0),
-    JobKind("unkept", "retryable", 0.5, (20.0, 60.0), goal=2000.0),
+JOB_CLASSES = (
+    JobClass("kept", "dedup", 0.5, (20.0, 60.0), goal=2000.0),
+    JobClass("unkept", "retryable", 0.5, (20.0, 60.0), goal=2000.0),
 )
 
 
@@ -52,18 +53,18 @@
 
 def compare(dispatchers: int, rate: float, seconds: float, folder: Path, rounds: int = 2) -> Iterator[Played]:
     """Off and on in turns, the same jobs each time."""
-    script = checked(Script(
+    scenario = validated(Scenario(
         name="cost", dispatchers=dispatchers, workers=max(4, dispatchers), slots=8, queue=64, cell=4,
-        jobs=int(rate * seconds), rate=rate, kinds=KINDS, one_id=True,
+        jobs=int(rate * seconds), rate=rate, job_classes=JOB_CLASSES, one_id=True,
     ))  # fmt: skip
     for number in range(2 * rounds):
         on = number % 2 == 1
         custody = {"lease_ms": 3000, "classes": ["kept"]} if on else {}
-        yield _play(replace(script, custody=custody), folder / f"{number}-{'on' if on else 'off'}", on)
+        yield _play(replace(scenario, custody=custody), folder / f"{number}-{'on' if on else 'off'}", on)
 
 
-def _play(script: Script, folder: Path, on: bool) -> Played:
-    with Fleet(script, folder) as fleet:
+def _play(scenario: Scenario, folder: Path, on: bool) -> Played:
+    with Fleet(scenario, folder) as fleet:
         used: list[float] = []
 
         def weigh() -> None:
@@ -75,9 +76,9 @@
         used.clear()
         result = fleet.play(before_rest=weigh)
         processor = sum(used) - before
-    clients = read(folder / "clients.jsonl")
+    clients = read_events(folder / CLIENT_EVENTS)
     asked: dict[str, float] = {}
-    times: dict[str, list[float]] = {kind.name: [] for kind in KINDS}
+    times: dict[str, list[float]] = {each.name: [] for each in JOB_CLASSES}
     for event in clients:
         if event["what"] == "asked":
             asked.setdefault(event["job"], event["t"])
--- a/eiderfield/lab/fleet/__init__.py
+++ b/eiderfield/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Many real processes of the program, faults between them, and books by which the rules are judged."""
+"""Many real dispatcher processes, faults between them, and event logs by which the rules are judged."""
--- /dev/null
+++ b/eiderfield/lab/fleet/custody_run.py
@@ -0,0 +1,184 @@
+"""Jobs in custody on real processes: kills, stops and cuts under load, judged from the event logs.
+
+`play_custody` plays one scenario and adds up what the dispatchers' consoles say of custody, for the table;
+what is right or wrong is said by the rules alone (`rules.py`).
+"""
+
+from __future__ import annotations
+
+import time
+from collections import Counter
+from collections.abc import Mapping, Sequence
+from contextlib import suppress
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+from eiderfield.durable_requests.folder import Folder
+from eiderfield.lab.fleet.dispatcher import Dispatcher, Program
+from eiderfield.lab.fleet.event_log import CLIENT_EVENTS, WORKER_EVENTS, Event, read_events
+from eiderfield.lab.fleet.fleet import Fleet
+from eiderfield.lab.fleet.rules import REJECTED, Finding, InjectedFault
+from eiderfield.lab.fleet.scenario import Scenario
+from eiderfield.lab.rig import RigError
+
+# Jobs are counted that were first sent so long before a kill, and after it.
+COUNTED_BEFORE_KILL_S, COUNTED_AFTER_KILL_S = 0.5, 10.0
+LOST_SLACK_S = 0.5  # by which a client may hear of a kill before it is recorded
+CONSOLE_TIMEOUT_S = 0.3  # one that has just been stopped must not hold the run's other faults up
+CONSOLE_INTERVAL_S = 0.25
+FAILED = 502
+
+
+@dataclass
+class CustodyResult:
+    """What came of a run. `custody` adds up the consoles' figures over all processes of the run."""
+
+    findings: list[Finding]
+    faults: list[InjectedFault]
+    counts: dict[str, int]
+    custody: dict[str, float]
+    fences: Counter[str]  # by why, how many incarnations were fenced
+    unanswered: int  # jobs that no attempt got an answer for
+    may_have_run: int  # jobs that ended as failed
+    takeovers: list[float] = field(default_factory=list)  # s from a kill to a job's next attempt or answer
+    sent_near_kills: int = 0  # jobs first sent shortly before a kill or within 10 s of it
+    in_time_near_kills: int = 0  # of these, served within their objectives
+
+
+class ConsoleSums:
+    """Adds up custody's counts over processes that come and go: a later process counts anew."""
+
+    def __init__(self, dispatchers: Mapping[str, Dispatcher]) -> None:
+        self._dispatchers = dispatchers
+        self._last: dict[tuple[str, int], dict[str, Any]] = {}
+        self._next_at = 0.0
+
+    def poll(self) -> None:
+        """Asks the dispatchers that run, if it is time."""
+        if time.monotonic() >= self._next_at:
+            self.poll_now()
+
+    def poll_now(self) -> None:
+        """Asks the dispatchers that run."""
+        self._next_at = time.monotonic() + CONSOLE_INTERVAL_S
+        for name, dispatcher in self._dispatchers.items():
+            if dispatcher.running:
+                with suppress(OSError, ValueError, LookupError, RigError):
+                    self._last[name, dispatcher.pid] = dispatcher.figures(CONSOLE_TIMEOUT_S)["custody"]
+
+    def sums(self) -> dict[str, float]:
+        """All counts, added."""
+        total: Counter[str] = Counter()
+        for figures in self._last.values():
+            total.update({name: value for name, value in figures.items() if isinstance(value, int | float)})
+        return dict(total)
+
+
+def play_custody(scenario: Scenario, folder: Path, programs: Mapping[str, Program]) -> CustodyResult:
+    """Plays a scenario whose dispatchers keep their jobs in custody."""
+    with Fleet(scenario, folder, programs) as fleet:
+        consoles = ConsoleSums(fleet.dispatchers)
+        result = fleet.play(consoles.poll, before_rest=consoles.poll_now)
+    clients, workers = read_events(folder / CLIENT_EVENTS), read_events(folder / WORKER_EVENTS)
+    near_kills = sent_near_kills(clients, result.faults)
+    in_time = near_kills & served_in_time(scenario, clients, workers)
+    statuses = final_statuses(clients)
+    return CustodyResult(
+        findings=result.findings,
+        faults=result.faults,
+        counts=result.counts,
+        custody=consoles.sums(),
+        fences=fences(folder / "custody"),
+        unanswered=sum(not each for each in statuses.values()),
+        may_have_run=sum(each == {FAILED} for each in statuses.values()),
+        takeovers=takeovers(clients, workers, result.faults),
+        sent_near_kills=len(near_kills),
+        in_time_near_kills=len(in_time),
+    )
+
+
+def fences(folder: Path) -> Counter[str]:
+    """By why, how many incarnations were fenced."""
+    if not (folder / "form").exists():
+        return Counter()
+    shared = Folder(folder, make=False)
+    return Counter(str(shared.why(incarnation)["why"]) for incarnation in shared.fences())
+
+
+def final_statuses(clients: Sequence[Event]) -> dict[str, set[int]]:
+    """By job, the final statuses that its attempts got; none for a job that was never answered finally."""
+    found: dict[str, set[int]] = {event["job"]: set() for event in clients if event["what"] == "asked"}
+    for event in clients:
+        if event["what"] == "answered" and event["status"] not in REJECTED:
+            found[event["job"]].add(event["status"])
+    return found
+
+
+def takeovers(
+    clients: Sequence[Event], workers: Sequence[Event], faults: Sequence[InjectedFault]
+) -> list[float]:
+    """For each job whose attempt broke with a dispatcher that was killed: s until it was heard of again."""
+    found = []
+    for event in clients:
+        if event["what"] != "broke":
+            continue
+        kills = [fault.since for fault in faults if fault.who == event["at"] and fault.what == "kill"]
+        earlier = [since for since in kills if since <= event["t"] + LOST_SLACK_S]
+        if earlier:
+            again = heard_again(event, clients, workers, earlier[-1])
+            if again:
+                found.append(min(again) - earlier[-1])
+    return found
+
+
+def heard_again(
+    broke: Event, clients: Sequence[Event], workers: Sequence[Event], since: float
+) -> list[float]:
+    """When a job came to a worker from another dispatcher, or was answered to its client."""
+    came = [
+        event["t"]
+        for event in workers
+        if event["what"] == "came"
+        and event["job"] == broke["job"]
+        and event["by"] != broke["at"]
+        and event["t"] > since
+    ]
+    answered = [
+        event["t"] for event in clients if event["what"] == "answered" and event["job"] == broke["job"]
+    ]
+    return came + answered
+
+
+def first_sent(clients: Sequence[Event]) -> dict[str, float]:
+    """When each job was first sent."""
+    sent: dict[str, float] = {}
+    for event in clients:
+        if event["what"] == "asked":
+            sent.setdefault(event["job"], event["t"])
+    return sent
+
+
+def sent_near_kills(clients: Sequence[Event], faults: Sequence[InjectedFault]) -> set[str]:
+    """Jobs that were first sent shortly before a kill or after it."""
+    kills = [fault.since for fault in faults if fault.what == "kill"]
+    return {
+        job
+        for job, at in first_sent(clients).items()
+        if any(since - COUNTED_BEFORE_KILL_S <= at <= since + COUNTED_AFTER_KILL_S for since in kills)
+    }
+
+
+def served_in_time(scenario: Scenario, clients: Sequence[Event], workers: Sequence[Event]) -> set[str]:
+    """Jobs that were served within their objectives."""
+    objectives = {each.name: (each.goal / 1000.0, each.stretch / 1000.0) for each in scenario.job_classes}
+    runs = {event["job"]: event["run"] for event in workers if event["what"] == "came"}
+    sent = first_sent(clients)
+    served = set()
+    for event in clients:
+        if event["what"] == "answered" and event["status"] == 200:
+            goal, stretch = objectives[event["kind"]]
+            job = event["job"]
+            if event["t"] - sent[job] <= goal + stretch * runs.get(job, 0.0):
+                served.add(job)
+    return served
--- /dev/null
+++ b/eiderfield/lab/fleet/discovery.py
@@ -0,0 +1,99 @@
+"""The platform's discovery: each dispatcher's agent tells it the addresses of that dispatcher's links."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import Iterable
+from contextlib import suppress
+from typing import Any
+
+from eiderfield.lab.fleet.event_log import EventLogWriter
+from eiderfield.lab.fleet.workers import ANSWER_HEAD, Worker
+
+KEEPALIVE_S = 2.0  # between two empty lines on a watch
+SILENCE_POLL_S = 0.05
+LATE_POLL_S = 0.1  # after which a change is told again while discovery is silent
+
+Addresses = dict[str, dict[str, str]]  # by dispatcher and worker
+
+
+class Discovery:
+    """What lists the workers to dispatchers, on watches that stay open."""
+
+    def __init__(self, workers: dict[str, Worker], addresses: Addresses, log: EventLogWriter) -> None:
+        self.workers = workers
+        self.index = 1
+        self.delay = 0.0  # s by which changes are told late
+        self.is_silent = False
+        self._addresses = addresses
+        self._log = log
+        self._watches: set[tuple[asyncio.StreamWriter, str]] = set()
+
+    async def serve(
+        self, dispatcher: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Answers a dispatcher's watch until its connection ends."""
+        with suppress(OSError, asyncio.IncompleteReadError):
+            await reader.readuntil(b"\r\n\r\n")
+            await self._wait_while_silent()
+            writer.write(ANSWER_HEAD)
+            self._push(writer, dispatcher, self.workers, snapshot=True)
+            self._watches.add((writer, dispatcher))
+            while not reader.at_eof():
+                with suppress(TimeoutError):
+                    async with asyncio.timeout(KEEPALIVE_S):
+                        await reader.read(1)
+                if not self.is_silent:
+                    writer.write(b"1\r\n\n\r\n")
+        self._watches.discard((writer, dispatcher))
+        writer.close()
+
+    def worker_changed(self, name: str) -> None:
+        """Tells of a worker's state, after the delay."""
+        asyncio.get_running_loop().call_later(self.delay, self._tell_change, name)
+
+    def entries(self, dispatcher: str, names: Iterable[str]) -> list[dict[str, Any]]:
+        """Workers as the endpoint list of a dispatcher names them."""
+        return [self._entry(dispatcher, self.workers[name]) for name in names]
+
+    def log_told(self, dispatcher: str, statuses: dict[str, str]) -> None:
+        """Writes down which states a dispatcher was told."""
+        self._log.write("told", to=dispatcher, workers=statuses)
+
+    async def _wait_while_silent(self) -> None:
+        while self.is_silent:
+            await asyncio.sleep(SILENCE_POLL_S)
+
+    def _tell_change(self, name: str) -> None:
+        if self.is_silent:
+            asyncio.get_running_loop().call_later(LATE_POLL_S, self._tell_change, name)
+            return
+        self.index += 1
+        self._change_told(name)
+
+    def _change_told(self, name: str) -> None:
+        for writer, dispatcher in list(self._watches):
+            self._push(writer, dispatcher, [name], snapshot=False)
+
+    def _push(
+        self, writer: asyncio.StreamWriter, dispatcher: str, names: Iterable[str], snapshot: bool
+    ) -> None:
+        endpoints = self.entries(dispatcher, names)
+        message = {"index": self.index, "snapshot": snapshot, "endpoints": endpoints}
+        line = json.dumps(message).encode() + b"\n"
+        with suppress(OSError, RuntimeError):
+            writer.write(b"%x\r\n%s\r\n" % (len(line), line))
+        self.log_told(dispatcher, {entry["name"]: entry["status"] for entry in endpoints})
+
+    def _entry(self, dispatcher: str, worker: Worker) -> dict[str, Any]:
+        return {
+            "name": worker.name,
+            "address": self._addresses[dispatcher][worker.name],
+            "zone": worker.zone,
+            "type": "std",
+            "group": worker.group.number,
+            "status": worker.status,
+            "weight": 1.0,
+            "since_ms": worker.since,
+        }
--- a/eiderfield/lab/fleet/proxy.py
+++ b/eiderfield/lab/fleet/proxy.py
@@ -1,6 +1,6 @@
 """The links between the processes, each through a listener of its own, so that each can fail by itself.
 
-    python -m eiderfield.lab.fleet.proxy        links and commands come as JSON lines
+    python -m eiderfield.lab.fleet.proxy        commands come as JSON lines
 
 Theory of operation. A link has a listener and a target; a connection to the one becomes a connection to the
 other, and two pumps carry bytes. A pump looks at its link's state before it passes anything on: a cut one
@@ -16,13 +16,22 @@
 import socket
 import struct
 from contextlib import suppress
-from typing import Any
 
 from eiderfield.config import address_of
-from eiderfield.lab.fleet.stage import obey, say
-
-CHUNK = 65536
-TICK = 0.02  # s between two drops of a dripping link
+from eiderfield.lab.fleet.commands import (
+    LISTENING,
+    READY,
+    Command,
+    OpenLinks,
+    SetLinkFault,
+    announce,
+    serve_commands,
+)
+
+READ_SIZE = 65536
+TICK_S = 0.02  # between two drops of a dripping link
+BACKLOG = 512  # connections that wait at a link's listener
+QUEUE_LENGTH = 1024  # pieces that a delayed link holds
 
 
 class Link:
@@ -31,7 +40,7 @@
     def __init__(self, name: str, target: tuple[str, int]) -> None:
         self.name = name
         self.target = target
-        self.cut = {"there": False, "back": False}
+        self.is_cut = {"there": False, "back": False}
         self.delay = 0.0  # s
         self.drip = 0.0  # bytes a second, 0 for all at once
         self.writers: set[asyncio.StreamWriter] = set()
@@ -54,12 +63,12 @@
                     self.writers.discard(end)
                     end.close()
 
-    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: str) -> None:
-        queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(1024)
-        sender = asyncio.create_task(self._send(queue, writer, way))
+    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: str) -> None:
+        queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(QUEUE_LENGTH)
+        sender = asyncio.create_task(self._send(queue, writer, direction))
         loop = asyncio.get_running_loop()
         try:
-            while data := await reader.read(CHUNK):
+            while data := await reader.read(READ_SIZE):
                 await queue.put((loop.time() + self.delay, data))
             await queue.put((loop.time() + self.delay, b""))
         except OSError:
@@ -69,36 +78,54 @@
             await sender
 
     async def _send(
-        self, queue: asyncio.Queue[tuple[float, bytes]], writer: asyncio.StreamWriter, way: str
+        self, queue: asyncio.Queue[tuple[float, bytes]], writer: asyncio.StreamWriter, direction: str
     ) -> None:
         loop = asyncio.get_running_loop()
         while True:
             at, data = await queue.get()
             if at > loop.time():
                 await asyncio.sleep(at - loop.time())
-            if self.cut[way]:
-                if not data:
-                    while self.cut[way]:  # an end is told once the link is back
-                        await asyncio.sleep(TICK)
-                else:
-                    continue
             if not data:
-                if writer.can_write_eof():
-                    writer.write_eof()
+                await self._send_end(writer, direction)
                 return
-            while self.drip and len(data) > (step := max(1, int(self.drip * TICK))):
-                writer.write(data[:step])
-                data = data[step:]
-                await asyncio.sleep(TICK)
-            writer.write(data)
-            await writer.drain()
+            if not self.is_cut[direction]:
+                await self._send_data(writer, data)
+
+    async def _send_data(self, writer: asyncio.StreamWriter, data: bytes) -> None:
+        while self.drip and len(data) > (step := max(1, int(self.drip * TICK_S))):
+            writer.write(data[:step])
+            data = data[step:]
+            await asyncio.sleep(TICK_S)
+        writer.write(data)
+        await writer.drain()
+
+    async def _send_end(self, writer: asyncio.StreamWriter, direction: str) -> None:
+        while self.is_cut[direction]:  # an end is told once the link is back
+            await asyncio.sleep(TICK_S)
+        if writer.can_write_eof():
+            writer.write_eof()
+
+    def set_fault(self, command: SetLinkFault) -> None:
+        """Begins or ends a fault of the link."""
+        match command.fault:
+            case "cut":
+                for direction in self.is_cut:
+                    self.is_cut[direction] = command.active and command.direction in (direction, "both")
+            case "delay":
+                self.delay = command.value / 1000.0 if command.active else 0.0
+            case "drip":
+                self.drip = command.value if command.active else 0.0
+            case "reset":
+                self.reset()
+            case "half":
+                self.close_half()
 
     def reset(self) -> None:
         """Breaks every connection on both sides."""
         for writer in list(self.writers):
             _reset(writer)
 
-    def half(self) -> None:
+    def close_half(self) -> None:
         """Ends one direction of every connection: whoever is behind the target hears an end."""
         for writer in list(self.writers):
             with suppress(OSError, RuntimeError):
@@ -113,41 +140,36 @@
     writer.transport.abort()
 
 
+class Proxy:
+    """All links of a run."""
+
+    def __init__(self) -> None:
+        self._links: dict[str, Link] = {}
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def carry_out(self, command: Command) -> None:
+        """Carries out a command."""
+        if isinstance(command, OpenLinks):
+            task = asyncio.get_running_loop().create_task(self._open(command))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+        elif isinstance(command, SetLinkFault):
+            for name in command.links:
+                self._links[name].set_fault(command)
+
+    async def _open(self, command: OpenLinks) -> None:
+        for name, (listen_address, target) in command.links.items():
+            link = self._links[name] = Link(name, address_of(target, name))
+            host, port = address_of(listen_address, name)
+            await asyncio.start_server(link.accept, host, port, backlog=BACKLOG)
+        announce(LISTENING)
+
+
 async def serve() -> None:
-    """Opens links as they are told, and does to them what it is told."""
-    links: dict[str, Link] = {}
-    tasks: set[asyncio.Task[Any]] = set()
-
-    async def listen(told: dict[str, Any]) -> None:
-        for name, (listen_at, target) in told["links"].items():
-            link = links[name] = Link(name, address_of(target, name))
-            host, port = address_of(listen_at, name)
-            await asyncio.start_server(link.accept, host, port, backlog=512)
-        say("listening")
-
-    def take(told: dict[str, Any]) -> None:
-        if told["do"] == "listen":
-            task = asyncio.get_running_loop().create_task(listen(told))
-            tasks.add(task)
-            task.add_done_callback(tasks.discard)
-            return
-        for name in told["links"]:
-            link = links[name]
-            match told["do"]:
-                case "cut":
-                    for way in ("there", "back"):
-                        link.cut[way] = told["on"] and told["way"] in (way, "both")
-                case "delay":
-                    link.delay = told["value"] / 1000.0 if told["on"] else 0.0
-                case "drip":
-                    link.drip = told["value"] if told["on"] else 0.0
-                case "reset":
-                    link.reset()
-                case "half":
-                    link.half()
-
-    say("ready")
-    await obey(take)
+    """Opens links, and does to them what it is told, until the input ends."""
+    proxy = Proxy()
+    announce(READY)
+    await serve_commands(proxy.carry_out)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/eiderfield/lab/fleet/result.py
@@ -0,0 +1,86 @@
+"""What came of a run: findings, faults, counts and how the dispatchers were left."""
+
+from __future__ import annotations
+
+import json
+from collections import Counter
+from collections.abc import Sequence
+from dataclasses import asdict, dataclass, field
+from math import inf
+from pathlib import Path
+from typing import Any
+
+from eiderfield.lab.fleet.event_log import CLIENT_EVENTS, WORKER_EVENTS, Event, read_events
+from eiderfield.lab.fleet.rules import FinalState, Finding, InjectedFault, cold_use, judge
+from eiderfield.lab.fleet.scenario import Scenario
+
+RESULT_FILE = "result.json"
+
+
+@dataclass
+class Result:
+    """What came of a run."""
+
+    findings: list[Finding]
+    faults: list[InjectedFault]
+    counts: dict[str, int]
+    start: float
+    final_states: list[FinalState] = field(default_factory=list)
+
+    @property
+    def kept(self) -> bool:
+        """Whether no rule was broken."""
+        return not self.findings
+
+    def to_plain(self) -> dict[str, Any]:
+        """The result as plain values; a fault that lasted to the end has no `until`."""
+        faults = [
+            {**asdict(fault), "until": None if fault.until == inf else fault.until} for fault in self.faults
+        ]
+        return {
+            "findings": [asdict(finding) for finding in self.findings],
+            "counts": self.counts,
+            "start": self.start,
+            "struck": faults,
+            "rest": [asdict(state) for state in self.final_states],
+        }
+
+
+def judge_run(
+    scenario: Scenario,
+    folder: Path,
+    start: float,
+    faults: list[InjectedFault],
+    final_states: list[FinalState],
+) -> Result:
+    """Judges a run by its logs, and writes the result into its folder."""
+    workers = read_events(folder / WORKER_EVENTS)
+    clients = read_events(folder / CLIENT_EVENTS)
+    findings = judge(scenario, workers, clients, faults, final_states)
+    counts = counts_of(workers, clients)
+    used = [use for _, use, _ in cold_use(scenario, workers)]
+    counts["cold_used"] = round(100.0 * max(used, default=0.0))
+    result = Result(findings, faults, counts, start, final_states)
+    (folder / RESULT_FILE).write_text(json.dumps(result.to_plain(), indent=1))
+    return result
+
+
+def counts_of(workers: Sequence[Event], clients: Sequence[Event]) -> dict[str, int]:
+    """What the logs hold, counted."""
+    worker_counts = Counter(event["what"] for event in workers)
+    client_counts = Counter(event["what"] for event in clients)
+    begun = Counter(event["job"] for event in workers if event["what"] == "began")
+    answered = [event for event in clients if event["what"] == "answered"]
+    statuses = Counter(event["status"] for event in answered)
+    return {
+        "jobs": len({event["job"] for event in clients}),
+        "served": len({event["job"] for event in answered if event["status"] == 200}),
+        "tries": client_counts["asked"],
+        "declined": statuses[429] + statuses[503],
+        "failed": statuses[502],
+        "broke": client_counts["broke"],
+        "left": client_counts["left"],
+        "begun": begun.total(),
+        "begun_twice": sum(times > 1 for times in begun.values()),
+        "unread": worker_counts["unread"],
+    }
--- /dev/null
+++ b/eiderfield/lab/fleet/rollout_supervisor.py
@@ -0,0 +1,209 @@
+"""Keeps a change led: starts the next controller where one was lost, and plays operators and faults.
+
+    led ──(the controller is lost)──> led by the next one
+     ├──(held, and operators decide)──> led on
+     └──(the controller ends with 0, or the change stays held)──> over
+
+What must never happen: two controllers at once; an end of a run while a change still moves.
+"""
+
+from __future__ import annotations
+
+import json
+import subprocess
+import sys
+import time
+import tomllib
+from contextlib import suppress
+from dataclasses import dataclass
+from pathlib import Path
+
+import psutil
+
+from eiderfield.config import digest_of
+from eiderfield.lab.fleet.child import ROOT
+from eiderfield.lab.fleet.dispatcher import Dispatcher
+from eiderfield.lab.fleet.fleet import Fleet
+from eiderfield.lab.fleet.rollout_change import Change
+from eiderfield.lab.fleet.scenario import Fault
+from eiderfield.lab.rig import RigError, call
+from eiderfield.rollout.journal import JournalError, ask
+from eiderfield.rollout.journal import read as read_journal
+
+HELD_AFTER_S = 2.0  # from the start of a change, before which nobody takes it for held
+MAX_CONTROLLERS = 40  # of one change, before the run is given up
+MEGABYTE = 2**20
+UNREACHABLE_FILE = "blind.json"  # read by `controller_process.py`
+MARK_VARIABLE = "EIDERFIELD_ROLLOUT"  # of processes that a controller started
+VERSIONS = ("old", "new")
+
+
+@dataclass(frozen=True, slots=True)
+class DueEnd:
+    """A fault that ends at a time, in s from the start."""
+
+    at: float
+    fault: Fault
+
+
+class ControllerSupervisor:
+    """The controllers of a change, one after the other."""
+
+    def __init__(self, folder: Path, change: Change) -> None:
+        self.controllers = 0  # that have led so far
+        self.over = False
+        self.seconds = 0.0
+        self.cpu_seconds = 0.0
+        self.memory_mb = 0.0
+        self.bans_kept = True
+        self.versions: dict[str, str] = {}
+        self._folder = folder
+        self._change = change
+        self._child: subprocess.Popen[bytes] | None = None
+        self._start = time.monotonic()
+        self._requests = sorted(change.requests, key=lambda request: request.at)
+        self._faults = list(change.faults)
+        self._fault_ends: list[DueEnd] = []
+        self._contact_lost_at: dict[int, float] = {}  # by its place in the change
+        self._unreachable: list[str] = []
+        self._decision = change.decision
+
+    def step(self, fleet: Fleet) -> None:
+        """Does what is due now."""
+        if self.over:
+            return
+        at = time.monotonic() - self._start
+        self._measure_controller()
+        self._lose_contacts(at)
+        self._make_requests(at)
+        self._inject_faults(fleet, at)
+        if self._child is None or self._child.poll() not in (None, 0):
+            self._start_controller()
+        elif self._decision and at > HELD_AFTER_S and self._is_held():
+            ask(self._folder, self._decision)
+            self._decision = ""
+        elif not self._requests and self._has_ended(at):
+            self.end_controller()
+            self._finish(fleet, at)
+
+    def end_controller(self) -> None:
+        """Ends the controller that leads."""
+        if self._child is not None:
+            self._child.kill()
+            self._child.wait()
+
+    def _start_controller(self) -> None:
+        if self.controllers >= MAX_CONTROLLERS:
+            raise RigError("the controllers of a change come to no end")
+        failpoint = self._change.failpoints[self.controllers : self.controllers + 1]
+        self.controllers += 1
+        with (self._folder / "leaders.log").open("ab") as log:
+            self._child = subprocess.Popen(
+                [
+                    sys.executable,
+                    "-m",
+                    "eiderfield.lab.fleet.controller_process",
+                    str(self._folder),
+                    *failpoint,
+                ],
+                cwd=ROOT,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+            )
+
+    def _has_ended(self, at: float) -> bool:
+        """Whether the controller has ended the change, or it stays held."""
+        assert self._child is not None
+        return self._child.poll() == 0 or (at > HELD_AFTER_S and self._is_held())
+
+    def _measure_controller(self) -> None:
+        """What the controller has used so far; one that has ended says nothing more."""
+        if self._child is None:
+            return
+        with suppress(psutil.Error):
+            process = psutil.Process(self._child.pid)
+            held = process.memory_info().rss / MEGABYTE
+            if held > 0.0:
+                self.memory_mb = max(self.memory_mb, held)
+                self.cpu_seconds = sum(process.cpu_times()[:2])
+
+    def _phase(self) -> str:
+        with suppress(JournalError):
+            return read_journal(self._folder).state.phase
+        return ""
+
+    def _is_held(self) -> bool:
+        with suppress(JournalError):
+            # Looked for first: a request goes only once it is written down.
+            if read_journal(self._folder).wish():
+                return False
+        return not self._fault_ends and self._phase() == "held"
+
+    def _make_requests(self, at: float) -> None:
+        while self._requests and self._requests[0].at <= at:
+            ask(self._folder, self._requests.pop(0).request)
+
+    def _lose_contacts(self, at: float) -> None:
+        contacts = self._change.lost_contacts
+        phase = self._phase() if len(self._contact_lost_at) < len(contacts) else ""
+        for number, contact in enumerate(contacts):
+            if contact.phase == phase:
+                self._contact_lost_at.setdefault(number, at)
+        unreachable = [
+            contacts[number].dispatcher
+            for number, since in sorted(self._contact_lost_at.items())
+            if at < since + contacts[number].seconds
+        ]
+        if unreachable != self._unreachable:
+            self._unreachable = unreachable
+            draft = self._folder / f".{UNREACHABLE_FILE}"
+            draft.write_text(json.dumps(unreachable))
+            draft.replace(self._folder / UNREACHABLE_FILE)
+
+    def _inject_faults(self, fleet: Fleet, at: float) -> None:
+        phase = self._phase() if self._faults else ""
+        for due in [due for due in self._faults if due.phase == phase]:
+            self._faults.remove(due)
+            fleet.inject(due.fault)
+            if due.fault.lasts:
+                self._fault_ends.append(DueEnd(at + due.fault.lasts, due.fault))
+        for end in [end for end in self._fault_ends if end.at <= at]:
+            self._fault_ends.remove(end)
+            fleet.inject(end.fault, active=False)
+
+    def _finish(self, fleet: Fleet, at: float) -> None:
+        self.over, self.seconds = True, at
+        change_id = read_journal(self._folder).id
+        for dispatcher in fleet.dispatchers.values():
+            is_program = bool(self._change.program)
+            self.versions[dispatcher.name] = version_of(dispatcher, change_id) if is_program else "none"
+            banned: list[str] = []
+            with suppress(OSError, ValueError, LookupError, RigError):
+                dispatcher.find_process()
+                banned = dispatcher.figures()["hosts_banned"]
+                if not is_program:
+                    self.versions[dispatcher.name] = self._version_of_settings(dispatcher)
+            # One that cannot be asked has not shown that it kept the ban.
+            self.bans_kept = self.bans_kept and self._change.banned_worker in ("", *banned)
+        fleet.stop_clients()
+
+    def _version_of_settings(self, dispatcher: Dispatcher) -> str:
+        digest = json.loads(call(dispatcher.console, "/-/config")[1])["digest"]
+        for version in VERSIONS:
+            text = (self._folder / "settings" / f"{dispatcher.name}.{version}").read_text()
+            if digest == digest_of(tomllib.loads(text)):
+                return version
+        return "none"
+
+
+def version_of(dispatcher: Dispatcher, change_id: str) -> str:
+    """Which version's processes of a dispatcher are there, by the mark in their environment."""
+    versions = set()
+    for process in dispatcher.processes():
+        with suppress(psutil.Error):
+            mark = process.environ().get(MARK_VARIABLE, "").split(" ")
+            versions.add("new" if mark[0] == change_id and mark[-1] == "new" else "old")
+    if not versions:
+        return "none"
+    return versions.pop() if len(versions) == 1 else "both"
--- a/eiderfield/lab/fleet/rules.py
+++ b/eiderfield/lab/fleet/rules.py
@@ -1,16 +1,16 @@
-"""The rules, judged from the workers' and the clients' book alone, knowing nothing of the program's own.
+"""The rules, judged from the workers' and the clients' event logs, knowing nothing of the program's own.
 
-A finding names its rule, the job and what the books say. What a fault excuses is excused by the list of
-faults that were carried out, by time and target, and by nothing else:
+A finding names its rule, the job and what the logs say. What a fault excuses is excused by the list of faults
+that were injected, by time and target, and by nothing else:
 
-    answered   what a dispatcher took, it answers before the client's time is over
-    lost       with custody, every job gets an answer, whoever was lost meanwhile (but who stood still)
+    answered   what a dispatcher accepted, it answers before the client's time is over
+    lost       with custody, every job gets an answer, whoever was lost meanwhile (but who was stopped)
     one        with custody, all that is served of a job is one result
     made       a served result is one that a worker made for that job
-    once       a try begins as often as its class allows, never in two groups of a key's workers
-    copies     no two legs of a try are out at once
+    once       a client's attempt begins as often as its class allows, never in two groups of a key's workers
+    copies     no two attempts at workers of one request are out at once
     declined   nobody is told that asking again is harmless when the job began and may not run twice
-    drain      nothing new comes to a worker later than the grace after its dispatcher was told
+    drain      nothing new comes to a worker later than the grace after its dispatcher was notified
     cold       a worker that has just started is not sent more than it bears, by all dispatchers together
     rest       when all is over no dispatcher holds a job, a client's connection or too many descriptors
     ends       dispatchers that no fault ended are there, and end with 0 when told to
@@ -24,22 +24,25 @@
 from itertools import pairwise
 from math import inf
 
-from eiderfield.lab.fleet.book import Event
-from eiderfield.lab.fleet.script import Script
+from eiderfield.lab.fleet.event_log import Event
+from eiderfield.lab.fleet.scenario import Scenario
 
-SLACK = 0.5  # s by which an event may be written down later than it was
+LOG_SLACK_S = 0.5  # by which an event may be written down later than it was
+DRAIN_SLACK_MS = 50.0  # beyond the grace, as on the operators' benches
 COLD_SLACK = 1.15  # of a cold worker's allowance, for chance
-OPEN_ENDS = frozenset({"ended", "unread", "dropped", "lost", "parted"})  # after which a leg is not out
-TOGETHER = 0.1  # s by which a worker may hear of a leg's end later than another of the next one
-ATTEMPTS = 4  # legs of a try, as the fleet's settings say
-DESCRIPTORS = 40  # that a dispatcher may hold more than at its start: kept connections to workers
+ATTEMPT_ENDS = frozenset({"ended", "unread", "dropped", "lost", "parted"})  # after which one is not out
+TOGETHER_S = 0.1  # by which a worker may hear of an attempt's end later than another of the next one
+MAX_RUNS = 4  # of one request, as the fleet's settings limit its attempts
+SPARE_DESCRIPTORS = 40  # that a dispatcher may hold more than at its start: kept connections to workers
 WAIT_PLACES = 2  # jobs that wait at a worker beyond its slots, each on a connection
-STORES = 21  # descriptors for stores of other lives, with custody
+STORE_DESCRIPTORS = 21  # for stores of other incarnations, with custody
+REJECTED = (429, 503)
+CLIENT_ENDS = ("answered", "broke", "left")  # of attempts that a dispatcher had
 
 
 @dataclass(frozen=True, slots=True)
-class Struck:
-    """A fault that was carried out, from `since` to `until` (inf: until the end)."""
+class InjectedFault:
+    """A fault that was carried out on `who`, from `since` to `until` (inf: until the end)."""
 
     what: str
     who: str
@@ -57,71 +60,76 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AtRest:
+class FinalState:
     """What a dispatcher was found to hold after a run, and how it ended."""
 
     name: str
     inflight: int
     connections: int
     descriptors: int
-    descriptors_first: int
+    descriptors_at_start: int
     code: int | None  # of its end; None if it was gone before
 
 
 def judge(
-    script: Script, workers: Sequence[Event], clients: Sequence[Event], struck: Sequence[Struck],
-    rest: Iterable[AtRest],
+    scenario: Scenario, workers: Sequence[Event], clients: Sequence[Event], faults: Sequence[InjectedFault],
+    rest: Iterable[FinalState],
 ) -> list[Finding]:  # fmt: skip
     """All findings, in the order of the rules."""
-    kinds = {kind.name: kind for kind in script.kinds}
-    effects = {name: kind.effect for name, kind in kinds.items()}
+    effects = {job_class.name: job_class.effect for job_class in scenario.job_classes}
     return [
-        *_answered(clients, struck),
-        *_lost(script, clients, struck),
+        *_answered(clients, faults),
+        *_lost(scenario, clients, faults),
         *_made(workers, clients),
         *_once(workers, effects),
-        *_copies(workers, struck),
+        *_copies(workers, faults),
         *_declined(workers, clients, effects),
-        *_drain(script, workers, struck),
-        *_cold(script, workers),
-        *_rest(script, rest, struck),
+        *_drain(scenario, workers, faults),
+        *_cold(scenario, workers),
+        *_rest(scenario, rest, faults),
     ]
 
 
-def _excused(struck: Sequence[Struck], who: Iterable[str], since: float, until: float) -> bool:
-    names = set(who)
-    return any(s.who in names and s.since <= until + SLACK and s.until >= since - SLACK for s in struck)
+def _excused(faults: Sequence[InjectedFault], targets: Iterable[str], since: float, until: float) -> bool:
+    """Whether a fault of one of the targets overlaps a time."""
+    names = set(targets)
+    latest, earliest = until + LOG_SLACK_S, since - LOG_SLACK_S
+    return any(fault.who in names and fault.since <= latest and fault.until >= earliest for fault in faults)
 
 
-def _answered(clients: Sequence[Event], struck: Sequence[Struck]) -> Iterable[Finding]:
-    asked = {_try(event): event for event in clients if event["what"] == "asked"}
-    ends = {_try(e): e for e in clients if e["what"] in ("answered", "broke", "left") and _try(e) in asked}
-    for (id_, _), event in asked.items():
-        end = ends.get(_try(event))
-        until = end["t"] if end is not None else event["t"] + event["left"]
+def _answered(clients: Sequence[Event], faults: Sequence[InjectedFault]) -> Iterable[Finding]:
+    asked = {_attempt_of(event): event for event in clients if event["what"] == "asked"}
+    ends = {_attempt_of(event): event for event in clients if event["what"] in CLIENT_ENDS}
+    for attempt, event in asked.items():
+        end = ends.get(attempt)
         if end is not None and end["what"] == "answered":
             continue
-        if not _excused(struck, (event["at"], f"c>{event['at']}"), event["t"], until):
+        until = end["t"] if end is not None else event["t"] + event["left"]
+        dispatcher = event["at"]
+        if not _excused(faults, (dispatcher, f"c>{dispatcher}"), event["t"], until):
             how = "no end" if end is None else end["what"]
-            text = f"{id_} at {event['at']}: {how} after {until - event['t']:.2f} s"
+            text = f"{event['id']} at {dispatcher}: {how} after {until - event['t']:.2f} s"
             yield Finding("answered", event["job"], text)
 
 
-def _try(event: Event) -> tuple[str, str]:
+def _attempt_of(event: Event) -> tuple[str, str]:
+    """What names a client's attempt."""
     return event["id"], event.get("try", "")
 
 
-def _lost(script: Script, clients: Sequence[Event], struck: Sequence[Struck]) -> Iterable[Finding]:
-    """Of work in hand: whoever asks again as long as there is time gets the one answer of the job. Who waits
-    at a dispatcher that stands still hears of nothing, and does not ask again."""
-    stops = [s for s in struck if s.what == "stop"]
+def _lost(scenario: Scenario, clients: Sequence[Event], faults: Sequence[InjectedFault]) -> Iterable[Finding]:
+    """Of jobs in custody: whoever asks again as long as there is time gets the one answer of the job.
+
+    Who waits at a dispatcher that is stopped hears of nothing, and does not ask again.
+    """
+    stops = [s for s in faults if s.what == "stop"]
     left = {e["job"]: e for e in clients if e["what"] == "left"}
-    if not script.custody:
+    if not scenario.custody:
         return
     told: dict[str, list[Event]] = defaultdict(list)
     asked = {event["job"]: event for event in clients if event["what"] == "asked"}
     for event in clients:
-        if event["what"] == "answered" and event["status"] not in (429, 503):
+        if event["what"] == "answered" and event["status"] not in REJECTED:
             told[event["job"]].append(event)
     for job, event in asked.items():
         heard = told[job] or any(e["what"] == "answered" and e["job"] == job for e in clients)
@@ -149,7 +157,7 @@
             begun[event["id"]].append(event)
     for id_, events in begun.items():
         first = events[0]
-        most = 1 if effects[first["kind"]] == "fragile" else ATTEMPTS
+        most = 1 if effects[first["kind"]] == "fragile" else MAX_RUNS
         if len(events) > most:
             yield Finding("once", first["job"], f"{id_}, {first['kind']}, began {len(events)} times")
         if effects[first["kind"]] == "dedup" and len({event["group"] for event in events}) > 1:
@@ -157,28 +165,31 @@
             yield Finding("once", first["job"], f"{id_} began in groups {groups}")
 
 
-def _copies(workers: Sequence[Event], struck: Sequence[Struck]) -> Iterable[Finding]:
-    """A leg is called off and another sent in one breath, over links of their own: that the second comes in a
-    moment before the end of the first is no copy, nor that the first comes in after the second and ends at
-    once (seen with 40 dispatchers on 8 cores). Over a cut or slow link a worker hears of the end late."""
-    out: dict[tuple[str, str, str], float] = {}  # by try, dispatcher and worker: since when
-    legs: dict[tuple[str, str], list[tuple[float, float, str]]] = defaultdict(list)  # from, to, worker
+def _copies(workers: Sequence[Event], faults: Sequence[InjectedFault]) -> Iterable[Finding]:
+    """An attempt is cancelled and another sent in one turn, over links of their own.
+
+    That the second comes in a moment before the end of the first is no copy, nor that the first comes in
+    after the second and ends at once (seen with 40 dispatchers on 8 cores). Over a cut or slow link a
+    worker hears of the end late.
+    """
+    out: dict[tuple[str, str, str], float] = {}  # by request, dispatcher and worker: since when
+    attempts: dict[tuple[str, str], list[tuple[float, float, str]]] = defaultdict(list)  # from, to, worker
     jobs: dict[tuple[str, str], str] = {}
     for event in workers:
         if event["what"] == "came":
             out[event["id"], event["by"], event["worker"]] = event["t"]
             jobs[event["id"], event["by"]] = event["job"]
-        elif event["what"] in OPEN_ENDS:
+        elif event["what"] in ATTEMPT_ENDS:
             since = out.pop((event["id"], event["by"], event["worker"]), None)
             if since is not None:
-                legs[event["id"], event["by"]].append((since, event["t"], event["worker"]))
+                attempts[event["id"], event["by"]].append((since, event["t"], event["worker"]))
     for (id_, by, worker), since in out.items():
-        legs[id_, by].append((since, inf, worker))
-    for (id_, by), found in legs.items():
+        attempts[id_, by].append((since, inf, worker))
+    for (id_, by), found in attempts.items():
         found.sort()
         for (since, until, worker), (next_, ends, other) in pairwise(found):
-            slow = _excused(struck, (f"{by}>{worker}",), since, next_)
-            if min(until, ends) > next_ + TOGETHER and not slow:
+            slow = _excused(faults, (f"{by}>{worker}",), since, next_)
+            if min(until, ends) > next_ + TOGETHER_S and not slow:
                 text = f"{id_} is out at {worker} and {other} at once"
                 yield Finding("copies", jobs[id_, by], text)
 
@@ -188,13 +199,15 @@
 ) -> Iterable[Finding]:
     began = {event["id"]: event["t"] for event in workers if event["what"] == "began"}
     for event in clients:
-        declined = event["what"] == "answered" and event["status"] in (429, 503)
+        declined = event["what"] == "answered" and event["status"] in REJECTED
         if declined and effects[event["kind"]] != "retryable" and began.get(event["id"], inf) < event["t"]:
             yield Finding("declined", event["job"], f"{event['id']} was declined though it had begun")
 
 
-def _drain(script: Script, workers: Sequence[Event], struck: Sequence[Struck]) -> Iterable[Finding]:
-    grace = (script.drain_grace + 50.0) / 1000.0
+def _drain(
+    scenario: Scenario, workers: Sequence[Event], faults: Sequence[InjectedFault]
+) -> Iterable[Finding]:
+    grace = (scenario.drain_grace + DRAIN_SLACK_MS) / 1000.0
     told: dict[tuple[str, str], float] = {}  # by dispatcher and worker: since when it wants nothing new
     for event in workers:
         if event["what"] == "told":
@@ -207,14 +220,17 @@
             by, worker = event["by"], event["worker"]
             since = told.get((by, worker), inf)
             links = (by, f"{by}>source", f"{by}>{worker}")
-            if event["t"] > since + grace and not _excused(struck, links, since, event["t"]):
+            if event["t"] > since + grace and not _excused(faults, links, since, event["t"]):
                 text = f"{event['id']} came to {worker} {event['t'] - since:.2f} s after {by} was told"
                 yield Finding("drain", event["job"], text)
 
 
-def cold_use(script: Script, workers: Sequence[Event]) -> Iterable[tuple[Event, float, float]]:
-    """For each leg that came to a cold worker: the event, how much of what rule 4 allows all dispatchers
-    together had then sent it within `fall` ms, as a share, and its age in s. The rule is broken above 1."""
+def cold_use(scenario: Scenario, workers: Sequence[Event]) -> Iterable[tuple[Event, float, float]]:
+    """For each attempt that came to a cold worker: the event, how much of what rule 4 allows all dispatchers
+    together had then sent it within `fall` ms, as a share, and the worker's age in s.
+
+    The rule is broken above 1.
+    """
     started: dict[str, float] = {}
     sent: dict[str, list[tuple[float, float]]] = defaultdict(list)
     for event in workers:
@@ -223,33 +239,41 @@
             sent[event["worker"]].clear()
         elif event["what"] == "came" and (since := started.get(event["worker"])) is not None:
             age = event["t"] - since
-            if age > script.cold / 1000.0:
+            if age > scenario.cold / 1000.0:
                 continue
             recent = sent[event["worker"]]
             recent.append((event["t"], event["run"] * event.get("slots", 1)))
-            window = sum(run for t, run in recent if t > event["t"] - script.fall / 1000.0)
-            yield event, window / (script.fall_multiple * script.slots * event["share"] * script.fall), age
+            window = sum(run for t, run in recent if t > event["t"] - scenario.fall / 1000.0)
+            yield (
+                event,
+                window / (scenario.fall_multiple * scenario.slots * event["share"] * scenario.fall),
+                age,
+            )
 
 
-def _cold(script: Script, workers: Sequence[Event]) -> Iterable[Finding]:
-    for event, used, age in cold_use(script, workers):
+def _cold(scenario: Scenario, workers: Sequence[Event]) -> Iterable[Finding]:
+    for event, used, age in cold_use(scenario, workers):
         if used > COLD_SLACK:
             text = f"{event['worker']} was sent {used:.0%} of what it bears, {age:.2f} s after its start"
             yield Finding("cold", event["job"], text)
 
 
-def _rest(script: Script, rest: Iterable[AtRest], struck: Sequence[Struck]) -> Iterable[Finding]:
-    # A survivor keeps connections for all that the workers can hold, and stores of other lives open.
-    more = max(DESCRIPTORS, script.workers * (script.slots + WAIT_PLACES)) + STORES * bool(script.custody)
-    ended = {s.who for s in struck if s.what in ("kill", "term") and s.until == inf}
+def _rest(
+    scenario: Scenario, rest: Iterable[FinalState], faults: Sequence[InjectedFault]
+) -> Iterable[Finding]:
+    # A survivor keeps connections for all that the workers can hold, and stores of other incarnations open.
+    more = max(
+        SPARE_DESCRIPTORS, scenario.workers * (scenario.slots + WAIT_PLACES)
+    ) + STORE_DESCRIPTORS * bool(scenario.custody)
+    ended = {s.who for s in faults if s.what in ("kill", "term") and s.until == inf}
     for found in rest:
         if found.name in ended:
             continue
         if found.inflight or found.connections:
             text = f"{found.name} holds {found.inflight} jobs and {found.connections} connections"
             yield Finding("rest", "", text)
-        if found.descriptors > found.descriptors_first + more:
-            first = found.descriptors_first
+        if found.descriptors > found.descriptors_at_start + more:
+            first = found.descriptors_at_start
             text = f"{found.name} holds {found.descriptors} descriptors, {first} at its start"
             yield Finding("rest", "", text)
         if found.code != 0:
--- /dev/null
+++ b/eiderfield/lab/fleet/topology.py
@@ -0,0 +1,45 @@
+"""Where the processes of a run listen, and the links between them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from eiderfield.config import Address, address_of
+from eiderfield.lab.fleet.addresses import AddressPool
+from eiderfield.lab.fleet.scenario import Scenario
+
+
+@dataclass(frozen=True, slots=True)
+class Topology:
+    """All addresses of a run. Links are named by both ends, as `n0>w1`, `n0>source` or `c>n0`."""
+
+    listen: dict[str, str]  # by dispatcher
+    worker_ports: dict[str, dict[str, str]]  # by dispatcher and worker
+    worker_addresses: dict[str, dict[str, str]]  # by dispatcher and worker: the links to these ports
+    discovery_ports: dict[str, str]  # by dispatcher
+    links: dict[str, tuple[str, str]]  # by name: where each listens, and where it leads
+
+    @classmethod
+    def of(cls, scenario: Scenario, pool: AddressPool) -> Topology:
+        """The addresses of a scenario's processes."""
+        dispatchers, workers = scenario.dispatcher_names, scenario.worker_names
+        worker_ports = {name: {worker: pool.take() for worker in workers} for name in dispatchers}
+        discovery_ports = {name: pool.take() for name in dispatchers}
+        listen = {name: pool.take() for name in dispatchers}
+        links: dict[str, tuple[str, str]] = {}
+        worker_addresses: dict[str, dict[str, str]] = {}
+        for name in dispatchers:
+            worker_addresses[name] = {worker: pool.take() for worker in workers}
+            for worker, address in worker_addresses[name].items():
+                links[f"{name}>{worker}"] = (address, worker_ports[name][worker])
+            links[f"{name}>source"] = (pool.take(), discovery_ports[name])
+            links[f"c>{name}"] = (pool.take(), listen[name])
+        return cls(listen, worker_ports, worker_addresses, discovery_ports, links)
+
+    def discovery_address(self, dispatcher: str) -> str:
+        """Where a dispatcher reaches discovery."""
+        return self.links[f"{dispatcher}>source"][0]
+
+    def client_addresses(self) -> dict[str, Address]:
+        """Where clients reach the dispatchers."""
+        return {name: address_of(self.links[f"c>{name}"][0], name) for name in self.listen}
--- a/tests/test_durable_requests_fleet.py
+++ b/tests/test_durable_requests_fleet.py
@@ -1,4 +1,4 @@
-"""Work in hand on real processes that are killed and stopped, judged by workers' and clients' books."""
+"""Work in hand on real processes that are killed and stopped, judged by workers' and clients' event logs."""
 
 from __future__ import annotations
 
@@ -6,49 +6,51 @@
 
 import pytest
 
-from eiderfield.lab.fleet.change import Change, play_change
-from eiderfield.lab.fleet.custody import KINDS, play_custody
-from eiderfield.lab.fleet.run import Program
-from eiderfield.lab.fleet.script import Fault, Script, checked
+from eiderfield.lab.fleet.custody_draw import FAILPOINTS, JOB_CLASSES
+from eiderfield.lab.fleet.custody_run import play_custody
+from eiderfield.lab.fleet.dispatcher import Program
+from eiderfield.lab.fleet.rollout_change import Change, FaultInPhase
+from eiderfield.lab.fleet.rollout_run import play_change
+from eiderfield.lab.fleet.scenario import Fault, Scenario
+from eiderfield.lab.fleet.scenario_file import validated
 
 pytestmark = pytest.mark.real_time
 
-SCRIPT = Script(
+SCENARIO = Scenario(
     dispatchers=3, workers=6, slots=4, cell=3, jobs=90, rate=40.0, notice=0.3, retries=10, one_id=True,
-    custody={"lease_ms": 900}, kinds=KINDS,
+    custody={"lease_ms": 900}, job_classes=JOB_CLASSES,
 )  # fmt: skip
-POINTS = ("accept", "accept done", "claim", "claim done", "sent", "finish", "finish done")
 
 
 def played(tmp_path, *faults, programs=None, **more):
-    script = checked(replace(SCRIPT, faults=faults, **more))
-    found = play_custody(script, tmp_path / "run", programs or {})
+    scenario = validated(replace(SCENARIO, faults=faults, **more))
+    found = play_custody(scenario, tmp_path / "run", programs or {})
     assert found.findings == [], (found.findings[:3], found.counts)
-    assert found.unanswered == 0 and found.counts["jobs"] == script.jobs
+    assert found.unanswered == 0 and found.counts["jobs"] == scenario.jobs
     return found
 
 
 def pointed(point, what, lasts=1.0, who="n1"):
-    return {who: Program(point=f"{point}:4:{what}:{lasts}")}
+    return {who: Program(failpoint=f"{point}:4:{what}:{lasts}")}
 
 
-@pytest.mark.parametrize("point", POINTS)
+@pytest.mark.parametrize("point", FAILPOINTS)
 def test_wherever_a_dispatcher_is_killed_its_work_is_done_once(point, tmp_path):
     found = played(tmp_path, programs=pointed(point, "kill"))
-    assert [struck.what for struck in found.struck] == ["kill"] and found.fences["its process is gone"] == 1
+    assert [fault.what for fault in found.faults] == ["kill"] and found.fences["its process is gone"] == 1
     assert found.custody["taken_over"] > 0 or point == "accept"
 
 
 @pytest.mark.parametrize("point", ["accept", "claim", "claim done", "sent", "finish"])
 def test_wherever_a_dispatcher_is_stopped_for_longer_than_its_lease_it_takes_nothing_back(point, tmp_path):
     found = played(tmp_path, programs=pointed(point, "stop", 2.5), jobs=150)
-    assert [struck.what for struck in found.struck] == ["stop"]
+    assert [fault.what for fault in found.faults] == ["stop"]
     assert found.fences["it is silent"] == 1 and found.custody["fenced"] == 1, "it is told, and begins anew"
 
 
 @pytest.mark.parametrize("point", ["adopt", "adopt done"])
 def test_a_taker_that_is_killed_while_taking_over_passes_it_on(point, tmp_path):
-    programs = {"n2": Program(point=f"{point}:1:kill:2.0")}
+    programs = {"n2": Program(failpoint=f"{point}:1:kill:2.0")}
     found = played(tmp_path, Fault("kill", "n1", on="begun:30", lasts=2.5), programs=programs, dispatchers=4)
     assert found.fences["its process is gone"] == 2
 
@@ -93,21 +95,21 @@
 
 def test_without_custody_the_same_kill_begins_jobs_twice_or_loses_them(tmp_path):
     """What the checkers see when nothing is kept: they are no checks that cannot fail."""
-    script = checked(replace(
-        SCRIPT, custody={}, jobs=160, dispatchers=4, faults=(Fault("kill", "n1", on="begun:30", lasts=2.0),)
+    scenario = validated(replace(
+        SCENARIO, custody={}, jobs=160, dispatchers=4, faults=(Fault("kill", "n1", on="begun:30", lasts=2.0),)
     ))  # fmt: skip
-    found = play_custody(script, tmp_path / "run", {})
+    found = play_custody(scenario, tmp_path / "run", {})
     assert any(finding.rule == "once" for finding in found.findings)
 
 
-ROLLING = replace(SCRIPT, jobs=6000, rate=60.0, workers=6, floods=())
+ROLLING = replace(SCENARIO, jobs=6000, rate=60.0, workers=6, floods=())
 QUICK = {"before": 1.5, "worse": 0.2, "slower": 1.0, "settle": 0.5}
 
 
 def test_a_rolling_change_with_a_kill_in_its_middle_begins_nothing_twice(tmp_path):
     """Each upgrade is two lives beside each other; what the killed one had is taken over by the others."""
-    strikes = (("watching", Fault("kill", "n1", at=0.0, lasts=1.0)),)
-    change = Change(watch=QUICK, strikes=strikes, decide="undo")
+    faults = (FaultInPhase("watching", Fault("kill", "n1", at=0.0, lasts=1.0)),)
+    change = Change(watch=QUICK, faults=faults, decision="undo")
     found = play_change(ROLLING, change, tmp_path / "run")
     assert found.phase in ("done", "undone") and found.findings == [], found
     assert found.counts["served"] > 0.9 * found.counts["jobs"]
@@ -115,10 +117,12 @@
 
 def test_a_job_that_runs_longer_than_its_dispatcher_is_left_is_taken_over(tmp_path):
     """Told to end and killed 4 s later, as by a platform: what is safe or keyed goes on elsewhere."""
-    kinds = tuple(replace(kind, run=(5000.0, 6000.0), deadline=20_000.0, goal=15_000.0) for kind in KINDS)
-    script = checked(replace(SCRIPT, kinds=kinds, jobs=18, rate=30.0, window=15_000.0, faults=(
+    classes = tuple(
+        replace(each, run=(5000.0, 6000.0), deadline=20_000.0, goal=15_000.0) for each in JOB_CLASSES
+    )
+    scenario = validated(replace(SCENARIO, job_classes=classes, jobs=18, rate=30.0, window=15_000.0, faults=(
         Fault("term", "n1", on="begun:16"), Fault("kill", "n1", on="begun:16", after=4.0, lasts=1.0),
     )))  # fmt: skip
-    found = play_custody(script, tmp_path / "run", {})
+    found = play_custody(scenario, tmp_path / "run", {})
     assert found.findings == [] and found.unanswered == 0, (found.findings[:3], found.counts)
-    assert found.custody["taken_over"] > 0 and found.counts["served"] >= script.jobs - found.may_have_run
+    assert found.custody["taken_over"] > 0 and found.counts["served"] >= scenario.jobs - found.may_have_run
--- a/tests/test_durable_requests_jobs.py
+++ b/tests/test_durable_requests_jobs.py
@@ -18,9 +18,9 @@
 from eiderfield.durable_requests.folder import Folder
 from eiderfield.durable_requests.member import Accept, Claim, Finish, Wish
 from eiderfield.exchange import Answer, Verdict
-from eiderfield.lab.fleet.custody import KINDS
-from eiderfield.lab.fleet.run import Fleet
-from eiderfield.lab.fleet.script import Script
+from eiderfield.lab.fleet.custody_draw import JOB_CLASSES
+from eiderfield.lab.fleet.fleet import Fleet
+from eiderfield.lab.fleet.scenario import Scenario
 from eiderfield.lab.rig import wait_for
 
 
@@ -138,16 +138,16 @@
 
 # Several real dispatchers with a batch front.
 
-SCRIPT = Script(
+SCENARIO = Scenario(
     dispatchers=3, workers=6, slots=3, cell=3, jobs=1, custody={"lease_ms": 900},
-    kinds=tuple(replace(kind, deadline=60_000.0, goal=30_000.0) for kind in KINDS),
+    job_classes=tuple(replace(each, deadline=60_000.0, goal=30_000.0) for each in JOB_CLASSES),
 )  # fmt: skip
 
 
 @pytest.fixture
 def batch(tmp_path):
-    with Fleet(SCRIPT, tmp_path / "run", batch=True) as fleet:
-        yield fleet, [fleet.batch[name] for name in fleet.dispatchers]
+    with Fleet(SCENARIO, tmp_path / "run", batch=True) as fleet:
+        yield fleet, [fleet.batch_addresses[name] for name in fleet.dispatchers]
 
 
 def body(job, ms):
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_scenarios.py
@@ -1,4 +1,4 @@
-"""The rig of many processes: its scripts, its checkers on planted faults, and runs with faults."""
+"""Runs of many processes: their scenarios, the rules on planted breaches, and runs with faults."""
 
 from __future__ import annotations
 
@@ -11,15 +11,18 @@
 from support.processes import ROOT
 
 from eiderfield.cli import main
-from eiderfield.lab.fleet.book import Book, Reading, read
-from eiderfield.lab.fleet.pages import write_events, write_page
-from eiderfield.lab.fleet.rules import AtRest, Struck, judge
-from eiderfield.lab.fleet.run import Fleet, Ports, jobs_of, play
-from eiderfield.lab.fleet.script import FAULTS, LATER, Fault, Script, ScriptError, checked, draw, told
-from eiderfield.lab.fleet.script import read as read_script
+from eiderfield.lab.fleet import commands
+from eiderfield.lab.fleet.addresses import AddressPool
+from eiderfield.lab.fleet.event_log import EventLogReader, EventLogWriter, read_events
+from eiderfield.lab.fleet.fleet import Fleet, play
+from eiderfield.lab.fleet.rules import FinalState, InjectedFault, judge
+from eiderfield.lab.fleet.run_report import write_events, write_page
+from eiderfield.lab.fleet.scenario import FAULTS, RESOURCE_FAULTS, Fault, Scenario, ScenarioError
+from eiderfield.lab.fleet.scenario_draw import draw_jobs, draw_scenario
+from eiderfield.lab.fleet.scenario_file import parse_scenario, validated
 from eiderfield.lab.rig import call
 
-SCRIPT = Script()
+SCENARIO = Scenario()
 
 
 @pytest.mark.parametrize(
@@ -49,18 +52,19 @@
         ('[[fault]]\nwhat = "kill"\nwho = 3\nat = 1', "fault.0.who"),
     ],
 )
-def test_a_faulty_script_is_refused_by_the_name_of_its_key(text, key):
-    with pytest.raises(ScriptError) as error:
-        read_script(text)
+def test_a_faulty_scenario_is_refused_by_the_name_of_its_key(text, key):
+    with pytest.raises(ScenarioError) as error:
+        parse_scenario(text)
     assert str(error.value).startswith(key)
 
 
-def test_a_seed_draws_the_same_script_and_jobs_for_ever():
-    assert [told(draw(seed)) for seed in range(40)] == [told(draw(seed)) for seed in range(40)]
-    assert {fault.what for seed in range(400) for fault in draw(seed).faults} >= {
-        what for faults in FAULTS.values() for what in faults if what not in LATER
+def test_a_seed_draws_the_same_scenario_and_jobs_for_ever():
+    drawn = [draw_scenario(seed) for seed in range(40)]
+    assert drawn == [draw_scenario(seed) for seed in range(40)]
+    assert {fault.what for seed in range(400) for fault in draw_scenario(seed).faults} >= {
+        what for faults in FAULTS.values() for what in faults if what not in RESOURCE_FAULTS
     }
-    assert jobs_of(SCRIPT) == jobs_of(SCRIPT) != jobs_of(replace(SCRIPT, seed=2))
+    assert draw_jobs(SCENARIO) == draw_jobs(SCENARIO) != draw_jobs(replace(SCENARIO, seed=2))
 
 
 def came(t, id_="a", worker="w0", by="n0", **more):
@@ -85,10 +89,15 @@
 ENDED = {"t": 1.9, "what": "ended", "id": "a", "job": "j", "worker": "w0", "by": "n0", "result": "w0:1:j"}
 TOLD = {"t": 0.0, "what": "told", "to": "n0", "workers": {"w0": "DRAINING"}}
 MENDED = {"t": 0.0, "what": "mended", "fault": "restart", "worker": "w0"}
-WELL = AtRest("n0", 0, 0, 20, 12, 0)
+WELL = FinalState("n0", 0, 0, 20, 12, 0)
 PLANTED = {
     "answered": ([], [asked()], [], []),
-    "answered, broke": ([], [asked(), {**asked(2.0), "what": "broke"}], [Struck("kill", "n1", 0.0)], []),
+    "answered, broke": (
+        [],
+        [asked(), {**asked(2.0), "what": "broke"}],
+        [InjectedFault("kill", "n1", 0.0)],
+        [],
+    ),
     "made": ([ENDED], [asked(), answered(result="w0:2:j")], [], []),
     "made for another": ([{**ENDED, "job": "k"}], [asked(), answered()], [], []),
     "once": ([began(1.0, kind="confirm"), began(1.5, kind="confirm")], [], [], []),
@@ -105,74 +114,74 @@
 
 @pytest.mark.parametrize("planted", PLANTED)
 def test_each_rule_finds_what_breaks_it_and_nothing_else(planted):
-    found = judge(SCRIPT, *PLANTED[planted])
+    found = judge(SCENARIO, *PLANTED[planted])
     assert {finding.rule for finding in found} == {planted.partition(",")[0].split()[0]}
 
 
 @pytest.mark.parametrize(
-    ("workers", "clients", "struck", "rest"),
+    ("workers", "clients", "faults", "rest"),
     [
         ([came(1.0), began(1.1), ENDED], [asked(), answered()], [], [WELL]),
-        ([], [asked(), {**asked(2.0), "what": "broke"}], [Struck("kill", "n0", 1.5)], []),
-        ([], [asked(), {**asked(6.0), "what": "left"}], [Struck("cut", "c>n0", 0.5, 4.0)], []),
+        ([], [asked(), {**asked(2.0), "what": "broke"}], [InjectedFault("kill", "n0", 1.5)], []),
+        ([], [asked(), {**asked(6.0), "what": "left"}], [InjectedFault("cut", "c>n0", 0.5, 4.0)], []),
         ([came(1.0), {**ENDED, "what": "dropped", "t": 1.05}, came(1.1, worker="w1")], [], [], []),
         ([came(1.0), came(1.1, worker="w1"), {**ENDED, "what": "parted", "t": 1.15}], [], [], []),
-        ([came(1.0), came(1.1, worker="w1")], [], [Struck("cut", "n0>w0", 0.9, 2.0)], []),
+        ([came(1.0), came(1.1, worker="w1")], [], [InjectedFault("cut", "n0>w0", 0.9, 2.0)], []),
         ([TOLD, came(0.4)], [], [], []),
-        ([TOLD, came(1.0)], [], [Struck("cut", "n0>source", 0.0, 2.0)], []),
+        ([TOLD, came(1.0)], [], [InjectedFault("cut", "n0>source", 0.0, 2.0)], []),
         ([TOLD, {**TOLD, "t": 0.5, "workers": {"w0": "SERVING"}}, came(1.0)], [], [], []),
         ([began(1.0)], [asked(), answered(status=503)], [], []),
         ([MENDED, came(1.0, share=0.3)], [], [], []),
-        ([], [], [Struck("kill", "n0", 1.0)], [replace(WELL, code=-9)]),
+        ([], [], [InjectedFault("kill", "n0", 1.0)], [replace(WELL, code=-9)]),
     ],
 )
-def test_what_is_allowed_or_excused_is_no_finding(workers, clients, struck, rest):
-    assert judge(SCRIPT, workers, clients, struck, rest) == []
+def test_what_is_allowed_or_excused_is_no_finding(workers, clients, faults, rest):
+    assert judge(SCENARIO, workers, clients, faults, rest) == []
 
 
 def test_a_kept_job_that_nobody_answers_or_two_ways_is_a_finding():
-    script = replace(SCRIPT, custody={"lease_ms": 900})
+    scenario = replace(SCENARIO, custody={"lease_ms": 900})
     broke = {**asked(), "t": 2.0, "what": "broke", "why": "x"}
-    killed = [Struck("kill", "n0", 1.5)]
-    assert [f.rule for f in judge(script, [], [asked(), broke], killed, [])] == ["lost"]
-    assert judge(SCRIPT, [], [asked(), broke], killed, []) == [], "nothing is promised without custody"
+    killed = [InjectedFault("kill", "n0", 1.5)]
+    assert [f.rule for f in judge(scenario, [], [asked(), broke], killed, [])] == ["lost"]
+    assert judge(SCENARIO, [], [asked(), broke], killed, []) == [], "nothing is promised without custody"
     left = {**asked(), "t": 7.0, "what": "left", "why": "x"}
-    assert judge(script, [], [asked(), left], [Struck("stop", "n0", 1.5, 8.0)], []) == []
+    assert judge(scenario, [], [asked(), left], [InjectedFault("stop", "n0", 1.5, 8.0)], []) == []
     where = {"job": "j", "worker": "w0", "by": "n0", "id": "a"}
     ends = [{"t": 1.5, "what": "ended", "result": f"w0:{n}:j", **where} for n in (1, 2)]
     twice = [asked(), *[{**answered(2.0 + n, 200, f"w0:{n}:j"), "try": str(n)} for n in (1, 2)]]
-    assert [f.rule for f in judge(script, ends, twice, killed, [])] == ["one"]
+    assert [f.rule for f in judge(scenario, ends, twice, killed, [])] == ["one"]
 
 
-def test_a_book_is_read_while_it_is_written_and_no_half_line(tmp_path):
+def test_an_event_log_is_read_while_it_is_written_and_no_half_line(tmp_path):
     path = tmp_path / "b.jsonl"
-    reading = Reading(path)
-    assert reading.more() == []
-    book = Book(path)
-    book.write("one")
+    reader = EventLogReader(path)
+    assert reader.read_new() == []
+    log = EventLogWriter(path)
+    log.write("one")
     with path.open("a") as file:
         file.write('{"t": 1, "what"')
-    assert [event["what"] for event in reading.more()] == ["one"] and reading.more() == []
+    assert [event["what"] for event in reader.read_new()] == ["one"] and reader.read_new() == []
     with path.open("a") as file:
         file.write(': "two"}\n')
-    assert [event["what"] for event in reading.more()] == ["two"]
-    assert len(read(path)) == 2
+    assert [event["what"] for event in reader.read_new()] == ["two"]
+    assert len(read_events(path)) == 2
 
 
 def test_runs_that_are_played_at_once_have_hosts_of_their_own(monkeypatch):
     """Nine runs of one process and the first of the next one came to the same host: a port was taken."""
-    monkeypatch.setattr("eiderfield.lab.fleet.run.os.getpid", lambda: 77)
-    monkeypatch.setattr("eiderfield.lab.fleet.run._RUNS", iter([8, 8, 0, 8]))
-    ports = [Ports() for _ in range(3)]
+    monkeypatch.setattr("eiderfield.lab.fleet.addresses.os.getpid", lambda: 77)
+    monkeypatch.setattr("eiderfield.lab.fleet.addresses._pool_numbers", iter([8, 8, 0, 8]))
+    ports = [AddressPool() for _ in range(3)]
     assert len({each.host for each in ports}) == 3
     for each in ports:
         each.close()
-    again = Ports()
+    again = AddressPool()
     assert again.host == ports[0].host
     again.close()
 
 
-SMALL = Script(dispatchers=2, workers=4, cell=2, jobs=60, rate=40.0, notice=0.3)
+SMALL = Scenario(dispatchers=2, workers=4, cell=2, jobs=60, rate=40.0, notice=0.3)
 RUNS = {
     "killed at its fifth leg": (Fault("kill", "n0", on="begun:n0:5"),),
     "stopped with legs out": (Fault("stop", "n1", on="begun:10", lasts=1.5),),
@@ -201,11 +210,11 @@
 @pytest.mark.parametrize("name", RUNS)
 def test_the_rules_hold_while_processes_fail(name, tmp_path):
     source = "consul" if "consul" in name else "platform"
-    script = checked(replace(SMALL, name=name, faults=RUNS[name], source=source))
-    result = play(script, tmp_path / "run")
+    scenario = validated(replace(SMALL, name=name, faults=RUNS[name], source=source))
+    result = play(scenario, tmp_path / "run")
     assert result.findings == []
     assert result.counts["jobs"] == SMALL.jobs
-    assert len(result.struck) >= sum(fault.what != "disk" for fault in RUNS[name])
+    assert len(result.faults) >= sum(fault.what != "disk" for fault in RUNS[name])
     log = (tmp_path / "run" / "n0.log").read_text()
     assert "had no answer" not in log, "a turn's actions were lost with a line of its log"
     if "stopped" in name:
@@ -219,7 +228,7 @@
     with Fleet(replace(SMALL, dispatchers=1), tmp_path / "run") as fleet:
         [n0] = fleet.dispatchers.values()
         assert call(n0.console, "/-/workers/w1/disable", "POST")[0] == 200
-        fleet.strike(full)
+        fleet.inject(full)
         assert call(n0.console, "/-/workers/w2/disable", "POST")[0] == 500
         assert n0.figures()["hosts_banned"] == ["w1", "w2"]  # in force, but not written down
         n0.signal(signal.SIGKILL)
@@ -241,7 +250,7 @@
     assert json.loads((folder / "result.json").read_text())["counts"]["jobs"] == 10
 
 
-def test_the_command_says_what_is_wrong_with_a_script(tmp_path):
+def test_the_command_says_what_is_wrong_with_a_scenario(tmp_path):
     path = tmp_path / "s.toml"
     path.write_text("jobs = 0")
     told_ = CliRunner().invoke(main, ["lab", "fleet", "run", str(path)])
@@ -251,6 +260,34 @@
     assert json.loads(CliRunner().invoke(main, ["lab", "fleet", "draw", "4"]).output)["seed"] == 4
 
 
-def test_the_example_is_a_script():
-    script = read_script((ROOT / "deploy" / "fleet-stopped.toml").read_text())
-    assert script.faults == (Fault("stop", "n1", on="begun:60", lasts=4.0),)
+def test_the_example_is_a_scenario():
+    scenario = parse_scenario((ROOT / "deploy" / "fleet-stopped.toml").read_text())
+    assert scenario.faults == (Fault("stop", "n1", on="begun:60", lasts=4.0),)
+
+
+COMMANDS = [
+    commands.OpenBackends(
+        commands.WorkerSettings(3, 8, 3, 1, 4000.0, 4000.0, 0.3, 300.0),
+        "platform",
+        ["w0"],
+        {"n0": {"w0": "127.64.1.1:10001"}},
+        {"n0": {"w0": "127.64.1.1:10002"}},
+        {"n0": "127.64.1.1:10003"},
+    ),
+    commands.SetBackendFault("slow", "w0", True, 4.0),
+    commands.OpenLinks({"n0>w0": ("127.64.1.1:10002", "127.64.1.1:10001")}),
+    commands.SetLinkFault("cut", ["n0>w0"], True, "both", 0.0),
+    commands.StartClients(draw_jobs(replace(SCENARIO, jobs=2)), 1.5, 2, {"n0": ("h", 1)}, False, True),
+    commands.SetHealthyDispatchers(["n0"]),
+    commands.StopClients(),
+]
+
+
+@pytest.mark.parametrize("command", COMMANDS, ids=lambda command: type(command).__name__)
+def test_a_command_is_the_same_after_its_line(command):
+    assert commands.decode(commands.encode(command)) == command
+
+
+def test_a_line_that_is_no_command_is_an_error():
+    with pytest.raises(commands.CommandError, match="Explode"):
+        commands.decode('{"command": "Explode", "arguments": {}}')
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -9,90 +9,101 @@
 from click.testing import CliRunner
 
 from eiderfield.cli import main
-from eiderfield.lab.fleet.change import Change, draw, play_change, side_of, verdict, wilson
-from eiderfield.lab.fleet.run import START, Fleet
-from eiderfield.lab.fleet.script import Fault, Script
-from eiderfield.lab.fleet.worse import KINDS, build
+from eiderfield.lab.fleet.dispatcher import START_ARGUMENTS
+from eiderfield.lab.fleet.faulty_programs import DRAWN, build
+from eiderfield.lab.fleet.fleet import Fleet
+from eiderfield.lab.fleet.rollout_change import Change, FaultInPhase, LostContact, OperatorRequest
+from eiderfield.lab.fleet.rollout_draw import draw_change, verdict
+from eiderfield.lab.fleet.rollout_run import play_change
+from eiderfield.lab.fleet.rollout_statistics import wilson
+from eiderfield.lab.fleet.rollout_supervisor import version_of
+from eiderfield.lab.fleet.scenario import Fault, Scenario
 
 pytestmark = pytest.mark.real_time
 
-SCRIPT = Script(dispatchers=3, workers=6, slots=4, cell=3, jobs=6000, rate=100.0, notice=0.3)
+SCENARIO = Scenario(dispatchers=3, workers=6, slots=4, cell=3, jobs=6000, rate=100.0, notice=0.3)
 QUICK = {"before": 1.5, "worse": 0.2, "slower": 1.0, "settle": 0.3}
 
 
 def change(**more):
-    return Change(watch=QUICK, ban="w5", **more)
+    return Change(watch=QUICK, banned_worker="w5", **more)
 
 
 def test_a_good_change_goes_through_though_its_controller_is_lost_again_and_again(tmp_path):
-    lose = ("before start:1", "after start:1", "written:1", "before end:1", "after end:1")
-    told = change(lose=lose)
-    found = play_change(SCRIPT, told, tmp_path / "run")
+    failpoints = ("before start:1", "after start:1", "written:1", "before end:1", "after end:1")
+    told = change(failpoints=failpoints)
+    found = play_change(SCENARIO, told, tmp_path / "run")
     assert found.findings == [] and verdict(told, found) == "right", found
-    assert found.sides == dict.fromkeys(("n0", "n1", "n2"), "new") and found.leaders == 1 + len(lose)
-    assert found.counts["jobs"] == found.counts["served"] and not found.to_banned and found.out_most <= 1
+    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "new") and found.controllers == 1 + len(
+        failpoints
+    )
+    assert (
+        found.counts["jobs"] == found.counts["served"]
+        and not found.attempts_to_banned
+        and found.most_unavailable <= 1
+    )
 
 
 @pytest.mark.parametrize(
     ("kind", "why"), [("crashes", "n0"), ("forgets", "forgot the ban of w5"), ("one-class", "class confirm")]
 )
 def test_a_worse_program_is_undone_at_the_canary(kind, why, tmp_path):
-    told = change(kind=kind)
-    found = play_change(SCRIPT, told, tmp_path / "run")
+    told = change(program=kind)
+    found = play_change(SCENARIO, told, tmp_path / "run")
     assert (found.phase, found.stage) == ("undone", 0) and why in found.why, found
-    assert found.sides == dict.fromkeys(("n0", "n1", "n2"), "old") and found.bans_kept
+    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "old") and found.bans_kept
 
 
 def test_a_canary_that_is_killed_is_brought_back_and_no_other_is_touched(tmp_path):
-    strikes = (("watching", Fault("kill", "n0", at=0.0)),)
-    found = play_change(SCRIPT, change(strikes=strikes), tmp_path / "run")
+    faults = (FaultInPhase("watching", Fault("kill", "n0", at=0.0)),)
+    found = play_change(SCENARIO, change(faults=faults), tmp_path / "run")
     assert found.phase == "undone" and "n0 is gone" in found.why, found
-    assert found.sides == dict.fromkeys(("n0", "n1", "n2"), "old")
+    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "old")
 
 
 def test_a_canary_that_stands_still_for_a_while_is_not_taken_for_worse(tmp_path):
-    strikes = (("watching", Fault("stop", "n0", at=0.0, lasts=2.0)),)
-    told = change(strikes=strikes)
-    found = play_change(SCRIPT, told, tmp_path / "run")
+    faults = (FaultInPhase("watching", Fault("stop", "n0", at=0.0, lasts=2.0)),)
+    told = change(faults=faults)
+    found = play_change(SCENARIO, told, tmp_path / "run")
     assert found.phase == "done" and found.findings == [], found
     assert found.counts["begun_twice"] == 0 and found.bans_kept
 
 
 def test_an_old_process_that_is_killed_as_its_successor_starts_leaves_a_fleet_of_one_side(tmp_path):
     """Its successor finds nobody to take over from, and begins by itself; bans are on file."""
-    strikes = (("moving", Fault("kill", "n0", at=0.0)),)
-    found = play_change(SCRIPT, change(strikes=strikes, decide="undo"), tmp_path / "run")
-    side = {"done": "new", "undone": "old"}[found.phase]
-    assert found.sides == dict.fromkeys(("n0", "n1", "n2"), side) and found.bans_kept, found
-    assert found.findings == [] and not found.to_banned
+    faults = (FaultInPhase("moving", Fault("kill", "n0", at=0.0)),)
+    found = play_change(SCENARIO, change(faults=faults, decision="undo"), tmp_path / "run")
+    version = {"done": "new", "undone": "old"}[found.phase]
+    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), version) and found.bans_kept, found
+    assert found.findings == [] and not found.attempts_to_banned
 
 
 def test_a_fleet_that_is_told_to_end_in_mid_stage_is_undone_and_no_job_taken_is_lost(tmp_path):
     """The old ones are started again by whoever starts them; the canary is the controller's to bring back."""
-    told = (("watching", Fault("term", "n0", at=0.0)),)
-    told += tuple(("watching", Fault("term", n, at=0.0, lasts=1.0)) for n in ("n1", "n2"))
-    found = play_change(SCRIPT, change(strikes=told), tmp_path / "run")
+    told = (FaultInPhase("watching", Fault("term", "n0", at=0.0)),)
+    told += tuple(FaultInPhase("watching", Fault("term", n, at=0.0, lasts=1.0)) for n in ("n1", "n2"))
+    found = play_change(SCENARIO, change(faults=told), tmp_path / "run")
     assert found.phase == "undone" and "n0 is gone" in found.why, found
-    assert found.sides == dict.fromkeys(("n0", "n1", "n2"), "old") and found.bans_kept, found
+    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "old") and found.bans_kept, found
     assert found.findings == [], "what was taken before the end was answered"
 
 
 def test_a_change_that_is_worse_in_one_zone_alone_is_undone_once_it_comes_there(tmp_path):
-    script = replace(SCRIPT, dispatchers=4, zones=2, workers=8, cell=2, rate=130.0, jobs=9000)
-    found = play_change(script, change(kind="one-zone", shares=(0.75,)), tmp_path / "run")
+    scenario = replace(SCENARIO, dispatchers=4, zones=2, workers=8, cell=2, rate=130.0, jobs=9000)
+    found = play_change(scenario, change(program="one-zone", shares=(0.75,)), tmp_path / "run")
     assert found.phase == "undone" and found.stage == 2, found
-    assert found.sides == dict.fromkeys(("n0", "n1", "n2", "n3"), "old") and found.bans_kept, found
+    assert found.versions == dict.fromkeys(("n0", "n1", "n2", "n3"), "old") and found.bans_kept, found
     assert {finding.rule for finding in found.findings} <= {"declined"}, "the worse program alone did harm"
 
 
 def test_a_flood_in_the_middle_of_a_good_change_stops_nothing(tmp_path):
-    script = replace(SCRIPT, floods=((2.0, 5.0, 2.0),))
-    found = play_change(script, change(), tmp_path / "run")
+    scenario = replace(SCENARIO, floods=((2.0, 5.0, 2.0),))
+    found = play_change(scenario, change(), tmp_path / "run")
     assert found.phase == "done" and found.findings == [], found
 
 
 def during(phase, *faults):
-    return tuple((phase, Fault(what, who, at=0.0, lasts=2.0)) for what, who in faults)
+    return tuple(FaultInPhase(phase, Fault(what, who, at=0.0, lasts=2.0)) for what, who in faults)
 
 
 LOST = {
@@ -101,40 +112,42 @@
     ),
     "the canary cut off from discovery": (during("watching", ("cut", "n0>source")), ()),
     "an undo while a third of the workers is lost": (
-        during("undoing", ("silent", "w0"), ("silent", "w1")), ((4.0, "undo"),),
+        during("undoing", ("silent", "w0"), ("silent", "w1")), (OperatorRequest(4.0, "undo"),),
     ),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("name", LOST)
 def test_whatever_is_lost_meanwhile_the_fleet_ends_on_one_side_and_keeps_the_rules(name, tmp_path):
-    strikes, words = LOST[name]
-    found = play_change(SCRIPT, change(strikes=strikes, words=words, decide="undo"), tmp_path / "run")
-    side = {"done": "new", "undone": "old"}[found.phase]
-    assert found.sides == dict.fromkeys(("n0", "n1", "n2"), side) and found.bans_kept, found
-    assert found.findings == [] and not found.to_banned, found
+    faults, requests = LOST[name]
+    found = play_change(SCENARIO, change(faults=faults, requests=requests, decision="undo"), tmp_path / "run")
+    version = {"done": "new", "undone": "old"}[found.phase]
+    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), version) and found.bans_kept, found
+    assert found.findings == [] and not found.attempts_to_banned, found
 
 
 def test_a_controller_that_cannot_see_its_canary_holds_and_ends_nobody(tmp_path):
-    told = Change(watch={**QUICK, "seconds": 3.0, "ready": 600.0}, blind=(("watching", 600.0, "n0"),))
-    found = play_change(SCRIPT, told, tmp_path / "run")
+    told = Change(
+        watch={**QUICK, "seconds": 3.0, "ready": 600.0}, lost_contacts=(LostContact("watching", 600.0, "n0"),)
+    )
+    found = play_change(SCENARIO, told, tmp_path / "run")
     assert found.phase == "held" and "can be seen" in found.why, found
-    assert found.findings == [] and found.sides["n1"] == found.sides["n2"] == "old"
+    assert found.findings == [] and found.versions["n1"] == found.versions["n2"] == "old"
 
 
 def test_the_marks_tell_whose_processes_are_there(tmp_path):
-    with Fleet(Script(dispatchers=1, workers=2, cell=2, jobs=1), tmp_path / "run") as fleet:
+    with Fleet(Scenario(dispatchers=1, workers=2, cell=2, jobs=1), tmp_path / "run") as fleet:
         [dispatcher] = fleet.dispatchers.values()
-        assert side_of(dispatcher, "any") == "old" and len(dispatcher.processes()) == 1
-        told = json.loads((tmp_path / "run" / "script.json").read_text())
-        assert told["dispatchers"] == 1 and START[-1] == "--config"
+        assert version_of(dispatcher, "any") == "old" and len(dispatcher.processes()) == 1
+        told = json.loads((tmp_path / "run" / "scenario.json").read_text())
+        assert told["dispatchers"] == 1 and START_ARGUMENTS[-1] == "--config"
 
 
 def test_the_same_seed_draws_the_same_change_and_worse_ones_take_turns_with_good_ones():
-    drawn = [draw(seed) for seed in range(100)]
-    assert drawn == [draw(seed) for seed in range(100)]
-    assert [change_.kind == "none" for _, change_, _ in drawn] == [seed % 2 == 0 for seed in range(100)]
-    assert {change_.kind for _, change_, _ in drawn} == set(KINDS)
+    drawn = [draw_change(seed) for seed in range(100)]
+    assert drawn == [draw_change(seed) for seed in range(100)]
+    assert [each.change.is_good for each in drawn] == [seed % 2 == 0 for seed in range(100)]
+    assert {each.change.program for each in drawn} == set(DRAWN)
 
 
 def test_a_planted_program_is_the_package_with_one_call_more(tmp_path):
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -12,8 +12,10 @@
 from support.processes import DISPATCHER, log_until_listening, running_program
 
 from eiderfield.interface import Tenant
-from eiderfield.lab.fleet.change import Change, play_change, verdict
-from eiderfield.lab.fleet.script import Script
+from eiderfield.lab.fleet.rollout_change import Change
+from eiderfield.lab.fleet.rollout_draw import verdict
+from eiderfield.lab.fleet.rollout_run import play_change
+from eiderfield.lab.fleet.scenario import Scenario
 from eiderfield.lab.ports import free_port
 from eiderfield.lab.rig import call, wait_for
 
@@ -116,25 +118,25 @@
         assert running()["refused"] is None
 
 
-SCRIPT = Script(dispatchers=3, workers=6, slots=4, cell=3, jobs=6000, rate=100.0, notice=0.3)
+SCENARIO = Scenario(dispatchers=3, workers=6, slots=4, cell=3, jobs=6000, rate=100.0, notice=0.3)
 QUICK = {"before": 1.5, "worse": 0.2, "slower": 1.0, "settle": 0.3}
 GOOD = '[[settings.classes]]\nname = "lookup"\nvalue = 2.0\n[settings.policy_limits]\nmax_attempts = 3\n'
 
 
 @pytest.mark.real_time
 def test_new_settings_go_to_a_fleet_in_stages_without_a_restart(tmp_path):
-    told = Change(kind="", settings=GOOD, watch=QUICK, ban="w5")
-    found = play_change(SCRIPT, told, tmp_path / "run")
+    told = Change(program="", settings=GOOD, watch=QUICK, banned_worker="w5")
+    found = play_change(SCENARIO, told, tmp_path / "run")
     assert found.phase == "done" and found.findings == [], found
-    assert found.sides == dict.fromkeys(("n0", "n1", "n2"), "new") and found.bans_kept
-    assert verdict(replace(told, kind="none"), found) == "right"
+    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "new") and found.bans_kept
+    assert verdict(replace(told, program="none"), found) == "right"
 
 
 @pytest.mark.real_time
 def test_settings_that_a_dispatcher_does_not_take_are_put_back_everywhere(tmp_path):
     """The first dispatcher refuses what only a new process can take; its file is what it was."""
-    told = Change(kind="", settings="[limits]\nsockets = 600\n", watch=QUICK)
-    found = play_change(SCRIPT, told, tmp_path / "run")
+    told = Change(program="", settings="[limits]\nsockets = 600\n", watch=QUICK)
+    found = play_change(SCENARIO, told, tmp_path / "run")
     assert found.phase == "undone" and "limits.sockets" in found.why, found
-    assert found.sides == dict.fromkeys(("n0", "n1", "n2"), "old")
+    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "old")
     assert "sockets = 512" in (tmp_path / "run" / "n0.toml").read_text()
