--- a/eiderfield/cli/fleet.py
+++ b/eiderfield/cli/fleet.py
@@ -81,7 +81,7 @@
     from eiderfield.lab.fleet.dispatcher import Program
     from eiderfield.lab.fleet.fleet import play
     from eiderfield.lab.fleet.run_report import write_events, write_page
-    from eiderfield.lab.rig import RigError
+    from eiderfield.lab.processes import LabError
 
     others = {name: Program(folder) for name, folder in map(_checkout, programs)}
     scenarios = _scenarios(scripts, seeds)
@@ -90,7 +90,7 @@
         place = folder / f"{number:03d}-{scenario.name}"
         try:
             result = play(scenario, place, others)
-        except RigError as error:
+        except LabError as error:
             raise click.ClickException(str(error)) from None
         write_events(place)
         write_page(place)
--- a/eiderfield/cli/lab.py
+++ b/eiderfield/cli/lab.py
@@ -132,7 +132,7 @@
     "--connections", "steps", type=click.IntRange(1), multiple=True, default=(1000, 3000),
     show_default=True, help="how many idle ones; give it again for each step",
 )  # fmt: skip
-@_option("--processes", click.IntRange(1, 32), 2, "processes that hold phones")
+@_option("--processes", click.IntRange(1, 32), 2, "processes of idle clients")
 @_option("--rate", click.FloatRange(1.0, 5000.0), 300.0, "jobs a second")
 @_option("--window", click.FloatRange(1.0, 600.0), 10.0, "seconds of a stream")
 @_option("--rounds", click.IntRange(1, 100), 2, "streams to each dispatcher, in turn")
@@ -143,18 +143,18 @@
 def idle(steps: tuple[int, ...], file: Path | None, **more: Any) -> None:
     """What idle connections cost: memory, processor, and latency of jobs beside them.
 
-    Two dispatchers run side by side, one with a crowd of idle connections. The same stream of jobs goes to
+    Two dispatchers run side by side, one with many idle connections. The same stream of jobs goes to
     one and the other in turn. Exits with 1 if a process did not do its part.
     """
-    from eiderfield.lab.idle import Idle, Plan
+    from eiderfield.lab.idle_cost import IdleCost, Plan
+    from eiderfield.lab.processes import LabError
     from eiderfield.lab.report import show_idle
-    from eiderfield.lab.rig import RigError
 
     plan = Plan(list(steps), **more, say=lambda text: click.echo(text, err=True))
     with tempfile.TemporaryDirectory(prefix="eiderfield-lab-") as folder:
         try:
-            told: dict[str, Any] = Idle(plan, Path(folder)).run()
-        except RigError as error:
+            told: dict[str, Any] = IdleCost(plan, Path(folder)).run()
+        except LabError as error:
             raise click.ClickException(str(error)) from None
     if file is not None:
         file.write_text(json.dumps(told, indent=1) + "\n")
@@ -163,29 +163,29 @@
 
 @lab.command()
 @_option("--connections", click.IntRange(1), 10_000, "parked ones")
-@_option("--processes", click.IntRange(1, 32), 2, "processes that hold phones")
+@_option("--processes", click.IntRange(1, 32), 2, "processes of idle clients")
 @_option("--rate", click.FloatRange(1.0, 5000.0), 100.0, "jobs a second meanwhile")
 @click.option("--kill", is_flag=True, help="kills the new process half-way: all others must be back")
 @_json()
 def restart(connections: int, processes: int, rate: float, kill: bool, file: Path | None) -> None:
-    """A new version takes over a full house: the time, and whom it loses.
+    """A new version takes over idle connections: the time, and whom it loses.
 
-    Exits with 1 if a phone is lost that the dead process was not reading from.
+    Exits with 1 if a client is lost that the dead process was not reading from.
     """
+    from eiderfield.lab.processes import LabError
     from eiderfield.lab.report import show_plain
     from eiderfield.lab.restart import Restart
-    from eiderfield.lab.rig import RigError
 
     with tempfile.TemporaryDirectory(prefix="eiderfield-lab-") as folder:
         try:
             told = Restart(connections, processes, rate, kill, Path(folder)).run()
-        except RigError as error:
+        except LabError as error:
             raise click.ClickException(str(error)) from None
     if file is not None:
         file.write_text(json.dumps(told, indent=1) + "\n")
-    show_plain(told, "A restart with a full house")
+    show_plain(told, "A restart with idle connections")
     if told["lost"]:
-        raise click.ClickException(f"{told['lost']} phones were lost")
+        raise click.ClickException(f"{told['lost']} clients were lost")
 
 
 @lab.command()
--- a/eiderfield/cli/scale.py
+++ b/eiderfield/cli/scale.py
@@ -43,8 +43,8 @@
     Exits with 1 if a figure of the large fleet is over its bound. With --profile the figures of the large
     fleet include the profiler's own cost.
     """
+    from eiderfield.lab.processes import LabError
     from eiderfield.lab.report import show_scale
-    from eiderfield.lab.rig import RigError
     from eiderfield.lab.scale.bounds import as_json, check
     from eiderfield.lab.scale.day import play_day
     from eiderfield.lab.scale.plan import DayPlan
@@ -53,7 +53,7 @@
     try:
         small = play_day(DayPlan(small_size, rate, seconds, changes, seed, checkout.resolve()))
         large = play_day(DayPlan(large_size, rate, seconds, changes, seed, checkout.resolve(), profile))
-    except RigError as error:
+    except LabError as error:
         raise click.ClickException(str(error)) from None
     results = check(small, large)
     if file is not None:
--- a/eiderfield/lab/custody_model.py
+++ b/eiderfield/lab/custody_model.py
@@ -1,33 +1,47 @@
-"""Custody as a small machine, for `explore`: members, jobs that must never run twice, and whoever fails.
+"""Custody's protocol as a small state machine, for `explore`: members, faults and jobs that run at most once.
 
 Every step is one thing that the system does at once for a process: a link made, a commit, a look for a
 fence, a byte sent. Between any two of them anything may happen elsewhere, so a step that comes late is a
 process that was stopped. Faults are `dies` (the process is gone) and `sleeps` (its lease runs out while it
-stands still; it may wake at any moment). Who suspects whom follows from these two alone, as the leases
-guarantee. Heirs and owners are those of the program itself (`chain_of`).
+is stopped; it may wake at any moment). Who suspects whom follows from these two alone, as the leases
+guarantee. Successors and owners are those of the program itself (`chain_of`).
 
     ask -> taken -> written -> held -> claimed -> cleared -> sent -> result -> answered -> told
 
-`slip` plants a fault that a search must find: `claim unchecked` (neither the fence nor the lease is looked at
-after a claim), `sends first` (a byte before the claim), `heirs choose` (an heir takes whatever it finds),
-`answers first` (the answer is told before it is written).
+A planted fault (a slip) is one that a search must find: `claim unchecked` (neither the fence nor the lease
+is looked at after a claim), `sends first` (a byte before the claim), `heirs choose` (a successor takes
+whatever it finds), `answers first` (the answer is told before it is written).
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass, replace
+from typing import Any
 
 from eiderfield.durable_requests.lease import chain_of
 
-SLIPS = ("claim unchecked", "sends first", "heirs choose", "answers first")
-OPEN, CLAIMED, SERVED, FAILED = "accepted", "claimed", "served", "failed"
+CLAIM_UNCHECKED = "claim unchecked"
+SENDS_FIRST = "sends first"
+SUCCESSORS_CHOOSE = "heirs choose"
+ANSWERS_FIRST = "answers first"
+SLIPS = (CLAIM_UNCHECKED, SENDS_FIRST, SUCCESSORS_CHOOSE, ANSWERS_FIRST)
+
+OPEN, CLAIMED, SERVED, FAILED = (
+    "accepted",
+    "claimed",
+    "served",
+    "failed",
+)  # what a member has written of a job
+FINAL = (SERVED, FAILED)
 
 Table = tuple[tuple[tuple[str, str], str], ...]  # sorted pairs, so that states compare by value
+Counts = tuple[tuple[str, int], ...]
+Fences = dict[str, tuple[str, ...]]  # by fenced member, its successors
 
 
 @dataclass(frozen=True, slots=True)
-class World:
+class State:
     """A state. `at` is where each member is with each job; `store` what each has written of it."""
 
     alive: tuple[str, ...]
@@ -36,25 +50,67 @@
     owner: tuple[tuple[str, str], ...]  # by job, whose link was made
     at: Table
     store: Table
-    told: Table  # by job and member, what it told an asker
-    sent: tuple[tuple[str, int], ...]  # by job, how often its first byte left
-    asks: tuple[tuple[str, int], ...]  # by job, how often a client may still ask
+    told: Table  # by job and member, what it told a client
+    sent: Counts  # by job, how often its first byte left
+    asks: Counts  # by job, how often a client may still ask
     faults: int  # that may still come
 
 
-def start(members: int, jobs: int, faults: int, asks: int = 2) -> World:
+Step = tuple[str, State]
+
+
+def start(members: int, jobs: int, faults: int, asks: int = 2) -> State:
     """Members `a`, `b`..., jobs `0`, `1`..."""
-    names = tuple(chr(97 + number) for number in range(members))
     ids = [str(number) for number in range(jobs)]
-    return World(
-        names, (), (), (), (), (), (), tuple((job, 0) for job in ids),
-        tuple((job, asks) for job in ids), faults,
-    )  # fmt: skip
+    return State(
+        alive=tuple(chr(ord("a") + number) for number in range(members)),
+        asleep=(),
+        fences=(),
+        owner=(),
+        at=(),
+        store=(),
+        told=(),
+        sent=tuple((job, 0) for job in ids),
+        asks=tuple((job, asks) for job in ids),
+        faults=faults,
+    )
 
 
-def _set(table: Table, key: tuple[str, str], value: str) -> Table:
-    found = {**dict(table), key: value}
-    return tuple(sorted((k, v) for k, v in found.items() if v))
+@dataclass(frozen=True, slots=True)
+class Turn:
+    """A member that may do its next step with a job."""
+
+    state: State
+    member: str
+    job: str
+    is_fenced: bool
+
+    @property
+    def key(self) -> tuple[str, str]:
+        """What names the turn in the state's tables."""
+        return self.member, self.job
+
+    @property
+    def written(self) -> str:
+        """What the member has written of the job."""
+        return dict(self.state.store).get(self.key, "")
+
+    def step(self, name: str, to: str, **changes: Any) -> Step:
+        """A step that leads the member to another place with the job."""
+        state = replace(self.state, at=with_value(self.state.at, self.key, to), **changes)
+        return f"{self.member} {name} {self.job}", state
+
+    def writing(self, value: str) -> Table:
+        """The store once the member has written a value."""
+        return with_value(self.state.store, self.key, value)
+
+    def sending(self) -> Counts:
+        """The counts once the job's first byte has left."""
+        return tuple((job, count + (job == self.job)) for job, count in self.state.sent)
+
+    def telling(self, answer: str) -> Table:
+        """What clients know once the member has told an answer."""
+        return with_value(self.state.told, (self.job, self.member), answer)
 
 
 class Machine:
@@ -63,138 +119,162 @@
     def __init__(self, slip: str = "") -> None:
         if slip and slip not in SLIPS:
             raise ValueError(f"no such slip: {slip!r}")
-        self.slip = slip
+        self._slip = slip
+        self._next_steps: dict[str, Callable[[Turn], Iterator[Step]]] = {
+            "": self._begin,
+            "taken": self._write,
+            "written": self._hold,
+            "adopted": self._hold,
+            "held": self._claim,
+            "sent first": self._claim_after_sending,
+            "claimed": self._clear,
+            "cleared": self._send,
+            "sent": self._receive,
+            "result": self._answer,
+            "failing": self._fail,
+            "answered": self._tell,
+        }
 
-    def steps(self, w: World) -> Iterator[tuple[str, World]]:
+    def steps(self, state: State) -> Iterator[Step]:
         """All that may come next."""
-        fences = dict(w.fences)
-        for member in w.alive:
-            if w.faults:
-                rest = tuple(name for name in w.alive if name != member)
-                yield f"{member} dies", replace(w, alive=rest, faults=w.faults - 1)
-                if member not in w.asleep:
-                    yield f"{member} sleeps", replace(w, asleep=(*w.asleep, member), faults=w.faults - 1)
-            for job, _ in w.sent:
-                yield from self._of(w, member, job, member in fences)
+        fences = dict(state.fences)
+        for member in state.alive:
+            yield from self._faults(state, member)
+            for job, _ in state.sent:
+                turn = Turn(state, member, job, member in fences)
+                place = dict(state.at).get(turn.key, "")
+                if place in self._next_steps:
+                    yield from self._next_steps[place](turn)
             if member not in fences:
-                yield from self._fence(w, member, fences)
-
-    def _fence(
-        self, w: World, member: str, fences: dict[str, tuple[str, ...]]
-    ) -> Iterator[tuple[str, World]]:
-        """A member that is awake fences who is dead, or sleeps. One that sleeps wakes only to find itself
-        watching anew, so it suspects nobody."""
-        if member in w.asleep:
-            return
-        names = sorted({name for (name, _), _ in w.at} | set(w.alive) | {name for _, name in w.owner})
-        lost = [name for name in names if name not in w.alive or name in w.asleep]
-        for name in lost:
-            if name not in fences and name != member:
-                heirs = tuple(other for other in w.alive if other not in w.asleep and other not in fences)
-                if heirs:
-                    yield f"{member} fences {name}", replace(w, fences=(*w.fences, (name, heirs)))
-
-    def _of(self, w: World, member: str, job: str, fenced: bool) -> Iterator[tuple[str, World]]:
-        key = (member, job)
-        at, store = dict(w.at).get(key, ""), dict(w.store)
-
-        def go(name: str, to: str, **more: object) -> tuple[str, World]:
-            return f"{member} {name} {job}", replace(w, at=_set(w.at, key, to), **more)  # type: ignore[arg-type]
-
-        match at:
-            case "":
-                yield from self._asked(w, member, job, fenced, go)
-                yield from self._inherits(w, member, job, fenced, go)
-            case "taken":
-                yield go("writes", "written", store=_set(w.store, key, OPEN))
-            case "written" | "adopted":
-                if fenced:
-                    yield go("is fenced with", "lost")
-                elif store.get(key) == CLAIMED:  # what a lost one may have begun is not begun again
-                    yield go("gives up", "failing")
-                else:
-                    yield go("holds", "held")
-            case "held":
-                if self.slip == "sends first":
-                    yield go("sends", "sent first", sent=_count(w.sent, job))
-                else:
-                    yield go("claims", "claimed", store=_set(w.store, key, CLAIMED))
-            case "sent first":
-                yield go("claims", "sent", store=_set(w.store, key, CLAIMED))
-            case "claimed":
-                if fenced and self.slip != "claim unchecked":
-                    yield go("is fenced with", "lost")
-                else:
-                    yield go("is cleared for", "cleared")
-            case "cleared":
-                if member in w.asleep and self.slip != "claim unchecked":
-                    yield go("has no lease for", "lost")
-                else:
-                    yield go("sends", "sent", sent=_count(w.sent, job))
-            case "sent":
-                yield go("has the result of", "result")
-            case "result":
-                if self.slip == "answers first":
-                    yield go("tells", "told", told=_set(w.told, (job, member), SERVED))
-                else:
-                    yield go("answers", "answered", store=_set(w.store, key, SERVED))
-            case "failing":
-                yield go("answers", "answered", store=_set(w.store, key, FAILED))
-            case "answered":
-                if fenced:
-                    yield go("is fenced with", "lost")
-                else:
-                    yield go("tells", "told", told=_set(w.told, (job, member), store[key]))
-
-    def _asked(
-        self, w: World, member: str, job: str, fenced: bool, go: object
-    ) -> Iterator[tuple[str, World]]:
-        """A client asks: the first link wins. Later askers get the answer that stands."""
-        asks = dict(w.asks)
-        if fenced or not asks[job]:
-            return
-        less = tuple((name, count - (name == job)) for name, count in w.asks)
-        owner = dict(w.owner).get(job)
-        if owner is None:
-            yield go("takes", "taken", owner=(*w.owner, (job, member)), asks=less)  # type: ignore[operator]
-            return
-        last = self._last(w, job, owner)
-        if last in (SERVED, FAILED):
-            told = _set(w.told, (job, f"{member}+{asks[job]}"), last)
-            yield f"{member} tells again {job}", replace(w, told=told, asks=less)
-
-    def _inherits(
-        self, w: World, member: str, job: str, fenced: bool, go: object
-    ) -> Iterator[tuple[str, World]]:
-        owner = dict(w.owner).get(job)
-        fences = dict(w.fences)
-        if fenced or owner is None or owner not in fences:
-            return
-        chain = chain_of(job, owner, fences)
-        mine = chain[-1] == member or (self.slip == "heirs choose" and member not in chain)
-        last = self._last(w, job, owner)
-        if mine and last in (OPEN, CLAIMED):
-            yield go("takes over", "adopted", store=_set(w.store, (member, job), last))  # type: ignore[operator]
-
-    def _last(self, w: World, job: str, owner: str) -> str:
-        """What the last of the job's owners wrote of it."""
-        store = dict(w.store)
-        for life in reversed(chain_of(job, owner, dict(w.fences))):
-            if (life, job) in store:
-                return store[life, job]
-        return ""
+                yield from self._fence(state, member, fences)
 
     @staticmethod
-    def wrong(w: World) -> str:
+    def wrong(state: State) -> str:
         """What is wrong with a state, '' for nothing."""
-        for job, count in w.sent:
+        for job, count in state.sent:
             if count > 1:
                 return f"job {job} was begun {count} times"
-            answers = {answer for (name, _), answer in w.told if name == job}
+            answers = {answer for (name, _), answer in state.told if name == job}
             if len(answers) > 1:
                 return f"job {job} has the answers {', '.join(sorted(answers))}"
         return ""
 
+    def _faults(self, state: State, member: str) -> Iterator[Step]:
+        if not state.faults:
+            return
+        others = tuple(name for name in state.alive if name != member)
+        yield f"{member} dies", replace(state, alive=others, faults=state.faults - 1)
+        if member not in state.asleep:
+            asleep = (*state.asleep, member)
+            yield f"{member} sleeps", replace(state, asleep=asleep, faults=state.faults - 1)
+
+    def _fence(self, state: State, member: str, fences: Fences) -> Iterator[Step]:
+        """A member that is awake fences who is dead, or sleeps.
+
+        One that sleeps wakes only to find itself watching anew, so it suspects nobody.
+        """
+        if member in state.asleep:
+            return
+        known = {name for (name, _), _ in state.at} | set(state.alive) | {name for _, name in state.owner}
+        successors = tuple(name for name in state.alive if name not in state.asleep and name not in fences)
+        for name in sorted(known):
+            is_lost = name not in state.alive or name in state.asleep
+            if is_lost and name not in fences and name != member and successors:
+                yield f"{member} fences {name}", replace(state, fences=(*state.fences, (name, successors)))
+
+    def _begin(self, turn: Turn) -> Iterator[Step]:
+        yield from self._accept(turn)
+        yield from self._take_over(turn)
+
+    def _accept(self, turn: Turn) -> Iterator[Step]:
+        """A client asks: the first link wins. Later clients get the answer that stands."""
+        state, job = turn.state, turn.job
+        asks = dict(state.asks)
+        if turn.is_fenced or not asks[job]:
+            return
+        left = tuple((name, count - (name == job)) for name, count in state.asks)
+        owner = dict(state.owner).get(job)
+        if owner is None:
+            yield turn.step("takes", "taken", owner=(*state.owner, (job, turn.member)), asks=left)
+            return
+        last = last_written(state, job, owner)
+        if last in FINAL:
+            told = with_value(state.told, (job, f"{turn.member}+{asks[job]}"), last)
+            yield f"{turn.member} tells again {job}", replace(state, told=told, asks=left)
+
+    def _take_over(self, turn: Turn) -> Iterator[Step]:
+        """The last successor in the job's chain takes it over from an owner that is fenced."""
+        state, fences = turn.state, dict(turn.state.fences)
+        owner = dict(state.owner).get(turn.job)
+        if turn.is_fenced or owner is None or owner not in fences:
+            return
+        chain = chain_of(turn.job, owner, fences)
+        takes_any = self._slip == SUCCESSORS_CHOOSE and turn.member not in chain
+        last = last_written(state, turn.job, owner)
+        if (chain[-1] == turn.member or takes_any) and last in (OPEN, CLAIMED):
+            yield turn.step("takes over", "adopted", store=turn.writing(last))
+
+    def _write(self, turn: Turn) -> Iterator[Step]:
+        yield turn.step("writes", "written", store=turn.writing(OPEN))
+
+    def _hold(self, turn: Turn) -> Iterator[Step]:
+        if turn.is_fenced:
+            yield turn.step("is fenced with", "lost")
+        elif turn.written == CLAIMED:  # what a lost one may have begun is not begun again
+            yield turn.step("gives up", "failing")
+        else:
+            yield turn.step("holds", "held")
+
+    def _claim(self, turn: Turn) -> Iterator[Step]:
+        if self._slip == SENDS_FIRST:
+            yield turn.step("sends", "sent first", sent=turn.sending())
+        else:
+            yield turn.step("claims", "claimed", store=turn.writing(CLAIMED))
+
+    def _claim_after_sending(self, turn: Turn) -> Iterator[Step]:
+        yield turn.step("claims", "sent", store=turn.writing(CLAIMED))
+
+    def _clear(self, turn: Turn) -> Iterator[Step]:
+        if turn.is_fenced and self._slip != CLAIM_UNCHECKED:
+            yield turn.step("is fenced with", "lost")
+        else:
+            yield turn.step("is cleared for", "cleared")
+
+    def _send(self, turn: Turn) -> Iterator[Step]:
+        if turn.member in turn.state.asleep and self._slip != CLAIM_UNCHECKED:
+            yield turn.step("has no lease for", "lost")
+        else:
+            yield turn.step("sends", "sent", sent=turn.sending())
+
+    def _receive(self, turn: Turn) -> Iterator[Step]:
+        yield turn.step("has the result of", "result")
+
+    def _answer(self, turn: Turn) -> Iterator[Step]:
+        if self._slip == ANSWERS_FIRST:
+            yield turn.step("tells", "told", told=turn.telling(SERVED))
+        else:
+            yield turn.step("answers", "answered", store=turn.writing(SERVED))
+
+    def _fail(self, turn: Turn) -> Iterator[Step]:
+        yield turn.step("answers", "answered", store=turn.writing(FAILED))
+
+    def _tell(self, turn: Turn) -> Iterator[Step]:
+        if turn.is_fenced:
+            yield turn.step("is fenced with", "lost")
+        else:
+            yield turn.step("tells", "told", told=turn.telling(turn.written))
+
+
+def with_value(table: Table, key: tuple[str, str], value: str) -> Table:
+    """A table with one value set."""
+    found = {**dict(table), key: value}
+    return tuple(sorted((key, value) for key, value in found.items() if value))
+
 
-def _count(sent: tuple[tuple[str, int], ...], job: str) -> tuple[tuple[str, int], ...]:
-    return tuple((name, count + (name == job)) for name, count in sent)
+def last_written(state: State, job: str, owner: str) -> str:
+    """What the last of the job's owners wrote of it."""
+    store = dict(state.store)
+    for member in reversed(chain_of(job, owner, dict(state.fences))):
+        if (member, job) in store:
+            return store[member, job]
+    return ""
--- a/eiderfield/lab/fleet/child.py
+++ b/eiderfield/lab/fleet/child.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from eiderfield.lab.fleet.commands import READY, Command, encode
-from eiderfield.lab.rig import RigError
+from eiderfield.lab.processes import LabError
 
 ROOT = Path(__file__).resolve().parents[3]  # the folder with the package
 ANNOUNCEMENT_TIMEOUT_S = 60.0  # in which a stand-in announces what it is to announce
@@ -34,13 +34,13 @@
         self._child.stdin.flush()
 
     def wait_for(self, word: str, timeout: float = ANNOUNCEMENT_TIMEOUT_S) -> None:
-        """Waits until it announces a word; `RigError` if that does not come in `timeout` s."""
+        """Waits until it announces a word; `LabError` if that does not come in `timeout` s."""
         assert self._child.stdout is not None
         if not select.select([self._child.stdout], [], [], timeout)[0]:
-            raise RigError(f"{self._child.args!r} did not announce {word!r} within {timeout:g} s")
+            raise LabError(f"{self._child.args!r} did not announce {word!r} within {timeout:g} s")
         line = self._child.stdout.readline()
         if line.strip() != word:
-            raise RigError(f"{self._child.args!r} announced {line!r} instead of {word!r}")
+            raise LabError(f"{self._child.args!r} announced {line!r} instead of {word!r}")
 
     def end(self) -> None:
         """Ends it at once."""
--- a/eiderfield/lab/fleet/custody_draw.py
+++ b/eiderfield/lab/fleet/custody_draw.py
@@ -12,7 +12,7 @@
 from eiderfield.lab.fleet.dispatcher import Program
 from eiderfield.lab.fleet.scenario import Fault, JobClass, Scenario
 from eiderfield.lab.fleet.scenario_file import validated
-from eiderfield.lab.rig import RigError
+from eiderfield.lab.processes import LabError
 
 JOB_CLASSES = (
     JobClass("lookup", "retryable", 0.4, (150.0, 500.0)),
@@ -113,7 +113,7 @@
     what += [f"{name} {program.failpoint}" for name, program in programs.items()]
     try:
         result = play_custody(scenario, Path(folder), programs)
-    except RigError as error:
+    except LabError as error:
         return DrawnCustodyRun(seed, what, failed=str(error))
     faults = [fault.what for fault in result.faults]
     return DrawnCustodyRun(
--- a/eiderfield/lab/fleet/custody_run.py
+++ b/eiderfield/lab/fleet/custody_run.py
@@ -20,7 +20,7 @@
 from eiderfield.lab.fleet.fleet import Fleet
 from eiderfield.lab.fleet.rules import REJECTED, Finding, InjectedFault
 from eiderfield.lab.fleet.scenario import Scenario
-from eiderfield.lab.rig import RigError
+from eiderfield.lab.processes import LabError
 
 # Jobs are counted that were first sent so long before a kill, and after it.
 COUNTED_BEFORE_KILL_S, COUNTED_AFTER_KILL_S = 0.5, 10.0
@@ -64,7 +64,7 @@
         self._next_at = time.monotonic() + CONSOLE_INTERVAL_S
         for name, dispatcher in self._dispatchers.items():
             if dispatcher.running:
-                with suppress(OSError, ValueError, LookupError, RigError):
+                with suppress(OSError, ValueError, LookupError, LabError):
                     self._last[name, dispatcher.pid] = dispatcher.figures(CONSOLE_TIMEOUT_S)["custody"]
 
     def sums(self) -> dict[str, float]:
--- a/eiderfield/lab/fleet/dispatcher.py
+++ b/eiderfield/lab/fleet/dispatcher.py
@@ -17,7 +17,7 @@
 
 from eiderfield.config import address_of
 from eiderfield.lab.fleet.child import ROOT
-from eiderfield.lab.rig import RigError, call, wait_for
+from eiderfield.lab.processes import LabError, call_console, wait_for
 
 START_ARGUMENTS = ("-m", "eiderfield", "--config")  # which start a dispatcher with a file
 FAILPOINT_ARGUMENTS = ("-m", "eiderfield.lab.fleet.failpoints", "--config")
@@ -130,14 +130,14 @@
     def ready(self) -> bool:
         """Whether it takes clients and knows workers."""
         if not self.alive:
-            raise RigError(f"{self.name} ended at its start")
+            raise LabError(f"{self.name} ended at its start")
         with suppress(OSError, ValueError, LookupError):
-            return call(self.console, "/-/ready")[0] == 200 and self.figures()["hosts_listed"] > 0
+            return call_console(self.console, "/-/ready")[0] == 200 and self.figures()["hosts_listed"] > 0
         return False
 
     def figures(self, timeout: float = CONSOLE_TIMEOUT_S) -> dict[str, Any]:
         """What its console says within `timeout` s."""
-        figures: dict[str, Any] = json.loads(call(self.console, "/-/metrics", patience=timeout)[1])
+        figures: dict[str, Any] = json.loads(call_console(self.console, "/-/metrics", timeout=timeout)[1])
         return figures
 
     def descriptors(self) -> int:
--- a/eiderfield/lab/fleet/faults.py
+++ b/eiderfield/lab/fleet/faults.py
@@ -24,7 +24,7 @@
 from eiderfield.lab.fleet.dispatcher import Dispatcher
 from eiderfield.lab.fleet.rules import InjectedFault
 from eiderfield.lab.fleet.scenario import RESOURCE_FAULTS, Fault, target_kind
-from eiderfield.lab.rig import RigError, wait_for
+from eiderfield.lab.processes import LabError, wait_for
 
 USUAL_DESCRIPTORS = 4096  # a dispatcher's limit where no fault lowers it
 MEGABYTE = 2**20
@@ -131,7 +131,7 @@
 
     def _wait_until_back(self, dispatcher: Dispatcher, fault: Fault) -> None:
         """One that was started again is gone until it is ready: amid other faults that may be never."""
-        with suppress(RigError):
+        with suppress(LabError):
             wait_for(f"{dispatcher.name} is ready", dispatcher.ready)
         self._record(fault.what, dispatcher.name, False)
         self._tell_front(dispatcher.name, gone=False)
--- a/eiderfield/lab/fleet/fleet.py
+++ b/eiderfield/lab/fleet/fleet.py
@@ -42,7 +42,7 @@
 from eiderfield.lab.fleet.scenario import Fault, Scenario, parse_event
 from eiderfield.lab.fleet.scenario_draw import draw_jobs
 from eiderfield.lab.fleet.topology import Topology
-from eiderfield.lab.rig import RigError, wait_for
+from eiderfield.lab.processes import LabError, wait_for
 
 LEAD_S = 0.3  # from the clients' start to the first job
 POLL_S = 0.005  # between two looks at the workers' log for an event
@@ -227,12 +227,12 @@
         for thread in threads:
             thread.join()
         if not all(dispatcher.alive for dispatcher in self.dispatchers.values()):
-            raise RigError("a dispatcher did not start; see its log")
+            raise LabError("a dispatcher did not start; see its log")
 
     def _start_dispatcher(self, dispatcher: Dispatcher) -> None:
         try:
             dispatcher.start()
-        except RigError as error:
+        except LabError as error:
             self._log.error("start", who=dispatcher.name, why=str(error))
             dispatcher.end()
 
@@ -255,7 +255,7 @@
     def _wait_for_clients(self, over: threading.Event) -> None:
         deadline = max(job_class.deadline for job_class in self.scenario.job_classes) / 1000.0
         longest = self.scenario.jobs / self.scenario.rate + deadline
-        with suppress(RigError, ValueError):
+        with suppress(LabError, ValueError):
             self._clients.wait_for(OVER, 2.0 * longest + ANNOUNCEMENT_TIMEOUT_S)
         over.set()
 
@@ -271,7 +271,7 @@
             held[:] = [figures["inflight"], figures["connections"]["open"]]
             return held == [0, 0]
 
-        with suppress(RigError, OSError, ValueError):
+        with suppress(LabError, OSError, ValueError):
             # One that was started again a moment ago does not heed signals yet.
             wait_for(f"{dispatcher.name} is ready", dispatcher.ready)
             wait_for(f"{dispatcher.name} rests", is_at_rest, REST_TIMEOUT_S)
--- a/eiderfield/lab/fleet/rollout_draw.py
+++ b/eiderfield/lab/fleet/rollout_draw.py
@@ -17,7 +17,7 @@
 from eiderfield.lab.fleet.rollout_supervisor import UNREACHABLE_FILE
 from eiderfield.lab.fleet.scenario import Fault, Scenario
 from eiderfield.lab.fleet.scenario_file import validated
-from eiderfield.lab.rig import RigError
+from eiderfield.lab.processes import LabError
 from eiderfield.rollout.journal import read as read_journal
 
 FAILPOINTS = (
@@ -139,7 +139,7 @@
         change = replace(change, first_program=Path(first_program))
     try:
         result = play_change(scenario, change, Path(folder))
-    except RigError as error:
+    except LabError as error:
         return DrawnRun(seed, change.program, drawn.fault, why=str(error))
     before, during = in_time(Path(folder), scenario)
     return DrawnRun(
--- a/eiderfield/lab/fleet/rollout_run.py
+++ b/eiderfield/lab/fleet/rollout_run.py
@@ -20,7 +20,7 @@
 from eiderfield.lab.fleet.rollout_change import Change, ChangeResult, plan_text
 from eiderfield.lab.fleet.rollout_supervisor import ControllerSupervisor
 from eiderfield.lab.fleet.scenario import Scenario
-from eiderfield.lab.rig import RigError, call
+from eiderfield.lab.processes import LabError, call_console
 from eiderfield.rollout.controller import begin
 from eiderfield.rollout.journal import Journal
 from eiderfield.rollout.journal import read as read_journal
@@ -53,8 +53,8 @@
     """Bans a worker at all dispatchers, if one is named; the time of the monotonic clock after that."""
     if worker:
         for dispatcher in dispatchers:
-            if call(dispatcher.console, f"/-/workers/{worker}/disable", "POST")[0] != 200:
-                raise RigError(f"{dispatcher.name} does not ban {worker}")
+            if call_console(dispatcher.console, f"/-/workers/{worker}/disable", "POST")[0] != 200:
+                raise LabError(f"{dispatcher.name} does not ban {worker}")
     return time.monotonic()
 
 
--- a/eiderfield/lab/fleet/rollout_supervisor.py
+++ b/eiderfield/lab/fleet/rollout_supervisor.py
@@ -26,7 +26,7 @@
 from eiderfield.lab.fleet.fleet import Fleet
 from eiderfield.lab.fleet.rollout_change import Change
 from eiderfield.lab.fleet.scenario import Fault
-from eiderfield.lab.rig import RigError, call
+from eiderfield.lab.processes import LabError, call_console
 from eiderfield.rollout.journal import JournalError, ask
 from eiderfield.rollout.journal import read as read_journal
 
@@ -94,7 +94,7 @@
 
     def _start_controller(self) -> None:
         if self.controllers >= MAX_CONTROLLERS:
-            raise RigError("the controllers of a change come to no end")
+            raise LabError("the controllers of a change come to no end")
         failpoint = self._change.failpoints[self.controllers : self.controllers + 1]
         self.controllers += 1
         with (self._folder / "leaders.log").open("ab") as log:
@@ -179,7 +179,7 @@
             is_program = bool(self._change.program)
             self.versions[dispatcher.name] = version_of(dispatcher, change_id) if is_program else "none"
             banned: list[str] = []
-            with suppress(OSError, ValueError, LookupError, RigError):
+            with suppress(OSError, ValueError, LookupError, LabError):
                 dispatcher.find_process()
                 banned = dispatcher.figures()["hosts_banned"]
                 if not is_program:
@@ -189,7 +189,7 @@
         fleet.stop_clients()
 
     def _version_of_settings(self, dispatcher: Dispatcher) -> str:
-        digest = json.loads(call(dispatcher.console, "/-/config")[1])["digest"]
+        digest = json.loads(call_console(dispatcher.console, "/-/config")[1])["digest"]
         for version in VERSIONS:
             text = (self._folder / "settings" / f"{dispatcher.name}.{version}").read_text()
             if digest == digest_of(tomllib.loads(text)):
--- a/eiderfield/lab/scale/day.py
+++ b/eiderfield/lab/scale/day.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from random import Random
 
-from eiderfield.lab.rig import RigError
+from eiderfield.lab.processes import LabError
 from eiderfield.lab.scale.bounds import Measurement
 from eiderfield.lab.scale.clients import Clients
 from eiderfield.lab.scale.discovery import StandInDiscovery
@@ -34,12 +34,12 @@
 
 
 def check_descriptors(plan: DayPlan) -> None:
-    """Raises `RigError` where this process may not open as many descriptors as the day needs."""
+    """Raises `LabError` where this process may not open as many descriptors as the day needs."""
     changes = int(plan.seconds / plan.change_interval)
     needed = plan.workers + changes + SPARE_DESCRIPTORS
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if needed > limit:
-        raise RigError(f"{plan.workers} workers need {needed} descriptors, and this process may open {limit}")
+        raise LabError(f"{plan.workers} workers need {needed} descriptors, and this process may open {limit}")
 
 
 class Day:
@@ -79,7 +79,7 @@
         await asyncio.gather(clients.play(requests, start), self._replace_workers(start))
         self._dispatcher.sample()
         if self._counts.malformed:
-            raise RigError(f"{self._counts.malformed} messages to workers were malformed")
+            raise LabError(f"{self._counts.malformed} messages to workers were malformed")
         results = clients.results
         latencies = sorted(results.latencies_ms)
         return Measurement(
--- a/eiderfield/lab/scale/dispatcher.py
+++ b/eiderfield/lab/scale/dispatcher.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from eiderfield.lab.ports import free_port
-from eiderfield.lab.rig import RigError
+from eiderfield.lab.processes import LabError
 from eiderfield.lab.scale.plan import DayPlan, dispatcher_config
 from eiderfield.lab.usage import open_descriptors, peak_memory, processor_seconds
 
@@ -51,17 +51,17 @@
         end = time.monotonic() + START_S
         while not await self._ready():
             if self._child.poll() is not None:
-                raise RigError(f"the dispatcher ended with {self._child.returncode}: {self._log()}")
+                raise LabError(f"the dispatcher ended with {self._child.returncode}: {self._log()}")
             if time.monotonic() > end:
-                raise RigError(f"the dispatcher was not ready within {START_S:g} s: {self._log()}")
+                raise LabError(f"the dispatcher was not ready within {START_S:g} s: {self._log()}")
             await asyncio.sleep(READY_POLL_S)
 
     def sample(self) -> None:
-        """Takes the peak of what is open; raises `RigError` if the process has ended."""
+        """Takes the peak of what is open; raises `LabError` if the process has ended."""
         try:
             self.peak_descriptors = max(self.peak_descriptors, open_descriptors(self._pid()))
         except OSError:
-            raise RigError(f"the dispatcher ended during the day: {self._log()}") from None
+            raise LabError(f"the dispatcher ended during the day: {self._log()}") from None
 
     def processor_seconds(self) -> float:
         """Processor time so far, from the process's first moment."""
--- a/eiderfield/lab/stream.py
+++ b/eiderfield/lab/stream.py
@@ -1,4 +1,4 @@
-"""A fixed stream of jobs in an open loop, as a process of its own, with latencies from the scheduled times.
+"""A fixed stream of jobs in an open loop, in a process of its own, with latencies from the scheduled times.
 
     python -m eiderfield.lab.stream --target HOST:PORT --rate 300 --seconds 10
 
@@ -16,8 +16,7 @@
 import socket
 import time
 from collections import Counter
-from dataclasses import dataclass, field
-from typing import Any
+from dataclasses import asdict, dataclass, field
 
 import click
 from hdrh.histogram import HdrHistogram
@@ -28,8 +27,15 @@
 
 LONGEST = 60_000_000  # µs that the histogram holds
 DIGITS = 3
-DEADLINE = 5000.0  # ms that each job may take
-SPIN = 0.002  # s before a job's time at which the poll no longer sleeps
+DEADLINE_MS = 5000.0  # that each job may take
+SPIN_S = 0.002  # before a job's time at which the poll no longer sleeps
+LEAD_S = 0.05  # from the stream's start to its first job
+POLL_S = 0.05
+PATIENCE_S = 1.0  # beyond the deadline, for which answers are waited for
+MAX_EVENTS = 64  # of one poll
+READ_SIZE = 65536
+SUBJECTS = 97
+BODY = b"x" * 64
 
 
 def histogram() -> HdrHistogram:
@@ -37,6 +43,33 @@
     return HdrHistogram(1, LONGEST, DIGITS)
 
 
+@dataclass(frozen=True, slots=True)
+class StreamReport:
+    """What became of a stream's jobs. The histograms are texts."""
+
+    sent: int
+    statuses: dict[str, int]
+    latencies: str
+    lateness: str  # of the stream itself: how long after its time each job left
+
+    def latency_histogram(self) -> HdrHistogram:
+        """The latencies, in microseconds."""
+        return HdrHistogram.decode(self.latencies.encode())
+
+    def lateness_histogram(self) -> HdrHistogram:
+        """By how much jobs left late, in microseconds."""
+        return HdrHistogram.decode(self.lateness.encode())
+
+    def to_line(self) -> str:
+        """The report as a line."""
+        return json.dumps(asdict(self))
+
+    @classmethod
+    def from_line(cls, line: str) -> StreamReport:
+        """The report of a line."""
+        return cls(**json.loads(line))
+
+
 @dataclass
 class Connection:
     """A client's connection."""
@@ -51,7 +84,7 @@
 
     def __init__(self, target: tuple[str, int], rate: float, cls: str, source: str, name: str) -> None:
         self._target = target
-        self._gap = 1.0 / rate
+        self._interval = 1.0 / rate
         self._cls = cls
         self._source = source
         self._name = name
@@ -65,18 +98,18 @@
 
     def run(self, seconds: float) -> None:
         """Sends for so long, then waits for what is out."""
-        start = time.monotonic() + 0.05
-        count = int(seconds / self._gap)
+        start = time.monotonic() + LEAD_S
+        count = int(seconds / self._interval)
         while self.sent < count:
-            due = start + self.sent * self._gap
+            due = start + self.sent * self._interval
             now = time.monotonic()
             if now >= due:
                 self._send(due)
             else:
-                self._look(max(0.0, due - now - SPIN))
-        end = time.monotonic() + DEADLINE / 1000.0 + 1.0
+                self._take_events(max(0.0, due - now - SPIN_S))
+        end = time.monotonic() + DEADLINE_MS / 1000.0 + PATIENCE_S
         while len(self._free) < len(self._connections) and time.monotonic() < end:
-            self._look(0.05)
+            self._take_events(POLL_S)
         self.statuses["none"] += len(self._connections) - len(self._free)
 
     def _send(self, due: float) -> None:
@@ -85,7 +118,7 @@
         connection.due = due
         self.sent += 1
         id_ = f"{self._name}-{self.sent}"
-        connection.sock.sendall(job_bytes(id_, self._cls, f"s{self.sent % 97}", DEADLINE, b"x" * 64))
+        connection.sock.sendall(job_bytes(id_, self._cls, f"s{self.sent % SUBJECTS}", DEADLINE_MS, BODY))
         self.lateness.record_value(max(1, int((time.monotonic() - due) * 1e6)))
 
     def _connect(self) -> int:
@@ -95,11 +128,11 @@
         self._poll.register(sock.fileno(), select.EPOLLIN)
         return sock.fileno()
 
-    def _look(self, wait: float) -> None:
-        for fd, _ in self._poll.poll(wait, 64):
+    def _take_events(self, wait: float) -> None:
+        for fd, _ in self._poll.poll(wait, MAX_EVENTS):
             connection = self._connections[fd]
             try:
-                data = connection.sock.recv(65536)
+                data = connection.sock.recv(READ_SIZE)
                 heads = connection.reader.feed(data)
             except (OSError, MalformedMessageError):
                 data, heads = b"", []
@@ -120,14 +153,14 @@
         self._poll.unregister(fd)
         connection.sock.close()
 
-    def told(self) -> dict[str, Any]:
-        """The result, in plain values."""
-        return {
-            "sent": self.sent,
-            "statuses": dict(self.statuses),
-            "latencies": self.latencies.encode().decode(),
-            "lateness": self.lateness.encode().decode(),
-        }
+    def report(self) -> StreamReport:
+        """What became of the jobs."""
+        return StreamReport(
+            sent=self.sent,
+            statuses=dict(self.statuses),
+            latencies=self.latencies.encode().decode(),
+            lateness=self.lateness.encode().decode(),
+        )
 
 
 @click.command()
@@ -138,10 +171,10 @@
 @click.option("--source", default="127.0.0.1", help="the address that it sends from")
 @click.option("--name", default="stream", help="the beginning of each job's id")
 def main(target: str, rate: float, seconds: float, cls: str, source: str, name: str) -> None:
-    """Sends a stream of jobs and tells their latencies as JSON."""
+    """Sends a stream of jobs and reports their latencies as JSON."""
     stream = Stream(address_of(target, "--target"), rate, cls, source, name)
     stream.run(seconds)
-    click.echo(json.dumps(stream.told()))
+    click.echo(stream.report().to_line())
 
 
 if __name__ == "__main__":
--- a/eiderfield/lab/worker.py
+++ b/eiderfield/lab/worker.py
@@ -12,8 +12,10 @@
 from eiderfield.config import address_of
 from eiderfield.lab.wire import Reader, result_bytes
 
+BACKLOG = 1024  # connections that wait at a listener
 
-class Taking(asyncio.Protocol):
+
+class WorkerConnection(asyncio.Protocol):
     """A connection to the worker."""
 
     def __init__(self, delay: float) -> None:
@@ -22,10 +24,12 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keeps the transport, to answer on it."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Answers each whole job after the delay."""
         for head in self._reader.feed(data):
             answer = result_bytes(head.get("x-request-id"))
             if self._delay:
@@ -42,7 +46,7 @@
     """Serves until it is ended."""
     loop = asyncio.get_running_loop()
     for host, port in addresses:
-        await loop.create_server(lambda: Taking(delay), host, port, backlog=1024)
+        await loop.create_server(lambda: WorkerConnection(delay), host, port, backlog=BACKLOG)
     click.echo("ready")
     await asyncio.Event().wait()
 
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -27,7 +27,7 @@
 
 from eiderfield.config import RESERVED, read
 from eiderfield.lab.ports import free_port
-from eiderfield.lab.rig import wait_for
+from eiderfield.lab.processes import wait_for
 from eiderfield.net.descriptors import ConnectionLimits
 
 LIMIT = RESERVED + 24
--- a/tests/test_durable_requests_jobs.py
+++ b/tests/test_durable_requests_jobs.py
@@ -21,7 +21,7 @@
 from eiderfield.lab.fleet.custody_draw import JOB_CLASSES
 from eiderfield.lab.fleet.fleet import Fleet
 from eiderfield.lab.fleet.scenario import Scenario
-from eiderfield.lab.rig import wait_for
+from eiderfield.lab.processes import wait_for
 
 
 def run(*words, code=0):
--- a/tests/test_fleet_scenarios.py
+++ b/tests/test_fleet_scenarios.py
@@ -20,7 +20,7 @@
 from eiderfield.lab.fleet.scenario import FAULTS, RESOURCE_FAULTS, Fault, Scenario, ScenarioError
 from eiderfield.lab.fleet.scenario_draw import draw_jobs, draw_scenario
 from eiderfield.lab.fleet.scenario_file import parse_scenario, validated
-from eiderfield.lab.rig import call
+from eiderfield.lab.processes import call_console
 
 SCENARIO = Scenario()
 
@@ -227,9 +227,9 @@
     full = Fault("disk", "n0", at=0.0, value=float(bytes_))
     with Fleet(replace(SMALL, dispatchers=1), tmp_path / "run") as fleet:
         [n0] = fleet.dispatchers.values()
-        assert call(n0.console, "/-/workers/w1/disable", "POST")[0] == 200
+        assert call_console(n0.console, "/-/workers/w1/disable", "POST")[0] == 200
         fleet.inject(full)
-        assert call(n0.console, "/-/workers/w2/disable", "POST")[0] == 500
+        assert call_console(n0.console, "/-/workers/w2/disable", "POST")[0] == 500
         assert n0.figures()["hosts_banned"] == ["w1", "w2"]  # in force, but not written down
         n0.signal(signal.SIGKILL)
         n0.wait()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -6,50 +6,76 @@
 from click.testing import CliRunner
 
 from eiderfield.cli import main
-from eiderfield.lab.phones import sources
+from eiderfield.lab.experiment import Experiment
+from eiderfield.lab.idle_clients import sources
+from eiderfield.lab.idle_commands import (
+    CommandError,
+    Connect,
+    ConnectSilently,
+    Count,
+    HangUp,
+    Trickle,
+    Wake,
+    decode_command,
+    encode_command,
+)
+from eiderfield.lab.processes import LabError, wait_for
 from eiderfield.lab.report import show_idle
-from eiderfield.lab.rig import Rig, RigError, decode, wait_for
-from eiderfield.lab.stream import histogram
+from eiderfield.lab.stream import StreamReport, histogram
 from eiderfield.lab.usage import usage
 
 
 @pytest.mark.real_time
-def test_phones_are_served_parked_woken_and_counted(tmp_path):
-    with Rig(tmp_path) as rig:
-        workers = rig.workers(2)
-        house = rig.dispatcher("h", {"connections": {"park_after_ms": 10}}, workers)
-        phones = rig.phones(house.listen, 0, addresses=4)
-        told = phones.ask("open", count=20)
-        assert told["open"] == 20 and told["statuses"]["200"] == 20
-        wait_for("all are parked", lambda: house.figures()["connections"]["parked"] == 20)
-        told = phones.ask("wake", count=5, seconds=0.05)
-        assert told["statuses"] == {"200": 5} and decode(told["latencies"]).get_total_count() == 5
-        assert phones.ask("silent", count=2, seconds=0.1)["connected"] == 2
-        told = phones.ask("trickle", count=2, gap=0.02, seconds=0.2, part="body")
-        assert told["statuses"] == {"still open": 2}
-        stream = rig.stream(house.listen, 200.0, 0.2, "s").result()
-        assert stream["sent"] == 40 and stream["statuses"] == {"200": 40, "none": 0}
-        assert decode(stream["lateness"]).get_total_count() == 40
-        assert phones.ask("hang-up", count=20)["open"] == 0
-        wait_for("they have left", lambda: house.figures()["connections"]["open"] <= 4)
-        assert usage(house.pid).descriptors > 10
-        assert house.figures()["connections"]["woken"] >= 5
-        pid = house.pid
+def test_idle_clients_are_served_parked_woken_and_counted(tmp_path):
+    with Experiment(tmp_path) as experiment:
+        workers = experiment.start_workers(2)
+        config = {"connections": {"park_after_ms": 10}}
+        dispatcher = experiment.start_dispatcher("h", config, workers)
+        clients = experiment.start_idle_clients(dispatcher.listen, 0, addresses=4)
+        report = clients.run(Connect(20))
+        assert report.open == 20 and report.statuses["200"] == 20
+        wait_for("all are parked", lambda: dispatcher.connections("parked") == 20)
+        report = clients.run(Wake(5, seconds=0.05))
+        assert report.statuses == {"200": 5} and report.histogram().get_total_count() == 5
+        assert clients.run(ConnectSilently(2, seconds=0.1)).connected == 2
+        report = clients.run(Trickle(2, interval=0.02, seconds=0.2, part="body"))
+        assert report.statuses == {"still open": 2}
+        stream = experiment.start_stream(dispatcher.listen, 200.0, 0.2, "s").report()
+        assert stream.sent == 40 and stream.statuses == {"200": 40, "none": 0}
+        assert stream.lateness_histogram().get_total_count() == 40
+        assert clients.run(HangUp(20)).open == 0
+        wait_for("they have left", lambda: dispatcher.connections("open") <= 4)
+        assert usage(dispatcher.pid).descriptors > 10
+        assert dispatcher.connections("woken") >= 5
+        pid = dispatcher.pid
     with pytest.raises(OSError):
         usage(pid)
 
 
-def test_phones_stay_on_loopback_addresses():
+@pytest.mark.parametrize(
+    "command",
+    [Connect(1), Wake(2, 0.5), Trickle(1, 0.1, 2.0, "head"), ConnectSilently(3, 1.0), HangUp(4), Count()],
+)
+def test_a_command_to_idle_clients_is_the_same_after_its_line(command):
+    assert decode_command(encode_command(command)) == command
+
+
+def test_a_line_that_is_no_command_to_idle_clients_is_an_error():
+    with pytest.raises(CommandError, match="Explode"):
+        decode_command('{"command": "Explode", "arguments": {}}')
+
+
+def test_idle_clients_stay_on_loopback_addresses():
     assert sources("127.10.0.255", 2) == ["127.10.0.255", "127.10.1.0"]
     with pytest.raises(Exception, match="loopback"):
         sources("127.255.255.255", 2)
 
 
 def test_a_process_that_does_not_start_is_an_error_and_not_a_hang(tmp_path):
-    with Rig(tmp_path) as rig, pytest.raises(RigError, match="ended at its start"):
-        rig.dispatcher("h", {"limits": {"sockets": 1}}, ["127.0.0.1:1"])
-    with pytest.raises(RigError, match="not within 0 s: this"):
-        wait_for("this", lambda: False, patience=0.0)
+    with Experiment(tmp_path) as experiment, pytest.raises(LabError, match="ended at its start"):
+        experiment.start_dispatcher("h", {"limits": {"sockets": 1}}, ["127.0.0.1:1"])
+    with pytest.raises(LabError, match="not within 0 s: this"):
+        wait_for("this", lambda: False, timeout=0.0)
 
 
 @pytest.mark.parametrize(
@@ -82,4 +108,5 @@
     show_idle(json.loads(json.dumps(told)))
     text = capsys.readouterr().out
     assert "9,000" in text and "28" in text and "1.5 / 2.0 / 2.5" in text
-    assert decode(found.encode().decode()).get_value_at_percentile(50) == 1500
+    text = found.encode().decode()
+    assert StreamReport(1, {}, text, text).latency_histogram().get_value_at_percentile(50) == 1500
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,7 @@
 
 import eiderfield
 from eiderfield.cli import main
-from eiderfield.lab.rig import RigError
+from eiderfield.lab.processes import LabError
 from eiderfield.lab.scale.bounds import KILOBYTE, MEGABYTE, Measurement, check
 from eiderfield.lab.scale.day import check_descriptors, percentile
 from eiderfield.lab.scale.plan import DayPlan, requests_of
@@ -115,7 +115,7 @@
 
 
 def test_a_fleet_that_needs_too_many_descriptors_is_not_started():
-    with pytest.raises(RigError, match="descriptors"):
+    with pytest.raises(LabError, match="descriptors"):
         check_descriptors(plan(workers=10_000_000))
 
 
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -17,7 +17,7 @@
 from eiderfield.lab.fleet.rollout_run import play_change
 from eiderfield.lab.fleet.scenario import Scenario
 from eiderfield.lab.ports import free_port
-from eiderfield.lab.rig import call, wait_for
+from eiderfield.lab.processes import call_console, wait_for
 
 
 def changed(site, **more):
@@ -86,7 +86,7 @@
     console = ("127.0.0.1", int(told["console"].rpartition(":")[2]))
 
     def running():
-        return json.loads(call(console, "/-/config")[1])
+        return json.loads(call_console(console, "/-/config")[1])
 
     command = [*DISPATCHER, "--config", str(path)]
     with running_program(path, command, wait=False) as process:
