--- a/eiderfield/lab/fleet/faulty_programs.py
+++ b/eiderfield/lab/fleet/faulty_programs.py
@@ -52,6 +52,7 @@
 CANCEL_AFTER_MS = 30.0
 LEAKED_DESCRIPTORS = 10
 LAST_JOB = 30
+PLANTED = "planted"  # why an attempt is cancelled
 CRASH_CODE = 70
 
 send: Callable[..., None] = Exchange._send
@@ -108,7 +109,7 @@
     else:
         exchange._fail(action, now)
     for leg in job.legs:
-        exchange._stop(leg)
+        exchange._stop(leg, PLANTED)
 
 
 def send_or_end_early(
@@ -161,21 +162,21 @@
     if job is None or len(job.legs) != 1 or next(number) % EVERY_CANCELLED != 0:
         return
     first = job.legs[0]
-    exchange._timers.at(now + CANCEL_AFTER_MS, lambda: exchange._stop(first) if first.open else None)
+    exchange._timers.at(now + CANCEL_AFTER_MS, lambda: exchange._stop(first, PLANTED) if first.open else None)
 
 
-def submit_and_leak(exchange: Any, *arguments: Any) -> int:
+def submit_and_leak(exchange: Any, *arguments: Any, **options: Any) -> int:
     """Takes a job, and keeps descriptors for ever."""
     for _ in range(LEAKED_DESCRIPTORS):
         os.dup(sys.stderr.fileno())
-    return submit(exchange, *arguments)
+    return submit(exchange, *arguments, **options)
 
 
-def submit_or_crash(exchange: Any, *arguments: Any) -> int:
+def submit_or_crash(exchange: Any, *arguments: Any, **options: Any) -> int:
     """Takes a job, or ends the process."""
     if next(number) == LAST_JOB:
         os._exit(CRASH_CODE)
-    return submit(exchange, *arguments)
+    return submit(exchange, *arguments, **options)
 
 
 def forget_bans(table: Any, state: Any, bans: Any) -> None:
