--- a/eiderfield/batch/durable.py
+++ b/eiderfield/batch/durable.py
@@ -29,7 +29,7 @@
 
 
 class DurableJob(Protocol):
-    """A job that the store knows (`eiderfield/durable_requests/record.py`)."""
+    """A job that the store knows (`durable_requests/record.py`)."""
 
     @property
     def id(self) -> str:
@@ -52,7 +52,7 @@
         """Of its answer, '' without one."""
 
     @property
-    def legs(self) -> Sequence[object]:
+    def attempts(self) -> Sequence[object]:
         """The attempts that may have run."""
 
     @property
@@ -61,7 +61,7 @@
 
 
 class DurableJobLookup(Protocol):
-    """The store, as it is asked about jobs, wherever they are (`eiderfield/durable_requests/keeper.py`)."""
+    """The store, as it is asked about jobs, wherever they are (`durable_requests/coordinator.py`)."""
 
     def find(self, id_: str, then: Callable[[DurableJob | None], None]) -> None:
         """Looks a job up; `then` is called once, later."""
--- a/eiderfield/batch/remote.py
+++ b/eiderfield/batch/remote.py
@@ -102,6 +102,6 @@
     if job.verdict:
         state = JobState.DONE if job.verdict == Verdict.SERVED.value else JobState.FAILED
         end = JobEnd(job.answer, clock_of(job.finished))
-    elif job.legs:
+    elif job.attempts:
         state = JobState.RUNNING
     return JobStatus(job.id, job.cls, state, clock_of(job.accepted), end)
--- a/eiderfield/cli/jobs.py
+++ b/eiderfield/cli/jobs.py
@@ -9,6 +9,8 @@
 
 import click
 
+from eiderfield.machine import unix_offset
+
 FOLDER: Any = click.Path(exists=True, file_okay=False, path_type=Path)
 
 
@@ -20,36 +22,34 @@
     """
 
 
-def _survey(folder: Path) -> Any:
-    from eiderfield.durable_requests.folder import FolderError
-    from eiderfield.durable_requests.survey import Survey
+def _inspect(folder: Path) -> Any:
+    from eiderfield.durable_requests.errors import FolderError
+    from eiderfield.durable_requests.inspection import Inspection
 
     try:
-        return Survey(folder)
+        return Inspection(folder)
     except FolderError as error:
         raise click.UsageError(str(error)) from None
 
 
-def _offset() -> float:
-    return (time.time() - time.monotonic()) * 1000.0
-
-
 def _print(rows: list[dict[str, Any]], as_json: bool, columns: tuple[str, ...]) -> None:
     from rich.console import Console
     from rich.table import Table
 
-    from eiderfield.durable_requests.survey import plain
-
     if as_json:
         for row in rows:
             click.echo(json.dumps(row))
         return
     table = Table(*columns, box=None)
     for row in rows:
-        table.add_row(*[plain(row[name]) for name in columns])
+        table.add_row(*[_cell(row[name]) for name in columns])
     Console(width=160).print(table, highlight=False)
 
 
+def _cell(value: object) -> str:
+    return json.dumps(value) if isinstance(value, list | dict) else str(value)
+
+
 _JSON = click.option("--json", "as_json", is_flag=True, help="a JSON object a line")
 _COLUMNS = ("id", "class", "state", "owner", "taken_over", "may_have_run", "why")
 
@@ -61,14 +61,14 @@
 @_JSON
 def list_(folder: Path, cls: str, state: str, as_json: bool) -> None:
     """Lists all jobs, each once, with the life that owns it."""
-    survey = _survey(folder)
+    inspection = _inspect(folder)
     rows = []
-    for known in survey.jobs():
+    for known in inspection.jobs():
         fits = state in ("", known.state) or (state == "open" and not known.record.verdict)
         if fits and cls in ("", known.record.cls):
-            rows.append(known.told(_offset()))
+            rows.append(known.row(unix_offset()))
     _print(rows, as_json, _COLUMNS)
-    for fault in survey.faults:
+    for fault in inspection.faults:
         click.echo(f"not read: {fault}", err=True)
 
 
@@ -77,10 +77,10 @@
 @click.argument("id_", metavar="ID")
 def show(folder: Path, id_: str) -> None:
     """Shows a job: its legs, the lives it went through, its answer."""
-    known = _survey(folder).job(id_)
+    known = _inspect(folder).job(id_)
     if known is None:
         raise click.ClickException(f"job {id_!r} is not known")
-    told = {**known.told(_offset()), "chain": list(known.chain)}
+    told = {**known.row(unix_offset()), "chain": list(known.chain)}
     if known.record.verdict == "served":
         told["result"] = known.record.result.decode("utf-8", "replace")
     click.echo(json.dumps(told, indent=1))
@@ -91,7 +91,7 @@
 @_JSON
 def members(folder: Path, as_json: bool) -> None:
     """Lists the lives: alive, lost, left, or gone and not fenced yet."""
-    rows = _survey(folder).lives()
+    rows = [incarnation.row() for incarnation in _inspect(folder).incarnations()]
     _print(rows, as_json, ("life", "state", "open", "answered", "bytes", "pid", "why", "heirs"))
 
 
@@ -100,7 +100,7 @@
 @_JSON
 def dead(folder: Path, as_json: bool) -> None:
     """Lists jobs that ended without a result, with whether they may have run."""
-    rows = [known.told(_offset()) for known in _survey(folder).jobs() if known.dead]
+    rows = [known.row(unix_offset()) for known in _inspect(folder).jobs() if known.is_dead]
     _print(rows, as_json, _COLUMNS)
 
 
@@ -109,13 +109,13 @@
 @click.argument("id_", metavar="ID")
 def cancel(folder: Path, id_: str) -> None:
     """Asks for the end of a job. Its owner ends it, unless it has its answer first: that one wins."""
-    survey = _survey(folder)
-    known = survey.job(id_)
+    inspection = _inspect(folder)
+    known = inspection.job(id_)
     if known is None:
         raise click.ClickException(f"job {id_!r} is not known")
     if known.record.verdict:
         raise click.ClickException(f"job {id_!r} is over: {known.state}")
-    survey.folder.wish(id_)
+    inspection.folder.end_requests.add(id_)
     click.echo("asked for")
 
 
@@ -134,8 +134,8 @@
 
     from eiderfield.config import ConfigError, address_of
 
-    known = _survey(folder).job(id_)
-    if known is None or not known.dead:
+    known = _inspect(folder).job(id_)
+    if known is None or not known.is_dead:
         state = "not known" if known is None else known.state
         raise click.ClickException(f"job {id_!r} is {state}, not dead")
     record = known.record
@@ -145,13 +145,13 @@
         host, port = address_of(address, "--to")
     except ConfigError as error:
         raise click.UsageError(str(error)) from None
-    again = f"{id_}~{record.number}.{int(time.time())}"
+    again = f"{id_}~{record.generation}.{int(time.time())}"
     headers = {"X-Request-Id": again, "Content-Length": str(len(record.body))}
     if record.key:
         headers["Idempotency-Key"] = f"{record.key}~{int(time.time())}"
     try:
         connection = http.client.HTTPConnection(host, port, timeout=600.0)
-        connection.request("POST", str(record.head["target"]), record.body, headers)
+        connection.request("POST", record.head.target, record.body, headers)
         answer = connection.getresponse()
     except OSError as error:
         raise click.ClickException(f"{address}: {error}") from None
@@ -168,7 +168,7 @@
     import pyarrow
     import pyarrow.parquet as parquet
 
-    rows = [known.told(_offset()) for known in _survey(folder).jobs()]
+    rows = [known.row(unix_offset()) for known in _inspect(folder).jobs()]
     rows = [{**row, "legs": json.dumps(row["legs"])} for row in rows]
     schema = pyarrow.schema([
         ("id", pyarrow.string()), ("class", pyarrow.string()), ("state", pyarrow.string()),
@@ -185,7 +185,7 @@
 @click.argument("folder", type=FOLDER)
 def verify(folder: Path) -> None:
     """Reads every record of every store. Prints what is wrong, a line each; exits with 1 if anything is."""
-    found = _survey(folder).verify()
+    found = _inspect(folder).verify()
     for line in found:
         click.echo(line)
     if found:
@@ -198,10 +198,11 @@
 @click.argument("copy", type=click.Path(file_okay=False, path_type=Path))
 def snapshot(folder: Path, copy: Path) -> None:
     """Copies what is kept into the new folder COPY while the dispatchers go on."""
-    from eiderfield.durable_requests.folder import FolderError
+    from eiderfield.durable_requests.errors import FolderError
+    from eiderfield.durable_requests.snapshot import copy_folder
 
     try:
-        click.echo(f"{_survey(folder).snapshot(copy)} jobs")
+        click.echo(f"{copy_folder(folder, copy)} jobs")
     except (FolderError, OSError) as error:
         raise click.ClickException(str(error)) from None
 
@@ -211,10 +212,10 @@
 @click.argument("folder", type=click.Path(file_okay=False, path_type=Path))
 def restore(copy: Path, folder: Path) -> None:
     """Makes the new folder FOLDER out of a snapshot. Dispatchers that start on it take over what is open."""
-    from eiderfield.durable_requests.folder import FolderError
-    from eiderfield.durable_requests.survey import restore as restore_
+    from eiderfield.durable_requests.errors import FolderError
+    from eiderfield.durable_requests.snapshot import copy_folder
 
     try:
-        click.echo(f"{restore_(copy, folder)} jobs")
+        click.echo(f"{copy_folder(copy, folder)} jobs")
     except (FolderError, OSError) as error:
         raise click.ClickException(str(error)) from None
--- /dev/null
+++ b/eiderfield/durable_requests/membership.py
@@ -0,0 +1,70 @@
+"""One member's part in agreeing on who is lost: its heartbeat, its votes, and the fences that it makes."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+
+from eiderfield.durable_requests.context import Context, Incarnation
+from eiderfield.durable_requests.failure_detector import is_lost
+from eiderfield.durable_requests.fences import LEFT
+from eiderfield.durable_requests.incarnations import IncarnationInfo
+
+
+class Membership:
+    """Watches the other incarnations for the current one."""
+
+    def __init__(self, context: Context) -> None:
+        """Watches nobody yet."""
+        self._context = context
+        self.member_count = 0  # incarnations that are not fenced, as of the last round
+
+    def renew(self, own: Incarnation) -> None:
+        """Writes a heartbeat, which renews the lease."""
+        before = self._context.now()
+        own.heartbeat += 1
+        self._context.folder.incarnations.write_heartbeat(own.name, own.heartbeat)
+        own.lease.renew(before)
+
+    def alive(self) -> dict[str, IncarnationInfo]:
+        """The incarnations that are not fenced."""
+        folder = self._context.folder
+        return folder.incarnations.all(besides=folder.fences.known)
+
+    def run_round(self, own: Incarnation) -> None:
+        """Reads the heartbeats of the others, votes on who is suspected, and fences who is lost."""
+        folder, now = self._context.folder, self._context.now()
+        alive = self.alive()
+        self.member_count = len(alive)
+        gone = folder.incarnations.gone(alive)
+        suspects = own.detector.observe(now, folder.incarnations.heartbeats(alive), gone)
+        self._vote(own, alive, suspects)
+        if own.detector.is_settled(self._context.now()):
+            self._fence_lost(own, alive, gone)
+
+    def _vote(self, own: Incarnation, alive: Iterable[str], suspects: set[str]) -> None:
+        for name in (suspects ^ own.suspects) & set(alive):
+            self._context.folder.fences.vote(name, own.name, name in suspects)
+        own.suspects = suspects
+
+    def _fence_lost(self, own: Incarnation, alive: Mapping[str, object], gone: set[str]) -> None:
+        fences = self._context.folder.fences
+        for name in sorted(own.suspects & alive.keys()):
+            if not is_lost(name, fences.votes(name), alive, own.suspects):
+                continue
+            reason = "its process is gone" if name in gone else "it is silent"
+            successors = [other for other in alive if other not in own.suspects]
+            self._context.point("fence")
+            if fences.create(name, successors, own.name, reason):
+                self._context.counters.fences += 1
+                self._context.log(
+                    f"durable requests: {name} is lost: {reason}; what it had goes to "
+                    f"{', '.join(sorted(successors))}"
+                )
+
+    def fence_self(self, own: Incarnation) -> bool:
+        """Gives what is left to the others, at once. False if there is nobody."""
+        successors = [name for name in self.alive() if name not in own.suspects | {own.name}]
+        if not successors:
+            return False
+        self._context.folder.fences.create(own.name, successors, own.name, LEFT)
+        return True
--- a/eiderfield/durable_requests/record.py
+++ b/eiderfield/durable_requests/record.py
@@ -1,32 +1,31 @@
-"""What is written down of a job, and how it becomes a request again. No I/O, no clock.
+"""The record of a durable request, and how it becomes a request again. No I/O, no clock.
 
-Theory of operation. A record has one owner at a time, the life in whose store it stands last, and goes only
-forward:
+States of a record, which one incarnation owns at a time and moves forward only:
 
-    ACCEPTED   taken; no leg that may have run is known
-    CLAIMED    a leg may be out, or may have run: written down before its first byte leaves
-    FINAL      its one answer stands, and is given to whoever asks again
+    ACCEPTED   accepted; no attempt that may have run is known
+    CLAIMED    an attempt may be out, or may have run: written before its first byte leaves
+    FINAL      its one answer is recorded, and is given to whoever asks again
 
-A leg that is proven never to have run is taken off, and a job without legs is ACCEPTED again. Whoever takes a
-job over goes on from what is written: an ACCEPTED one as if it had just come, but with its first deadline; a
-CLAIMED one with the legs before it, from which the decision module sees what its class allows (safe: again;
-keyed: where the repeat is dropped, within the window from the first leg; never twice: failed, and that it may
-have run). Times are those of the machine's steady clock, in ms.
+An attempt that is proven never to have run is taken off, and a record without attempts is ACCEPTED again.
+Whoever takes a request over goes on from its record: an ACCEPTED one as if it had just arrived, with its
+first deadline; a CLAIMED one with its earlier attempts, from which the policy decides what the class allows.
+
+What must never happen: a FINAL record changes; a record loses an attempt that may have run. Times are those
+of the machine's monotonic clock, in ms. The stored names (`cls`, `due`, `legs`, ...) are older than these.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from dataclasses import dataclass, field, replace
+import json
+from dataclasses import dataclass, replace
 from enum import IntEnum
-from typing import Any
 from zlib import crc32
 
 from eiderfield.exchange import Answer, Request, Verdict
 
 
 class Stage(IntEnum):
-    """How far a job is."""
+    """How far a request is."""
 
     ACCEPTED = 0
     CLAIMED = 1
@@ -34,8 +33,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LegNote:
-    """A leg that may have run: the worker's name and place, and when it was handed out."""
+class AttemptRecord:
+    """An attempt that may have run: the worker's name and place, and when it was sent."""
 
     number: int
     worker: str
@@ -43,33 +42,58 @@
     cell: int
     sent: float
 
-    def told(self) -> list[Any]:
-        """Plain values."""
+    def encode(self) -> list[object]:
+        """Its stored form."""
         return [self.number, self.worker, self.zone, self.cell, self.sent]
 
 
+@dataclass(frozen=True, slots=True)
+class RequestHead:
+    """All of a request but its body, class and times."""
+
+    target: str = ""
+    host: str = ""
+    key: str = ""  # the idempotency key, '' for none
+    subject: int = 0
+    tenant: int = 0
+    slots: float = 1.0
+    memory: float = 0.0
+
+    def encode(self) -> str:
+        """Its stored form."""
+        return json.dumps({
+            "target": self.target, "host": self.host, "key": self.key, "subject": self.subject,
+            "tenant": self.tenant, "slots": self.slots, "memory": self.memory,
+        })  # fmt: skip
+
+    @classmethod
+    def decode(cls, text: str) -> RequestHead:
+        """Out of the stored form; `ValueError` or `TypeError` if it is none."""
+        return cls(**json.loads(text))
+
+
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A kept job. `taken` is by how many lives it was taken over; `due` and `accepted` are steady times."""
+    """A durable request. `due` and `accepted` are monotonic times."""
 
     id: str
-    cls: str
+    cls: str  # the name of its class
     due: float
     accepted: float
-    head: Mapping[str, Any]  # of its request, but for the body
+    head: RequestHead
     body: bytes
     stage: Stage = Stage.ACCEPTED
-    legs: tuple[LegNote, ...] = ()
-    taken: int = 0
-    number: int = 1  # how often its id had been taken when this was
+    attempts: tuple[AttemptRecord, ...] = ()
+    takeovers: int = 0  # how many incarnations have taken it over
+    generation: int = 1  # how often its id had been taken when it was accepted
     front: str = "platform"  # or batch, whose clients do not wait on a connection
     finished: float = 0.0
     verdict: str = ""
     result: bytes = b""
     retry_after: float = 0.0
     may_have_run: bool = False
-    legs_in_all: int = 0
-    why: str = ""
+    attempt_count: int = 0  # of its answer
+    reason: str = ""  # for its answer, for operators
 
     @property
     def size(self) -> int:
@@ -79,91 +103,74 @@
     @property
     def key(self) -> str:
         """Its idempotency key, '' for none."""
-        return str(self.head.get("key", ""))
+        return self.head.key
 
     @property
     def digest(self) -> int:
-        """Of what is asked for: the same id with another is another job."""
-        return crc32(self.body, crc32(f"{self.cls} {self.head.get('target')} {self.key}".encode()))
+        """Of what is requested: the same id with another digest is another request."""
+        return crc32(self.body, crc32(f"{self.cls} {self.head.target} {self.key}".encode()))
+
+    @property
+    def answer(self) -> Answer:
+        """Its final answer."""
+        return Answer(
+            Verdict(self.verdict), self.result, self.retry_after, self.may_have_run, self.attempt_count
+        )
+
+    @property
+    def is_repeatable(self) -> bool:
+        """Whether its answer is given again to who asks again: after a rejection asking anew is harmless."""
+        return self.stage == Stage.FINAL and self.verdict != Verdict.DECLINED.value
 
-    def claimed(self, leg: LegNote) -> Record:
-        """With a leg that is about to begin."""
-        return replace(self, stage=Stage.CLAIMED, legs=(*self.legs, leg))
+    def with_attempt(self, attempt: AttemptRecord) -> Record:
+        """With an attempt that is about to begin."""
+        return replace(self, stage=Stage.CLAIMED, attempts=(*self.attempts, attempt))
 
-    def unclaimed(self, number: int) -> Record:
-        """Without a leg that is proven never to have run."""
-        legs = tuple(leg for leg in self.legs if leg.number != number)
-        return replace(self, legs=legs, stage=Stage.CLAIMED if legs else Stage.ACCEPTED)
+    def without_attempt(self, number: int) -> Record:
+        """Without an attempt that is proven never to have run."""
+        attempts = tuple(attempt for attempt in self.attempts if attempt.number != number)
+        return replace(self, attempts=attempts, stage=Stage.CLAIMED if attempts else Stage.ACCEPTED)
 
-    def over(self, answer: Answer, now: float, why: str = "") -> Record:
+    def finished_with(self, answer: Answer, now: float, reason: str = "") -> Record:
         """With its final answer."""
         return replace(
             self, stage=Stage.FINAL, finished=now, verdict=answer.verdict.value, result=answer.result,
-            retry_after=answer.retry_after, may_have_run=answer.may_have_run, legs_in_all=answer.legs,
-            why=why,
+            retry_after=answer.retry_after, may_have_run=answer.may_have_run, attempt_count=answer.legs,
+            reason=reason,
         )  # fmt: skip
 
-    def inherited(self) -> Record:
-        """As its next owner writes it down, whose legs are numbered from those that there were."""
-        legs = tuple(replace(leg, number=number) for number, leg in enumerate(self.legs))
-        return replace(self, taken=self.taken + 1, legs=legs)
+    def taken_over(self) -> Record:
+        """As its next owner writes it, who numbers attempts from those that there were."""
+        attempts = tuple(replace(attempt, number=number) for number, attempt in enumerate(self.attempts))
+        return replace(self, takeovers=self.takeovers + 1, attempts=attempts)
 
-    def moved(self, span: float, now: float) -> Record:
+    def shifted(self, span: float, now: float) -> Record:
         """With its times on a clock that is `span` ahead, on which it is `now`. All that was written lies in
         the past, and no more time is left than there was at first."""
         accepted = min(self.accepted + span, now)
-        legs = tuple(replace(leg, sent=min(leg.sent + span, now)) for leg in self.legs)
+        attempts = tuple(replace(attempt, sent=min(attempt.sent + span, now)) for attempt in self.attempts)
         due = min(self.due + span, now + self.due - self.accepted)
         finished = min(self.finished + span, now) if self.finished else 0.0
-        return replace(self, due=due, accepted=accepted, legs=legs, finished=finished)
-
-    @property
-    def answer(self) -> Answer:
-        """Its final answer."""
-        return Answer(
-            Verdict(self.verdict), self.result, self.retry_after, self.may_have_run, self.legs_in_all
-        )
-
-    @property
-    def standing(self) -> bool:
-        """Whether its answer is given again to who asks again: after a decline asking anew is harmless."""
-        return self.stage == Stage.FINAL and self.verdict != Verdict.DECLINED.value
+        return replace(self, due=due, accepted=accepted, attempts=attempts, finished=finished)
 
 
-def record_of(a: Request, cls: str, now: float, accepted: float, front: str = "platform") -> Record:
-    """The record of a request. `now` is the time of the clock that its `due` is told in, `accepted`
-    the same moment on the steady one."""
-    head = {
-        "target": a.target, "host": a.host, "key": a.idempotency_key, "subject": a.subject,
-        "tenant": a.tenant, "slots": a.slots, "memory": a.memory,
-    }  # fmt: skip
-    return Record(a.id, cls, a.due - now + accepted, accepted, head, a.body, front=front)
+def record_of(request: Request, cls: str, now: float, accepted: float, front: str = "platform") -> Record:
+    """The record of a request. `now` is the time of the clock that its `due` is told in, `accepted` the same
+    moment on the monotonic one."""
+    head = RequestHead(
+        request.target, request.host, request.idempotency_key, request.subject, request.tenant,
+        request.slots, request.memory,
+    )  # fmt: skip
+    due = request.due - now + accepted
+    return Record(request.id, cls, due, accepted, head, request.body, front=front)
 
 
-def request_of(record: Record, cls: int, now: float, steady: float) -> Request:
-    """What a record asks for, with `due` on the clock that says `now` where the steady one says `steady`."""
+def request_of(record: Record, cls: int, now: float, monotonic: float) -> Request:
+    """The request of a record, with `due` on the clock that says `now` where the monotonic one says
+    `monotonic`."""
     head = record.head
     return Request(
-        record.id, cls, record.due - steady + now, str(head["target"]), str(head["host"]), record.body,
-        str(head["key"]), int(head["subject"]), True, int(head["tenant"]), float(head["slots"]),
-        float(head["memory"]),
+        id=record.id, cls=cls, due=record.due - monotonic + now, target=head.target, host=head.host,
+        body=record.body, idempotency_key=head.key, subject=head.subject, repeat=True, tenant=head.tenant,
+        slots=head.slots, memory=head.memory,
     )  # fmt: skip
-
-
-@dataclass(slots=True)
-class Counts:
-    """What custody has done since this process began."""
-
-    accepted: int = 0
-    joined: int = 0  # askers for a job that was there already
-    refused: int = 0  # askers for whom nothing could be written down
-    claims_refused: int = 0
-    taken_over: int = 0
-    expired: int = 0  # taken over with their time over
-    fenced: int = 0  # lives of this process that others took for lost
-    lost_answers: int = 0  # results of jobs that had been taken over meanwhile
-    fences: int = 0  # written by this process
-    written: int = 0  # commits
-    slowest: float = 0.0  # ms that one took, the most
-    failed: int = 0  # commits that the system refused
-    at: dict[str, float] = field(default_factory=dict)
--- /dev/null
+++ b/eiderfield/durable_requests/snapshot.py
@@ -0,0 +1,48 @@
+"""Copies of a folder, made while its members go on, and folders made out of such copies."""
+
+from __future__ import annotations
+
+import shutil
+from contextlib import closing
+from pathlib import Path
+
+from eiderfield.durable import DRAFT
+from eiderfield.durable_requests.errors import FolderError
+from eiderfield.durable_requests.fences import FENCES
+from eiderfield.durable_requests.folder import SharedFolder
+from eiderfield.durable_requests.incarnations import MEMBERS
+from eiderfield.durable_requests.inspection import Inspection, StoredJob
+
+
+def copy_folder(source: Path, target: Path) -> int:
+    """Copies a folder, or a copy of one, into a new folder; how many jobs that are. Started on the copy,
+    dispatchers take over all that had no answer when its store was copied. `FolderError` if something is
+    there."""
+    if target.exists() and any(target.iterdir()):
+        raise FolderError(f"{target} is not empty")
+    inspection, copy = Inspection(source), SharedFolder(target)
+    for part in (MEMBERS, FENCES):
+        _copy_files(source / part, target / part)
+    for name in inspection.folder.stored_incarnations():
+        with closing(inspection.open_store(name)) as store:
+            store.snapshot(copy.store_path(name))
+    return sum(_copy_ids(job, inspection.folder, copy) for job in Inspection(source).jobs())
+
+
+def _copy_files(source: Path, target: Path) -> None:
+    for file in source.iterdir():
+        if not file.name.startswith(DRAFT):
+            shutil.copy2(file, target / file.name)
+
+
+def _copy_ids(job: StoredJob, folder: SharedFolder, copy: SharedFolder) -> bool:
+    """Takes a job's id and key in the copy as they are taken in the folder. False if nobody holds it."""
+    record = job.record
+    holder = folder.ids.holder(record.id)
+    if holder is None:
+        return False
+    for generation in range(1, holder.generation + 1):
+        copy.ids.take(record.id, holder.incarnation, generation)
+    if record.key:
+        copy.ids.hold_key(record.cls, record.key, record.id)
+    return True
--- a/eiderfield/lab/custody_cost.py
+++ b/eiderfield/lab/custody_cost.py
@@ -20,10 +20,11 @@
 import numpy as np
 import psutil
 
-from eiderfield.durable_requests.member import Accept, Claim, Finish, Member
-from eiderfield.durable_requests.record import LegNote, Record
-from eiderfield.durable_requests.settings import Custody
-from eiderfield.durable_requests.store import Store
+from eiderfield.durable_requests.member import Member
+from eiderfield.durable_requests.messages import Accept, Claim, Finish
+from eiderfield.durable_requests.record import AttemptRecord, Record, RequestHead
+from eiderfield.durable_requests.settings import DurableRequestSettings
+from eiderfield.durable_requests.store import RecordStore
 from eiderfield.exchange import Answer, Verdict
 from eiderfield.lab.fleet.event_log import CLIENT_EVENTS, read_events
 from eiderfield.lab.fleet.fleet import Fleet
@@ -150,7 +151,7 @@
     The time of attempts that failed before it is included. With `hold` it stops itself within its tenth
     commit, until somebody ends its sleep.
     """
-    store = Store(path)
+    store = RecordStore(path)
     end = time.monotonic() + seconds
     number, took = 0, []
     began = time.monotonic()
@@ -168,7 +169,7 @@
                 waker.wait()
             store.commit()
         except Exception:  # the store is locked for longer than anybody waits
-            store.undo()
+            store.roll_back()
             continue
         committed = time.monotonic()
         took.append((committed - began) * 1000.0)
@@ -177,7 +178,7 @@
 
 
 def _record(id_: str) -> Record:
-    head = {"target": "/r/x", "host": "h", "key": id_, "subject": 1, "tenant": 0, "slots": 1.0, "memory": 0.0}
+    head = RequestHead("/r/x", "h", id_, subject=1)
     return Record(id_, "r", 1e12, time.monotonic() * 1000.0, head, b"x" * 200)
 
 
@@ -198,31 +199,34 @@
 
 def recovery(records: int, seconds: float, folder: Path) -> Recovered:
     """A life with so many open records is lost; one heir takes over as fast as its rate allows."""
-    settings = Custody(folder / "custody", frozenset({0}), lease=1000.0, takeover_rate=50_000.0,
-                       bytes_most=4 * 1024 * 1024 * 1024)  # fmt: skip
+    settings = DurableRequestSettings(
+        folder / "custody", frozenset({0}), lease=1000.0, takeover_rate=50_000.0, most_bytes=4 * 2**30
+    )
     lost = Member(settings, "lost", {"r": 1.0}, print)
     lost.begin()
-    store = lost._store
-    assert store is not None
+    assert lost.current is not None
+    store = lost.current.store
     store.begin()
     for number in range(records):
         record = _record(f"j{number}")
-        store.put(record if number % 2 else record.claimed(LegNote(0, "w", "z", 0, record.accepted)))
+        store.put(
+            record if number % 2 else record.with_attempt(AttemptRecord(0, "w", "z", 0, record.accepted))
+        )
     store.commit()
     for number in range(min(records, LINKED)):  # the oldest, which are taken over first
-        lost.folder.take(f"j{number}", lost.life)
+        lost.folder.ids.take(f"j{number}", lost.incarnation)
     size = sum(path.stat().st_size for path in (settings.folder / "lives").iterdir()) / 2**20
     heir = Member(settings, "heir", {"r": 1.0}, print)
     heir.begin()
-    heir.look()
-    heir.folder.fence(lost.life, [heir.life], heir.life, "measured")
+    heir.tick()
+    heir.folder.fences.create(lost.incarnation, [heir.incarnation], heir.incarnation, "measured")
     began = time.monotonic()
-    heir.look()
+    heir.tick()
     read_ = time.monotonic() - began
     first, adopted = 0.0, 0
-    while (spent := time.monotonic() - began) < read_ + seconds and heir.awaiting:
+    while (spent := time.monotonic() - began) < read_ + seconds and heir.pending_takeovers:
         time.sleep(0.002)
-        found = heir.adopt()
+        found = heir.take_over()
         adopted += len(found)
         if found and not first:
             first = time.monotonic() - began
@@ -233,15 +237,15 @@
 
 def commits(seconds: float, folder: Path) -> float:
     """Whole jobs a second of one member: taken, claimed, answered, each in a commit of its own."""
-    member = Member(Custody(folder / "c", frozenset({0})), "m", {"r": 1.0}, print)
+    member = Member(DurableRequestSettings(folder / "c", frozenset({0})), "m", {"r": 1.0}, print)
     member.begin()
-    member.look()
+    member.tick()
     end, number = time.monotonic() + seconds, 0
     while time.monotonic() < end:
         number += 1
         id_ = f"j{number}"
         member.apply([Accept(_record(id_))])
-        member.apply([Claim(id_, LegNote(0, "w", "z", 0, 0.0))])
+        member.apply([Claim(id_, AttemptRecord(0, "w", "z", 0, 0.0))])
         member.apply([Finish(id_, Answer(Verdict.SERVED, b"r"))])
     member.close()
     return number / seconds
--- a/eiderfield/lab/custody_model.py
+++ b/eiderfield/lab/custody_model.py
@@ -4,7 +4,7 @@
 fence, a byte sent. Between any two of them anything may happen elsewhere, so a step that comes late is a
 process that was stopped. Faults are `dies` (the process is gone) and `sleeps` (its lease runs out while it
 is stopped; it may wake at any moment). Who suspects whom follows from these two alone, as the leases
-guarantee. Successors and owners are those of the program itself (`chain_of`).
+guarantee. Successors and owners are those of the program itself (`ownership_chain`).
 
     ask -> taken -> written -> held -> claimed -> cleared -> sent -> result -> answered -> told
 
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from eiderfield.durable_requests.lease import chain_of
+from eiderfield.durable_requests.ownership import ownership_chain
 
 CLAIM_UNCHECKED = "claim unchecked"
 SENDS_FIRST = "sends first"
@@ -208,7 +208,7 @@
         owner = dict(state.owner).get(turn.job)
         if turn.is_fenced or owner is None or owner not in fences:
             return
-        chain = chain_of(turn.job, owner, fences)
+        chain = ownership_chain(turn.job, owner, fences)
         takes_any = self._slip == SUCCESSORS_CHOOSE and turn.member not in chain
         last = last_written(state, turn.job, owner)
         if (chain[-1] == turn.member or takes_any) and last in (OPEN, CLAIMED):
@@ -274,7 +274,7 @@
 def last_written(state: State, job: str, owner: str) -> str:
     """What the last of the job's owners wrote of it."""
     store = dict(state.store)
-    for member in reversed(chain_of(job, owner, dict(state.fences))):
+    for member in reversed(ownership_chain(job, owner, dict(state.fences))):
         if (member, job) in store:
             return store[member, job]
     return ""
--- a/eiderfield/lab/fleet/custody_run.py
+++ b/eiderfield/lab/fleet/custody_run.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from eiderfield.durable_requests.folder import Folder
+from eiderfield.durable_requests.folder import SharedFolder
 from eiderfield.lab.fleet.dispatcher import Dispatcher, Program
 from eiderfield.lab.fleet.event_log import CLIENT_EVENTS, WORKER_EVENTS, Event, read_events
 from eiderfield.lab.fleet.fleet import Fleet
@@ -102,8 +102,8 @@
     """By why, how many incarnations were fenced."""
     if not (folder / "form").exists():
         return Counter()
-    shared = Folder(folder, make=False)
-    return Counter(str(shared.why(incarnation)["why"]) for incarnation in shared.fences())
+    shared = SharedFolder(folder, make=False).fences
+    return Counter(shared.read(incarnation).reason for incarnation in shared.refresh())
 
 
 def final_statuses(clients: Sequence[Event]) -> dict[str, set[int]]:
--- a/eiderfield/program/durable_requests.py
+++ b/eiderfield/program/durable_requests.py
@@ -11,37 +11,37 @@
 from eiderfield.program.part import DrainTimes, Figures, Part
 
 if TYPE_CHECKING:
-    from eiderfield.durable_requests.keeper import Keeper
+    from eiderfield.durable_requests.coordinator import DurableRequestCoordinator
 
 
 class DurableRequests(Part):
     """Keeps the requests of some classes in a folder."""
 
-    def __init__(self, keeper: Keeper, core: Core) -> None:
-        """`keeper` has begun."""
-        self.keeper = keeper
+    def __init__(self, coordinator: DurableRequestCoordinator, core: Core) -> None:
+        """`coordinator` has begun."""
+        self.coordinator = coordinator
         self._core = core
 
     async def start(self) -> None:
         """Takes up what is owed."""
-        self.keeper.start()
+        self.coordinator.start()
 
     def drain(self, times: DrainTimes) -> None:
         """Leaves the others once all that came here is answered."""
-        self._core.driver.wheel.at(times.answered_by, self.keeper.leave)
+        self._core.driver.wheel.at(times.answered_by, self.coordinator.leave)
 
     @property
     def busy(self) -> bool:
         """Whether something is being written, or not handed on."""
-        return not self.keeper.idle
+        return not self.coordinator.idle
 
     def stop(self) -> None:
         """Closes the folder."""
-        self.keeper.close()
+        self.coordinator.close()
 
     def figures(self) -> Figures:
-        """The keeper's figures."""
-        return {"custody": self.keeper.figures()}
+        """The coordinator's figures."""
+        return {"custody": self.coordinator.figures()}
 
 
 def make_durable_requests(
@@ -50,12 +50,11 @@
     """The part, if the configuration asks for it; a `ConfigError` if its folder cannot be used."""
     if config.custody is None:
         return None
-    from eiderfield.durable_requests.folder import FolderError
-    from eiderfield.durable_requests.keeper import Keeper
-    from eiderfield.durable_requests.store import StoreError
+    from eiderfield.durable_requests.coordinator import DurableRequestCoordinator
+    from eiderfield.durable_requests.errors import DurableRequestsError
 
     try:
-        keeper = Keeper(
+        coordinator = DurableRequestCoordinator(
             config.custody,
             config.name,
             core.exchange,
@@ -65,7 +64,7 @@
             loop.call_soon_threadsafe,
             log,
         )
-        keeper.begin()
-    except (FolderError, StoreError) as error:
+        coordinator.begin()
+    except DurableRequestsError as error:
         raise ConfigError(str(error)) from None
-    return DurableRequests(keeper, core)
+    return DurableRequests(coordinator, core)
--- a/tests/test_deploy_file.py
+++ b/tests/test_deploy_file.py
@@ -37,7 +37,7 @@
     return any(file == ROOT / path or (ROOT / path) in file.parents for path in paths)
 
 
-@pytest.mark.parametrize("module", ["eiderfield.__main__", "eiderfield.durable_requests.keeper"])
+@pytest.mark.parametrize("module", ["eiderfield.__main__", "eiderfield.durable_requests.coordinator"])
 def test_each_file_of_the_dispatcher_is_named(deploy, module):
     files = imported_by(module) - SHARED
     assert [file for file in files if not covered(file, deploy["policy"] + deploy["node"])] == []
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -5,8 +5,8 @@
 import pytest
 from support.memory_dispatcher import InMemoryDispatcher
 
-from eiderfield.durable_requests.keeper import Keeper
-from eiderfield.durable_requests.settings import Custody
+from eiderfield.durable_requests.coordinator import DurableRequestCoordinator
+from eiderfield.durable_requests.settings import DurableRequestSettings
 from eiderfield.exchange import Request, Verdict
 
 LEASE = 60_000.0  # ms: it holds for the whole of a test
@@ -23,8 +23,10 @@
     def write(self, op, then):
         self.queue.append((op, then))
 
-    def watch(self, id_, on=True):
-        pass
+    def watch(self, id_):
+        """Nothing is polled."""
+
+    unwatch = watch
 
     @property
     def waiting(self):
@@ -43,8 +45,8 @@
     def __init__(self, path):
         self.dispatcher = InMemoryDispatcher(workers=1)
         self.answers = []
-        settings = Custody(path / "custody", frozenset({0}), lease=LEASE)
-        self.keeper = Keeper(
+        settings = DurableRequestSettings(path / "custody", frozenset({0}), lease=LEASE)
+        self.coordinator = DurableRequestCoordinator(
             settings,
             "a",
             self.dispatcher.exchange,
@@ -54,14 +56,15 @@
             lambda call: call(),
             self.dispatcher.logged.append,
         )
-        self.keeper.begin()
-        self.keeper.member.look()
-        self.keeper._writer = self.writer = DirectWriter(self.keeper.member)
+        self.coordinator.begin()
+        self.coordinator.member.tick()
+        self.writer = DirectWriter(self.coordinator.member)
+        self.coordinator.thread = self.coordinator._claims._thread = self.writer
 
     def ask(self, front="platform"):
         """An asker for the job; gives what to call when it leaves."""
         request = Request("j", 0, 1_005_000.0, "/safe/x", body=b"b")
-        return self.keeper.take(request, self.answers.append, front)
+        return self.coordinator.take(request, self.answers.append, front)
 
     def take(self, front="platform"):
         """The job is asked for and written down."""
@@ -84,7 +87,7 @@
 def kept(tmp_path):
     kept = KeptJob(tmp_path)
     yield kept
-    kept.keeper.member.close()
+    kept.coordinator.member.close()
 
 
 def test_a_kept_job_that_nobody_cancels_is_sent(kept):
@@ -102,7 +105,7 @@
     kept.run()
     [dial] = kept.dispatcher.dials
     told = []
-    kept.keeper.cancel("j", told.append)
+    kept.coordinator.cancel("j", told.append)
     assert dial.cancelled
     kept.dispatcher.dials.append(dial)  # it came up in the moment in which it was called off
     assert not dial.up().pipe.written
@@ -112,7 +115,7 @@
 
 def test_no_attempt_is_claimed_for_a_job_whose_end_was_asked_for_at_another_dispatcher(kept):
     kept.take()
-    kept.keeper.member.folder.wish("j")
+    kept.coordinator.member.folder.end_requests.add("j")
     kept.run()
     kept.dispatcher.advance(1000.0)
     assert not kept.dispatcher.dials and kept.verdicts == [Verdict.TERMINATED]
@@ -120,12 +123,12 @@
 
 def test_no_attempt_is_claimed_after_a_takeover_of_a_job_that_was_cancelled(kept):
     kept.take()
-    [record] = kept.keeper.member._open.values()
-    kept.keeper._lost()  # this process gives its jobs up, and the next life has them
+    [record] = kept.coordinator.member.open_records.values()
+    kept.coordinator.on_incarnation_over()  # this process gives its jobs up, and the next life has them
     kept.writer.queue.clear()
     kept.dispatcher.settle()
-    kept.keeper.member.folder.wish("j")
-    kept.keeper._adopted([record])
+    kept.coordinator.member.folder.end_requests.add("j")
+    kept.coordinator.on_taken_over([record])
     kept.run()
     kept.dispatcher.advance(1000.0)
     assert not kept.dispatcher.dials and not kept.dispatcher.exchange.unanswered
@@ -137,7 +140,7 @@
     kept.run()
     kept.run()
     kept.dispatcher.advance(1000.0)
-    assert not kept.dispatcher.dials and not kept.dispatcher.exchange.unanswered and kept.keeper.idle
+    assert not kept.dispatcher.dials and not kept.dispatcher.exchange.unanswered and kept.coordinator.idle
 
 
 @pytest.mark.parametrize("when", ["before the claim", "while it is dialled", "in the moment it is up"])
@@ -156,7 +159,7 @@
         kept.run()
     kept.dispatcher.advance(1000.0)
     kept.run()
-    assert not any(end.pipe.written for end in kept.dispatcher.ends) and kept.keeper.idle
+    assert not any(end.pipe.written for end in kept.dispatcher.ends) and kept.coordinator.idle
     kept.take()
     kept.run()
     end = kept.dispatcher.dials[0].up() if kept.dispatcher.dials else kept.dispatcher.ends[-1]
@@ -188,8 +191,8 @@
     end.status(status, **({"X_Not_Run": "1"} if status == 503 else {}))
     kept.run()
     kept.dispatcher.advance(2000.0)
-    assert end.came == ["j"] and not kept.dispatcher.dials and kept.keeper.idle
-    assert kept.keeper.member.find("j").answer.verdict == verdict
+    assert end.came == ["j"] and not kept.dispatcher.dials and kept.coordinator.idle
+    assert kept.coordinator.member.find("j").answer.verdict == verdict
 
 
 def test_a_job_goes_on_while_one_of_two_clients_waits(kept):
@@ -210,18 +213,18 @@
 
 def test_a_job_that_was_taken_over_goes_on_without_a_client(kept):
     kept.take()
-    [record] = kept.keeper.member._open.values()
-    kept.keeper._held.clear()
+    [record] = kept.coordinator.member.open_records.values()
+    kept.coordinator._owned.clear()
     kept.dispatcher.exchange.withdraw(1)
     kept.writer.queue.clear()
     kept.dispatcher.settle()
     kept.writer.queue.clear()
-    kept.keeper._adopted([record])
+    kept.coordinator.on_taken_over([record])
     kept.dispatcher.settle()
     kept.run()
     kept.dispatcher.dials[0].up().finish()
     kept.run()
-    assert kept.keeper.member.find("j").answer.verdict == Verdict.SERVED
+    assert kept.coordinator.member.find("j").answer.verdict == Verdict.SERVED
 
 
 def test_a_job_that_waits_for_its_retry_ends_at_once_when_its_client_leaves(kept):
@@ -232,4 +235,4 @@
     kept.run()
     leave()
     kept.run()
-    assert kept.keeper.idle and kept.keeper.member.find("j").answer.verdict == Verdict.DECLINED
+    assert kept.coordinator.idle and kept.coordinator.member.find("j").answer.verdict == Verdict.DECLINED
--- a/tests/test_durable_requests_jobs.py
+++ b/tests/test_durable_requests_jobs.py
@@ -15,8 +15,8 @@
 from eiderfield.batch.drmaa import ControlAction, JobState
 from eiderfield.batch.messages import JobTemplate
 from eiderfield.cli import main
-from eiderfield.durable_requests.folder import Folder
-from eiderfield.durable_requests.member import Accept, Claim, Finish, Wish
+from eiderfield.durable_requests.folder import SharedFolder
+from eiderfield.durable_requests.messages import Accept, Claim, Finish, RequestEnd, Written
 from eiderfield.exchange import Answer, Verdict
 from eiderfield.lab.fleet.custody_draw import JOB_CLASSES
 from eiderfield.lab.fleet.fleet import Fleet
@@ -42,7 +42,7 @@
     one(a, Finish("failed", Answer(Verdict.FAILED, may_have_run=True, legs=1)))
     one(a, Finish("declined", DECLINED))
     host.outlive(b)
-    b.adopt()
+    b.take_over()
     yield host, a, b
     for member in (a, b):
         member.close()
@@ -75,9 +75,9 @@
 def test_a_folder_in_order_is_in_order_and_a_spoilt_store_is_named(kept):
     host, _, b = kept
     assert run("verify", host.settings.folder) == "in order\n"
-    b._store.begin()
-    b._store._db.execute("UPDATE jobs SET stage = 2, verdict = '' WHERE id = 'open'")
-    b._store.commit()
+    b.current.store.begin()
+    b.current.store._database.execute("UPDATE jobs SET stage = 2, verdict = '' WHERE id = 'open'")
+    b.current.store.commit()
     assert "b.1.db: job open is final without a verdict" in run("verify", host.settings.folder, code=1)
     (host.settings.folder / "lives" / "c.1.db").write_bytes(b"x" * 5000)
     assert "c.1.db" in run("verify", host.settings.folder, code=1)
@@ -93,7 +93,7 @@
     later = Host(tmp_path / "again")
     c = later.member("c")
     later.outlive(c)
-    assert {each.id for each in c.adopt()} == {"open", "out"} and c.find("served").answer == SERVED
+    assert {each.id for each in c.take_over()} == {"open", "out"} and c.find("served").answer == SERVED
     c.close()
 
 
@@ -110,11 +110,11 @@
     host, _, b = kept
     assert run("cancel", host.settings.folder, "open") == "asked for\n"
     assert "is over: served" in run("cancel", host.settings.folder, "served", code=1)
-    assert b.wished() == ["open"]
-    assert one(b, Wish("served")) is True and b.wished() == ["open"]
-    assert Folder(host.settings.folder).wishes() == ["open"]
+    assert b.requested_ends() == ["open"]
+    assert one(b, RequestEnd("served")) == Written() and b.requested_ends() == ["open"]
+    assert SharedFolder(host.settings.folder).end_requests.all() == ["open"]
     one(b, Finish("open", Answer(Verdict.TERMINATED)))
-    assert b.wished() == [] and Folder(host.settings.folder).wishes() == []
+    assert b.requested_ends() == [] and SharedFolder(host.settings.folder).end_requests.all() == []
 
 
 def test_what_may_have_run_is_asked_for_again_only_when_that_is_said(kept):
--- a/tests/test_durable_requests_members.py
+++ b/tests/test_durable_requests_members.py
@@ -13,25 +13,31 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from eiderfield.config import ConfigError, Tree
-from eiderfield.durable_requests.folder import Folder, FolderError, hashed
-from eiderfield.durable_requests.lease import Lease, Watch, agreed, chain_of
-from eiderfield.durable_requests.member import (
+from eiderfield.durable_requests.errors import FolderError, StoreError
+from eiderfield.durable_requests.failure_detector import FailureDetector, is_lost
+from eiderfield.durable_requests.files import hashed
+from eiderfield.durable_requests.folder import SharedFolder
+from eiderfield.durable_requests.lease import Lease
+from eiderfield.durable_requests.member import Member
+from eiderfield.durable_requests.messages import (
     Accept,
+    Accepted,
+    AlreadyAccepted,
+    AlreadyFinal,
     Claim,
     Claimed,
     Conflict,
     Finish,
-    Joined,
-    Member,
-    Over,
-    Refused,
-    Taken,
-    Unclaim,
+    NotOwned,
+    NotWritten,
+    ReleaseClaim,
+    Written,
 )
-from eiderfield.durable_requests.record import LegNote, Stage, record_of, request_of
-from eiderfield.durable_requests.settings import Custody
+from eiderfield.durable_requests.ownership import ownership_chain
+from eiderfield.durable_requests.record import AttemptRecord, Stage, record_of, request_of
+from eiderfield.durable_requests.settings import DurableRequestSettings
 from eiderfield.durable_requests.settings import read as read_settings
-from eiderfield.durable_requests.store import MAGIC, SCHEMA, Store, StoreError
+from eiderfield.durable_requests.store import MAGIC, SCHEMA, RecordStore
 from eiderfield.exchange import Answer, Request, Verdict
 from eiderfield.interface import Effect, JobClass, Settings
 
@@ -46,7 +52,7 @@
 
 
 def leg(number=0, worker="w0", at=0.0):
-    return LegNote(number, worker, "here", 1, at)
+    return AttemptRecord(number, worker, "here", 1, at)
 
 
 class Host:
@@ -54,13 +60,13 @@
 
     def __init__(self, path, **more):
         self.now, self.said = 1000.0, []
-        self.settings = Custody(path / "custody", frozenset({0}), lease=LEASE, **more)
+        self.settings = DurableRequestSettings(path / "custody", frozenset({0}), lease=LEASE, **more)
         self.all = []
 
     def member(self, name):
         member = Member(self.settings, name, {"report": 3.0}, self.said.append, lambda: self.now)
         member.begin()
-        member.look()
+        member.tick()
         self.all.append(member)
         return member
 
@@ -68,9 +74,9 @@
         """Lets time pass, in which these look at the others."""
         end = self.now + span
         while self.now < end:
-            self.now += self.settings.look
+            self.now += self.settings.tick
             for member in members:
-                member.look()
+                member.tick()
 
     def outlive(self, *members):
         """Time enough for whoever does not look to be taken for lost."""
@@ -94,30 +100,30 @@
 
 
 def test_a_holder_stops_before_anybody_may_suspect_it():
-    lease, watch = Lease(LEASE, 100.0), Watch("b.1", LEASE, 100.0)
-    lease.renewed(50.0)
-    watch.looked(0.0, {"a.1": 1}, ())
+    lease, watch = Lease(LEASE, 100.0), FailureDetector("b.1", LEASE)
+    lease.renew(50.0)
+    watch.observe(0.0, {"a.1": 1}, ())
     for now in range(100, 3000, 100):
-        suspected = watch.looked(float(now), {"a.1": 2}, ())
+        suspected = watch.observe(float(now), {"a.1": 2}, ())
         assert not (suspected and lease.holds(float(now)))
     assert suspected == {"a.1"}
 
 
 def test_who_has_not_watched_suspects_nobody_for_silence_nor_by_the_machines_word():
-    watch = Watch("b.1", LEASE, 100.0)
-    assert watch.looked(0.0, {"a.1": 1}, {"a.1"}) == set()
-    watch.looked(100.0, {"a.1": 1}, ())
-    assert watch.looked(5000.0, {"a.1": 1}, {"a.1"}) == set(), "it stood still itself"
+    watch = FailureDetector("b.1", LEASE)
+    assert watch.observe(0.0, {"a.1": 1}, {"a.1"}) == set()
+    watch.observe(100.0, {"a.1": 1}, ())
+    assert watch.observe(5000.0, {"a.1": 1}, {"a.1"}) == set(), "it stood still itself"
     times = [5000.0 + 100.0 * step for step in range(1, 20)]
-    assert next(now for now in times if watch.looked(now, {"a.1": 1}, ())) >= 5000.0 + LEASE
+    assert next(now for now in times if watch.observe(now, {"a.1": 1}, ())) >= 5000.0 + LEASE
 
 
 def test_a_loss_takes_most_of_those_that_are_not_suspected():
     lives = ["a.1", "b.1", "c.1", "d.1"]
-    assert not agreed("d.1", ["a.1"], lives, {"d.1"})
-    assert agreed("d.1", ["a.1", "b.1"], lives, {"d.1"})
-    assert not agreed("d.1", ["a.1", "d.1"], lives, {"d.1"}), "its own word counts for nothing"
-    assert agreed("d.1", ["a.1"], lives, {"b.1", "c.1", "d.1"}), "all but one are lost"
+    assert not is_lost("d.1", ["a.1"], lives, {"d.1"})
+    assert is_lost("d.1", ["a.1", "b.1"], lives, {"d.1"})
+    assert not is_lost("d.1", ["a.1", "d.1"], lives, {"d.1"}), "its own word counts for nothing"
+    assert is_lost("d.1", ["a.1"], lives, {"b.1", "c.1", "d.1"}), "all but one are lost"
 
 
 LIVES = [f"n{number}.1" for number in range(6)]
@@ -130,18 +136,20 @@
 )
 @settings(derandomize=True, max_examples=400, deadline=None, database=None)
 def test_a_job_has_one_owner_and_a_further_fence_only_lengthens_its_chain(fences, later, id_):
-    chain = chain_of(id_, LIVES[0], fences, later)
+    chain = ownership_chain(id_, LIVES[0], fences, later)
     assert len(set(chain)) == len(chain)
     assert all(heir in fences[life] or any(heir in more for more in later) for life, heir in pairwise(chain))
     assert chain[:-1] == [life for life in chain[:-1] if life in fences]
     if chain[-1] not in fences:
         rest = [life for life in LIVES if life != chain[-1]]
-        assert chain_of(id_, LIVES[0], {**fences, chain[-1]: tuple(rest)}, later)[: len(chain)] == chain
+        assert (
+            ownership_chain(id_, LIVES[0], {**fences, chain[-1]: tuple(rest)}, later)[: len(chain)] == chain
+        )
 
 
 def test_what_is_left_is_spread_over_the_heirs():
     heirs = tuple(LIVES[1:5])
-    owners = [chain_of(f"job-{number}", LIVES[0], {LIVES[0]: heirs})[-1] for number in range(2000)]
+    owners = [ownership_chain(f"job-{number}", LIVES[0], {LIVES[0]: heirs})[-1] for number in range(2000)]
     assert all(400 < owners.count(heir) < 600 for heir in heirs)
 
 
@@ -151,31 +159,31 @@
 def test_a_record_becomes_the_same_authorisation_with_its_first_deadline():
     a = Request("j", 0, 5000.0, "/r/x", "h", b"\x00body", "k", 7, False, 2, 3.0, 4.0)
     kept = record_of(a, "r", now=1000.0, accepted=50.0)
-    again = request_of(kept, 0, now=91_000.0, steady=1050.0)
+    again = request_of(kept, 0, now=91_000.0, monotonic=1050.0)
     assert again == replace(a, due=91_000.0 + 3000.0, repeat=True)
 
 
 def test_a_leg_that_never_ran_is_taken_off_and_the_rest_are_numbered_anew_by_the_heir():
-    kept = record().claimed(leg(0)).claimed(leg(1)).claimed(leg(2)).unclaimed(1)
-    assert [each.number for each in kept.inherited().legs] == [0, 1] and kept.inherited().taken == 1
-    assert kept.unclaimed(0).unclaimed(2).stage == Stage.ACCEPTED
+    kept = record().with_attempt(leg(0)).with_attempt(leg(1)).with_attempt(leg(2)).without_attempt(1)
+    assert [each.number for each in kept.taken_over().attempts] == [0, 1] and kept.taken_over().takeovers == 1
+    assert kept.without_attempt(0).without_attempt(2).stage == Stage.ACCEPTED
 
 
 def test_a_store_keeps_what_was_committed_and_shows_it_to_readers(tmp_path):
-    store = Store(tmp_path / "a.db")
-    reader = Store(tmp_path / "a.db", write=False)
+    store = RecordStore(tmp_path / "a.db")
+    reader = RecordStore(tmp_path / "a.db", write=False)
     store.begin()
-    store.put(record(key="k").claimed(leg()))
+    store.put(record(key="k").with_attempt(leg()))
     assert reader.get("j") is None
     store.commit()
-    assert reader.get("j") == record(key="k").claimed(leg())
-    assert list(reader.open_jobs()) == [("j", "report", 0.0)]
+    assert reader.get("j") == record(key="k").with_attempt(leg())
+    assert list(reader.open_records()) == [("j", "report", 0.0)]
     assert reader.verify() == "" and reader.counts() == (1, 0, 1)
-    with pytest.raises(sqlite3.OperationalError):
+    with pytest.raises(StoreError):
         reader.begin()
         reader.put(record())
     store.snapshot(tmp_path / "copy.db")
-    assert Store(tmp_path / "copy.db", write=False).get("j") == store.get("j")
+    assert RecordStore(tmp_path / "copy.db", write=False).get("j") == store.get("j")
 
 
 OLD = """CREATE TABLE jobs (
@@ -195,9 +203,9 @@
     with sqlite3.connect(path) as db:
         db.executescript(OLD)
     db.close()
-    before = Store(path, write=False).get("j")
-    assert before.legs == (leg(at=2.0),) and before.front == "platform" and before.number == 1
-    store = Store(path)
+    before = RecordStore(path, write=False).get("j")
+    assert before.attempts == (leg(at=2.0),) and before.front == "platform" and before.generation == 1
+    store = RecordStore(path)
     assert store.version == SCHEMA and store.get("j") == before
 
 
@@ -215,7 +223,7 @@
     if make is None:
         path.write_bytes(b"poems\n" * 2000)
     elif make == "torn":
-        store = Store(path)
+        store = RecordStore(path)
         store.begin()
         for number in range(300):
             store.put(record(f"j{number}", body=b"x" * 500))
@@ -225,14 +233,14 @@
         data = bytearray(path.read_bytes())
         data[4096:] = b"\xff" * (len(data) - 4096)
         path.write_bytes(bytes(data))
-        assert Store(path, write=False).verify() != ""
+        assert RecordStore(path, write=False).verify() != ""
         return
     else:
         with sqlite3.connect(path) as db:
             make(db)
         db.close()
     with pytest.raises(StoreError, match=why) as error:
-        Store(path)
+        RecordStore(path)
     assert "x.db" in str(error.value)
 
 
@@ -241,65 +249,69 @@
 
 def test_a_job_is_taken_claimed_answered_and_its_answer_given_again(host):
     a, b = host.member("a"), host.member("b")
-    assert one(a, Accept(record())) == Taken()
+    assert one(a, Accept(record())) == Accepted()
     assert one(a, Claim("j", leg())) == Claimed("a.1")
-    assert one(b, Accept(record())) == Joined("j") and b.polled(["j"]) == []
-    assert one(a, Finish("j", SERVED)) is True and one(a, Finish("j", DECLINED)) is False
-    [(id_, there)] = b.polled(["j"])
+    assert one(b, Accept(record())) == AlreadyAccepted("j") and b.poll_answers(["j"]) == []
+    assert one(a, Finish("j", SERVED)) == Written() and one(a, Finish("j", DECLINED)) == NotOwned()
+    [(id_, there)] = b.poll_answers(["j"])
     assert id_ == "j" and there.answer == SERVED
-    assert one(b, Accept(record())) == Over(there) and one(a, Accept(record())) == Over(there)
+    assert one(b, Accept(record())) == AlreadyFinal(there) and one(a, Accept(record())) == AlreadyFinal(there)
     assert one(b, Accept(record(body=b"another"))) == Conflict()
 
 
 def test_of_two_askers_in_one_moment_one_takes_the_job(host):
     members = [host.member(name) for name in "abc"]
     outcomes = [one(member, Accept(record())) for member in members]
-    assert outcomes.count(Taken()) == 1 and outcomes.count(Joined("j")) == 2
-    assert members[0].apply([Accept(record("k")), Accept(record("k"))]) == [Taken(), Joined("k")]
+    assert outcomes.count(Accepted()) == 1 and outcomes.count(AlreadyAccepted("j")) == 2
+    assert members[0].apply([Accept(record("k")), Accept(record("k"))]) == [Accepted(), AlreadyAccepted("k")]
 
 
 def test_a_declined_job_may_be_asked_for_again_anywhere(host):
     a, b = host.member("a"), host.member("b")
-    assert one(a, Accept(record())) == Taken() and one(a, Finish("j", DECLINED)) is True
-    assert a.polled(["j"])[0][1].answer == DECLINED
-    assert one(b, Accept(record())) == Taken() and one(a, Accept(record())) == Joined("j")
-    assert one(b, Finish("j", SERVED)) is True and one(a, Accept(record())) == Over(b.find("j"))
+    assert one(a, Accept(record())) == Accepted() and one(a, Finish("j", DECLINED)) == Written()
+    assert a.poll_answers(["j"])[0][1].answer == DECLINED
+    assert one(b, Accept(record())) == Accepted() and one(a, Accept(record())) == AlreadyAccepted("j")
+    assert one(b, Finish("j", SERVED)) == Written() and one(a, Accept(record())) == AlreadyFinal(b.find("j"))
 
 
 def test_two_clients_with_one_key_have_one_job(host):
     a, b = host.member("a"), host.member("b")
-    assert one(a, Accept(record("j", key="k"))) == Taken()
-    assert one(b, Accept(record("i", key="k"))) == Joined("j")
+    assert one(a, Accept(record("j", key="k"))) == Accepted()
+    assert one(b, Accept(record("i", key="k"))) == AlreadyAccepted("j")
     assert one(b, Accept(record("h", key="k", body=b"another"))) == Conflict()
-    assert one(a, Finish("j", DECLINED)) is True
-    assert one(b, Accept(record("i", key="k"))) == Taken(), "a declined job holds no key"
+    assert one(a, Finish("j", DECLINED)) == Written()
+    assert one(b, Accept(record("i", key="k"))) == Accepted(), "a declined job holds no key"
 
 
 def test_a_lost_members_jobs_go_to_its_heirs_with_what_may_have_run(host):
     a, b, c = (host.member(name) for name in "abc")
     ids = [f"j{number}" for number in range(40)]
-    assert a.apply([Accept(record(id_)) for id_ in ids]) == [Taken()] * 40
+    assert a.apply([Accept(record(id_)) for id_ in ids]) == [Accepted()] * 40
     a.apply([Claim(id_, leg()) for id_ in ids[:20]])
     a.apply([Finish(id_, SERVED) for id_ in ids[:5]])
     host.outlive(b, c)
-    found = {member.name: member.adopt() for member in (b, c)}
+    found = {member.name: member.take_over() for member in (b, c)}
     taken = {each.id: each for records in found.values() for each in records}
     assert sorted(taken) == sorted(ids[5:]) and all(found.values())
     assert all((each.stage == Stage.CLAIMED) == (id_ in ids[5:20]) for id_, each in taken.items())
-    assert one(b, Accept(record("j0"))) == Over(b.find("j0")), "an answer outlives who gave it"
-    assert a.apply([Claim("j6", leg(1)), Finish("j7", SERVED), Accept(record("j99"))])[:2] == [False, False]
-    assert a.life == "" and a.counts.fenced == 1 and any("was taken for lost" in line for line in host.said)
+    assert one(b, Accept(record("j0"))) == AlreadyFinal(b.find("j0")), "an answer outlives who gave it"
+    assert a.apply([Claim("j6", leg(1)), Finish("j7", SERVED), Accept(record("j99"))])[:2] == [NotOwned()] * 2
+    assert (
+        a.incarnation == ""
+        and a.counters.fenced == 1
+        and any("was taken for lost" in line for line in host.said)
+    )
     host.live(1500.0, a, b, c)
-    assert a.life == "a.2" and a.held == 0, "it begins anew with nothing"
+    assert a.incarnation == "a.2" and len(a.open_records) == 0, "it begins anew with nothing"
 
 
 def test_who_is_told_last_of_its_own_loss_sends_nothing_it_claimed(host):
     a, b = host.member("a"), host.member("b")
     one(a, Accept(record()))
     host.outlive(b)
-    assert not a.lease.holds(host.now)
-    assert one(a, Claim("j", leg())) is False
-    assert [each.stage for each in b.adopt()] == [Stage.ACCEPTED]
+    assert not a.holds_lease(host.now)
+    assert one(a, Claim("j", leg())) == NotOwned()
+    assert [each.stage for each in b.take_over()] == [Stage.ACCEPTED]
 
 
 def test_an_heir_that_is_lost_too_passes_on_what_it_wrote_not_what_it_found(host):
@@ -307,26 +319,26 @@
     ids = [f"j{number}" for number in range(12)]
     a.apply([Accept(record(id_)) for id_ in ids])
     host.outlive(b, c)
-    mine = {each.id for each in b.adopt()}
+    mine = {each.id for each in b.take_over()}
     b.apply([Claim(id_, leg()) for id_ in mine])
-    first = {each.id for each in c.adopt()}
+    first = {each.id for each in c.take_over()}
     host.outlive(c)
     host.now += 1000.0
-    second = {each.id: each for each in c.adopt()}
+    second = {each.id: each for each in c.take_over()}
     assert set(second) == mine and not first & mine
-    assert all(each.stage == Stage.CLAIMED and each.taken == 2 for each in second.values())
+    assert all(each.stage == Stage.CLAIMED and each.takeovers == 2 for each in second.values())
 
 
 def test_two_that_fence_each_other_leave_their_jobs_to_who_comes_next(host):
     a, b = host.member("a"), host.member("b")
     one(a, Accept(record("ja")))
     one(b, Accept(record("jb")))
-    a.folder.fence("b.1", ["a.1"], "a.1", "test")
-    b.folder.fence("a.1", ["b.1"], "b.1", "test")
+    a.folder.fences.create("b.1", ["a.1"], "a.1", "test")
+    b.folder.fences.create("a.1", ["b.1"], "b.1", "test")
     host.live(2500.0, a, b)
-    assert (a.life, b.life) == ("a.2", "b.2")
+    assert (a.incarnation, b.incarnation) == ("a.2", "b.2")
     host.live(1000.0, a, b)
-    taken = [each.id for member in (a, b) for each in member.adopt()]
+    taken = [each.id for member in (a, b) for each in member.take_over()]
     assert sorted(taken) == ["ja", "jb"]
 
 
@@ -334,19 +346,19 @@
     """It was under way when its member was stopped, and its asker waits for it at another one."""
     a, b = host.member("a"), host.member("b")
     a.point = lambda name: host.outlive(b) if name == "accept" else None
-    assert one(a, Accept(record())) == Joined("j")
-    assert b.adopt() == []
+    assert one(a, Accept(record())) == AlreadyAccepted("j")
+    assert b.take_over() == []
     host.live(500.0, b)
-    assert [each.id for each in b.adopt()] == ["j"]
+    assert [each.id for each in b.take_over()] == ["j"]
 
 
 def test_who_died_between_an_id_and_its_record_blocks_nobody(host):
     a, b = host.member("a"), host.member("b")
-    assert a.folder.take("j", "a.1")
-    assert one(b, Accept(record())) == Joined("j"), "it may be writing just now"
-    assert b.polled(["j"]) == []
+    assert a.folder.ids.take("j", "a.1")
+    assert one(b, Accept(record())) == AlreadyAccepted("j"), "it may be writing just now"
+    assert b.poll_answers(["j"]) == []
     host.outlive(b)
-    assert b.polled(["j"]) == [("j", None)] and one(b, Accept(record())) == Taken()
+    assert b.poll_answers(["j"]) == [("j", None)] and one(b, Accept(record())) == Accepted()
 
 
 class Stopped(Exception):
@@ -366,11 +378,13 @@
         for op in (Accept(record()), Claim("j", leg()), Finish("j", SERVED)):
             one(a, op)
     host.outlive(b)
-    found = [each.stage for each in b.adopt()]
+    found = [each.stage for each in b.take_over()]
     sent = point in ("claim done", "finish", "finish done")
     final = point == "finish done"
     assert found == ([] if point == "accept" or final else [Stage.CLAIMED if sent else Stage.ACCEPTED])
-    expected = Over(b.find("j")) if final else Taken() if point == "accept" else Joined("j")
+    expected = (
+        AlreadyFinal(b.find("j")) if final else Accepted() if point == "accept" else AlreadyAccepted("j")
+    )
     assert one(b, Accept(record())) == expected
 
 
@@ -379,33 +393,33 @@
     a, b = host.member("a"), host.member("b")
     one(a, Accept(record()))
     one(a, Claim("j", leg()))
-    a._end_life()
+    a.end_incarnation()
     for end in ("-wal", "-shm"):
         (host.settings.folder / "lives" / f"a.1.db{end}").unlink(missing_ok=True)
     (host.settings.folder / "lives" / "a.1.db").write_bytes(b"spoilt" * 2000)
     host.outlive(b)
-    assert b.adopt() == [] and any("what a.1 left cannot be read" in line for line in host.said)
-    assert one(b, Accept(record())) == Joined("j") and b.polled(["j"]) == []
-    assert one(b, Accept(record("other"))) == Taken()
+    assert b.take_over() == [] and any("what a.1 left cannot be read" in line for line in host.said)
+    assert one(b, Accept(record())) == AlreadyAccepted("j") and b.poll_answers(["j"]) == []
+    assert one(b, Accept(record("other"))) == Accepted()
 
 
 def test_a_store_that_was_locked_for_a_moment_is_read_again(host, monkeypatch):
     a, b = host.member("a"), host.member("b")
     one(a, Accept(record()))
     with monkeypatch.context() as locked:
-        locked.setattr(b, "_reader", lambda life: None)
+        locked.setattr(b._context.readers, "open", lambda incarnation: None)
         host.outlive(b)
-        assert b.adopt() == []
+        assert b.take_over() == []
     host.live(1500.0, b)
-    assert [each.id for each in b.adopt()] == ["j"]
+    assert [each.id for each in b.take_over()] == ["j"]
 
 
 def test_a_member_that_leaves_is_not_waited_for(host):
     a, b = host.member("a"), host.member("b")
     one(a, Accept(record()))
-    assert a.leave() and a.left and not a.look()
-    b.look()
-    assert [each.id for each in b.adopt()] == ["j"]
+    assert a.leave() and a.has_left and not a.tick()
+    b.tick()
+    assert [each.id for each in b.take_over()] == ["j"]
 
 
 def test_a_disk_that_takes_nothing_more_refuses_and_loses_nothing(host, monkeypatch):
@@ -413,14 +427,14 @@
     one(a, Accept(record("kept")))
 
     def full():
-        raise sqlite3.OperationalError("database or disk is full")
+        raise StoreError("a.1.db: database or disk is full", transient=True)
 
-    monkeypatch.setattr(a._store, "commit", full)
+    monkeypatch.setattr(a.current.store, "commit", full)
     refused = a.apply([Accept(record("more")), Claim("kept", leg()), Finish("kept", SERVED)])
-    assert isinstance(refused[0], Refused) and "full" in refused[0].why
-    assert isinstance(refused[1], Refused) and isinstance(refused[2], Refused)
+    assert isinstance(refused[0], NotWritten) and "full" in refused[0].reason
+    assert isinstance(refused[1], NotWritten) and isinstance(refused[2], NotWritten)
     monkeypatch.undo()
-    assert one(b, Accept(record("more"))) == Taken(), "an id that was not written down is free"
+    assert one(b, Accept(record("more"))) == Accepted(), "an id that was not written down is free"
     assert one(a, Claim("kept", leg())) == Claimed("a.1")
 
 
@@ -429,24 +443,26 @@
     a, b = host.member("a"), host.member("b")
     one(a, Accept(record()))
     one(a, Claim("j", leg()))
-    b._end_life()
-    assert one(b, Accept(record())) == Joined("j") and isinstance(one(b, Accept(record("i"))), Refused)
+    b.end_incarnation()
+    assert one(b, Accept(record())) == AlreadyAccepted("j") and isinstance(
+        one(b, Accept(record("i"))), NotWritten
+    )
     assert one(b, Accept(record(body=b"another"))) == Conflict()
     one(a, Finish("j", SERVED))
-    assert one(b, Accept(record())) == Over(a.find("j"))
+    assert one(b, Accept(record())) == AlreadyFinal(a.find("j"))
 
 
 def test_a_store_has_a_bound_beyond_which_new_jobs_are_refused(tmp_path):
-    host = Host(tmp_path, bytes_most=100_000)
+    host = Host(tmp_path, most_bytes=100_000)
     a = host.member("a")
     outcomes = [one(a, Accept(record(f"j{number}", body=b"x" * 10_000))) for number in range(40)]
-    assert Taken() in outcomes and isinstance(outcomes[-1], Refused) and "full" in outcomes[-1].why
-    assert one(a, Finish("j0", SERVED)) is True or isinstance(one(a, Finish("j0", SERVED)), Refused)
+    assert Accepted() in outcomes and isinstance(outcomes[-1], NotWritten) and "full" in outcomes[-1].reason
+    assert one(a, Finish("j0", SERVED)) == Written() or isinstance(one(a, Finish("j0", SERVED)), NotWritten)
     a.close()
 
 
 def test_answers_are_kept_by_age_count_and_bytes_and_their_ids_are_free_after_that(tmp_path):
-    host = Host(tmp_path, finished_most=3, keep=50_000.0)
+    host = Host(tmp_path, most_final=3, keep=50_000.0)
     a = host.member("a")
     for number in range(6):
         one(a, Accept(record(f"j{number}", key=f"k{number}")))
@@ -454,7 +470,7 @@
         one(a, Finish(f"j{number}", SERVED))
     host.live(1500.0, a)
     assert [a.find(f"j{number}") is not None for number in range(6)] == [False] * 3 + [True] * 3
-    assert one(a, Accept(record("j0", key="k0"))) == Taken()
+    assert one(a, Accept(record("j0", key="k0"))) == Accepted()
     host.live(60_000.0, a)
     assert a.find("j5") is None and a.find("j0") is not None
     a.close()
@@ -466,12 +482,12 @@
     a.apply([Accept(record("open")), Accept(record("over"))])
     one(a, Finish("over", SERVED))
     host.outlive(b)
-    assert [each.id for each in b.adopt()] == ["open"] and b.folder.store("a.1").exists()
+    assert [each.id for each in b.take_over()] == ["open"] and b.folder.store_path("a.1").exists()
     one(b, Finish("open", SERVED))
     host.live(30_000.0, b)
-    assert b.folder.store("a.1").exists(), "its process is there, and may be writing"
+    assert b.folder.store_path("a.1").exists(), "its process is there, and may be writing"
     host.live(12_000.0, a, b)
-    assert not b.folder.store("a.1").exists() and b.find("over") is None
+    assert not b.folder.store_path("a.1").exists() and b.find("over") is None
     assert not (host.settings.folder / "ids" / hashed("over")[:2] / hashed("over")).is_symlink()
     a.close()
     b.close()
@@ -485,21 +501,21 @@
     told = json.loads(about.read_text())
     about.write_text(json.dumps({**told, "boot": "another", "offset": told["offset"] + 2000.0}))
     host.outlive(b)
-    [found] = b.adopt()
+    [found] = b.take_over()
     assert found.due == pytest.approx(52_000.0, abs=1.0)
-    assert found.legs[0].sent == pytest.approx(3000.0, abs=1.0)
+    assert found.attempts[0].sent == pytest.approx(3000.0, abs=1.0)
 
 
 def test_a_folder_of_another_form_or_none_is_refused_by_name(tmp_path):
     with pytest.raises(FolderError, match="holds no work in hand"):
-        Folder(tmp_path, make=False)
-    Folder(tmp_path / "x")
+        SharedFolder(tmp_path, make=False)
+    SharedFolder(tmp_path / "x")
     (tmp_path / "x" / "form").write_text("9")
     with pytest.raises(FolderError, match=r"custody\.folder: .* is of form '9'"):
-        Folder(tmp_path / "x")
+        SharedFolder(tmp_path / "x")
     (tmp_path / "file").write_text("")
     with pytest.raises(FolderError, match=r"custody\.folder"):
-        Folder(tmp_path / "file")
+        SharedFolder(tmp_path / "file")
 
 
 SITE = Settings(
@@ -546,30 +562,30 @@
     @rule(number=st.integers(0, 2), job=st.integers(0, 3))
     def ask(self, number, job):
         outcome = one(self.member(number), Accept(record(f"j{job}")))
-        if isinstance(outcome, Over):
+        if isinstance(outcome, AlreadyFinal):
             assert self.answers[f"j{job}"] == outcome.record.answer
 
     @rule(number=st.integers(0, 2), job=st.integers(0, 3))
     def hand_out(self, number, job):
         """A claimed leg is sent at once, by whoever claimed it; a job that may have run is not sent again."""
         member, id_ = self.member(number), f"j{job}"
-        there = member._open.get(id_)
-        if there is not None and not there.legs and isinstance(one(member, Claim(id_, leg())), Claimed):
+        there = member.open_records.get(id_)
+        if there is not None and not there.attempts and isinstance(one(member, Claim(id_, leg())), Claimed):
             assert id_ not in self.claims, "sent twice"
-            self.claims[id_] = member.life
+            self.claims[id_] = member.incarnation
 
     @rule(number=st.integers(0, 2), job=st.integers(0, 3), kind=st.sampled_from(["served", "failed"]))
     def answer(self, number, job, kind):
         id_ = f"j{job}"
         answer = SERVED if kind == "served" else Answer(Verdict.FAILED, may_have_run=True)
-        if one(self.member(number), Finish(id_, answer)) is True:
+        if one(self.member(number), Finish(id_, answer)) == Written():
             assert self.answers.setdefault(id_, answer) == answer, "answered twice"
 
     @rule(number=st.integers(0, 2))
     def never_ran(self, number):
         member = self.member(number)
-        for id_ in list(member._open):
-            if self.claims.get(id_) == member.life and one(member, Unclaim(id_, 0)) is True:
+        for id_ in list(member.open_records):
+            if self.claims.get(id_) == member.incarnation and one(member, ReleaseClaim(id_, 0)) == Written():
                 del self.claims[id_]
 
     @rule(number=st.integers(0, 2))
@@ -580,22 +596,22 @@
     @precondition(lambda self: self.stopped)
     @rule()
     def wake(self):
-        self.members[self.stopped.pop()].look()
+        self.members[self.stopped.pop()].tick()
 
     @rule()
     def take_over(self):
         for number, member in enumerate(self.members):
             if number not in self.stopped:
-                member.look()
-                for each in member.adopt():
+                member.tick()
+                for each in member.take_over():
                     assert each.id not in self.answers, "taken over though it has its answer"
-                    assert (each.id in self.claims) == bool(each.legs), "what may have run is forgotten"
+                    assert (each.id in self.claims) == bool(each.attempts), "what may have run is forgotten"
 
     @invariant()
     def one_owner(self):
         for job in range(4):
-            alive = [m for m in self.members if m.life and not m.folder.fenced(m.life)]
-            owners = [m.life for m in alive if f"j{job}" in m._open]
+            alive = [m for m in self.members if m.incarnation and not m.folder.fences.exists(m.incarnation)]
+            owners = [m.incarnation for m in alive if f"j{job}" in m.open_records]
             assert len(owners) <= 1
 
     def teardown(self):
--- a/tests/test_durable_requests_on_failing_disk.py
+++ b/tests/test_durable_requests_on_failing_disk.py
@@ -14,24 +14,26 @@
 from test_durable_requests_members import LEASE, SERVED, Host, leg, one, record
 
 from eiderfield.durable_requests import store as store_module
-from eiderfield.durable_requests.folder import FolderError
-from eiderfield.durable_requests.keeper import Keeper
-from eiderfield.durable_requests.lease import chain_of
-from eiderfield.durable_requests.member import (
+from eiderfield.durable_requests.coordinator import DurableRequestCoordinator
+from eiderfield.durable_requests.errors import FolderError, StoreError
+from eiderfield.durable_requests.inspection import Inspection
+from eiderfield.durable_requests.member import Member
+from eiderfield.durable_requests.messages import (
     Accept,
+    Accepted,
+    AlreadyAccepted,
+    AlreadyFinal,
     Claim,
     Claimed,
     Finish,
-    Joined,
-    Member,
-    Over,
-    Refused,
-    Taken,
+    NotOwned,
+    NotWritten,
+    Written,
 )
+from eiderfield.durable_requests.ownership import ownership_chain
 from eiderfield.durable_requests.record import Stage
-from eiderfield.durable_requests.settings import Custody
-from eiderfield.durable_requests.store import Store, StoreError
-from eiderfield.durable_requests.survey import Survey
+from eiderfield.durable_requests.settings import DurableRequestSettings
+from eiderfield.durable_requests.store import RecordStore
 from eiderfield.exchange import Request, Verdict
 from eiderfield.machine import unix_offset
 
@@ -60,18 +62,18 @@
         """One look of each member that is not lost, and the disk's recovery once its time has come."""
         if self.faults.failed and self.heals_at == float("inf") and self.faults.kind:
             self.heals_at = self.host.now + self.span
-        self.host.now += self.host.settings.look
+        self.host.now += self.host.settings.tick
         if self.host.now >= self.heals_at:
             self.faults.heal()
         for name, member in self.members.items():
             if name not in self.lost:
-                member.look()
-                for each in member.adopt():
+                member.tick()
+                for each in member.take_over():
                     self.adopted(each)
 
     def adopted(self, each):
         assert each.id not in self.answers, "taken over though it has its answer"
-        assert each.legs or each.id not in self.sent, "what may have run is forgotten"
+        assert each.attempts or each.id not in self.sent, "what may have run is forgotten"
 
     def begin(self, name):
         """As `Keeper.begin`: what passes stops no start."""
@@ -86,7 +88,7 @@
 
     def owner(self, id_):
         alive = [m for name, m in self.members.items() if name not in self.lost]
-        owners = [member for member in alive if id_ in member._open]
+        owners = [member for member in alive if id_ in member.open_records]
         assert len(owners) <= 1, "two owners"
         return owners[0] if owners else None
 
@@ -95,13 +97,13 @@
         for turn in range(PATIENCE):
             alive = [m for name, m in self.members.items() if name not in self.lost]
             outcome = one(alive[turn % len(alive)], Accept(record(id_)))
-            if isinstance(outcome, Taken):
+            if isinstance(outcome, Accepted):
                 assert id_ not in self.taken, "taken twice"
                 self.taken.add(id_)
-            if isinstance(outcome, Taken | Over):
+            if isinstance(outcome, Accepted | AlreadyFinal):
                 return
-            assert isinstance(outcome, Joined | Refused)
-            if isinstance(outcome, Joined) and self.owner(id_) is not None:
+            assert isinstance(outcome, AlreadyAccepted | NotWritten)
+            if isinstance(outcome, AlreadyAccepted) and self.owner(id_) is not None:
                 return
             self.wait()
         raise AssertionError(f"{id_} was never taken")
@@ -109,11 +111,11 @@
     def claim(self, id_):
         for _ in range(PATIENCE):
             member = self.owner(id_)
-            if member is not None and member._open[id_].legs:
+            if member is not None and member.open_records[id_].attempts:
                 return  # written down by a claim whose outcome nobody heard
             if member is not None and isinstance(one(member, Claim(id_, leg())), Claimed):
                 assert id_ not in self.sent, "sent twice"
-                self.sent[id_] = member.life
+                self.sent[id_] = member.incarnation
                 return
             self.wait()
         raise AssertionError(f"{id_} was never claimed")
@@ -121,7 +123,7 @@
     def answer(self, id_):
         for _ in range(PATIENCE):
             member = self.owner(id_)
-            if member is not None and one(member, Finish(id_, SERVED)) is True:
+            if member is not None and one(member, Finish(id_, SERVED)) == Written():
                 self.answers[id_] = SERVED
                 return
             if member is None and self.is_final(id_):
@@ -162,7 +164,7 @@
         assert set(self.answers) | {id_ for id_ in JOBS if self.is_final(id_)} == set(JOBS)
         for member in self.members.values():
             member.close()
-        survey = Survey(self.host.settings.folder)
+        survey = Inspection(self.host.settings.folder)
         jobs = {known.record.id: known.record for known in survey.jobs()}
         assert {id_: each.stage for id_, each in jobs.items()} == dict.fromkeys(JOBS, Stage.FINAL)
         assert survey.verify() == []
@@ -208,15 +210,15 @@
         member = play.members["a"]
         settle(play, 2)
         with faults.paused():
-            assert one(member, Accept(record("first"))) == Taken()
-        monkeypatch.setattr(member, "point", lambda name: faults.fail("look", BROKEN, 1, 1))
-        assert one(member, Claim("first", leg())) is False and member.life == ""
+            assert one(member, Accept(record("first"))) == Accepted()
+        monkeypatch.setattr(member, "point", lambda name: faults.fail("look", BROKEN, 2, 1))
+        assert one(member, Claim("first", leg())) == NotOwned() and member.incarnation == ""
         monkeypatch.undo()
         taken_over = []
         monkeypatch.setattr(play, "adopted", taken_over.append)
         settle(play)
-        assert member.life == "a.2"
-        assert [(each.id, len(each.legs)) for each in taken_over] == [("first", 1)]
+        assert member.incarnation == "a.2"
+        assert [(each.id, len(each.attempts)) for each in taken_over] == [("first", 1)]
 
 
 def test_an_id_that_could_not_be_let_go_is_free_once_the_disk_is_well(tmp_path, monkeypatch):
@@ -226,24 +228,24 @@
         play.begin("b")
         settle(play, 2)
         a, b = play.members.values()
-        monkeypatch.setattr(a.folder, "let_go", broken)
+        monkeypatch.setattr(a.folder.ids, "release", broken)
         faults.fail("database write", FULL)
-        assert isinstance(one(a, Accept(record("j"))), Refused)
+        assert isinstance(one(a, Accept(record("j"))), NotWritten)
         faults.heal()
-        assert one(b, Accept(record("j"))) == Joined("j"), "its taker may still write it"
+        assert one(b, Accept(record("j"))) == AlreadyAccepted("j"), "its taker may still write it"
         monkeypatch.undo()
         settle(play, 1)
-        assert one(b, Accept(record("j"))) == Taken()
+        assert one(b, Accept(record("j"))) == Accepted()
 
 
 def test_an_id_that_was_taken_and_not_written_down_is_its_takers_at_once(tmp_path, monkeypatch):
     host = Host(tmp_path)
     a = host.member("a")
-    monkeypatch.setattr(a.folder, "let_go", broken)
+    monkeypatch.setattr(a.folder.ids, "release", broken)
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("database write", BROKEN)
-        assert isinstance(one(a, Accept(record("j"))), Refused)
-    assert one(a, Accept(record("j"))) == Taken() and a.folder.holder("j") == (1, "a.1")
+        assert isinstance(one(a, Accept(record("j"))), NotWritten)
+    assert one(a, Accept(record("j"))) == Accepted() and a.folder.ids.holder("j") == (1, "a.1")
     a.close()
 
 
@@ -256,13 +258,13 @@
     host = Host(tmp_path)
     a, b, c = (host.member(name) for name in "abc")
     fences = {"a.1": ("b.1", "c.1")}
-    id_ = next(id_ for id_ in map(str, range(99)) if chain_of(id_, "a.1", fences)[-1] == "c.1")
-    a._store.begin()
-    a._store.put(record(id_))
-    a._store.commit()  # as recovered from the journal of a killed process, whose asker was refused
-    assert one(b, Accept(record(id_))) == Taken()
+    id_ = next(id_ for id_ in map(str, range(99)) if ownership_chain(id_, "a.1", fences)[-1] == "c.1")
+    a.current.store.begin()
+    a.current.store.put(record(id_))
+    a.current.store.commit()  # as recovered from the journal of a killed process, whose asker was refused
+    assert one(b, Accept(record(id_))) == Accepted()
     host.outlive(b, c)
-    assert (b.adopt(), c.adopt(), b.held) == ([], [], 1)
+    assert (b.take_over(), c.take_over(), len(b.open_records)) == ([], [], 1)
     for member in (a, b, c):
         member.close()
 
@@ -272,16 +274,16 @@
     host = Host(tmp_path)
     a, b, c = (host.member(name) for name in "abc")
     fences = {"a.1": ("b.1", "c.1"), "b.1": ("c.1",)}
-    id_ = next(id_ for id_ in map(str, range(99)) if "b.1" in chain_of(id_, "a.1", fences))
-    assert one(a, Accept(record(id_))) == Taken()
-    b._end_life()
+    id_ = next(id_ for id_ in map(str, range(99)) if "b.1" in ownership_chain(id_, "a.1", fences))
+    assert one(a, Accept(record(id_))) == Accepted()
+    b.end_incarnation()
     for end in ("", "-wal", "-shm"):
         (host.settings.folder / "lives" / f"b.1.db{end}").unlink(missing_ok=True)
     (host.settings.folder / "lives" / "b.1.db").touch()
-    c.folder.fence("a.1", ["b.1", "c.1"], "c.1", "test")
+    c.folder.fences.create("a.1", ["b.1", "c.1"], "c.1", "test")
     host.outlive(c)
-    assert [each.id for each in c.adopt()] == [id_]
-    assert Survey(host.settings.folder).verify() == []
+    assert [each.id for each in c.take_over()] == [id_]
+    assert Inspection(host.settings.folder).verify() == []
     for member in (a, c):
         member.close()
 
@@ -291,13 +293,13 @@
     host, a, b = host_with_two
     one(a, Accept(record("j")))
     one(a, Finish("j", SERVED))
-    [over] = a._store.stale(host.now + 1.0, 0, 0)
+    [over] = a.current.store.stale(host.now + 1.0, 0, 0)
     with monkeypatch.context() as refused:
-        refused.setattr(a._store, "forget", broken)
-        a._forget([over])
-    assert one(b, Accept(record("j"))) == Taken()
-    a._forget([over])
-    assert b.folder.holder("j") == (1, "b.1") and one(a, Accept(record("j"))) == Joined("j")
+        refused.setattr(a.current.store, "forget", broken)
+        a.retention.forget(a.current, [over])
+    assert one(b, Accept(record("j"))) == Accepted()
+    a.retention.forget(a.current, [over])
+    assert b.folder.ids.holder("j") == (1, "b.1") and one(a, Accept(record("j"))) == AlreadyAccepted("j")
 
 
 @pytest.fixture
@@ -310,15 +312,15 @@
 
 
 def test_a_member_file_that_cannot_be_read_ends_no_job(host_with_two, tmp_path, monkeypatch):
-    """Taken for one of another boot, its times would lie in the past."""
+    """Accepted for one of another boot, its times would lie in the past."""
     host, a, b = host_with_two
     one(a, Accept(record("j", due=host.now + 60_000.0)))
     host.outlive(b)
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("open", BROKEN)
-        assert b.adopt() == [] and faults.failed == 1
+        assert b.take_over() == [] and faults.failed == 1
     host.live(1500.0, b)
-    assert [(each.id, each.due) for each in b.adopt()] == [("j", 61_000.0)]
+    assert [(each.id, each.due) for each in b.take_over()] == [("j", 61_000.0)]
 
 
 def test_a_store_cut_at_any_byte_of_its_last_record_keeps_all_that_was_told_before(tmp_path, monkeypatch):
@@ -326,11 +328,11 @@
     monkeypatch.setattr(store_module, "PAGE", 512)  # fewer bytes to cut at
     host = Host(tmp_path / "whole")
     member = host.member("a")
-    assert one(member, Accept(record("kept"))) == Taken()
+    assert one(member, Accept(record("kept"))) == Accepted()
     assert isinstance(one(member, Claim("kept", leg())), Claimed)
     journal = host.settings.folder / "lives" / "a.1.db-wal"
     before = journal.stat().st_size
-    assert one(member, Accept(record("last"))) == Taken()
+    assert one(member, Accept(record("last"))) == Accepted()
     whole, base = journal.read_bytes(), (host.settings.folder / "lives" / "a.1.db").read_bytes()
     member.close()
     assert len(whole) > before
@@ -340,7 +342,7 @@
             path.with_name(f"cut.db{end}").unlink(missing_ok=True)
         path.write_bytes(base)
         path.with_name("cut.db-wal").write_bytes(whole[:size])
-        store = Store(path, write=False)
+        store = RecordStore(path, write=False)
         found = {each.id: each.stage for each in store.records()}
         store.close()
         assert found.pop("kept") == Stage.CLAIMED
@@ -354,7 +356,7 @@
     a, b = host.member("a"), host.member("b")
     one(a, Accept(record("j")))
     one(a, Accept(record("wished")))
-    a.folder.wish("wished")
+    a.folder.end_requests.add("wished")
     if part.startswith("fences"):
         a.leave()
     path = host.settings.folder / part
@@ -363,7 +365,7 @@
     for size in range(len(whole)):
         path.write_bytes(whole[:size])
         fresh = host.member(f"n{size}")
-        assert fresh.look() and one(fresh, Accept(record(f"job-{size}"))) == Taken()
+        assert fresh.tick() and one(fresh, Accept(record(f"job-{size}"))) == Accepted()
         fresh.close()
     path.write_bytes(whole)
     assert not [line for line in host.said if "Error" in line]
@@ -375,28 +377,28 @@
 
 
 class Loop:
-    """A keeper in the loop of a dispatcher, whose writer's turns are the test's: no thread, no waiting."""
+    """A coordinator in the loop, whose writer's turns are the test's: no thread, no waiting."""
 
     def __init__(self, folder, cls=0):
         self.dispatcher = InMemoryDispatcher(workers=1)
-        settings = Custody(folder, frozenset({cls}), lease=600_000.0)
+        settings = DurableRequestSettings(folder, frozenset({cls}), lease=600_000.0)
         self.calls, self.answers = [], []
         dispatcher = self.dispatcher
         call, log = self.calls.append, dispatcher.logged.append
-        self.keeper = Keeper(
+        self.coordinator = DurableRequestCoordinator(
             settings, "a", dispatcher.exchange, dispatcher.ids, dispatcher.wheel, dispatcher.clock, call, log
         )
-        self.keeper.begin()
-        self.keeper.member.look()
+        self.coordinator.begin()
+        self.coordinator.member.tick()
         request = Request("j", cls, dispatcher.now + 4000.0, "/safe/x")
-        self.keeper.take(request, self.answers.append)
+        self.coordinator.take(request, self.answers.append)
 
     def play(self, span=200.0):
         """Lets time pass in small steps, with the writer's turns between."""
-        writer = self.keeper._writer
+        writer = self.coordinator.thread
         for _ in range(int(span / 10.0)):
             group = [writer._queue.popleft() for _ in range(len(writer._queue))]
-            writer.turn(group)
+            writer.run_turn(group)
             while self.calls:
                 self.calls.pop(0)()
             self.dispatcher.settle()
@@ -404,14 +406,14 @@
 
     @property
     def stage(self):
-        return self.keeper.member.find("j").stage
+        return self.coordinator.member.find("j").stage
 
 
 @pytest.fixture
 def loop(tmp_path):
     loop = Loop(tmp_path / "custody")
     yield loop
-    loop.keeper.member.close()
+    loop.coordinator.member.close()
 
 
 def test_an_answer_that_was_told_on_a_full_disk_is_written_once_the_disk_is_well(loop, tmp_path, monkeypatch):
@@ -422,16 +424,16 @@
         end.finish()
         loop.play(1000.0)
         assert [answer.verdict for answer in loop.answers] == [Verdict.SERVED]
-        assert loop.stage == Stage.CLAIMED and loop.keeper.idle, "it would hold up no end"
+        assert loop.stage == Stage.CLAIMED and loop.coordinator.idle, "it would hold up no end"
         faults.heal()
         loop.play(2000.0)
-    assert loop.stage == Stage.FINAL and loop.keeper.member.held == 0
+    assert loop.stage == Stage.FINAL and len(loop.coordinator.member.open_records) == 0
     assert len(loop.answers) == 1
 
 
 def test_an_attempt_waits_for_the_disk_and_the_job_is_served_after_that(loop, tmp_path, monkeypatch):
     with failing_files(tmp_path, monkeypatch) as faults:
-        monkeypatch.setattr(loop.keeper, "claim", fails_from_here(faults, loop.keeper.claim))
+        monkeypatch.setattr(loop.coordinator, "claim", fails_from_here(faults, loop.coordinator.claim))
         loop.play(600.0)
         assert faults.failed and loop.stage == Stage.ACCEPTED
         assert not loop.dispatcher.dials and not loop.dispatcher.ends, "sent without a claim"
@@ -454,15 +456,15 @@
 
 
 def test_each_change_hears_once_what_came_of_it_whatever_else_fails(loop, monkeypatch):
-    monkeypatch.setattr(loop.keeper.member, "look", broken)
-    monkeypatch.setattr(loop.keeper.member, "adopt", broken)
-    monkeypatch.setattr(loop.keeper.member, "polled", broken)
+    monkeypatch.setattr(loop.coordinator.member, "tick", broken)
+    monkeypatch.setattr(loop.coordinator.member, "take_over", broken)
+    monkeypatch.setattr(loop.coordinator.member, "poll_answers", broken)
     heard = []
-    loop.keeper._writer.watch("other")
-    loop.keeper._writer.turn([(Accept(record("k")), heard.append)])
+    loop.coordinator.thread.watch("other")
+    loop.coordinator.thread.run_turn([(Accept(record("k")), heard.append)])
     for call in loop.calls:
         call()
-    assert heard == [Taken()]
+    assert heard == [Accepted()]
 
 
 # What passes stops no start.
@@ -479,11 +481,11 @@
         play.begin("a")
         settle(play, 30)
         [member] = play.members.values()
-        assert member.life == "" and isinstance(one(member, Accept(record("j"))), Refused)
+        assert member.incarnation == "" and isinstance(one(member, Accept(record("j"))), NotWritten)
         faults.heal()
         settle(play, 20)
-        assert member.life == "a.1", "a name for each try would fill the disk"
-        assert one(member, Accept(record("j"))) == Taken()
+        assert member.incarnation == "a.1", "a name for each try would fill the disk"
+        assert one(member, Accept(record("j"))) == Accepted()
         member.close()
 
 
@@ -495,12 +497,12 @@
         assert [answer.verdict for answer in loop.answers] == [Verdict.DECLINED]
         assert any("no life could be begun" in line for line in loop.dispatcher.logged)
         faults.heal()
-    assert loop.keeper.member.life == ""
-    loop.keeper.member.begin()
-    loop.keeper.take(Request("k", 0, loop.dispatcher.now + 4000.0, "/safe/x"), loop.answers.append)
+    assert loop.coordinator.member.incarnation == ""
+    loop.coordinator.member.begin()
+    loop.coordinator.take(Request("k", 0, loop.dispatcher.now + 4000.0, "/safe/x"), loop.answers.append)
     loop.play(30.0)
-    assert loop.dispatcher.dials and loop.keeper.member.find("k") is not None
-    loop.keeper.member.close()
+    assert loop.dispatcher.dials and loop.coordinator.member.find("k") is not None
+    loop.coordinator.member.close()
 
 
 def test_what_only_an_operator_can_mend_stops_the_start(tmp_path):
@@ -521,9 +523,9 @@
     real = time.time
     monkeypatch.setattr(time, "time", lambda: real() + step)
     host.live(2.0 * LEASE, a, b)
-    assert (a.life, b.life) == ("a.1", "b.1") and a.lease.holds(host.now)
+    assert (a.incarnation, b.incarnation) == ("a.1", "b.1") and a.holds_lease(host.now)
     host.outlive(b)
-    assert [(each.id, each.due) for each in b.adopt()] == [("j", 61_000.0)]
+    assert [(each.id, each.due) for each in b.take_over()] == [("j", 61_000.0)]
 
 
 @pytest.mark.parametrize("step", [5.0, 3600.0, -5.0, -3600.0])
@@ -533,13 +535,13 @@
     one(a, Accept(record("j", at=host.now, due=host.now + 60_000.0)))
     real = time.time
     monkeypatch.setattr(time, "time", lambda: real() + step)
-    host.live(2.0 * host.settings.look, a, b)
+    host.live(2.0 * host.settings.tick, a, b)
     about = host.settings.folder / "members" / "a.1"
     told = json.loads(about.read_text())
     about.write_text(json.dumps({**told, "boot": "before"}))
-    b.folder.offset = unix_offset()
+    b.folder.incarnations.offset = unix_offset()
     host.outlive(b)
-    [found] = b.adopt()
+    [found] = b.take_over()
     assert found.due == pytest.approx(61_000.0, abs=50.0) and found.accepted == pytest.approx(
         1000.0, abs=50.0
     )
@@ -553,6 +555,6 @@
     told = json.loads(about.read_text())
     about.write_text(json.dumps({**told, "boot": "before", "offset": told["offset"] + 3_600_000.0}))
     host.outlive(b)
-    [found] = b.adopt()
+    [found] = b.take_over()
     assert found.due <= host.now + 60_000.0
-    assert found.accepted <= host.now and found.legs[0].sent <= host.now
+    assert found.accepted <= host.now and found.attempts[0].sent <= host.now
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import dataclasses
 import json
 import shutil
 import sqlite3
@@ -10,11 +9,11 @@
 
 import pytest
 
+from eiderfield.durable_requests.inspection import Inspection
 from eiderfield.durable_requests.member import Member
 from eiderfield.durable_requests.record import Stage
-from eiderfield.durable_requests.settings import Custody
-from eiderfield.durable_requests.store import SCHEMA, Store
-from eiderfield.durable_requests.survey import Survey
+from eiderfield.durable_requests.settings import DurableRequestSettings
+from eiderfield.durable_requests.store import COLUMNS, SCHEMA, RecordStore, encode
 from eiderfield.net.bans import Bans
 from eiderfield.rollout.course import Course
 from eiderfield.rollout.journal import JournalError, read
@@ -74,28 +73,29 @@
 
 def fields_of(record):
     """A record by its stored names."""
-    fields = dataclasses.asdict(record)
+    fields = dict(zip(COLUMNS, encode(record), strict=True))
     fields["body"], fields["result"] = record.body.hex(), record.result.hex()
-    fields["legs"] = [each.told() for each in record.legs]
-    return plain(fields)
+    fields["head"], fields["legs"] = json.loads(fields["head"]), json.loads(fields["legs"])
+    fields["may_have_run"] = bool(fields["may_have_run"])
+    return fields
 
 
 def test_a_folder_of_kept_jobs_keeps_its_meaning(golden_folder):
     folder, told = golden_folder
-    survey = Survey(folder)
+    survey = Inspection(folder)
     jobs = {known.record.id: known for known in survey.jobs()}
     assert sorted(jobs) == sorted(told["jobs"])
     for id_, known in jobs.items():
         assert fields_of(known.record) == told["jobs"][id_]["record"]
         assert known.owner == told["jobs"][id_]["owner"]
         assert list(known.chain) == told["jobs"][id_]["chain"]
-        assert list(survey.folder.holder(id_)) == told["jobs"][id_]["holder"]
-    lives = survey.folder.lives()
+        assert list(survey.folder.ids.holder(id_)) == told["jobs"][id_]["holder"]
+    lives = survey.folder.incarnations.all(besides=survey.fences)
     assert sorted(lives) == sorted(told["lives"])
     assert plain(survey.fences) == told["fences"]
-    assert survey.folder.beats(lives) == told["beats"]
-    assert survey.folder.wishes() == told["wishes"]
-    assert plain(survey.folder.holder("never-written")) == told["orphan"]
+    assert survey.folder.incarnations.heartbeats(lives) == told["beats"]
+    assert survey.folder.end_requests.all() == told["wishes"]
+    assert plain(survey.folder.ids.holder("never-written")) == told["orphan"]
     assert survey.verify() == told["verify"] and survey.faults == told["faults"]
 
 
@@ -103,21 +103,21 @@
     """All processes of the folder are gone; their boot was another, and their jobs are due on its clock."""
     folder, told = golden_folder
     now = [1000.0]
-    settings = Custody(folder, frozenset({0}), lease=LEASE)
+    settings = DurableRequestSettings(folder, frozenset({0}), lease=LEASE)
     member = Member(settings, "n9", {"report": 3.0}, lambda line: None, lambda: now[0])
     member.begin()
     found = {}
     for _ in range(60):
-        now[0] += settings.look
-        member.look()
-        found.update({record.id: record for record in member.adopt()})
+        now[0] += settings.tick
+        member.tick()
+        found.update({record.id: record for record in member.take_over()})
     member.close()
     stored = {id_: job["record"] for id_, job in told["jobs"].items()}
     still_open = {id_ for id_, record in stored.items() if record["stage"] != Stage.FINAL}
     assert set(found) == still_open
     for id_, record in found.items():
-        assert record.taken == stored[id_]["taken"] + 1
-        assert [note.worker for note in record.legs] == [leg[1] for leg in stored[id_]["legs"]]
+        assert record.takeovers == stored[id_]["taken"] + 1
+        assert [note.worker for note in record.attempts] == [leg[1] for leg in stored[id_]["legs"]]
         assert record.body.hex() == stored[id_]["body"]
 
 
@@ -126,9 +126,9 @@
     with sqlite3.connect(path) as database:
         database.executescript((GOLDEN / "custody" / "first_schema.sql").read_text())
     database.close()
-    as_it_is = Store(path, write=False).get("j")
-    assert as_it_is.due == 9.0 and as_it_is.stage == Stage.CLAIMED and as_it_is.legs[0].worker == "w0"
-    brought_up = Store(path)
+    as_it_is = RecordStore(path, write=False).get("j")
+    assert as_it_is.due == 9.0 and as_it_is.stage == Stage.CLAIMED and as_it_is.attempts[0].worker == "w0"
+    brought_up = RecordStore(path)
     assert brought_up.version == SCHEMA and brought_up.get("j") == as_it_is
 
 
