--- a/eiderfield/net/__init__.py
+++ b/eiderfield/net/__init__.py
@@ -1,1 +1,4 @@
-"""The platform's protocol on sockets: the client side, the worker side and the routing table's watch."""
+"""The adapters on sockets: the event loop, HTTP, clients, workers, discovery, peers, console and handover.
+
+They know the exchange, and it knows none of them.
+"""
--- a/eiderfield/net/peer_filter.py
+++ b/eiderfield/net/peer_filter.py
@@ -34,6 +34,14 @@
     OUT_OF_ORDER = "out_of_order"
 
 
+@dataclass(slots=True, frozen=True)
+class Received:
+    """What became of a message, and what it says if it is heard."""
+
+    reception: Reception
+    data: bytes = b""
+
+
 @dataclass(slots=True, frozen=True)
 class Envelope:
     """Who speaks in which life, and which of its messages this is."""
@@ -82,21 +90,21 @@
         self._last: dict[int, _LastHeard] = {}
         self._credits: dict[int, _Credit] = {}
 
-    def receive(self, peer: int, message: bytes) -> tuple[Reception, bytes]:
-        """What becomes of a peer's message, and what it says if it is heard."""
+    def receive(self, peer: int, message: bytes) -> Received:
+        """What becomes of a peer's message."""
         if not self._spend_credit(peer):
-            return Reception.FLOOD, b""
+            return Received(Reception.FLOOD)
         if not _ENVELOPE.size <= len(message) <= MAX_MESSAGE:
-            return Reception.MALFORMED, b""
+            return Received(Reception.MALFORMED)
         form, life, number = _ENVELOPE.unpack_from(message)
         if form != FORM:
-            return Reception.OTHER_FORM, b""
+            return Received(Reception.OTHER_FORM)
         envelope = Envelope(life, number)
         reception = self._order(peer, envelope)
         if reception is not Reception.HEARD:
-            return reception, b""
+            return Received(reception)
         self._last[peer] = _LastHeard(envelope, self._clock())
-        return Reception.HEARD, message[_ENVELOPE.size :]
+        return Received(Reception.HEARD, message[_ENVELOPE.size :])
 
     def _order(self, peer: int, envelope: Envelope) -> Reception:
         last = self._last.get(peer)
--- a/eiderfield/net/peers.py
+++ b/eiderfield/net/peers.py
@@ -128,10 +128,10 @@
         peer = self._numbers.get(address)
         if peer is None:
             return Reception.STRANGER
-        reception, data = self._filter.receive(peer, message)
-        if reception is Reception.HEARD:
-            self._on_message(peer, data)
-        return reception
+        received = self._filter.receive(peer, message)
+        if received.reception is Reception.HEARD:
+            self._on_message(peer, received.data)
+        return received.reception
 
 
 def _bound(address: Address) -> socket.socket:
