--- a/eiderfield/net/http/head.py
+++ b/eiderfield/net/http/head.py
@@ -87,10 +87,15 @@
     length: int = 0
 
 
+_NO_BODY = Framing(BodyEnd.NONE)
+_CHUNKED = Framing(BodyEnd.CHUNKED)
+_TO_CLOSE = Framing(BodyEnd.CLOSE)
+
+
 def framing_of(head: Head, is_answer: bool) -> Framing:
     """The framing that a head tells."""
     if is_answer and (head.status < 200 or head.status in (_NO_CONTENT, _NOT_MODIFIED)):
-        return Framing(BodyEnd.NONE)
+        return _NO_BODY
     if head.get("transfer-encoding"):
         return _coded_framing(head)
     if "content-length" in head.headers:
@@ -98,10 +103,10 @@
         if not _DIGITS.match(text):
             raise MalformedMessageError("the length is not a number")
         length = int(text)
-        return Framing(BodyEnd.LENGTH if length else BodyEnd.NONE, length)
+        return Framing(BodyEnd.LENGTH, length) if length else _NO_BODY
     if "transfer-encoding" in head.headers:
         raise MalformedMessageError("the transfer coding is empty")
-    return Framing(BodyEnd.CLOSE if is_answer else BodyEnd.NONE)
+    return _TO_CLOSE if is_answer else _NO_BODY
 
 
 def _coded_framing(head: Head) -> Framing:
@@ -110,4 +115,4 @@
     coding = head.get("transfer-encoding")
     if coding.lower() != "chunked" or head.version == 0:
         raise MalformedMessageError("this transfer coding is not spoken here")
-    return Framing(BodyEnd.CHUNKED)
+    return _CHUNKED
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -20,7 +20,6 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 from enum import Enum
-from math import inf
 from typing import TYPE_CHECKING
 
 from eiderfield.exchange import Leg, Timer
@@ -84,7 +83,7 @@
         self.load: Load | None = load
         self.pending_dial: PendingDial | None = None
         self.timer: Timer | None = None
-        self.heard_at = -inf  # when the worker's bytes came last
+        self.last_read = 0  # the pool's count of reads when bytes came here last
         self._head: Head | None = None
         self._transport: asyncio.Transport | None = None
         self._parser = Parser(answers=True, max_body=0)
@@ -92,7 +91,7 @@
         self._flushed = True  # whether all that was written has left
         self._reused = False  # whether it carried something before
         self._delayed = False  # whether a fault of this host held the connection up
-        self._dialled_at = pool.now()
+        self._reads_before = pool.reads
 
     # What asyncio calls.
 
@@ -115,7 +114,7 @@
         """Bytes have come."""
         if self.phase == Phase.CLOSED:
             return
-        self.heard_at = self.pool.now()
+        self.last_read = self.pool.count_read()
         if self.phase == Phase.IDLE:  # nothing was asked: what comes now would pass for the next answer
             self.close()
             return
@@ -195,7 +194,7 @@
         """A fault of this host held the connection up; it is tried again until the dial's time is over."""
         if self.phase != Phase.DIALLING:
             return
-        if cause is Cause.ROUTE and self.pool.heard_others(self.worker, self._dialled_at):
+        if cause is Cause.ROUTE and self.pool.heard_others(self.worker, self._reads_before):
             self._delayed = False  # the same host reaches the others: the fault is this address's
             self.on_dial_failed()
             return
--- a/eiderfield/net/worker_pool.py
+++ b/eiderfield/net/worker_pool.py
@@ -45,6 +45,7 @@
         self._dial = dial
         self.set_timeouts(dial_timeout, idle_timeout)
         self._max_connections = self._configured_connections = max_connections
+        self.reads = 0  # how often bytes came on any connection
         self._addresses: dict[int, Address] = {}
         self._distrusted_until: dict[int, float] = {}  # until when a worker's connections are used once
         self._connections: set[WorkerConnection] = set()
@@ -126,9 +127,10 @@
 
     # What connections call.
 
-    def now(self) -> float:
-        """The time, in ms of the process's clock."""
-        return self._clock()
+    def count_read(self) -> int:
+        """Bytes have come on a connection; how often that was so far."""
+        self.reads += 1
+        return self.reads
 
     def may_write(self, leg: Leg) -> bool:
         """Whether an attempt whose connection is up may still begin."""
@@ -140,10 +142,10 @@
             return probe_request(load.wants_report)
         return attempt_request(load.job.request, self._clock())
 
-    def heard_others(self, worker: int, since: float) -> bool:
-        """Whether bytes have come from any other worker since a moment."""
+    def heard_others(self, worker: int, since: int) -> bool:
+        """Whether bytes have come from any other worker since the pool's count of reads was `since`."""
         others = (connection for connection in self._connections if connection.worker != worker)
-        return any(connection.heard_at > since for connection in others)
+        return any(connection.last_read > since for connection in others)
 
     def report_failure(self, load: Load | None, outcome: Outcome) -> None:
         """An attempt or a health check ended without an answer."""
