--- a/eiderfield/net/backoff.py
+++ b/eiderfield/net/backoff.py
@@ -47,11 +47,12 @@
 
 
 class Backoff:
-    """The waits of one dispatcher, the `number`-th of `sharers`, where a drain binds after `grace` ms."""
+    """The waits of one dispatcher."""
 
     def __init__(
         self, sharers: int = 1, number: int = 0, rng: Random | None = None, grace: float = 500.0
     ) -> None:
+        """It is the `number`-th of `sharers`, and a drain binds after `grace` ms."""
         weight = sharers if sharers > FEW_SHARERS else 1
         self.most = MAX_WAIT if weight > 1 else MAX_WAIT_OF_FEW  # the longest wait that `next_wait` draws
         self._initial_wait = self._wait = min(self.most, WAIT_PER_SHARER * weight)
--- a/eiderfield/net/wheel.py
+++ b/eiderfield/net/wheel.py
@@ -42,6 +42,7 @@
     __slots__ = ("call", "patient", "slot", "tick")
 
     def __init__(self, tick: int, call: Callable[[], object], patient: bool) -> None:
+        """The wheel makes it and puts it into a slot."""
         self.tick = tick
         self.call: Callable[[], object] | None = call
         self.patient = patient
@@ -64,6 +65,8 @@
         changed: Callable[[], None] = lambda: None,
         failed: Callable[[Exception], None] | None = None,
     ) -> None:
+        """`changed` is called when a timer is due before the time that `next_at` gave, `failed` for each
+        timer that raises; without it the error goes on."""
         self._levels: list[list[Slot | None]] = [[None] * SLOTS for _ in range(LEVELS)]
         self._occupied = [0] * LEVELS  # slots that may hold something
         self._cascading: deque[Timer] = deque()  # timers of a span that has begun, on their way down
