--- a/eiderfield/durable_requests/coordinator.py
+++ b/eiderfield/durable_requests/coordinator.py
@@ -52,14 +52,14 @@
 from eiderfield.durable_requests.waiters import Answered, Waiter
 from eiderfield.exchange import Answer, Exchange, Job, Leg, Request, Standing, Timers, Verdict
 from eiderfield.idmap import IdMap
-from eiderfield.interface import Effect, Entry
+from eiderfield.interface import Effect, Endpoint
 from eiderfield.machine import steady_ms
 
 EARLY = 20.0  # ms before its time is over that a request is decided, so that its answer can be recorded
 RETRY_AFTER = 1000.0  # ms after which somebody may come again whose request cannot be recorded
 ANSWER_TRIES = 3  # of recording an answer that was refused, before a served one is passed on without
 
-EarlierAttempts = tuple[tuple[Entry, float], ...]  # their workers, and when they were sent
+EarlierAttempts = tuple[tuple[Endpoint, float], ...]  # their workers, and when they were sent
 
 
 @dataclass(slots=True, eq=False)
@@ -424,10 +424,10 @@
         answer = Answer(Verdict.FAILED, may_have_run=attempts > 0, legs=attempts)
         self._finish(record.id, owned, answer, reason)
 
-    def _earlier(self, attempt: AttemptRecord, ahead: float) -> tuple[Entry, float]:
+    def _earlier(self, attempt: AttemptRecord, ahead: float) -> tuple[Endpoint, float]:
         worker = self._ids.worker(attempt.worker)
         known = self._exchange.entry(worker)
-        entry = Entry(worker, self._ids.zone(attempt.zone), known.kind, attempt.cell, known.state)
+        entry = Endpoint(worker, self._ids.zone(attempt.zone), known.kind, attempt.cell, known.state)
         return entry, attempt.sent + ahead
 
     def on_end_requested(self, ids: list[str]) -> None:
--- a/eiderfield/exchange.py
+++ b/eiderfield/exchange.py
@@ -21,34 +21,34 @@
     REPEAT,
     STARTED,
     Action,
-    Arrived,
-    Beside,
-    Cancel,
-    ClientGone,
-    CloseIdle,
-    Due,
+    AttemptEnded,
+    AttemptProgressed,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
     Effect,
-    Ended,
-    Entry,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Fail,
-    Fetch,
-    Listed,
-    ListKind,
-    Log,
-    Noted,
+    FailRequest,
+    FetchEndpoints,
+    LogMessage,
     Outcome,
-    PeerSaid,
-    Probe,
-    Probed,
-    Refuse,
-    Send,
+    PeerReportReceived,
+    ProbeCompleted,
+    ProbeWorker,
+    RejectRequest,
+    RequestReceived,
+    SendPeerReport,
     SetTimer,
     Settings,
+    SiblingReportReceived,
     Snapshot,
-    State,
-    Tell,
-    Watch,
+    StartAttempt,
+    TimerFired,
+    WatchEndpoints,
 )
 from eiderfield.policy.dispatcher import Dispatcher
 
@@ -224,8 +224,8 @@
         self.speaker: Speaker | None = None
         self._ids_beside: set[str] = set()  # those that the dispatcher's other process holds
         self._beside: set[int] = set()  # workers at which that process has legs out
-        self._table: dict[int, State] = {}
-        self._entries: dict[int, Entry] = {}  # all that were ever listed, as they were last
+        self._table: dict[int, EndpointState] = {}
+        self._entries: dict[int, Endpoint] = {}  # all that were ever listed, as they were last
         self.answers: Counter[tuple[int, Verdict]] = Counter()  # final answers so far, by class
         self.legs_written = 0  # legs whose last byte has left, so far
         self.in_time: Counter[int] = Counter()  # served within the class's aim so far, by class
@@ -236,17 +236,17 @@
         self._new: list[Job] = []  # that came since the last turn
         self._served: list[Job] = []  # and that were served
         self._takers: dict[type[Action], Callable[[Any, float], None]] = {
-            Send: self._send,
-            Cancel: self._cancel,
-            Refuse: self._refuse,
-            Fail: self._fail,
+            StartAttempt: self._send,
+            CancelAttempt: self._cancel,
+            RejectRequest: self._refuse,
+            FailRequest: self._fail,
             SetTimer: self._set_timer,
-            Probe: self._probe,
-            CloseIdle: self._close_idle,
-            Log: self._note,
-            Tell: self._tell,
-            Watch: self._follow,
-            Fetch: self._follow,
+            ProbeWorker: self._probe,
+            CloseIdleConnections: self._close_idle,
+            LogMessage: self._note,
+            SendPeerReport: self._tell,
+            WatchEndpoints: self._follow,
+            FetchEndpoints: self._follow,
         }
 
     def attach(self, legs: Legs) -> None:
@@ -256,7 +256,7 @@
     @property
     def knows_workers(self) -> bool:
         """Whether the routing table names a worker that may be sent to."""
-        return State.READY in self._table.values()
+        return EndpointState.READY in self._table.values()
 
     @property
     def unanswered(self) -> int:
@@ -296,7 +296,7 @@
 
     def submit(
         self, request: Request, answer: Callable[[Answer], None], kept: bool = False,
-        before: Iterable[tuple[Entry, float]] = (), client_waits: Callable[[], bool] | None = None,
+        before: Iterable[tuple[Endpoint, float]] = (), client_waits: Callable[[], bool] | None = None,
     ) -> int:  # fmt: skip
         """Takes a job. `answer` is called once, never before this returns.
 
@@ -318,7 +318,9 @@
         # The module answers just before the time ends; this guards against one that does not.
         job.timer = self._timers.at(a.due + self.site.answer_slack, lambda: self._overdue(job))
         flags = REPEAT if a.repeat else 0
-        self._post(Arrived(job.id, a.cls, a.due, a.tenant, a.subject, 0.0, a.slots, a.memory, flags, before))
+        self._post(
+            RequestReceived(job.id, a.cls, a.due, a.tenant, a.subject, 0.0, a.slots, a.memory, flags, before)
+        )
         return job.id
 
     def give_up(self, id_: int) -> None:
@@ -327,7 +329,7 @@
             self._finish(job)
             for leg in job.legs:
                 self._stop(leg, "taken over")
-            self._post(ClientGone(id_))
+            self._post(ClientDisconnected(id_))
 
     def withdraw(self, id_: int) -> Answer | None:
         """Ends a job that nobody waits for. None if it has its final answer already: that one wins."""
@@ -338,7 +340,7 @@
         self._finish(job)
         for leg in job.legs:
             self._stop(leg, "nobody waits")
-        self._post(ClientGone(id_))
+        self._post(ClientDisconnected(id_))
         return answer
 
     def standing(self, id_: int) -> Standing | None:
@@ -382,7 +384,7 @@
     def legs_beside(self, worker: int, out: int, work: float) -> None:
         """The other process has so many legs out at a worker and has just sent it so much work."""
         (self._beside.add if out else self._beside.discard)(worker)
-        self._post(Beside(worker, out, work))
+        self._post(SiblingReportReceived(worker, out, work))
 
     def alone(self) -> None:
         """There is no other process any more."""
@@ -393,13 +395,13 @@
 
     # Worker side and routing table.
 
-    def routing(self, kind: ListKind, version: int, entries: tuple[Entry, ...]) -> None:
+    def routing(self, kind: EndpointListKind, version: int, entries: tuple[Endpoint, ...]) -> None:
         """News of the routing table; binding at once for every leg that has not begun to be written."""
-        if kind != ListKind.DELTA:
-            self._table = dict.fromkeys(self._table, State.GONE)
+        if kind != EndpointListKind.DELTA:
+            self._table = dict.fromkeys(self._table, EndpointState.GONE)
         self._table.update((entry.worker, entry.state) for entry in entries)
         self._entries.update((entry.worker, entry) for entry in entries)
-        self._news.append(Listed(kind, version, entries))
+        self._news.append(EndpointsUpdated(kind, version, entries))
         self._wake()
 
     def may_write(self, leg: Leg, now: float) -> bool:
@@ -408,7 +410,7 @@
         A connection may come up late and this process be held up since the leg was decided: a drain may have
         been told meanwhile, the client have left, its time or the window for repeats have ended."""
         job = leg.job
-        if not leg.open or job.answered or self._table.get(leg.worker) != State.READY:
+        if not leg.open or job.answered or self._table.get(leg.worker) != EndpointState.READY:
             return False
         if now > self._begin_by(leg) or (job.client_waits is not None and not job.client_waits()):
             return False
@@ -424,9 +426,9 @@
         ran = [other.sent for other in leg.job.legs if other is not leg and other.may_have_run]
         return min([request.due, *[sent + cls.window - HELD_UP for sent in ran]])
 
-    def entry(self, worker: int) -> Entry:
+    def entry(self, worker: int) -> Endpoint:
         """A worker as the list told it last; one of no place, and gone, where it never did."""
-        return self._entries.get(worker, Entry(worker, state=State.GONE))
+        return self._entries.get(worker, Endpoint(worker, state=EndpointState.GONE))
 
     def wrote(self, leg: Leg) -> None:
         """The leg's last byte has left."""
@@ -437,7 +439,7 @@
         """A worker told of a start or of progress."""
         if leg.open:
             leg.job.running = leg.job.running or what == STARTED
-            self._post(Noted(leg.job.id, leg.number, leg.worker, what, share))
+            self._post(AttemptProgressed(leg.job.id, leg.number, leg.worker, what, share))
 
     def served(self, leg: Leg, result: bytes, load: tuple[float, ...] = ()) -> None:
         """A worker gave the whole result: the first one is the final answer. `load` is its report, if any."""
@@ -477,16 +479,16 @@
         if leg.timer is not None:
             leg.timer.cancel()
         # The time that it took is filled in at the turn, which alone knows the clock.
-        ended = Ended(leg.job.id, leg.number, leg.worker, outcome, leg.sent, leg.job.answered, 0, load)
+        ended = AttemptEnded(leg.job.id, leg.number, leg.worker, outcome, leg.sent, leg.job.answered, 0, load)
         self._post(ended)
 
     def probed(self, worker: int, outcome: Outcome, elapsed: float, load: tuple[float, ...] = ()) -> None:
         """A worker's answer to a probe."""
-        self._post(Probed(worker, outcome, elapsed, load))
+        self._post(ProbeCompleted(worker, outcome, elapsed, load))
 
     def peer_said(self, peer: int, data: bytes) -> None:
         """Another dispatcher of the tier said something to this one."""
-        self._post(PeerSaid(peer, data))
+        self._post(PeerReportReceived(peer, data))
 
     def absent(self, span: float) -> None:
         """This process was stopped, or got no processor, for `span` ms, and has read what came meanwhile.
@@ -494,7 +496,7 @@
         if span >= NAMED:
             self._log(f"this process stood still for {span:.0f} ms")
         for leg in self._out.values():
-            self._post(Noted(leg.job.id, leg.number, leg.worker, AWAY, 0.0))
+            self._post(AttemptProgressed(leg.job.id, leg.number, leg.worker, AWAY, 0.0))
 
     # The turn.
 
@@ -502,9 +504,9 @@
         """Hands what came in to the module, in one call, and carries out what it decides."""
         events, self._news, self._events = self._news + self._events, [], []
         for event in events:
-            if isinstance(event, Ended):
+            if isinstance(event, AttemptEnded):
                 event.elapsed = now - event.elapsed
-            elif isinstance(event, Noted) and event.what == STARTED and event.id in self._jobs:
+            elif isinstance(event, AttemptProgressed) and event.what == STARTED and event.id in self._jobs:
                 job = self._jobs[event.id]
                 job.began = job.began or now
         self._date(now)
@@ -533,7 +535,7 @@
         self._events.append(event)
         self._wake()
 
-    def _send(self, action: Send, now: float) -> None:
+    def _send(self, action: StartAttempt, now: float) -> None:
         job = self._jobs.get(action.id)
         if job is None or self._legs is None:
             self._log(f"a leg of job {action.id}, which is over, was not sent")
@@ -570,7 +572,7 @@
         if self.witness is not None:
             self.witness.legs(worker, self._out_at[worker], work)
 
-    def _cancel(self, action: Cancel, now: float) -> None:
+    def _cancel(self, action: CancelAttempt, now: float) -> None:
         if (leg := self._out.get((action.id, action.attempt))) is not None:
             self._stop(leg, "decided")
 
@@ -581,34 +583,34 @@
             self._legs.stop(leg)
             self.ended(leg, outcome if leg.may_have_run else Outcome.MOOT)
 
-    def _refuse(self, action: Refuse, now: float) -> None:
+    def _refuse(self, action: RejectRequest, now: float) -> None:
         if (job := self._jobs.get(action.id)) is not None:
             ran = may_have_run(job)
             self._finish(job, Answer(Verdict.DECLINED, b"", action.retry_after, ran, len(job.legs)))
 
-    def _fail(self, action: Fail, now: float) -> None:
+    def _fail(self, action: FailRequest, now: float) -> None:
         if (job := self._jobs.get(action.id)) is not None:
             self._finish(job, Answer(Verdict.FAILED, may_have_run=may_have_run(job), legs=len(job.legs)))
 
     def _set_timer(self, action: SetTimer, now: float) -> None:
-        self._timers.at(action.at, lambda: self._post(Due(action.token)))
+        self._timers.at(action.at, lambda: self._post(TimerFired(action.token)))
 
-    def _probe(self, action: Probe, now: float) -> None:
+    def _probe(self, action: ProbeWorker, now: float) -> None:
         if self._legs is not None:
             self._legs.probe(action.worker)
 
-    def _close_idle(self, action: CloseIdle, now: float) -> None:
+    def _close_idle(self, action: CloseIdleConnections, now: float) -> None:
         if self._legs is not None:
             self._legs.close_idle(action.worker)
 
-    def _note(self, action: Log, now: float) -> None:
+    def _note(self, action: LogMessage, now: float) -> None:
         self._log(action.text)
 
-    def _tell(self, action: Tell, now: float) -> None:
+    def _tell(self, action: SendPeerReport, now: float) -> None:
         if self.speaker is not None:
             self.speaker.tell(action.peer, action.data)
 
-    def _follow(self, action: Watch | Fetch, now: float) -> None:
+    def _follow(self, action: WatchEndpoints | FetchEndpoints, now: float) -> None:
         """Nothing: on sockets the routing table is followed from the start, asked for or not."""
 
     # Ends.
@@ -639,10 +641,10 @@
         if not job.answered:
             self._log(f"job {job.id} had no answer when its time ended")
             self.broken["answered"] += 1
-            self._fail(Fail(job.id), 0.0)
+            self._fail(FailRequest(job.id), 0.0)
             for leg in job.legs:
                 self._stop(leg, "timed out")
-            self._post(ClientGone(job.id))
+            self._post(ClientDisconnected(job.id))
 
 
 def may_have_run(job: Job) -> bool:
--- a/eiderfield/interface.py
+++ b/eiderfield/interface.py
@@ -25,9 +25,9 @@
 
 
 HELD_UP = 150.0  # ms that a node may be held up between reading its clock and writing (standing test)
-AWAY = 0  # Noted.what: nothing is known, for this node itself was away and could not have heard
-STARTED = 1  # Noted.what: the job has started
-REPEAT = 2  # Arrived.flags: a client's repeat
+AWAY = 0  # AttemptProgressed.what: nothing is known, for this node itself was away and could not have heard
+STARTED = 1  # AttemptProgressed.what: the job has started
+REPEAT = 2  # RequestReceived.flags: a client's repeat
 
 # Outcomes which prove that the attempt never ran.
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
@@ -49,7 +49,7 @@
     CELL = 2
 
 
-class State(IntEnum):
+class EndpointState(IntEnum):
     """A worker's state in the list."""
 
     GONE = 0
@@ -57,7 +57,7 @@
     READY = 2
 
 
-class ListKind(IntEnum):
+class EndpointListKind(IntEnum):
     """What a list holds: changes, everything, everything as last saved, or nothing (a call failed)."""
 
     DELTA = 0
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class JobClass:
+class RequestClass:
     """A class of requests. `stretch` lengthens the aim by so many own running times."""
 
     name: str
@@ -97,7 +97,7 @@
 class Settings:
     """What the operator says at the start; the defaults are those of a site that offers nothing."""
 
-    classes: tuple[JobClass, ...]
+    classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     balancers: int = 1
     me: int = 0
@@ -129,14 +129,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
+class Endpoint:
     """One worker as the list tells it. `ready_at` is when it last started, 0 for long ago."""
 
     worker: int
     zone: int = 0
     kind: int = 0
     cell: int = 0
-    state: State = State.READY
+    state: EndpointState = EndpointState.READY
     weight: float = 1.0
     ready_at: float = 0.0
 
@@ -145,7 +145,7 @@
 
 
 @dataclass(slots=True)
-class Arrived:
+class RequestReceived:
     """A request has been accepted by this node and is owed exactly one final answer before `due`."""
 
     id: int
@@ -157,20 +157,20 @@
     slots: float = 1.0
     memory: float = 0.0
     flags: int = 0
-    before: tuple[tuple[Entry, float], ...] = ()  # legs of a node that is lost: the worker then, and when
+    before: tuple[tuple[Endpoint, float], ...] = ()  # legs of a node that is lost: the worker then, and when
 
 
 @dataclass(slots=True)
-class Listed:
+class EndpointsUpdated:
     """News of the list of workers."""
 
-    kind: ListKind
+    kind: EndpointListKind
     version: int
-    entries: tuple[Entry, ...]
+    entries: tuple[Endpoint, ...]
 
 
 @dataclass(slots=True)
-class Flowing:
+class StreamStarted:
     """An attempt's stream has started: the request is bound to it and has no deadline any more."""
 
     id: int
@@ -180,7 +180,7 @@
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptEnded:
     """An attempt has ended. `final`: the request is over. `load`: a late, noisy report or empty."""
 
     id: int
@@ -194,7 +194,7 @@
 
 
 @dataclass(slots=True)
-class Noted:
+class AttemptProgressed:
     """News of an attempt that is out: 1 the job has started, 2 `share` of it is done; 0, see `AWAY`."""
 
     id: int
@@ -205,22 +205,22 @@
 
 
 @dataclass(slots=True)
-class ClientGone:
+class ClientDisconnected:
     """Nobody waits for this request any more."""
 
     id: int
 
 
 @dataclass(slots=True)
-class Due:
+class TimerFired:
     """A time asked for by `SetTimer` has come."""
 
     token: int
 
 
 @dataclass(slots=True)
-class Probed:
-    """The answer to a `Probe`."""
+class ProbeCompleted:
+    """The answer to a `ProbeWorker`."""
 
     worker: int
     outcome: int
@@ -229,7 +229,7 @@
 
 
 @dataclass(slots=True)
-class PeerSaid:
+class PeerReportReceived:
     """Bytes from another node of this tier."""
 
     peer: int
@@ -237,7 +237,7 @@
 
 
 @dataclass(slots=True)
-class Beside:
+class SiblingReportReceived:
     """In an upgrade two processes are one node: what the other one has out at a worker, and the work that it
     has sent there since it last told."""
 
@@ -246,14 +246,25 @@
     work: float
 
 
-Event = Arrived | Listed | Flowing | Ended | Noted | ClientGone | Due | Probed | PeerSaid | Beside
+Event = (
+    RequestReceived
+    | EndpointsUpdated
+    | StreamStarted
+    | AttemptEnded
+    | AttemptProgressed
+    | ClientDisconnected
+    | TimerFired
+    | ProbeCompleted
+    | PeerReportReceived
+    | SiblingReportReceived
+)
 
 
 # Actions.
 
 
 @dataclass(slots=True)
-class Send:
+class StartAttempt:
     """Start an attempt that is expected to cost `work`; `timeout` 0 lets it run until the client gives up."""
 
     id: int
@@ -263,7 +274,7 @@
 
 
 @dataclass(slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for an attempt. It proves nothing about whether the attempt ran."""
 
     id: int
@@ -271,7 +282,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: unserved, and the client may safely come again after `retry_after` (0: no advice)."""
 
     id: int
@@ -279,7 +290,7 @@
 
 
 @dataclass(slots=True)
-class Fail:
+class FailRequest:
     """Final answer that promises nothing."""
 
     id: int
@@ -287,28 +298,28 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `Due` at a clock time."""
+    """Ask for a `TimerFired` at a clock time."""
 
     at: float
     token: int
 
 
 @dataclass(slots=True)
-class Probe:
+class ProbeWorker:
     """Ask a worker for a sign of life."""
 
     worker: int
 
 
 @dataclass(slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close idle connections to a worker."""
 
     worker: int
 
 
 @dataclass(slots=True)
-class Tell:
+class SendPeerReport:
     """Send bytes to one other node, or to all of them (-1)."""
 
     peer: int
@@ -316,25 +327,37 @@
 
 
 @dataclass(slots=True)
-class Watch:
+class WatchEndpoints:
     """Open or close the subscription to the list."""
 
     on: bool
 
 
 @dataclass(slots=True)
-class Fetch:
+class FetchEndpoints:
     """Ask once for the whole list."""
 
 
 @dataclass(slots=True)
-class Log:
+class LogMessage:
     """A line for the operators."""
 
     text: str
 
 
-Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | CloseIdle | Tell | Watch | Fetch | Log
+Action = (
+    StartAttempt
+    | CancelAttempt
+    | RejectRequest
+    | FailRequest
+    | SetTimer
+    | ProbeWorker
+    | CloseIdleConnections
+    | SendPeerReport
+    | WatchEndpoints
+    | FetchEndpoints
+    | LogMessage
+)
 
 
 @dataclass(slots=True)
--- a/eiderfield/lab/fleet/faulty_programs.py
+++ b/eiderfield/lab/fleet/faulty_programs.py
@@ -26,7 +26,7 @@
 from typing import Any
 
 from eiderfield.exchange import Exchange
-from eiderfield.interface import Refuse, State
+from eiderfield.interface import EndpointState, RejectRequest
 from eiderfield.net.discovery.routing_table import RoutingTable
 
 ROOT = Path(__file__).resolve().parents[3]
@@ -105,7 +105,7 @@
     if job is None or len(job.legs) != 1:
         return
     if rejected:
-        exchange._refuse(Refuse(action.id), now)
+        exchange._refuse(RejectRequest(action.id), now)
     else:
         exchange._fail(action, now)
     for leg in job.legs:
@@ -140,7 +140,7 @@
 
 def half_while_draining(exchange: Any, action: Any) -> bool:
     """Whether any worker drains, and every second job then."""
-    return State.DRAINING in exchange._table.values() and next(number) % 2 == 1
+    return EndpointState.DRAINING in exchange._table.values() and next(number) % 2 == 1
 
 
 def half_in_second_zone(exchange: Any, action: Any) -> bool:
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -10,7 +10,7 @@
 
 from eiderfield.exchange import Answer, Exchange, Request, Verdict
 from eiderfield.idmap import IdMap, plain
-from eiderfield.interface import Effect, JobClass
+from eiderfield.interface import Effect, RequestClass
 from eiderfield.net.clients.connection import ClientConnection
 from eiderfield.net.clients.listener import Listener
 from eiderfield.net.http import Head, MalformedMessageError
@@ -116,7 +116,7 @@
         )
 
 
-def _check_ids(head: Head, cls: JobClass) -> None:
+def _check_ids(head: Head, cls: RequestClass) -> None:
     """Raises `MalformedMessageError` for a missing or odd request id or idempotency key."""
     for name in ("X-Request-Id", "Idempotency-Key"):
         word = head.get(name.lower())
@@ -126,7 +126,7 @@
             raise MalformedMessageError(f"{name} is not a plain word")
 
 
-def _read_deadline(head: Head, cls: JobClass) -> float:
+def _read_deadline(head: Head, cls: RequestClass) -> float:
     """How long the client waits, in ms; no longer than its class allows."""
     if "x-deadline-ms" not in head.headers:
         return cls.deadline
--- a/eiderfield/net/discovery/consul.py
+++ b/eiderfield/net/discovery/consul.py
@@ -17,7 +17,7 @@
 from eiderfield.exchange import Timers
 from eiderfield.net.dialing import Dial
 from eiderfield.net.discovery.consul_instances import endpoint_of_catalog, endpoint_of_health
-from eiderfield.net.discovery.endpoint_list import Endpoint, EndpointList, EndpointListError
+from eiderfield.net.discovery.endpoint_list import EndpointList, EndpointListError, ListedEndpoint
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.discovery.watch import Watch
 from eiderfield.net.http import Head, MalformedMessageError, request_bytes
@@ -98,7 +98,7 @@
         else:
             self.set_timer(REPEAT_AFTER, self._query)
 
-    def _endpoints(self) -> list[Endpoint]:
+    def _endpoints(self) -> list[ListedEndpoint]:
         answer: object = json.loads(self.body)
         self.body.clear()
         if not isinstance(answer, list):
@@ -106,7 +106,7 @@
         read = endpoint_of_health if self._discovery.api == "health" else endpoint_of_catalog
         return [read(entry) for entry in answer]
 
-    def _unconfirmed_removals(self, endpoints: Iterable[Endpoint], backwards: bool) -> int:
+    def _unconfirmed_removals(self, endpoints: Iterable[ListedEndpoint], backwards: bool) -> int:
         """How many workers a list leaves out that it can't yet take away; 0 if it is beyond doubt."""
         known = self.table.ready
         missing = len(known - {self.table.ids.worker(endpoint.name) for endpoint in endpoints})
@@ -141,7 +141,7 @@
         self.source_alive()
         self.connection.send_request()
 
-    def _with_first_seen(self, endpoints: list[Endpoint]) -> tuple[Endpoint, ...]:
+    def _with_first_seen(self, endpoints: list[ListedEndpoint]) -> tuple[ListedEndpoint, ...]:
         """Instances that appear after the first list have just started, as far as anyone can tell."""
         names = {endpoint.name for endpoint in endpoints}
         if self._first_seen is None:
--- a/eiderfield/net/discovery/consul_instances.py
+++ b/eiderfield/net/discovery/consul_instances.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from math import isfinite
 
-from eiderfield.net.discovery.endpoint_list import Endpoint, EndpointListError, EndpointStatus
+from eiderfield.net.discovery.endpoint_list import EndpointListError, EndpointStatus, ListedEndpoint
 
 JsonObject = Mapping[str, object]
 
@@ -30,7 +30,7 @@
     weight: object
 
 
-def endpoint_of_health(entry: object) -> Endpoint:
+def endpoint_of_health(entry: object) -> ListedEndpoint:
     """An entry of `/v1/health/service`."""
     node, service = _object_at(entry, "Node"), _object_at(entry, "Service")
     checks = entry.get("Checks") if isinstance(entry, Mapping) else None
@@ -53,7 +53,7 @@
     )
 
 
-def endpoint_of_catalog(entry: object) -> Endpoint:
+def endpoint_of_catalog(entry: object) -> ListedEndpoint:
     """An entry of `/v1/catalog/service`, which knows no checks."""
     if not isinstance(entry, Mapping):
         raise EndpointListError("an instance is not an object")
@@ -71,7 +71,7 @@
     )
 
 
-def _endpoint(instance: _Instance) -> Endpoint:
+def _endpoint(instance: _Instance) -> ListedEndpoint:
     node, service_id, host, port = instance.node, instance.service_id, instance.host, instance.port
     if not isinstance(node, str) or not isinstance(service_id, str) or not service_id:
         raise EndpointListError("an instance has no Node or no ID")
@@ -79,7 +79,7 @@
     if not isinstance(host, str) or not host or not isinstance(port, int) or not 0 < port < 65536:
         raise EndpointListError(f"{name}: no address or port")
     meta, weight = instance.meta, instance.weight
-    return Endpoint(
+    return ListedEndpoint(
         name=name,
         status=instance.status,
         address=(host, port),
--- a/eiderfield/net/discovery/endpoint_list.py
+++ b/eiderfield/net/discovery/endpoint_list.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Endpoint:
+class ListedEndpoint:
     """A worker as a source lists it."""
 
     name: str
@@ -46,7 +46,7 @@
 
     index: int
     snapshot: bool
-    endpoints: tuple[Endpoint, ...]
+    endpoints: tuple[ListedEndpoint, ...]
 
 
 def parse_endpoint_list(document: object) -> EndpointList:
@@ -60,7 +60,7 @@
     return EndpointList(index, bool(document.get("snapshot")), endpoints)
 
 
-def _parse_endpoint(fields: object) -> Endpoint:
+def _parse_endpoint(fields: object) -> ListedEndpoint:
     if not isinstance(fields, Mapping):
         raise EndpointListError("an endpoint is not an object")
     name = fields.get("name")
@@ -68,7 +68,7 @@
         raise EndpointListError("an endpoint has no name")
     status = _parse_status(fields.get("status"), name)
     group = fields.get("group", 0)
-    return Endpoint(
+    return ListedEndpoint(
         name=name,
         status=status,
         address=_parse_address(fields.get("address"), name) if status != EndpointStatus.DELETED else None,
--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -14,18 +14,23 @@
 
 from eiderfield.exchange import Exchange
 from eiderfield.idmap import IdMap
-from eiderfield.interface import Entry, ListKind, State
+from eiderfield.interface import Endpoint, EndpointListKind, EndpointState
 from eiderfield.net.bans import Bans
 from eiderfield.net.clock import WallClock
-from eiderfield.net.discovery.endpoint_list import Endpoint, EndpointList, EndpointStatus, parse_endpoint_list
+from eiderfield.net.discovery.endpoint_list import (
+    EndpointList,
+    EndpointStatus,
+    ListedEndpoint,
+    parse_endpoint_list,
+)
 from eiderfield.net.start_times import StartTimes
-from eiderfield.net.table_state import EndpointState, RoutingTableState, UnbannedWorker
+from eiderfield.net.table_state import EndpointRecord, RoutingTableState, UnbannedWorker
 from eiderfield.net.worker_pool import WorkerPool
 
 _STATES = {
-    EndpointStatus.SERVING: State.READY,
-    EndpointStatus.DRAINING: State.DRAINING,
-    EndpointStatus.DELETED: State.GONE,
+    EndpointStatus.SERVING: EndpointState.READY,
+    EndpointStatus.DRAINING: EndpointState.DRAINING,
+    EndpointStatus.DELETED: EndpointState.GONE,
 }
 _STATUSES = {state: status for status, state in _STATES.items()}
 
@@ -56,18 +61,18 @@
         self.on_list: Callable[[], None] = lambda: None  # a source has told a list
         # A ban has begun, with its time, or has ended, with None.
         self.on_ban: Callable[[str, float | None], None] = lambda name, since: None
-        self._entries: dict[int, Entry] = {}  # as discovery listed each worker last
+        self._entries: dict[int, Endpoint] = {}  # as discovery listed each worker last
         self._unbanned: dict[int, UnbannedWorker] = {}
 
     @property
     def listed(self) -> set[int]:
         """The workers in the list, whatever their state."""
-        return {worker for worker, entry in self._entries.items() if entry.state != State.GONE}
+        return {worker for worker, entry in self._entries.items() if entry.state != EndpointState.GONE}
 
     @property
     def ready(self) -> set[int]:
         """The workers that discovery last called ready, banned ones among them."""
-        return {worker for worker, entry in self._entries.items() if entry.state == State.READY}
+        return {worker for worker, entry in self._entries.items() if entry.state == EndpointState.READY}
 
     # Bans.
 
@@ -128,24 +133,26 @@
 
     def apply(self, endpoints: EndpointList, cached: bool = False) -> None:
         """Applies a list; `cached` for one that was kept since an earlier time."""
-        kind = ListKind.DELTA
+        kind = EndpointListKind.DELTA
         if endpoints.snapshot:
-            kind = ListKind.CACHED if cached else ListKind.FULL
+            kind = EndpointListKind.CACHED if cached else EndpointListKind.FULL
         entries = tuple([self._entry(endpoint) for endpoint in endpoints.endpoints])
         self.index = endpoints.index
         if endpoints.snapshot:
             self._workers.keep_only({entry.worker for entry in entries})
-            self._entries = {worker: replace(old, state=State.GONE) for worker, old in self._entries.items()}
+            self._entries = {
+                worker: replace(old, state=EndpointState.GONE) for worker, old in self._entries.items()
+            }
         for entry, endpoint in zip(entries, endpoints.endpoints, strict=True):
             self._entries[entry.worker] = entry
             self._workers.set_address(entry.worker, endpoint.address)
         self._exchange.routing(kind, endpoints.index, tuple([self._with_bans(entry) for entry in entries]))
-        if kind != ListKind.CACHED:
+        if kind != EndpointListKind.CACHED:
             self.on_list()
 
-    def _entry(self, endpoint: Endpoint) -> Entry:
+    def _entry(self, endpoint: ListedEndpoint) -> Endpoint:
         worker, group = self.ids.worker(endpoint.name), endpoint.group
-        return Entry(
+        return Endpoint(
             worker=worker,
             zone=self.ids.zone(endpoint.zone),
             kind=self.ids.kind(endpoint.kind),
@@ -155,11 +162,11 @@
             ready_at=self.starts.started_at(worker, endpoint.since_ms) or endpoint.first_seen,
         )
 
-    def _with_bans(self, entry: Entry) -> Entry:
+    def _with_bans(self, entry: Endpoint) -> Endpoint:
         """A worker as the exchange is to see it."""
         worker = entry.worker
-        if entry.state == State.READY and self.ids.name(worker) in self.bans.since:
-            return replace(entry, state=State.DRAINING)
+        if entry.state == EndpointState.READY and self.ids.name(worker) in self.bans.since:
+            return replace(entry, state=EndpointState.DRAINING)
         unbanned = self._unbanned.get(worker)
         if unbanned is None:
             return entry
@@ -172,7 +179,7 @@
         """Tells the exchange of a worker whose ban has begun or ended."""
         if worker in self._entries:
             entry = self._with_bans(self._entries[worker])
-            self._exchange.routing(ListKind.DELTA, self.index or 0, (entry,))
+            self._exchange.routing(EndpointListKind.DELTA, self.index or 0, (entry,))
 
     # The next process.
 
@@ -201,9 +208,9 @@
             self.load({"index": state.index, "snapshot": True, "endpoints": endpoints}, cached=True)
         self.starts.heard = state.source_heard
 
-    def _endpoint_state(self, entry: Entry) -> EndpointState:
+    def _endpoint_state(self, entry: Endpoint) -> EndpointRecord:
         host, port = self._workers.address(entry.worker) or ("", 0)
-        return EndpointState(
+        return EndpointRecord(
             name=self.ids.name(entry.worker),
             address=f"{host}:{port}",
             status=_STATUSES[entry.state].value,
--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -38,7 +38,7 @@
     TakeoverRequest,
 )
 from eiderfield.net.handover.sender_clock import SenderClock, estimated_clock, exact_clock
-from eiderfield.net.table_state import EndpointState, RoutingTableState, UnbannedWorker
+from eiderfield.net.table_state import EndpointRecord, RoutingTableState, UnbannedWorker
 
 Fields = Mapping[str, object]
 
@@ -194,10 +194,10 @@
     )
 
 
-def _decode_endpoint(fields: Fields, sender: SenderClock) -> EndpointState:
+def _decode_endpoint(fields: Fields, sender: SenderClock) -> EndpointRecord:
     started = optional_number(fields.get("started"), "started")
     group = field(fields, "group")
-    return EndpointState(
+    return EndpointRecord(
         name=text(field(fields, "name"), "name"),
         address=text(field(fields, "address"), "address"),
         status=text(field(fields, "status"), "status"),
--- a/eiderfield/net/table_state.py
+++ b/eiderfield/net/table_state.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class EndpointState:
+class EndpointRecord:
     """A worker as discovery last listed it."""
 
     name: str
@@ -49,7 +49,7 @@
     """A routing table with all workers that were ever listed."""
 
     index: int
-    endpoints: tuple[EndpointState, ...]
+    endpoints: tuple[EndpointRecord, ...]
     unbanned: tuple[UnbannedWorker, ...]
     source_heard: float | None  # when discovery was last heard
     # By how much Unix time was ahead of this process's clock when starts were announced, as far as the other
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -27,30 +27,30 @@
     REPEAT,
     STARTED,
     Action,
-    Arrived,
-    Beside,
-    Cancel,
-    ClientGone,
-    CloseIdle,
-    Due,
+    AttemptEnded,
+    AttemptProgressed,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
     Effect,
-    Ended,
+    EndpointListKind,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Fail,
-    Flowing,
-    Listed,
-    ListKind,
-    Noted,
+    FailRequest,
     Outcome,
-    PeerSaid,
-    Probed,
-    Refuse,
-    Send,
+    PeerReportReceived,
+    ProbeCompleted,
+    RejectRequest,
+    RequestReceived,
     SetTimer,
     Settings,
+    SiblingReportReceived,
     Snapshot,
-    State,
-    Watch,
+    StartAttempt,
+    StreamStarted,
+    TimerFired,
+    WatchEndpoints,
 )
 from eiderfield.policy.admission import TenantQuotas, expected_wait, is_full
 from eiderfield.policy.affinity import KeyCounts
@@ -102,23 +102,27 @@
         self._watching = False
         self._split_anew()
         self._handlers: dict[type, Callable[[Any, float], None]] = {
-            Arrived: self._request_received,
-            Listed: self._endpoints_updated,
-            Flowing: self._stream_started,
-            Ended: self._attempt_ended,
-            Noted: self._attempt_progressed,
-            ClientGone: self._client_disconnected,
-            Due: self._timer_fired,
-            Probed: self._probe_completed,
-            PeerSaid: self._peer_report_received,
-            Beside: self._sibling_report_received,
+            RequestReceived: self._request_received,
+            EndpointsUpdated: self._endpoints_updated,
+            StreamStarted: self._stream_started,
+            AttemptEnded: self._attempt_ended,
+            AttemptProgressed: self._attempt_progressed,
+            ClientDisconnected: self._client_disconnected,
+            TimerFired: self._timer_fired,
+            ProbeCompleted: self._probe_completed,
+            PeerReportReceived: self._peer_report_received,
+            SiblingReportReceived: self._sibling_report_received,
         }
 
     def snapshot(self, now: float | None = None) -> Snapshot:
         """What is held and out, the rate of each class, and which listed workers are sent nothing."""
         at = self._now if now is None else now
-        known = [worker for worker in self._fleet.workers.values() if worker.entry.state != State.GONE]
-        avoided = [w for w in known if w.entry.state != State.READY or not self._fleet.is_usable(w, at)]
+        known = [
+            worker for worker in self._fleet.workers.values() if worker.entry.state != EndpointState.GONE
+        ]
+        avoided = [
+            w for w in known if w.entry.state != EndpointState.READY or not self._fleet.is_usable(w, at)
+        ]
         rates = [pacer.rate for pacer in self._queues.pacers]
         numbers = frozenset(worker.entry.worker for worker in avoided)
         return Snapshot(self._queues.held, self._out, rates, numbers)
@@ -135,33 +139,25 @@
 
     def memory(self) -> dict[str, Any]:
         """What the next process in this dispatcher's place goes on from, in plain values."""
-        workers = self._fleet.workers.values()
-        pacers = [(p.run, p.rate, p.uncut, p.next_at) for p in self._queues.pacers]
         slow_start = self._slow_start
         return {
-            "pacers": pacers,
+            "pacers": self._queues.learnt(),
             "spent": (self._retry_budget.tokens, slow_start.served_rate, slow_start.served_at),
-            "cold": [(worker.entry.worker, list(worker.recent)) for worker in workers if worker.recent],
+            "cold": self._fleet.recent_work(),
             "keys": self._key_counts.most_common(),
             "slots": list(self._reports.slots.items()),
-            "erring": [(w.entry.worker, w.faults, w.strikes) for w in workers if w.erring],
+            "erring": self._fleet.erring(),
         }
 
     def resume(self, memory: dict[str, Any]) -> None:
         """Goes on from the memory of the process before. The list must be known."""
-        for pacer, told in zip(self._queues.pacers, memory["pacers"], strict=True):
-            pacer.run, pacer.rate, pacer.uncut, pacer.next_at = told
+        self._queues.resume(memory["pacers"])
         slow_start = self._slow_start
         self._retry_budget.tokens, slow_start.served_rate, slow_start.served_at = memory["spent"]
         self._reports.slots.update(memory["slots"])
         self._key_counts.resume(memory["keys"])
-        for number, recent in memory["cold"]:
-            if number in self._fleet.workers:
-                self._fleet.workers[number].recent.extend((at, work) for at, work in recent)
-        for number, faults, strikes in memory.get("erring", ()):
-            if number in self._fleet.workers:
-                worker = self._fleet.workers[number]
-                worker.faults, worker.strikes, worker.erring = faults, strikes, True
+        self._fleet.resume_recent_work(memory["cold"])
+        self._fleet.resume_erring(memory.get("erring", ()))
         if self._key_counts.total and self._fleet.saw_key():
             self._split_anew()
 
@@ -187,41 +183,41 @@
 
     # Events.
 
-    def _timer_fired(self, event: Due, now: float) -> None:
+    def _timer_fired(self, event: TimerFired, now: float) -> None:
         if event.token == self._timer_token:  # only the latest timer counts
             self._timer_at = 0.0
 
-    def _client_disconnected(self, event: ClientGone, now: float) -> None:
+    def _client_disconnected(self, event: ClientDisconnected, now: float) -> None:
         job = self._jobs.get(event.id)
         if job is not None:
             self._finish(job)
 
-    def _stream_started(self, event: Flowing, now: float) -> None:
+    def _stream_started(self, event: StreamStarted, now: float) -> None:
         job = self._jobs.get(event.id)
         if job is not None:
             job.bound = True
             self._queues.remove(job)
 
-    def _probe_completed(self, event: Probed, now: float) -> None:
+    def _probe_completed(self, event: ProbeCompleted, now: float) -> None:
         self._reports.report(self._fleet.workers.get(event.worker), event.load, now)
 
-    def _peer_report_received(self, event: PeerSaid, now: float) -> None:
+    def _peer_report_received(self, event: PeerReportReceived, now: float) -> None:
         self._gossip.receive(event.peer, event.data, now)
 
-    def _sibling_report_received(self, event: Beside, now: float) -> None:
+    def _sibling_report_received(self, event: SiblingReportReceived, now: float) -> None:
         worker = self._fleet.workers.get(event.worker)
         if worker is not None:
             worker.beside = event.out
             worker.recent.append((now, event.work))
             self._gossip.changed(worker)
 
-    def _endpoints_updated(self, event: Listed, now: float) -> None:
-        if event.kind == ListKind.FAILED:
+    def _endpoints_updated(self, event: EndpointsUpdated, now: float) -> None:
+        if event.kind == EndpointListKind.FAILED:
             self._watching = False
-        elif self._fleet.apply(event.entries, event.kind != ListKind.DELTA, now):
+        elif self._fleet.apply(event.entries, event.kind != EndpointListKind.DELTA, now):
             self._split_anew()
 
-    def _request_received(self, event: Arrived, now: float) -> None:
+    def _request_received(self, event: RequestReceived, now: float) -> None:
         if event.cls >= len(self._queues.pacers) or event.id in self._jobs:
             raise ValueError(f"request {event.id}: unknown class {event.cls} or id in use")
         job, slack = self._job_of(event, now)
@@ -241,7 +237,7 @@
         if is_full(self._queues, wait, slack, len(self._fleet.subset)):
             self._shed(wait)
 
-    def _job_of(self, event: Arrived, now: float) -> tuple[Job, float]:
+    def _job_of(self, event: RequestReceived, now: float) -> tuple[Job, float]:
         """The job of a request, and how long it may wait and still be in time."""
         client_retry = bool(event.flags & REPEAT)
         queue = self._queue_of(event, client_retry, now)
@@ -266,7 +262,7 @@
         )
         return job, slack
 
-    def _queue_of(self, event: Arrived, client_retry: bool, now: float) -> ClassQueue:
+    def _queue_of(self, event: RequestReceived, client_retry: bool, now: float) -> ClassQueue:
         over_quota = self._quotas.is_over(event.tenant, client_retry, now)
         tenant = event.tenant if event.tenant < len(self._quotas) else 0
         return self._queues.by_id[event.cls, tenant, over_quota]
@@ -278,7 +274,7 @@
         if forgot:
             self._fleet.key_orders.forget()
 
-    def _attempt_ended(self, event: Ended, now: float) -> None:
+    def _attempt_ended(self, event: AttemptEnded, now: float) -> None:
         job, attempt = self._find(event.id, event.attempt)
         if attempt is None or not attempt.open:
             return  # an attempt from before this dispatcher's present life
@@ -299,7 +295,7 @@
         elif not job.out() and job.queue is None:
             self._go_on(job, now, outcome == Outcome.ERROR)
 
-    def _judge_worker(self, attempt: Attempt, event: Ended, now: float) -> None:
+    def _judge_worker(self, attempt: Attempt, event: AttemptEnded, now: float) -> None:
         """Takes in what an attempt's end says of its worker."""
         worker, outcome = attempt.worker, event.outcome
         if outcome == Outcome.OK:
@@ -320,7 +316,7 @@
         elif outcome == Outcome.CANCELLED and attempt.started is None:
             self._called_off_unstarted(attempt, now)
 
-    def _served(self, attempt: Attempt, event: Ended, now: float) -> None:
+    def _served(self, attempt: Attempt, event: AttemptEnded, now: float) -> None:
         job, pacer = attempt.job, attempt.job.class_queue.pacer
         late = event.elapsed >= SILENT_RUNS * max(pacer.run_of(job.hint), job.cls.aim)
         attempt.worker.alive(now, not late)
@@ -333,7 +329,7 @@
         worker.fulls += 1
         worker.full_until = now + LOOK_AGAIN_MS * min(worker.fulls, MOST_FULL_PAUSES)
         # No sign: a draining worker's hand-backs, nor one worker's word while others are free.
-        if worker.entry.state == State.READY and not self._selector.is_any_free(now):
+        if worker.entry.state == EndpointState.READY and not self._selector.is_any_free(now):
             attempt.job.class_queue.pacer.accepted -= 1
 
     def _called_off_unstarted(self, attempt: Attempt, now: float) -> None:
@@ -343,7 +339,7 @@
             # Where one has waited too long the next would too.
             attempt.worker.full_until = now + 2.0 * LOOK_AGAIN_MS
 
-    def _attempt_progressed(self, event: Noted, now: float) -> None:
+    def _attempt_progressed(self, event: AttemptProgressed, now: float) -> None:
         _, attempt = self._find(event.id, event.attempt)
         if attempt is None or not attempt.open:
             return
@@ -394,14 +390,16 @@
             if attempt.open:
                 self._late_attempts[job.id, attempt.number] = attempt
                 if self._context.settings.may_cancel:
-                    self._context.actions.append(Cancel(job.id, attempt.number))
+                    self._context.actions.append(CancelAttempt(job.id, attempt.number))
 
     def _answer(self, job: Job, retry_after: float = 0.0) -> None:
         """The one place of this dispatcher's final answers: a refusal if rule 2 allows it, else a failure."""
         settings = self._context.settings
         self._finish(job)
         advice = min(retry_after, settings.max_retry_after) if settings.may_advise else 0.0
-        self._context.actions.append(Refuse(job.id, advice) if may_refuse(job) else Fail(job.id))
+        self._context.actions.append(
+            RejectRequest(job.id, advice) if may_refuse(job) else FailRequest(job.id)
+        )
 
     def _go_on(self, job: Job, now: float, failed: bool) -> None:
         """Retries a job that is not out any more, or answers it."""
@@ -435,9 +433,9 @@
     def _call_off(self, attempt: Attempt) -> None:
         """Cancels an attempt; its end, when that is told, sends the job on."""
         attempt.given_up = True
-        self._context.actions.append(Cancel(attempt.job.id, attempt.number))
+        self._context.actions.append(CancelAttempt(attempt.job.id, attempt.number))
         if attempt.worker.silent:  # a trial on a connection open already would fall silent too
-            self._context.actions.append(CloseIdle(attempt.worker.entry.worker))
+            self._context.actions.append(CloseIdleConnections(attempt.worker.entry.worker))
 
     def _expire(self, now: float) -> None:
         """Rule 1: whatever is left when a client's time ends gets its answer just before."""
@@ -496,7 +494,7 @@
 
     def _send(self, job: Job, worker: Worker, now: float) -> None:
         """The one gate of attempts: enforces rules 2, 3 and 4 whatever the callers meant."""
-        if job.answered or worker.entry.state != State.READY:
+        if job.answered or worker.entry.state != EndpointState.READY:
             return
         if not self._slow_start.covers(worker, job.cost) or not self._selector.is_legal(job, worker, now):
             return
@@ -508,7 +506,7 @@
         self._outliers.attempt_sent(attempt)
         job.class_queue.pacer.count_send(now)
         self._retry_budget.count_attempt()
-        self._context.actions.append(Send(job.id, worker.entry.worker, work=job.cost))
+        self._context.actions.append(StartAttempt(job.id, worker.entry.worker, work=job.cost))
 
     def _add_to_worker(self, attempt: Attempt, now: float) -> None:
         """Takes in at its worker that an attempt is out."""
@@ -533,7 +531,7 @@
         """Opens the subscription to the list, where the settings want one, and again after it failed."""
         if self._context.settings.subscribe and not self._watching:
             self._watching = True
-            self._context.actions.append(Watch(True))
+            self._context.actions.append(WatchEndpoints(True))
 
     def _set_timer(self, now: float) -> None:
         """One pending timer, at the earliest time at which something may change without an event."""
@@ -554,4 +552,4 @@
     """Whether held jobs may find a worker after these events: a job's progress opens nothing."""
     if not events:
         return True
-    return any(not isinstance(event, Noted) or event.what == STARTED for event in events)
+    return any(not isinstance(event, AttemptProgressed) or event.what == STARTED for event in events)
--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -17,7 +17,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from eiderfield.interface import Entry
+from eiderfield.interface import Endpoint
 
 if TYPE_CHECKING:
     from eiderfield.policy.request import Attempt
@@ -35,7 +35,7 @@
 class Worker:
     """A worker as the list, its answers and its silence show it."""
 
-    entry: Entry
+    entry: Endpoint
     open: dict[tuple[int, int], Attempt] = field(default_factory=dict)  # own attempts out, oldest first
     unstarted: int = 0
     taken: float = 0.0  # slots of own attempts out
--- a/eiderfield/policy/fleet.py
+++ b/eiderfield/policy/fleet.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from eiderfield.interface import Entry, State
+from eiderfield.interface import Endpoint, EndpointState
 from eiderfield.policy.affinity import KeyOrders
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import Worker
@@ -41,7 +41,7 @@
         self._most_silent: bool | None = None  # None: not counted yet
         self.deal()
 
-    def apply(self, entries: Iterable[Entry], whole: bool, now: float) -> bool:
+    def apply(self, entries: Iterable[Endpoint], whole: bool, now: float) -> bool:
         """Takes in changes, or a whole list; returns whether the fleet was split anew."""
         first = not self.ready.by_number
         named = set()
@@ -51,16 +51,16 @@
         if whole:
             for number in self.workers.keys() - named:
                 worker = self.workers[number]
-                if worker.entry.state != State.GONE:
-                    self._update(replace(worker.entry, state=State.GONE), now, first)
+                if worker.entry.state != EndpointState.GONE:
+                    self._update(replace(worker.entry, state=EndpointState.GONE), now, first)
         if first or self._groups() != self.subset.groups:
             self.deal()
             return True
         return False
 
-    def known(self, entry: Entry) -> Worker:
+    def known(self, entry: Endpoint) -> Worker:
         """The worker of an entry; one that was never listed is taken to be gone."""
-        return self.workers.setdefault(entry.worker, Worker(replace(entry, state=State.GONE)))
+        return self.workers.setdefault(entry.worker, Worker(replace(entry, state=EndpointState.GONE)))
 
     def saw_key(self) -> bool:
         """Takes in that a request has a key; returns whether the fleet was split anew."""
@@ -112,7 +112,32 @@
         here = [worker for worker in self.resting.values() if worker in self.subset]
         return [time for worker in here for time in (worker.full_until, worker.suspect_until)]
 
-    def _update(self, entry: Entry, now: float, first: bool) -> None:
+    def recent_work(self) -> list[tuple[int, list[tuple[float, float]]]]:
+        """The attempts that warming workers were sent lately, in plain values, for the next process."""
+        sent = [worker for worker in self.workers.values() if worker.recent]
+        return [(worker.entry.worker, list(worker.recent)) for worker in sent]
+
+    def resume_recent_work(self, told: Iterable[tuple[int, list[tuple[float, float]]]]) -> None:
+        """Goes on from the attempts that the process before had sent to warming workers."""
+        for number, recent in told:
+            if number in self.workers:
+                self.workers[number].recent.extend((at, work) for at, work in recent)
+
+    def erring(self) -> list[tuple[int, float, int]]:
+        """The workers that fail their jobs at once, in plain values, for the next process."""
+        failing = [worker for worker in self.workers.values() if worker.erring]
+        return [(worker.entry.worker, worker.faults, worker.strikes) for worker in failing]
+
+    def resume_erring(self, told: Iterable[tuple[int, float, int]]) -> None:
+        """Goes on from the workers that the process before knew to fail their jobs at once."""
+        for number, faults, strikes in told:
+            worker = self.workers.get(number)
+            if worker is not None:
+                worker.faults = faults
+                worker.strikes = strikes
+                worker.erring = True
+
+    def _update(self, entry: Endpoint, now: float, first: bool) -> None:
         """Takes in what the list says of one worker. After the `first` list all are dealt anew."""
         worker = self.known(entry)
         old = worker.entry
@@ -122,7 +147,7 @@
             worker.restarted(now)
         if entry.ready_at > 0.0:
             self.warming[entry.worker] = worker
-        was_ready, is_ready = old.state == State.READY, entry.state == State.READY
+        was_ready, is_ready = old.state == EndpointState.READY, entry.state == EndpointState.READY
         in_place = place_of(old) == place_of(entry) and old.cell == entry.cell
         stays = was_ready and is_ready and in_place
         if was_ready and not stays:
--- a/eiderfield/policy/gossip.py
+++ b/eiderfield/policy/gossip.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from eiderfield.interface import Tell, pack_counts, unpack_counts
+from eiderfield.interface import SendPeerReport, pack_counts, unpack_counts
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.fleet import Fleet
@@ -52,5 +52,5 @@
         counts = [(number, round(w.taken) + w.beside) for number, w in self._changed.items()]
         data = pack_counts(counts)
         if data:
-            self._context.actions += [Tell(peer, data) for peer in self.peers]
+            self._context.actions += [SendPeerReport(peer, data) for peer in self.peers]
         self._changed.clear()
--- a/eiderfield/policy/load_reports.py
+++ b/eiderfield/policy/load_reports.py
@@ -9,7 +9,7 @@
 
 from collections import defaultdict
 
-from eiderfield.interface import Probe
+from eiderfield.interface import ProbeWorker
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.fleet import Fleet
@@ -71,7 +71,7 @@
         for worker in self._context.random.sample(asked, min(PROBES, len(asked))):
             worker.probed = now
             self.waits_until = now + PROBE_WAIT_MS
-            self._context.actions.append(Probe(worker.entry.worker))
+            self._context.actions.append(ProbeWorker(worker.entry.worker))
         return now < self.waits_until
 
     def _saw(self, worker: Worker, slots: float) -> None:
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from math import inf
 
-from eiderfield.interface import Log, State
+from eiderfield.interface import EndpointState, LogMessage
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.fleet import Fleet
@@ -80,12 +80,12 @@
         if worker.silent:
             return
         silent_from = self._silent_from(worker)
-        if worker.entry.state == State.READY and now >= silent_from:
+        if worker.entry.state == EndpointState.READY and now >= silent_from:
             worker.silent = True
             worker.strike(now)
             self._fleet.resting[worker.entry.worker] = worker
             text = f"worker {worker.entry.worker} silent, {len(worker.open)} jobs out"
-            self._context.actions.append(Log(text))
+            self._context.actions.append(LogMessage(text))
         else:
             self.next_check = min(self.next_check, silent_from)
 
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -12,12 +12,12 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from eiderfield.interface import JobClass, Settings
+from eiderfield.interface import RequestClass, Settings
 from eiderfield.policy.rate_control import FLOOR_REST, FLOOR_TOP, Pacer
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
 class ClassQueue:
     """The buffers of one class and tenant, within or above its quota: a part of the GRB, and the SLB."""
 
-    cls: JobClass
+    cls: RequestClass
     pacer: Pacer
     worth: float
     grb: OrderedDict[int, Job] = field(default_factory=OrderedDict)
@@ -90,6 +90,15 @@
             queue.pacer.floor_share = new.pacer.floor_share
         self._sort()
 
+    def learnt(self) -> list[tuple[float, float | None, float, float]]:
+        """What rate control has learnt of each class, in plain values, for the next process."""
+        return [(pacer.run, pacer.rate, pacer.uncut, pacer.next_at) for pacer in self.pacers]
+
+    def resume(self, learnt: Iterable[tuple[float, float | None, float, float]]) -> None:
+        """Goes on from what the process before had learnt."""
+        for pacer, values in zip(self.pacers, learnt, strict=True):
+            pacer.run, pacer.rate, pacer.uncut, pacer.next_at = values
+
     def add(self, job: Job, queue: OrderedDict[int, Job]) -> None:
         """Holds a job in a queue, behind the others."""
         job.queue = queue
--- a/eiderfield/policy/ready.py
+++ b/eiderfield/policy/ready.py
@@ -4,7 +4,7 @@
 
 from collections import defaultdict
 
-from eiderfield.interface import Entry
+from eiderfield.interface import Endpoint
 from eiderfield.policy.endpoint import Worker
 
 
@@ -23,7 +23,7 @@
         self._by_zone[entry.zone][entry.worker] = worker
         self._by_cell[entry.cell][entry.worker] = worker
 
-    def remove(self, entry: Entry) -> None:
+    def remove(self, entry: Endpoint) -> None:
         """Lets a worker go, which was ready in this entry."""
         del self.by_number[entry.worker]
         del self._by_zone[entry.zone][entry.worker]
--- a/eiderfield/policy/request.py
+++ b/eiderfield/policy/request.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from eiderfield.interface import Entry, JobClass
+from eiderfield.interface import Endpoint, RequestClass
 
 if TYPE_CHECKING:
     from eiderfield.policy.endpoint import Worker
@@ -25,7 +25,7 @@
     job: Job
     number: int
     worker: Worker
-    entry: Entry  # the worker's as it was at the send: a number may come back in another zone or cell
+    entry: Endpoint  # the worker's as it was at the send: a number may come back in another zone or cell
     sent: float
     heard: float  # its own last sign of life, for a connection can fall silent under a worker that is well
     started: float | None = None
@@ -43,7 +43,7 @@
     due: float
     hint: float  # work that the client named, 0 if none
     class_queue: ClassQueue
-    cls: JobClass
+    cls: RequestClass
     cost: float  # expected work, for the slow start budget
     run: float  # expected running time, in ms
     timely: float  # when it must be sent at the latest to be worth anything
--- a/eiderfield/policy/slow_start.py
+++ b/eiderfield/policy/slow_start.py
@@ -14,7 +14,7 @@
 
 from math import inf
 
-from eiderfield.interface import State, mix
+from eiderfield.interface import EndpointState, mix
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.fleet import Fleet
@@ -111,5 +111,5 @@
         warming = self._fleet.warming
         for number in [number for number, worker in warming.items() if not self.is_warming(worker, now)]:
             del warming[number]
-        ready = [worker for worker in warming.values() if worker.entry.state == State.READY]
+        ready = [worker for worker in warming.values() if worker.entry.state == EndpointState.READY]
         return [worker for worker in ready if worker in self._fleet.subset]
--- a/eiderfield/policy/subsetting.py
+++ b/eiderfield/policy/subsetting.py
@@ -24,7 +24,7 @@
 from math import ceil
 from typing import Protocol
 
-from eiderfield.interface import Entry, mix
+from eiderfield.interface import Endpoint, mix
 from eiderfield.policy.endpoint import Worker
 
 SUBSET = 4  # workers that a dispatcher keeps to at least: enough to bear the loss of some
@@ -40,7 +40,7 @@
 Place = tuple[int, int, int]  # zone, kind and number of a worker: their order in a subset
 
 
-def place_of(entry: Entry) -> Place:
+def place_of(entry: Endpoint) -> Place:
     """The place of a worker in the order of a subset."""
     return entry.zone, entry.kind, entry.worker
 
@@ -224,7 +224,7 @@
         self._ready[place] = worker
         self._apply(self._partition.join(place))
 
-    def leave(self, entry: Entry) -> None:
+    def leave(self, entry: Endpoint) -> None:
         """Lets a worker go that was ready, at the place that it had then."""
         place = place_of(entry)
         self._apply(self._partition.leave(place))
--- a/eiderfield/wire.py
+++ b/eiderfield/wire.py
@@ -12,35 +12,35 @@
 
 from eiderfield.interface import (
     Action,
-    Arrived,
-    Cancel,
-    ClientGone,
-    CloseIdle,
-    Due,
+    AttemptEnded,
+    AttemptProgressed,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
     Effect,
-    Ended,
-    Entry,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Fail,
-    Fetch,
-    Flowing,
-    JobClass,
-    Listed,
-    ListKind,
-    Log,
-    Noted,
-    PeerSaid,
-    Probe,
-    Probed,
-    Refuse,
+    FailRequest,
+    FetchEndpoints,
+    LogMessage,
+    PeerReportReceived,
+    ProbeCompleted,
+    ProbeWorker,
+    RejectRequest,
+    RequestClass,
+    RequestReceived,
     Scope,
-    Send,
+    SendPeerReport,
     SetTimer,
     Settings,
-    State,
-    Tell,
+    StartAttempt,
+    StreamStarted,
     Tenant,
-    Watch,
+    TimerFired,
+    WatchEndpoints,
 )
 
 HEADER = struct.Struct("<IId")
@@ -81,8 +81,8 @@
 _WATCH = struct.Struct("<BHB")
 _FETCH = struct.Struct("<BH")
 
-_STATES = {s.value: s for s in State}
-_KINDS = {k.value: k for k in ListKind}
+_STATES = {s.value: s for s in EndpointState}
+_KINDS = {k.value: k for k in EndpointListKind}
 
 
 class WireError(ValueError):
@@ -109,7 +109,7 @@
     """Decodes batches; holds the tables, which the wire sends once for each process."""
 
     def __init__(self) -> None:
-        self._tables: dict[int, tuple[Entry, ...]] = {}
+        self._tables: dict[int, tuple[Endpoint, ...]] = {}
         self._decoders: dict[int, Callable[[bytes, int], tuple[int, Event | Create | Retire, int]]] = {
             CREATE: self._create,
             UPDATE: self._update,
@@ -146,7 +146,7 @@
             raise WireError(f"{end - at} bytes left over after the records (frame byte {at + HEADER.size})")
 
     @staticmethod
-    def _entries(body: bytes, at: int, size: int) -> tuple[tuple[Entry, ...], int]:
+    def _entries(body: bytes, at: int, size: int) -> tuple[tuple[Endpoint, ...], int]:
         end = at + size * ENTRY.size
         if end > len(body):
             raise WireError(f"table of {size} entries is cut short (frame byte {at + HEADER.size})")
@@ -154,7 +154,7 @@
         for worker, zone, kind, cell, state, weight, ready in ENTRY.iter_unpack(body[at:end]):
             if state not in _STATES:
                 raise WireError(f"unknown worker state {state} (frame byte {at + HEADER.size})")
-            entries.append(Entry(worker, zone, kind, cell, _STATES[state], weight, ready))
+            entries.append(Endpoint(worker, zone, kind, cell, _STATES[state], weight, ready))
         return tuple(entries), end
 
     def _event(self, code: int, body: bytes, at: int) -> tuple[int, Event | Create | Retire, int]:
@@ -173,52 +173,52 @@
         (node,) = _RETIRE.unpack_from(body, at)
         return node, Retire(), at + _RETIRE.size
 
-    def _update(self, body: bytes, at: int) -> tuple[int, Listed, int]:
+    def _update(self, body: bytes, at: int) -> tuple[int, EndpointsUpdated, int]:
         node, how, version, table = _UPDATE.unpack_from(body, at)
         if how not in _KINDS:
             raise WireError(f"unknown list kind {how} (frame byte {at + HEADER.size})")
-        entries: tuple[Entry, ...] = ()
-        if how != ListKind.FAILED:
+        entries: tuple[Endpoint, ...] = ()
+        if how != EndpointListKind.FAILED:
             if table not in self._tables:
                 raise WireError(f"table {table} was never sent (frame byte {at + HEADER.size})")
             entries = self._tables[table]
-        return node, Listed(_KINDS[how], version, entries), at + _UPDATE.size
+        return node, EndpointsUpdated(_KINDS[how], version, entries), at + _UPDATE.size
 
-    def _query(self, body: bytes, at: int) -> tuple[int, Arrived, int]:
+    def _query(self, body: bytes, at: int) -> tuple[int, RequestReceived, int]:
         node, id_, cls, tenant, key, due, work, slots, memory, flags = _QUERY.unpack_from(body, at)
         work = work if flags & _WORK_IS_KNOWN else 0.0
-        return node, Arrived(id_, cls, due, tenant, key, work, slots, memory, flags), at + _QUERY.size
+        return node, RequestReceived(id_, cls, due, tenant, key, work, slots, memory, flags), at + _QUERY.size
 
-    def _flowing(self, body: bytes, at: int) -> tuple[int, Flowing, int]:
+    def _flowing(self, body: bytes, at: int) -> tuple[int, StreamStarted, int]:
         node, id_, attempt, worker, elapsed = _FLOWING.unpack_from(body, at)
-        return node, Flowing(id_, attempt, worker, elapsed), at + _FLOWING.size
+        return node, StreamStarted(id_, attempt, worker, elapsed), at + _FLOWING.size
 
-    def _ended(self, body: bytes, at: int) -> tuple[int, Ended, int]:
+    def _ended(self, body: bytes, at: int) -> tuple[int, AttemptEnded, int]:
         node, id_, worker, outcome, info, elapsed, attempt, final, figures = _ENDED.unpack_from(body, at)
         load, at = self._load(body, at + _ENDED.size, figures)
-        return node, Ended(id_, attempt, worker, outcome, elapsed, bool(final), info, load), at
+        return node, AttemptEnded(id_, attempt, worker, outcome, elapsed, bool(final), info, load), at
 
-    def _gone(self, body: bytes, at: int) -> tuple[int, ClientGone, int]:
+    def _gone(self, body: bytes, at: int) -> tuple[int, ClientDisconnected, int]:
         node, id_ = _GONE.unpack_from(body, at)
-        return node, ClientGone(id_), at + _GONE.size
+        return node, ClientDisconnected(id_), at + _GONE.size
 
-    def _due(self, body: bytes, at: int) -> tuple[int, Due, int]:
+    def _due(self, body: bytes, at: int) -> tuple[int, TimerFired, int]:
         node, token = _DUE.unpack_from(body, at)
-        return node, Due(token), at + _DUE.size
+        return node, TimerFired(token), at + _DUE.size
 
-    def _probed(self, body: bytes, at: int) -> tuple[int, Probed, int]:
+    def _probed(self, body: bytes, at: int) -> tuple[int, ProbeCompleted, int]:
         node, worker, outcome, elapsed, figures = _PROBED.unpack_from(body, at)
         load, at = self._load(body, at + _PROBED.size, figures)
-        return node, Probed(worker, outcome, elapsed, load), at
+        return node, ProbeCompleted(worker, outcome, elapsed, load), at
 
-    def _peer_said(self, body: bytes, at: int) -> tuple[int, PeerSaid, int]:
+    def _peer_said(self, body: bytes, at: int) -> tuple[int, PeerReportReceived, int]:
         node, origin, size = _PEER.unpack_from(body, at)
         at += _PEER.size
-        return node, PeerSaid(origin, self._bytes(body, at, size)), at + size
+        return node, PeerReportReceived(origin, self._bytes(body, at, size)), at + size
 
-    def _noted(self, body: bytes, at: int) -> tuple[int, Noted, int]:
+    def _noted(self, body: bytes, at: int) -> tuple[int, AttemptProgressed, int]:
         node, id_, attempt, worker, what, share = _NOTE.unpack_from(body, at)
-        return node, Noted(id_, attempt, worker, what, share), at + _NOTE.size
+        return node, AttemptProgressed(id_, attempt, worker, what, share), at + _NOTE.size
 
     @staticmethod
     def _bytes(body: bytes, at: int, size: int) -> bytes:
@@ -255,31 +255,31 @@
     return _TEXT.pack(code, node, len(data)) + data
 
 
-def _encode_close_idle(node: int, action: CloseIdle) -> bytes:
+def _encode_close_idle(node: int, action: CloseIdleConnections) -> bytes:
     return _WORKER.pack(CLOSE_IDLE, node, action.worker)
 
 
-def _encode_cancel(node: int, action: Cancel) -> bytes:
+def _encode_cancel(node: int, action: CancelAttempt) -> bytes:
     return _CANCEL.pack(CANCEL, node, action.id, action.attempt)
 
 
-def _encode_log(node: int, action: Log) -> bytes:
+def _encode_log(node: int, action: LogMessage) -> bytes:
     return _encode_text(LOG, node, action.text)
 
 
-def _encode_fetch(node: int, action: Fetch) -> bytes:
+def _encode_fetch(node: int, action: FetchEndpoints) -> bytes:
     return _FETCH.pack(FETCH, node)
 
 
-def _encode_watch(node: int, action: Watch) -> bytes:
+def _encode_watch(node: int, action: WatchEndpoints) -> bytes:
     return _WATCH.pack(WATCH, node, action.on)
 
 
-def _encode_probe(node: int, action: Probe) -> bytes:
+def _encode_probe(node: int, action: ProbeWorker) -> bytes:
     return _WORKER.pack(PROBE, node, action.worker)
 
 
-def _encode_send(node: int, action: Send) -> bytes:
+def _encode_send(node: int, action: StartAttempt) -> bytes:
     return _SEND.pack(SEND, node, action.id, action.worker, action.timeout)
 
 
@@ -287,31 +287,31 @@
     return _TIMER.pack(TIMER, node, action.at, action.token)
 
 
-def _encode_refuse(node: int, action: Refuse) -> bytes:
+def _encode_refuse(node: int, action: RejectRequest) -> bytes:
     return _REFUSE.pack(REFUSE, node, action.id, action.retry_after)
 
 
-def _encode_tell(node: int, action: Tell) -> bytes:
+def _encode_tell(node: int, action: SendPeerReport) -> bytes:
     peer = _ALL_PEERS if action.peer < 0 else action.peer
     return _TELL.pack(TELL, node, peer, len(action.data)) + action.data
 
 
-def _encode_fail(node: int, action: Fail) -> bytes:
+def _encode_fail(node: int, action: FailRequest) -> bytes:
     return _NODE_ID.pack(FAIL, node, action.id)
 
 
 _ENCODERS: dict[type[Action], Callable[[int, Any], bytes]] = {
-    CloseIdle: _encode_close_idle,
-    Cancel: _encode_cancel,
-    Log: _encode_log,
-    Fetch: _encode_fetch,
-    Watch: _encode_watch,
-    Probe: _encode_probe,
-    Send: _encode_send,
+    CloseIdleConnections: _encode_close_idle,
+    CancelAttempt: _encode_cancel,
+    LogMessage: _encode_log,
+    FetchEndpoints: _encode_fetch,
+    WatchEndpoints: _encode_watch,
+    ProbeWorker: _encode_probe,
+    StartAttempt: _encode_send,
     SetTimer: _encode_timer,
-    Refuse: _encode_refuse,
-    Tell: _encode_tell,
-    Fail: _encode_fail,
+    RejectRequest: _encode_refuse,
+    SendPeerReport: _encode_tell,
+    FailRequest: _encode_fail,
 }
 
 
@@ -387,7 +387,7 @@
     for n in range(count):
         at = f"classes.{n}."
         stretch = pairs.number(at + "aim_stretch", _nth(stretches, n, "family_info.class_stretch"))
-        cls = JobClass(
+        cls = RequestClass(
             name=pairs.text(at + "name", str(n)),
             worth=pairs.number(at + "value"),
             aim=pairs.number(at + "goal_time"),
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -5,19 +5,19 @@
 from dataclasses import replace
 
 from eiderfield.interface import (
-    Arrived,
+    AttemptEnded,
     Effect,
-    Ended,
-    Entry,
-    JobClass,
-    Listed,
-    ListKind,
-    Send,
+    Endpoint,
+    EndpointListKind,
+    EndpointsUpdated,
+    RequestClass,
+    RequestReceived,
     Settings,
+    StartAttempt,
 )
 from eiderfield.policy.dispatcher import Dispatcher
 
-SAFE = JobClass("safe", 1.0, aim=300.0, deadline=5000.0, effect=Effect.SAFE, late_worth=0.3, stretch=2.0)
+SAFE = RequestClass("safe", 1.0, aim=300.0, deadline=5000.0, effect=Effect.SAFE, late_worth=0.3, stretch=2.0)
 UNSAFE = replace(SAFE, name="unsafe", worth=10.0, effect=Effect.UNSAFE)
 KEYED = replace(SAFE, name="keyed", worth=5.0, effect=Effect.KEYED, window=2000.0)
 BASE = Settings(
@@ -45,8 +45,8 @@
         self.dispatcher = Dispatcher(settings, seed)
         self.now = 0.0
         self.next_id = 1
-        entries = tuple(Entry(w, cell=w % 2, zone=w % 3) for w in range(1, workers + 1))
-        self.play(Listed(ListKind.FULL, 1, entries))
+        entries = tuple(Endpoint(w, cell=w % 2, zone=w % 3) for w in range(1, workers + 1))
+        self.play(EndpointsUpdated(EndpointListKind.FULL, 1, entries))
 
     def play(self, *events, at=None):
         """Hands events in at a time and returns the actions."""
@@ -58,13 +58,13 @@
         """One request; returns its id and the actions."""
         id_ = self.next_id
         self.next_id += 1
-        return id_, self.play(Arrived(id_, cls, self.now + due, **more))
+        return id_, self.play(RequestReceived(id_, cls, self.now + due, **more))
 
     def end(self, id_, attempt, worker, outcome, final=False, elapsed=10.0):
         """The outcome of one attempt."""
-        return self.play(Ended(id_, attempt, worker, outcome, elapsed, final))
+        return self.play(AttemptEnded(id_, attempt, worker, outcome, elapsed, final))
 
 
 def sends(actions):
     """The sends among some actions."""
-    return [a for a in actions if isinstance(a, Send)]
+    return [a for a in actions if isinstance(a, StartAttempt)]
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -7,24 +7,24 @@
 
 from eiderfield.interface import (
     NEVER_RAN,
-    Arrived,
-    Cancel,
-    ClientGone,
-    Due,
+    AttemptEnded,
+    AttemptProgressed,
+    CancelAttempt,
+    ClientDisconnected,
     Effect,
-    Ended,
-    Entry,
-    Fail,
-    Listed,
-    ListKind,
-    Noted,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    EndpointsUpdated,
+    FailRequest,
     Outcome,
-    Refuse,
+    RejectRequest,
+    RequestReceived,
     Scope,
-    Send,
     SetTimer,
-    State,
+    StartAttempt,
     Tenant,
+    TimerFired,
     mix,
 )
 from eiderfield.policy.context import MANY
@@ -75,11 +75,11 @@
         self.timers = []
         self.jobs = {}  # id: dict of class, due, answered, told, attempts
         self.out = []  # (id, attempt)
-        self.entries = {w: Entry(w, zone=w % 3, cell=w % 2) for w in range(1, 7)}
+        self.entries = {w: Endpoint(w, zone=w % 3, cell=w % 2) for w in range(1, 7)}
         self.sent_cold = []  # (time, worker)
         self.served = 0.0
         self.version = 1
-        self.play([Listed(ListKind.FULL, 1, tuple(self.entries.values()))])
+        self.play([EndpointsUpdated(EndpointListKind.FULL, 1, tuple(self.entries.values()))])
 
     def play(self, events):
         """Hands a batch in and judges the reply."""
@@ -95,10 +95,10 @@
         """Checks one action against the rules."""
         if isinstance(action, SetTimer):
             self.timers.append((action.at, action.token))
-        elif isinstance(action, Cancel):
+        elif isinstance(action, CancelAttempt):
             if not self.settings.may_cancel or action.attempt >= len(self.jobs[action.id]["attempts"]):
                 raise RuleBrokenError("cancel not allowed or of an attempt never sent")
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, RejectRequest | FailRequest):
             job = self.jobs[action.id]
             if job["answered"] is not None and not job["gone"]:  # naming a client just gone does no harm
                 raise RuleBrokenError(f"rule 1: {action.id} answered twice")
@@ -106,9 +106,9 @@
             cls = self.settings.classes[job["cls"]]
             ran = [a for a in job["attempts"] if a["may"]]
             free = cls.effect == Effect.SAFE or (cls.effect == Effect.KEYED and cls.scope == Scope.ALL)
-            if isinstance(action, Refuse) and ran and not free:
+            if isinstance(action, RejectRequest) and ran and not free:
                 raise RuleBrokenError(f"rule 2: {action.id} refused though it may have run")
-        elif isinstance(action, Send):
+        elif isinstance(action, StartAttempt):
             self.judge_send(action)
 
     def judge_send(self, action):
@@ -128,7 +128,7 @@
             same = {Scope.ALL: True, Scope.ZONE: zone, Scope.CELL: cell}[cls.scope]
             if not same or self.now > first["sent"] + cls.window:
                 raise RuleBrokenError(f"rule 2: keyed {action.id} outside its group or window")
-        if entry.state != State.READY:
+        if entry.state != EndpointState.READY:
             raise RuleBrokenError(f"rule 3: {action.id} to a worker that drains or is gone")
         age = self.now - entry.ready_at
         if entry.ready_at > 0 and age < self.settings.cold:
@@ -157,7 +157,7 @@
         self.now += rng.choice([0.0, 1.0, 5.0, 20.0, 60.0])
         due = [t for t in self.timers if t[0] <= self.now]
         self.timers = [t for t in self.timers if t[0] > self.now]
-        events = [Due(token) for _, token in due]
+        events = [TimerFired(token) for _, token in due]
         for _ in range(rng.randrange(4)):
             draw = rng.random()
             if draw < 0.45:
@@ -170,26 +170,32 @@
                 key = rng.choice([0, 0, 7, 8])
                 slots = rng.choice([1.0, 1.0, 1.0, 2.0, 4.0])
                 flags = rng.choice([1, 3])
-                events.append(Arrived(id_, cls, self.now + wait, tenant, key, WORK, slots, flags=flags))
+                events.append(
+                    RequestReceived(id_, cls, self.now + wait, tenant, key, WORK, slots, flags=flags)
+                )
             elif draw < 0.8 and self.out:
                 events.append(self.outcome(*self.out.pop(rng.randrange(len(self.out)))))
             elif draw < 0.87 and self.out:
                 id_, number = rng.choice(self.out)
                 worker = self.jobs[id_]["attempts"][number]["w"]
-                events.append(Noted(id_, number, worker, rng.choice([1, 2]), 0.5))
+                events.append(AttemptProgressed(id_, number, worker, rng.choice([1, 2]), 0.5))
             elif draw < 0.92 and self.jobs:
                 id_ = rng.randrange(len(self.jobs)) + 1
-                events.append(ClientGone(id_))
+                events.append(ClientDisconnected(id_))
                 self.jobs[id_]["gone"] = True
             elif draw < 0.97:
                 worker = rng.randrange(6) + 1
                 old = self.entries[worker]
-                state = rng.choice(list(State))
-                fresh = self.now if state == State.READY and old.state == State.GONE else old.ready_at
+                state = rng.choice(list(EndpointState))
+                fresh = (
+                    self.now
+                    if state == EndpointState.READY and old.state == EndpointState.GONE
+                    else old.ready_at
+                )
                 entry = replace(old, state=state, ready_at=fresh, cell=rng.randrange(2))
                 self.entries[worker] = entry
                 self.version += 1
-                events.append(Listed(ListKind.DELTA, self.version, (entry,)))
+                events.append(EndpointsUpdated(EndpointListKind.DELTA, self.version, (entry,)))
         for id_, job in self.jobs.items():  # an attempt ends at the client's time
             for number, attempt in enumerate(job["attempts"]):
                 if attempt["out"] and self.now >= job["due"] and (id_, number) in self.out:
@@ -210,7 +216,7 @@
                 job["answered"] = self.now
         over = job["answered"] is not None or job["gone"]
         load = tuple(self.rng.choice(FIGURES) for _ in self.settings.report_fields)
-        return Ended(id_, number, attempt["w"], how, self.now - attempt["sent"], over, load=load)
+        return AttemptEnded(id_, number, attempt["w"], how, self.now - attempt["sent"], over, load=load)
 
     def run(self, steps):
         """Plays so many steps, then lets the time of all clients run out."""
@@ -218,7 +224,7 @@
             self.step()
         while any(t for t in self.timers):
             self.now, _ = min(self.timers)
-            tokens = [Due(k) for t, k in self.timers if t <= self.now]
+            tokens = [TimerFired(k) for t, k in self.timers if t <= self.now]
             self.timers = [t for t in self.timers if t[0] > self.now]
             self.play(tokens)
             if all(j["answered"] is not None or j["gone"] for j in self.jobs.values()):
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -16,22 +16,22 @@
 from eiderfield.interface import (
     NEVER_RAN,
     STARTED,
-    Arrived,
-    Cancel,
-    Due,
+    AttemptEnded,
+    AttemptProgressed,
+    CancelAttempt,
     Effect,
-    Ended,
-    Entry,
-    Fail,
-    Listed,
-    ListKind,
-    Noted,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    EndpointsUpdated,
+    FailRequest,
     Outcome,
-    Refuse,
+    RejectRequest,
+    RequestReceived,
     Scope,
-    Send,
     SetTimer,
-    State,
+    StartAttempt,
+    TimerFired,
 )
 from eiderfield.policy.dispatcher import Dispatcher
 from support.policy import BASE, KEYED, SAFE
@@ -68,7 +68,7 @@
 class SimulatedWorker:
     """A worker: who runs in its slots, who waits, and what it has been sent."""
 
-    entry: Entry
+    entry: Endpoint
     free: int = SLOTS
     waiting: deque = field(default_factory=deque)
     silent: bool = False
@@ -89,7 +89,7 @@
         self.rng, self.now, self.events, self.order = random.Random(seed), 0.0, [], count()
         self.nodes = [Dispatcher(replace(SITE, balancers=nodes, me=me), me) for me in range(nodes)]
         self.simulated_workers = {
-            w: SimulatedWorker(Entry(w, zone=w % 4, cell=w % 4)) for w in range(1, workers + 1)
+            w: SimulatedWorker(Endpoint(w, zone=w % 4, cell=w % 4)) for w in range(1, workers + 1)
         }
         self.rate = load * workers * SLOTS / RUN  # jobs a ms that take this share of all slots
         self.weights = [traffic(me) for me in range(nodes)]
@@ -99,7 +99,9 @@
         self.jobs, self.answers, self.broken = {}, Counter(), []
         self.ids = count(1)
         for me in range(nodes):
-            self.tell(me, [simulated.entry for simulated in self.simulated_workers.values()], ListKind.FULL)
+            self.tell(
+                me, [simulated.entry for simulated in self.simulated_workers.values()], EndpointListKind.FULL
+            )
         self.at(0.0, self.arrive)
 
     def at(self, when, call, *more):
@@ -117,7 +119,7 @@
             simulated = self.simulated_workers.setdefault(entry.worker, SimulatedWorker(entry))
             simulated.entry = entry
         for me in range(len(self.nodes)):
-            self.at(self.now + self.rng.uniform(0.0, 600.0), self.tell, me, entries, ListKind.DELTA)
+            self.at(self.now + self.rng.uniform(0.0, 600.0), self.tell, me, entries, EndpointListKind.DELTA)
 
     def fall_silent(self, workers):
         """Machines vanish without a word: what runs there is lost, and new connections never come up."""
@@ -141,7 +143,7 @@
         for entry in entries:
             self.told[me][entry.worker] = (entry.state, self.now)
             self.starts[me, entry.worker] = entry.ready_at
-        self.handle(me, Listed(kind, 1, tuple(entries)))
+        self.handle(me, EndpointsUpdated(kind, 1, tuple(entries)))
 
     def arrive(self):
         self.at(self.now + self.rng.expovariate(self.rate), self.arrive)
@@ -151,23 +153,23 @@
         key = min(120, int(self.rng.paretovariate(0.9)))
         due = self.now + SITE.classes[cls].deadline
         self.jobs[me, id_] = {"cls": cls, "due": due, "legs": [], "done": None, "run": cost * RUN}
-        self.handle(me, Arrived(id_, cls, due, key=key))
+        self.handle(me, RequestReceived(id_, cls, due, key=key))
 
     def handle(self, me, *events):
         for action in self.nodes[me].handle(self.now, list(events)):
-            if isinstance(action, Send):
+            if isinstance(action, StartAttempt):
                 self.send(me, action)
-            elif isinstance(action, Cancel):
+            elif isinstance(action, CancelAttempt):
                 self.cancel(me, action.id, action.attempt)
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, RejectRequest | FailRequest):
                 self.answer(me, action.id, type(action))
             elif isinstance(action, SetTimer):
-                self.at(action.at, self.handle, me, Due(action.token))
+                self.at(action.at, self.handle, me, TimerFired(action.token))
 
     def send(self, me, action):
         job, simulated = self.jobs[me, action.id], self.simulated_workers[action.worker]
         state, since = self.told[me][action.worker]
-        if state != State.READY and self.now > since + SITE.drain_grace:
+        if state != EndpointState.READY and self.now > since + SITE.drain_grace:
             self.broken.append(f"3: node {me} to {action.worker}, told {self.now - since:.0f} ms before")
         if any(leg["out"] for leg in job["legs"]) or job["done"] is not None:
             self.broken.append(f"1, 2: job {action.id} of node {me} has a leg out or is over")
@@ -192,7 +194,7 @@
     def reach(self, leg):
         if leg["out"] and leg["simulated"].silent:
             self.at(self.now + 100.0, self.end, leg, Outcome.CONNECT_FAILED)
-        elif leg["out"] and leg["simulated"].entry.state == State.GONE:
+        elif leg["out"] and leg["simulated"].entry.state == EndpointState.GONE:
             self.at(self.now + DELAY, self.end, leg, Outcome.CONNECT_FAILED)
         elif leg["out"]:
             leg["simulated"].waiting.append(leg)
@@ -210,7 +212,9 @@
 
     def note(self, leg):
         if leg["out"]:
-            self.handle(leg["me"], Noted(leg["id"], leg["n"], leg["simulated"].entry.worker, STARTED, 0.0))
+            self.handle(
+                leg["me"], AttemptProgressed(leg["id"], leg["n"], leg["simulated"].entry.worker, STARTED, 0.0)
+            )
 
     def finish(self, leg):
         if leg["running"]:
@@ -228,7 +232,9 @@
         if outcome == Outcome.OK and job["done"] is None:
             self.answer(me, leg["id"], "served")
         over, elapsed = job["done"] is not None, self.now - leg["sent"]
-        self.handle(me, Ended(leg["id"], leg["n"], leg["simulated"].entry.worker, outcome, elapsed, over))
+        self.handle(
+            me, AttemptEnded(leg["id"], leg["n"], leg["simulated"].entry.worker, outcome, elapsed, over)
+        )
 
     def cancel(self, me, id_, number):
         leg = self.jobs[me, id_]["legs"][number]
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -7,7 +7,7 @@
 import pytest
 from support.memory_dispatcher import InMemoryDispatcher
 
-from eiderfield.interface import State
+from eiderfield.interface import EndpointState
 from eiderfield.net.backoff import (
     DIAL_TIMEOUT,
     FEW_SHARERS,
@@ -274,7 +274,7 @@
     while not drained:
         for dial in [dial for dial in dispatcher.dials if dial not in hung]:
             dial.up().pipe.send(HEAD + chunk(told("DRAINING")))
-        drained = [*dispatcher.exchange._table.values()] == [State.DRAINING]
+        drained = [*dispatcher.exchange._table.values()] == [EndpointState.DRAINING]
         dispatcher.advance(10.0)
         assert dispatcher.now - reachable <= NOTIFIED_AFTER
 
@@ -292,7 +292,7 @@
     feed.pipe.break_off()
     dispatcher.advance(FIRST_CALLS_SHARE * 500.0 + TICK)
     dispatcher.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING")))
-    assert [*dispatcher.exchange._table.values()] == [State.DRAINING]
+    assert [*dispatcher.exchange._table.values()] == [EndpointState.DRAINING]
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
@@ -330,4 +330,4 @@
 def test_a_watch_takes_an_indented_list(indent):
     dispatcher = follow(0, 3)
     dispatcher.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING", indent=indent)))
-    assert [*dispatcher.exchange._table.values()] == [State.DRAINING]
+    assert [*dispatcher.exchange._table.values()] == [EndpointState.DRAINING]
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -6,7 +6,7 @@
 from support.console import Console
 from support.memory_dispatcher import Client
 
-from eiderfield.interface import State
+from eiderfield.interface import EndpointState
 
 
 def state(dispatcher, worker):
@@ -38,12 +38,12 @@
     elif news == "drain and back":
         dispatcher.tell((1, "DRAINING"))
         dispatcher.tell((1, "SERVING"))
-    assert state(dispatcher, 1) == State.DRAINING and console.figures()["hosts_down"] == 1
+    assert state(dispatcher, 1) == EndpointState.DRAINING and console.figures()["hosts_down"] == 1
     for n in range(4):
         dispatcher.client(path="/safe", id_=f"r{n}")
     assert sent_to(dispatcher) == {2}
     assert [ask(console, "enable"), ask(console, "enable")] == [200, 200]
-    assert state(dispatcher, 1) == State.READY and console.figures()["hosts_down"] == 0
+    assert state(dispatcher, 1) == EndpointState.READY and console.figures()["hosts_down"] == 0
 
 
 def test_what_was_about_to_be_sent_to_a_banned_worker_goes_elsewhere():
@@ -73,9 +73,9 @@
     ask(console, "disable")
     console.dispatcher.tell((1, "DELETED"))
     ask(console, "enable")
-    assert state(console.dispatcher, 1) == State.GONE
+    assert state(console.dispatcher, 1) == EndpointState.GONE
     console.dispatcher.tell((1, "SERVING"))
-    assert state(console.dispatcher, 1) == State.READY
+    assert state(console.dispatcher, 1) == EndpointState.READY
 
 
 @pytest.mark.parametrize("told", [False, True])
@@ -110,16 +110,16 @@
 def test_names_may_be_written_in_percents():
     console = Console(workers=1)
     assert ask(console, "disable", "%77%31") == 200
-    assert state(console.dispatcher, 1) == State.DRAINING
+    assert state(console.dispatcher, 1) == EndpointState.DRAINING
 
 
 def test_bans_outlive_the_process(tmp_path):
     first = Console(bans=tmp_path / "bans")
     ask(first, "disable")
     second = Console(bans=tmp_path / "bans")
-    assert state(second.dispatcher, 1) == State.DRAINING
+    assert state(second.dispatcher, 1) == EndpointState.DRAINING
     ask(second, "enable")
-    assert state(Console(bans=tmp_path / "bans").dispatcher, 1) == State.READY
+    assert state(Console(bans=tmp_path / "bans").dispatcher, 1) == EndpointState.READY
     assert [file.name for file in tmp_path.iterdir()] == ["bans"], "no draft stays behind"
 
 
@@ -129,7 +129,7 @@
 def test_a_torn_file_stops_nothing(tmp_path, text):
     (tmp_path / "bans").write_text(text)
     console = Console(bans=tmp_path / "bans")
-    assert "not taken" in console.dispatcher.logged[0] and state(console.dispatcher, 1) == State.READY
+    assert "not taken" in console.dispatcher.logged[0] and state(console.dispatcher, 1) == EndpointState.READY
     assert ask(console, "disable") == 200
     assert json.loads((tmp_path / "bans").read_text())["banned"].keys() == {"w1"}
 
@@ -137,7 +137,7 @@
 def test_a_ban_that_cannot_be_written_is_in_force_and_says_so(tmp_path):
     console = Console(bans=tmp_path / "none" / "bans")
     assert ask(console, "disable") == 500
-    assert state(console.dispatcher, 1) == State.DRAINING
+    assert state(console.dispatcher, 1) == EndpointState.DRAINING
 
 
 def test_a_caller_that_goes_away_leaves_the_console_working():
@@ -145,4 +145,4 @@
     caller = Client(console.dispatcher, console.listener)
     caller.send(b"POST /-/workers/w1/disa")
     caller.pipe.break_off()
-    assert state(console.dispatcher, 1) == State.READY and ask(console, "disable") == 200
+    assert state(console.dispatcher, 1) == EndpointState.READY and ask(console, "disable") == 200
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -9,7 +9,7 @@
 from support.memory_dispatcher import Client
 from test_bans import ask, state
 
-from eiderfield.interface import State
+from eiderfield.interface import EndpointState
 from eiderfield.net.bans import RETRY_INTERVAL, Bans, result_of, thread_runner
 from eiderfield.net.console import WAIT
 from eiderfield.net.table_state import RoutingTableState
@@ -87,7 +87,7 @@
         path.write_bytes(whole[:size])
         assert banned_on_file(path) is None
         fresh = Console(workers=2, bans=path)
-        assert state(fresh.dispatcher, 1) == State.READY
+        assert state(fresh.dispatcher, 1) == EndpointState.READY
     path.write_bytes(whole)
     assert banned_on_file(path) == {"w1", "w2"}
 
@@ -129,12 +129,15 @@
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("open", code)
         console = Console(workers=4, bans=path)
-        assert state(console.dispatcher, 1) == State.READY, "the start is not stopped"
+        assert state(console.dispatcher, 1) == EndpointState.READY, "the start is not stopped"
         assert ask(console, "enable", "w2") == 500 and ask(console, "disable", "w3") == 500
         console.dispatcher.advance(5.0 * RETRY_INTERVAL)
         faults.heal()
         console.dispatcher.advance(2.0 * RETRY_INTERVAL)
-    assert state(console.dispatcher, 1) == State.DRAINING and state(console.dispatcher, 2) == State.READY
+    assert (
+        state(console.dispatcher, 1) == EndpointState.DRAINING
+        and state(console.dispatcher, 2) == EndpointState.READY
+    )
     assert banned_on_file(path) == {"w1", "w3"}
 
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -7,7 +7,7 @@
 from support.memory_dispatcher import SITE
 from support.real_sockets import ListenerHarness, SocketClient, message
 
-from eiderfield.interface import Due, Send
+from eiderfield.interface import StartAttempt, TimerFired
 from eiderfield.net.clients.connection import MESSAGES_PER_TURN, PIPELINED_BYTES
 from eiderfield.net.loop import Driver
 
@@ -151,7 +151,7 @@
     assert first.ask("r0") == [200]
     [end] = harness.dispatcher.ends
     client = SocketClient(harness)
-    leaves_in_the_turn(harness, client, Send)
+    leaves_in_the_turn(harness, client, StartAttempt)
     client.send(message("r1"))
     harness.turn()
     assert end.take() == [] and end.came == ["r0"] and not harness.dispatcher.exchange.unanswered
@@ -195,7 +195,7 @@
         dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_at())
         dispatcher.wheel.advance(dispatcher.now)
         if dispatcher.now >= worker.full_until and any(
-            isinstance(event, Due) for event in dispatcher.exchange._events
+            isinstance(event, TimerFired) for event in dispatcher.exchange._events
         ):
             break
         dispatcher.settle()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -4,7 +4,7 @@
 from support.console import CALLERS, Console
 from support.memory_dispatcher import Client
 
-from eiderfield.interface import State
+from eiderfield.interface import EndpointState
 from eiderfield.net.backoff import DIAL_TIMEOUT
 from eiderfield.net.clients.connection import EVICTION_GRACE
 from eiderfield.net.console import WAIT
@@ -104,7 +104,7 @@
     assert console.figures()["hosts_down"] == 1
     dispatcher.tell((1, "SERVING"), (3, "SERVING"), snapshot=True)
     assert console.figures()["hosts_listed"] == 2
-    assert State.READY in dispatcher.exchange._table.values()
+    assert EndpointState.READY in dispatcher.exchange._table.values()
 
 
 def test_a_rest_that_is_over_counts_no_more_though_nothing_happened_since():
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -6,7 +6,7 @@
 from support.memory_dispatcher import InMemoryDispatcher, Pipe
 
 from eiderfield.config import Discovery
-from eiderfield.interface import State
+from eiderfield.interface import EndpointState
 from eiderfield.net.discovery.consul import ANSWER_SLACK, ConsulWatch
 from eiderfield.net.http import END, Head, Parser
 
@@ -67,17 +67,23 @@
 
     def states(self):
         names = self.dispatcher.ids
-        return {names.name(w): s for w, s in self.dispatcher.exchange._table.items() if s != State.GONE}
+        return {
+            names.name(w): s for w, s in self.dispatcher.exchange._table.items() if s != EndpointState.GONE
+        }
 
 
 def test_health_is_followed_by_blocking_queries():
     consul = Consul()
     assert consul.query() == "/v1/health/service/claim%20workers"
     consul.answer(7, instance("a", 1), instance("b", 2, "critical"), instance("c", 3, "warning"))
-    assert consul.states() == {"n/a": State.READY, "n/b": State.DRAINING, "n/c": State.READY}
+    assert consul.states() == {
+        "n/a": EndpointState.READY,
+        "n/b": EndpointState.DRAINING,
+        "n/c": EndpointState.READY,
+    }
     assert consul.query() == "/v1/health/service/claim%20workers?index=7&wait=30s"
     consul.answer(9, instance("b", 2))
-    assert consul.states() == {"n/b": State.READY}
+    assert consul.states() == {"n/b": EndpointState.READY}
     assert consul.dispatcher.exchange.knows_workers
 
 
@@ -96,7 +102,7 @@
             "ServiceWeights": {"Passing": 1},
         },
     )
-    assert consul.states() == {"n/a": State.READY}
+    assert consul.states() == {"n/a": EndpointState.READY}
     assert list(consul.dispatcher.side._addresses.values()) == [("127.0.0.8", 5)]
 
 
@@ -130,7 +136,7 @@
     consul.query()
     consul.answer(7, instance("a", 1))
     consul.answer(8, raw=raw)
-    assert not consul.pipe.open and consul.states() == {"n/a": State.READY}
+    assert not consul.pipe.open and consul.states() == {"n/a": EndpointState.READY}
     consul.dispatcher.advance(1500.0)
     consul.connect()
     assert consul.query() == "/v1/health/service/claim%20workers"
@@ -141,7 +147,7 @@
     consul.query()
     consul.answer(7, instance("a", 1))
     consul.dispatcher.advance(30_000.0 * 17 / 16 + ANSWER_SLACK + 50.0)
-    assert not consul.pipe.open and consul.states() == {"n/a": State.READY}
+    assert not consul.pipe.open and consul.states() == {"n/a": EndpointState.READY}
 
 
 def test_an_instance_that_appears_later_counts_as_just_started():
@@ -224,7 +230,7 @@
     consul.answer(7, *[instance(c, n) for n, c in enumerate("abcd", 1)])
     consul.query()
     consul.answer(3, instance("a", 1, "critical"))
-    assert consul.states()["n/a"] == State.DRAINING and consul.states()["n/b"] == State.READY
+    assert consul.states()["n/a"] == EndpointState.DRAINING and consul.states()["n/b"] == EndpointState.READY
 
 
 def test_without_a_leader_lists_are_in_doubt_until_their_time_ends():
@@ -238,7 +244,9 @@
             head = "HTTP/1.1 200 OK\r\nX-Consul-Index: 9\r\nX-Consul-KnownLeader: false\r\n"
             consul.pipe.send(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
             consul.dispatcher.settle()
-    assert consul.states() == {"n/a": State.READY} and consul.dispatcher.table.unconfirmed_removals == 0
+    assert (
+        consul.states() == {"n/a": EndpointState.READY} and consul.dispatcher.table.unconfirmed_removals == 0
+    )
     assert any("is applied now" in line for line in consul.dispatcher.logged)
 
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -8,7 +8,7 @@
 from support.policy import KEYED, SAFE, UNSAFE
 from support.real_sockets import ListenerHarness, SocketClient, message
 
-from eiderfield.interface import HELD_UP, Effect, Scope, Send
+from eiderfield.interface import HELD_UP, Effect, Scope, StartAttempt
 from eiderfield.net.loop import Driver
 
 SLACK = 150.0  # ms by which a worker may be told too much (standing test)
@@ -237,7 +237,7 @@
 
     def held_up(now, events):
         actions = handle(now, events)
-        if any(isinstance(action, Send) for action in actions):
+        if any(isinstance(action, StartAttempt) for action in actions):
             harness.discovery.tell()
             told_at.append(dispatcher.now)
             dispatcher.now += HELD_UP
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -18,14 +18,14 @@
 from eiderfield import exchange as core
 from eiderfield.interface import (
     Action,
-    Arrived,
+    AttemptEnded,
     Effect,
-    Ended,
     Outcome,
-    PeerSaid,
-    Refuse,
-    Send,
-    Tell,
+    PeerReportReceived,
+    RejectRequest,
+    RequestReceived,
+    SendPeerReport,
+    StartAttempt,
     Tenant,
     pack_counts,
 )
@@ -110,7 +110,7 @@
 
 def test_a_tenant_is_known_by_name_and_an_unknown_one_has_no_share(dispatcher, monkeypatch):
     came = []
-    monkeypatch.setattr(core, "Arrived", lambda *args: came.append(args[3]) or REAL(*args))
+    monkeypatch.setattr(core, "RequestReceived", lambda *args: came.append(args[3]) or REAL(*args))
     cls, tenants = dispatcher.exchange.site.classes[0], dispatcher.exchange.site.tenants
     words = [tenant.name for tenant in tenants] + ["nobody", ""]
     for number, word in enumerate(words):
@@ -118,7 +118,7 @@
     assert came == [*range(len(tenants)), len(tenants), len(tenants)]
 
 
-REAL = core.Arrived
+REAL = core.RequestReceived
 
 
 def test_every_action_of_the_module_has_a_taker(dispatcher):
@@ -133,9 +133,9 @@
     tenants = (Tenant("a", 50.0, 0.7), Tenant("b", 2.0, 0.3))
     site = replace(DEPLOYMENTS["admissions"], balancers=1, tenants=tenants)
     node = Node(site, workers=1)
-    events = [Arrived(n, 0, 5000.0, tenant=1) for n in range(1, 41)]
-    events += [Arrived(n, 0, 5000.0, tenant=0) for n in range(41, 51)]
-    refused = {action.id for action in told(node.play(*events), Refuse)}
+    events = [RequestReceived(n, 0, 5000.0, tenant=1) for n in range(1, 41)]
+    events += [RequestReceived(n, 0, 5000.0, tenant=0) for n in range(41, 51)]
+    refused = {action.id for action in told(node.play(*events), RejectRequest)}
     assert refused and refused <= set(range(1, 41)), "only of the one that is over its share"
 
 
@@ -177,11 +177,11 @@
 def test_a_peer_that_falls_silent_is_believed_for_two_seconds_and_no_longer():
     node = Node(replace(DEPLOYMENTS["admissions"], tenants=()), workers=1)
     node.dispatcher._reports.slots[0] = 4.0
-    node.play(PeerSaid(1, pack_counts([(1, 9)])))
-    assert not told(node.arrive(cls=0)[1], Send)
+    node.play(PeerReportReceived(1, pack_counts([(1, 9)])))
+    assert not told(node.arrive(cls=0)[1], StartAttempt)
     node.play(at=1900.0)
-    assert not told(node.arrive(cls=0, due=9000.0)[1], Send)
-    assert told(node.play(at=2100.0), Send)
+    assert not told(node.arrive(cls=0, due=9000.0)[1], StartAttempt)
+    assert told(node.play(at=2100.0), StartAttempt)
 
 
 def test_two_dispatchers_that_see_the_same_free_slot_take_it_once_they_have_told():
@@ -190,17 +190,20 @@
     for node in nodes:
         node.dispatcher._reports.slots[0] = 2.0
     sent = [node.arrive(cls=0, slots=2.0)[1] for node in nodes]
-    assert all(told(actions, Send) for actions in sent), "neither could know: one waits at the worker"
+    assert all(told(actions, StartAttempt) for actions in sent), "neither could know: one waits at the worker"
     for node, actions in zip(nodes, reversed(sent), strict=True):
         node.play(
-            *[PeerSaid(1 - node.dispatcher._context.settings.me, tell.data) for tell in told(actions, Tell)]
+            *[
+                PeerReportReceived(1 - node.dispatcher._context.settings.me, tell.data)
+                for tell in told(actions, SendPeerReport)
+            ]
         )
-    assert not any(told(node.arrive(cls=0, slots=2.0)[1], Send) for node in nodes)
+    assert not any(told(node.arrive(cls=0, slots=2.0)[1], StartAttempt) for node in nodes)
 
 
 def test_an_older_report_than_the_slots_seen_does_not_shrink_a_worker():
     node = Node(replace(DEPLOYMENTS["admissions"], tenants=(), balancers=1), workers=1)
     node.dispatcher._reports.slots[0] = 4.0
     id_, _ = node.arrive(cls=0)
-    node.play(Ended(id_, 0, 1, Outcome.OK, 1.0, True, load=(9.0, 9.0, 0.0)))
-    assert told(node.arrive(cls=0)[1], Send), "what was free seconds ago is no limit"
+    node.play(AttemptEnded(id_, 0, 1, Outcome.OK, 1.0, True, load=(9.0, 9.0, 0.0)))
+    assert told(node.arrive(cls=0)[1], StartAttempt), "what was free seconds ago is no limit"
--- a/tests/test_durable_requests_members.py
+++ b/tests/test_durable_requests_members.py
@@ -39,7 +39,7 @@
 from eiderfield.durable_requests.settings import read as read_settings
 from eiderfield.durable_requests.store import MAGIC, SCHEMA, RecordStore
 from eiderfield.exchange import Answer, Request, Verdict
-from eiderfield.interface import Effect, JobClass, Settings
+from eiderfield.interface import Effect, RequestClass, Settings
 
 SERVED = Answer(Verdict.SERVED, b"r", may_have_run=True, legs=1)
 DECLINED = Answer(Verdict.DECLINED, retry_after=9.0)
@@ -519,7 +519,10 @@
 
 
 SITE = Settings(
-    (JobClass("report", 3.0, 300.0, 6000.0, Effect.KEYED), JobClass("look", 1.0, 9.0, 900.0, Effect.SAFE))
+    (
+        RequestClass("report", 3.0, 300.0, 6000.0, Effect.KEYED),
+        RequestClass("look", 1.0, 9.0, 900.0, Effect.SAFE),
+    )
 )
 
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -4,10 +4,10 @@
 from support.memory_dispatcher import InMemoryDispatcher
 
 from eiderfield.net.discovery.endpoint_list import (
-    Endpoint,
     EndpointList,
     EndpointListError,
     EndpointStatus,
+    ListedEndpoint,
     parse_endpoint_list,
 )
 
@@ -24,7 +24,7 @@
 
 def test_a_list_is_read_with_all_its_fields():
     address = ("10.1.0.18", 8080)
-    endpoint = Endpoint(
+    endpoint = ListedEndpoint(
         "s-5be2a07c", EndpointStatus.SERVING, address, "a", "m2", 3, weight=1.5, since_ms=12.0
     )
     assert parse_endpoint_list(document()) == EndpointList(41, True, (endpoint,))
@@ -33,7 +33,7 @@
 def test_what_an_endpoint_may_lack_has_its_usual_value():
     bare = {"index": 2, "endpoints": [{"name": "w", "status": "DRAINING", "address": "h:1"}]}
     assert parse_endpoint_list(bare) == EndpointList(
-        2, False, (Endpoint("w", EndpointStatus.DRAINING, ("h", 1)),)
+        2, False, (ListedEndpoint("w", EndpointStatus.DRAINING, ("h", 1)),)
     )
 
 
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -9,15 +9,15 @@
 
 from eiderfield.interface import (
     STARTED,
-    Ended,
-    Entry,
-    Listed,
-    ListKind,
-    Noted,
+    AttemptEnded,
+    AttemptProgressed,
+    Endpoint,
+    EndpointListKind,
+    EndpointsUpdated,
     Outcome,
-    PeerSaid,
-    Send,
-    Tell,
+    PeerReportReceived,
+    SendPeerReport,
+    StartAttempt,
     pack_counts,
 )
 
@@ -25,7 +25,7 @@
 
 
 def sends(actions):
-    return [action for action in actions if isinstance(action, Send)]
+    return [action for action in actions if isinstance(action, StartAttempt)]
 
 
 def failing(site, cls):
@@ -36,10 +36,10 @@
         while found := sends(actions):
             send, number = found[0], len(node.dispatcher._jobs[found[0].id].attempts) - 1
             node.now += 1.0
-            node.play(Noted(send.id, number, send.worker, STARTED, 0.0))
+            node.play(AttemptProgressed(send.id, number, send.worker, STARTED, 0.0))
             node.now += 1.0
             outcome = Outcome.ERROR if send.worker == 1 else Outcome.OK
-            actions = node.play(Ended(send.id, number, send.worker, outcome, 2.0, send.worker == 2))
+            actions = node.play(AttemptEnded(send.id, number, send.worker, outcome, 2.0, send.worker == 2))
         if node.dispatcher._fleet.workers[1].strikes:
             return node
     raise AssertionError("the failing worker was never known for one")
@@ -72,7 +72,7 @@
     node.arrive(cls=0)
     id_, actions = node.arrive(cls=0)
     assert [s.worker for s in sends(actions)] == [1]
-    node.play(Ended(id_, 0, 1, Outcome.CONNECT_FAILED, 1.0, False))
+    node.play(AttemptEnded(id_, 0, 1, Outcome.CONNECT_FAILED, 1.0, False))
     assert 1 in node.dispatcher.snapshot(node.now).avoided
 
 
@@ -81,9 +81,9 @@
     node = Node(BASE)
     id_, actions = node.arrive(cls=0)
     worker = sends(actions)[0].worker
-    node.play(Noted(id_, 0, worker, STARTED, 0.0))
+    node.play(AttemptProgressed(id_, 0, worker, STARTED, 0.0))
     node.dispatcher._retry_budget.tokens = 0.1
-    ended = node.play(Ended(id_, 0, worker, Outcome.ERROR, ran, False), at=node.now + ran)
+    ended = node.play(AttemptEnded(id_, 0, worker, Outcome.ERROR, ran, False), at=node.now + ran)
     assert bool(sends(ended)) is again
 
 
@@ -91,9 +91,9 @@
     node = Node(BASE)
     id_, actions = node.arrive(cls=0)
     worker = sends(actions)[0].worker
-    node.play(Noted(id_, 0, worker, STARTED, 0.0))
+    node.play(AttemptProgressed(id_, 0, worker, STARTED, 0.0))
     node.dispatcher._retry_budget.tokens = 0.1
-    assert not sends(node.play(Ended(id_, 0, worker, Outcome.RESET, 1.0, False), at=node.now + 1.0))
+    assert not sends(node.play(AttemptEnded(id_, 0, worker, Outcome.RESET, 1.0, False), at=node.now + 1.0))
 
 
 def node_with_slots(site, slots=4.0, workers=2):
@@ -107,19 +107,19 @@
     node = node_with_slots(BASE, workers=1)
     first, actions = node.arrive(cls=0, slots=2.0)
     assert sends(actions), "an empty worker always takes one"
-    node.play(Noted(first, 0, 1, STARTED, 0.0))
+    node.play(AttemptProgressed(first, 0, 1, STARTED, 0.0))
     assert not sends(node.arrive(cls=0, slots=4.0)[1])
     small, actions = node.arrive(cls=0, slots=1.0)
     assert [s.id for s in sends(actions)] == [small], "who fits passes the one that does not"
-    node.play(Noted(small, 0, 1, STARTED, 0.0))
-    node.play(Ended(small, 0, 1, Outcome.OK, 5.0, True), at=5.0)
-    assert [s.id for s in sends(node.play(Ended(first, 0, 1, Outcome.OK, 5.0, True)))] == [2]
+    node.play(AttemptProgressed(small, 0, 1, STARTED, 0.0))
+    node.play(AttemptEnded(small, 0, 1, Outcome.OK, 5.0, True), at=5.0)
+    assert [s.id for s in sends(node.play(AttemptEnded(first, 0, 1, Outcome.OK, 5.0, True)))] == [2]
 
 
 def test_a_large_job_does_not_starve_it_waits_at_a_worker_once_it_would_be_late():
     node = node_with_slots(replace(ONE, classes=(replace(SAFE, late_worth=0.0),)), slots=2.0, workers=1)
     first, _ = node.arrive(cls=0)
-    node.play(Noted(first, 0, 1, STARTED, 0.0))
+    node.play(AttemptProgressed(first, 0, 1, STARTED, 0.0))
     large, actions = node.arrive(cls=0, slots=2.0)
     assert not sends(actions)
     assert [s.id for s in sends(node.play(at=500.0))] == [large]
@@ -131,7 +131,7 @@
         id_, actions = node.arrive(cls=0)
         assert bool(sends(actions)) is expected
         if expected:
-            node.play(Noted(id_, 0, 1, STARTED, 0.0))
+            node.play(AttemptProgressed(id_, 0, 1, STARTED, 0.0))
 
 
 def test_without_reports_one_may_wait_there_or_more_slots_would_never_be_found():
@@ -139,15 +139,15 @@
     for expected in (True, True, False):  # the third finds the second waiting, and so the slots are known
         assert bool(sends(node.arrive(cls=0)[1])) is expected
         if expected:
-            node.play(Noted(1, 0, 1, STARTED, 0.0))
+            node.play(AttemptProgressed(1, 0, 1, STARTED, 0.0))
 
 
 def test_peers_are_told_slots_and_heed_them():
     site = replace(BASE, balancers=2, may_tell=True)
-    told = [a for a in Node(site, workers=2).arrive(cls=0, slots=3.0)[1] if isinstance(a, Tell)]
+    told = [a for a in Node(site, workers=2).arrive(cls=0, slots=3.0)[1] if isinstance(a, SendPeerReport)]
     assert told[0].data[-1] == 3
     other = Node(replace(site, me=1), workers=1)
-    other.play(Listed(ListKind.DELTA, 2, (Entry(1),)))
+    other.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1),)))
     other.dispatcher._reports.slots[0] = 4.0
-    other.play(PeerSaid(0, pack_counts([(1, 3)])))
+    other.play(PeerReportReceived(0, pack_counts([(1, 3)])))
     assert not sends(other.arrive(cls=0, slots=3.0)[1])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,7 +18,7 @@
 from support.processes import CONFIG, ROOT, DiscoveryServer, HoldingWorker, ask, post
 
 from eiderfield.idmap import IdMap
-from eiderfield.interface import State, pack_counts, unpack_counts
+from eiderfield.interface import EndpointState, pack_counts, unpack_counts
 from eiderfield.lab.ports import free_port
 from eiderfield.net.clients.listener import ACCEPTED_PER_TURN
 from eiderfield.net.handover.new_process import PATIENCE, PATIENCE_DELAYED
@@ -45,7 +45,7 @@
     assert not pair.new.done and not pair.new.dispatcher.listener.listening
     pair.go()
     assert pair.new.done and pair.new.takes() and not pair.old.takes() and pair.old.handover.handed_over
-    assert [state(pair.new, w) for w in (1, 2)] == [State.READY, State.DRAINING]
+    assert [state(pair.new, w) for w in (1, 2)] == [EndpointState.READY, EndpointState.DRAINING]
     assert pair.new.dispatcher.table.ban("w3"), "ids that were ever listed are remembered"
     assert pair.new.dispatcher.table.ban("w4") is None
     assert pair.new.dispatcher.table.listed == pair.old.dispatcher.table.listed
@@ -88,10 +88,10 @@
     side = getattr(pair, who)
     side.dispatcher.table.ban("w1")
     pair.go()
-    assert state(pair.old, 1) == state(pair.new, 1) == State.DRAINING
+    assert state(pair.old, 1) == state(pair.new, 1) == EndpointState.DRAINING
     side.dispatcher.table.unban("w1")
     pair.go()
-    assert state(pair.old, 1) == state(pair.new, 1) == State.READY
+    assert state(pair.old, 1) == state(pair.new, 1) == EndpointState.READY
     assert not pair.old.dispatcher.table.bans.since and not pair.new.dispatcher.table.bans.since
 
 
@@ -312,7 +312,7 @@
         and not [line for line in new.dispatcher.logged if "read" in line]
     )
     assert new.dispatcher.listener.held_by_other_process == 3 and new.dispatcher.exchange.holds("held")
-    assert state(new, 1) == State.READY and new.dispatcher.table.bans.since == {"w2": 5.0}
+    assert state(new, 1) == EndpointState.READY and new.dispatcher.table.bans.since == {"w2": 5.0}
     new.dispatcher.listener._socket.close()
 
 
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -14,7 +14,7 @@
 from eiderfield.net.handover import messages as m
 from eiderfield.net.handover.codec import Codec
 from eiderfield.net.handover.messages import MalformedMessageError
-from eiderfield.net.table_state import EndpointState, UnbannedWorker
+from eiderfield.net.table_state import EndpointRecord, UnbannedWorker
 
 GOLDEN = Path(__file__).parent / "golden" / "handover"
 NAMES = sorted(path.stem for path in GOLDEN.glob("*.json"))
@@ -86,7 +86,7 @@
     assert set(state.request_ids) == {"held1", "held2", "held3", "keyed"}
     assert state.attempts == (m.AttemptsOut("w1", 1),) and state.bans == {"w2": START}
     assert state.table.index == 3 and state.table.unbanned == (UnbannedWorker("w6", START, STATE_AT),)
-    slow = EndpointState("w3", "127.0.0.1:3", "SERVING", "z1", "", 0, 1.0, START - 100.0, None)
+    slow = EndpointRecord("w3", "127.0.0.1:3", "SERVING", "z1", "", 0, 1.0, START - 100.0, None)
     assert state.table.endpoints[2] == slow
     statuses = {endpoint.name: endpoint.status for endpoint in state.table.endpoints}
     assert statuses == {"w4": "DRAINING", "w5": "DELETED"} | dict.fromkeys(
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from support.random_events import VARIANTS, EventPlayer, RuleBrokenError
 
-from eiderfield.interface import State
+from eiderfield.interface import EndpointState
 from eiderfield.policy import dispatcher, outlier_detection, selection
 from eiderfield.policy.dispatcher import Dispatcher
 from eiderfield.policy.slow_start import SlowStart
@@ -29,7 +29,7 @@
 
 def ignore_drains(real):
     def listed(self, event, now):
-        ready = [replace(entry, state=State.READY) for entry in event.entries]
+        ready = [replace(entry, state=EndpointState.READY) for entry in event.entries]
         real(self, replace(event, entries=tuple(ready)), now)
 
     return listed
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -8,15 +8,15 @@
 
 from eiderfield.interface import (
     STARTED,
-    Arrived,
-    Beside,
-    Entry,
-    Listed,
-    ListKind,
-    Noted,
+    AttemptProgressed,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    EndpointsUpdated,
     Outcome,
-    Refuse,
-    State,
+    RejectRequest,
+    RequestReceived,
+    SiblingReportReceived,
 )
 from eiderfield.policy.admission import GRB_PER_WORKER
 from eiderfield.policy.queues import ClassQueue
@@ -70,7 +70,11 @@
         for other in node.dispatcher._fleet.workers.values():
             other.full_until = 1000.0 * (other.entry.worker != worker)
         before = pacer.sent - pacer.accepted
-        node.play(Listed(ListKind.DELTA, 2, tuple(Entry(w, state=State.READY) for w in (worker,))))
+        node.play(
+            EndpointsUpdated(
+                EndpointListKind.DELTA, 2, tuple(Endpoint(w, state=EndpointState.READY) for w in (worker,))
+            )
+        )
         node.end(id_, 0, worker, outcome)
         assert pacer.sent - pacer.accepted - before == lost
 
@@ -97,7 +101,7 @@
     id_, _ = node.arrive()
     node.now += 10_000.0
     id_, actions = node.arrive()
-    node.play(Noted(id_, 0, 1, 1, 0.0))
+    node.play(AttemptProgressed(id_, 0, 1, 1, 0.0))
     assert worker.fulls == 0
 
 
@@ -105,7 +109,7 @@
     node = Node()
     id_, actions = node.arrive()
     worker = sends(actions)[0].worker
-    node.play(Listed(ListKind.DELTA, 2, (Entry(worker, state=State.DRAINING),)))
+    node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(worker, state=EndpointState.DRAINING),)))
     node.end(id_, 0, worker, Outcome.FULL)
     pacer = node.dispatcher._queues.pacers[0]
     assert pacer.accepted == pacer.sent
@@ -139,7 +143,7 @@
     pacer = node.dispatcher._queues.pacers[0]
     pacer.rate, pacer.uncut, pacer.start = 10.0, 10.0, 0.0
     ids = [node.next_id + n for n in range(3)]
-    got = sends(node.play(*(Arrived(i, 0, 5000.0) for i in ids)))
+    got = sends(node.play(*(RequestReceived(i, 0, 5000.0) for i in ids)))
     assert [s.id for s in got] == ids[:1]
     assert not sends(node.play(at=99.0))
     assert [s.id for s in sends(node.play(at=100.0))] == ids[1:2]
@@ -152,7 +156,7 @@
     for _ in range(3):
         id_, actions = node.arrive()
         used.append(sends(actions)[0].worker)
-        node.play(Noted(id_, 0, used[-1], 1, 0.0))
+        node.play(AttemptProgressed(id_, 0, used[-1], 1, 0.0))
     assert sorted(used) == [1, 2, 3]
     node.end(1, 0, used[0], Outcome.OK, final=True)
     assert sends(node.arrive()[1])[0].worker == used[0]
@@ -160,7 +164,7 @@
 
 def test_jobs_go_to_workers_of_their_kind_only():
     node = Node(replace(BASE, classes=(replace(SAFE, kind=1),)), workers=0)
-    node.play(Listed(ListKind.FULL, 2, (Entry(1, kind=0), Entry(2, kind=1))))
+    node.play(EndpointsUpdated(EndpointListKind.FULL, 2, (Endpoint(1, kind=0), Endpoint(2, kind=1))))
     assert [s.worker for s in sends(node.arrive()[1])] == [2]
     assert not sends(node.arrive()[1])
 
@@ -170,11 +174,11 @@
     room = 12  # at 150 ms a job, a 13th would wait over 4 times a slack of 300 + 2 * 150 - 150 ms
     low = [node.arrive(cls=0)[0] for _ in range(4)]
     for _ in range(room - 4):
-        assert not [a for a in node.arrive(cls=1)[1] if isinstance(a, Refuse)]
+        assert not [a for a in node.arrive(cls=1)[1] if isinstance(a, RejectRequest)]
     refused = []
     for _ in range(5):
         id_, actions = node.arrive(cls=1)
-        refused += [(a.id, a.retry_after) for a in actions if isinstance(a, Refuse)]
+        refused += [(a.id, a.retry_after) for a in actions if isinstance(a, RejectRequest)]
     assert [r[0] for r in refused] == [*reversed(low), id_]
     assert all(0.0 < r[1] <= 2000.0 for r in refused)
 
@@ -196,7 +200,7 @@
     node = Node(replace(BASE, classes=(replace(SAFE, aim=4000.0),)), workers=0)
     node.dispatcher._queues.pacers[0].learn(1.0, 0.0)  # jobs of 1 ms: no wait would fill it
     answers = [node.arrive()[1] for _ in range(GRB_PER_WORKER * 4 + 1)]
-    refused = [any(isinstance(a, Refuse) for a in actions) for actions in answers]
+    refused = [any(isinstance(a, RejectRequest) for a in actions) for actions in answers]
     assert refused == [False] * (GRB_PER_WORKER * 4) + [True]
 
 
@@ -207,7 +211,7 @@
         id_, actions = node.arrive(key=key)
         for send in sends(actions):
             used.add(send.worker)
-            node.play(Noted(id_, 0, send.worker, 1, 0.0))
+            node.play(AttemptProgressed(id_, 0, send.worker, 1, 0.0))
             node.end(id_, 0, send.worker, Outcome.OK, final=True)
     return used
 
@@ -251,7 +255,11 @@
     """Incident ia7713c: new workers took over keys' homes and their cold budget let nothing through."""
     node = Node(workers=4)
     node.now = 100_000.0
-    node.play(Listed(ListKind.DELTA, 2, tuple(Entry(w, ready_at=99_000.0) for w in range(5, 30))))
+    node.play(
+        EndpointsUpdated(
+            EndpointListKind.DELTA, 2, tuple(Endpoint(w, ready_at=99_000.0) for w in range(5, 30))
+        )
+    )
     for key in range(1, 20):
         assert sent_to(node, key, 1) <= {1, 2, 3, 4} and sent_to(node, key, 1)
 
@@ -279,7 +287,7 @@
     for _ in range(4):
         worker = node.dispatcher._fleet.workers[1]
         [(id_, attempt)] = worker.open
-        actions = node.play(Noted(id_, attempt, 1, 1, 0.0))
+        actions = node.play(AttemptProgressed(id_, attempt, 1, 1, 0.0))
         worker.full_until = 0.0
         actions += node.end(id_, attempt, 1, Outcome.OK, final=True)
         order += [s.id for s in sends(actions)]
@@ -293,7 +301,7 @@
     node.play(at=400.0)
     node.play(at=401.0)
     actions = [a for _ in range(40) for a in node.arrive(cls=1)[1]]
-    assert [a.id for a in actions if isinstance(a, Refuse)][:3] == late[::-1]
+    assert [a.id for a in actions if isinstance(a, RejectRequest)][:3] == late[::-1]
     node = Node(replace(BASE, classes=(SAFE, UNSAFE)), workers=1)
     node.arrive()
     node.arrive()
@@ -308,7 +316,7 @@
         node.now += 100.0
         [send] = sends(node.arrive(key=7)[1])
         node.end(send.id, 0, send.worker, Outcome.OK, final=True, elapsed=90.0)
-    node.play(Listed(ListKind.FULL, 2, (Entry(1, ready_at=node.now), Entry(2))))
+    node.play(EndpointsUpdated(EndpointListKind.FULL, 2, (Endpoint(1, ready_at=node.now), Endpoint(2))))
     started, got = node.now, []
     while not got and node.now < started + BASE.cold:
         node.now += 50.0
@@ -324,23 +332,27 @@
     node = Node(workers=4)
     node.now = 100_000.0
     started = node.now - 0.5 * BASE.cold
-    node.play(Listed(ListKind.DELTA, 2, tuple(Entry(w, ready_at=started) for w in range(5, 30))))
+    node.play(
+        EndpointsUpdated(
+            EndpointListKind.DELTA, 2, tuple(Endpoint(w, ready_at=started) for w in range(5, 30))
+        )
+    )
     assert all(sent_to(node, key, 1) for key in range(1, 20))
 
 
 def test_what_stands_beside_counts_in_the_pick_and_in_a_cold_workers_budget():
     """In an upgrade two processes are one node: both would fill the same worker, and push a cold one over."""
     node = Node(replace(BASE, may_copy=False), workers=2)
-    node.play(Beside(1, 2, 0.0))
+    node.play(SiblingReportReceived(1, 2, 0.0))
     for _ in range(2):
         [send] = sends(node.arrive()[1])
         assert send.worker == 2
-        node.play(Noted(send.id, 0, 2, STARTED, 0.0))
-    node.play(Beside(1, 0, 0.0))
+        node.play(AttemptProgressed(send.id, 0, 2, STARTED, 0.0))
+    node.play(SiblingReportReceived(1, 0, 0.0))
     assert [send.worker for send in sends(node.arrive()[1])] == [1]
     module, node.now = node.dispatcher, 10_000.0
     module._slow_start.served_rate, module._slow_start.served_at = 1.0, node.now
-    node.play(Listed(ListKind.DELTA, 2, (Entry(1, ready_at=node.now - 100.0),)))
+    node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, ready_at=node.now - 100.0),)))
     left = module._slow_start.budget_left(module._fleet.workers[1], node.now)
-    node.play(Beside(1, 1, left))
+    node.play(SiblingReportReceived(1, 1, left))
     assert module._slow_start.budget_left(module._fleet.workers[1], node.now) == pytest.approx(0.0)
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -5,17 +5,17 @@
 from support.policy import BASE, KEYED, UNSAFE, Node, sends
 
 from eiderfield.interface import (
-    Cancel,
-    ClientGone,
-    Ended,
-    Entry,
-    Fail,
-    Listed,
-    ListKind,
+    AttemptEnded,
+    CancelAttempt,
+    ClientDisconnected,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    EndpointsUpdated,
+    FailRequest,
     Outcome,
-    Refuse,
+    RejectRequest,
     Scope,
-    State,
 )
 
 
@@ -28,14 +28,18 @@
     id_, actions = node.arrive(due=100.0)
     assert not sends(actions)
     actions = node.play(at=97.0)
-    assert [a.id for a in actions if isinstance(a, Refuse)] == [id_]
+    assert [a.id for a in actions if isinstance(a, RejectRequest)] == [id_]
 
 
 def test_an_unsafe_job_that_is_out_fails_at_its_end_and_is_not_refused(node):
     _, actions = node.arrive(cls=1, due=100.0)
     assert len(sends(actions)) == 1
     actions = node.play(at=97.0)
-    assert Fail in kinds(actions) and Refuse not in kinds(actions) and Cancel in kinds(actions)
+    assert (
+        FailRequest in kinds(actions)
+        and RejectRequest not in kinds(actions)
+        and CancelAttempt in kinds(actions)
+    )
 
 
 def test_an_unsafe_job_is_repeated_only_when_it_never_ran():
@@ -51,8 +55,8 @@
         id_, actions = node.arrive(cls=1)
         actions = node.end(id_, 0, sends(actions)[0].worker, outcome)
         assert bool(sends(actions)) is again, outcome
-        assert (Fail in kinds(actions)) is not again, outcome
-        assert Refuse not in kinds(actions)
+        assert (FailRequest in kinds(actions)) is not again, outcome
+        assert RejectRequest not in kinds(actions)
 
 
 def test_a_keyed_job_that_may_have_run_stays_in_its_cell_and_window():
@@ -68,25 +72,29 @@
         if again:
             assert got[0].worker % 2 == first % 2 and got[0].worker != first
         else:  # its only group member is under suspicion: held; its window is over: failed
-            assert (Fail in kinds(actions)) is (later > keyed.window)
+            assert (FailRequest in kinds(actions)) is (later > keyed.window)
 
 
 def test_nothing_goes_to_a_worker_that_drains(node):
-    node.play(Listed(ListKind.DELTA, 2, tuple(Entry(w, state=State.DRAINING) for w in (1, 2, 3))))
+    node.play(
+        EndpointsUpdated(
+            EndpointListKind.DELTA, 2, tuple(Endpoint(w, state=EndpointState.DRAINING) for w in (1, 2, 3))
+        )
+    )
     for _ in range(5):
         assert not sends(node.arrive()[1])
 
 
 def test_what_a_full_list_leaves_out_is_gone(node):
-    node.play(Listed(ListKind.FULL, 2, (Entry(2),)))
+    node.play(EndpointsUpdated(EndpointListKind.FULL, 2, (Endpoint(2),)))
     assert {s.worker for _ in range(4) for s in sends(node.arrive()[1])} == {2}
 
 
 def test_client_gone_in_the_same_batch_prevents_a_repeat(node):
     id_, actions = node.arrive()
     worker = sends(actions)[0].worker
-    actions = node.play(Ended(id_, 0, worker, Outcome.RESET, 5.0, False), ClientGone(id_))
-    assert not sends(actions) and Fail not in kinds(actions)
+    actions = node.play(AttemptEnded(id_, 0, worker, Outcome.RESET, 5.0, False), ClientDisconnected(id_))
+    assert not sends(actions) and FailRequest not in kinds(actions)
 
 
 def test_late_outcomes_after_the_final_answer_change_nothing(node):
@@ -95,13 +103,13 @@
     node.play(at=97.0)
     for outcome in (Outcome.CANCELLED, Outcome.OK):
         actions = node.end(id_, 0, worker, outcome, final=True)
-        assert not [a for a in actions if not isinstance(a, Cancel)]
+        assert not [a for a in actions if not isinstance(a, CancelAttempt)]
     assert node.dispatcher.snapshot().out == 0
 
 
 def test_a_cold_worker_gets_nothing_while_nothing_has_been_served():
     node = Node(replace(BASE, classes=(UNSAFE,)), workers=0)
-    node.play(Listed(ListKind.FULL, 2, (Entry(1, ready_at=1.0),)), at=2.0)
+    node.play(EndpointsUpdated(EndpointListKind.FULL, 2, (Endpoint(1, ready_at=1.0),)), at=2.0)
     assert not sends(node.arrive()[1])
     node.now = 9000.0
     assert sends(node.arrive()[1])
@@ -109,5 +117,5 @@
 
 def test_a_start_in_the_future_at_a_site_without_cold_workers():
     node = Node(replace(BASE, cold=0.0), workers=0)
-    node.play(Listed(ListKind.FULL, 2, (Entry(1, ready_at=500.0),)), at=2.0)
+    node.play(EndpointsUpdated(EndpointListKind.FULL, 2, (Endpoint(1, ready_at=500.0),)), at=2.0)
     assert sends(node.arrive()[1])
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -15,7 +15,7 @@
 from support.random_events import VARIANTS, EventPlayer
 from support.simulated_fleet import SimulatedFleet
 
-from eiderfield.interface import Send
+from eiderfield.interface import StartAttempt
 from eiderfield.wire import encode
 
 PROBING = replace(BASE, tells_start=False, may_probe=True, report_fields=("x0",), balancers=40)
@@ -47,7 +47,7 @@
     def handle(now, events):
         actions = real(now, events)
         for action in actions:
-            work = struct.pack("<d", action.work) if isinstance(action, Send) else b""
+            work = struct.pack("<d", action.work) if isinstance(action, StartAttempt) else b""
             digest.update(struct.pack("<d", now) + encode(number, action) + work)
         return actions
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,7 +9,7 @@
 from support.processes import CONFIG, DiscoveryServer, HoldingWorker, ask, running_program
 
 from eiderfield.config import ConfigError, load
-from eiderfield.interface import State
+from eiderfield.interface import EndpointState
 from eiderfield.lab.ports import free_port
 from eiderfield.net.backoff import DIAL_TIMEOUT, MAX_WAIT_OF_FEW
 from eiderfield.net.discovery.active_watch import ActiveWatch
@@ -62,9 +62,9 @@
     new = moving.up(8600)
     assert b"after" not in new.pipe.written, "another source may count on its own"
     old.say(news("DRAINING", 8, snapshot=False), head=False)
-    assert old.pipe.open and moving.states == [State.DRAINING]
+    assert old.pipe.open and moving.states == [EndpointState.DRAINING]
     new.say(news("SERVING", 3))
-    assert not old.pipe.open and moving.states == [State.READY]
+    assert not old.pipe.open and moving.states == [EndpointState.READY]
     new.pipe.break_off()
     moving.dispatcher.advance(150.0)
     assert b"after=3 " in moving.up(8600).pipe.written and not moving.dials(8500)
@@ -84,9 +84,9 @@
         moving.dispatcher.advance(MAX_WAIT_OF_FEW)
     again = moving.up(8500)
     again.say(news("DRAINING", 8, snapshot=False))
-    assert moving.states == [State.DRAINING]
+    assert moving.states == [EndpointState.DRAINING]
     moving.up(8600).say(news("SERVING", 3))
-    assert moving.states == [State.READY] and not again.pipe.open
+    assert moving.states == [EndpointState.READY] and not again.pipe.open
     moving.dispatcher.advance(20_000.0)
     assert not moving.dials(8500)
 
@@ -112,7 +112,7 @@
     assert not moving.dials(8550)
     moving.up(8600).say(news("DRAINING"))
     moving.dispatcher.advance(20_000.0)
-    assert moving.states == [State.DRAINING]
+    assert moving.states == [EndpointState.DRAINING]
     assert not moving.dials(8500) and not moving.dials(8550)
 
 
@@ -136,11 +136,11 @@
     version = 9000
     if old.pipe.open:
         old.say(news("DRAINING", version, snapshot=False), head=False)
-        assert moving.states == [State.DRAINING]
+        assert moving.states == [EndpointState.DRAINING]
     while not moving.dials(ports[-1]):
         moving.dispatcher.advance(50.0)
     moving.up(ports[-1]).say(news("SERVING", 3))
-    assert moving.states == [State.READY]
+    assert moving.states == [EndpointState.READY]
     moving.dispatcher.advance(1.0)
     assert not moving.dispatcher.dials and sum(end.pipe.open for end in moving.dispatcher.ends) == 1
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -13,7 +13,7 @@
 from support.memory_dispatcher import InMemoryDispatcher
 from support.policy import BASE, Node, sends
 
-from eiderfield.interface import Ended, Entry, Listed, ListKind, Outcome
+from eiderfield.interface import AttemptEnded, Endpoint, EndpointListKind, EndpointsUpdated, Outcome
 from eiderfield.net.reports import from_body, from_object, from_text
 from eiderfield.policy.dispatcher import Dispatcher
 
@@ -95,7 +95,7 @@
 
 
 def ended(node, id_, worker, load, outcome=Outcome.OK):
-    return node.play(Ended(id_, 0, worker, outcome, 1.0, outcome == Outcome.OK, load=load))
+    return node.play(AttemptEnded(id_, 0, worker, outcome, 1.0, outcome == Outcome.OK, load=load))
 
 
 def test_a_report_without_the_free_slots_changes_nothing():
@@ -121,6 +121,6 @@
     ended(node, id_, 1, (0.0, 0.0, 0.0))
     worker.faults = 3.0
     worker.strike(node.now, erring=True)
-    node.play(Listed(ListKind.DELTA, 2, (Entry(1, ready_at=node.now),)))
+    node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, ready_at=node.now),)))
     assert worker.reported == -math.inf and not worker.erring and not worker.faults
     assert sends(node.arrive()[1])
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -8,20 +8,20 @@
 
 from eiderfield.interface import (
     REPEAT,
-    Cancel,
-    Due,
-    Entry,
-    Listed,
-    ListKind,
-    Noted,
+    AttemptProgressed,
+    CancelAttempt,
+    Endpoint,
+    EndpointListKind,
+    EndpointsUpdated,
     Outcome,
-    PeerSaid,
-    Probe,
-    Probed,
-    Refuse,
+    PeerReportReceived,
+    ProbeCompleted,
+    ProbeWorker,
+    RejectRequest,
     Scope,
-    Send,
-    Tell,
+    SendPeerReport,
+    StartAttempt,
+    TimerFired,
     mix,
     pack_counts,
     unpack_counts,
@@ -31,14 +31,14 @@
 from eiderfield.policy.dispatcher import PAUSES
 from eiderfield.policy.outlier_detection import STUCK_RUNS_OF_MANY
 
-FLEET = tuple(Entry(w, zone=w % 2, kind=w // 2 % 2) for w in range(1, 41))
+FLEET = tuple(Endpoint(w, zone=w % 2, kind=w // 2 % 2) for w in range(1, 41))
 TALKING = replace(BASE, balancers=3, may_tell=True)
 SILENT = replace(BASE, tells_start=False, may_probe=True, report_fields=("x0",), balancers=8)
 
 
 def part(me, balancers, fleet=FLEET, **more):
     node = Node(replace(BASE, me=me, balancers=balancers, **more), workers=0)
-    node.play(Listed(ListKind.FULL, 2, fleet))
+    node.play(EndpointsUpdated(EndpointListKind.FULL, 2, fleet))
     return node
 
 
@@ -59,7 +59,7 @@
         id_, actions = node.arrive()
         (sent,) = sends(actions)
         assert sent.worker in mine
-        node.play(Noted(id_, 0, sent.worker, 1, 0.0))
+        node.play(AttemptProgressed(id_, 0, sent.worker, 1, 0.0))
 
 
 @pytest.mark.parametrize(("balancers", "fleet"), [(3, FLEET), (40, FLEET[:5])])
@@ -87,48 +87,48 @@
 def test_counts_are_told_to_every_peer_as_jobs_come_and_go():
     node = Node(TALKING, workers=1)
     id_, actions = node.arrive()
-    told = [a for a in actions if isinstance(a, Tell)]
+    told = [a for a in actions if isinstance(a, SendPeerReport)]
     assert [a.peer for a in told] == [1, 2] and list(unpack_counts(told[0].data)) == [(1, 1)]
     actions = node.end(id_, 0, 1, Outcome.OK, final=True)
-    assert [list(unpack_counts(a.data)) for a in actions if isinstance(a, Tell)] == [[(1, 0)]] * 2
+    assert [list(unpack_counts(a.data)) for a in actions if isinstance(a, SendPeerReport)] == [[(1, 0)]] * 2
 
 
 def test_nodes_stop_talking_when_the_fleet_shrinks_below_their_parts():
     """The list of peers outlived the part that it was made for."""
     node = part(0, 40, may_tell=True)
     assert len(node.dispatcher._gossip.peers) == 9
-    node.play(Listed(ListKind.FULL, 3, FLEET[:4]))
+    node.play(EndpointsUpdated(EndpointListKind.FULL, 3, FLEET[:4]))
     assert len(node.dispatcher._fleet.subset.workers) == 4 and not node.dispatcher._gossip.peers
 
 
 def test_nothing_is_told_where_nodes_may_not_talk():
     node = Node(replace(TALKING, may_tell=False), workers=1)
-    assert not [a for a in node.arrive()[1] if isinstance(a, Tell)]
+    assert not [a for a in node.arrive()[1] if isinstance(a, SendPeerReport)]
 
 
 def test_a_worker_full_of_peers_jobs_comes_last_and_then_not_at_all():
     """xela-reparto-later: a node that sees a sixth of what waits at a worker sent there as to an idle one."""
     node = Node(TALKING, workers=3)
-    node.play(PeerSaid(1, pack_counts([(1, 2), (2, 2)])))
+    node.play(PeerReportReceived(1, pack_counts([(1, 2), (2, 2)])))
     assert sends(node.arrive()[1])[0].worker == 3
-    node.play(PeerSaid(2, pack_counts([(1, 1), (2, 1)])))
+    node.play(PeerReportReceived(2, pack_counts([(1, 1), (2, 1)])))
     assert not sends(node.arrive()[1])  # one above its slots already waits at each, and an own one at 3
-    got = node.play(PeerSaid(2, pack_counts([(1, 0)])))
+    got = node.play(PeerReportReceived(2, pack_counts([(1, 0)])))
     assert [s.worker for s in sends(got)] == [1]
 
 
 def test_a_peers_counts_are_forgotten_in_time():
     """A node that died with its zone would else keep workers full for ever."""
     node = Node(TALKING, workers=1)
-    node.play(PeerSaid(1, pack_counts([(1, 3)])))
+    node.play(PeerReportReceived(1, pack_counts([(1, 3)])))
     assert not sends(node.arrive()[1])
-    assert sends(node.play(Due(0), at=2100.0))
+    assert sends(node.play(TimerFired(0), at=2100.0))
 
 
 @pytest.mark.parametrize("data", [b"", b"\x01", b"\x01\x00\x00\x00", pack_counts([(99, 1)]), b"\xff" * 256])
 def test_odd_messages_change_nothing(data):
     node = Node(TALKING, workers=2)
-    node.play(PeerSaid(7, data))
+    node.play(PeerReportReceived(7, data))
     assert sends(node.arrive()[1])
 
 
@@ -147,40 +147,40 @@
     """antigua-reparto-later: without starts nothing else shows that a worker's slots are taken."""
     node, mine = silent()
     _, actions = node.arrive()
-    probed = [a.worker for a in actions if isinstance(a, Probe)]
+    probed = [a.worker for a in actions if isinstance(a, ProbeWorker)]
     assert len(set(probed)) == 3 and set(probed) < set(mine) and not sends(actions)
-    assert not sends(node.play(Probed(probed[0], Outcome.OK, 1.0, (0.0,)), at=2.0))
-    got = node.play(Probed(probed[1], Outcome.OK, 1.0, (1.0,)), at=3.0)
+    assert not sends(node.play(ProbeCompleted(probed[0], Outcome.OK, 1.0, (0.0,)), at=2.0))
+    got = node.play(ProbeCompleted(probed[1], Outcome.OK, 1.0, (1.0,)), at=3.0)
     assert [s.worker for s in sends(got)] == [probed[1]]
 
 
 def test_unanswered_probes_hold_a_job_for_a_moment_only():
     node, _ = silent()
     node.arrive()
-    assert not sends(node.play(Due(0), at=11.0))  # the fourth of the part is asked
-    assert len(sends(node.play(Due(0), at=22.0))) == 1
+    assert not sends(node.play(TimerFired(0), at=11.0))  # the fourth of the part is asked
+    assert len(sends(node.play(TimerFired(0), at=22.0))) == 1
 
 
 @pytest.mark.parametrize("more", [{"tells_start": True}, {"may_probe": False}, {"balancers": 3}])
 def test_no_probes_where_starts_are_told_probes_not_allowed_or_nodes_are_few(more):
     node, _ = silent(**more)
     _, actions = node.arrive()
-    assert len(sends(actions)) == 1 and not [a for a in actions if isinstance(a, Probe)]
+    assert len(sends(actions)) == 1 and not [a for a in actions if isinstance(a, ProbeWorker)]
 
 
 def test_a_fresh_report_spares_the_probes():
     node, mine = silent()
-    node.play(Probed(mine[2], Outcome.OK, 1.0, (2.0,)))
+    node.play(ProbeCompleted(mine[2], Outcome.OK, 1.0, (2.0,)))
     _, actions = node.arrive()
-    assert [a.worker for a in actions if isinstance(a, Send | Probe)] == [mine[2]]
+    assert [a.worker for a in actions if isinstance(a, StartAttempt | ProbeWorker)] == [mine[2]]
 
 
 def test_most_of_a_part_back_cold_gets_no_more_for_what_few_warm_ones_serve():
     """A lost zone came back among 49 nodes: what six workers served, over one warm one, allowed too much."""
     node = Node(BASE, workers=6)
     node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = 6.0, 60_000.0
-    cold = tuple(Entry(w, ready_at=60_000.0) for w in range(2, 7))
-    node.play(Listed(ListKind.DELTA, 2, cold), at=60_000.0)
+    cold = tuple(Endpoint(w, ready_at=60_000.0) for w in range(2, 7))
+    node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, cold), at=60_000.0)
     node.arrive(work=1.0)
     assert node.dispatcher._slow_start.served_by_each == pytest.approx(2.0)
 
@@ -194,7 +194,7 @@
     each = rate * work / 1000.0 / nodes  # what one node has served in a ms
     for node in many:
         node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = each, 60_000.0
-        node.play(Listed(ListKind.DELTA, 2, (Entry(1, ready_at=60_000.0),)), at=60_000.0)
+        node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, ready_at=60_000.0),)), at=60_000.0)
     sent, worst, allowed = [], 0.0, 0.0
     warm = rate * work / 1000.0 / 10.0  # one warm worker's work in a ms
     for turn in range(int(rate * 8.0)):
@@ -206,7 +206,7 @@
         node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = each, node.now
         node.dispatcher._queues.pacers[0].run = work
         for send in sends(node.arrive(key=7)[1]):
-            node.play(Noted(send.id, 0, send.worker, 1, 0.0))
+            node.play(AttemptProgressed(send.id, 0, send.worker, 1, 0.0))
             sent += [age] * (send.worker == 1)
         capacity = warm * (BASE.cold_share + (1.0 - BASE.cold_share) * age / BASE.cold)
         most = BASE.fall_multiple * capacity * BASE.fall
@@ -231,13 +231,13 @@
     node = Node(CROWD, workers=8)
     module, node.now = node.dispatcher, 60_000.0
     module._slow_start.served_rate, module._slow_start.served_at = 100.0, node.now
-    node.play(Listed(ListKind.DELTA, 2, (Entry(3, ready_at=node.now - 4000.0),)))
+    node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=node.now - 4000.0),)))
     drawn = module._fleet.workers[3].ticket
     module._key_counts.by_key[7] = module._key_counts.total = 100  # a hot key: all workers are its homes
     assert [send.worker for send in sends(node.arrive(key=7)[1])] == [3], drawn
     few = Node(replace(CROWD, balancers=MANY), workers=8)
     few.dispatcher._slow_start.served_rate, few.dispatcher._slow_start.served_at = 100.0, 60_000.0
-    few.play(Listed(ListKind.DELTA, 2, (Entry(3, ready_at=56_000.0),)), at=60_000.0)
+    few.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=56_000.0),)), at=60_000.0)
     assert {send.worker for _ in range(7) for send in sends(few.arrive(key=7)[1])} > {3}
 
 
@@ -252,7 +252,7 @@
 
 
 def cancels(actions):
-    return [a for a in actions if isinstance(a, Cancel)]
+    return [a for a in actions if isinstance(a, CancelAttempt)]
 
 
 def test_among_many_nodes_a_job_that_does_not_start_soon_goes_to_another_worker():
@@ -260,8 +260,8 @@
     while slots were free at others."""
     node, id_, worker = waiting()
     patience = STUCK_RUNS_OF_MANY * SAFE.aim
-    assert not cancels(node.play(Due(0), at=patience - 2.0))
-    assert cancels(node.play(Due(0), at=patience + 2.0)) == [Cancel(id_, 0)]
+    assert not cancels(node.play(TimerFired(0), at=patience - 2.0))
+    assert cancels(node.play(TimerFired(0), at=patience + 2.0)) == [CancelAttempt(id_, 0)]
     again = sends(node.end(id_, 0, worker, Outcome.CANCELLED))
     assert [send.id for send in again] == [id_] and again[0].worker != worker
     assert not node.dispatcher._selector.is_free(node.dispatcher._fleet.workers[worker], node.now), (
@@ -271,22 +271,22 @@
 
 def test_few_nodes_know_the_queue_that_they_made_and_leave_a_job_in_its_place():
     node, _, _ = waiting(replace(CROWD, balancers=MANY))
-    assert not cancels(node.play(Due(0), at=2.0 * SAFE.aim))
+    assert not cancels(node.play(TimerFired(0), at=2.0 * SAFE.aim))
 
 
 def test_where_all_queues_are_long_a_job_keeps_its_place():
     """While workers fetched for a fleet replaced, every job went from queue to queue, four legs each."""
     node, id_, worker = waiting()
     node.dispatcher._outliers.mean_wait = 400.0
-    assert not cancels(node.play(Due(0), at=395.0))
-    assert cancels(node.play(Due(0), at=405.0)) == [Cancel(id_, 0)]
+    assert not cancels(node.play(TimerFired(0), at=395.0))
+    assert cancels(node.play(TimerFired(0), at=405.0)) == [CancelAttempt(id_, 0)]
     node.end(id_, 0, worker, Outcome.CANCELLED)
     assert node.dispatcher._outliers.mean_wait > 400.0, "what was called off has waited too"
     for _ in range(60):
         node.now += 1000.0
         other, actions = node.arrive(key=7)
         for send in sends(actions):
-            node.play(Noted(other, 0, send.worker, 1, 0.0), at=node.now + 10.0)
+            node.play(AttemptProgressed(other, 0, send.worker, 1, 0.0), at=node.now + 10.0)
             node.end(other, 0, send.worker, Outcome.OK, final=True)
     assert node.dispatcher._outliers.mean_wait < STUCK_RUNS_OF_MANY * SAFE.aim
 
@@ -295,7 +295,7 @@
     """One node of forty sees two slots at most where there are six, and left the worker to the others so long
     that jobs went where their data was not."""
     node, id_, worker = waiting()
-    node.play(Noted(id_, 0, worker, 1, 0.0), at=50.0)
+    node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=50.0)
     assert node.dispatcher._fleet.workers[worker].full_until == 50.0 + PAUSES * 50.0
 
 
@@ -333,11 +333,11 @@
 def test_what_is_called_off_unstarted_is_no_repeat_of_what_may_have_run():
     node, id_, worker = waiting()
     node.dispatcher._retry_budget.tokens = 0.0
-    node.play(Due(0), at=STUCK_RUNS_OF_MANY * SAFE.aim + 2.0)
+    node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.aim + 2.0)
     assert sends(node.end(id_, 0, worker, Outcome.CANCELLED)), "it costs no work, and so no budget"
     node, id_, worker = waiting()
     node.dispatcher._retry_budget.tokens = 0.0
-    node.play(Noted(id_, 0, worker, 1, 0.0), at=10.0)
+    node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=10.0)
     assert not sends(node.end(id_, 0, worker, Outcome.RESET))
 
 
@@ -357,7 +357,7 @@
             for w in node.dispatcher._selector.homes(node.dispatcher._jobs[id_], node.now)
         ):
             break
-    node.play(Due(0), at=STUCK_RUNS_OF_MANY * SAFE.aim + 2.0)
+    node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.aim + 2.0)
     [again] = [s for s in sends(node.end(id_, 0, first.worker, Outcome.CANCELLED)) if s.id == id_]
     assert again.worker % 3 == zone and again.worker != first.worker
 
@@ -366,7 +366,7 @@
     """A start time of 0 was taken for none, and the worker's count of unstarted jobs went below none."""
     node = Node(workers=1)
     id_, _ = node.arrive()
-    node.play(Noted(id_, 0, 1, 1, 0.0))
+    node.play(AttemptProgressed(id_, 0, 1, 1, 0.0))
     node.end(id_, 0, 1, Outcome.OK, final=True)
     assert node.dispatcher._fleet.workers[1].unstarted == 0 and sends(node.arrive()[1])
 
@@ -383,7 +383,7 @@
         id_, actions = node.arrive(key=key)
         jobs.append(module._jobs[id_])
         for send in sends(actions):
-            node.play(Noted(id_, 0, send.worker, 1, 0.0))  # and so it is free for the next
+            node.play(AttemptProgressed(id_, 0, send.worker, 1, 0.0))  # and so it is free for the next
         jobs[-1].attempts.clear()
     assert max(len(module._selector.homes(job, 0.0)) for job in jobs) <= HOMES
 
@@ -414,8 +414,8 @@
         )
         node.dispatcher._outliers.mean_wait = 0.0
         sent, wait = node.now, soon * 2.0**number
-        assert not cancels(node.play(Due(0), at=sent + wait - 2.0))
-        assert cancels(node.play(Due(0), at=sent + wait + 2.0)) == [Cancel(id_, number)]
+        assert not cancels(node.play(TimerFired(0), at=sent + wait - 2.0))
+        assert cancels(node.play(TimerFired(0), at=sent + wait + 2.0)) == [CancelAttempt(id_, number)]
         assert [s.id for s in sends(node.end(id_, number, 0, Outcome.CANCELLED))] == [id_]
 
 
@@ -431,8 +431,10 @@
     kept the workers so busy that the next were late too."""
     node, id_ = crowded()
     timely = node.dispatcher._jobs[id_].timely
-    assert cancels(node.play(Due(0), at=timely + 1.0)) == [Cancel(id_, 0)], "before the queued mean is over"
-    [told] = [a for a in node.end(id_, 0, 0, Outcome.CANCELLED) if isinstance(a, Refuse)]
+    assert cancels(node.play(TimerFired(0), at=timely + 1.0)) == [CancelAttempt(id_, 0)], (
+        "before the queued mean is over"
+    )
+    [told] = [a for a in node.end(id_, 0, 0, Outcome.CANCELLED) if isinstance(a, RejectRequest)]
     assert told.id == id_ and told.retry_after > 0.0
 
 
@@ -442,11 +444,11 @@
         module = node.dispatcher
         module._outliers.mean_wait = queued
         for number, wait in enumerate((5.0, 5.0)):
-            node.play(Due(0), at=node.now + wait)
+            node.play(TimerFired(0), at=node.now + wait)
             node.end(id_, number, worker, Outcome.CONNECT_FAILED)
         module._outliers.mean_wait, node.now = queued, 2000.0
         told = node.end(id_, 2, worker, Outcome.CONNECT_FAILED)
-        assert not [a for a in told if isinstance(a, Refuse)] and id_ in module._jobs
+        assert not [a for a in told if isinstance(a, RejectRequest)] and id_ in module._jobs
 
 
 def test_a_repeat_is_as_old_as_its_clients_first_try():
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 from support.simulated_fleet import MIXED, SimulatedFleet, even, slow_start_budget, uneven
 
-from eiderfield.interface import State
+from eiderfield.interface import EndpointState
 
 pytestmark = pytest.mark.long
 
@@ -73,11 +73,16 @@
     zone = [worker for worker, simulated in fleet.simulated_workers.items() if simulated.entry.zone == 2]
     fleet.fall_silent(zone)
     fleet.run(7000.0)  # discovery tells late
-    fleet.change(*(replace(fleet.simulated_workers[worker].entry, state=State.GONE) for worker in zone))
+    fleet.change(
+        *(replace(fleet.simulated_workers[worker].entry, state=EndpointState.GONE) for worker in zone)
+    )
     fleet.run(9000.0)
     fleet.wake(zone)
     fleet.change(
-        *(replace(fleet.simulated_workers[w].entry, state=State.READY, ready_at=fleet.now) for w in zone)
+        *(
+            replace(fleet.simulated_workers[w].entry, state=EndpointState.READY, ready_at=fleet.now)
+            for w in zone
+        )
     )
     return zone
 
@@ -85,7 +90,7 @@
 def replaced(fleet, workers):
     """Workers go and cold ones take their places; the ids of the new ones."""
     places = [fleet.simulated_workers[worker].entry for worker in workers]
-    gone = [replace(entry, state=State.GONE) for entry in places]
+    gone = [replace(entry, state=EndpointState.GONE) for entry in places]
     cold = [replace(entry, worker=1000 + entry.worker, ready_at=fleet.now) for entry in places]
     fleet.change(*gone, *cold)
     return [entry.worker for entry in cold]
@@ -95,7 +100,7 @@
 def test_a_drained_worker_gets_nothing_new_from_any_node_that_was_told(nodes, workers):
     fleet = SimulatedFleet(nodes, workers, load=0.8)
     fleet.run(3000.0)
-    fleet.change(replace(fleet.simulated_workers[1].entry, state=State.DRAINING))
+    fleet.change(replace(fleet.simulated_workers[1].entry, state=EndpointState.DRAINING))
     fleet.run(3600.0)
     before = fleet.sent_to([1], 0.0)
     fleet.run(9000.0)
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -5,7 +5,7 @@
 import pytest
 from support.memory_dispatcher import Client, InMemoryDispatcher
 
-from eiderfield.interface import Outcome, State
+from eiderfield.interface import EndpointState, Outcome
 from eiderfield.net.clients.connection import MESSAGES_PER_TURN
 from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.discovery.watch import SILENCE
@@ -336,13 +336,13 @@
         "endpoints": [{"name": "w1", "address": "127.0.0.1:1", "status": "DRAINING", "since_ms": 3}],
     }
     end.say(line)
-    assert list(dispatcher.exchange._table.values()) == [State.DRAINING]
+    assert list(dispatcher.exchange._table.values()) == [EndpointState.DRAINING]
     for _ in range(3):  # empty lines are signs of life
         dispatcher.advance(2000.0)
         end.pipe.send(b"1\r\n\n\r\n")
     assert end.pipe.open
     dispatcher.advance(SILENCE + 500.0)
-    assert not end.pipe.open and list(dispatcher.exchange._table.values()) == [State.DRAINING]
+    assert not end.pipe.open and list(dispatcher.exchange._table.values()) == [EndpointState.DRAINING]
     again = dispatcher.dials[-1].up()
     assert b"after=5 " in again.pipe.written
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -7,7 +7,16 @@
 import pytest
 from support.policy import BASE, KEYED, SAFE, Node, sends
 
-from eiderfield.interface import Ended, Entry, Listed, ListKind, Outcome, Scope, State, mix
+from eiderfield.interface import (
+    AttemptEnded,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    EndpointsUpdated,
+    Outcome,
+    Scope,
+    mix,
+)
 from eiderfield.policy import affinity, subsetting
 from eiderfield.policy.affinity import CHANGES_KEPT, KeyOrders
 from eiderfield.policy.endpoint import Worker
@@ -20,13 +29,13 @@
 
 
 def fleet(size):
-    return [Entry(1 + number, zone=number % 4, kind=number // 4 % 2) for number in range(size)]
+    return [Endpoint(1 + number, zone=number % 4, kind=number // 4 % 2) for number in range(size)]
 
 
 def node_of(size, me=0, dispatchers=None, keyed=True, entries=None):
     """A dispatcher that knows a fleet and, if it is keyed, has seen a request with a key."""
     node = Node(replace(SITE, balancers=dispatchers or size, me=me), workers=0)
-    node.play(Listed(ListKind.FULL, 1, tuple(entries or fleet(size))))
+    node.play(EndpointsUpdated(EndpointListKind.FULL, 1, tuple(entries or fleet(size))))
     if keyed:
         serve(node, key=1)
     return node
@@ -35,7 +44,7 @@
 def serve(node, **more):
     id_, actions = node.arrive(**more)
     for send in sends(actions):
-        node.play(Ended(id_, 0, send.worker, Outcome.OK, 10.0, True))
+        node.play(AttemptEnded(id_, 0, send.worker, Outcome.OK, 10.0, True))
     return [send.worker for send in sends(actions)]
 
 
@@ -88,8 +97,8 @@
     node = node_of(size, keyed=keyed)
 
     def change(number):
-        old, new = Entry(1 + number, zone=number % 4, kind=number // 4 % 2), Entry(10_000 + number)
-        node.play(Listed(ListKind.DELTA, 2, (replace(old, state=State.GONE), new)))
+        old, new = Endpoint(1 + number, zone=number % 4, kind=number // 4 % 2), Endpoint(10_000 + number)
+        node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(old, state=EndpointState.GONE), new)))
 
     most = cost(examined, change)
     assert most.total() <= 20 + subsetting.DONORS * (SUBSET + 1), most
@@ -162,9 +171,9 @@
         gone = entries.pop(rng.choice(sorted(entries)))
         new = replace(gone, worker=10_000 + number)
         entries[new.worker] = new
-        for news in ((replace(gone, state=State.GONE),), (new,)):
+        for news in ((replace(gone, state=EndpointState.GONE),), (new,)):
             for node in nodes:
-                node.play(Listed(ListKind.DELTA, 2, news))
+                node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, news))
             after = [members(node) for node in nodes]
             changed = [old ^ now for old, now in zip(before, after, strict=True) if old != now]
             moved = set().union(*changed)
@@ -185,12 +194,12 @@
         news = []
         for _ in range(2):
             gone = entries.pop(rng.choice(sorted(entries)))
-            news.append(replace(gone, state=State.GONE))
+            news.append(replace(gone, state=EndpointState.GONE))
         if number % 4:
             news += [replace(gone, worker=1000 + 2 * number + more) for more in range(2)]
-        entries.update((entry.worker, entry) for entry in news if entry.state == State.READY)
+        entries.update((entry.worker, entry) for entry in news if entry.state == EndpointState.READY)
         for node in nodes:
-            node.play(Listed(ListKind.DELTA, 2, tuple(news)))
+            node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, tuple(news)))
         sizes = Counter(len(members(node)) for node in nodes)
         assert max(sizes) - min(sizes) <= 1, sizes
         sharers = Counter(worker for node in nodes for worker in members(node))
@@ -208,7 +217,9 @@
         new = replace(gone, worker=1000 + number)
         entries[new.worker] = new
         for node in nodes:
-            node.play(Listed(ListKind.DELTA, 2, (replace(gone, state=State.GONE), new)))
+            node.play(
+                EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(gone, state=EndpointState.GONE), new))
+            )
     zones = [Counter(worker.entry.zone for worker in node.dispatcher._fleet.subset.workers) for node in nodes]
     assert sum(max(each.values()) <= 2 for each in zones) >= 0.8 * len(zones)
 
@@ -251,9 +262,9 @@
     groups = node.dispatcher._fleet.subset.groups
     entries = fleet(3200)
     for away in (600, 1200):
-        node.play(Listed(ListKind.FULL, 2, tuple(entries[away:])))
+        node.play(EndpointsUpdated(EndpointListKind.FULL, 2, tuple(entries[away:])))
         assert node.dispatcher._fleet.subset.groups == groups
-        node.play(Listed(ListKind.FULL, 3, tuple(entries)))
+        node.play(EndpointsUpdated(EndpointListKind.FULL, 3, tuple(entries)))
     assert node.dispatcher._fleet.subset.groups == groups
 
 
@@ -267,7 +278,7 @@
         gone = entries.pop(rng.choice(sorted(entries)))
         new = replace(gone, worker=10_000 + number)
         entries[new.worker] = new
-        old.play(Listed(ListKind.DELTA, 2, (replace(gone, state=State.GONE), new)))
+        old.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(gone, state=EndpointState.GONE), new)))
         serve(old, key=rng.randrange(1, 400))
     young = node_of(3200, 0, 3200, entries=list(entries.values()))
     assert members(old) == members(young)
@@ -278,13 +289,13 @@
 
 def test_an_order_that_takes_changes_in_is_the_one_made_anew():
     rng, orders = random.Random(5), KeyOrders()
-    workers = {number: Worker(Entry(number)) for number in range(1, 60)}
+    workers = {number: Worker(Endpoint(number)) for number in range(1, 60)}
     orders.reset(workers.values())
     for number in range(100, 100 + 8 * CHANGES_KEPT):
         if rng.random() < 0.5 and len(workers) > 5:
             orders.leave(workers.pop(rng.choice(sorted(workers))))
         else:
-            workers[number] = Worker(Entry(number))
+            workers[number] = Worker(Endpoint(number))
             orders.join(workers[number])
         key, count = rng.choice([7, 8, 9, rng.randrange(10, 200)]), rng.choice([2, 2, 5, 30])
         if rng.random() < 0.3:  # a key that is asked for seldom has missed many changes
@@ -299,9 +310,9 @@
 def test_a_repeat_bound_to_workers_outside_the_subset_still_finds_one(keyed):
     """A cell may have no other worker in this dispatcher's subset."""
     cellular = replace(KEYED, scope=Scope.CELL, window=20_000.0)
-    entries = [Entry(1 + n, zone=n % 4, cell=n // 2) for n in range(3200)]
+    entries = [Endpoint(1 + n, zone=n % 4, cell=n // 2) for n in range(3200)]
     node = Node(replace(SITE, classes=(SAFE, cellular), balancers=3200, me=3), workers=0)
-    node.play(Listed(ListKind.FULL, 1, tuple(entries)))
+    node.play(EndpointsUpdated(EndpointListKind.FULL, 1, tuple(entries)))
     for key in (5, 6, 7, 8):
         id_, actions = node.arrive(cls=1, key=key if keyed else 0)
         [first] = sends(actions)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -16,7 +16,7 @@
 from eiderfield.batch.front import BatchFront
 from eiderfield.batch.messages import JobTemplate
 from eiderfield.batch.registry import JobRegistry, RegistryLimits
-from eiderfield.interface import State
+from eiderfield.interface import EndpointState
 from eiderfield.net.clients import Listener
 from eiderfield.net.clock import MonotonicClock, WallClock
 from eiderfield.net.discovery.platform import PlatformWatch
@@ -303,7 +303,7 @@
     second.wall.step(step)
     second.tell(("w", started), snapshot=True)
     entry = second.dispatcher.exchange._table[second.dispatcher.ids.worker("w")]
-    assert entry == State.DRAINING
+    assert entry == EndpointState.DRAINING
     second.dispatcher.table.unban("w")
     assert second.started("w") == 0.0
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,30 +7,30 @@
 
 from eiderfield import wire
 from eiderfield.interface import (
-    Arrived,
-    Cancel,
-    ClientGone,
-    CloseIdle,
-    Due,
+    AttemptEnded,
+    AttemptProgressed,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
     Effect,
-    Ended,
-    Fail,
-    Fetch,
-    Flowing,
-    Listed,
-    ListKind,
-    Log,
-    Noted,
-    PeerSaid,
-    Probe,
-    Probed,
-    Refuse,
+    EndpointListKind,
+    EndpointState,
+    EndpointsUpdated,
+    FailRequest,
+    FetchEndpoints,
+    LogMessage,
+    PeerReportReceived,
+    ProbeCompleted,
+    ProbeWorker,
+    RejectRequest,
+    RequestReceived,
     Scope,
-    Send,
+    SendPeerReport,
     SetTimer,
-    State,
-    Tell,
-    Watch,
+    StartAttempt,
+    StreamStarted,
+    TimerFired,
+    WatchEndpoints,
 )
 
 JOB, WORKER = 0x7C755D7A91C4, 0x03124A07
@@ -45,19 +45,19 @@
 
 @pytest.mark.parametrize(("text", "event"), [
     (QUERY.format(key="640ad2557c3bf091", flags="01"),
-     Arrived(JOB, 0, 8652.25, 0, 0x91F03B7C55D20A64, 12.0, 2.0, 1.5, 1)),
+     RequestReceived(JOB, 0, 8652.25, 0, 0x91F03B7C55D20A64, 12.0, 2.0, 1.5, 1)),
     (QUERY.format(key="0000000000000000", flags="00"),
-     Arrived(JOB, 0, 8652.25, 0, 0, 0.0, 2.0, 1.5, 0)),
-    ("03 0300 c4917a5d757c0000 0000 074a1203 0000000000802240", Flowing(JOB, 0, WORKER, 9.25)),
-    ("0b 0300 c4917a5d757c0000 0000 074a1203 01 0000003f", Noted(JOB, 0, WORKER, 1, 0.5)),
+     RequestReceived(JOB, 0, 8652.25, 0, 0, 0.0, 2.0, 1.5, 0)),
+    ("03 0300 c4917a5d757c0000 0000 074a1203 0000000000802240", StreamStarted(JOB, 0, WORKER, 9.25)),
+    ("0b 0300 c4917a5d757c0000 0000 074a1203 01 0000003f", AttemptProgressed(JOB, 0, WORKER, 1, 0.5)),
     ("04 0300 c4917a5d757c0000 074a1203 c800 00 0000000000803240 0000 01 02 0000003f 0000a03f",
-     Ended(JOB, 0, WORKER, 200, 18.5, True, 0, (0.5, 1.25))),
+     AttemptEnded(JOB, 0, WORKER, 200, 18.5, True, 0, (0.5, 1.25))),
     ("04 0300 c4917a5d757c0000 074a1203 9801 00 0000000000803240 0100 00 00",
-     Ended(JOB, 1, WORKER, 408, 18.5, False, 0, ())),
-    ("05 0300 c4917a5d757c0000", ClientGone(JOB)),
-    ("06 0300 4d00000000000000", Due(77)),
-    ("07 0300 074a1203 c800 0000000000803240 00", Probed(WORKER, 200, 18.5, ())),
-    ("08 0300 0200 0400 68692037", PeerSaid(2, b"hi 7")),
+     AttemptEnded(JOB, 1, WORKER, 408, 18.5, False, 0, ())),
+    ("05 0300 c4917a5d757c0000", ClientDisconnected(JOB)),
+    ("06 0300 4d00000000000000", TimerFired(77)),
+    ("07 0300 074a1203 c800 0000000000803240 00", ProbeCompleted(WORKER, 200, 18.5, ())),
+    ("08 0300 0200 0400 68692037", PeerReportReceived(2, b"hi 7")),
 ])  # fmt: skip
 def test_events(text, event):
     assert events(text) == [(3, event)]
@@ -67,14 +67,16 @@
     changed = TABLE.replace("02 0000803f", "01 0000803f")
     update = "01 0300 00 2900000000000000 00000000"
     first, second = events(TABLE, update, changed, update)
-    assert first[1].kind is ListKind.DELTA and first[1].version == 41
-    assert [e.state for e in first[1].entries] == [State.READY, State.READY]
-    assert [e.state for e in second[1].entries] == [State.DRAINING, State.READY]
+    assert first[1].kind is EndpointListKind.DELTA and first[1].version == 41
+    assert [e.state for e in first[1].entries] == [EndpointState.READY, EndpointState.READY]
+    assert [e.state for e in second[1].entries] == [EndpointState.DRAINING, EndpointState.READY]
     assert first[1].entries[1].zone == 1 and first[1].entries[1].weight == 1.5
 
 
 def test_a_failed_list_needs_no_table():
-    assert events("01 0300 03 2900000000000000 09000000") == [(3, Listed(ListKind.FAILED, 41, ()))]
+    assert events("01 0300 03 2900000000000000 09000000") == [
+        (3, EndpointsUpdated(EndpointListKind.FAILED, 41, ()))
+    ]
 
 
 def test_create_and_retire():
@@ -99,18 +101,18 @@
 
 
 @pytest.mark.parametrize(("action", "text"), [
-    (Send(JOB, WORKER, 80.0), "06 0300 c4917a5d757c0000 074a1203 0000000000005440"),
+    (StartAttempt(JOB, WORKER, 80.0), "06 0300 c4917a5d757c0000 074a1203 0000000000005440"),
     (SetTimer(8656.25, 77), "07 0300 0000000020e8c040 4d00000000000000"),
-    (Cancel(JOB, 0), "01 0300 c4917a5d757c0000 0000"),
-    (Refuse(JOB, 251.0), "08 0300 c4917a5d757c0000 0000000000606f40"),
-    (Fail(JOB), "0b 0300 c4917a5d757c0000"),
-    (Probe(WORKER), "05 0300 074a1203"),
-    (CloseIdle(WORKER), "00 0300 074a1203"),
-    (Tell(-1, b"hi 7"), "0a 0300 ffff 0400 68692037"),
-    (Tell(2, b""), "0a 0300 0200 0000"),
-    (Watch(True), "04 0300 01"),
-    (Fetch(), "03 0300"),
-    (Log("two servers known"), "02 0300 1100 74776f2073657276657273206b6e6f776e"),
+    (CancelAttempt(JOB, 0), "01 0300 c4917a5d757c0000 0000"),
+    (RejectRequest(JOB, 251.0), "08 0300 c4917a5d757c0000 0000000000606f40"),
+    (FailRequest(JOB), "0b 0300 c4917a5d757c0000"),
+    (ProbeWorker(WORKER), "05 0300 074a1203"),
+    (CloseIdleConnections(WORKER), "00 0300 074a1203"),
+    (SendPeerReport(-1, b"hi 7"), "0a 0300 ffff 0400 68692037"),
+    (SendPeerReport(2, b""), "0a 0300 0200 0000"),
+    (WatchEndpoints(True), "04 0300 01"),
+    (FetchEndpoints(), "03 0300"),
+    (LogMessage("two servers known"), "02 0300 1100 74776f2073657276657273206b6e6f776e"),
 ])  # fmt: skip
 def test_actions(action, text):
     assert wire.encode(3, action) == bytes.fromhex(text)
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -6,25 +6,28 @@
 from support.policy import BASE, SAFE, Node, sends
 
 from eiderfield.interface import (
-    Arrived,
-    Beside,
-    Cancel,
-    ClientGone,
-    CloseIdle,
-    Due,
-    Ended,
-    Entry,
-    Listed,
-    ListKind,
-    Noted,
+    AttemptEnded,
+    AttemptProgressed,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    EndpointsUpdated,
+    FailRequest,
+    LogMessage,
     Outcome,
-    PeerSaid,
-    Probed,
-    Refuse,
+    PeerReportReceived,
+    ProbeCompleted,
+    RejectRequest,
+    RequestReceived,
     SetTimer,
     Settings,
-    State,
-    Watch,
+    SiblingReportReceived,
+    StartAttempt,
+    TimerFired,
+    WatchEndpoints,
 )
 from eiderfield.policy.dispatcher import Dispatcher
 from eiderfield.policy.selection import SLOW
@@ -36,7 +39,7 @@
     bad = sends(actions)[0].worker
     again = sends(node.end(id_, 0, bad, Outcome.CONNECT_FAILED))
     assert [s.worker for s in again] == [3 - bad]
-    node.play(Noted(id_, 1, 3 - bad, 1, 0.0))
+    node.play(AttemptProgressed(id_, 1, 3 - bad, 1, 0.0))
     assert sends(node.arrive()[1])[0].worker != bad
     node.now = 600.0  # the pause of 500 ms is over: one trial, of the class that is safe to repeat
     assert not [s for s in sends(node.arrive(cls=1)[1]) if s.worker == bad]
@@ -55,7 +58,7 @@
     node = Node(workers=2)
     id_, actions = node.arrive()
     first = sends(actions)[0].worker
-    node.play(Noted(id_, 0, first, 1, 0.0))
+    node.play(AttemptProgressed(id_, 0, first, 1, 0.0))
     copies = sends(node.play(at=1000.0))
     assert [(s.id, s.worker) for s in copies] == [(id_, 3 - first)]
 
@@ -80,10 +83,10 @@
 
 def test_a_subscription_is_opened_where_needed_and_again_after_a_failure():
     node = Dispatcher(replace(BASE, subscribe=True), 1)
-    assert [a for a in node.handle(0.0, []) if isinstance(a, Watch)] == [Watch(True)]
-    assert not [a for a in node.handle(1.0, []) if isinstance(a, Watch)]
-    node.handle(2.0, [Listed(ListKind.FAILED, 0, ())])
-    assert [a for a in node.handle(3.0, []) if isinstance(a, Watch)] == [Watch(True)]
+    assert [a for a in node.handle(0.0, []) if isinstance(a, WatchEndpoints)] == [WatchEndpoints(True)]
+    assert not [a for a in node.handle(1.0, []) if isinstance(a, WatchEndpoints)]
+    node.handle(2.0, [EndpointsUpdated(EndpointListKind.FAILED, 0, ())])
+    assert [a for a in node.handle(3.0, []) if isinstance(a, WatchEndpoints)] == [WatchEndpoints(True)]
 
 
 def test_nothing_that_a_site_does_not_offer_is_used():
@@ -92,23 +95,24 @@
     actions = [a for _ in range(20) for a in node.arrive()[1]]
     actions += node.play(at=2000.0)
     actions += node.play(at=4999.0)
-    assert {type(a).__name__ for a in actions} <= {"Send", "SetTimer", "Refuse", "Fail", "Log", "CloseIdle"}
-    assert all(a.retry_after == 0.0 for a in actions if isinstance(a, Refuse))
+    allowed = (StartAttempt, SetTimer, RejectRequest, FailRequest, LogMessage, CloseIdleConnections)
+    assert all(isinstance(action, allowed) for action in actions)
+    assert all(a.retry_after == 0.0 for a in actions if isinstance(a, RejectRequest))
 
 
 @pytest.mark.parametrize("event", [
-    Ended(1, 0, 1, Outcome.OK, 5.0, True),
-    Ended(1, 7, 1, Outcome.RESET, 5.0, False),
-    Ended(99, 0, 5, Outcome.FULL, 5.0, False, 0, (0.5,)),
-    Noted(99, 0, 1, 1, 0.0),
-    Noted(1, 3, 1, 2, 0.5),
-    ClientGone(1),
-    ClientGone(99),
-    Due(12345),
-    Probed(77, Outcome.OK, 1.0, (0.1,)),
-    PeerSaid(2, b"hello"),
-    Beside(77, 3, 9.0),
-    Listed(ListKind.DELTA, 9, (Entry(55, state=State.GONE),)),
+    AttemptEnded(1, 0, 1, Outcome.OK, 5.0, True),
+    AttemptEnded(1, 7, 1, Outcome.RESET, 5.0, False),
+    AttemptEnded(99, 0, 5, Outcome.FULL, 5.0, False, 0, (0.5,)),
+    AttemptProgressed(99, 0, 1, 1, 0.0),
+    AttemptProgressed(1, 3, 1, 2, 0.5),
+    ClientDisconnected(1),
+    ClientDisconnected(99),
+    TimerFired(12345),
+    ProbeCompleted(77, Outcome.OK, 1.0, (0.1,)),
+    PeerReportReceived(2, b"hello"),
+    SiblingReportReceived(77, 3, 9.0),
+    EndpointsUpdated(EndpointListKind.DELTA, 9, (Endpoint(55, state=EndpointState.GONE),)),
 ], ids=repr)  # fmt: skip
 def test_odd_events_change_nothing(event):
     node = Node()
@@ -126,7 +130,7 @@
     with pytest.raises(ValueError, match="backwards"):
         node.play(at=9.0)
     with pytest.raises(ValueError, match="unknown class 9"):
-        node.play(Arrived(1, 9, 100.0), at=10.0)
+        node.play(RequestReceived(1, 9, 100.0), at=10.0)
     with pytest.raises(ValueError, match="unknown event"):
         node.play("news")
     with pytest.raises(ValueError, match="classes"):
@@ -140,7 +144,7 @@
     """A job that has started; gives its id and its worker."""
     id_, actions = node.arrive(cls=cls, due=20_000.0)
     worker = sends(actions)[0].worker
-    node.play(Noted(id_, 0, worker, 1, 0.0))
+    node.play(AttemptProgressed(id_, 0, worker, 1, 0.0))
     return id_, worker
 
 
@@ -150,10 +154,10 @@
     id_, worker = started(node)
     other, _ = started(node)
     for at in (1000.0, 2000.0, 3000.0):
-        node.play(Noted(other, 0, 3 - worker, 2, 0.1), at=at)
+        node.play(AttemptProgressed(other, 0, 3 - worker, 2, 0.1), at=at)
         node.dispatcher._fleet.workers[worker].alive(at)  # by others of this node's jobs
-    assert not [a for a in node.play(at=3500.0) if isinstance(a, Cancel)]
-    assert [(a.id, a.attempt) for a in node.play(at=3650.0) if isinstance(a, Cancel)] == [(id_, 0)]
+    assert not [a for a in node.play(at=3500.0) if isinstance(a, CancelAttempt)]
+    assert [(a.id, a.attempt) for a in node.play(at=3650.0) if isinstance(a, CancelAttempt)] == [(id_, 0)]
     assert [s.id for s in sends(node.end(id_, 0, worker, Outcome.CANCELLED))] == [id_]
 
 
@@ -163,22 +167,22 @@
     for at in (500.0, 1000.0, 1500.0, 2500.0):
         for worker in node.dispatcher._fleet.workers.values():
             worker.alive(at)
-        assert not [a for a in node.play(at=at) if isinstance(a, Cancel)]
+        assert not [a for a in node.play(at=at) if isinstance(a, CancelAttempt)]
 
 
 def test_a_silent_worker_keeps_neither_its_started_jobs_nor_its_idle_connections():
     node = Node(NOTED, workers=2)
     id_, worker = started(node)
     actions = node.play(at=1700.0)
-    assert [a.id for a in actions if isinstance(a, Cancel)] == [id_]
-    assert [a.worker for a in actions if isinstance(a, CloseIdle)] == [worker]
+    assert [a.id for a in actions if isinstance(a, CancelAttempt)] == [id_]
+    assert [a.worker for a in actions if isinstance(a, CloseIdleConnections)] == [worker]
     assert [s.worker for s in sends(node.end(id_, 0, worker, Outcome.CANCELLED))] == [3 - worker]
 
 
 def test_what_may_not_be_repeated_stays_at_a_silent_worker():
     node = Node(NOTED, workers=2)
     started(node, cls=1)
-    assert not [a for a in node.play(at=4000.0) if isinstance(a, Cancel)]
+    assert not [a for a in node.play(at=4000.0) if isinstance(a, CancelAttempt)]
 
 
 def test_a_single_reset_does_not_rest_a_worker_and_two_in_a_row_do():
@@ -202,7 +206,7 @@
     slow, usual = node.dispatcher._fleet.workers[1], node.dispatcher._fleet.workers[2]
     usual.full_until = 1.0
     id_, _ = started(node)  # which runs on at worker 1 for ten times its usual time
-    node.play(Noted(id_, 0, 1, 2, 0.1), at=1000.0)
+    node.play(AttemptProgressed(id_, 0, 1, 2, 0.1), at=1000.0)
     picked = []
     for at in (1500.0, 1501.0):
         node.now = at
@@ -228,7 +232,7 @@
             at_bad += 1
             node.end(id_, 0, 1, Outcome.ERROR)
         elif send is not None:
-            node.play(Noted(id_, 0, 2, 1, 0.0))
+            node.play(AttemptProgressed(id_, 0, 2, 1, 0.0))
     assert at_bad == 2 and bad.strikes
 
 
@@ -250,8 +254,8 @@
     id_, actions = node.arrive(due=12_000.0)
     worker = sends(actions)[0].worker
     actions = node.play(at=1700.0)
-    assert [a.id for a in actions if isinstance(a, Cancel)] == [id_]
-    assert [a.worker for a in actions if isinstance(a, CloseIdle)] == [worker]
+    assert [a.id for a in actions if isinstance(a, CancelAttempt)] == [id_]
+    assert [a.worker for a in actions if isinstance(a, CloseIdleConnections)] == [worker]
     node.end(id_, 0, worker, Outcome.CANCELLED)
     node.now = 2300.0  # the pause is over: one trial
     assert worker in [s.worker for _ in range(2) for s in sends(node.arrive()[1])]
