--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -63,7 +63,7 @@
 from eiderfield.policy.queues import ClassQueue, ClassQueues
 from eiderfield.policy.rate_control import WINDOW_MS
 from eiderfield.policy.request import Attempt, Job
-from eiderfield.policy.retry_rules import RetryBudget, may_refuse, retry_cost
+from eiderfield.policy.retry_rules import RetryBudget, may_reject, retry_cost
 from eiderfield.policy.selection import EndpointSelector
 from eiderfield.policy.slow_start import SlowStart
 
@@ -195,7 +195,7 @@
     def _stream_started(self, event: StreamStarted, now: float) -> None:
         job = self._jobs.get(event.id)
         if job is not None:
-            job.bound = True
+            job.streaming = True
             self._queues.remove(job)
 
     def _probe_completed(self, event: ProbeCompleted, now: float) -> None:
@@ -207,7 +207,7 @@
     def _sibling_report_received(self, event: SiblingReportReceived, now: float) -> None:
         worker = self._fleet.workers.get(event.worker)
         if worker is not None:
-            worker.beside = event.out
+            worker.sibling_attempts = event.out
             worker.recent.append((now, event.work))
             self._gossip.changed(worker)
 
@@ -374,7 +374,7 @@
         worker = attempt.worker
         attempt.open = False
         self._out -= 1
-        worker.taken -= attempt.job.slots
+        worker.own_slots -= attempt.job.slots
         worker.open.pop((attempt.job.id, attempt.number), None)
         worker.unstarted -= attempt.started is None
         if not worker.open:
@@ -398,7 +398,7 @@
         self._finish(job)
         advice = min(retry_after, settings.max_retry_after) if settings.may_advise else 0.0
         self._context.actions.append(
-            RejectRequest(job.id, advice) if may_refuse(job) else FailRequest(job.id)
+            RejectRequest(job.id, advice) if may_reject(job) else FailRequest(job.id)
         )
 
     def _go_on(self, job: Job, now: float, failed: bool) -> None:
@@ -442,13 +442,13 @@
         while self._deadlines and self._deadlines[0][0] <= now:
             _, id_ = heapq.heappop(self._deadlines)
             job = self._jobs.get(id_)
-            if job is not None and not job.bound:
+            if job is not None and not job.streaming:
                 self._answer(job)
 
     def _shed(self, wait: float) -> None:
         """The GRB is full: the lowest worth goes first, the newest of it, with a hint when to come again."""
         for job in self._queues.shed_order():
-            if may_refuse(job) and not job.out():
+            if may_reject(job) and not job.out():
                 self._answer(job, wait)
                 return
 
@@ -513,9 +513,9 @@
         job, worker = attempt.job, attempt.worker
         worker.open[job.id, attempt.number] = attempt
         worker.unstarted += 1
-        worker.taken += job.slots
+        worker.own_slots += job.slots
         worker.slots_free -= job.slots
-        if worker.cold_left < inf:
+        if worker.slow_start_left < inf:
             worker.recent.append((now, job.cost))
         self._fleet.busy[worker.entry.worker] = worker
         self._gossip.changed(worker)
--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -38,8 +38,8 @@
     entry: Endpoint
     open: dict[tuple[int, int], Attempt] = field(default_factory=dict)  # own attempts out, oldest first
     unstarted: int = 0
-    taken: float = 0.0  # slots of own attempts out
-    beside: int = 0  # attempts that this node's other process has out here, while it is upgraded
+    own_slots: float = 0.0  # slots of own attempts out
+    sibling_attempts: int = 0  # attempts that this node's other process has out here, while it is upgraded
     heard: float = 0.0
     full_until: float = 0.0
     strikes: int = 0
@@ -55,18 +55,20 @@
     recent: deque[tuple[float, float]] = field(
         default_factory=lambda: deque(maxlen=RECENT_ATTEMPTS)
     )  # cold: time, work
-    cold_left: float = inf
-    ticket: float = 1.0  # cold: the share of a job's cost that must be left of the budget
+    slow_start_left: float = inf
+    lot: float = 1.0  # cold: the share of a job's cost that must be left of the budget
     slots_free: float = 0.0  # as last reported, less own sends since
     reported: float = -inf
     probed: float = -inf
-    told: dict[int, tuple[float, int]] = field(default_factory=dict)  # by peer: when, its jobs here
-    others: int = 0  # their sum
-    others_until: float = 0.0
+    peer_reports: dict[int, tuple[float, int]] = field(default_factory=dict)  # by peer: when, its jobs here
+    peer_slots: int = 0  # their sum
+    peer_slots_until: float = 0.0
 
     def total(self, now: float) -> float:
         """The slots taken or waited for by jobs of this dispatcher and, as far as they told, of its peers."""
-        return self.taken + self.beside + (self.others if now < self.others_until else 0)
+        return (
+            self.own_slots + self.sibling_attempts + (self.peer_slots if now < self.peer_slots_until else 0)
+        )
 
     def alive(self, now: float, well: bool = False) -> None:
         """A sign of life ends silence. Only a timely answer ends suspicion, or a slow worker never rests."""
--- a/eiderfield/policy/fleet.py
+++ b/eiderfield/policy/fleet.py
@@ -60,7 +60,10 @@
 
     def known(self, entry: Endpoint) -> Worker:
         """The worker of an entry; one that was never listed is taken to be gone."""
-        return self.workers.setdefault(entry.worker, Worker(replace(entry, state=EndpointState.GONE)))
+        worker = self.workers.get(entry.worker)
+        if worker is None:
+            worker = self.workers[entry.worker] = Worker(replace(entry, state=EndpointState.GONE))
+        return worker
 
     def saw_key(self) -> bool:
         """Takes in that a request has a key; returns whether the fleet was split anew."""
@@ -141,7 +144,7 @@
         """Takes in what the list says of one worker. After the `first` list all are dealt anew."""
         worker = self.known(entry)
         old = worker.entry
-        if entry is old:
+        if entry == old:
             return
         if entry.ready_at != old.ready_at:
             worker.restarted(now)
--- a/eiderfield/policy/gossip.py
+++ b/eiderfield/policy/gossip.py
@@ -42,14 +42,14 @@
         for number, count in unpack_counts(data):
             worker = self._fleet.workers.get(number)
             if worker is not None:
-                worker.told[peer] = (now, count)
-                worker.others_until = now + FRESH_MS
-                fresh = [jobs for told_at, jobs in worker.told.values() if told_at > now - FRESH_MS]
-                worker.others = sum(fresh)
+                worker.peer_reports[peer] = (now, count)
+                worker.peer_slots_until = now + FRESH_MS
+                fresh = [jobs for told_at, jobs in worker.peer_reports.values() if told_at > now - FRESH_MS]
+                worker.peer_slots = sum(fresh)
 
     def send(self) -> None:
         """Tells the peers of the workers where own jobs came or went."""
-        counts = [(number, round(w.taken) + w.beside) for number, w in self._changed.items()]
+        counts = [(number, round(w.own_slots) + w.sibling_attempts) for number, w in self._changed.items()]
         data = pack_counts(counts)
         if data:
             self._context.actions += [SendPeerReport(peer, data) for peer in self.peers]
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -99,7 +99,7 @@
     def _stuck_from(self, attempt: Attempt) -> float:
         """When an attempt is stuck: no note came in time or, if not started, its wait is too long."""
         settings = self._context.settings
-        if attempt.given_up or attempt.job.bound:
+        if attempt.given_up or attempt.job.streaming:
             return inf
         if attempt.started is not None:
             notes = SILENT_NOTES if attempt.worker.silent else STUCK_NOTES
--- a/eiderfield/policy/request.py
+++ b/eiderfield/policy/request.py
@@ -51,7 +51,7 @@
     attempts: list[Attempt] = field(default_factory=list)
     queue: OrderedDict[int, Job] | None = None  # in which it waits
     answered: bool = False
-    bound: bool = False  # its stream has started
+    streaming: bool = False  # its stream has started
 
     def first_run(self) -> Attempt | None:
         """The first attempt that may have run or may still do so."""
--- a/eiderfield/policy/retry_rules.py
+++ b/eiderfield/policy/retry_rules.py
@@ -22,7 +22,7 @@
 
 def may_resend(job: Job, worker: Worker, now: float, hedging: bool, max_attempts: int) -> bool:
     """Rule 2 for an attempt: whether this job may go to this worker (again). A cancel proves nothing."""
-    if len(job.attempts) >= max_attempts or job.bound or (job.out() and not hedging):
+    if len(job.attempts) >= max_attempts or job.streaming or (job.out() and not hedging):
         return False
     first = job.first_run()
     if first is None or job.cls.effect == Effect.SAFE:
@@ -34,7 +34,7 @@
     return {Scope.ALL: True, Scope.ZONE: same_zone, Scope.CELL: same_cell}[job.cls.scope]
 
 
-def may_refuse(job: Job) -> bool:
+def may_reject(job: Job) -> bool:
     """Rule 2 for a refusal, which tells the client that it may safely come again."""
     discarded_everywhere = job.cls.effect == Effect.KEYED and job.cls.scope == Scope.ALL
     return discarded_everywhere or job.cls.effect == Effect.SAFE or job.first_run() is None
--- a/eiderfield/policy/selection.py
+++ b/eiderfield/policy/selection.py
@@ -168,7 +168,7 @@
         if self._context.settings.tells_start:  # one may wait there: more would do so unseen and unmovable
             full = worker.unstarted > 0
         else:
-            out = (len(worker.open) + worker.beside) * self._fleet.subset.sharers
+            out = (len(worker.open) + worker.sibling_attempts) * self._fleet.subset.sharers
             full = out >= most and self._reports.shown(worker, now) <= 0.0
         return full or (bool(self._gossip.peers) and worker.total(now) >= most)
 
@@ -214,10 +214,10 @@
         tight = (self._gossip.peers or job.slots > 1.0) and not self._fits(worker, job, now)
         tier = 1.0 if tight else -self._reports.shown(worker, now)
         tier += 2.0 * worker.erring + slow
-        if self._context.many and worker.cold_left < float("inf"):
+        if self._context.many and worker.slow_start_left < float("inf"):
             tier -= 1.0  # a lot that is drawn is used at once
         elsewhere = settings.cross_zone_price > 0.0 and worker.entry.zone != settings.zone
-        load = (len(worker.open) + worker.beside + 1) * (pace if slow else 1.0)
+        load = (len(worker.open) + worker.sibling_attempts + 1) * (pace if slow else 1.0)
         return tier, elsewhere, ceil(load)
 
 
--- a/eiderfield/policy/slow_start.py
+++ b/eiderfield/policy/slow_start.py
@@ -63,15 +63,15 @@
 
     def refresh(self, worker: Worker, now: float) -> None:
         """Brings a worker's budget up to date."""
-        worker.cold_left = self.budget_left(worker, now) if worker.entry.ready_at > 0.0 else inf
+        worker.slow_start_left = self.budget_left(worker, now) if worker.entry.ready_at > 0.0 else inf
 
     def may_take_any(self, worker: Worker) -> bool:
         """Whether a worker's budget lets through a request of the least cost."""
-        return worker.cold_left >= self.least_cost * worker.ticket
+        return worker.slow_start_left >= self.least_cost * worker.lot
 
     def covers(self, worker: Worker, cost: float) -> bool:
         """Whether a worker's budget lets through a request of this cost."""
-        return cost * worker.ticket <= worker.cold_left
+        return cost * worker.lot <= worker.slow_start_left
 
     def budget_left(self, worker: Worker, now: float) -> float:
         """Rule 4: the work that a warming worker may still be sent. Draws its lot for the present window."""
@@ -85,7 +85,7 @@
         while worker.recent and worker.recent[0][0] <= now - settings.fall:
             worker.recent.popleft()
         if many:  # parts of a request, rounded, starve the worker or push it over: lots decide
-            worker.ticket = self._lot(worker, now)
+            worker.lot = self._lot(worker, now)
         return allowed - sum([work for _, work in worker.recent])
 
     def _lot(self, worker: Worker, now: float) -> float:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -104,7 +104,7 @@
         out = here.dispatcher.exchange.out_at
         assert sum(out.values()) == 1
         workers = there.dispatcher.exchange._module._fleet.workers
-        assert {w.entry.worker: w.beside for w in workers.values() if w.beside} == out
+        assert {w.entry.worker: w.sibling_attempts for w in workers.values() if w.sibling_attempts} == out
     assert pair.old.dispatcher.exchange.out_at != pair.new.dispatcher.exchange.out_at, (
         "fewest jobs of both goes first"
     )
@@ -170,7 +170,7 @@
     )
     assert bool(heard) == (when == "when all is given")
     old.settle()
-    assert not any(worker.beside for worker in old.exchange._module._fleet.workers.values())
+    assert not any(worker.sibling_attempts for worker in old.exchange._module._fleet.workers.values())
 
 
 def test_the_new_process_is_alone_once_the_old_one_has_ended(pair):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -42,7 +42,7 @@
         m.setattr(Dispatcher, "_give_up", lambda self, attempt, now: self._queues.add_first(attempt.job)
                   if attempt.job.queue is None and not attempt.job.answered else None))),
     "rule 2: keyed": ("zones", lambda m: m.setattr(selection, "may_resend", lambda *a: True)),
-    "rule 2: .* refused": ("all unsafe", lambda m: m.setattr(dispatcher, "may_refuse", lambda job: True)),
+    "rule 2: .* refused": ("all unsafe", lambda m: m.setattr(dispatcher, "may_reject", lambda job: True)),
     "rule 3": ("plain", lambda m: m.setattr(
         Dispatcher, "_endpoints_updated", ignore_drains(Dispatcher._endpoints_updated))),
     "rule 4": ("plain", lambda m: m.setattr(
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -232,7 +232,7 @@
     module, node.now = node.dispatcher, 60_000.0
     module._slow_start.served_rate, module._slow_start.served_at = 100.0, node.now
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=node.now - 4000.0),)))
-    drawn = module._fleet.workers[3].ticket
+    drawn = module._fleet.workers[3].lot
     module._key_counts.by_key[7] = module._key_counts.total = 100  # a hot key: all workers are its homes
     assert [send.worker for send in sends(node.arrive(key=7)[1])] == [3], drawn
     few = Node(replace(CROWD, balancers=MANY), workers=8)
