--- a/eiderfield/interface.py
+++ b/eiderfield/interface.py
@@ -24,10 +24,10 @@
     CONNECT_FAILED = 521
 
 
-HELD_UP = 150.0  # ms that a node may be held up between reading its clock and writing (standing test)
-AWAY = 0  # AttemptProgressed.what: nothing is known, for this node itself was away and could not have heard
+HELD_UP = 150.0  # ms that a dispatcher may be held up between reading its clock and writing (standing test)
+AWAY = 0  # AttemptProgressed.what: nothing is known, for this process itself was stopped
 STARTED = 1  # AttemptProgressed.what: the job has started
-REPEAT = 2  # RequestReceived.flags: a client's repeat
+REPEAT = 2  # RequestReceived.flags: a client's retry
 
 # Outcomes which prove that the attempt never ran.
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
@@ -58,7 +58,7 @@
 
 
 class EndpointListKind(IntEnum):
-    """What a list holds: changes, everything, everything as last saved, or nothing (a call failed)."""
+    """What an endpoint list holds: changes, all workers, all as last saved, or nothing (a call failed)."""
 
     DELTA = 0
     FULL = 1
@@ -68,7 +68,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests. `stretch` lengthens the aim by so many own running times."""
+    """A class of requests: its priority weight (`worth`), latency objective (`aim`), and what a repeat does.
+
+    `stretch` lengthens the aim by so many own running times."""
 
     name: str
     worth: float
@@ -86,7 +88,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant, with the requests a second that all nodes together may take at full worth."""
+    """A tenant, with the requests a second that all dispatchers together may take at full worth."""
 
     name: str
     quota_per_s: float
@@ -146,7 +148,7 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A request has been accepted by this node and is owed exactly one final answer before `due`."""
+    """A request has been accepted and is owed exactly one final answer before `due`."""
 
     id: int
     cls: int
@@ -157,12 +159,12 @@
     slots: float = 1.0
     memory: float = 0.0
     flags: int = 0
-    before: tuple[tuple[Endpoint, float], ...] = ()  # legs of a node that is lost: the worker then, and when
+    before: tuple[tuple[Endpoint, float], ...] = ()  # attempts of a lost dispatcher: to whom, and when
 
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """News of the list of workers."""
+    """The endpoint list has changed, or a call for it has failed."""
 
     kind: EndpointListKind
     version: int
@@ -195,7 +197,7 @@
 
 @dataclass(slots=True)
 class AttemptProgressed:
-    """News of an attempt that is out: 1 the job has started, 2 `share` of it is done; 0, see `AWAY`."""
+    """An attempt that is out has started (1), or `share` of it is done (2); 0, see `AWAY`."""
 
     id: int
     attempt: int
@@ -206,7 +208,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """Nobody waits for this request any more."""
+    """The client of a request has gone: nobody waits for its answer any more."""
 
     id: int
 
@@ -230,7 +232,7 @@
 
 @dataclass(slots=True)
 class PeerReportReceived:
-    """Bytes from another node of this tier."""
+    """Another dispatcher of this tier has sent a report."""
 
     peer: int
     data: bytes
@@ -238,8 +240,8 @@
 
 @dataclass(slots=True)
 class SiblingReportReceived:
-    """In an upgrade two processes are one node: what the other one has out at a worker, and the work that it
-    has sent there since it last told."""
+    """In an upgrade two processes are one dispatcher: what the other one has out at a worker, and the work
+    that it has sent there since its last report."""
 
     worker: int
     out: int
@@ -320,7 +322,7 @@
 
 @dataclass(slots=True)
 class SendPeerReport:
-    """Send bytes to one other node, or to all of them (-1)."""
+    """Send a report to one other dispatcher, or to all of them (-1)."""
 
     peer: int
     data: bytes
@@ -392,10 +394,10 @@
 
 
 def pack_counts(counts: list[tuple[int, int]]) -> bytes:
-    """What nodes tell each other: workers, and the sender's jobs at each. A message holds 51 of them."""
+    """A report to peers: workers, and the slots of the sender's jobs at each. A message holds 51 of them."""
     return b"".join([_COUNT.pack(worker, min(255, jobs)) for worker, jobs in counts[:51]])
 
 
 def unpack_counts(data: bytes) -> Iterator[tuple[int, int]]:
-    """The counts in a message; what is cut short at its end is left out."""
+    """The counts in a peer's report; what is cut short at its end is left out."""
     return _COUNT.iter_unpack(data[: len(data) // _COUNT.size * _COUNT.size])
