--- a/eiderfield/batch/messages.py
+++ b/eiderfield/batch/messages.py
@@ -75,7 +75,7 @@
             "verdict": self.answer.verdict.value,
             "finishedMs": int(to_unix(self.finished)),
             "mayHaveRun": self.answer.may_have_run,
-            "legs": self.answer.legs,
+            "legs": self.answer.attempts,
         }
         if self.answer.verdict == Verdict.SERVED:
             message["result"] = self.answer.result.decode()
--- a/eiderfield/batch/registry.py
+++ b/eiderfield/batch/registry.py
@@ -27,7 +27,7 @@
 )
 from eiderfield.batch.durable import DurableJobs
 from eiderfield.batch.messages import JobEnd, JobStatus, JobTemplate
-from eiderfield.exchange import Answer, Exchange, Request, Standing, Verdict
+from eiderfield.exchange import Answer, Exchange, Request, RequestState, Verdict
 from eiderfield.idmap import IdMap
 from eiderfield.interface import Effect
 
@@ -290,8 +290,8 @@
     def _state(self, job: BatchJob) -> JobState:
         if job.answer is not None:
             return JobState.DONE if job.answer.verdict == Verdict.SERVED else JobState.FAILED
-        standing = self._exchange.standing(job.number) if job.number else None
-        return JobState.RUNNING if standing == Standing.RUNNING else JobState.QUEUED_ACTIVE
+        standing = self._exchange.state_of(job.number) if job.number else None
+        return JobState.RUNNING if standing == RequestState.RUNNING else JobState.QUEUED_ACTIVE
 
 
 def check_body(body: str) -> None:
--- a/eiderfield/durable_requests/claims.py
+++ b/eiderfield/durable_requests/claims.py
@@ -23,7 +23,7 @@
     ReleaseClaim,
 )
 from eiderfield.durable_requests.record import AttemptRecord
-from eiderfield.exchange import Leg, Timers
+from eiderfield.exchange import Attempt, Timers
 from eiderfield.machine import steady_ms
 
 RETRY_INTERVAL = 30.0  # ms from a write that was refused to the next try
@@ -47,20 +47,22 @@
         self._timers = timers
         self._clock = clock
         self._end = end
-        self._held: dict[Leg, str] = {}  # the incarnation that claimed an attempt which is out
+        self._held: dict[Attempt, str] = {}  # the incarnation that claimed an attempt which is out
 
     @property
-    def open_attempts(self) -> list[Leg]:
+    def open_attempts(self) -> list[Attempt]:
         """The claimed attempts that are out."""
         return [attempt for attempt in self._held if attempt.open]
 
-    def request(self, attempt: Leg, note: AttemptRecord, go: Go, pause: float = RETRY_INTERVAL) -> None:
+    def request(self, attempt: Attempt, note: AttemptRecord, go: Go, pause: float = RETRY_INTERVAL) -> None:
         """Records an attempt; `go` hears whether it may begin."""
         if attempt.open:  # else its time was over while the disk refused it
             claim = Claim(attempt.job.request.id, note)
             self._thread.write(claim, partial(self._on_outcome, attempt, note, go, pause))
 
-    def _on_outcome(self, attempt: Leg, note: AttemptRecord, go: Go, pause: float, outcome: Outcome) -> None:
+    def _on_outcome(
+        self, attempt: Attempt, note: AttemptRecord, go: Go, pause: float, outcome: Outcome
+    ) -> None:
         if isinstance(outcome, NotWritten):
             longer = min(2.0 * pause, RETRY_INTERVAL_MOST)
             again = partial(self.request, attempt, note, go, longer)
@@ -72,13 +74,13 @@
             self._held[attempt] = outcome.incarnation
         go(isinstance(outcome, Claimed))
 
-    def allows(self, attempt: Leg) -> bool:
+    def allows(self, attempt: Attempt) -> bool:
         """Whether a claim still holds: its incarnation is not over, nor can it be taken for lost."""
         member = self._thread.member
         incarnation = self._held.get(attempt)
         return bool(incarnation) and incarnation == member.incarnation and member.holds_lease(steady_ms())
 
-    def end(self, attempt: Leg) -> None:
+    def end(self, attempt: Attempt) -> None:
         """An attempt is over; one that never ran is taken off the record."""
         self._held.pop(attempt, None)
         if not attempt.may_have_run:
--- a/eiderfield/durable_requests/coordinator.py
+++ b/eiderfield/durable_requests/coordinator.py
@@ -50,7 +50,7 @@
 from eiderfield.durable_requests.record import AttemptRecord, Record, record_of, request_of
 from eiderfield.durable_requests.settings import DurableRequestSettings
 from eiderfield.durable_requests.waiters import Answered, Waiter
-from eiderfield.exchange import Answer, Exchange, Job, Leg, Request, Standing, Timers, Verdict
+from eiderfield.exchange import Answer, Attempt, Exchange, Job, Request, RequestState, Timers, Verdict
 from eiderfield.idmap import IdMap
 from eiderfield.interface import Effect, Endpoint
 from eiderfield.machine import steady_ms
@@ -106,7 +106,7 @@
         self._claims = AttemptClaims(self.thread, timers, clock, lambda id_: self.on_end_requested([id_]))
         self._owned: dict[str, OwnedRequest] = {}
         self._elsewhere: dict[str, list[Waiter]] = {}  # who waits for requests that are not here
-        exchange.custodian = self
+        exchange.durable_requests = self
 
     def begin(self) -> None:
         """Begins an incarnation, now or, where the disk may take it in a while, later: until then no request
@@ -288,7 +288,7 @@
         if self._owned.get(request.id) is not owned:
             return
         if self._clock() >= request.due - EARLY:
-            answer = Answer(Verdict.FAILED, may_have_run=bool(earlier), legs=len(earlier))
+            answer = Answer(Verdict.FAILED, may_have_run=bool(earlier), attempts=len(earlier))
             self._finish(request.id, owned, answer, "its time was over")
         else:
             self._submit(request, owned, earlier)
@@ -330,32 +330,32 @@
         owned = self._owned.get(id_)
         if owned is None or not owned.number or owned.is_waited_for:
             return
-        if self._exchange.standing(owned.number) is not Standing.HELD:
+        if self._exchange.state_of(owned.number) is not RequestState.HELD:
             return
         ended = self._exchange.withdraw(owned.number)
         if ended is None:
             return
         if ended.may_have_run:
-            answer = Answer(Verdict.FAILED, may_have_run=True, legs=ended.legs)
+            answer = Answer(Verdict.FAILED, may_have_run=True, attempts=ended.attempts)
         else:
-            answer = Answer(Verdict.DECLINED, retry_after=RETRY_AFTER, legs=ended.legs)
+            answer = Answer(Verdict.DECLINED, retry_after=RETRY_AFTER, attempts=ended.attempts)
         self._finish(id_, owned, answer, "its clients have left")
 
     # The exchange.
 
-    def claim(self, leg: Leg, go: Go) -> None:
+    def claim(self, leg: Attempt, go: Go) -> None:
         """Records an attempt before it begins."""
         entry = self._exchange.entry(leg.worker)
         worker, zone = self._ids.name(leg.worker), self._ids.zone_name(entry.zone)
         self._claims.request(leg, AttemptRecord(leg.number, worker, zone, entry.cell, steady_ms()), go)
 
-    def may_write(self, leg: Leg) -> bool:
+    def may_write(self, leg: Attempt) -> bool:
         """Whether a claimed attempt may still begin: somebody waits for it, and its claim holds."""
         owned = self._owned.get(leg.job.request.id)
         is_waited_for = owned is None or owned.is_waited_for
         return is_waited_for and self._claims.allows(leg)
 
-    def ended(self, leg: Leg) -> None:
+    def ended(self, leg: Attempt) -> None:
         """An attempt is over."""
         self._claims.end(leg)
         self._abandon_unless_waited_for(leg.job.request.id)
@@ -382,7 +382,7 @@
                 return
             self._log(f"durable requests: the answer to {id_} is not written down yet: {outcome.reason}")
             if answer.verdict != Verdict.SERVED:  # a rejection that is not recorded promises too much
-                answer = Answer(Verdict.FAILED, may_have_run=True, legs=answer.legs)
+                answer = Answer(Verdict.FAILED, may_have_run=True, attempts=answer.attempts)
             self._record_later(Finish(id_, answer, finish.reason), RETRY_INTERVAL, outcome)
         del self._owned[id_]
         if isinstance(outcome, NotOwned):  # others have it: their answer is the one
@@ -421,7 +421,7 @@
         self.member.counters.expired += 1
         reason = "its time was over" if owned.cls >= 0 else "its class is not known here"
         attempts = len(record.attempts)
-        answer = Answer(Verdict.FAILED, may_have_run=attempts > 0, legs=attempts)
+        answer = Answer(Verdict.FAILED, may_have_run=attempts > 0, attempts=attempts)
         self._finish(record.id, owned, answer, reason)
 
     def _earlier(self, attempt: AttemptRecord, ahead: float) -> tuple[Endpoint, float]:
--- a/eiderfield/durable_requests/record.py
+++ b/eiderfield/durable_requests/record.py
@@ -135,7 +135,7 @@
         """With its final answer."""
         return replace(
             self, stage=Stage.FINAL, finished=now, verdict=answer.verdict.value, result=answer.result,
-            retry_after=answer.retry_after, may_have_run=answer.may_have_run, attempt_count=answer.legs,
+            retry_after=answer.retry_after, may_have_run=answer.may_have_run, attempt_count=answer.attempts,
             reason=reason,
         )  # fmt: skip
 
--- a/eiderfield/exchange.py
+++ b/eiderfield/exchange.py
@@ -1,6 +1,6 @@
-"""The core round the decision module: it owns jobs and legs and knows no socket, no wire and no clock.
+"""The core round the decision module: it owns jobs and attempts and knows no socket, no wire and no clock.
 
-Fronts hand requests in with `submit` and get one final answer each. The worker side reports how legs
+Fronts hand requests in with `submit` and get one final answer each. The worker side reports how attempts
 fare. Whatever came in during a turn of the loop reaches the module in one call, `turn`.
 """
 
@@ -92,10 +92,10 @@
     result: bytes = b""
     retry_after: float = 0.0
     may_have_run: bool = False
-    legs: int = 0
+    attempts: int = 0
 
 
-class Standing(Enum):
+class RequestState(Enum):
     """Where a job without a final answer stands."""
 
     HELD = "held"
@@ -117,13 +117,13 @@
         """Calls once at a time. Many `patient` calls due at one time may be made a little later."""
 
 
-class Legs(Protocol):
+class WorkerSide(Protocol):
     """The worker side, as the exchange uses it."""
 
-    def start(self, leg: Leg) -> None:
+    def start(self, attempt: Attempt) -> None:
         """Begins an attempt; its end is reported with `Exchange.ended` or `Exchange.served`."""
 
-    def stop(self, leg: Leg) -> None:
+    def stop(self, attempt: Attempt) -> None:
         """Gives an attempt up by closing its connection; nothing is reported after that."""
 
     def probe(self, worker: int) -> None:
@@ -133,45 +133,47 @@
         """Closes what connections to a worker carry nothing."""
 
 
-class Speaker(Protocol):
+class PeerChannel(Protocol):
     """Who carries words to the other dispatchers, where the settings allow it."""
 
     def tell(self, peer: int, data: bytes) -> None:
         """Sends bytes to one peer, or to all of them (-1); they may be lost."""
 
 
-class Witness(Protocol):
+class OtherProcess(Protocol):
     """Who is told of what another process of the same dispatcher must know to keep the rules."""
 
-    def came(self, id_: str) -> None:
+    def request_taken(self, id_: str) -> None:
         """A job of this id has been taken."""
 
-    def went(self, id_: str) -> None:
+    def id_released(self, id_: str) -> None:
         """The id is free again."""
 
-    def legs(self, worker: int, out: int, work: float) -> None:
-        """How many legs are out at a worker now, and the work that was just sent there."""
+    def attempts_changed(self, worker: int, out: int, work: float) -> None:
+        """How many attempts are out at a worker now, and the work that was just sent there."""
 
 
-class Custodian(Protocol):
+class DurableRequests(Protocol):
     """Who writes down the work in hand of some jobs, so that it outlives this process."""
 
-    def claim(self, leg: Leg, go: Callable[[bool], None]) -> None:
-        """A leg of a kept job is to begin: `go(True)` once that is written down, `go(False)` if it may not
-        begin."""
+    def claim(self, attempt: Attempt, go: Callable[[bool], None]) -> None:
+        """An attempt of a kept job is to begin.
 
-    def may_write(self, leg: Leg) -> bool:
-        """Whether a claimed leg may still begin: another dispatcher may take this one for lost."""
+        `go(True)` is called once that is written down, `go(False)` if it may not begin.
+        """
 
-    def ended(self, leg: Leg) -> None:
-        """A leg of a kept job is over, and what it proves is known."""
+    def may_write(self, attempt: Attempt) -> bool:
+        """Whether a claimed attempt may still begin: another dispatcher may take this one for lost."""
+
+    def ended(self, attempt: Attempt) -> None:
+        """An attempt of a kept job is over, and what it proves is known."""
 
     def finish(self, job: Job, answer: Answer) -> None:
         """A kept job has its final answer, which is told with `job.answer` once it is written down."""
 
 
 @dataclass(slots=True, eq=False)
-class Leg:
+class Attempt:
     """One attempt. It may have run from the moment its last byte left, unless its end proves otherwise."""
 
     job: Job
@@ -190,7 +192,7 @@
     id: int
     request: Request
     answer: Callable[[Answer], None]
-    legs: list[Leg] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
     kept: bool = False  # whether the custodian keeps it
     client_waits: Callable[[], bool] | None = None  # asked before each attempt begins; None: always
@@ -211,28 +213,28 @@
         self._timers = timers
         self._wake = wake
         self._log = log
-        self._legs: Legs | None = None
+        self._worker_side: WorkerSide | None = None
         self._jobs: dict[int, Job] = {}
-        self._ids: set[str] = set()  # of the jobs that are not over or still have a leg out
+        self._ids: set[str] = set()  # of the jobs that are not over or still have an attempt out
         self._last_id = 0
         self._news: list[Event] = []  # of the routing table: applied before anything else of the turn
         self._events: list[Event] = []
-        self._out: dict[tuple[int, int], Leg] = {}  # every leg that is out, also of answered jobs
+        self._out: dict[tuple[int, int], Attempt] = {}  # every attempt that is out, also of answered jobs
         self._out_at: Counter[int] = Counter()  # how many of them at each worker
-        self.witness: Witness | None = None
-        self.custodian: Custodian | None = None
-        self.speaker: Speaker | None = None
-        self._ids_beside: set[str] = set()  # those that the dispatcher's other process holds
-        self._beside: set[int] = set()  # workers at which that process has legs out
+        self.other_process: OtherProcess | None = None
+        self.durable_requests: DurableRequests | None = None
+        self.peer_channel: PeerChannel | None = None
+        self._other_process_ids: set[str] = set()  # those that the dispatcher's other process holds
+        self._other_process_workers: set[int] = set()  # workers at which that process has attempts out
         self._table: dict[int, EndpointState] = {}
         self._entries: dict[int, Endpoint] = {}  # all that were ever listed, as they were last
         self.answers: Counter[tuple[int, Verdict]] = Counter()  # final answers so far, by class
-        self.legs_written = 0  # legs whose last byte has left, so far
+        self.attempts_written = 0  # attempts whose last byte has left, so far
         self.in_time: Counter[int] = Counter()  # served within the class's aim so far, by class
         self.waits: dict[int, list[float]] = {}  # by class: served jobs, sum and squares of ln(ms they took)
         self.broken: Counter[str] = Counter()  # rules that only a guard here kept from being broken, so far
         self.spoilt_answers = 0  # of workers, that could not be used, so far
-        self.called_off: Counter[str] = Counter()  # legs given up before their end so far, by why
+        self.called_off: Counter[str] = Counter()  # attempts given up before their end so far, by why
         self._new: list[Job] = []  # that came since the last turn
         self._served: list[Job] = []  # and that were served
         self._takers: dict[type[Action], Callable[[Any, float], None]] = {
@@ -249,9 +251,9 @@
             FetchEndpoints: self._follow,
         }
 
-    def attach(self, legs: Legs) -> None:
+    def attach(self, worker_side: WorkerSide) -> None:
         """Joins the worker side."""
-        self._legs = legs
+        self._worker_side = worker_side
 
     @property
     def knows_workers(self) -> bool:
@@ -291,8 +293,8 @@
     # Fronts.
 
     def holds(self, id_: str) -> bool:
-        """Whether a job of this id is not over, or has a leg out: another would be a second copy of it."""
-        return id_ in self._ids or id_ in self._ids_beside
+        """Whether a job of this id is not over, or has an attempt out: another would be its second copy."""
+        return id_ in self._ids or id_ in self._other_process_ids
 
     def submit(
         self, request: Request, answer: Callable[[Answer], None], kept: bool = False,
@@ -301,17 +303,18 @@
         """Takes a job. `answer` is called once, never before this returns.
 
         `client_waits` tells whether the client is still connected, also where its close has not been read.
-        `before` are legs that a dispatcher which is lost had begun: the worker as it was then, and when."""
+        `before` are attempts that a dispatcher which is lost had begun: the worker as it was, and when.
+        """
         if self.holds(request.id):
             raise ValueError(f"job {request.id} is there already")
         self._ids.add(request.id)
-        if self.witness is not None:
-            self.witness.came(request.id)
+        if self.other_process is not None:
+            self.other_process.request_taken(request.id)
         self._last_id += 1
         job = Job(self._last_id, request, answer, kept=kept, client_waits=client_waits)
         before = tuple(before)
         for number, (entry, sent) in enumerate(before):
-            job.legs.append(Leg(job, number, entry.worker, sent, open=False, may_have_run=True))
+            job.attempts.append(Attempt(job, number, entry.worker, sent, open=False, may_have_run=True))
         self._jobs[job.id] = job
         self._new.append(job)
         a = request
@@ -327,8 +330,8 @@
         """Ends a job that another dispatcher has taken over from this one: it is answered there."""
         if (job := self._jobs.get(id_)) is not None:
             self._finish(job)
-            for leg in job.legs:
-                self._stop(leg, "taken over")
+            for attempt in job.attempts:
+                self._stop(attempt, "taken over")
             self._post(ClientDisconnected(id_))
 
     def withdraw(self, id_: int) -> Answer | None:
@@ -336,21 +339,21 @@
         job = self._jobs.get(id_)
         if job is None:
             return None
-        answer = Answer(Verdict.TERMINATED, may_have_run=may_have_run(job), legs=len(job.legs))
+        answer = Answer(Verdict.TERMINATED, may_have_run=may_have_run(job), attempts=len(job.attempts))
         self._finish(job)
-        for leg in job.legs:
-            self._stop(leg, "nobody waits")
+        for attempt in job.attempts:
+            self._stop(attempt, "nobody waits")
         self._post(ClientDisconnected(id_))
         return answer
 
-    def standing(self, id_: int) -> Standing | None:
+    def state_of(self, id_: int) -> RequestState | None:
         """Where a job stands, None once it has its final answer."""
         job = self._jobs.get(id_)
         if job is None:
             return None
-        if not any(leg.open for leg in job.legs):
-            return Standing.HELD
-        return Standing.RUNNING if job.running or not self.site.tells_start else Standing.OUT
+        if not any(attempt.open for attempt in job.attempts):
+            return RequestState.HELD
+        return RequestState.RUNNING if job.running or not self.site.tells_start else RequestState.OUT
 
     # The dispatcher's other process, while one hands over to the next.
 
@@ -361,7 +364,7 @@
 
     @property
     def out_at(self) -> dict[int, int]:
-        """How many legs are out at each worker."""
+        """How many attempts are out at each worker."""
         return {worker: out for worker, out in self._out_at.items() if out}
 
     def memory(self) -> dict[str, Any]:
@@ -376,27 +379,27 @@
         except (ValueError, TypeError, LookupError, AttributeError) as error:
             self._log(f"what the process before had learnt is not taken: {error!r}")
 
-    def ids_beside(self, came: Iterable[str], went: Iterable[str]) -> None:
+    def ids_of_other_process(self, came: Iterable[str], went: Iterable[str]) -> None:
         """The other process took jobs, or let ids go."""
-        self._ids_beside.update(came)
-        self._ids_beside.difference_update(went)
+        self._other_process_ids.update(came)
+        self._other_process_ids.difference_update(went)
 
-    def legs_beside(self, worker: int, out: int, work: float) -> None:
-        """The other process has so many legs out at a worker and has just sent it so much work."""
-        (self._beside.add if out else self._beside.discard)(worker)
+    def attempts_of_other_process(self, worker: int, out: int, work: float) -> None:
+        """The other process has so many attempts out at a worker and has just sent it so much work."""
+        (self._other_process_workers.add if out else self._other_process_workers.discard)(worker)
         self._post(SiblingReportReceived(worker, out, work))
 
-    def alone(self) -> None:
+    def other_process_ended(self) -> None:
         """There is no other process any more."""
-        self.witness = None
-        self._ids_beside.clear()
-        for worker in list(self._beside):
-            self.legs_beside(worker, 0, 0.0)
+        self.other_process = None
+        self._other_process_ids.clear()
+        for worker in list(self._other_process_workers):
+            self.attempts_of_other_process(worker, 0, 0.0)
 
     # Worker side and routing table.
 
     def routing(self, kind: EndpointListKind, version: int, entries: tuple[Endpoint, ...]) -> None:
-        """News of the routing table; binding at once for every leg that has not begun to be written."""
+        """News of the routing table; binding at once for every attempt that has not begun to be written."""
         if kind != EndpointListKind.DELTA:
             self._table = dict.fromkeys(self._table, EndpointState.GONE)
         self._table.update((entry.worker, entry.state) for entry in entries)
@@ -404,82 +407,97 @@
         self._news.append(EndpointsUpdated(kind, version, entries))
         self._wake()
 
-    def may_write(self, leg: Leg, now: float) -> bool:
-        """Whether a leg whose connection is up may still begin.
+    def may_write(self, attempt: Attempt, now: float) -> bool:
+        """Whether an attempt whose connection is up may still begin.
 
-        A connection may come up late and this process be held up since the leg was decided: a drain may have
-        been told meanwhile, the client have left, its time or the window for repeats have ended."""
-        job = leg.job
-        if not leg.open or job.answered or self._table.get(leg.worker) != EndpointState.READY:
+        A connection may come up late and this process be held up since the attempt was decided: meanwhile a
+        drain may have been told, the client have left, its time or the window for repeats have ended.
+        """
+        job = attempt.job
+        if not attempt.open or job.answered or self._table.get(attempt.worker) != EndpointState.READY:
             return False
-        if now > self._begin_by(leg) or (job.client_waits is not None and not job.client_waits()):
+        if now > self._begin_by(attempt) or (job.client_waits is not None and not job.client_waits()):
             return False
-        return not job.kept or self.custodian is None or self.custodian.may_write(leg)
+        return not job.kept or self.durable_requests is None or self.durable_requests.may_write(attempt)
+
+    def _begin_by(self, attempt: Attempt) -> float:
+        """When an attempt must have begun at the latest.
 
-    def _begin_by(self, leg: Leg) -> float:
-        """When a leg must have begun at the latest: in its client's time and, where an attempt before it may
-        have run, within the window in which workers discard the repeat of a keyed request."""
-        request = leg.job.request
+        That is in its client's time and, where an attempt before it may have run, within the window in which
+        workers discard the repeat of a keyed request.
+        """
+        request = attempt.job.request
         cls = self.site.classes[request.cls]
         if cls.effect != Effect.KEYED:
             return request.due
-        ran = [other.sent for other in leg.job.legs if other is not leg and other.may_have_run]
+        ran = [other.sent for other in attempt.job.attempts if other is not attempt and other.may_have_run]
         return min([request.due, *[sent + cls.window - HELD_UP for sent in ran]])
 
     def entry(self, worker: int) -> Endpoint:
         """A worker as the list told it last; one of no place, and gone, where it never did."""
         return self._entries.get(worker, Endpoint(worker, state=EndpointState.GONE))
 
-    def wrote(self, leg: Leg) -> None:
-        """The leg's last byte has left."""
-        leg.may_have_run = True
-        self.legs_written += 1
+    def wrote(self, attempt: Attempt) -> None:
+        """The attempt's last byte has left."""
+        attempt.may_have_run = True
+        self.attempts_written += 1
 
-    def noted(self, leg: Leg, what: int, share: float = 0.0) -> None:
+    def noted(self, attempt: Attempt, what: int, share: float = 0.0) -> None:
         """A worker told of a start or of progress."""
-        if leg.open:
-            leg.job.running = leg.job.running or what == STARTED
-            self._post(AttemptProgressed(leg.job.id, leg.number, leg.worker, what, share))
+        if attempt.open:
+            attempt.job.running = attempt.job.running or what == STARTED
+            self._post(AttemptProgressed(attempt.job.id, attempt.number, attempt.worker, what, share))
 
-    def served(self, leg: Leg, result: bytes, load: tuple[float, ...] = ()) -> None:
+    def served(self, attempt: Attempt, result: bytes, load: tuple[float, ...] = ()) -> None:
         """A worker gave the whole result: the first one is the final answer. `load` is its report, if any."""
-        if not leg.open:
+        if not attempt.open:
             return
-        job = leg.job
+        job = attempt.job
         if not job.answered:
-            self._finish(job, Answer(Verdict.SERVED, result, may_have_run=True, legs=len(job.legs)))
-        self.ended(leg, Outcome.OK, load)
+            self._finish(job, Answer(Verdict.SERVED, result, may_have_run=True, attempts=len(job.attempts)))
+        self.ended(attempt, Outcome.OK, load)
 
     def spoilt(self, worker: int, why: str) -> None:
         """A worker's answer cannot be read, or is not about what it was asked."""
         self.spoilt_answers += 1
         self._log(f"worker {worker}: an answer cannot be used: {why}")
 
-    def rejected(self, leg: Leg) -> None:
+    def rejected(self, attempt: Attempt) -> None:
         """A worker said that the job itself is faulty: no other one could use it, and the worker is well."""
-        if not leg.open:
+        if not attempt.open:
             return
-        job = leg.job
+        job = attempt.job
         if not job.answered:
-            self._finish(job, Answer(Verdict.REJECTED, may_have_run=may_have_run(job), legs=len(job.legs)))
-        self.ended(leg, Outcome.ERROR)
-
-    def ended(self, leg: Leg, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
-        """A leg is over. `load` is the report that came with its end, if any."""
-        if not leg.open:
+            self._finish(
+                job, Answer(Verdict.REJECTED, may_have_run=may_have_run(job), attempts=len(job.attempts))
+            )
+        self.ended(attempt, Outcome.ERROR)
+
+    def ended(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
+        """An attempt is over. `load` is the report that came with its end, if any."""
+        if not attempt.open:
             return
-        leg.open = False
-        self._let_go(leg.job)
-        if self._out.pop((leg.job.id, leg.number), None) is not None:
-            self._count_out(leg.worker, -1)
-        leg.may_have_run = leg.may_have_run and outcome not in NEVER_RAN
-        leg.job.running = False
-        if leg.job.kept and self.custodian is not None:
-            self.custodian.ended(leg)
-        if leg.timer is not None:
-            leg.timer.cancel()
+        attempt.open = False
+        self._let_go(attempt.job)
+        if self._out.pop((attempt.job.id, attempt.number), None) is not None:
+            self._count_out(attempt.worker, -1)
+        attempt.may_have_run = attempt.may_have_run and outcome not in NEVER_RAN
+        attempt.job.running = False
+        if attempt.job.kept and self.durable_requests is not None:
+            self.durable_requests.ended(attempt)
+        if attempt.timer is not None:
+            attempt.timer.cancel()
         # The time that it took is filled in at the turn, which alone knows the clock.
-        ended = AttemptEnded(leg.job.id, leg.number, leg.worker, outcome, leg.sent, leg.job.answered, 0, load)
+        ended = AttemptEnded(
+            attempt.job.id,
+            attempt.number,
+            attempt.worker,
+            outcome,
+            attempt.sent,
+            attempt.job.answered,
+            0,
+            load,
+        )
         self._post(ended)
 
     def probed(self, worker: int, outcome: Outcome, elapsed: float, load: tuple[float, ...] = ()) -> None:
@@ -492,11 +510,13 @@
 
     def absent(self, span: float) -> None:
         """This process was stopped, or got no processor, for `span` ms, and has read what came meanwhile.
-        From what it did not hear nothing follows: the silence of whoever has a leg out counts from now."""
+
+        From what it did not hear nothing follows: the silence of workers with an attempt counts from now.
+        """
         if span >= NAMED:
             self._log(f"this process stood still for {span:.0f} ms")
-        for leg in self._out.values():
-            self._post(AttemptProgressed(leg.job.id, leg.number, leg.worker, AWAY, 0.0))
+        for attempt in self._out.values():
+            self._post(AttemptProgressed(attempt.job.id, attempt.number, attempt.worker, AWAY, 0.0))
 
     # The turn.
 
@@ -537,78 +557,80 @@
 
     def _send(self, action: StartAttempt, now: float) -> None:
         job = self._jobs.get(action.id)
-        if job is None or self._legs is None:
-            self._log(f"a leg of job {action.id}, which is over, was not sent")
+        if job is None or self._worker_side is None:
+            self._log(f"an attempt of job {action.id}, which is over, was not sent")
             return
-        leg = Leg(job, len(job.legs), action.worker, now)
-        out = any(other.open for other in job.legs)
-        job.legs.append(leg)
-        job.began = 0.0  # a leg before this one may have begun it
-        # Guards the wire against a module that errs: it hears that the leg was never sent.
-        if len(job.legs) > self.site.max_attempts or (out and not self.site.may_copy):
+        attempt = Attempt(job, len(job.attempts), action.worker, now)
+        out = any(other.open for other in job.attempts)
+        job.attempts.append(attempt)
+        job.began = 0.0  # an attempt before this one may have begun it
+        # Guards the wire against a module that errs: it hears that the attempt was never sent.
+        if len(job.attempts) > self.site.max_attempts or (out and not self.site.may_copy):
             self.broken["attempts"] += 1
-            self.ended(leg, Outcome.MOOT)
+            self.ended(attempt, Outcome.MOOT)
             return
         due = job.request.due
         end = min(due, now + action.timeout) if action.timeout > 0.0 else due
-        self._out[job.id, leg.number] = leg
-        self._count_out(leg.worker, 1, action.work)
-        leg.timer = self._timers.at(end, lambda: self._stop(leg, "timed out", Outcome.TIMEOUT))
-        if job.kept and self.custodian is not None:
-            self.custodian.claim(leg, partial(self._claimed, leg))
+        self._out[job.id, attempt.number] = attempt
+        self._count_out(attempt.worker, 1, action.work)
+        attempt.timer = self._timers.at(end, lambda: self._stop(attempt, "timed out", Outcome.TIMEOUT))
+        if job.kept and self.durable_requests is not None:
+            self.durable_requests.claim(attempt, partial(self._claimed, attempt))
         else:
-            self._legs.start(leg)
+            self._worker_side.start(attempt)
 
-    def _claimed(self, leg: Leg, may: bool) -> None:
-        """A kept job's leg has been written down and may begin, or may not."""
-        if leg.open and self._legs is not None:
+    def _claimed(self, attempt: Attempt, may: bool) -> None:
+        """A kept job's attempt has been written down and may begin, or may not."""
+        if attempt.open and self._worker_side is not None:
             if may:
-                self._legs.start(leg)
+                self._worker_side.start(attempt)
             else:
-                self.ended(leg, Outcome.MOOT)
+                self.ended(attempt, Outcome.MOOT)
 
     def _count_out(self, worker: int, more: int, work: float = 0.0) -> None:
         self._out_at[worker] += more
-        if self.witness is not None:
-            self.witness.legs(worker, self._out_at[worker], work)
+        if self.other_process is not None:
+            self.other_process.attempts_changed(worker, self._out_at[worker], work)
 
     def _cancel(self, action: CancelAttempt, now: float) -> None:
-        if (leg := self._out.get((action.id, action.attempt))) is not None:
-            self._stop(leg, "decided")
+        if (attempt := self._out.get((action.id, action.attempt))) is not None:
+            self._stop(attempt, "decided")
 
-    def _stop(self, leg: Leg, why: str, outcome: Outcome = Outcome.CANCELLED) -> None:
-        """Gives a leg up. One whose last byte had not left is known never to have run."""
-        if leg.open and self._legs is not None:
+    def _stop(self, attempt: Attempt, why: str, outcome: Outcome = Outcome.CANCELLED) -> None:
+        """Gives an attempt up. One whose last byte had not left is known never to have run."""
+        if attempt.open and self._worker_side is not None:
             self.called_off[why] += 1
-            self._legs.stop(leg)
-            self.ended(leg, outcome if leg.may_have_run else Outcome.MOOT)
+            self._worker_side.stop(attempt)
+            self.ended(attempt, outcome if attempt.may_have_run else Outcome.MOOT)
 
     def _refuse(self, action: RejectRequest, now: float) -> None:
         if (job := self._jobs.get(action.id)) is not None:
             ran = may_have_run(job)
-            self._finish(job, Answer(Verdict.DECLINED, b"", action.retry_after, ran, len(job.legs)))
+            self._finish(job, Answer(Verdict.DECLINED, b"", action.retry_after, ran, len(job.attempts)))
 
     def _fail(self, action: FailRequest, now: float) -> None:
         if (job := self._jobs.get(action.id)) is not None:
-            self._finish(job, Answer(Verdict.FAILED, may_have_run=may_have_run(job), legs=len(job.legs)))
+            self._finish(
+                job, Answer(Verdict.FAILED, may_have_run=may_have_run(job), attempts=len(job.attempts))
+            )
 
     def _set_timer(self, action: SetTimer, now: float) -> None:
         self._timers.at(action.at, lambda: self._post(TimerFired(action.token)))
 
     def _probe(self, action: ProbeWorker, now: float) -> None:
-        if self._legs is not None:
-            self._legs.probe(action.worker)
+        if self._worker_side is not None:
+            self._worker_side.probe(action.worker)
 
     def _close_idle(self, action: CloseIdleConnections, now: float) -> None:
-        if self._legs is not None:
-            self._legs.close_idle(action.worker)
+        if self._worker_side is not None:
+            self._worker_side.close_idle(action.worker)
 
     def _note(self, action: LogMessage, now: float) -> None:
         self._log(action.text)
 
     def _tell(self, action: SendPeerReport, now: float) -> None:
-        if self.speaker is not None:
-            self.speaker.tell(action.peer, action.data)
+        if self.peer_channel is not None:
+            self.peer_channel.tell(action.peer, action.data)
 
     def _follow(self, action: WatchEndpoints | FetchEndpoints, now: float) -> None:
         """Nothing: on sockets the routing table is followed from the start, asked for or not."""
@@ -626,27 +648,27 @@
             self.answers[job.request.cls, answer.verdict] += 1
             if answer.verdict is Verdict.SERVED:
                 self._served.append(job)
-            if job.kept and self.custodian is not None:
-                self.custodian.finish(job, answer)
+            if job.kept and self.durable_requests is not None:
+                self.durable_requests.finish(job, answer)
             else:
                 job.answer(answer)
 
     def _let_go(self, job: Job) -> None:
-        if job.answered and not any(leg.open for leg in job.legs):
+        if job.answered and not any(attempt.open for attempt in job.attempts):
             self._ids.discard(job.request.id)
-            if self.witness is not None:
-                self.witness.went(job.request.id)
+            if self.other_process is not None:
+                self.other_process.id_released(job.request.id)
 
     def _overdue(self, job: Job) -> None:
         if not job.answered:
             self._log(f"job {job.id} had no answer when its time ended")
             self.broken["answered"] += 1
             self._fail(FailRequest(job.id), 0.0)
-            for leg in job.legs:
-                self._stop(leg, "timed out")
+            for attempt in job.attempts:
+                self._stop(attempt, "timed out")
             self._post(ClientDisconnected(job.id))
 
 
 def may_have_run(job: Job) -> bool:
-    """Whether any leg of a job may have run or may still do so."""
-    return any(leg.may_have_run for leg in job.legs)
+    """Whether any attempt of a job may have run or may still do so."""
+    return any(attempt.may_have_run for attempt in job.attempts)
--- a/eiderfield/lab/fleet/faulty_programs.py
+++ b/eiderfield/lab/fleet/faulty_programs.py
@@ -102,13 +102,13 @@
     """Sends a job on, and ends it at once."""
     send(exchange, action, now)
     job = exchange._jobs.get(action.id)
-    if job is None or len(job.legs) != 1:
+    if job is None or len(job.attempts) != 1:
         return
     if rejected:
         exchange._refuse(RejectRequest(action.id), now)
     else:
         exchange._fail(action, now)
-    for leg in job.legs:
+    for leg in job.attempts:
         exchange._stop(leg, PLANTED)
 
 
@@ -159,9 +159,9 @@
     """Forwards a job, and cancels the first attempt of one in three."""
     send(exchange, action, now)
     job = exchange._jobs.get(action.id)
-    if job is None or len(job.legs) != 1 or next(number) % EVERY_CANCELLED != 0:
+    if job is None or len(job.attempts) != 1 or next(number) % EVERY_CANCELLED != 0:
         return
-    first = job.legs[0]
+    first = job.attempts[0]
     exchange._timers.at(now + CANCEL_AFTER_MS, lambda: exchange._stop(first, PLANTED) if first.open else None)
 
 
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -53,7 +53,7 @@
         "in_time": {name: exchange.in_time[n] for n, name in enumerate(names)},
         "waits": {name: exchange.waits.get(n, [0, 0.0, 0.0]) for n, name in enumerate(names)},
         "broken": dict(exchange.broken),
-        "backend_calls": exchange.legs_written,
+        "backend_calls": exchange.attempts_written,
         "called_off": dict(exchange.called_off),
         "spoilt_answers": exchange.spoilt_answers,
         "inflight": exchange.unanswered,
--- a/eiderfield/net/handover/load_updates.py
+++ b/eiderfield/net/handover/load_updates.py
@@ -28,17 +28,17 @@
         self._attempts: dict[int, AttemptsOut] = {}
         self._scheduled = False
 
-    def came(self, id_: str) -> None:
+    def request_taken(self, id_: str) -> None:
         """A request with this id has been taken."""
         self._request_ids[id_] = True
         self._schedule()
 
-    def went(self, id_: str) -> None:
+    def id_released(self, id_: str) -> None:
         """The id is free again."""
         self._request_ids[id_] = False
         self._schedule()
 
-    def legs(self, worker: int, out: int, work: float) -> None:
+    def attempts_changed(self, worker: int, out: int, work: float) -> None:
         """How many attempts are out at a worker now, and the work that was just sent there."""
         before = self._attempts[worker].work if worker in self._attempts else 0.0
         self._attempts[worker] = AttemptsOut(self._ids.name(worker), out, before + work)
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -65,9 +65,11 @@
         self._adopt_listeners(message.listeners, descriptors)
         parts = self._parts
         parts.table.take_over(message.table, message.bans)
-        parts.exchange.ids_beside(message.request_ids, ())
+        parts.exchange.ids_of_other_process(message.request_ids, ())
         for attempts in message.attempts:
-            parts.exchange.legs_beside(parts.table.ids.worker(attempts.worker), attempts.out, 0.0)
+            parts.exchange.attempts_of_other_process(
+                parts.table.ids.worker(attempts.worker), attempts.out, 0.0
+            )
         if message.learnt is not None:
             parts.exchange.resume(to_policy(message.learnt), parts.clock())
         self._share_updates()
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -163,7 +163,7 @@
             self._channel.receive_fields(fields, [])
 
     def _share_updates(self) -> None:
-        self._parts.exchange.witness = self._updates
+        self._parts.exchange.other_process = self._updates
         self._parts.table.on_ban = self._tell_ban
 
     def _tell_ban(self, name: str, since: float | None) -> None:
@@ -173,9 +173,9 @@
         exchange, ids = self._parts.exchange, self._parts.table.ids
         taken = [id_ for id_, is_taken in message.request_ids.items() if is_taken]
         freed = [id_ for id_, is_taken in message.request_ids.items() if not is_taken]
-        exchange.ids_beside(taken, freed)
+        exchange.ids_of_other_process(taken, freed)
         for attempts in message.attempts:
-            exchange.legs_beside(ids.worker(attempts.worker), attempts.out, attempts.work)
+            exchange.attempts_of_other_process(ids.worker(attempts.worker), attempts.out, attempts.work)
 
     def _ban_changed(self, message: BanChanged, descriptors: list[int]) -> None:
         self._parts.table.apply_ban(message.worker, message.since)
@@ -184,7 +184,7 @@
         """The other process is gone, or of no use: this one is alone."""
         parts = self._parts
         had_handed_over = self._old.take_back()
-        parts.exchange.alone()
+        parts.exchange.other_process_ended()
         parts.table.on_ban = lambda name, since: None
         parts.workers.share_connections(False)
         for listener in self.listeners.values():
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -22,7 +22,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from eiderfield.exchange import Leg, Timer
+from eiderfield.exchange import Attempt, Timer
 from eiderfield.interface import AWAY, STARTED, Outcome
 from eiderfield.net.dialing import PendingDial
 from eiderfield.net.faults import Cause, cause_of_loss
@@ -69,7 +69,7 @@
     body: bytearray = field(default_factory=bytearray)
 
 
-Load = Leg | HealthCheck  # what a connection carries
+Load = Attempt | HealthCheck  # what a connection carries
 
 
 class WorkerConnection(asyncio.BufferedProtocol):
@@ -144,7 +144,7 @@
     def resume_writing(self) -> None:
         """All that was written has left."""
         self._flushed = True
-        if isinstance(self.load, Leg) and self.phase == Phase.BUSY:
+        if isinstance(self.load, Attempt) and self.phase == Phase.BUSY:
             self.pool.exchange.wrote(self.load)
 
     # What the pool calls.
@@ -153,7 +153,7 @@
         """Writes the request that it is to carry; it is up."""
         load, transport = self.load, self._transport
         assert load is not None and transport is not None
-        if isinstance(load, Leg) and not self.pool.may_write(load):
+        if isinstance(load, Attempt) and not self.pool.may_write(load):
             # While the connection came up a drain may have been told, the request ended or its client left.
             self.load = None
             self.pool.put_back(self)
@@ -166,7 +166,7 @@
         transport.write(self.pool.request_for(load))
         if transport.is_closing():  # the write itself failed: nothing has left whole
             self._flushed = False
-        elif self._flushed and isinstance(load, Leg):
+        elif self._flushed and isinstance(load, Attempt):
             self.pool.exchange.wrote(load)
 
     def close(self) -> None:
@@ -199,7 +199,7 @@
             self.on_dial_failed()
             return
         self._delayed = True
-        if isinstance(self.load, Leg):  # the worker's silence tells nothing meanwhile
+        if isinstance(self.load, Attempt):  # the worker's silence tells nothing meanwhile
             self.pool.exchange.noted(self.load, AWAY)
 
     # Answers.
@@ -228,7 +228,7 @@
     def _read_head(self, head: Head) -> None:
         self._head = head
         attempt = self.load
-        if not isinstance(attempt, Leg):
+        if not isinstance(attempt, Attempt):
             return
         verdict = verdict_of(head)
         if verdict is Verdict.REJECTED:
@@ -257,13 +257,13 @@
 
     def _read_line(self, line: bytes) -> None:
         attempt = self.load
-        if not isinstance(attempt, Leg) or not line.strip():
+        if not isinstance(attempt, Attempt) or not line.strip():
             return
         update = parse_update(line, attempt.job.request.id)
         if update is not None:
             self._apply_update(attempt, update)
 
-    def _apply_update(self, attempt: Leg, update: Update) -> None:
+    def _apply_update(self, attempt: Attempt, update: Update) -> None:
         match update:
             case Started():
                 self.pool.exchange.noted(attempt, STARTED)
@@ -282,7 +282,7 @@
             return ()
         return from_object(report, fields) or from_text(self._head.get("x-load"), fields)
 
-    def _end_attempt(self, attempt: Leg, outcome: Outcome, load_report: tuple[float, ...]) -> None:
+    def _end_attempt(self, attempt: Attempt, outcome: Outcome, load_report: tuple[float, ...]) -> None:
         self._await_end()
         self.pool.exchange.ended(attempt, outcome, load_report)
 
@@ -297,7 +297,7 @@
             self._read_line(bytes(self._line))  # a last line may lack its line feed
             self._line.clear()
         load = self.load
-        if isinstance(load, Leg):
+        if isinstance(load, Attempt):
             self.pool.exchange.spoilt(self.worker, "it ended before its last line")
             self._break_off()
             return
--- a/eiderfield/net/worker_pool.py
+++ b/eiderfield/net/worker_pool.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 from eiderfield.config import Address
-from eiderfield.exchange import Exchange, Leg, Timers
+from eiderfield.exchange import Attempt, Exchange, Timers
 from eiderfield.interface import Outcome
 from eiderfield.net.dialing import Dial
 from eiderfield.net.reports import from_body
@@ -106,13 +106,13 @@
 
     # What the exchange calls.
 
-    def start(self, leg: Leg) -> None:
+    def start(self, attempt: Attempt) -> None:
         """Carries an attempt on an idle connection, or on a new one."""
-        self._send(leg.worker, leg)
+        self._send(attempt.worker, attempt)
 
-    def stop(self, leg: Leg) -> None:
+    def stop(self, attempt: Attempt) -> None:
         """Gives an attempt up by closing what carries it."""
-        for connection in [connection for connection in self._connections if connection.load is leg]:
+        for connection in [connection for connection in self._connections if connection.load is attempt]:
             connection.close()
 
     def probe(self, worker: int) -> None:
@@ -132,9 +132,9 @@
         self.reads += 1
         return self.reads
 
-    def may_write(self, leg: Leg) -> bool:
+    def may_write(self, attempt: Attempt) -> bool:
         """Whether an attempt whose connection is up may still begin."""
-        return self.exchange.may_write(leg, self._clock())
+        return self.exchange.may_write(attempt, self._clock())
 
     def request_for(self, load: Load) -> bytes:
         """The request of an attempt or a health check."""
@@ -149,7 +149,7 @@
 
     def report_failure(self, load: Load | None, outcome: Outcome) -> None:
         """An attempt or a health check ended without an answer."""
-        if isinstance(load, Leg):
+        if isinstance(load, Attempt):
             self.exchange.ended(load, outcome)
         elif load is not None:
             self.exchange.probed(load.worker, outcome, self._clock() - load.sent)
--- a/tests/test_durable_requests_jobs.py
+++ b/tests/test_durable_requests_jobs.py
@@ -39,7 +39,7 @@
         one(a, Accept(record(id_, key=f"k-{id_}")))
     one(a, Claim("out", leg()))
     one(a, Finish("served", SERVED))
-    one(a, Finish("failed", Answer(Verdict.FAILED, may_have_run=True, legs=1)))
+    one(a, Finish("failed", Answer(Verdict.FAILED, may_have_run=True, attempts=1)))
     one(a, Finish("declined", DECLINED))
     host.outlive(b)
     b.take_over()
--- a/tests/test_durable_requests_members.py
+++ b/tests/test_durable_requests_members.py
@@ -41,7 +41,7 @@
 from eiderfield.exchange import Answer, Request, Verdict
 from eiderfield.interface import Effect, RequestClass, Settings
 
-SERVED = Answer(Verdict.SERVED, b"r", may_have_run=True, legs=1)
+SERVED = Answer(Verdict.SERVED, b"r", may_have_run=True, attempts=1)
 DECLINED = Answer(Verdict.DECLINED, retry_after=9.0)
 LEASE = 1200.0
 
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -96,9 +96,9 @@
     client = dispatcher.client(path="/unsafe/a", wait=100)
     dispatcher.dials[0].up().take()
     [job] = dispatcher.exchange._jobs.values()
-    job.legs[0].timer.cancel()  # its leg outlives the job
+    job.attempts[0].timer.cancel()  # its leg outlives the job
     dispatcher.advance(110.0)
-    assert client.answers()[0][0] == 502 and job.legs[0].open
+    assert client.answers()[0][0] == 502 and job.attempts[0].open
     client.post()
     assert client.answers()[0][0] == 409
 
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -128,7 +128,7 @@
             job.answer(answer)
 
     dispatcher = InMemoryDispatcher(workers=1)
-    dispatcher.exchange.custodian = claiming = Claiming()
+    dispatcher.exchange.durable_requests = claiming = Claiming()
     front = dispatcher.listener.front
     submit = dispatcher.exchange.submit
     dispatcher.exchange.submit = lambda request, answer, **more: submit(request, answer, kept=True, **more)
