--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -28,7 +28,7 @@
 FAULTY = 1.5  # sum of errors at which a worker is rested: two in a row, or one in three
 PACE_JOBS = 3.0  # jobs of the usual length that a worker is credited with, so that one long job says little
 PACE_MEMORY_MS = 5000.0  # over which what a worker has had running is forgotten
-RECENT_ATTEMPTS = 64  # attempts to a warming worker that are remembered
+RECENT_ATTEMPTS = 1024  # attempts to a warming worker that are remembered: more are not sent in a window
 
 
 @dataclass(slots=True, eq=False)
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -23,6 +23,7 @@
 if TYPE_CHECKING:
     from eiderfield.policy.request import Job
 
+LEAST_RUN_MS = 1.0  # that a request of a class is taken to run before any has: an objective may be 0
 SLB_SIZE = 8  # jobs in a second-level buffer: enough to keep every worker fed between two events
 NEAR_FULL = 0.75  # share of an SLB at which its class is held in the GRB
 
@@ -69,7 +70,9 @@
 
     def __init__(self, settings: Settings) -> None:
         floors = {max(cls.worth for cls in settings.classes): FLOOR_TOP}
-        self.pacers = [Pacer(floors.get(cls.worth, FLOOR_REST), 0.5 * cls.aim) for cls in settings.classes]
+        runs = [max(LEAST_RUN_MS, 0.5 * cls.aim) for cls in settings.classes]
+        floor_shares = [floors.get(cls.worth, FLOOR_REST) for cls in settings.classes]
+        self.pacers = [Pacer(*figures) for figures in zip(floor_shares, runs, strict=True)]
         self.by_id: dict[QueueId, ClassQueue] = {}
         for number, (cls, pacer) in enumerate(zip(settings.classes, self.pacers, strict=True)):
             for tenant in range(max(1, len(settings.tenants))):
--- a/eiderfield/policy/slow_start.py
+++ b/eiderfield/policy/slow_start.py
@@ -16,7 +16,7 @@
 
 from eiderfield.interface import EndpointState, mix
 from eiderfield.policy.context import Context
-from eiderfield.policy.endpoint import Worker
+from eiderfield.policy.endpoint import RECENT_ATTEMPTS, Worker
 from eiderfield.policy.fleet import Fleet
 
 SERVED_RATE_MS = 4000.0  # over which the rate of served work is averaged
@@ -75,15 +75,17 @@
 
     def budget_left(self, worker: Worker, now: float) -> float:
         """Rule 4: the work that a warming worker may still be sent. Draws its lot for the present window."""
-        if not self.is_warming(worker, now):
+        settings, many = self._context.settings, self._context.many
+        if not self.is_warming(worker, now) or not settings.fall:  # without a window there is no rule 4
             return inf
         self._measure(now)
-        settings, many = self._context.settings, self._context.many
         margin = COLD_MARGIN_OF_MANY if many else COLD_MARGIN
         allowed = margin * settings.fall_multiple * self.served_by_each * settings.fall
         allowed *= self.capacity_share(worker, now)
         while worker.recent and worker.recent[0][0] <= now - settings.fall:
             worker.recent.popleft()
+        if len(worker.recent) == RECENT_ATTEMPTS:  # earlier ones of this window are forgotten
+            return -inf
         if many:  # parts of a request, rounded, starve the worker or push it over: lots decide
             worker.lot = self._lot(worker, now)
         return allowed - sum([work for _, work in worker.recent])
--- /dev/null
+++ b/tests/test_extreme_settings.py
@@ -0,0 +1,166 @@
+"""The rules under settings far from those of any one deployment, on a driven clock."""
+
+import random
+from dataclasses import replace
+
+import pytest
+from support.driven_fleet import DrivenFleet, Load
+from support.extreme_settings import CASES, SHORT, settings_of
+from support.policy import BASE, KEYED, SAFE, UNSAFE, Node, sends
+from support.random_events import EventPlayer, RuleBrokenError
+
+from eiderfield.exchange import Request
+from eiderfield.interface import HELD_UP, Ended, Entry, Listed, ListKind, Noted, Outcome, Send, State
+from eiderfield.net.backoff import DIAL_TIMEOUT, FIRST_LIST_TIME, NOTIFIED_AFTER, Backoff
+from eiderfield.net.shutdown_times import LONGEST, TO_KILL, ShutdownTimes
+from eiderfield.net.worker_messages import attempt_request
+from eiderfield.policy import endpoint, slow_start
+from eiderfield.policy.dispatcher import Dispatcher
+from eiderfield.policy.slow_start import SlowStart
+
+
+def with_times(aim, **changes):
+    classes = [replace(cls, aim=aim, stretch=0.0, **changes) for cls in (SAFE, KEYED, UNSAFE)]
+    return replace(BASE, classes=tuple(classes))
+
+
+VARIANTS = {
+    "objective 20 ms": with_times(20.0),
+    "objective 60 s": with_times(60_000.0),
+    "window below the time that a process may be held up": with_times(300.0, window=HELD_UP - 1.0),
+    "window 5 min": with_times(300.0, window=300_000.0),
+    "warm-up 0.5 s": replace(BASE, cold=500.0, cold_share=0.05),
+    "warm-up 600 s": replace(BASE, cold=600_000.0, cold_share=0.0),
+    "fall 50 ms": replace(BASE, fall=50.0),
+    "fall 60 s": replace(BASE, fall=60_000.0),
+    "200 dispatchers": replace(with_times(20.0), balancers=200, me=77),
+    "notes each 50 ms": replace(with_times(20.0), progress=50.0),
+    "notes each 10 s, no cancel": replace(with_times(60_000.0), progress=10_000.0, may_cancel=False),
+    "tick 20 ms": replace(BASE, tick=20.0, answer_slack=0.0),
+}
+
+
+@pytest.mark.parametrize("variant", VARIANTS)
+def test_rules_hold_under_drawn_events(variant):
+    for seed in range(20):
+        EventPlayer(VARIANTS[variant], random.Random(seed)).run(120)
+
+
+@pytest.mark.parametrize("name", CASES)
+def test_rules_hold_in_a_modelled_fleet(name):
+    CASES[name].play()
+
+
+# Proof that the model's checks can fail.
+
+
+def test_the_model_finds_a_missing_answer(monkeypatch):
+    monkeypatch.setattr(Dispatcher, "_expire", lambda self, now: None)
+    with pytest.raises(RuleBrokenError, match="no answer"):
+        CASES["no worker for 3 s, objective 20 ms"].play()
+
+
+def test_the_model_finds_too_much_sent_to_a_warming_worker(monkeypatch):
+    monkeypatch.setattr(SlowStart, "budget_left", lambda self, worker, now: float("inf"))
+    with pytest.raises(RuleBrokenError, match="warming worker"):
+        CASES["one of two restarts, run 5 ms, warm-up 600 s"].play()
+
+
+def test_the_model_finds_an_attempt_at_a_draining_worker(monkeypatch):
+    fleet = DrivenFleet(settings_of(SHORT), Load(4.0, 5.0))
+    fleet.run(100.0)
+    monkeypatch.setattr(fleet.nodes[0], "handle", lambda now, events: [Send(0, 1)])
+    fleet.requests[0].answered = None
+    fleet.requests[0].due = fleet.now + 100.0
+    with pytest.raises(RuleBrokenError, match="drains"):
+        fleet.list_workers(1, state=State.DRAINING)
+        fleet.run(10.0)
+
+
+# Slow start.
+
+
+def test_a_warming_worker_gets_nothing_beyond_the_attempts_that_are_remembered(monkeypatch):
+    monkeypatch.setattr(endpoint, "RECENT_ATTEMPTS", 8)
+    monkeypatch.setattr(slow_start, "RECENT_ATTEMPTS", 8)
+    settings = replace(BASE, cold=600_000.0, cold_share=0.5, fall=1500.0, tells_start=False)
+    node = Node(settings, workers=1)
+    for _ in range(200):
+        id_, actions = node.arrive()
+        node.now += 1.0
+        node.end(id_, 0, sends(actions)[0].worker, Outcome.OK, final=True)
+    node.play(Listed(ListKind.DELTA, 2, (Entry(1, cell=1, zone=1, ready_at=node.now),)))
+    sent = 0
+    for _ in range(50):
+        id_, actions = node.arrive()
+        node.now += 1.0
+        sent += len(sends(actions))
+        if sends(actions):
+            node.end(id_, 0, 1, Outcome.OK, final=True)
+    assert 1 <= sent <= 8
+
+
+def test_a_warming_worker_without_a_window_is_no_fault():
+    node = Node(replace(BASE, cold=1000.0, fall=0.0, balancers=200), workers=1)
+    node.now = 10.0
+    node.play(Listed(ListKind.DELTA, 2, (Entry(1, cell=1, zone=1, ready_at=5.0),)))
+    assert sends(node.arrive()[1])
+
+
+# Objectives, windows, deadlines.
+
+
+def test_an_objective_of_zero_is_no_fault():
+    node = Node(with_times(0.0, deadline=200.0))
+    id_, actions = node.arrive(due=200.0)
+    worker = sends(actions)[0].worker
+    node.play(Noted(id_, 0, worker, 1, 0.0), at=1.0)
+    node.play(Ended(id_, 0, worker, Outcome.OK, 3.0, True), at=3.0)
+    assert node.dispatcher.snapshot().out == 0
+
+
+@pytest.mark.parametrize("window", [1.0, HELD_UP - 1.0, HELD_UP + 20.0, 300_000.0])
+def test_a_keyed_request_begins_no_attempt_near_the_end_of_its_window(window):
+    for wait in (10.0, HELD_UP, 1000.0, 200_000.0):
+        node = Node(with_times(20.0, window=window, deadline=300_000.0), workers=4)
+        id_, actions = node.arrive(cls=1, due=300_000.0)
+        first = sends(actions)[0]
+        node.now = wait
+        again = sends(node.end(id_, 0, first.worker, Outcome.RESET))
+        assert bool(again) is (wait <= window - HELD_UP)
+
+
+@pytest.mark.parametrize("deadline", [1.0, 60.0, 200.0, 300_000.0])
+def test_a_worker_is_told_no_more_than_what_is_left_to_the_client(deadline):
+    request = Request("id", 0, deadline, "/safe/1")
+    head = attempt_request(request, 0.0).decode()
+    told = int(head.split("X-Deadline-Ms: ")[1].split("\r\n")[0])
+    assert 1 <= told <= max(1.0, deadline)
+
+
+# Times of the process.
+
+
+@pytest.mark.parametrize("grace", [0.0, 250.0, 500.0, 30_000.0])
+@pytest.mark.parametrize("sharers", [1, 8, 200, 3200])
+def test_first_calls_to_discovery_lie_within_the_grace(grace, sharers):
+    waits = [Backoff(sharers, number, grace=grace).first_wait(True) for number in (0, sharers - 1)]
+    assert waits[0] == 0.0
+    assert waits[1] == 0.0 if grace == 0.0 else waits[1] < grace
+
+
+@pytest.mark.parametrize("sharers", [1, 200, 3200])
+def test_no_wait_between_calls_outlasts_what_counts_as_told(sharers):
+    backoff = Backoff(sharers, sharers - 1)
+    now = 0.0
+    for _ in range(50):
+        wait = backoff.next_wait(now)
+        assert wait + DIAL_TIMEOUT + FIRST_LIST_TIME <= NOTIFIED_AFTER
+        now += wait
+
+
+@pytest.mark.parametrize("deadline", [0.0, 200.0, 1000.0, 3000.0, 300_000.0])
+def test_every_answer_comes_before_a_kill(deadline):
+    times = ShutdownTimes.of(deadline)
+    kill = min(deadline, LONGEST) + TO_KILL
+    assert 0.0 < times.close_listeners < times.send_away < times.answered < kill
