--- a/tests/support/driven_fleet.py
+++ b/tests/support/driven_fleet.py
@@ -16,25 +16,25 @@
 from eiderfield.interface import (
     NEVER_RAN,
     STARTED,
-    Arrived,
-    Cancel,
-    Due,
+    AttemptEnded,
+    AttemptProgressed,
+    CancelAttempt,
     Effect,
-    Ended,
-    Entry,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Fail,
-    JobClass,
-    Listed,
-    ListKind,
-    Noted,
+    FailRequest,
     Outcome,
-    Refuse,
+    RejectRequest,
+    RequestClass,
+    RequestReceived,
     Scope,
-    Send,
     SetTimer,
     Settings,
-    State,
+    StartAttempt,
+    TimerFired,
 )
 from eiderfield.policy.dispatcher import Dispatcher
 from support.random_events import RuleBrokenError
@@ -50,7 +50,7 @@
     number: int
     worker: ModelledWorker
     sent: float
-    entry: Entry
+    entry: Endpoint
     open: bool = True
     may_have_run: bool = True
     running: bool = False
@@ -62,7 +62,7 @@
 
     id: int
     node: int
-    cls: JobClass
+    cls: RequestClass
     due: float
     answered: float | None = None
     served: bool = False
@@ -73,7 +73,7 @@
 class ModelledWorker:
     """A worker with slots and a bounded queue. A hung one takes everything and says nothing."""
 
-    entry: Entry
+    entry: Endpoint
     slots: int
     queue_size: int
     hung: bool = False
@@ -108,7 +108,7 @@
         self._version = 0
         self.nodes = [Dispatcher(replace(settings, me=n), n + 1) for n in range(nodes)]
         self.workers = {
-            n: ModelledWorker(Entry(n, zone=n % 2, cell=n % 2), load.slots, load.queue_size)
+            n: ModelledWorker(Endpoint(n, zone=n % 2, cell=n % 2), load.slots, load.queue_size)
             for n in range(1, load.workers + 1)
         }
         self.list_workers(*self.workers)
@@ -145,11 +145,11 @@
         for number in numbers:
             worker = self.workers[number]
             worker.entry = replace(worker.entry, **changes)
-        kind = ListKind.DELTA if self._version else ListKind.FULL
+        kind = EndpointListKind.DELTA if self._version else EndpointListKind.FULL
         self._version += 1
         entries = tuple(self.workers[number].entry for number in numbers)
         for node in range(len(self.nodes)):
-            self._post(node, Listed(kind, self._version, entries))
+            self._post(node, EndpointsUpdated(kind, self._version, entries))
 
     def share_served(self, since: int = 0) -> float:
         """The share of requests served, from the `since`-th on."""
@@ -171,7 +171,7 @@
         cls = self.settings.classes[number]
         request = ModelledRequest(id_, id_ % len(self.nodes), cls, self.now + cls.deadline)
         self.requests.append(request)
-        self._post(request.node, Arrived(id_, number, request.due))
+        self._post(request.node, RequestReceived(id_, number, request.due))
 
     def _answer(self, request: ModelledRequest, served: bool) -> None:
         if request.answered is not None:
@@ -199,14 +199,14 @@
 
     def _carry_out(self, node: int, action: object) -> None:
         if isinstance(action, SetTimer):
-            self.at(action.at, lambda: self._post(node, Due(action.token)))
-        elif isinstance(action, Send):
+            self.at(action.at, lambda: self._post(node, TimerFired(action.token)))
+        elif isinstance(action, StartAttempt):
             self._send(self.requests[action.id], self.workers[action.worker])
-        elif isinstance(action, Cancel):
+        elif isinstance(action, CancelAttempt):
             self._end(self.requests[action.id].attempts[action.attempt], Outcome.CANCELLED)
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, RejectRequest | FailRequest):
             request = self.requests[action.id]
-            if isinstance(action, Refuse) and not self._may_refuse(request):
+            if isinstance(action, RejectRequest) and not self._may_refuse(request):
                 raise RuleBrokenError(f"request {request.id}: rejected though it may have run")
             self._answer(request, served=False)
 
@@ -228,7 +228,7 @@
         ran = [attempt for attempt in request.attempts if attempt.may_have_run]
         if request.answered is not None or self.now > request.due:
             raise RuleBrokenError(f"request {request.id}: sent after its end")
-        if worker.entry.state != State.READY:
+        if worker.entry.state != EndpointState.READY:
             raise RuleBrokenError(f"request {request.id}: sent to a worker that drains")
         if len(request.attempts) >= settings.max_attempts:
             raise RuleBrokenError(f"request {request.id}: too many attempts")
@@ -299,7 +299,9 @@
     def _note(self, attempt: ModelledAttempt, what: int) -> None:
         if attempt.open:
             request, worker = attempt.request, attempt.worker
-            self._post(request.node, Noted(request.id, attempt.number, worker.entry.worker, what, 0.5))
+            self._post(
+                request.node, AttemptProgressed(request.id, attempt.number, worker.entry.worker, what, 0.5)
+            )
 
     def _complete(self, attempt: ModelledAttempt) -> None:
         worker = attempt.worker
@@ -325,4 +327,4 @@
         final = request.answered is not None
         elapsed = self.now - attempt.sent
         number = worker.entry.worker
-        self._post(request.node, Ended(request.id, attempt.number, number, outcome, elapsed, final))
+        self._post(request.node, AttemptEnded(request.id, attempt.number, number, outcome, elapsed, final))
--- a/tests/support/extreme_settings.py
+++ b/tests/support/extreme_settings.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from eiderfield.interface import JobClass, Scope, Settings, State
+from eiderfield.interface import EndpointState, RequestClass, Scope, Settings
 from support.driven_fleet import DrivenFleet, Load
 from support.policy import BASE, KEYED, SAFE, UNSAFE
 
@@ -19,7 +19,7 @@
 LONG = replace(SAFE, aim=60_000.0, deadline=300_000.0, stretch=0.0, late_worth=0.0)
 
 
-def settings_of(*classes: JobClass, **changes: object) -> Settings:
+def settings_of(*classes: RequestClass, **changes: object) -> Settings:
     """Settings without hedging for some classes."""
     base = replace(BASE, classes=classes, may_copy=False, fall=1500.0, fall_multiple=2.5)
     return replace(base, **changes)
@@ -85,12 +85,12 @@
         fleet.run(step)
         fleet.reset_running(1)
         fleet.run(step)
-        fleet.list_workers(2, state=State.DRAINING)
+        fleet.list_workers(2, state=EndpointState.DRAINING)
         fleet.run(step)
-        fleet.list_workers(2, state=State.GONE)
+        fleet.list_workers(2, state=EndpointState.GONE)
         fleet.workers[3].hung = True
         fleet.run(step)
-        fleet.list_workers(2, state=State.READY, ready_at=fleet.now)
+        fleet.list_workers(2, state=EndpointState.READY, ready_at=fleet.now)
         fleet.workers[4].down = True
         fleet.run(step)
         fleet.reset_running(1)
@@ -129,7 +129,7 @@
     return Case(settings, Load(80.0, 250.0), restart(20_000.0, after, 1, 2, 3, 4))
 
 
-def _three_effects(aim: float, deadline: float, window: float) -> tuple[JobClass, ...]:
+def _three_effects(aim: float, deadline: float, window: float) -> tuple[RequestClass, ...]:
     times = {"aim": aim, "deadline": deadline, "stretch": 0.0}
     keyed = replace(KEYED, window=window, scope=Scope.ZONE, **times)
     return replace(SAFE, **times), keyed, replace(UNSAFE, **times)
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -10,7 +10,17 @@
 from support.random_events import EventPlayer, RuleBrokenError
 
 from eiderfield.exchange import Request
-from eiderfield.interface import HELD_UP, Ended, Entry, Listed, ListKind, Noted, Outcome, Send, State
+from eiderfield.interface import (
+    HELD_UP,
+    AttemptEnded,
+    AttemptProgressed,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    EndpointsUpdated,
+    Outcome,
+    StartAttempt,
+)
 from eiderfield.net.backoff import DIAL_TIMEOUT, FIRST_LIST_TIME, NOTIFIED_AFTER, Backoff
 from eiderfield.net.shutdown_times import LONGEST, TO_KILL, ShutdownTimes
 from eiderfield.net.worker_messages import attempt_request
@@ -69,11 +79,11 @@
 def test_the_model_finds_an_attempt_at_a_draining_worker(monkeypatch):
     fleet = DrivenFleet(settings_of(SHORT), Load(4.0, 5.0))
     fleet.run(100.0)
-    monkeypatch.setattr(fleet.nodes[0], "handle", lambda now, events: [Send(0, 1)])
+    monkeypatch.setattr(fleet.nodes[0], "handle", lambda now, events: [StartAttempt(0, 1)])
     fleet.requests[0].answered = None
     fleet.requests[0].due = fleet.now + 100.0
     with pytest.raises(RuleBrokenError, match="drains"):
-        fleet.list_workers(1, state=State.DRAINING)
+        fleet.list_workers(1, state=EndpointState.DRAINING)
         fleet.run(10.0)
 
 
@@ -89,7 +99,7 @@
         id_, actions = node.arrive()
         node.now += 1.0
         node.end(id_, 0, sends(actions)[0].worker, Outcome.OK, final=True)
-    node.play(Listed(ListKind.DELTA, 2, (Entry(1, cell=1, zone=1, ready_at=node.now),)))
+    node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, cell=1, zone=1, ready_at=node.now),)))
     sent = 0
     for _ in range(50):
         id_, actions = node.arrive()
@@ -103,7 +113,7 @@
 def test_a_warming_worker_without_a_window_is_no_fault():
     node = Node(replace(BASE, cold=1000.0, fall=0.0, balancers=200), workers=1)
     node.now = 10.0
-    node.play(Listed(ListKind.DELTA, 2, (Entry(1, cell=1, zone=1, ready_at=5.0),)))
+    node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, cell=1, zone=1, ready_at=5.0),)))
     assert sends(node.arrive()[1])
 
 
@@ -114,8 +124,8 @@
     node = Node(with_times(0.0, deadline=200.0))
     id_, actions = node.arrive(due=200.0)
     worker = sends(actions)[0].worker
-    node.play(Noted(id_, 0, worker, 1, 0.0), at=1.0)
-    node.play(Ended(id_, 0, worker, Outcome.OK, 3.0, True), at=3.0)
+    node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=1.0)
+    node.play(AttemptEnded(id_, 0, worker, Outcome.OK, 3.0, True), at=3.0)
     assert node.dispatcher.snapshot().out == 0
 
 
