--- a/tests/golden/handover/record.py
+++ b/tests/golden/handover/record.py
@@ -94,15 +94,16 @@
 
 def use_731b84e():
     """Plays the scene with 731b84e, and lets the clock of its tests' dispatchers show Unix time."""
-    import dispatcher
+    import desk
     import test_handover
 
     from eiderfield.net.clients import Given
 
-    source = Path(dispatcher.__file__).read_text()
+    source = Path(desk.__file__).read_text()
     assert DESK_START in source
-    exec(compile(source.replace(DESK_START, UNIX_START), dispatcher.__file__, "exec"), dispatcher.__dict__)
-    test_handover.InMemoryDispatcher = dispatcher.InMemoryDispatcher
+    exec(compile(source.replace(DESK_START, UNIX_START), desk.__file__, "exec"), desk.__dict__)
+    test_handover.Desk = desk.Desk
+    test_handover.Side.dispatcher = property(lambda side: side.desk)  # its name in that revision
     Program.Side, Program.Wire, Program.Given = test_handover.Side, test_handover.Wire, Given
 
 
