--- a/eiderfield/cli/rollout.py
+++ b/eiderfield/cli/rollout.py
@@ -14,8 +14,8 @@
 import click
 
 if TYPE_CHECKING:
-    from eiderfield.rollout.course import Course
     from eiderfield.rollout.journal import Journal
+    from eiderfield.rollout.state_machine import RolloutStateMachine
 
 CODES = {"done": 0, "undone": 3, "stuck": 4, "refused": 5}
 FILE: Any = click.Path(exists=True, dir_okay=False, path_type=Path)
@@ -91,7 +91,7 @@
     journal, led = _journal(folder), _led(folder)
     state = journal.state
     if as_json:
-        click.echo(json.dumps({"led": led, "state": state.told(), "said": journal.said}))
+        click.echo(json.dumps({"led": led, "state": state.encode(), "said": journal.said}))
         return
     for entry in journal.said[-12:]:
         click.echo(f"{_clock(entry['t'])}  {entry['phase']:9} stage {entry['stage'] + 1}  {entry['why']}")
@@ -170,7 +170,7 @@
 
     said: list[object] = []
 
-    def told(course: Course) -> None:
+    def told(course: RolloutStateMachine) -> None:
         state = course.state
         now = [state.phase, state.stage, state.why, state.paused]
         if now != said:
@@ -208,7 +208,7 @@
     from rich.console import Console
     from rich.table import Table
 
-    from eiderfield.rollout.weigh import weigh as weighed
+    from eiderfield.rollout.power_analysis import weigh as weighed
 
     table = Table(title=f"{rollouts} rollouts, dispatchers unlike by {unlike:g}")
     for title in ("test", "worse by", "undone", "held", "gone on"):
--- a/eiderfield/lab/fleet/controller_process.py
+++ b/eiderfield/lab/fleet/controller_process.py
@@ -21,8 +21,8 @@
 
 from eiderfield.config import Address
 from eiderfield.rollout.controller import Controller
-from eiderfield.rollout.hands import Hands
 from eiderfield.rollout.journal import JournalError
+from eiderfield.rollout.processes import ProcessManager
 
 ANOTHER_LEADS = 75  # exit code where another controller leads the change
 UNREACHABLE_FILE = "blind.json"
@@ -41,16 +41,16 @@
     return point
 
 
-def without_contact(folder: Path) -> type[Hands]:
-    """`Hands` that reach no console whose dispatcher the folder's file names."""
+def without_contact(folder: Path) -> type[ProcessManager]:
+    """A `ProcessManager` that reaches no console whose dispatcher the folder's file names."""
 
-    class PartlyBlindHands(Hands):
-        def _ask(self, asked: tuple[str, Address]) -> dict[str, Any] | None:
+    class PartlyBlindManager(ProcessManager):
+        def _query(self, asked: tuple[str, Address]) -> dict[str, Any] | None:
             path = folder / UNREACHABLE_FILE
             unreachable = json.loads(path.read_text()) if path.exists() else []
-            return None if asked[0] in unreachable else super()._ask(asked)
+            return None if asked[0] in unreachable else super()._query(asked)
 
-    return PartlyBlindHands
+    return PartlyBlindManager
 
 
 def main(folder: Path, failpoint: str = "") -> int:
--- a/eiderfield/rollout/judge.py
+++ b/eiderfield/rollout/canary_analysis.py
@@ -15,7 +15,7 @@
 `false_stop` is the chance of the whole change, so each stage gets its part of it. What no chance explains
 undoes at once: a new dispatcher that does not get ready, is gone, breaks a rule, or holds far more
 descriptors or memory than any old one. Figures that cannot be had are no figures: while less than half of a
-side is seen, the answer is wait, and hold in the end. Where little is asked for, windows are put together
+group is seen, the answer is wait, and hold in the end. Where little is asked for, windows are put together
 until they say something. In the last stage no old ones are left: it is watched for what no chance explains,
 until its dispatchers are warm.
 """
@@ -30,8 +30,8 @@
 
 from eiderfield.rollout.plan import Watching
 
-LEAST_LEGS_JOBS = 100  # on either side, for legs a job to be compared: with 100, a third more is no chance
-LEAST_JOBS = 5  # of a class on either side, for a window to say anything of it; windows are made that long
+LEAST_LEGS_JOBS = 100  # on either group, for legs a job to be compared: with 100, a third more is no chance
+LEAST_JOBS = 5  # of a class on either group, for a window to say anything of it; windows are made that long
 FADE = 0.9  # of what is known of the old ones' spread, from window to window
 LEAST_SHARE = 0.02  # at which a share is taken for the variance: none failed of few says little
 LEAST_LOG = 0.05  # the same for the variance of how long jobs take: all alike of few says little
@@ -41,7 +41,7 @@
 Moments = tuple[int, float, float]  # a count, a sum, and a sum of squares
 
 
-class Word(Enum):
+class Decision(Enum):
     """What is to be done."""
 
     GO = "go on"
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class Observation:
     """One dispatcher in one window. `asked` and `in_time` are counts by class within the window; None of
     `alive` says that its console could not be reached, which is not to say that it is gone."""
 
@@ -82,10 +82,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class Judgement:
     """What is to be done, and why, in words for operators."""
 
-    word: Word
+    decision: Decision
     why: str
 
 
@@ -100,7 +100,7 @@
         # By dispatcher, class and what is measured: its moments.
         self.counts: dict[str, dict[str, dict[str, list[float]]]] = {}
 
-    def look(self, seen: Sequence[Seen]) -> None:
+    def look(self, seen: Sequence[Observation]) -> None:
         """A window before the change."""
         for one in [one for one in seen if one.alive]:
             mine = self.counts.setdefault(one.name, {name: {} for name in self._classes})
@@ -110,18 +110,20 @@
                     moments[:] = _sum(moments, one.moments(name, measure))
 
     def offsets(self, changing: Collection[str]) -> dict[Test, tuple[float, float]]:
-        """What a `Judge` is given: by how much those that change were worse, and the variance of that. A test
-        for which too little was seen has no offset, and no doubt of it."""
+        """What a `CanaryAnalysis` is given: by how much those that change were worse, and the variance of
+        that. A test for which too little was seen has no offset, and no doubt of it."""
         found = {}
         for name in self._classes:
             for measure in (SHARE, WAITS):
-                sides: dict[bool, list[float]] = {True: [0, 0.0, 0.0], False: [0, 0.0, 0.0]}
+                groups: dict[bool, list[float]] = {True: [0, 0.0, 0.0], False: [0, 0.0, 0.0]}
                 for dispatcher, counts in self.counts.items():
-                    sides[dispatcher in changing] = _sum(sides[dispatcher in changing], counts[name][measure])
-                if min(sides[True][0], sides[False][0]) >= LEAST_JOBS:
-                    chance = _variance(measure, _sum(sides[True], sides[False]))
-                    doubt = chance * (1.0 / sides[True][0] + 1.0 / sides[False][0])
-                    found[name, measure] = (_worse(measure, sides[True], sides[False]), doubt)
+                    groups[dispatcher in changing] = _sum(
+                        groups[dispatcher in changing], counts[name][measure]
+                    )
+                if min(groups[True][0], groups[False][0]) >= LEAST_JOBS:
+                    chance = _variance(measure, _sum(groups[True], groups[False]))
+                    doubt = chance * (1.0 / groups[True][0] + 1.0 / groups[False][0])
+                    found[name, measure] = (_worse(measure, groups[True], groups[False]), doubt)
         return found
 
 
@@ -172,22 +174,22 @@
     jobs: int = 0
     pending: dict[str, tuple[bool, list[float]]] = field(default_factory=dict)  # not weighed yet
 
-    def weigh(self, name: str, seen: Sequence[Seen]) -> None:
+    def weigh(self, name: str, seen: Sequence[Observation]) -> None:
         """A further window, or a part of one that says nothing by itself."""
         for one in seen:
             before = self.pending[one.name][1] if one.name in self.pending else (0, 0.0, 0.0)
             self.pending[one.name] = (one.new, _sum(before, one.moments(name, self.measure)))
-        sides: dict[bool, list[list[float]]] = {True: [], False: []}
+        groups: dict[bool, list[list[float]]] = {True: [], False: []}
         for new, moments in self.pending.values():
-            sides[new].append(moments)
-        total = {new: reduce(_sum, side, [0, 0.0, 0.0]) for new, side in sides.items()}
+            groups[new].append(moments)
+        total = {new: reduce(_sum, group, [0, 0.0, 0.0]) for new, group in groups.items()}
         n, m = total[True][0], total[False][0]
         if min(n, m) < LEAST_JOBS:
             return
         self.pending.clear()
         self.jobs += int(n)
         chance = _variance(self.measure, _sum(total[True], total[False]))
-        self._spread([x for x in sides[False] if x[0] >= LEAST_JOBS], total[False][1] / m, chance)
+        self._spread([x for x in groups[False] if x[0] >= LEAST_JOBS], total[False][1] / m, chance)
         variance = chance * self.spread * (1.0 / n + 1.0 / m)
         self.known += 1.0 / variance
         self.sum += _worse(self.measure, total[True], total[False]) / variance
@@ -202,7 +204,7 @@
         self.spread = max(1.0, FADE * self.spread + (1.0 - FADE) * seen)
 
 
-def fault_of(watching: Watching, seen: Sequence[Seen]) -> str | None:
+def find_fault(watching: Watching, seen: Sequence[Observation]) -> str | None:
     """What a new dispatcher shows that no chance explains, None where there is nothing of the kind."""
     old = [one for one in seen if not one.new and one.alive]
     for one in [one for one in seen if one.new]:
@@ -219,7 +221,7 @@
     return None
 
 
-class Judge:
+class CanaryAnalysis:
     """One stage of a change."""
 
     def __init__(
@@ -236,7 +238,7 @@
         self._worse_at = log((1.0 - watching.missed) / chance)
         self._cleared_at = log(watching.missed / (1.0 - chance))
         self._watched = 0.0
-        # By side: jobs over, legs, and s of processor.
+        # By group: jobs over, legs, and s of processor.
         self._legs: dict[bool, list[float]] = {True: [0, 0, 0.0], False: [0, 0, 0.0]}
 
     @property
@@ -247,37 +249,39 @@
             for (name, measure), test in self._tests.items()
         }
 
-    def look(self, span: float, seen: Sequence[Seen]) -> Said:
+    def look(self, span: float, seen: Sequence[Observation]) -> Judgement:
         """A further window of `span` s."""
-        if (fault := fault_of(self._watching, seen)) is not None:
-            return Said(Word.UNDO, fault)
+        if (fault := find_fault(self._watching, seen)) is not None:
+            return Judgement(Decision.UNDO, fault)
         self._watched += span
         over = self._watched >= self._watching.seconds
         if seen and all(one.new for one in seen):
             unseen = [one.name for one in seen if not one.watched(self._watching.settle)]
             if not unseen:
-                return Said(Word.GO, "all have changed, and none shows a fault")
-            return Said(Word.HOLD if over else Word.WAIT, f"not seen yet, or not warm: {', '.join(unseen)}")
+                return Judgement(Decision.GO, "all have changed, and none shows a fault")
+            return Judgement(
+                Decision.HOLD if over else Decision.WAIT, f"not seen yet, or not warm: {', '.join(unseen)}"
+            )
         for new in (True, False):
-            side = [one for one in seen if one.new is new]
-            if not side or 2 * sum(one.alive is True for one in side) < len(side):
+            group = [one for one in seen if one.new is new]
+            if not group or 2 * sum(one.alive is True for one in group) < len(group):
                 why = f"fewer than half of the {'new' if new else 'old'} ones can be seen"
-                return Said(Word.HOLD if over else Word.WAIT, why)
+                return Judgement(Decision.HOLD if over else Decision.WAIT, why)
         counted = [one for one in seen if one.watched(self._watching.settle)]
         if (many := self._by_job(counted)) is not None:
-            return Said(Word.UNDO, many)
+            return Judgement(Decision.UNDO, many)
         for (name, measure), test in self._tests.items():
             test.weigh(name, counted)
             if test.evidence >= self._worse_at:
                 less = f"served in time less by about {self._watching.worse:.0%}"
                 slow = f"slower by about {self._watching.slower:.0%}"
-                return Said(Word.UNDO, f"class {name}: {less if measure == SHARE else slow}")
+                return Judgement(Decision.UNDO, f"class {name}: {less if measure == SHARE else slow}")
             test.cleared = test.cleared or test.evidence <= self._cleared_at
         return self._standing(over)
 
-    def _by_job(self, counted: Sequence[Seen]) -> str | None:
+    def _by_job(self, counted: Sequence[Observation]) -> str | None:
         """Whether new ones send jobs far more often than old ones, or use far more processor for one: that
-        shows before any job is late. Both sides need so many jobs that chance explains no such ratio."""
+        shows before any job is late. Both groups need so many jobs that chance explains no such ratio."""
         for one in [one for one in counted if one.legs is not None]:
             self._legs[one.new][0] += sum(one.asked.values())
             self._legs[one.new][1] += one.legs or 0
@@ -292,7 +296,7 @@
             return f"new ones use {each:.1f} ms of processor a job, old ones {before:.1f}"
         return None
 
-    def _standing(self, over: bool) -> Said:
+    def _standing(self, over: bool) -> Judgement:
         """What follows where no test says "worse"."""
         told = any(test.jobs for (_, measure), test in self._tests.items() if measure == WAITS)
         tests = {key: test for key, test in self._tests.items() if told or key[1] == SHARE}
@@ -301,12 +305,12 @@
         few = min(jobs for jobs, _, _ in self._legs.values())
         told_ = any(legs for _, legs, _ in self._legs.values())
         if not open_ and not over and told_ and few < LEAST_LEGS_JOBS:
-            return Said(Word.WAIT, f"legs a job are known of {few:.0f} jobs alone")
+            return Judgement(Decision.WAIT, f"legs a job are known of {few:.0f} jobs alone")
         if not open_:
-            return Said(Word.GO, "no class is worse")
+            return Judgement(Decision.GO, "no class is worse")
         if not over:
-            return Said(Word.WAIT, f"not enough is known of {names}")
+            return Judgement(Decision.WAIT, f"not enough is known of {names}")
         # A class that nobody asked for is no reason to stand still for ever.
         if not any(tests[key].jobs for key in open_) and len(open_) < len(tests):
-            return Said(Word.GO, f"no class is worse; nobody asked for {names}")
-        return Said(Word.HOLD, f"too little is known of {names} after {self._watched:.0f} s")
+            return Judgement(Decision.GO, f"no class is worse; nobody asked for {names}")
+        return Judgement(Decision.HOLD, f"too little is known of {names} after {self._watched:.0f} s")
--- a/eiderfield/rollout/controller.py
+++ b/eiderfield/rollout/controller.py
@@ -20,16 +20,17 @@
 
 from eiderfield.config import ConfigError
 from eiderfield.durable import SHARED, append_line, replace_file
-from eiderfield.rollout.course import Course
-from eiderfield.rollout.hands import Hands, HandsError
 from eiderfield.rollout.journal import Journal, JournalError, JournalWriteError, Locks, read
-from eiderfield.rollout.meter import Meter
-from eiderfield.rollout.moves import Move
+from eiderfield.rollout.measurement import WindowMeter
 from eiderfield.rollout.plan import Plan
 from eiderfield.rollout.plan import read as read_plan
+from eiderfield.rollout.processes import ProcessError, ProcessManager
+from eiderfield.rollout.reconciler import Action
 from eiderfield.rollout.settings import prepare
+from eiderfield.rollout.state_machine import RolloutStateMachine
 
 PLAN = "plan.toml"  # in a change's folder: the plan as it was at the start
+_STORED_NAMES = {"version": "side"}  # of an action's fields, in `moves.jsonl`
 BASE = "base"  # the folder that the plan's paths are told from
 
 
@@ -71,9 +72,12 @@
     """Leads the change of a folder. It holds the fleet's locks from its making to `close`."""
 
     def __init__(
-        self, folder: Path, point: Callable[[str], None] = lambda name: None, hands: type[Hands] = Hands,
+        self,
+        folder: Path,
+        point: Callable[[str], None] = lambda name: None,
+        manager: type[ProcessManager] = ProcessManager,
         clock: Callable[[], float] = time.monotonic,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.plan, base = plan_of(folder)
         self.journal = read(folder, self.plan)
         self._point = point
@@ -82,12 +86,12 @@
         self._locks = Locks(self.plan)
         try:
             texts = prepare(self.plan, base, folder)
-            self.course = Course(self.plan, self.journal.state)
-            self._hands = hands(self.plan, self.journal.id, base, folder, texts, self.journal.processes)
+            self.course = RolloutStateMachine(self.plan, self.journal.state)
+            self._processes = manager(self.plan, self.journal.id, base, folder, texts, self.journal.processes)
         except BaseException:
             self._locks.close()
             raise
-        self._meter = Meter()
+        self._windows = WindowMeter()
         self._log = structlog.wrap_logger(
             _LogFile(folder / "rollout.log"),
             processors=[
@@ -100,10 +104,10 @@
 
     def close(self) -> None:
         """Lets go of the fleet, whose processes go on."""
-        self._hands.close()
+        self._processes.close()
         self._locks.close()
 
-    def run(self, told: Callable[[Course], None] = lambda course: None) -> str:
+    def run(self, told: Callable[[RolloutStateMachine], None] = lambda course: None) -> str:
         """Leads to the end; `told` is called after each look. Returns the phase in which it ended."""
         while True:
             self.turn()
@@ -121,32 +125,32 @@
         self._heed()
         course, journal = self.course, self.journal
         before = (course.state.phase, course.state.stage, course.state.why)
-        told = self._hands.look()
+        told = self._processes.look()
         found = {name: [one.found for one in there] for name, there in told.items()}
-        seen = self._meter.look(told, course.new_side(found), course.ending)
-        moves = course.look(now, span, found, seen)
+        seen = self._windows.look(told, course.changed_members(found), course.ending)
+        actions = course.look(now, span, found, seen)
         self._log.info(
             "look", phase=course.state.phase, stage=course.state.stage, why=course.state.why,
             evidence={name: round(value, 2) for name, value in course.evidence.items()},
             seen=[_brief(one) for one in seen],
         )  # fmt: skip
         self._point("looked")
-        processes = self._hands.kept
-        if moves or (course.state.phase, course.state.stage, course.state.why) != before:
+        processes = self._processes.known_processes
+        if actions or (course.state.phase, course.state.stage, course.state.why) != before:
             journal.processes = processes
             if not self._write():
                 return
             self._point("written")
-        for move in moves:
+        for move in actions:
             self._do(move)
-        if moves:
-            journal.processes = self._hands.kept
+        if actions:
+            journal.processes = self._processes.known_processes
             if self._write():
                 self._point("done")
 
     def _heed(self) -> None:
         if word := self.journal.wish():
-            why = self.course.say(word)
+            why = self.course.obey(word)
             self._log.info("word", word=word, refused=why)
             if self._write(why or f"{word}, as asked"):
                 self.journal.heeded()
@@ -158,19 +162,19 @@
         except JournalWriteError as error:
             self._log.error("journal", error=str(error))
             self.journal.go_back()
-            self.course = Course(self.plan, self.journal.state)
+            self.course = RolloutStateMachine(self.plan, self.journal.state)
             self._unwritten = True
             return False
         self._unwritten = False
         return True
 
-    def _do(self, move: Move) -> None:
+    def _do(self, move: Action) -> None:
         what = {"move": type(move).__name__.lower(), **_plain(move)}
         self.journal.note(t=time.time(), about_to=True, **what)
         self._point(f"before {what['move']}")
         try:
-            came = self._hands.carry(move)
-        except HandsError as error:
+            came = self._processes.execute(move)
+        except ProcessError as error:
             came = f"failed: {error}"
         self._point(f"after {what['move']}")
         self.journal.note(t=time.time(), came=came, **what)
@@ -192,8 +196,9 @@
     debug = info = warning = error = msg
 
 
-def _plain(move: Move) -> dict[str, Any]:
-    told = {name: getattr(move, name) for name in move.__dataclass_fields__}
+def _plain(move: Action) -> dict[str, Any]:
+    """An action by its stored names."""
+    told = {_STORED_NAMES.get(name, name): getattr(move, name) for name in move.__dataclass_fields__}
     return {name: getattr(value, "value", value) for name, value in told.items()}
 
 
--- a/eiderfield/rollout/journal.py
+++ b/eiderfield/rollout/journal.py
@@ -28,8 +28,8 @@
 
 from eiderfield.config import Address
 from eiderfield.durable import SHARED, append_line, replace_file
-from eiderfield.rollout.course import WORDS, State, state_of
 from eiderfield.rollout.plan import Plan
+from eiderfield.rollout.state_machine import COMMANDS, RolloutState, decode_state
 
 FORM = 1
 WISH = "wish.json"  # an operator's word, in a change's folder
@@ -51,7 +51,7 @@
     folder: Path
     plan: str  # its digest
     id: str  # of the change, which its processes carry
-    state: State = field(default_factory=State)
+    state: RolloutState = field(default_factory=RolloutState)
     said: list[dict[str, Any]] = field(default_factory=list)  # t (Unix time), phase, stage, why
     processes: list[dict[str, Any]] = field(
         default_factory=list
@@ -74,7 +74,7 @@
         if any(last.get(key) != entry[key] for key in ("phase", "stage", "why")):
             said = [*said, entry][-KEPT:]
         told = {
-            "form": FORM, "plan": self.plan, "id": self.id, "state": state.told(), "said": said,
+            "form": FORM, "plan": self.plan, "id": self.id, "state": state.encode(), "said": said,
             "processes": self.processes,
         }  # fmt: skip
         body = json.dumps(told, sort_keys=True)
@@ -87,7 +87,7 @@
     def go_back(self) -> None:
         """To what was written or read last: what was decided since then does not count."""
         told = json.loads(self.body)
-        self.state, self.said = state_of(told["state"]), list(told["said"])
+        self.state, self.said = decode_state(told["state"]), list(told["said"])
 
     def note(self, **told: Any) -> None:
         """A line of `moves.jsonl`. On a disk that takes nothing it is lost: nothing reads it back."""
@@ -102,7 +102,7 @@
             word = json.loads(self._wish_path.read_text())["word"]
         except (OSError, ValueError, LookupError, TypeError):
             return ""
-        return str(word) if word in WORDS else ""
+        return str(word) if word in COMMANDS else ""
 
     def heeded(self) -> None:
         """The word that waited has been heeded, or refused."""
@@ -121,7 +121,7 @@
 
 def ask(folder: Path, word: str) -> None:
     """Leaves an operator's word for the controller of a folder; `JournalWriteError` if it is not left."""
-    if word not in WORDS:
+    if word not in COMMANDS:
         raise ValueError(f"no word for a controller: {word!r}")
     try:
         replace_file(folder / WISH, json.dumps({"word": word}), SHARED)
@@ -141,7 +141,7 @@
         if told["form"] != FORM:
             raise ValueError(f"it has form {told['form']!r}, this program reads {FORM}")
         found = Journal(
-            folder, str(told["plan"]), str(told["id"]), state_of(told["state"]), list(told["said"]),
+            folder, str(told["plan"]), str(told["id"]), decode_state(told["state"]), list(told["said"]),
             list(told["processes"]), body,
         )  # fmt: skip
     except (OSError, ValueError, LookupError, TypeError, AttributeError) as error:
--- a/eiderfield/rollout/plan.py
+++ b/eiderfield/rollout/plan.py
@@ -114,7 +114,22 @@
     except ValueError as error:
         raise ConfigError(f"not TOML: {error}") from None
     name = tree.text("name")
-    change = tree.table("change")
+    program, before, settings = _change(tree.table("change"))
+    watching = _watching(tree.table("watch"))
+    members = _members(tree, program, settings)
+    stages = tree.table("stages")
+    out = stages.whole("out", 1, 1, MOST)
+    if out >= len(members) > 1:
+        raise ConfigError(f"stages.out is not below the {len(members)} dispatchers: nobody would serve")
+    canary = stages.whole("canary", 1, 1, MOST)
+    found = _stages(members, canary, _shares(stages))
+    stages.nothing_else()
+    tree.nothing_else()
+    return Plan(name, program, settings, members, found, out, watching, before)
+
+
+def _change(change: Tree) -> tuple[str, str, str]:
+    """What is changed: the new program, the present one, and the new settings; '' for what is not."""
     program, settings = change.text("program", ""), change.text("settings", "")
     if not program and not settings:
         raise ConfigError("change names neither program nor settings: nothing would change")
@@ -124,7 +139,10 @@
     if before and not program:
         raise ConfigError("change.before says nothing without change.program")
     change.nothing_else()
-    watching = _watching(tree.table("watch"))
+    return program, before, settings
+
+
+def _members(tree: Tree, program: str, settings: str) -> tuple[Member, ...]:
     raw = tree.raw("dispatcher")
     if not isinstance(raw, list) or not raw:
         raise ConfigError("dispatcher is missing: a change needs dispatchers")
@@ -137,15 +155,7 @@
             raise ConfigError(f"dispatcher.{number}.spare is missing: the next process needs its own console")
         if settings and not member.config:
             raise ConfigError(f"dispatcher.{number}.config is missing: new settings are laid over it")
-    stages = tree.table("stages")
-    out = stages.whole("out", 1, 1, MOST)
-    if out >= len(members) > 1:
-        raise ConfigError(f"stages.out is not below the {len(members)} dispatchers: nobody would serve")
-    canary = stages.whole("canary", 1, 1, MOST)
-    found = _stages(members, canary, _shares(stages))
-    stages.nothing_else()
-    tree.nothing_else()
-    return Plan(name, program, settings, members, found, out, watching, before)
+    return members
 
 
 def _distinct(members: tuple[Member, ...]) -> None:
--- a/eiderfield/rollout/weigh.py
+++ b/eiderfield/rollout/power_analysis.py
@@ -16,10 +16,10 @@
 
 import numpy as np
 
-from eiderfield.rollout.judge import Baseline, Judge, Seen, Word
+from eiderfield.rollout.canary_analysis import Baseline, CanaryAnalysis, Decision, Observation
 from eiderfield.rollout.plan import Watching
 
-Window = list[Seen]
+Window = list[Observation]
 Z = 2.33  # one-sided at 1%
 
 
@@ -52,35 +52,37 @@
         share = np.clip(world.good + own - hurt - world.worse * new * (window >= 0), 0.0, 1.0)
         in_time = rng.binomial(asked, share)
         found.append([
-            Seen(f"n{n}", bool(new[n]), asked={"jobs": int(asked[n])}, in_time={"jobs": int(in_time[n])})
+            Observation(
+                f"n{n}", bool(new[n]), asked={"jobs": int(asked[n])}, in_time={"jobs": int(in_time[n])}
+            )
             for n in range(world.dispatchers)
         ])  # fmt: skip
     return found[: world.before], found[world.before :]
 
 
-def sequential(watching: Watching, before: list[Window], seen: list[Window]) -> Word:
+def sequential(watching: Watching, before: list[Window], seen: list[Window]) -> Decision:
     """The judge's test, with the difference before the change taken off."""
     baseline = Baseline(["jobs"])
     for window in before:
         baseline.look(window)
     changing = {one.name for one in seen[0] if one.new}
-    return _sequential(Judge(watching, ["jobs"], offsets=baseline.offsets(changing)), seen)
+    return _sequential(CanaryAnalysis(watching, ["jobs"], offsets=baseline.offsets(changing)), seen)
 
 
-def without_baseline(watching: Watching, before: list[Window], seen: list[Window]) -> Word:
+def without_baseline(watching: Watching, before: list[Window], seen: list[Window]) -> Decision:
     """The same without what was seen before the change."""
-    return _sequential(Judge(watching, ["jobs"]), seen)
+    return _sequential(CanaryAnalysis(watching, ["jobs"]), seen)
 
 
-def _sequential(judge: Judge, seen: list[Window]) -> Word:
+def _sequential(judge: CanaryAnalysis, seen: list[Window]) -> Decision:
     for window in seen:
         said = judge.look(1.0, window)
-        if said.word != Word.WAIT:
-            return said.word
-    return Word.HOLD
+        if said.decision != Decision.WAIT:
+            return said.decision
+    return Decision.HOLD
 
 
-def z_test(watching: Watching, before: list[Window], seen: list[Window]) -> Word:
+def z_test(watching: Watching, before: list[Window], seen: list[Window]) -> Decision:
     """A z test on all that has come, at every window; it goes on when the time to watch is over."""
     totals = {True: [0, 0], False: [0, 0]}
     for window in seen:
@@ -91,11 +93,11 @@
         whole = (good + fine) / (n + m)
         error = sqrt(max(1e-9, whole * (1.0 - whole)) * (1.0 / n + 1.0 / m))
         if (good / n - fine / m) / error < -Z:
-            return Word.UNDO
-    return Word.GO
+            return Decision.UNDO
+    return Decision.GO
 
 
-TESTS: dict[str, Callable[[Watching, list[Window], list[Window]], Word]] = {
+TESTS: dict[str, Callable[[Watching, list[Window], list[Window]], Decision]] = {
     "sequential, with the baseline": sequential,
     "sequential, without": without_baseline,
     "z test at every window": z_test,
--- a/eiderfield/rollout/hands.py
+++ b/eiderfield/rollout/processes.py
@@ -23,42 +23,42 @@
 
 from eiderfield.config import Address
 from eiderfield.machine import process_age
-from eiderfield.rollout.meter import Told
-from eiderfield.rollout.moves import Configure, End, Found, Move, Side, Start
+from eiderfield.rollout.measurement import ProcessReport
 from eiderfield.rollout.plan import Member, Plan
+from eiderfield.rollout.reconciler import Action, Configure, End, ProcessStatus, Start, Version
 from eiderfield.rollout.settings import Texts
 
 MARK = "EIDERFIELD_ROLLOUT"  # in a process's environment: the change's id, the member's name, the side
-PATIENCE = 1.0  # s for an answer of a console, as the product promises
-ASKERS = 32  # consoles asked at once
+CONSOLE_TIMEOUT = 1.0  # s for an answer of a console, as the product promises
+PARALLEL_QUERIES = 32  # consoles asked at once
 START_TOLERANCE = 0.05  # s by which two tellings of one process's start may differ
 
 
-class HandsError(RuntimeError):
+class ProcessError(RuntimeError):
     """Something could not be carried out."""
 
 
 @dataclass(slots=True)
 class _Known:
     member: str
-    side: Side
+    version: Version
     console: Address
     process: psutil.Process
 
 
-class Hands:
+class ProcessManager:
     """The processes of a plan's dispatchers."""
 
     def __init__(
         self, plan: Plan, id_: str, base: Path, folder: Path, texts: Mapping[str, Texts],
-        kept: Iterable[Mapping[str, Any]] = (),
+        known_processes: Iterable[Mapping[str, Any]] = (),
     ) -> None:  # fmt: skip
         self.plan, self._id, self._base, self._folder, self._texts = plan, id_, base, folder, texts
         self._known: dict[int, _Known] = {}
         self._children: list[subprocess.Popen[bytes]] = []
-        self._pool = ThreadPoolExecutor(min(ASKERS, 2 * len(plan.members)))
-        for told in kept:
-            self._recall(told)
+        self._pool = ThreadPoolExecutor(min(PARALLEL_QUERIES, 2 * len(plan.members)))
+        for told in known_processes:
+            self._restore(told)
         self._find_marked()
 
     def close(self) -> None:
@@ -66,68 +66,68 @@
         self._pool.shutdown(cancel_futures=True)
 
     @property
-    def kept(self) -> list[dict[str, Any]]:
+    def known_processes(self) -> list[dict[str, Any]]:
         """The processes that are known, for the journal."""
         return [
-            {"member": known.member, "side": known.side.value, "console": list(known.console), "pid": pid,
+            {"member": known.member, "side": known.version.value, "console": list(known.console), "pid": pid,
              "created": known.process.create_time()}
             for pid, known in sorted(self._known.items())
         ]  # fmt: skip
 
     # Seeing.
 
-    def look(self) -> dict[str, list[Told]]:
+    def look(self) -> dict[str, list[ProcessReport]]:
         """What is there of each member now."""
         for child in self._children:
             child.poll()  # or an ended one would stay in the system's table
         self._known = {pid: known for pid, known in self._known.items() if _runs(known.process)}
         asked = [(member.name, console) for member in self.plan.members for console in member.consoles()]
-        answers = dict(zip(asked, self._pool.map(self._ask, asked), strict=True))
+        answers = dict(zip(asked, self._pool.map(self._query, asked), strict=True))
         for (name, console), answer in answers.items():
-            if answer is not None and self._at(console) is None:
-                self._meet(name, console, answer)
-        return {member.name: self._told(member, answers) for member in self.plan.members}
+            if answer is not None and self._known_at(console) is None:
+                self._add_answering(name, console, answer)
+        return {member.name: self._reports(member, answers) for member in self.plan.members}
 
-    def _told(
+    def _reports(
         self, member: Member, answers: Mapping[tuple[str, Address], dict[str, Any] | None]
-    ) -> list[Told]:
+    ) -> list[ProcessReport]:
         found = []
         for pid, known in self._known.items():
             if known.member == member.name:
                 with suppress(psutil.Error):
-                    found.append(self._one(pid, known, answers.get((member.name, known.console))))
+                    found.append(self._report(pid, known, answers.get((member.name, known.console))))
         return found
 
-    def _one(self, pid: int, known: _Known, answer: dict[str, Any] | None) -> Told:
+    def _report(self, pid: int, known: _Known, answer: dict[str, Any] | None) -> ProcessReport:
         process, refused = known.process, ""
         age = process_age(pid)
-        side = known.side
+        side = known.version
         if answer is None:
-            return Told(Found(side, pid, known.console, None), age)
+            return ProcessReport(ProcessStatus(side, pid, known.console, None), age)
         config, lies = answer["config"], None
         if known.member in self._texts:
             lies = self._texts[known.member].lies()
         if not self.plan.program and config is not None:
             texts = self._texts[known.member]
-            side = Side.NEW if config["digest"] == texts.digest[Side.NEW] else Side.OLD
-            known.side = side
+            side = Version.NEW if config["digest"] == texts.digest[Version.NEW] else Version.OLD
+            known.version = side
             if config["refused"] is not None and lies and config["refused"]["digest"] == texts.digest[lies]:
                 refused = str(config["refused"]["why"])
         figures = answer["figures"]
-        return Told(
-            Found(side, pid, known.console, answer["ready"], refused, lies), age,
+        return ProcessReport(
+            ProcessStatus(side, pid, known.console, answer["ready"], refused, lies), age,
             {name: figures[name] for name in ("success", "busy", "failure")}, figures.get("in_time"),
             figures.get("waits"),
             process.num_fds(), process.memory_info().rss / 2**20, frozenset(figures.get("hosts_banned", ())),
             figures.get("broken", {}), figures.get("backend_calls"), sum(process.cpu_times()[:2]),
         )  # fmt: skip
 
-    def _ask(self, asked: tuple[str, Address]) -> dict[str, Any] | None:
+    def _query(self, asked: tuple[str, Address]) -> dict[str, Any] | None:
         _, console = asked
         try:
-            ready = call(console, "/-/ready")[0] == 200
-            figures = json.loads(call(console, "/-/metrics")[1])
-            status, body = call(console, "/-/config")
+            ready = call_console(console, "/-/ready")[0] == 200
+            figures = json.loads(call_console(console, "/-/metrics")[1])
+            status, body = call_console(console, "/-/config")
             config = json.loads(body) if status == 200 else None  # older programs have no such call
             if not all(isinstance(figures[name], dict) for name in ("success", "busy", "failure")):
                 return None
@@ -135,10 +135,10 @@
             return None
         return {"ready": ready, "figures": figures, "config": config}
 
-    def _at(self, console: Address) -> _Known | None:
+    def _known_at(self, console: Address) -> _Known | None:
         return next((known for known in self._known.values() if known.console == console), None)
 
-    def _meet(self, name: str, console: Address, answer: Mapping[str, Any]) -> None:
+    def _add_answering(self, name: str, console: Address, answer: Mapping[str, Any]) -> None:
         """A process that is not known yet answers."""
         config = answer["config"]
         pid = config["pid"] if config is not None else _listener(console)
@@ -147,10 +147,10 @@
         with suppress(psutil.Error):
             process = psutil.Process(pid)
             mark = process.environ().get(MARK, "").split(" ")
-            side = Side(mark[2]) if mark[:2] == [self._id, name] else Side.OLD
+            side = Version(mark[2]) if mark[:2] == [self._id, name] else Version.OLD
             self._known[pid] = _Known(name, side, console, process)
 
-    def _recall(self, told: Mapping[str, Any]) -> None:
+    def _restore(self, told: Mapping[str, Any]) -> None:
         with suppress(psutil.Error):
             process = psutil.Process(int(told["pid"]))
             host, port = told["console"]
@@ -159,7 +159,9 @@
             # the console is still known to be the one.
             same_start = abs(process.create_time() - float(told["created"])) < START_TOLERANCE
             if same_start or _listener(console) == process.pid:
-                self._known[process.pid] = _Known(str(told["member"]), Side(told["side"]), console, process)
+                self._known[process.pid] = _Known(
+                    str(told["member"]), Version(told["side"]), console, process
+                )
 
     def _find_marked(self) -> None:
         names = {member.name for member in self.plan.members}
@@ -169,12 +171,12 @@
                 id_, name, side = environ.get(MARK, "- - -").split(" ")
                 if id_ == self._id and name in names and process.pid not in self._known:
                     host, _, port = environ["LB_CONSOLE"].rpartition(":")
-                    self._known[process.pid] = _Known(name, Side(side), (host, int(port)), process)
+                    self._known[process.pid] = _Known(name, Version(side), (host, int(port)), process)
 
     # Doing.
 
-    def carry(self, move: Move) -> str:
-        """Carries a move out, and says what came of it; `HandsError` if it could not be done."""
+    def execute(self, move: Action) -> str:
+        """Carries a move out, and says what came of it; `ProcessError` if it could not be done."""
         try:
             match move:
                 case Start():
@@ -188,26 +190,26 @@
                         known.process.send_signal(signal.SIGCONT)
                     return "told"
                 case Configure():
-                    self._texts[move.member].put(move.side)
+                    self._texts[move.member].put(move.version)
                     if move.pid is None:
                         return "its file is in place; nobody reads it"
                     self._known[move.pid].process.send_signal(signal.SIGHUP)
                     return "told to read"
         except (OSError, psutil.Error, KeyError) as error:
-            raise HandsError(f"{move}: {error!r}") from None
+            raise ProcessError(f"{move}: {error!r}") from None
 
     def _start(self, move: Start) -> str:
         plan, member = self.plan, self.plan.member(move.member)
         if move.member in self._texts:
-            self._texts[move.member].put(move.side)
-        program = (self._base / (plan.program if move.side is Side.NEW else plan.before)).resolve()
+            self._texts[move.member].put(move.version)
+        program = (self._base / (plan.program if move.version is Version.NEW else plan.before)).resolve()
         host, port = move.console
         words = {
             "program": str(program), "config": str((self._base / member.config).resolve()),
             "console": f"{host}:{port}",
         }  # fmt: skip
         environ = {name: value.format(**words) for name, value in member.environment.items()}
-        environ |= {"LB_CONSOLE": words["console"], MARK: f"{self._id} {move.member} {move.side.value}"}
+        environ |= {"LB_CONSOLE": words["console"], MARK: f"{self._id} {move.member} {move.version.value}"}
         with ExitStack() as opened:
             log = _open_log(self._folder / f"{move.member}.log", opened)
             child = subprocess.Popen(
@@ -216,13 +218,15 @@
             )  # fmt: skip
         self._children.append(child)
         with suppress(psutil.Error):
-            self._known[child.pid] = _Known(move.member, move.side, move.console, psutil.Process(child.pid))
+            self._known[child.pid] = _Known(
+                move.member, move.version, move.console, psutil.Process(child.pid)
+            )
         return f"pid {child.pid}"
 
 
-def call(address: Address, path: str, method: str = "GET") -> tuple[int, bytes]:
+def call_console(address: Address, path: str, method: str = "GET") -> tuple[int, bytes]:
     """A call at a console: the status and the body."""
-    connection = HTTPConnection(*address, timeout=PATIENCE)
+    connection = HTTPConnection(*address, timeout=CONSOLE_TIMEOUT)
     try:
         connection.request(method, path)
         response = connection.getresponse()
--- a/eiderfield/rollout/settings.py
+++ b/eiderfield/rollout/settings.py
@@ -20,8 +20,8 @@
 
 from eiderfield.config import ConfigError, digest_of, read, read_text
 from eiderfield.durable import SHARED, replace_file
-from eiderfield.rollout.moves import Side
 from eiderfield.rollout.plan import Plan
+from eiderfield.rollout.reconciler import Version
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,10 +29,10 @@
     """A dispatcher's file, on either side, with the digests by which its console names them."""
 
     path: Path
-    text: Mapping[Side, str]
-    digest: Mapping[Side, str]
+    text: Mapping[Version, str]
+    digest: Mapping[Version, str]
 
-    def lies(self) -> Side | None:
+    def lies(self) -> Version | None:
         """Whose text is in place, None if it is neither's: somebody wrote there meanwhile."""
         try:
             text = self.path.read_text(encoding="utf-8")
@@ -40,9 +40,9 @@
             return None
         return next((side for side, own in self.text.items() if own == text), None)
 
-    def put(self, side: Side) -> None:
-        """Puts a side's text in place: renamed, for a reader must never see half of it."""
-        replace_file(self.path, self.text[side], SHARED)
+    def put(self, version: Version) -> None:
+        """Puts a version's text in place: renamed, for a reader must never see half of it."""
+        replace_file(self.path, self.text[version], SHARED)
 
 
 def prepare(plan: Plan, base: Path, folder: Path) -> dict[str, Texts]:
@@ -65,7 +65,7 @@
     for number, member in enumerate(plan.members):
         at = f"dispatcher.{number}.config"
         target = (base / member.config).resolve()
-        kept = {side: place / f"{member.name}.{side.value}" for side in Side}
+        kept = {side: place / f"{member.name}.{side.value}" for side in Version}
         if not all(file.exists() for file in kept.values()):
             try:
                 old = target.read_text(encoding="utf-8")
@@ -73,8 +73,8 @@
             except (OSError, ValueError) as error:
                 raise ConfigError(f"{at}: {target}: {error}") from None
             _check(new, target, at, member.environment)
-            replace_file(kept[Side.OLD], old, SHARED)  # half of one would be put in place by an undo
-            replace_file(kept[Side.NEW], new, SHARED)
+            replace_file(kept[Version.OLD], old, SHARED)  # half of one would be put in place by an undo
+            replace_file(kept[Version.NEW], new, SHARED)
         texts = {side: file.read_text(encoding="utf-8") for side, file in kept.items()}
         data = {side: _plain(text, target) for side, text in texts.items()}
         found[member.name] = Texts(target, texts, {side: digest_of(told) for side, told in data.items()})
--- a/eiderfield/rollout/course.py
+++ b/eiderfield/rollout/state_machine.py
@@ -1,6 +1,6 @@
 """The course of one change: from a look at the whole fleet before it to its end, or back. No I/O, no clock.
 
-Theory of operation. A course is in one phase, and moves as it is told what is there:
+Theory of operation. A course is in one phase, and actions as it is told what is there:
 
     before    all are old and well, and are watched so that what they lacked before is known
     refused   the fleet was ill before the start: nothing was touched                              (an end)
@@ -24,17 +24,24 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from eiderfield.rollout.judge import Baseline, Judge, Said, Seen, Word, fault_of
-from eiderfield.rollout.moves import Found, Move, Mover, Side
+from eiderfield.rollout.canary_analysis import (
+    Baseline,
+    CanaryAnalysis,
+    Decision,
+    Judgement,
+    Observation,
+    find_fault,
+)
 from eiderfield.rollout.plan import Plan
+from eiderfield.rollout.reconciler import Action, ProcessStatus, Reconciler, Version
 
 ENDS = frozenset({"refused", "done", "undone", "stuck"})
 PHASES = ENDS | {"before", "moving", "watching", "held", "undoing"}
-WORDS = ("pause", "resume", "undo")  # of operators
+COMMANDS = ("pause", "resume", "undo")  # of operators
 
 
 @dataclass(slots=True)
-class State:
+class RolloutState:
     """What is written down of a course."""
 
     phase: str = "before"
@@ -46,15 +53,15 @@
     watched: float = 0.0  # s of the present stage
     missing: dict[str, str] = field(default_factory=dict)  # members that could not be brought back, and why
 
-    def told(self) -> dict[str, Any]:
-        """Plain values."""
+    def encode(self) -> dict[str, Any]:
+        """Its stored form."""
         return asdict(self)
 
 
-def state_of(told: Mapping[str, Any]) -> State:
+def decode_state(told: Mapping[str, Any]) -> RolloutState:
     """A state out of plain values; `ValueError` if they are none."""
     try:
-        state = State(**told)
+        state = RolloutState(**told)
     except TypeError as error:
         raise ValueError(f"not a state: {error}") from None
     if state.phase not in PHASES:
@@ -62,14 +69,14 @@
     return state
 
 
-class Course:
+class RolloutStateMachine:
     """One change."""
 
-    def __init__(self, plan: Plan, state: State | None = None) -> None:
+    def __init__(self, plan: Plan, state: RolloutState | None = None) -> None:
         self.plan = plan
-        self.state = state or State()
-        self._mover = Mover(plan)
-        self._judge: Judge | None = None
+        self.state = state or RolloutState()
+        self._reconciler = Reconciler(plan)
+        self._analysis: CanaryAnalysis | None = None
         self._baseline = Baseline(self.state.classes)
         self._baseline.counts = self.state.before
         self._well_since: float | None = None
@@ -92,51 +99,55 @@
     @property
     def ending(self) -> set[int]:
         """Processes that were told to end: what they do counts for neither side."""
-        return self._mover.ending
+        return self._reconciler.ending
 
     @property
     def evidence(self) -> dict[str, float]:
         """Of the present stage, by class."""
-        return {} if self._judge is None else self._judge.evidence
+        return {} if self._analysis is None else self._analysis.evidence
 
-    def new_side(self, told: Mapping[str, Sequence[Found]]) -> set[str]:
+    def changed_members(self, told: Mapping[str, Sequence[ProcessStatus]]) -> set[str]:
         """The members that are seen as new: those that are to be, once their new process has been ready."""
         if self.state.phase in ("undoing", *ENDS):
             return set()
         now_ready = {
-            name for name, there in told.items() if any(x.side is Side.NEW and x.ready for x in there)
+            name for name, there in told.items() if any(x.version is Version.NEW and x.ready for x in there)
         }
-        return {name for name in self.changed if self._mover.arrived(name) or name in now_ready}
+        return {name for name in self.changed if self._reconciler.arrived(name) or name in now_ready}
 
     # What operators say.
 
-    def say(self, word: str) -> str:
-        """Heeds an operator's word. Returns why it cannot be heeded, or ''."""
+    def obey(self, command: str) -> str:
+        """Obeys an operator's command. Returns why it cannot be obeyed, or ''."""
         state = self.state
-        if word == "pause" and not self.over:
+        if command == "pause" and not self.over:
             state.paused = True
-        elif word == "resume" and state.paused and not self.over:
+        elif command == "resume" and state.paused and not self.over:
             state.paused = False
-        elif word == "resume" and state.phase == "held":
+        elif command == "resume" and state.phase == "held":
             self._watch("watched anew, as asked")
-        elif word == "resume" and state.phase in ("undoing", "undone", "stuck"):
+        elif command == "resume" and state.phase in ("undoing", "undone", "stuck"):
             state.missing.clear()
             self._to("moving", "forward again, as asked")
-        elif word == "undo" and state.phase == "before":
+        elif command == "undo" and state.phase == "before":
             self._to("undone", "called off before anything changed")
-        elif word == "undo" and state.phase not in ("refused", "undone"):
+        elif command == "undo" and state.phase not in ("refused", "undone"):
             state.paused = False
             state.missing.clear()
             self._to("undoing", "as asked")
         else:
-            return f"{word} says nothing while the change is {state.phase}"
+            return f"{command} says nothing while the change is {state.phase}"
         return ""
 
     # What is seen.
 
     def look(
-        self, now: float, span: float, found: Mapping[str, Sequence[Found]], seen: Sequence[Seen]
-    ) -> list[Move]:
+        self,
+        now: float,
+        span: float,
+        found: Mapping[str, Sequence[ProcessStatus]],
+        seen: Sequence[Observation],
+    ) -> list[Action]:
         """A look at the whole fleet, `span` s after the last: what is to be done now."""
         state = self.state
         if self.over:
@@ -144,8 +155,8 @@
         if state.phase == "before":
             self._look_before(now, found, seen)
         elif state.phase in ("moving", "watching", "held"):
-            fault = fault_of(self.plan.watching, [one for one in seen if one.new])
-            fault = fault or next((f"{n}: {why}" for n, why in self._mover.given_up.items()), None)
+            fault = find_fault(self.plan.watching, [one for one in seen if one.new])
+            fault = fault or next((f"{n}: {why}" for n, why in self._reconciler.given_up.items()), None)
             if fault:
                 self._to("undoing", fault)
             elif state.phase == "watching" and not state.paused:
@@ -153,16 +164,18 @@
         if state.paused and state.phase != "undoing":
             return []
         trials = self.plan.watching.trials if state.phase == "undoing" else 1
-        moves = self._mover.step(now, found, trials)
+        actions = self._reconciler.step(now, found, trials)
         if state.phase == "moving":
-            waited = [name for name in self.changed if not self._mover.arrived(name)]
-            if not waited and not self._mover.given_up:
+            waited = [name for name in self.changed if not self._reconciler.arrived(name)]
+            if not waited and not self._reconciler.given_up:
                 self._watch("")
         elif state.phase == "undoing":
             self._look_undoing(found)
-        return moves
+        return actions
 
-    def _look_before(self, now: float, found: Mapping[str, Sequence[Found]], seen: Sequence[Seen]) -> None:
+    def _look_before(
+        self, now: float, found: Mapping[str, Sequence[ProcessStatus]], seen: Sequence[Observation]
+    ) -> None:
         state, watching = self.state, self.plan.watching
         names = [member.name for member in self.plan.members]
         ill = [name for name in names if not _well(found.get(name, ()))]
@@ -182,33 +195,33 @@
         if now - self._well_since >= watching.before and not state.paused:
             self._to("moving", "all are well")
 
-    def _look_watching(self, span: float, seen: Sequence[Seen]) -> None:
+    def _look_watching(self, span: float, seen: Sequence[Observation]) -> None:
         state = self.state
-        if self._judge is None:
+        if self._analysis is None:
             stages = len(self.plan.stages)
             offsets = self._baseline.offsets(self.changed)
-            self._judge = Judge(self.plan.watching, state.classes, stages, offsets)
-        said: Said = self._judge.look(span, seen)
+            self._analysis = CanaryAnalysis(self.plan.watching, state.classes, stages, offsets)
+        said: Judgement = self._analysis.look(span, seen)
         state.watched += span
-        if said.word is Word.UNDO:
+        if said.decision is Decision.UNDO:
             self._to("undoing", said.why)
-        elif said.word is Word.HOLD:
+        elif said.decision is Decision.HOLD:
             self._to("held", said.why)
-        elif said.word is Word.GO and state.stage + 1 < len(self.plan.stages):
+        elif said.decision is Decision.GO and state.stage + 1 < len(self.plan.stages):
             state.stage += 1
             self._to("moving", said.why)
-        elif said.word is Word.GO:
+        elif said.decision is Decision.GO:
             self._to("done", said.why)
 
-    def _look_undoing(self, found: Mapping[str, Sequence[Found]]) -> None:
+    def _look_undoing(self, found: Mapping[str, Sequence[ProcessStatus]]) -> None:
         open_ = [
             name
             for name in self.changed
-            if not self._mover.arrived(name) and name not in self._mover.given_up
+            if not self._reconciler.arrived(name) and name not in self._reconciler.given_up
         ]
         if open_:
             return
-        self.state.missing = dict(self._mover.given_up)
+        self.state.missing = dict(self._reconciler.given_up)
         named = "; ".join(f"{name}: {why}" for name, why in self.state.missing.items())
         if named:
             self._to("stuck", f"{self.state.why}. Not brought back: {named}")
@@ -216,7 +229,7 @@
             self._to("undone", self.state.why)
 
     def _watch(self, why: str) -> None:
-        self._judge = None
+        self._analysis = None
         self.state.watched = 0.0
         self._to("watching", why)
 
@@ -232,15 +245,15 @@
         if settled is not None:
             for stage in self.plan.stages[: self.state.stage + settled]:
                 for name in stage:
-                    self._mover.has_arrived(name)
+                    self._reconciler.has_arrived(name)
 
     def _want(self) -> None:
         """Tells the mover what is wanted: members back in the reverse of the order in which they changed."""
         back = self.state.phase in ("undoing", "undone", "stuck")
         names = self.changed
         for name in reversed(names) if back else names:
-            self._mover.want(name, Side.OLD if back else Side.NEW)
+            self._reconciler.want(name, Version.OLD if back else Version.NEW)
 
 
-def _well(there: Sequence[Found]) -> bool:
-    return len(there) == 1 and there[0].ready is True and there[0].side is Side.OLD
+def _well(there: Sequence[ProcessStatus]) -> bool:
+    return len(there) == 1 and there[0].ready is True and there[0].version is Version.OLD
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -25,10 +25,10 @@
 from eiderfield.custody.record import LegNote, record_of
 from eiderfield.custody.settings import Custody
 from eiderfield.custody.survey import Survey
+from eiderfield.rollout.course import Course, State
 
 from eiderfield.exchange import Answer, Request, Verdict
 from eiderfield.net.bans import Bans
-from eiderfield.rollout.course import Course, State
 from eiderfield.rollout.journal import Journal, ask
 from eiderfield.rollout.plan import read as read_plan
 
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -15,9 +15,9 @@
 from eiderfield.durable_requests.settings import DurableRequestSettings
 from eiderfield.durable_requests.store import COLUMNS, SCHEMA, RecordStore, encode
 from eiderfield.net.bans import Bans
-from eiderfield.rollout.course import Course
 from eiderfield.rollout.journal import JournalError, read
 from eiderfield.rollout.plan import read as read_plan
+from eiderfield.rollout.state_machine import RolloutStateMachine
 
 GOLDEN = Path(__file__).parent / "golden"
 LEASE = 1200.0
@@ -141,10 +141,10 @@
     plan = read_plan((folder / "plan.toml").read_text())
     journal, told = read(folder, plan), expected(folder)
     assert (journal.plan, journal.id) == (told["plan"], told["id"])
-    assert plain(journal.state.told()) == told["state"]
+    assert plain(journal.state.encode()) == told["state"]
     assert journal.said == told["said"] and journal.processes == told["processes"]
     assert journal.wish() == ("undo" if name == "paused" else "")
-    course = Course(plan, journal.state)
+    course = RolloutStateMachine(plan, journal.state)
     assert course.state.phase == told["state"]["phase"]
 
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout_analysis.py
@@ -13,9 +13,9 @@
 
 from eiderfield.cli import main
 from eiderfield.config import ConfigError
-from eiderfield.rollout.judge import Baseline, Judge, Seen, Word
+from eiderfield.rollout.canary_analysis import Baseline, CanaryAnalysis, Decision, Observation
 from eiderfield.rollout.plan import Watching, read
-from eiderfield.rollout.weigh import weigh
+from eiderfield.rollout.power_analysis import weigh
 
 EXAMPLE = (ROOT / "deploy" / "rollout-example.toml").read_text()
 
@@ -98,7 +98,7 @@
 
     def one(name, is_new, share):
         counts = {"asked": {"a": asked}, "in_time": {"a": round(share * asked)}}
-        return Seen(name, is_new, descriptors=40, memory=16.0, **counts)
+        return Observation(name, is_new, descriptors=40, memory=16.0, **counts)
 
     seen = [one(f"n{n}", n < 2, new if n < 2 else old) for n in range(8)]
     seen[0] = replace(seen[0], **more)
@@ -107,15 +107,15 @@
 
 def decide(judge, seen, most=200):
     for _ in range(most):
-        if (said := judge.look(1.0, seen)).word != Word.WAIT:
+        if (said := judge.look(1.0, seen)).decision != Decision.WAIT:
             return said
     raise AssertionError("it waits for ever")
 
 
 def test_a_change_that_is_no_worse_goes_on_and_a_worse_one_is_undone_by_class():
-    assert decide(Judge(WATCHING, ["a"]), window()).word == Word.GO
-    said = decide(Judge(WATCHING, ["a"]), window(new=0.85))
-    assert said.word == Word.UNDO and "class a" in said.why
+    assert decide(CanaryAnalysis(WATCHING, ["a"]), window()).decision == Decision.GO
+    said = decide(CanaryAnalysis(WATCHING, ["a"]), window(new=0.85))
+    assert said.decision == Decision.UNDO and "class a" in said.why
 
 
 def waiting(new, old, asked=50):
@@ -129,26 +129,26 @@
 
 
 def test_one_that_serves_in_time_but_slower_is_undone_and_one_as_fast_goes_on():
-    assert decide(Judge(WATCHING, ["a"]), waiting(200.0, 200.0)).word == Word.GO
-    said = decide(Judge(WATCHING, ["a"]), waiting(260.0, 200.0))
-    assert said.word == Word.UNDO and "slower" in said.why
-    assert decide(Judge(WATCHING, ["a"]), waiting(160.0, 200.0)).word == Word.GO
+    assert decide(CanaryAnalysis(WATCHING, ["a"]), waiting(200.0, 200.0)).decision == Decision.GO
+    said = decide(CanaryAnalysis(WATCHING, ["a"]), waiting(260.0, 200.0))
+    assert said.decision == Decision.UNDO and "slower" in said.why
+    assert decide(CanaryAnalysis(WATCHING, ["a"]), waiting(160.0, 200.0)).decision == Decision.GO
 
 
 def test_a_flood_that_hurts_both_stops_nothing():
-    judge = Judge(WATCHING, ["a"])
+    judge = CanaryAnalysis(WATCHING, ["a"])
     judge.look(1.0, window(asked=20))
-    assert decide(judge, window(new=0.4, old=0.4)).word == Word.GO
+    assert decide(judge, window(new=0.4, old=0.4)).decision == Decision.GO
 
 
 def test_a_canary_with_little_traffic_is_held_and_not_passed():
-    said = decide(Judge(replace(WATCHING, seconds=20.0), ["a"]), window(asked=1))
-    assert said.word == Word.HOLD and "a" in said.why
+    said = decide(CanaryAnalysis(replace(WATCHING, seconds=20.0), ["a"]), window(asked=1))
+    assert said.decision == Decision.HOLD and "a" in said.why
 
 
 def test_a_class_that_nobody_asks_for_holds_nothing_up():
-    said = decide(Judge(WATCHING, ["a", "b"]), window())
-    assert said.word == Word.GO and "b" in said.why
+    said = decide(CanaryAnalysis(WATCHING, ["a", "b"]), window())
+    assert said.decision == Decision.GO and "b" in said.why
 
 
 def test_one_bad_class_of_two_is_enough():
@@ -156,7 +156,7 @@
         replace(one, asked={"a": 200, "b": 200}, in_time={"a": 190, "b": 150 if one.new else 190})
         for one in window()
     ]
-    assert "class b" in decide(Judge(WATCHING, ["a", "b"]), seen).why
+    assert "class b" in decide(CanaryAnalysis(WATCHING, ["a", "b"]), seen).why
 
 
 @pytest.mark.parametrize(
@@ -170,24 +170,24 @@
     ],
 )
 def test_what_no_chance_explains_undoes_at_once(more, why):
-    said = Judge(WATCHING, ["a"]).look(1.0, window(**more))
-    assert said.word == Word.UNDO and why in said.why
+    said = CanaryAnalysis(WATCHING, ["a"]).look(1.0, window(**more))
+    assert said.decision == Decision.UNDO and why in said.why
 
 
 def test_one_that_is_not_ready_yet_or_cold_is_waited_for():
-    judge = Judge(WATCHING, ["a"])
+    judge = CanaryAnalysis(WATCHING, ["a"])
     slow = [replace(one, ready=False, since_start=5.0) if one.new else one for one in window(new=0.2)]
-    assert judge.look(1.0, slow).word == Word.WAIT
+    assert judge.look(1.0, slow).decision == Decision.WAIT
     cold = [replace(one, since_start=5.0) if one.new else one for one in window(new=0.2)]
-    assert judge.look(1.0, cold).word == Word.WAIT
+    assert judge.look(1.0, cold).decision == Decision.WAIT
     assert not judge.evidence["a"], "nobody that counts was seen"
 
 
 def test_unreachable_is_not_gone_it_waits_and_then_holds():
     seen = [replace(one, alive=None) if one.new else one for one in window()]
-    judge = Judge(WATCHING, ["a"])
-    assert judge.look(1.0, seen).word == Word.WAIT
-    assert decide(judge, seen).word == Word.HOLD
+    judge = CanaryAnalysis(WATCHING, ["a"])
+    assert judge.look(1.0, seen).decision == Decision.WAIT
+    assert decide(judge, seen).decision == Decision.HOLD
 
 
 def test_what_differed_before_the_change_is_not_its_fault():
@@ -195,8 +195,11 @@
     baseline = Baseline(["a"])
     for _ in range(60):
         baseline.look(seen)
-    assert decide(Judge(WATCHING, ["a"]), seen).word == Word.UNDO
-    assert decide(Judge(WATCHING, ["a"], offsets=baseline.offsets({"n0", "n1"})), seen).word == Word.GO
+    assert decide(CanaryAnalysis(WATCHING, ["a"]), seen).decision == Decision.UNDO
+    assert (
+        decide(CanaryAnalysis(WATCHING, ["a"], offsets=baseline.offsets({"n0", "n1"})), seen).decision
+        == Decision.GO
+    )
 
 
 def test_the_chances_of_error_hold_over_simulated_rollouts():
@@ -205,34 +208,36 @@
     assert good["undo"] <= 0.05 and bad["undo"] >= 0.9
 
 
-@pytest.mark.parametrize(("new", "word"), [(1.05, Word.GO), (1.6, Word.UNDO)])
+@pytest.mark.parametrize(("new", "word"), [(1.05, Decision.GO), (1.6, Decision.UNDO)])
 def test_a_change_that_sends_jobs_far_more_often_is_undone_before_any_is_late(new, word):
-    judge = Judge(Watching(), ["a"], 1)
+    judge = CanaryAnalysis(Watching(), ["a"], 1)
     said = None
     for _ in range(400):
         seen = [
-            Seen(f"n{n}", n < 2, asked={"a": 20}, in_time={"a": 20}, legs=round(20 * (new if n < 2 else 1.0)))
+            Observation(
+                f"n{n}", n < 2, asked={"a": 20}, in_time={"a": 20}, legs=round(20 * (new if n < 2 else 1.0))
+            )
             for n in range(8)
         ]
         said = judge.look(1.0, seen)
-        if said.word is not Word.WAIT:
+        if said.decision is not Decision.WAIT:
             break
-    assert said.word is word and ("legs a job" in said.why) == (word is Word.UNDO)
+    assert said.decision is word and ("legs a job" in said.why) == (word is Decision.UNDO)
 
 
-@pytest.mark.parametrize(("new", "word"), [(1.5, Word.GO), (2.5, Word.UNDO)])
+@pytest.mark.parametrize(("new", "word"), [(1.5, Decision.GO), (2.5, Decision.UNDO)])
 def test_a_change_that_uses_far_more_processor_a_job_is_undone(new, word):
-    judge, said = Judge(Watching(), ["a"], 1), None
+    judge, said = CanaryAnalysis(Watching(), ["a"], 1), None
     for _ in range(400):
         seen = [
-            Seen(f"n{n}", n < 2, asked={"a": 20}, in_time={"a": 20}, legs=20, processor=0.1 * times)
+            Observation(f"n{n}", n < 2, asked={"a": 20}, in_time={"a": 20}, legs=20, processor=0.1 * times)
             for n in range(8)
             for times in [new if n < 2 else 1.0]
         ]
         said = judge.look(1.0, seen)
-        if said.word is not Word.WAIT:
+        if said.decision is not Decision.WAIT:
             break
-    assert said.word is word and ("processor a job" in said.why) == (word is Word.UNDO)
+    assert said.decision is word and ("processor a job" in said.why) == (word is Decision.UNDO)
 
 
 def test_the_command_shows_the_stages_and_names_a_fault(tmp_path):
--- a/tests/test_rollout_on_failing_disk.py
+++ b/tests/test_rollout_on_failing_disk.py
@@ -12,11 +12,11 @@
 from test_rollout_settings import FILE
 
 from eiderfield.rollout.controller import Controller, begin, plan_of
-from eiderfield.rollout.hands import Hands
 from eiderfield.rollout.journal import Journal, JournalError, JournalWriteError, ask, read
-from eiderfield.rollout.meter import Told
-from eiderfield.rollout.moves import End, Found, Side, Start
+from eiderfield.rollout.measurement import ProcessReport
 from eiderfield.rollout.plan import read as read_plan
+from eiderfield.rollout.processes import ProcessManager
+from eiderfield.rollout.reconciler import End, ProcessStatus, Start, Version
 from eiderfield.rollout.settings import prepare
 
 NAMES = ("n0", "n1", "n2")
@@ -50,13 +50,13 @@
 
 
 class Processes:
-    """Stands in for `Hands`: processes that start, get ready and end as they are told."""
+    """Stands in for `ProcessManager`: processes that start, get ready and end as they are told."""
 
     def __init__(self, plan, id_, base, folder, texts, kept=()):
         self.plan, self.folder = plan, folder
-        self.kept = [{"member": "n0", "pid": 1}]
+        self.known_processes = [{"member": "n0", "pid": 1}]
         self.running = {
-            member.name: {number: (Side.OLD, member.console)} for number, member in enumerate(plan.members)
+            member.name: {number: (Version.OLD, member.console)} for number, member in enumerate(plan.members)
         }
         self.next_pid, self.jobs = 100, Counter()
 
@@ -71,13 +71,13 @@
     def told(self, pid, side, console):
         self.jobs[pid] += 200
         figures = {"success": {"a": self.jobs[pid]}, "busy": {"a": 0}, "failure": {"a": 0}}
-        return Told(Found(side, pid, console, True), 100.0, figures, {"a": self.jobs[pid]})
+        return ProcessReport(ProcessStatus(side, pid, console, True), 100.0, figures, {"a": self.jobs[pid]})
 
-    def carry(self, move):
+    def execute(self, move):
         there = self.running[move.member]
         if isinstance(move, Start):
             assert move.console not in [console for _, console in there.values()], "two starts"
-            there[self.next_pid] = (move.side, move.console)
+            there[self.next_pid] = (move.version, move.console)
             self.next_pid += 1
         if isinstance(move, End):
             del there[move.pid]
@@ -97,8 +97,9 @@
 
     def begin(self):
         begin(self.base / "plan.toml", self.folder)
-        self.controller = Controller(self.folder, hands=Processes, clock=lambda: self.now)
-        self.carry, self.controller._hands.carry = self.controller._hands.carry, self.checked
+        self.controller = Controller(self.folder, manager=Processes, clock=lambda: self.now)
+        processes = self.controller._processes
+        self.execute, processes.execute = processes.execute, self.checked
 
     def checked(self, move):
         """Nothing is done before it is on the disk that it may be done."""
@@ -106,7 +107,7 @@
             on_disk = read(self.folder).state
         assert on_disk.phase == self.controller.course.state.phase
         assert on_disk.stage == self.controller.course.state.stage
-        return self.carry(move)
+        return self.execute(move)
 
     def lead(self, heals_after=None):
         for _ in range(TURNS):
@@ -123,7 +124,7 @@
         return self.controller.course.state.phase
 
     def sides(self):
-        running = self.controller._hands.running
+        running = self.controller._processes.running
         return [side for there in running.values() for side, _ in there.values()]
 
 
@@ -140,7 +141,7 @@
     healthy = Change(tmp_path / "healthy", faults)
     healthy.begin()
     faults.counts.clear()
-    assert healthy.lead() == "done" and set(healthy.sides()) == {Side.NEW}
+    assert healthy.lead() == "done" and set(healthy.sides()) == {Version.NEW}
     healthy.controller.close()
     many = faults.counts[kind]
     for first in range(1, many + 1, max(1, many // POSITIONS)):
@@ -149,7 +150,7 @@
         faults.fail(kind, code, first)
         assert change.lead(turns) == "done", f"operation {first} of {many}"
         faults.heal()
-        assert change.sides() == [Side.NEW] * len(NAMES)
+        assert change.sides() == [Version.NEW] * len(NAMES)
         assert read(change.folder, change.controller.plan).state.phase == "done"
         change.controller.close()
 
@@ -243,8 +244,8 @@
         begin(tmp_path / "plan.toml", folder)
     plan, base = plan_of(folder)
     [texts] = prepare(plan, base, folder).values()
-    assert texts.text[Side.OLD] == FILE and texts.text[Side.NEW] != FILE
-    for side in (Side.NEW, Side.OLD):
+    assert texts.text[Version.OLD] == FILE and texts.text[Version.NEW] != FILE
+    for side in (Version.NEW, Version.OLD):
         texts.put(side)
         assert texts.lies() is side
 
@@ -256,7 +257,7 @@
 def test_a_process_is_as_old_as_it_is_whatever_the_wall_clock_says(step, tmp_path, monkeypatch):
     with socket.create_server(("127.0.0.1", 0)) as console:
         plan, kept = hands_of(console, created=psutil.Process().create_time())
-        hands = Hands(plan, "id", tmp_path, tmp_path, {}, [kept])
+        hands = ProcessManager(plan, "id", tmp_path, tmp_path, {}, [kept])
         before = hands.look()["n0"][0].age
         real = time.time
         monkeypatch.setattr(time, "time", lambda: real() + step)
@@ -269,11 +270,11 @@
 def test_a_controller_after_a_step_knows_the_process_that_listens_at_its_console(step, tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as console:
         plan, kept = hands_of(console, created=psutil.Process().create_time() + step)
-        hands = Hands(plan, "id", tmp_path, tmp_path, {}, [kept])
-        assert [known["pid"] for known in hands.kept] == [os.getpid()]
+        hands = ProcessManager(plan, "id", tmp_path, tmp_path, {}, [kept])
+        assert [known["pid"] for known in hands.known_processes] == [os.getpid()]
         hands.close()
-    hands = Hands(plan, "id", tmp_path, tmp_path, {}, [kept])
-    assert hands.kept == [], "another process may have the number by now"
+    hands = ProcessManager(plan, "id", tmp_path, tmp_path, {}, [kept])
+    assert hands.known_processes == [], "another process may have the number by now"
     hands.close()
 
 
--- a/tests/test_rollout_settings.py
+++ b/tests/test_rollout_settings.py
@@ -6,11 +6,11 @@
 from dataclasses import replace
 
 import pytest
-from test_rollout_course import PLAN
+from test_rollout_state_machine import PLAN
 
 from eiderfield.config import ConfigError
-from eiderfield.rollout.moves import Side
 from eiderfield.rollout.plan import Member
+from eiderfield.rollout.reconciler import Version
 from eiderfield.rollout.settings import merged, prepare
 
 FILE = """# Ours.
@@ -72,12 +72,12 @@
 def test_what_was_and_what_is_to_be_are_kept_from_the_beginning(tmp_path):
     plan = fleet(tmp_path, "[limits]\nsockets = 900\n", 1)
     texts = prepare(plan, tmp_path, tmp_path / "change")["n0"]
-    assert texts.lies() is Side.OLD
-    texts.put(Side.NEW)
+    assert texts.lies() is Version.OLD
+    texts.put(Version.NEW)
     (tmp_path / "over.toml").write_text("[limits]\nsockets = 1000\n")
     again = prepare(plan, tmp_path, tmp_path / "change")["n0"]  # another controller, later
-    assert again.lies() is Side.NEW and again.digest == texts.digest
-    again.put(Side.OLD)
+    assert again.lies() is Version.NEW and again.digest == texts.digest
+    again.put(Version.OLD)
     assert (tmp_path / "n0.toml").read_text() == FILE
     (tmp_path / "n0.toml").write_text(FILE + "# by hand\n")
     assert again.lies() is None
--- a/tests/test_rollout_course.py
+++ b/tests/test_rollout_state_machine.py
@@ -11,12 +11,12 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from eiderfield.rollout.course import ENDS, Course, State, state_of
+from eiderfield.rollout.canary_analysis import Observation
 from eiderfield.rollout.journal import Journal, JournalError, Locks, ask, read
-from eiderfield.rollout.judge import Seen
-from eiderfield.rollout.meter import Meter, Told
-from eiderfield.rollout.moves import ENDING, Configure, End, Found, Mover, Side, Start
+from eiderfield.rollout.measurement import ProcessReport, WindowMeter
 from eiderfield.rollout.plan import Member, Plan, Watching
+from eiderfield.rollout.reconciler import ENDING, Configure, End, ProcessStatus, Reconciler, Start, Version
+from eiderfield.rollout.state_machine import ENDS, RolloutState, RolloutStateMachine, decode_state
 
 NAMES = ("n0", "n1", "n2", "n3")
 WATCHING = Watching(seconds=60.0, before=3.0, settle=0.0, ready=8.0, trials=2)
@@ -32,9 +32,11 @@
     def __init__(self, plan=PLAN, ready_after=1.0):
         self.plan, self.ready_after = plan, ready_after
         self.now, self._pid = 0.0, 100
-        self.processes = {m.name: [self._process(m.name, Side.OLD, m.console, -100.0)] for m in plan.members}
-        self.course = Course(plan)
-        self.moves, self.changing_most, self.share = [], 0, {Side.OLD: 0.95, Side.NEW: 0.95}
+        self.processes = {
+            m.name: [self._process(m.name, Version.OLD, m.console, -100.0)] for m in plan.members
+        }
+        self.course = RolloutStateMachine(plan)
+        self.moves, self.changing_most, self.share = [], 0, {Version.OLD: 0.95, Version.NEW: 0.95}
         self.lazy = set()  # pids that do not end when they are told
         self.broken = set()  # sides whose processes never get ready
         self.dead_at_start = set()  # members whose new process ends at once
@@ -46,19 +48,19 @@
     def found(self):
         def one(p):
             ready = p["side"] not in self.broken and self.now - p["born"] >= self.ready_after
-            return Found(p["side"], p["pid"], p["console"], ready if p.get("seen", True) else None)
+            return ProcessStatus(p["side"], p["pid"], p["console"], ready if p.get("seen", True) else None)
 
         return {name: [one(p) for p in there] for name, there in self.processes.items()}
 
     def seen(self, found):
-        new = self.course.new_side(found)
+        new = self.course.changed_members(found)
         rows = []
         for name, there in found.items():
-            side = Side.NEW if name in new else Side.OLD
-            mine = [f for f in there if f.side is side and f.pid not in self.course.ending]
+            side = Version.NEW if name in new else Version.OLD
+            mine = [f for f in there if f.version is side and f.pid not in self.course.ending]
             alive = (None if mine[0].ready is None else True) if mine else False
             counts = {"asked": {"a": 100}, "in_time": {"a": round(100 * self.share[side])}}
-            rows.append(Seen(name, name in new, alive, bool(mine and mine[0].ready), 100.0, **counts))
+            rows.append(Observation(name, name in new, alive, bool(mine and mine[0].ready), 100.0, **counts))
         return rows
 
     def turn(self, span=1.0):
@@ -74,7 +76,7 @@
                 assert all(p["console"] != move.console for p in self.processes[move.member])
                 if move.member not in self.dead_at_start:
                     self.processes[move.member].append(
-                        self._process(move.member, move.side, move.console, self.now)
+                        self._process(move.member, move.version, move.console, self.now)
                     )
             elif isinstance(move, End):
                 for p in self.processes[move.member]:
@@ -102,7 +104,9 @@
 
     def another_controller(self):
         """The controller is lost; another goes on from what was written down."""
-        self.course = Course(self.plan, state_of(json.loads(json.dumps(self.course.state.told()))))
+        self.course = RolloutStateMachine(
+            self.plan, decode_state(json.loads(json.dumps(self.course.state.encode())))
+        )
 
 
 def test_a_good_change_ends_with_all_new_one_at_a_time():
@@ -114,7 +118,7 @@
 
 def test_a_worse_one_is_undone_in_its_first_stage():
     world = World()
-    world.share[Side.NEW] = 0.7
+    world.share[Version.NEW] = 0.7
     assert world.run() == "undone" and "class a" in world.course.state.why
     assert world.sides() == {name: ["old"] for name in NAMES}
     assert {m.member for m in world.moves} == {"n0"}
@@ -122,7 +126,7 @@
 
 def test_one_that_never_gets_ready_is_ended_and_the_old_one_serves_on():
     world = World()
-    world.broken.add(Side.NEW)
+    world.broken.add(Version.NEW)
     assert world.run() == "undone" and "not ready" in world.course.state.why
     ended = [m for m in world.moves if isinstance(m, End)]
     assert world.sides()["n0"] == ["old"] and len(ended) == 1
@@ -160,18 +164,18 @@
     world = World()
     world.run(until=lambda course: course.state.phase == "watching")
     world.lose_allowed = True  # one that was started and is not ready makes room for the next trial
-    world.broken.add(Side.OLD)
+    world.broken.add(Version.OLD)
     world.processes["n0"].clear()
     assert world.run() == "stuck" and set(world.course.state.missing) == {"n0"}
     world.broken.clear()
-    assert world.course.say("undo") == "" and world.run() == "undone"
+    assert world.course.obey("undo") == "" and world.run() == "undone"
     assert world.sides()["n0"] == ["old"]
 
 
 def test_a_pause_begins_nothing_and_a_fault_undoes_all_the_same():
     world = World()
     world.run(until=lambda course: course.state.phase == "watching")
-    assert world.course.say("pause") == ""
+    assert world.course.obey("pause") == ""
     before = len(world.moves)
     world.run(100)
     assert world.course.state.phase == "watching" and len(world.moves) == before
@@ -182,19 +186,19 @@
 def test_an_undo_may_be_undone():
     world = World()
     world.run(until=lambda course: course.state.stage == 1 and course.state.phase == "watching")
-    world.course.say("undo")
+    world.course.obey("undo")
     world.turn()
-    assert world.course.state.phase == "undoing" and world.course.say("resume") == ""
+    assert world.course.state.phase == "undoing" and world.course.obey("resume") == ""
     assert world.run() == "done" and world.sides() == {name: ["new"] for name in NAMES}
 
 
 def test_a_held_stage_waits_for_a_word():
     world = World(replace(PLAN, watching=replace(WATCHING, seconds=3.0)))
-    world.share = {Side.OLD: 0.95, Side.NEW: 0.92}
+    world.share = {Version.OLD: 0.95, Version.NEW: 0.92}
     assert world.run(60, until=lambda course: course.state.phase == "held") == "held"
     world.run(50, until=lambda course: False)
     assert world.course.state.phase == "held"
-    assert world.course.say("undo") == "" and world.run() == "undone"
+    assert world.course.obey("undo") == "" and world.run() == "undone"
 
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=150,
@@ -204,7 +208,7 @@
     """Random losses of controllers and processes, and words, at random turns; each run ends old or new."""
     world = World(replace(PLAN, out=data.draw(st.integers(1, 2))))
     world.lose_allowed = True  # a kill may take the one that was to serve on
-    world.share[Side.NEW] = data.draw(st.sampled_from([0.95, 0.6]))
+    world.share[Version.NEW] = data.draw(st.sampled_from([0.95, 0.6]))
     for _ in range(data.draw(st.integers(0, 6))):
         world.run(data.draw(st.integers(1, 25)), until=lambda course: False)
         match data.draw(st.sampled_from(["controller", "kill", "undo", "resume", "pause"])):
@@ -215,8 +219,8 @@
                 if there and world.course.state.phase not in ("before", *ENDS):
                     there.pop()
             case word:
-                world.course.say(word)
-    world.course.say("resume") if world.course.state.paused else None
+                world.course.obey(word)
+    world.course.obey("resume") if world.course.state.paused else None
     world.run(600)
     phase, sides = world.course.state.phase, world.sides()
     assert phase in ENDS | {"held"} and world.changing_most <= 2
@@ -230,19 +234,19 @@
 def test_settings_that_nobody_took_are_put_back_all_the_same(program):
     """The process is of the old side all along; what lies in its file is what its next start would take."""
     plan = replace(PLAN, program=program, settings="s.toml", members=MEMBERS[:1], stages=(("n0",),))
-    mover = Mover(plan)
-    mover.want("n0", Side.OLD)
-    one = Found(Side.OLD, 7, ("h", 1), True, "", Side.NEW)
+    mover = Reconciler(plan)
+    mover.want("n0", Version.OLD)
+    one = ProcessStatus(Version.OLD, 7, ("h", 1), True, "", Version.NEW)
     [move] = mover.step(1.0, {"n0": [one]}, 3)
-    assert move == Configure("n0", Side.OLD, None if program else 7) and not mover.arrived("n0")
-    assert mover.step(2.0, {"n0": [replace(one, lies=Side.OLD)]}, 3) == [] and mover.arrived("n0")
+    assert move == Configure("n0", Version.OLD, None if program else 7) and not mover.arrived("n0")
+    assert mover.step(2.0, {"n0": [replace(one, lies=Version.OLD)]}, 3) == [] and mover.arrived("n0")
 
 
 # The journal.
 
 
 def journal(folder, **state):
-    found = Journal(folder, PLAN.digest, "id", State(**state))
+    found = Journal(folder, PLAN.digest, "id", RolloutState(**state))
     found.write(1.0)
     return found
 
@@ -250,7 +254,7 @@
 def test_a_journal_is_read_back_whole(tmp_path):
     journal(tmp_path, phase="watching", stage=1, classes=["a"], before={"n0": {"a": [5, 4]}})
     found = read(tmp_path, PLAN)
-    assert found.state == State("watching", 1, "", False, ["a"], {"n0": {"a": [5, 4]}})
+    assert found.state == RolloutState("watching", 1, "", False, ["a"], {"n0": {"a": [5, 4]}})
     assert found.said[0]["phase"] == "watching"
 
 
@@ -309,17 +313,19 @@
 # Windows from figures.
 
 
-def told(pid=1, side=Side.OLD, ready=True, success=0, busy=0, in_time=None, banned=(), broken=0, age=50.0):
+def told(
+    pid=1, version=Version.OLD, ready=True, success=0, busy=0, in_time=None, banned=(), broken=0, age=50.0
+):
     figures = {"success": {"a": success}, "busy": {"a": busy}, "failure": {"a": 0}}
     counts = None if in_time is None else {"a": in_time}
-    found, rules = Found(side, pid, ("h", 1), ready), {"answered": broken}
+    found, rules = ProcessStatus(version, pid, ("h", 1), ready), {"answered": broken}
     waits = None if in_time is None else {"a": [success, 5.0 * success, 26.0 * success]}
-    return Told(found, age, figures, counts, waits, 30, 20.0, frozenset(banned), rules)
+    return ProcessReport(found, age, figures, counts, waits, 30, 20.0, frozenset(banned), rules)
 
 
 def test_one_that_stood_still_settles_anew_for_it_serves_what_waited_meanwhile():
     """Seen: a canary stopped for 2 s was undone as slower by 100%, by the first window after its return."""
-    meter = Meter()
+    meter = WindowMeter()
     ages = [(30.0, True), (30.3, None), (32.0, True), (32.3, True), (33.0, True)]
     seen = [meter.look({"n0": [told(ready=ready, age=age)]}, [])[0] for age, ready in ages]
     assert [one.alive for one in seen] == [True, None, True, True, True]
@@ -328,16 +334,16 @@
 
 
 def test_a_new_process_that_somebody_else_started_again_is_a_fault():
-    meter = Meter()
-    looks = [(1, Side.OLD), (2, Side.NEW), (2, Side.NEW), (3, Side.NEW)]
-    seen = [meter.look({"n0": [told(pid=pid, side=side)]}, ["n0"] if side is Side.NEW else [])[0]
+    meter = WindowMeter()
+    looks = [(1, Version.OLD), (2, Version.NEW), (2, Version.NEW), (3, Version.NEW)]
+    seen = [meter.look({"n0": [told(pid=pid, version=side)]}, ["n0"] if side is Version.NEW else [])[0]
             for pid, side in looks]  # fmt: skip
     assert [bool(one.broken) for one in seen] == [False, False, False, True]
     assert "started again" in seen[-1].broken
 
 
 def test_windows_are_what_came_since_the_look_before():
-    meter = Meter()
+    meter = WindowMeter()
     assert meter.look({"n0": [told(success=10, in_time=9)]}, [])[0].asked == {}
     [one] = meter.look({"n0": [told(success=15, busy=5, in_time=13)]}, [])
     assert one.asked == {"a": 10} and one.in_time == {"a": 4}
@@ -345,7 +351,7 @@
 
 
 def test_what_happened_while_a_console_was_silent_is_in_no_window():
-    meter = Meter()
+    meter = WindowMeter()
     meter.look({"n0": [told(success=10, in_time=9)]}, [])
     [one] = meter.look({"n0": [told(ready=None)]}, [])
     assert one.alive is None
@@ -353,22 +359,22 @@
 
 
 def test_where_one_program_does_not_tell_what_was_in_time_all_that_was_served_counts_for_both():
-    meter = Meter()
+    meter = WindowMeter()
     meter.look({"n0": [told(1, success=0, in_time=0)], "n1": [told(2)]}, [])
     seen = meter.look({"n0": [told(1, success=10, in_time=2)], "n1": [told(2, success=10)]}, [])
     assert [one.in_time for one in seen] == [{"a": 10}, {"a": 10}]
 
 
 def test_a_new_process_that_forgot_a_ban_or_broke_a_rule_says_so():
-    meter = Meter()
+    meter = WindowMeter()
     meter.look({"n0": [told(1, banned=["w1", "w2"])]}, [])
-    [one] = meter.look({"n0": [told(1, banned=["w1", "w2"]), told(2, Side.NEW, banned=["w1"])]}, ["n0"])
+    [one] = meter.look({"n0": [told(1, banned=["w1", "w2"]), told(2, Version.NEW, banned=["w1"])]}, ["n0"])
     assert one.broken == "it forgot the ban of w2" and one.new
-    [one] = meter.look({"n0": [told(2, Side.NEW, banned=["w1"], broken=1)]}, ["n0"])
+    [one] = meter.look({"n0": [told(2, Version.NEW, banned=["w1"], broken=1)]}, ["n0"])
     assert one.broken == "answered"
 
 
 def test_a_process_that_was_told_to_end_counts_for_neither_side():
-    meter = Meter()
+    meter = WindowMeter()
     [one] = meter.look({"n0": [told(1)]}, [], ending=[1])
     assert one.alive is False
