--- a/eiderfield/cli/fleet.py
+++ b/eiderfield/cli/fleet.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from rich.console import Console
 
-    from eiderfield.lab.fleet.custody_draw import DrawnCustodyRun
+    from eiderfield.lab.fleet.durable_draw import DrawnDurableRun
     from eiderfield.lab.fleet.result import Result
     from eiderfield.lab.fleet.rollout_draw import DrawnRun
     from eiderfield.lab.fleet.scenario import Scenario
@@ -170,7 +170,7 @@
     )
 
 
-def _write_rows(path: Path, rows: Iterable[DrawnRun] | Iterable[DrawnCustodyRun]) -> None:
+def _write_rows(path: Path, rows: Iterable[DrawnRun] | Iterable[DrawnDurableRun]) -> None:
     path.write_text(json.dumps([asdict(row) for row in rows], indent=1))
 
 
@@ -193,10 +193,10 @@
     """
     from concurrent.futures import ProcessPoolExecutor
 
-    from eiderfield.lab.fleet.custody_draw import play_drawn, summary
+    from eiderfield.lab.fleet.durable_draw import play_drawn, summary
 
     folder, console = _folder(out, "custody"), _console()
-    rows: list[DrawnCustodyRun] = []
+    rows: list[DrawnDurableRun] = []
     next_seed = first
     with ProcessPoolExecutor(jobs) as pool:
         while sum(row.kills for row in rows) < kills:
@@ -205,7 +205,7 @@
             folders = [str(folder / f"{seed:03d}") for seed in seeds]
             for row in pool.map(play_drawn, seeds, folders, [not off] * jobs):
                 rows.append(row)
-                _show_custody_run(console, row)
+                _show_durable_run(console, row)
     _write_rows(folder / "custody.json", rows)
     for line in [*summary(rows), str(folder)]:
         console.print(line)
@@ -213,7 +213,7 @@
         raise SystemExit(1)
 
 
-def _show_custody_run(console: Console, row: DrawnCustodyRun) -> None:
+def _show_durable_run(console: Console, row: DrawnDurableRun) -> None:
     outcome = row.failed or (
         f"{row.served} of {row.jobs} served, {row.taken_over} taken over, "
         f"{row.may_have_run} may have run, {row.unanswered} unanswered; "
--- a/eiderfield/cli/lab.py
+++ b/eiderfield/cli/lab.py
@@ -39,7 +39,7 @@
 @click.option("--rounds", type=click.IntRange(1, 20), default=2, show_default=True)
 def cost(dispatchers: int, rate: float, seconds: float, rounds: int) -> None:
     """Plays the same jobs off, on, off, on: half of them of a class that is kept where it is on."""
-    from eiderfield.lab.custody_cost import compare
+    from eiderfield.lab.durable_requests.comparison import compare
 
     folder = Path(tempfile.mkdtemp(prefix="eiderfield-cost-"))
     for part in compare(dispatchers, rate, seconds, folder, rounds):
@@ -56,7 +56,7 @@
 @click.option("--seconds", type=click.FloatRange(0.1, 600.0), default=3.0, show_default=True)
 def commits(seconds: float) -> None:
     """Lets one member take, claim and answer jobs, each step in a commit of its own."""
-    from eiderfield.lab.custody_cost import commits as commits_
+    from eiderfield.lab.durable_requests.throughput import commits as commits_
 
     rate = commits_(seconds, Path(tempfile.mkdtemp(prefix="eiderfield-commits-")))
     click.echo(f"{rate:.0f} jobs a second, three commits each")
@@ -67,7 +67,7 @@
 @click.option("--seconds", type=click.FloatRange(0.5, 60.0), default=3.0, show_default=True)
 def ways(processes: tuple[int, ...], seconds: float) -> None:
     """Lets processes write records into stores of their own and into one, also with one of them stopped."""
-    from eiderfield.lab.custody_cost import ways as ways_
+    from eiderfield.lab.durable_requests.store_writes import ways as ways_
 
     for row in ways_(processes, seconds, Path(tempfile.mkdtemp(prefix="eiderfield-ways-"))):
         click.echo(
@@ -83,7 +83,7 @@
 @click.option("--seconds", type=click.FloatRange(0.5, 600.0), default=5.0, show_default=True)
 def recovery(records: tuple[int, ...], seconds: float) -> None:
     """Lets an heir take over a lost life's records, as fast as it can."""
-    from eiderfield.lab.custody_cost import recovery as recovery_
+    from eiderfield.lab.durable_requests.throughput import recovery as recovery_
 
     for number in records:
         found = recovery_(number, seconds, Path(tempfile.mkdtemp(prefix="eiderfield-recovery-")))
@@ -102,7 +102,7 @@
 @click.option("--slip", default="", help="plants a fault, to see that it is found")
 def explore_(members: int, jobs: int, faults: int, most: int, slip: str) -> None:
     """Searches all interleavings of custody's protocol. Exits with 1 if one breaks a rule."""
-    from eiderfield.lab.custody_model import SLIPS, Machine, start
+    from eiderfield.lab.durable_requests.protocol_model import SLIPS, Machine, start
     from eiderfield.lab.explore import explore
 
     try:
--- a/eiderfield/lab/fleet/custody_draw.py
+++ b/eiderfield/lab/fleet/durable_draw.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from eiderfield.lab.fleet.custody_run import COUNTED_AFTER_KILL_S, play_custody
 from eiderfield.lab.fleet.dispatcher import Program
+from eiderfield.lab.fleet.durable_run import COUNTED_AFTER_KILL_S, play_durable
 from eiderfield.lab.fleet.scenario import Fault, JobClass, Scenario
 from eiderfield.lab.fleet.scenario_file import validated
 from eiderfield.lab.processes import LabError
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DrawnCustodyRun:
+class DrawnDurableRun:
     """A row: what came of a drawn run. `failed` says why it could not be played."""
 
     seed: int
@@ -61,7 +61,7 @@
         return not self.failed and not self.findings
 
 
-def draw_custody(
+def draw_durable(
     seed: int, dispatchers: int = 4, jobs: int = 300, custody: bool = True
 ) -> tuple[Scenario, dict[str, Program]]:
     """A scenario from a seed, and the dispatchers whose programs fail at points of custody."""
@@ -106,17 +106,17 @@
     )
 
 
-def play_drawn(seed: int, folder: str, custody: bool = True) -> DrawnCustodyRun:
+def play_drawn(seed: int, folder: str, custody: bool = True) -> DrawnDurableRun:
     """Plays the scenario of a seed."""
-    scenario, programs = draw_custody(seed, custody=custody)
+    scenario, programs = draw_durable(seed, custody=custody)
     what = [f"{fault.what} {fault.who}" for fault in scenario.faults]
     what += [f"{name} {program.failpoint}" for name, program in programs.items()]
     try:
-        result = play_custody(scenario, Path(folder), programs)
+        result = play_durable(scenario, Path(folder), programs)
     except LabError as error:
-        return DrawnCustodyRun(seed, what, failed=str(error))
+        return DrawnDurableRun(seed, what, failed=str(error))
     faults = [fault.what for fault in result.faults]
-    return DrawnCustodyRun(
+    return DrawnDurableRun(
         seed=seed,
         what=what,
         kills=faults.count("kill"),
@@ -135,7 +135,7 @@
     )
 
 
-def summary(runs: Sequence[DrawnCustodyRun]) -> list[str]:
+def summary(runs: Sequence[DrawnDurableRun]) -> list[str]:
     """What drawn runs showed, in lines."""
     played = [run for run in runs if not run.failed]
     totals = {name: int(sum(getattr(run, name) for run in played)) for name in SUMMED}
--- a/eiderfield/lab/fleet/custody_run.py
+++ b/eiderfield/lab/fleet/durable_run.py
@@ -1,6 +1,6 @@
 """Jobs in custody on real processes: kills, stops and cuts under load, judged from the event logs.
 
-`play_custody` plays one scenario and adds up what the dispatchers' consoles say of custody, for the table;
+`play_durable` plays one scenario and adds up what the dispatchers' consoles say of custody, for the table;
 what is right or wrong is said by the rules alone (`rules.py`).
 """
 
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class CustodyResult:
+class DurableResult:
     """What came of a run. `custody` adds up the consoles' figures over all processes of the run."""
 
     findings: list[Finding]
@@ -75,7 +75,7 @@
         return dict(total)
 
 
-def play_custody(scenario: Scenario, folder: Path, programs: Mapping[str, Program]) -> CustodyResult:
+def play_durable(scenario: Scenario, folder: Path, programs: Mapping[str, Program]) -> DurableResult:
     """Plays a scenario whose dispatchers keep their jobs in custody."""
     with Fleet(scenario, folder, programs) as fleet:
         consoles = ConsoleSums(fleet.dispatchers)
@@ -84,7 +84,7 @@
     near_kills = sent_near_kills(clients, result.faults)
     in_time = near_kills & served_in_time(scenario, clients, workers)
     statuses = final_statuses(clients)
-    return CustodyResult(
+    return DurableResult(
         findings=result.findings,
         faults=result.faults,
         counts=result.counts,
--- a/tests/test_durable_requests_cost.py
+++ b/tests/test_durable_requests_cost.py
@@ -11,7 +11,8 @@
 
 from eiderfield.cli import main
 from eiderfield.config import read_text
-from eiderfield.lab.custody_cost import commits, recovery, ways
+from eiderfield.lab.durable_requests.store_writes import ways
+from eiderfield.lab.durable_requests.throughput import commits, recovery
 
 pytestmark = pytest.mark.real_time
 
@@ -40,7 +41,8 @@
 def test_the_dispatcher_imports_nothing_of_it_where_it_is_off():
     code = "import sys, eiderfield.__main__; print(*sys.modules)"
     told = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    found = [m for m in told.stdout.split() if "custody" in m or m in ("sqlite3", "click", "numpy")]
+    package = "eiderfield.durable_requests"
+    found = [m for m in told.stdout.split() if m.startswith(package) or m in ("sqlite3", "click", "numpy")]
     assert "eiderfield.exchange" in told.stdout and found == []
 
 
--- a/tests/test_durable_requests_fleet.py
+++ b/tests/test_durable_requests_fleet.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from eiderfield.lab.fleet.custody_draw import FAILPOINTS, JOB_CLASSES
-from eiderfield.lab.fleet.custody_run import play_custody
 from eiderfield.lab.fleet.dispatcher import Program
+from eiderfield.lab.fleet.durable_draw import FAILPOINTS, JOB_CLASSES
+from eiderfield.lab.fleet.durable_run import play_durable
 from eiderfield.lab.fleet.rollout_change import Change, FaultInPhase
 from eiderfield.lab.fleet.rollout_run import play_change
 from eiderfield.lab.fleet.scenario import Fault, Scenario
@@ -24,7 +24,7 @@
 
 def played(tmp_path, *faults, programs=None, **more):
     scenario = validated(replace(SCENARIO, faults=faults, **more))
-    found = play_custody(scenario, tmp_path / "run", programs or {})
+    found = play_durable(scenario, tmp_path / "run", programs or {})
     assert found.findings == [], (found.findings[:3], found.counts)
     assert found.unanswered == 0 and found.counts["jobs"] == scenario.jobs
     return found
@@ -98,7 +98,7 @@
     scenario = validated(replace(
         SCENARIO, custody={}, jobs=160, dispatchers=4, faults=(Fault("kill", "n1", on="begun:30", lasts=2.0),)
     ))  # fmt: skip
-    found = play_custody(scenario, tmp_path / "run", {})
+    found = play_durable(scenario, tmp_path / "run", {})
     assert any(finding.rule == "once" for finding in found.findings)
 
 
@@ -123,6 +123,6 @@
     scenario = validated(replace(SCENARIO, job_classes=classes, jobs=18, rate=30.0, window=15_000.0, faults=(
         Fault("term", "n1", on="begun:16"), Fault("kill", "n1", on="begun:16", after=4.0, lasts=1.0),
     )))  # fmt: skip
-    found = play_custody(scenario, tmp_path / "run", {})
+    found = play_durable(scenario, tmp_path / "run", {})
     assert found.findings == [] and found.unanswered == 0, (found.findings[:3], found.counts)
     assert found.custody["taken_over"] > 0 and found.counts["served"] >= scenario.jobs - found.may_have_run
--- a/tests/test_durable_requests_model.py
+++ b/tests/test_durable_requests_model.py
@@ -6,7 +6,7 @@
 from click.testing import CliRunner
 
 from eiderfield.cli import main
-from eiderfield.lab.custody_model import SLIPS, Machine, start
+from eiderfield.lab.durable_requests.protocol_model import SLIPS, Machine, start
 from eiderfield.lab.explore import explore
 
 
