--- a/eiderfield/lab/fleet/scenario_file.py
+++ b/eiderfield/lab/fleet/scenario_file.py
@@ -38,7 +38,7 @@
     ("zones", 1, 20),
     ("jobs", 1, 100_000),
     ("rate", 0.1, 2000.0),
-    ("retries", 0, 10),
+    ("retries", 0, 100),
     ("notice", 0.0, 60.0),
     ("cold_share", 0.01, 1.0),
     ("fall_multiple", 1.0, 100.0),
--- a/tests/test_durable_requests_fleet.py
+++ b/tests/test_durable_requests_fleet.py
@@ -17,7 +17,7 @@
 pytestmark = pytest.mark.real_time
 
 SCENARIO = Scenario(
-    dispatchers=3, workers=6, slots=4, cell=3, jobs=90, rate=40.0, notice=0.3, retries=10, one_id=True,
+    dispatchers=3, workers=6, slots=4, cell=3, jobs=90, rate=40.0, notice=0.3, retries=60, one_id=True,
     custody={"lease_ms": 900}, job_classes=JOB_CLASSES,
 )  # fmt: skip
 
