--- a/eiderfield/cli/lab.py
+++ b/eiderfield/cli/lab.py
@@ -33,8 +33,9 @@
 @click.option(
     "--rate", type=click.FloatRange(1.0, 1000.0), default=150.0, show_default=True, help="jobs a second"
 )
-@click.option("--seconds", type=click.FloatRange(1.0, 600.0), default=8.0, show_default=True,
-              help="of each part")  # fmt: skip
+@click.option(
+    "--seconds", type=click.FloatRange(1.0, 600.0), default=8.0, show_default=True, help="of each part"
+)
 @click.option("--rounds", type=click.IntRange(1, 20), default=2, show_default=True)
 def cost(dispatchers: int, rate: float, seconds: float, rounds: int) -> None:
     """Plays the same jobs off, on, off, on: half of them of a class that is kept where it is on."""
@@ -76,8 +77,9 @@
 
 
 @custody.command()
-@click.option("--records", type=click.IntRange(1, 5_000_000), multiple=True, default=(10_000,),
-              show_default=True)  # fmt: skip
+@click.option(
+    "--records", type=click.IntRange(1, 5_000_000), multiple=True, default=(10_000,), show_default=True
+)
 @click.option("--seconds", type=click.FloatRange(0.5, 600.0), default=5.0, show_default=True)
 def recovery(records: tuple[int, ...], seconds: float) -> None:
     """Lets an heir take over a lost life's records, as fast as it can."""
@@ -108,10 +110,10 @@
     except ValueError as error:
         raise click.UsageError(f"{error}; there are {', '.join(SLIPS)}") from None
     found = explore(start(members, jobs, faults), machine.steps, machine.wrong, most)
-    seen = "all of them" if found.whole else "not all"
-    click.echo(f"{found.states} states, {found.steps} steps, {found.deepest} deep, {found.ends} ends; {seen}")
+    seen = "all of them" if found.complete else "not all"
+    click.echo(f"{found.states} states, {found.steps} steps, {found.depth} deep, {found.ends} ends; {seen}")
     if found.fault:
-        click.echo(f"{found.fault}: {'; '.join(found.way)}")
+        click.echo(f"{found.fault}: {'; '.join(found.trace)}")
         raise SystemExit(1)
 
 
@@ -129,9 +131,14 @@
 
 @lab.command()
 @click.option(
-    "--connections", "steps", type=click.IntRange(1), multiple=True, default=(1000, 3000),
-    show_default=True, help="how many idle ones; give it again for each step",
-)  # fmt: skip
+    "--connections",
+    "steps",
+    type=click.IntRange(1),
+    multiple=True,
+    default=(1000, 3000),
+    show_default=True,
+    help="how many idle ones; give it again for each step",
+)
 @_option("--processes", click.IntRange(1, 32), 2, "processes of idle clients")
 @_option("--rate", click.FloatRange(1.0, 5000.0), 300.0, "jobs a second")
 @_option("--window", click.FloatRange(1.0, 600.0), 10.0, "seconds of a stream")
@@ -153,12 +160,12 @@
     plan = Plan(list(steps), **more, say=lambda text: click.echo(text, err=True))
     with tempfile.TemporaryDirectory(prefix="eiderfield-lab-") as folder:
         try:
-            told: dict[str, Any] = IdleCost(plan, Path(folder)).run()
+            result: dict[str, Any] = IdleCost(plan, Path(folder)).run()
         except LabError as error:
             raise click.ClickException(str(error)) from None
     if file is not None:
-        file.write_text(json.dumps(told, indent=1) + "\n")
-    show_idle(told)
+        file.write_text(json.dumps(result, indent=1) + "\n")
+    show_idle(result)
 
 
 @lab.command()
@@ -178,14 +185,14 @@
 
     with tempfile.TemporaryDirectory(prefix="eiderfield-lab-") as folder:
         try:
-            told = Restart(connections, processes, rate, kill, Path(folder)).run()
+            result = Restart(connections, processes, rate, kill, Path(folder)).run()
         except LabError as error:
             raise click.ClickException(str(error)) from None
     if file is not None:
-        file.write_text(json.dumps(told, indent=1) + "\n")
-    show_plain(told, "A restart with idle connections")
-    if told["lost"]:
-        raise click.ClickException(f"{told['lost']} clients were lost")
+        file.write_text(json.dumps(result, indent=1) + "\n")
+    show_plain(result, "A restart with idle connections")
+    if result["lost"]:
+        raise click.ClickException(f"{result['lost']} clients were lost")
 
 
 @lab.command()
@@ -201,13 +208,13 @@
 
     Exits with 1 if a gate or rule failed or a figure fell by more than 0.03 within its panel.
     """
-    from eiderfield.lab.regression import play, verdict
+    from eiderfield.lab.regression import run_benches
     from eiderfield.lab.report import show_regression
 
     try:
-        rows = play(Path.cwd(), kit, sites, why, lambda text: click.echo(text, err=True))
+        rows = run_benches(Path.cwd(), kit, sites, why, lambda text: click.echo(text, err=True))
     except (RuntimeError, ValueError, OSError) as error:
         raise click.ClickException(str(error)) from None
     show_regression(rows)
-    if any(verdict(*row) != "kept" for row in rows):
+    if any(row.verdict != "kept" for row in rows):
         raise SystemExit(1)
--- a/eiderfield/cli/scale.py
+++ b/eiderfield/cli/scale.py
@@ -12,22 +12,41 @@
 
 @click.command()
 @click.option(
-    "--workers", type=click.IntRange(1, 10_000), nargs=2, default=(200, 3200), show_default=True,
+    "--workers",
+    type=click.IntRange(1, 10_000),
+    nargs=2,
+    default=(200, 3200),
+    show_default=True,
     help="sizes of the small and the large fleet",
-)  # fmt: skip
-@click.option("--rate", type=click.FloatRange(0.1, 1000.0), default=24.0, show_default=True,
-              help="requests a second")  # fmt: skip
-@click.option("--seconds", type=click.FloatRange(0.5, 600.0), default=30.0, show_default=True,
-              help="length of a day")  # fmt: skip
-@click.option("--changes", type=click.FloatRange(0.01, 60.0), default=0.25, show_default=True,
-              help="seconds between two changes of the list, each of which replaces a worker")  # fmt: skip
+)
+@click.option(
+    "--rate", type=click.FloatRange(0.1, 1000.0), default=24.0, show_default=True, help="requests a second"
+)
+@click.option(
+    "--seconds", type=click.FloatRange(0.5, 600.0), default=30.0, show_default=True, help="length of a day"
+)
+@click.option(
+    "--changes",
+    type=click.FloatRange(0.01, 60.0),
+    default=0.25,
+    show_default=True,
+    help="seconds between two changes of the list, each of which replaces a worker",
+)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option("--checkout", type=click.Path(exists=True, file_okay=False, path_type=Path),
-              default=PACKAGE_ROOT, help="folder of the version to measure; by default this one")  # fmt: skip
-@click.option("--json", "file", type=click.Path(dir_okay=False, path_type=Path),
-              help="writes figures and bounds there")  # fmt: skip
-@click.option("--profile", type=click.Path(dir_okay=False, path_type=Path),
-              help="writes cProfile figures of the dispatcher beside the large fleet there")  # fmt: skip
+@click.option(
+    "--checkout",
+    type=click.Path(exists=True, file_okay=False, path_type=Path),
+    default=PACKAGE_ROOT,
+    help="folder of the version to measure; by default this one",
+)
+@click.option(
+    "--json", "file", type=click.Path(dir_okay=False, path_type=Path), help="writes figures and bounds there"
+)
+@click.option(
+    "--profile",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="writes cProfile figures of the dispatcher beside the large fleet there",
+)
 def scale(
     workers: tuple[int, int],
     rate: float,
--- a/eiderfield/lab/fleet/commands.py
+++ b/eiderfield/lab/fleet/commands.py
@@ -137,7 +137,7 @@
     | StartClients
     | SetHealthyDispatchers
     | StopClients
-)  # fmt: skip
+)
 
 
 def encode(command: Command) -> str:
--- a/eiderfield/lab/fleet/rules.py
+++ b/eiderfield/lab/fleet/rules.py
@@ -72,9 +72,12 @@
 
 
 def judge(
-    scenario: Scenario, workers: Sequence[Event], clients: Sequence[Event], faults: Sequence[InjectedFault],
+    scenario: Scenario,
+    workers: Sequence[Event],
+    clients: Sequence[Event],
+    faults: Sequence[InjectedFault],
     rest: Iterable[FinalState],
-) -> list[Finding]:  # fmt: skip
+) -> list[Finding]:
     """All findings, in the order of the rules."""
     effects = {job_class.name: job_class.effect for job_class in scenario.job_classes}
     return [
