--- a/tests/support/real_sockets.py
+++ b/tests/support/real_sockets.py
@@ -135,13 +135,15 @@
             clients.append(SocketClient(self))
             assert clients[-1].ask(f"first{number}") == [200]
         self.pass_time(IDLING.park_after + 2 * TICK)
-        assert self.listener.parked == count and not self.listener._connections
+        assert self.listener.parked == count
+        assert not self.listener._connections
         return clients
 
     def close(self):
         self.listener.close()
         self.turn()
-        assert not any(self.admission._addresses.held) and not any(self.admission._addresses.begun)
+        assert not any(self.admission._addresses.held)
+        assert not any(self.admission._addresses.begun)
         self.loop.close()
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -44,7 +44,9 @@
 
 def test_end_of_input_is_the_end():
     done, replies = run(frame(0.0))
-    assert done.returncode == 0 and not done.stderr and replies == [(0, b"")]
+    assert done.returncode == 0
+    assert not done.stderr
+    assert replies == [(0, b"")]
     assert run(b"")[0].returncode == 0
 
 
@@ -56,7 +58,8 @@
         + frame(6.0, struct.pack("<BH", 9, 0), create(0), listed(0))
         + frame(7.0, query(0, 2))
     )
-    assert done.returncode == 0 and not done.stderr
+    assert done.returncode == 0
+    assert not done.stderr
     for index, id_ in ((1, 1), (3, 2)):
         code, node, sent, _, _ = struct.unpack_from("<BHQId", replies[index][1])
         assert (code, node, sent) == (6, 0, id_)
@@ -72,7 +75,10 @@
 def test_malformed_input_ends_with_one_plain_line(data, word):
     done, _ = run(data)
     text = done.stderr.decode()
-    assert done.returncode != 0 and word in text and text.count("\n") == 1 and "Traceback" not in text
+    assert done.returncode != 0
+    assert word in text
+    assert text.count("\n") == 1
+    assert "Traceback" not in text
 
 
 def test_wrong_settings_and_faults_are_fatal_for_their_node_only():
@@ -83,8 +89,10 @@
         + frame(5.0, query(1, 1), query(2, 9, cls=77))
     )
     assert done.returncode == 0
-    assert b"classes.0.value" in replies[0][1] and replies[0][1][0] == 9
-    assert b"ValueError" in replies[1][1] and b"unknown class 77" in replies[1][1]
+    assert b"classes.0.value" in replies[0][1]
+    assert replies[0][1][0] == 9
+    assert b"ValueError" in replies[1][1]
+    assert b"unknown class 77" in replies[1][1]
     assert struct.unpack_from("<BHQ", replies[1][1]) == (6, 1, 1)
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -19,7 +19,8 @@
     assert greedy[4].advice == "1.500"
     assert SocketClient(harness, address="192.0.2.2").ask("honest") == [200]
     harness.pass_time(LINGER_TIME + TICK)
-    assert not greedy[4].open and harness.admission.figures()["address_held"] == 2
+    assert not greedy[4].open
+    assert harness.admission.figures()["address_held"] == 2
     harness.close()
 
 
@@ -37,7 +38,8 @@
     harness.listener._socket.waiting.append((theirs, ("192.0.2.1", 1)))
     harness.listener._accept()
     harness.turn()
-    assert late.statuses() == [503] and first.open
+    assert late.statuses() == [503]
+    assert first.open
     harness.close()
 
 
@@ -46,7 +48,8 @@
     flood = [SocketClient(harness)]
     flood += [SocketClient(harness) for _ in range(REJECTIONS_AT_ONCE + 10)]
     told = [client.statuses() for client in flood]
-    assert told.count([503]) == REJECTIONS_AT_ONCE and told.count([]) == 11
+    assert told.count([503]) == REJECTIONS_AT_ONCE
+    assert told.count([]) == 11
     harness.close()
     harness = ListenerHarness(most=1000, address=Quota(rate=1.0, burst=2.0))
     assert [client.open for client in [SocketClient(harness) for _ in range(5)]] == [
@@ -88,7 +91,8 @@
     assert slow[0].statuses() == [200]
     another = SocketClient(harness).send(b"P")
     harness.turn()
-    assert not another.statuses() and harness.admission.figures()["address_begun"] == 1
+    assert not another.statuses()
+    assert harness.admission.figures()["address_begun"] == 1
     harness.close()
 
 
@@ -100,7 +104,8 @@
             client.send(message("x")[step : step + 1])
         harness.turn(2)
         harness.pass_time(100.0)
-    assert all(client.open for client in drips) and SocketClient(harness).ask("honest") == [200]
+    assert all(client.open for client in drips)
+    assert SocketClient(harness).ask("honest") == [200]
     harness.pass_time(150.0)
     harness.turn(30)
     assert [client.statuses() for client in drips] == [[408]] * 200
@@ -162,13 +167,15 @@
     harness.memory = 0.97
     harness.pass_time(200.0)
     newcomer = SocketClient(harness)
-    assert harness.admission.capacity == 20 and harness.listener.connections == 20
+    assert harness.admission.capacity == 20
+    assert harness.listener.connections == 20
     assert newcomer.ask("n") == [200]
     assert sum(client.open for client in quiet) == 19
     harness.memory = 0.5
     harness.pass_time(2500.0)
     another = SocketClient(harness)
-    assert harness.admission.capacity == 60 and another.open
+    assert harness.admission.capacity == 60
+    assert another.open
     harness.close()
 
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -75,7 +75,8 @@
     bound after 0.5 s, and three requests went to drained workers 0.59 s after. First waits were 20 s."""
     all_ = [Backoff(sharers, number, Random(number), grace=500.0) for number in range(sharers)]
     firsts = [backoff.first_wait(True) for backoff in all_]
-    assert max(firsts) <= FIRST_CALLS_SHARE * 500.0 and len(set(firsts)) == sharers
+    assert max(firsts) <= FIRST_CALLS_SHARE * 500.0
+    assert len(set(firsts)) == sharers
     assert max(backoff.next_wait(0.0) for backoff in all_) <= NOTIFIED_AFTER
     assert Backoff(sharers, sharers - 1, grace=0.0).first_wait(True) == 0.0
 
@@ -101,7 +102,8 @@
     """Waits once grew to 80 s at 200 sharers, so that a source of 20 calls a second told them all in the end.
     But a change counts as told 6 s after the source could be reached, whatever calls failed before that."""
     to_list = DIAL_TIMEOUT + FIRST_LIST_TIME
-    assert MAX_WAIT + to_list == NOTIFIED_AFTER and SILENCE + to_list < NOTIFIED_AFTER
+    assert MAX_WAIT + to_list == NOTIFIED_AFTER
+    assert SILENCE + to_list < NOTIFIED_AFTER
     backoff, now = Backoff(sharers, sharers - 1, Random(1)), 0.0
     for failure in range(200):
         if failure % 50 == 49:
@@ -129,8 +131,10 @@
 def test_waits_are_bounded_grow_with_failures_and_begin_anew_after_a_list():
     backoff = Backoff(40, 0, Random(2))
     waits = [backoff.next_wait(9e3 * n) for n in range(30)]
-    assert max(waits[:1]) <= WAIT_PER_SHARER * 40 and max(waits) <= backoff.most == MAX_WAIT
-    assert min(waits[4:]) >= LEAST_SHARE_OF_WAIT * backoff.most and len(set(waits)) == 30
+    assert max(waits[:1]) <= WAIT_PER_SHARER * 40
+    assert max(waits) <= backoff.most == MAX_WAIT
+    assert min(waits[4:]) >= LEAST_SHARE_OF_WAIT * backoff.most
+    assert len(set(waits)) == 30
     backoff.reset()
     assert backoff.next_wait(1e6) == backoff.first_wait(True), "after a list the first call comes in its turn"
     assert LEAST_SHARE_OF_WAIT * WAIT_PER_SHARER * 40 <= backoff.next_wait(1e6) <= WAIT_PER_SHARER * 40
@@ -187,7 +191,8 @@
     feed = dispatcher.dials[-1].up()
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     feed.pipe.send(head + b"%x\r\n%s\r\n" % (len(bad), bad))
-    assert dispatcher.exchange._table == before and not feed.pipe.open
+    assert dispatcher.exchange._table == before
+    assert not feed.pipe.open
     assert "watch reopened after index 3 in " in dispatcher.logged[-1], json.dumps(dispatcher.logged)
     dispatcher.advance(40.0 * WAIT_PER_SHARER + 5.0)
     assert len(dispatcher.dials) == 1, "and it comes back"
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -38,12 +38,14 @@
     elif news == "drain and back":
         dispatcher.tell((1, "DRAINING"))
         dispatcher.tell((1, "SERVING"))
-    assert state(dispatcher, 1) == EndpointState.DRAINING and console.figures()["hosts_down"] == 1
+    assert state(dispatcher, 1) == EndpointState.DRAINING
+    assert console.figures()["hosts_down"] == 1
     for n in range(4):
         dispatcher.client(path="/safe", id_=f"r{n}")
     assert sent_to(dispatcher) == {2}
     assert [ask(console, "enable"), ask(console, "enable")] == [200, 200]
-    assert state(dispatcher, 1) == EndpointState.READY and console.figures()["hosts_down"] == 0
+    assert state(dispatcher, 1) == EndpointState.READY
+    assert console.figures()["hosts_down"] == 0
 
 
 def test_what_was_about_to_be_sent_to_a_banned_worker_goes_elsewhere():
@@ -100,7 +102,8 @@
 
 def test_only_what_was_ever_listed_can_be_banned():
     console = Console(workers=2)
-    assert ask(console, "disable", "w9") == 404 and ask(console, "enable", "w9") == 404
+    assert ask(console, "disable", "w9") == 404
+    assert ask(console, "enable", "w9") == 404
     console.dispatcher.tell((2, "DELETED"))
     assert ask(console, "disable", "w2") == 200, "it was listed once"
     assert console.call("/-/workers/w1/disable")[0] == 405
@@ -129,7 +132,8 @@
 def test_a_torn_file_stops_nothing(tmp_path, text):
     (tmp_path / "bans").write_text(text)
     console = Console(bans=tmp_path / "bans")
-    assert "not taken" in console.dispatcher.logged[0] and state(console.dispatcher, 1) == EndpointState.READY
+    assert "not taken" in console.dispatcher.logged[0]
+    assert state(console.dispatcher, 1) == EndpointState.READY
     assert ask(console, "disable") == 200
     assert json.loads((tmp_path / "bans").read_text())["banned"].keys() == {"w1"}
 
@@ -145,4 +149,5 @@
     caller = Client(console.dispatcher, console.listener)
     caller.send(b"POST /-/workers/w1/disa")
     caller.pipe.break_off()
-    assert state(console.dispatcher, 1) == EndpointState.READY and ask(console, "disable") == 200
+    assert state(console.dispatcher, 1) == EndpointState.READY
+    assert ask(console, "disable") == 200
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -130,14 +130,13 @@
         faults.fail("open", code)
         console = Console(workers=4, bans=path)
         assert state(console.dispatcher, 1) == EndpointState.READY, "the start is not stopped"
-        assert ask(console, "enable", "w2") == 500 and ask(console, "disable", "w3") == 500
+        assert ask(console, "enable", "w2") == 500
+        assert ask(console, "disable", "w3") == 500
         console.dispatcher.advance(5.0 * RETRY_INTERVAL)
         faults.heal()
         console.dispatcher.advance(2.0 * RETRY_INTERVAL)
-    assert (
-        state(console.dispatcher, 1) == EndpointState.DRAINING
-        and state(console.dispatcher, 2) == EndpointState.READY
-    )
+    assert state(console.dispatcher, 1) == EndpointState.DRAINING
+    assert state(console.dispatcher, 2) == EndpointState.READY
     assert banned_on_file(path) == {"w1", "w3"}
 
 
@@ -161,12 +160,15 @@
     for worker in ("w1", "w2", "w3"):
         bans.since[worker] = 1.0
         bans.keep(lambda written, worker=worker: answers.append((worker, written)))
-    assert len(disk.attempts) == 1 and answers == []
+    assert len(disk.attempts) == 1
+    assert answers == []
     disk.end_next()
-    assert answers == [("w1", True)] and banned_on_file(tmp_path / "bans") == {"w1"}
+    assert answers == [("w1", True)]
+    assert banned_on_file(tmp_path / "bans") == {"w1"}
     disk.end_next()
     assert answers == [("w1", True), ("w2", True), ("w3", True)]
-    assert banned_on_file(tmp_path / "bans") == {"w1", "w2", "w3"} and disk.attempts == []
+    assert banned_on_file(tmp_path / "bans") == {"w1", "w2", "w3"}
+    assert disk.attempts == []
 
 
 @pytest.mark.parametrize("ends", ["in time", "late"])
@@ -185,7 +187,8 @@
     if ends == "late":
         disk.end_next()
         console.dispatcher.advance(WAIT)
-    assert len(caller.answers()) == 0 and banned_on_file(tmp_path / "bans") == {"w1"}
+    assert len(caller.answers()) == 0
+    assert banned_on_file(tmp_path / "bans") == {"w1"}
 
 
 def test_a_thread_writes_and_the_loop_hears_of_it(tmp_path):
@@ -199,6 +202,8 @@
     bans = Bans(tmp_path / "bans", print, run=thread_runner(call_in_loop))
     bans.since["w1"] = 1.0
     bans.keep(answers.append)
-    assert called.wait(30.0) and answers == []
+    assert called.wait(30.0)
+    assert answers == []
     calls.pop()()
-    assert answers == [True] and json.loads((tmp_path / "bans").read_text()) == {"banned": {"w1": 1.0}}
+    assert answers == [True]
+    assert json.loads((tmp_path / "bans").read_text()) == {"banned": {"w1": 1.0}}
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -61,7 +61,8 @@
     end.say({"id": job, "state": "done", "result": "42"}, head=False, end=True)
     assert batch.status(job)["result"] == "42"
     [(status, _, body)] = waiter.answers()
-    assert status == 200 and b'"done"' in body
+    assert status == 200
+    assert b'"done"' in body
 
 
 def test_a_wait_that_takes_too_long_gets_drmaas_timeout():
@@ -71,7 +72,8 @@
     waiter.ask("GET", f"/v1/jobs/{job}/wait?timeoutMs=100")
     batch.dispatcher.advance(200.0)
     [(status, _, body)] = waiter.answers()
-    assert status == 408 and b"ExitTimeoutException" in body
+    assert status == 408
+    assert b"ExitTimeoutException" in body
     assert not batch.registry._jobs[job].waiting
 
 
@@ -93,7 +95,8 @@
     assert (told["verdict"], told["mayHaveRun"]) == ("terminated", True)
     assert not end.pipe.open
     batch.dispatcher.advance(10_000.0)
-    assert batch.status(job) == told and not batch.dispatcher.dials
+    assert batch.status(job) == told
+    assert not batch.dispatcher.dials
 
 
 @pytest.mark.parametrize("where", ["waits for its retry", "is being dialled"])
@@ -118,7 +121,9 @@
     assert dispatcher.woken, "the timer has gone off and its turn has not come yet"
     assert batch.terminate(job)["verdict"] == "terminated"
     dispatcher.advance(1000.0)
-    assert end.take() == [] and end.came == [job] and not dispatcher.dials
+    assert end.take() == []
+    assert end.came == [job]
+    assert not dispatcher.dials
 
 
 def test_a_result_that_is_in_wins_over_a_cancel():
@@ -132,7 +137,8 @@
     batch = Batch()
     jobs = [batch.run() for _ in range(60)]
     declined = [told for told in map(batch.status, jobs) if told.get("verdict") == "declined"]
-    assert declined and all(told["state"] == "failed" and told["legs"] == 0 for told in declined)
+    assert declined
+    assert all(told["state"] == "failed" and told["legs"] == 0 for told in declined)
     assert all(told["retryAfterMs"] > 0 for told in declined)
 
 
@@ -203,7 +209,8 @@
     batch = Batch()
     batch.listener.draining = True
     status, head, told = batch.ask("POST", "/v1/jobs", {"jobClass": "safe"})
-    assert (status, told["error"]) == (503, "TryLaterException") and head.get("retry-after")
+    assert (status, told["error"]) == (503, "TryLaterException")
+    assert head.get("retry-after")
 
 
 MIXED = replace(
@@ -276,10 +283,15 @@
 
 def test_a_scheduler_sees_every_job_end_once_within_its_classs_rule():
     batch, final, answers, sent, zones, cancelled = play_scheduler(JOBS)
-    assert len(final) == JOBS and set(answers.values()) == {1} and len(answers) == JOBS
-    assert batch.registry.unfinished == 0 and not batch.dispatcher.exchange.unanswered
+    assert len(final) == JOBS
+    assert set(answers.values()) == {1}
+    assert len(answers) == JOBS
+    assert batch.registry.unfinished == 0
+    assert not batch.dispatcher.exchange.unanswered
     verdicts = Counter(told["verdict"] for _, told in final.values())
-    assert cancelled > JOBS // 20 and verdicts["terminated"] > JOBS // 40 and verdicts["served"] > JOBS // 4
+    assert cancelled > JOBS // 20
+    assert verdicts["terminated"] > JOBS // 40
+    assert verdicts["served"] > JOBS // 4
     for job, (cls, told) in final.items():
         assert batch.status(job) == told, "a final status changed"
         assert told["legs"] <= MIXED.max_attempts
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -42,7 +42,9 @@
         harness.listener._socket.waiting.append((theirs, ("192.0.2.1", 1)))
         harness.listener._accept()
         harness.turn(12)
-    assert not harness.dispatcher.dials and end.take() == [] and not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.dials
+    assert end.take() == []
+    assert not harness.dispatcher.exchange.unanswered
     assert harness.listener.figures()["departed"] == 3
     assert first.send(message("r9")) and (harness.turn(12) or end.take() == ["r9"]), "who stays is served"
 
@@ -70,11 +72,12 @@
     else:
         client.sock.shutdown(socket.SHUT_RDWR)
     harness.turn()
-    assert (
-        not end.pipe.open and not harness.dispatcher.exchange.unanswered and not harness.listener._connections
-    )
+    assert not end.pipe.open
+    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.listener._connections
     harness.pass_time(2000.0)
-    assert not harness.dispatcher.dials and end.came == ["r0"]
+    assert not harness.dispatcher.dials
+    assert end.came == ["r0"]
 
 
 def client_takes(client, data):
@@ -96,7 +99,9 @@
         harness.work()
         harness.pass_time(5.0)
         statuses += client.statuses()
-    assert statuses == [200] * count and client.open and not harness.listener.departures._watched
+    assert statuses == [200] * count
+    assert client.open
+    assert not harness.listener.departures._watched
     client.sock.close()
     harness.turn()
     assert not harness.listener._connections
@@ -112,9 +117,9 @@
     connection.pause_writing()
     client.sock.close()
     harness.turn()
-    assert (
-        not harness.listener._connections and not harness.dispatcher.exchange.unanswered and not end.pipe.open
-    )
+    assert not harness.listener._connections
+    assert not harness.dispatcher.exchange.unanswered
+    assert not end.pipe.open
 
 
 def test_a_departure_says_nothing_of_the_worker_that_had_the_job(harness):
@@ -154,10 +159,13 @@
     leaves_in_the_turn(harness, client, StartAttempt)
     client.send(message("r1"))
     harness.turn()
-    assert end.take() == [] and end.came == ["r0"] and not harness.dispatcher.exchange.unanswered
+    assert end.take() == []
+    assert end.came == ["r0"]
+    assert not harness.dispatcher.exchange.unanswered
     assert end.pipe.open, "the connection is as good as before"
     del harness.dispatcher.exchange._module.handle  # from now on the class's own decides
-    assert first.ask("r2") == [200] and end.came == ["r0", "r2"]
+    assert first.ask("r2") == [200]
+    assert end.came == ["r0", "r2"]
 
 
 @pytest.mark.parametrize("how", ["closes", "ends its sending", "resets"])
@@ -170,7 +178,8 @@
     end = dial.up()  # before the loop's next turn, in which the close is read
     assert not end.pipe.written
     harness.turn()
-    assert not harness.dispatcher.exchange.unanswered and not harness.dispatcher.dials
+    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.dials
 
 
 def depart(client, how):
@@ -199,7 +208,8 @@
         ):
             break
         dispatcher.settle()
-    assert end.pipe.open and dispatcher.exchange.unanswered == 1
+    assert end.pipe.open
+    assert dispatcher.exchange.unanswered == 1
     return end
 
 
@@ -213,9 +223,11 @@
         harness.loop.call_soon(harness.loop.stop)
         harness.loop.run_forever()
     harness.dispatcher.settle()
-    assert end.take() == [] and not harness.dispatcher.dials
+    assert end.take() == []
+    assert not harness.dispatcher.dials
     harness.pass_time(1000.0)
-    assert end.came == ["r0"] and not harness.dispatcher.exchange.unanswered
+    assert end.came == ["r0"]
+    assert not harness.dispatcher.exchange.unanswered
 
 
 def test_the_retry_of_a_client_that_stays_is_sent_at_that_moment(harness):
@@ -223,7 +235,8 @@
     client = SocketClient(harness)
     end = until_the_retry(harness, client)
     harness.dispatcher.settle()
-    assert end.take() == ["r0"] and client.open
+    assert end.take() == ["r0"]
+    assert client.open
 
 
 def test_a_request_behind_another_is_not_sent_for_a_client_that_has_left_both(harness):
@@ -236,7 +249,9 @@
     client.sock.close()
     end.finish()  # before the close is read
     harness.turn()
-    assert end.take() == [] and end.came == ["r0"] and not harness.dispatcher.exchange.unanswered
+    assert end.take() == []
+    assert end.came == ["r0"]
+    assert not harness.dispatcher.exchange.unanswered
 
 
 def test_a_hedged_request_is_not_begun_for_a_client_that_has_left():
@@ -253,5 +268,6 @@
     second = harness.dispatcher.dials[0].up()
     assert not second.pipe.written
     harness.turn()
-    assert not first.pipe.open and not harness.dispatcher.exchange.unanswered
+    assert not first.pipe.open
+    assert not harness.dispatcher.exchange.unanswered
     harness.close()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -30,7 +30,9 @@
         ("127.0.0.2", 1),
         ("127.0.0.1", 8500),
     )
-    assert config.conn_idle == 700.0 and config.zones == ("a", "b") and config.batch is None
+    assert config.conn_idle == 700.0
+    assert config.zones == ("a", "b")
+    assert config.batch is None
     assert config.client_connections + config.worker_connections < 1024
 
 
@@ -73,7 +75,8 @@
 def test_half_of_the_usual_limits_is_enough():
     """The platform halves them on busy days: a program that then ended with 2 served nobody."""
     config = read({**PLAIN, "limits": {"memory_mb": 40, "sockets": 192}, "console": "127.0.0.1:6"}, {})
-    assert config.client_connections >= 192 / 3 and config.worker_connections >= 48
+    assert config.client_connections >= 192 / 3
+    assert config.worker_connections >= 48
     with pytest.raises(ConfigError, match=r"limits[.]memory_mb"):
         read({**PLAIN, "limits": {"memory_mb": 8}}, {})
 
@@ -90,7 +93,8 @@
 
 def test_a_house_for_phones_may_give_most_descriptors_to_clients():
     config = read({**PLAIN, "limits": {"sockets": 20_000, "worker_share": 0.03}}, {})
-    assert config.client_connections > 19_000 and config.worker_connections > 500
+    assert config.client_connections > 19_000
+    assert config.worker_connections > 500
 
 
 def test_an_unreadable_file_is_a_plain_message(tmp_path):
@@ -138,7 +142,8 @@
     config = read_text((ROOT / "deploy" / "field-phones.toml").read_text())
     a = config.admission
     assert (a.address.held, a.prefix.burst, a.pace.body_rate, a.memory.high) == (4000.0, 3000.0, 2000.0, 0.9)
-    assert config.client_connections > 19_000 and config.idling.keep == 1_800_000.0
+    assert config.client_connections > 19_000
+    assert config.idling.keep == 1_800_000.0
 
 
 def test_the_tool_writes_what_the_program_reads(tmp_path, capsys):
@@ -180,4 +185,5 @@
 def test_the_tool_names_a_faulty_class_and_writes_nothing(text, capsys):
     assert tool.main(["init", "--name", "a", "--worker", "127.0.0.1:9", "--class", text]) == 1
     out, err = capsys.readouterr()
-    assert not out and err.startswith("eiderfield: ")
+    assert not out
+    assert err.startswith("eiderfield: ")
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -64,9 +64,8 @@
     client.send(message("r1"))  # after the look, before the loop's next turn
     harness.turn()
     assert rest(client).startswith(b"HTTP/1.1 200 ")
-    assert not harness.dispatcher.exchange.unanswered and [end.came for end in harness.dispatcher.ends] == [
-        ["r0"]
-    ]
+    assert not harness.dispatcher.exchange.unanswered
+    assert [end.came for end in harness.dispatcher.ends] == [["r0"]]
     assert harness.listener.figures()["discarded"] == 1
     client.sock.close()
     harness.turn()
@@ -103,7 +102,8 @@
     harness.turn()
     assert harness.listener._connections
     harness.pass_time(LINGER_TIME + 2 * TICK)
-    assert not harness.listener._connections and rest(client).startswith(b"HTTP/1.1 200 ")
+    assert not harness.listener._connections
+    assert rest(client).startswith(b"HTTP/1.1 200 ")
 
 
 def test_a_last_answer_that_is_on_its_way_gives_way_to_nobody_for_a_while():
@@ -180,7 +180,8 @@
     harness.listener.close_idle()
     client.sock.settimeout(0)
     harness.turn()
-    assert rest(client) == b"" and not harness.listener.connections
+    assert rest(client) == b""
+    assert not harness.listener.connections
     harness.close()
 
 
@@ -224,7 +225,8 @@
     assert full.closed == other.closed == ending
     full.has_waiting_clients = False
     shutdown.close_listeners(5.0)
-    assert full.closed and other.closed
+    assert full.closed
+    assert other.closed
     loop.close()
 
 
@@ -258,7 +260,8 @@
     client = SocketClient(harness)
     client.send(message("r0"))
     harness.turn()
-    assert client.statuses() == [500] and [str(fault) for fault in faults] == ["no"]
+    assert client.statuses() == [500]
+    assert [str(fault) for fault in faults] == ["no"]
     harness.turn()
     assert not client.open, "it was the last answer"
     other = SocketClient(harness)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -85,7 +85,8 @@
     dispatcher.client(path="/keyed/a", id_="r3", wait=100, Idempotency_Key="k")
     dispatcher.advance(200.0)
     told = console.figures()
-    assert told["success"] == {**none, "safe": 1} and first.answers()[0][0] == 200
+    assert told["success"] == {**none, "safe": 1}
+    assert first.answers()[0][0] == 200
     assert told["failure"] == {**none, "unsafe": 1}
     assert told["busy"] == {**none, "keyed": 1}
     assert (told["backend_calls"], told["inflight"]) == (2, 0)
@@ -122,7 +123,8 @@
     for caller in hanging:
         caller.send(b"GET /-/re")
     console.dispatcher.advance(EVICTION_GRACE)
-    assert console.listener.make_room() and console.call("/-/ready")[0] == 200
+    assert console.listener.make_room()
+    assert console.call("/-/ready")[0] == 200
     console.dispatcher.advance(WAIT + 2 * TICK)
     assert all(not caller.pipe.open or caller.pipe.ended for caller in hanging)
 
@@ -139,7 +141,8 @@
     end.take()
     dispatcher.advance(200.0)
     told = console.figures()
-    assert told["called_off"] == {"nobody waits": 1, "decided": 1} and told["connections"]["departed"] == 1
+    assert told["called_off"] == {"nobody waits": 1, "decided": 1}
+    assert told["connections"]["departed"] == 1
     dispatcher.advance(1000.0)
     dispatcher.client(path="/unsafe/a", id_="r3")
     end = dispatcher.dials[0].up()
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -56,7 +56,8 @@
         got = [self.parser.poll(), self.parser.poll()]
         if not isinstance(got[0], Head):
             return None
-        assert got[1] is END and got[0].get("x-consul-token") == "secret"
+        assert got[1] is END
+        assert got[0].get("x-consul-token") == "secret"
         return got[0].target
 
     def answer(self, index, *instances, raw=None):
@@ -136,7 +137,8 @@
     consul.query()
     consul.answer(7, instance("a", 1))
     consul.answer(8, raw=raw)
-    assert not consul.pipe.open and consul.states() == {"n/a": EndpointState.READY}
+    assert not consul.pipe.open
+    assert consul.states() == {"n/a": EndpointState.READY}
     consul.dispatcher.advance(1500.0)
     consul.connect()
     assert consul.query() == "/v1/health/service/claim%20workers"
@@ -147,7 +149,8 @@
     consul.query()
     consul.answer(7, instance("a", 1))
     consul.dispatcher.advance(30_000.0 * 17 / 16 + ANSWER_SLACK + 50.0)
-    assert not consul.pipe.open and consul.states() == {"n/a": EndpointState.READY}
+    assert not consul.pipe.open
+    assert consul.states() == {"n/a": EndpointState.READY}
 
 
 def test_an_instance_that_appears_later_counts_as_just_started():
@@ -216,12 +219,14 @@
     consul.connect()
     consul.query()
     consul.answer(2)
-    assert len(consul.states()) == 3 and consul.dispatcher.table.unconfirmed_removals == 3
+    assert len(consul.states()) == 3
+    assert consul.dispatcher.table.unconfirmed_removals == 3
     assert any("in doubt" in line or "leaves out 3 of 3" in line for line in consul.dispatcher.logged)
     consul.dispatcher.advance(1100.0)
     assert consul.query() == "/v1/health/service/claim%20workers"
     consul.answer(9, instance("a", 1), instance("b", 2), instance("c", 3))
-    assert consul.dispatcher.table.unconfirmed_removals == 0 and consul.query().endswith("?index=9&wait=30s")
+    assert consul.dispatcher.table.unconfirmed_removals == 0
+    assert consul.query().endswith("?index=9&wait=30s")
 
 
 def test_a_drain_told_in_a_list_in_doubt_is_kept():
@@ -230,7 +235,8 @@
     consul.answer(7, *[instance(c, n) for n, c in enumerate("abcd", 1)])
     consul.query()
     consul.answer(3, instance("a", 1, "critical"))
-    assert consul.states()["n/a"] == EndpointState.DRAINING and consul.states()["n/b"] == EndpointState.READY
+    assert consul.states()["n/a"] == EndpointState.DRAINING
+    assert consul.states()["n/b"] == EndpointState.READY
 
 
 def test_without_a_leader_lists_are_in_doubt_until_their_time_ends():
@@ -244,9 +250,8 @@
             head = "HTTP/1.1 200 OK\r\nX-Consul-Index: 9\r\nX-Consul-KnownLeader: false\r\n"
             consul.pipe.send(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
             consul.dispatcher.settle()
-    assert (
-        consul.states() == {"n/a": EndpointState.READY} and consul.dispatcher.table.unconfirmed_removals == 0
-    )
+    assert consul.states() == {"n/a": EndpointState.READY}
+    assert consul.dispatcher.table.unconfirmed_removals == 0
     assert any("is applied now" in line for line in consul.dispatcher.logged)
 
 
@@ -256,4 +261,5 @@
     consul.answer(7, instance("a", 1), instance("b", 2), instance("c", 3))
     consul.query()
     consul.answer(8)
-    assert not consul.states() and consul.dispatcher.table.unconfirmed_removals == 0
+    assert not consul.states()
+    assert consul.dispatcher.table.unconfirmed_removals == 0
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -56,7 +56,8 @@
     delays = Delays(dispatcher)
     delays.client("/safe/a", "r1", wait)
     dispatcher.dials[0].up()
-    assert len(delays.sent) == 1 and delays.sent[0] <= SLACK
+    assert len(delays.sent) == 1
+    assert delays.sent[0] <= SLACK
 
 
 @pytest.mark.parametrize("up_after", [0.0, 90.0])
@@ -68,7 +69,8 @@
     [dial] = dispatcher.dials
     dispatcher.advance(up_after)
     dial.up()
-    assert len(delays.sent) == 2 and max(delays.sent) <= SLACK
+    assert len(delays.sent) == 2
+    assert max(delays.sent) <= SLACK
 
 
 def test_a_hedged_request_is_told_what_is_left_when_it_is_written():
@@ -81,7 +83,9 @@
     while not dispatcher.dials and dispatcher.now < delays.gives_up["r1"]:
         dispatcher.advance(20.0)
     dispatcher.dials[0].up()
-    assert first.pipe.open and len(delays.sent) == 2 and max(delays.sent) <= SLACK
+    assert first.pipe.open
+    assert len(delays.sent) == 2
+    assert max(delays.sent) <= SLACK
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a", "/keyed/a"])
@@ -135,7 +139,8 @@
     dispatcher.now = sent + WINDOW - HELD_UP + 1.0
     end = dial.up()
     dispatcher.advance(20.0)
-    assert not end.pipe.written and [status for status, *_ in client.answers()] == [502]
+    assert not end.pipe.written
+    assert [status for status, *_ in client.answers()] == [502]
 
 
 @pytest.mark.parametrize(
@@ -150,7 +155,8 @@
     dispatcher.advance(since)
     end.pipe.break_off()
     dispatcher.settle()
-    assert bool(dispatcher.dials) is again and bool(client.answers()) is not again
+    assert bool(dispatcher.dials) is again
+    assert bool(client.answers()) is not again
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a", "/keyed/a"])
@@ -168,7 +174,8 @@
     dispatcher.advance(wait + SITE.answer_slack + SITE.tick)
     sent_unsafe = path == "/unsafe/a" and any(end.came for end in dispatcher.ends)
     statuses = [status for status, *_ in client.answers()]
-    assert len(statuses) == 1 and statuses[0] in (502, 503)
+    assert len(statuses) == 1
+    assert statuses[0] in (502, 503)
     assert not (sent_unsafe and worker == "drops it" and statuses == [503]), "it may have run"
     assert not dispatcher.exchange.unanswered
     assert SITE.classes[1].effect == Effect.UNSAFE
@@ -222,7 +229,8 @@
         call()
     harness.turn(12)
     [end] = harness.dispatcher.ends
-    assert end.take() == [] and not harness.dispatcher.dials
+    assert end.take() == []
+    assert not harness.dispatcher.dials
 
 
 def test_a_drain_told_while_a_turn_is_held_up_is_kept_within_its_grace(harness):
@@ -251,5 +259,6 @@
         client.send(message(f"m{number}"))
         harness.turn(12)
     harness.pass_time(3000.0)
-    assert len(told_at) == 1 and sent_at == [told_at[0] + HELD_UP]
+    assert len(told_at) == 1
+    assert sent_at == [told_at[0] + HELD_UP]
     assert SITE.drain_grace > HELD_UP
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -88,7 +88,8 @@
         end.pipe.break_off()
         dispatcher.settle()
         if cls.effect == Effect.UNSAFE:  # it may have run: no word of coming again
-            assert [status for status, _, _ in client.answers()] == [502] and not dispatcher.dials
+            assert [status for status, _, _ in client.answers()] == [502]
+            assert not dispatcher.dials
         for _ in range(20):
             while dispatcher.dials:
                 dispatcher.dials[0].up().pipe.break_off()
@@ -147,14 +148,16 @@
     while not dispatcher.dials:  # silence: the class may have a second copy
         dispatcher.advance(50.0)
     second = dispatcher.dials[0].up()
-    assert second.take() == ["r1"] and first.take() == ["r1"]
+    assert second.take() == ["r1"]
+    assert first.take() == ["r1"]
     settle, dispatcher.settle = dispatcher.settle, lambda: None
     second.finish(result="second")
     first.say({"id": "r1", "from": "w", "state": "done", "result": "first"}, head=False, end=True)
     dispatcher.settle = settle
     dispatcher.settle()
     assert [(status, body) for status, _, body in client.answers()] == [(200, b"second")]
-    assert dispatcher.exchange.unanswered == 0 and not dispatcher.exchange.holds("r1")
+    assert dispatcher.exchange.unanswered == 0
+    assert not dispatcher.exchange.holds("r1")
 
 
 @pytest.mark.parametrize("cut", ["before", "within", "after"])
@@ -168,7 +171,8 @@
         dispatcher.dials[0].up(stuck=cut == "within").pipe.break_off()
     dispatcher.settle()
     if cut == "after":  # it may have run: the truth, at once, and no word of coming again
-        assert [status for status, _, _ in client.answers()] == [502] and not dispatcher.dials
+        assert [status for status, _, _ in client.answers()] == [502]
+        assert not dispatcher.dials
     else:
         dispatcher.dials[0].up().finish(result="once")
         assert [(status, body) for status, _, body in client.answers()] == [(200, b"once")]
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -25,7 +25,8 @@
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
 def test_each_link_leads_to_a_file(page):
     links = re.findall(r"\]\((?!https?:)([^)#]+)", page.read_text())
-    assert links and [link for link in links if not (page.parent / link).exists()] == []
+    assert links
+    assert [link for link in links if not (page.parent / link).exists()] == []
 
 
 def test_the_architecture_page_names_each_package():
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -110,7 +110,8 @@
     kept.dispatcher.dials.append(dial)  # it came up in the moment in which it was called off
     assert not dial.up().pipe.written
     kept.run()
-    assert told == [True] and kept.verdicts == [Verdict.TERMINATED]
+    assert told == [True]
+    assert kept.verdicts == [Verdict.TERMINATED]
 
 
 def test_no_attempt_is_claimed_for_a_job_whose_end_was_asked_for_at_another_dispatcher(kept):
@@ -118,7 +119,8 @@
     kept.coordinator.member.folder.end_requests.add("j")
     kept.run()
     kept.dispatcher.advance(1000.0)
-    assert not kept.dispatcher.dials and kept.verdicts == [Verdict.TERMINATED]
+    assert not kept.dispatcher.dials
+    assert kept.verdicts == [Verdict.TERMINATED]
 
 
 def test_no_attempt_is_claimed_after_a_takeover_of_a_job_that_was_cancelled(kept):
@@ -131,7 +133,8 @@
     kept.coordinator.on_taken_over([record])
     kept.run()
     kept.dispatcher.advance(1000.0)
-    assert not kept.dispatcher.dials and not kept.dispatcher.exchange.unanswered
+    assert not kept.dispatcher.dials
+    assert not kept.dispatcher.exchange.unanswered
 
 
 def test_a_client_that_leaves_while_its_job_is_written_down_has_nothing_begun(kept):
@@ -140,7 +143,9 @@
     kept.run()
     kept.run()
     kept.dispatcher.advance(1000.0)
-    assert not kept.dispatcher.dials and not kept.dispatcher.exchange.unanswered and kept.coordinator.idle
+    assert not kept.dispatcher.dials
+    assert not kept.dispatcher.exchange.unanswered
+    assert kept.coordinator.idle
 
 
 @pytest.mark.parametrize("when", ["before the claim", "while it is dialled", "in the moment it is up"])
@@ -159,7 +164,8 @@
         kept.run()
     kept.dispatcher.advance(1000.0)
     kept.run()
-    assert not any(end.pipe.written for end in kept.dispatcher.ends) and kept.coordinator.idle
+    assert not any(end.pipe.written for end in kept.dispatcher.ends)
+    assert kept.coordinator.idle
     kept.take()
     kept.run()
     end = kept.dispatcher.dials[0].up() if kept.dispatcher.dials else kept.dispatcher.ends[-1]
@@ -178,7 +184,9 @@
     kept.run()
     assert kept.answers == []
     kept.take()
-    assert kept.verdicts == [Verdict.SERVED] and end.came == ["j"] and not kept.dispatcher.dials
+    assert kept.verdicts == [Verdict.SERVED]
+    assert end.came == ["j"]
+    assert not kept.dispatcher.dials
 
 
 @pytest.mark.parametrize(("status", "verdict"), [(500, Verdict.FAILED), (503, Verdict.DECLINED)])
@@ -191,7 +199,9 @@
     end.status(status, **({"X_Not_Run": "1"} if status == 503 else {}))
     kept.run()
     kept.dispatcher.advance(2000.0)
-    assert end.came == ["j"] and not kept.dispatcher.dials and kept.coordinator.idle
+    assert end.came == ["j"]
+    assert not kept.dispatcher.dials
+    assert kept.coordinator.idle
     assert kept.coordinator.member.find("j").answer.verdict == verdict
 
 
@@ -235,4 +245,5 @@
     kept.run()
     leave()
     kept.run()
-    assert kept.coordinator.idle and kept.coordinator.member.find("j").answer.verdict == Verdict.DECLINED
+    assert kept.coordinator.idle
+    assert kept.coordinator.member.find("j").answer.verdict == Verdict.DECLINED
--- a/tests/test_durable_requests_cost.py
+++ b/tests/test_durable_requests_cost.py
@@ -21,21 +21,26 @@
     rows = {row.way: row for row in ways((3,), 6.0, tmp_path)}
     stopped = {way: row for way, row in rows.items() if "stopped" in way}
     own, one = (stopped[f"{way}, one stopped within a commit"] for way in ("a store each", "one store"))
-    assert own.commits_per_s > 0 and one.gap > 5.0 * own.gap
+    assert own.commits_per_s > 0
+    assert one.gap > 5.0 * own.gap
 
 
 def test_an_heir_takes_over_all_that_was_left(tmp_path):
     found = recovery(600, 20.0, tmp_path)
-    assert found.adopted == 600 and 0.0 < found.read <= found.first
+    assert found.adopted == 600
+    assert 0.0 < found.read <= found.first
     assert commits(0.2, tmp_path) > 0.0
 
 
 def test_the_commands_print_a_line_for_each_part(tmp_path):
     words = ["--dispatchers", "2", "--rate", "30", "--seconds", "1", "--rounds", "1"]
     told = CliRunner().invoke(main, ["lab", "custody", "cost", *words])
-    assert told.exit_code == 0 and told.output.count("served") == 2 and "B a kept job" in told.output
+    assert told.exit_code == 0
+    assert told.output.count("served") == 2
+    assert "B a kept job" in told.output
     told = CliRunner().invoke(main, ["lab", "custody", "recovery", "--records", "300", "--seconds", "1"])
-    assert told.exit_code == 0 and "300 records" in told.output
+    assert told.exit_code == 0
+    assert "300 records" in told.output
 
 
 def test_the_dispatcher_imports_nothing_of_it_where_it_is_off():
@@ -43,10 +48,13 @@
     told = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     package = "eiderfield.durable_requests"
     found = [m for m in told.stdout.split() if m.startswith(package) or m in ("sqlite3", "click", "numpy")]
-    assert "eiderfield.exchange" in told.stdout and found == []
+    assert "eiderfield.exchange" in told.stdout
+    assert found == []
 
 
 def test_the_example_keeps_the_class_that_must_not_be_lost():
     config = read_text((ROOT / "deploy" / "custody-example.toml").read_text())
-    assert config.custody is not None and config.custody.classes == {1} and config.custody.lease == 3000.0
+    assert config.custody is not None
+    assert config.custody.classes == {1}
+    assert config.custody.lease == 3000.0
     assert config.client_connections + config.worker_connections == 1024 - 40 - 16 - 32
--- a/tests/test_durable_requests_fleet.py
+++ b/tests/test_durable_requests_fleet.py
@@ -26,7 +26,8 @@
     scenario = validated(replace(SCENARIO, faults=faults, **more))
     found = play_durable(scenario, tmp_path / "run", programs or {})
     assert found.findings == [], (found.findings[:3], found.counts)
-    assert found.unanswered == 0 and found.counts["jobs"] == scenario.jobs
+    assert found.unanswered == 0
+    assert found.counts["jobs"] == scenario.jobs
     return found
 
 
@@ -37,7 +38,8 @@
 @pytest.mark.parametrize("point", FAILPOINTS)
 def test_wherever_a_dispatcher_is_killed_its_work_is_done_once(point, tmp_path):
     found = played(tmp_path, programs=pointed(point, "kill"))
-    assert [fault.what for fault in found.faults] == ["kill"] and found.fences["its process is gone"] == 1
+    assert [fault.what for fault in found.faults] == ["kill"]
+    assert found.fences["its process is gone"] == 1
     assert found.custody["taken_over"] > 0 or point == "accept"
 
 
@@ -79,13 +81,15 @@
 def test_one_that_can_write_nothing_more_keeps_nothing_new_and_its_work_is_taken_over(tmp_path):
     """The register refuses it: it cannot renew its lease, says so to its askers, and others go on."""
     found = played(tmp_path, Fault("disk", "n1", on="begun:30", lasts=3.0), jobs=160)
-    assert found.custody["fenced"] == 1 and found.custody["commits_failed"] > 0
+    assert found.custody["fenced"] == 1
+    assert found.custody["commits_failed"] > 0
     assert found.counts["declined"] > 0
 
 
 def test_a_slow_register_within_the_lease_loses_nobody(tmp_path):
     found = played(tmp_path, programs=pointed("claim", "stop", 0.3))
-    assert found.fences["it is silent"] == 0 and found.counts["begun_twice"] == 0
+    assert found.fences["it is silent"] == 0
+    assert found.counts["begun_twice"] == 0
 
 
 def test_a_client_that_asks_two_survivors_at_once_has_one_job(tmp_path):
@@ -125,4 +129,5 @@
     )))  # fmt: skip
     found = play_durable(scenario, tmp_path / "run", {})
     assert found.findings == [] and found.unanswered == 0, (found.findings[:3], found.counts)
-    assert found.custody["taken_over"] > 0 and found.counts["served"] >= scenario.jobs - found.may_have_run
+    assert found.custody["taken_over"] > 0
+    assert found.counts["served"] >= scenario.jobs - found.may_have_run
--- a/tests/test_durable_requests_jobs.py
+++ b/tests/test_durable_requests_jobs.py
@@ -58,17 +58,22 @@
     assert {id_: row["state"] for id_, row in listed.items()} == {
         "open": "accepted", "out": "claimed", "served": "served", "failed": "failed", "declined": "declined"
     }  # fmt: skip
-    assert {row["owner"] for row in listed.values()} == {"b.1"} and listed["out"]["taken_over"] == 1
-    assert listed["out"]["may_have_run"] and not listed["open"]["may_have_run"]
+    assert {row["owner"] for row in listed.values()} == {"b.1"}
+    assert listed["out"]["taken_over"] == 1
+    assert listed["out"]["may_have_run"]
+    assert not listed["open"]["may_have_run"]
     assert set(rows(run("list", host.settings.folder, "--state", "open", "--json"))) == {"open", "out"}
     assert "served" in run("list", host.settings.folder)
     shown = json.loads(run("show", host.settings.folder, "out"))
-    assert shown["chain"] == ["a.1", "b.1"] and shown["legs"][0][1] == "w0"
+    assert shown["chain"] == ["a.1", "b.1"]
+    assert shown["legs"][0][1] == "w0"
     assert "is not known" in run("show", host.settings.folder, "none", code=1)
     told = run("members", host.settings.folder, "--json").splitlines()
     lives = {row["life"]: row for row in map(json.loads, told)}
-    assert lives["a.1"]["state"] == "lost" and lives["a.1"]["heirs"] == ["b.1"]
-    assert lives["b.1"]["state"] == "alive" and lives["b.1"]["open"] == 2
+    assert lives["a.1"]["state"] == "lost"
+    assert lives["a.1"]["heirs"] == ["b.1"]
+    assert lives["b.1"]["state"] == "alive"
+    assert lives["b.1"]["open"] == 2
     assert list(rows(run("dead", host.settings.folder, "--json"))) == ["failed"]
 
 
@@ -93,7 +98,8 @@
     later = Host(tmp_path / "again")
     c = later.member("c")
     later.outlive(c)
-    assert {each.id for each in c.take_over()} == {"open", "out"} and c.find("served").answer == SERVED
+    assert {each.id for each in c.take_over()} == {"open", "out"}
+    assert c.find("served").answer == SERVED
     c.close()
 
 
@@ -111,10 +117,12 @@
     assert run("cancel", host.settings.folder, "open") == "asked for\n"
     assert "is over: served" in run("cancel", host.settings.folder, "served", code=1)
     assert b.requested_ends() == ["open"]
-    assert one(b, RequestEnd("served")) == Written() and b.requested_ends() == ["open"]
+    assert one(b, RequestEnd("served")) == Written()
+    assert b.requested_ends() == ["open"]
     assert SharedFolder(host.settings.folder).end_requests.all() == ["open"]
     one(b, Finish("open", Answer(Verdict.TERMINATED)))
-    assert b.requested_ends() == [] and SharedFolder(host.settings.folder).end_requests.all() == []
+    assert b.requested_ends() == []
+    assert SharedFolder(host.settings.folder).end_requests.all() == []
 
 
 def test_what_may_have_run_is_asked_for_again_only_when_that_is_said(kept):
@@ -133,7 +141,9 @@
         db.execute("PRAGMA user_version = 99")
     db.close()
     told = CliRunner().invoke(main, ["jobs", "list", str(host.settings.folder), "--json"])
-    assert told.exit_code == 0 and "schema 99 is newer" in told.output and '"id": "open"' in told.output
+    assert told.exit_code == 0
+    assert "schema 99 is newer" in told.output
+    assert '"id": "open"' in told.output
 
 
 # Several real dispatchers with a batch front.
@@ -181,7 +191,8 @@
         wait_for("it runs", lambda: one_.job_status(long) == JobState.RUNNING)
         assert other.control(long, ControlAction.TERMINATE) == JobState.FAILED
         infos = [session.info(long) for session in (one_, other)]
-        assert [info.verdict for info in infos] == ["terminated"] * 2 and infos[0].may_have_run
+        assert [info.verdict for info in infos] == ["terminated"] * 2
+        assert infos[0].may_have_run
         short = one_.run_job(JobTemplate("lookup", body=body("short", 10.0)))
         served = one_.wait(short, 30.0)
         assert other.control(short, ControlAction.TERMINATE) == JobState.DONE, "its answer came first"
--- a/tests/test_durable_requests_members.py
+++ b/tests/test_durable_requests_members.py
@@ -165,7 +165,8 @@
 
 def test_a_leg_that_never_ran_is_taken_off_and_the_rest_are_numbered_anew_by_the_heir():
     kept = record().with_attempt(leg(0)).with_attempt(leg(1)).with_attempt(leg(2)).without_attempt(1)
-    assert [each.number for each in kept.taken_over().attempts] == [0, 1] and kept.taken_over().takeovers == 1
+    assert [each.number for each in kept.taken_over().attempts] == [0, 1]
+    assert kept.taken_over().takeovers == 1
     assert kept.without_attempt(0).without_attempt(2).stage == Stage.ACCEPTED
 
 
@@ -178,7 +179,8 @@
     store.commit()
     assert reader.get("j") == record(key="k").with_attempt(leg())
     assert list(reader.open_records()) == [("j", "report", 0.0)]
-    assert reader.verify() == "" and reader.counts() == (1, 0, 1)
+    assert reader.verify() == ""
+    assert reader.counts() == (1, 0, 1)
     with pytest.raises(StoreError):
         reader.begin()
         reader.put(record())
@@ -204,9 +206,12 @@
         db.executescript(OLD)
     db.close()
     before = RecordStore(path, write=False).get("j")
-    assert before.attempts == (leg(at=2.0),) and before.front == "platform" and before.generation == 1
+    assert before.attempts == (leg(at=2.0),)
+    assert before.front == "platform"
+    assert before.generation == 1
     store = RecordStore(path)
-    assert store.version == SCHEMA and store.get("j") == before
+    assert store.version == SCHEMA
+    assert store.get("j") == before
 
 
 @pytest.mark.parametrize(
@@ -251,27 +256,35 @@
     a, b = host.member("a"), host.member("b")
     assert one(a, Accept(record())) == Accepted()
     assert one(a, Claim("j", leg())) == Claimed("a.1")
-    assert one(b, Accept(record())) == AlreadyAccepted("j") and b.poll_answers(["j"]) == []
-    assert one(a, Finish("j", SERVED)) == Written() and one(a, Finish("j", DECLINED)) == NotOwned()
+    assert one(b, Accept(record())) == AlreadyAccepted("j")
+    assert b.poll_answers(["j"]) == []
+    assert one(a, Finish("j", SERVED)) == Written()
+    assert one(a, Finish("j", DECLINED)) == NotOwned()
     [(id_, there)] = b.poll_answers(["j"])
-    assert id_ == "j" and there.answer == SERVED
-    assert one(b, Accept(record())) == AlreadyFinal(there) and one(a, Accept(record())) == AlreadyFinal(there)
+    assert id_ == "j"
+    assert there.answer == SERVED
+    assert one(b, Accept(record())) == AlreadyFinal(there)
+    assert one(a, Accept(record())) == AlreadyFinal(there)
     assert one(b, Accept(record(body=b"another"))) == Conflict()
 
 
 def test_of_two_askers_in_one_moment_one_takes_the_job(host):
     members = [host.member(name) for name in "abc"]
     outcomes = [one(member, Accept(record())) for member in members]
-    assert outcomes.count(Accepted()) == 1 and outcomes.count(AlreadyAccepted("j")) == 2
+    assert outcomes.count(Accepted()) == 1
+    assert outcomes.count(AlreadyAccepted("j")) == 2
     assert members[0].apply([Accept(record("k")), Accept(record("k"))]) == [Accepted(), AlreadyAccepted("k")]
 
 
 def test_a_declined_job_may_be_asked_for_again_anywhere(host):
     a, b = host.member("a"), host.member("b")
-    assert one(a, Accept(record())) == Accepted() and one(a, Finish("j", DECLINED)) == Written()
+    assert one(a, Accept(record())) == Accepted()
+    assert one(a, Finish("j", DECLINED)) == Written()
     assert a.poll_answers(["j"])[0][1].answer == DECLINED
-    assert one(b, Accept(record())) == Accepted() and one(a, Accept(record())) == AlreadyAccepted("j")
-    assert one(b, Finish("j", SERVED)) == Written() and one(a, Accept(record())) == AlreadyFinal(b.find("j"))
+    assert one(b, Accept(record())) == Accepted()
+    assert one(a, Accept(record())) == AlreadyAccepted("j")
+    assert one(b, Finish("j", SERVED)) == Written()
+    assert one(a, Accept(record())) == AlreadyFinal(b.find("j"))
 
 
 def test_two_clients_with_one_key_have_one_job(host):
@@ -292,15 +305,14 @@
     host.outlive(b, c)
     found = {member.name: member.take_over() for member in (b, c)}
     taken = {each.id: each for records in found.values() for each in records}
-    assert sorted(taken) == sorted(ids[5:]) and all(found.values())
+    assert sorted(taken) == sorted(ids[5:])
+    assert all(found.values())
     assert all((each.stage == Stage.CLAIMED) == (id_ in ids[5:20]) for id_, each in taken.items())
     assert one(b, Accept(record("j0"))) == AlreadyFinal(b.find("j0")), "an answer outlives who gave it"
     assert a.apply([Claim("j6", leg(1)), Finish("j7", SERVED), Accept(record("j99"))])[:2] == [NotOwned()] * 2
-    assert (
-        a.incarnation == ""
-        and a.counters.fenced == 1
-        and any("was taken for lost" in line for line in host.said)
-    )
+    assert a.incarnation == ""
+    assert a.counters.fenced == 1
+    assert any("was taken for lost" in line for line in host.said)
     host.live(1500.0, a, b, c)
     assert a.incarnation == "a.2" and len(a.open_records) == 0, "it begins anew with nothing"
 
@@ -325,7 +337,8 @@
     host.outlive(c)
     host.now += 1000.0
     second = {each.id: each for each in c.take_over()}
-    assert set(second) == mine and not first & mine
+    assert set(second) == mine
+    assert not first & mine
     assert all(each.stage == Stage.CLAIMED and each.takeovers == 2 for each in second.values())
 
 
@@ -358,7 +371,8 @@
     assert one(b, Accept(record())) == AlreadyAccepted("j"), "it may be writing just now"
     assert b.poll_answers(["j"]) == []
     host.outlive(b)
-    assert b.poll_answers(["j"]) == [("j", None)] and one(b, Accept(record())) == Accepted()
+    assert b.poll_answers(["j"]) == [("j", None)]
+    assert one(b, Accept(record())) == Accepted()
 
 
 class Stopped(Exception):
@@ -398,8 +412,10 @@
         (host.settings.folder / "lives" / f"a.1.db{end}").unlink(missing_ok=True)
     (host.settings.folder / "lives" / "a.1.db").write_bytes(b"spoilt" * 2000)
     host.outlive(b)
-    assert b.take_over() == [] and any("what a.1 left cannot be read" in line for line in host.said)
-    assert one(b, Accept(record())) == AlreadyAccepted("j") and b.poll_answers(["j"]) == []
+    assert b.take_over() == []
+    assert any("what a.1 left cannot be read" in line for line in host.said)
+    assert one(b, Accept(record())) == AlreadyAccepted("j")
+    assert b.poll_answers(["j"]) == []
     assert one(b, Accept(record("other"))) == Accepted()
 
 
@@ -417,7 +433,9 @@
 def test_a_member_that_leaves_is_not_waited_for(host):
     a, b = host.member("a"), host.member("b")
     one(a, Accept(record()))
-    assert a.leave() and a.has_left and not a.tick()
+    assert a.leave()
+    assert a.has_left
+    assert not a.tick()
     b.tick()
     assert [each.id for each in b.take_over()] == ["j"]
 
@@ -431,8 +449,10 @@
 
     monkeypatch.setattr(a.current.store, "commit", full)
     refused = a.apply([Accept(record("more")), Claim("kept", leg()), Finish("kept", SERVED)])
-    assert isinstance(refused[0], NotWritten) and "full" in refused[0].reason
-    assert isinstance(refused[1], NotWritten) and isinstance(refused[2], NotWritten)
+    assert isinstance(refused[0], NotWritten)
+    assert "full" in refused[0].reason
+    assert isinstance(refused[1], NotWritten)
+    assert isinstance(refused[2], NotWritten)
     monkeypatch.undo()
     assert one(b, Accept(record("more"))) == Accepted(), "an id that was not written down is free"
     assert one(a, Claim("kept", leg())) == Claimed("a.1")
@@ -444,9 +464,8 @@
     one(a, Accept(record()))
     one(a, Claim("j", leg()))
     b.end_incarnation()
-    assert one(b, Accept(record())) == AlreadyAccepted("j") and isinstance(
-        one(b, Accept(record("i"))), NotWritten
-    )
+    assert one(b, Accept(record())) == AlreadyAccepted("j")
+    assert isinstance(one(b, Accept(record("i"))), NotWritten)
     assert one(b, Accept(record(body=b"another"))) == Conflict()
     one(a, Finish("j", SERVED))
     assert one(b, Accept(record())) == AlreadyFinal(a.find("j"))
@@ -456,7 +475,9 @@
     host = Host(tmp_path, most_bytes=100_000)
     a = host.member("a")
     outcomes = [one(a, Accept(record(f"j{number}", body=b"x" * 10_000))) for number in range(40)]
-    assert Accepted() in outcomes and isinstance(outcomes[-1], NotWritten) and "full" in outcomes[-1].reason
+    assert Accepted() in outcomes
+    assert isinstance(outcomes[-1], NotWritten)
+    assert "full" in outcomes[-1].reason
     assert one(a, Finish("j0", SERVED)) == Written() or isinstance(one(a, Finish("j0", SERVED)), NotWritten)
     a.close()
 
@@ -472,7 +493,8 @@
     assert [a.find(f"j{number}") is not None for number in range(6)] == [False] * 3 + [True] * 3
     assert one(a, Accept(record("j0", key="k0"))) == Accepted()
     host.live(60_000.0, a)
-    assert a.find("j5") is None and a.find("j0") is not None
+    assert a.find("j5") is None
+    assert a.find("j0") is not None
     a.close()
 
 
@@ -482,12 +504,14 @@
     a.apply([Accept(record("open")), Accept(record("over"))])
     one(a, Finish("over", SERVED))
     host.outlive(b)
-    assert [each.id for each in b.take_over()] == ["open"] and b.folder.store_path("a.1").exists()
+    assert [each.id for each in b.take_over()] == ["open"]
+    assert b.folder.store_path("a.1").exists()
     one(b, Finish("open", SERVED))
     host.live(30_000.0, b)
     assert b.folder.store_path("a.1").exists(), "its process is there, and may be writing"
     host.live(12_000.0, a, b)
-    assert not b.folder.store_path("a.1").exists() and b.find("over") is None
+    assert not b.folder.store_path("a.1").exists()
+    assert b.find("over") is None
     assert not (host.settings.folder / "ids" / hashed("over")[:2] / hashed("over")).is_symlink()
     a.close()
     b.close()
--- a/tests/test_durable_requests_model.py
+++ b/tests/test_durable_requests_model.py
@@ -16,7 +16,9 @@
 def test_no_interleaving_begins_a_job_twice_or_answers_it_in_two_ways(members, jobs, faults, states):
     machine = Machine()
     found = explore(start(members, jobs, faults), machine.steps, machine.wrong)
-    assert found.complete and found.fault == "" and found.states == states
+    assert found.complete
+    assert found.fault == ""
+    assert found.states == states
 
 
 @pytest.mark.parametrize("slip", SLIPS)
@@ -24,7 +26,8 @@
     machine = Machine(slip)
     found = explore(start(3, 1, 2), machine.steps, machine.wrong)
     assert ("begun 2 times" in found.fault) or "answers" in found.fault
-    assert 5 < len(found.trace) <= 16 and not found.complete
+    assert 5 < len(found.trace) <= 16
+    assert not found.complete
 
 
 def test_a_search_goes_the_shortest_way_and_keeps_its_bound():
@@ -33,12 +36,16 @@
         yield "double", n * 2
 
     found = explore(1, steps, lambda n: "found" if n == 24 else "")
-    assert found.fault == "found" and len(found.trace) == 5
+    assert found.fault == "found"
+    assert len(found.trace) == 5
     assert not explore(1, steps, lambda n: "", max_states=100).complete
 
 
 def test_the_command_counts_states_and_names_a_slip():
     told = CliRunner().invoke(main, ["lab", "explore", "--members", "2", "--jobs", "1", "--faults", "1"])
-    assert told.exit_code == 0 and "393 states" in told.output
+    assert told.exit_code == 0
+    assert "393 states" in told.output
     told = CliRunner().invoke(main, ["lab", "explore", "--members", "3", "--jobs", "1", "--slip", SLIPS[0]])
-    assert told.exit_code == 1 and "begun 2 times" in told.output and "a sends 0" in told.output
+    assert told.exit_code == 1
+    assert "begun 2 times" in told.output
+    assert "a sends 0" in told.output
--- a/tests/test_durable_requests_on_failing_disk.py
+++ b/tests/test_durable_requests_on_failing_disk.py
@@ -212,7 +212,8 @@
         with faults.paused():
             assert one(member, Accept(record("first"))) == Accepted()
         monkeypatch.setattr(member, "point", lambda name: faults.fail("look", BROKEN, 2, 1))
-        assert one(member, Claim("first", leg())) == NotOwned() and member.incarnation == ""
+        assert one(member, Claim("first", leg())) == NotOwned()
+        assert member.incarnation == ""
         monkeypatch.undo()
         taken_over = []
         monkeypatch.setattr(play, "adopted", taken_over.append)
@@ -245,7 +246,8 @@
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("database write", BROKEN)
         assert isinstance(one(a, Accept(record("j"))), NotWritten)
-    assert one(a, Accept(record("j"))) == Accepted() and a.folder.ids.holder("j") == (1, "a.1")
+    assert one(a, Accept(record("j"))) == Accepted()
+    assert a.folder.ids.holder("j") == (1, "a.1")
     a.close()
 
 
@@ -299,7 +301,8 @@
         a.retention.forget(a.current, [over])
     assert one(b, Accept(record("j"))) == Accepted()
     a.retention.forget(a.current, [over])
-    assert b.folder.ids.holder("j") == (1, "b.1") and one(a, Accept(record("j"))) == AlreadyAccepted("j")
+    assert b.folder.ids.holder("j") == (1, "b.1")
+    assert one(a, Accept(record("j"))) == AlreadyAccepted("j")
 
 
 @pytest.fixture
@@ -318,7 +321,8 @@
     host.outlive(b)
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("open", BROKEN)
-        assert b.take_over() == [] and faults.failed == 1
+        assert b.take_over() == []
+        assert faults.failed == 1
     host.live(1500.0, b)
     assert [(each.id, each.due) for each in b.take_over()] == [("j", 61_000.0)]
 
@@ -365,7 +369,8 @@
     for size in range(len(whole)):
         path.write_bytes(whole[:size])
         fresh = host.member(f"n{size}")
-        assert fresh.tick() and one(fresh, Accept(record(f"job-{size}"))) == Accepted()
+        assert fresh.tick()
+        assert one(fresh, Accept(record(f"job-{size}"))) == Accepted()
         fresh.close()
     path.write_bytes(whole)
     assert not [line for line in host.said if "Error" in line]
@@ -427,7 +432,8 @@
         assert loop.stage == Stage.CLAIMED and loop.coordinator.idle, "it would hold up no end"
         faults.heal()
         loop.play(2000.0)
-    assert loop.stage == Stage.FINAL and len(loop.coordinator.member.open_records) == 0
+    assert loop.stage == Stage.FINAL
+    assert len(loop.coordinator.member.open_records) == 0
     assert len(loop.answers) == 1
 
 
@@ -435,7 +441,8 @@
     with failing_files(tmp_path, monkeypatch) as faults:
         monkeypatch.setattr(loop.coordinator, "claim", fails_from_here(faults, loop.coordinator.claim))
         loop.play(600.0)
-        assert faults.failed and loop.stage == Stage.ACCEPTED
+        assert faults.failed
+        assert loop.stage == Stage.ACCEPTED
         assert not loop.dispatcher.dials and not loop.dispatcher.ends, "sent without a claim"
         faults.heal()
     for _ in range(200):
@@ -443,7 +450,8 @@
             loop.play(10.0)
     loop.dispatcher.dials[0].up().finish()
     loop.play()
-    assert [answer.verdict for answer in loop.answers] == [Verdict.SERVED] and loop.stage == Stage.FINAL
+    assert [answer.verdict for answer in loop.answers] == [Verdict.SERVED]
+    assert loop.stage == Stage.FINAL
 
 
 def fails_from_here(faults, claim):
@@ -481,7 +489,8 @@
         play.begin("a")
         settle(play, 30)
         [member] = play.members.values()
-        assert member.incarnation == "" and isinstance(one(member, Accept(record("j"))), NotWritten)
+        assert member.incarnation == ""
+        assert isinstance(one(member, Accept(record("j"))), NotWritten)
         faults.heal()
         settle(play, 20)
         assert member.incarnation == "a.1", "a name for each try would fill the disk"
@@ -501,7 +510,8 @@
     loop.coordinator.member.begin()
     loop.coordinator.take(Request("k", 0, loop.dispatcher.now + 4000.0, "/safe/x"), loop.answers.append)
     loop.play(30.0)
-    assert loop.dispatcher.dials and loop.coordinator.member.find("k") is not None
+    assert loop.dispatcher.dials
+    assert loop.coordinator.member.find("k") is not None
     loop.coordinator.member.close()
 
 
@@ -523,7 +533,8 @@
     real = time.time
     monkeypatch.setattr(time, "time", lambda: real() + step)
     host.live(2.0 * LEASE, a, b)
-    assert (a.incarnation, b.incarnation) == ("a.1", "b.1") and a.holds_lease(host.now)
+    assert (a.incarnation, b.incarnation) == ("a.1", "b.1")
+    assert a.holds_lease(host.now)
     host.outlive(b)
     assert [(each.id, each.due) for each in b.take_over()] == [("j", 61_000.0)]
 
@@ -542,9 +553,8 @@
     b.folder.incarnations.offset = unix_offset()
     host.outlive(b)
     [found] = b.take_over()
-    assert found.due == pytest.approx(61_000.0, abs=50.0) and found.accepted == pytest.approx(
-        1000.0, abs=50.0
-    )
+    assert found.due == pytest.approx(61_000.0, abs=50.0)
+    assert found.accepted == pytest.approx(1000.0, abs=50.0)
 
 
 def test_a_step_while_the_machine_was_down_gives_no_job_more_time_than_it_had(host_with_two):
@@ -557,4 +567,5 @@
     host.outlive(b)
     [found] = b.take_over()
     assert found.due <= host.now + 60_000.0
-    assert found.accepted <= host.now and found.attempts[0].sent <= host.now
+    assert found.accepted <= host.now
+    assert found.attempts[0].sent <= host.now
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -39,7 +39,8 @@
 
 def test_a_deleted_endpoint_needs_no_address():
     [endpoint] = parse_endpoint_list(document(status="DELETED", address=None)).endpoints
-    assert endpoint.status is EndpointStatus.DELETED and endpoint.address is None
+    assert endpoint.status is EndpointStatus.DELETED
+    assert endpoint.address is None
 
 
 @pytest.mark.parametrize(("changes", "text"), [
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -63,7 +63,8 @@
 def test_where_all_is_never_twice_the_worker_rests_and_is_tried_again():
     node = failing(replace(BASE, classes=(UNSAFE,)), 0)
     node.arrive()
-    assert not node.play() and not sends(node.arrive()[1])
+    assert not node.play()
+    assert not sends(node.arrive()[1])
     assert sends(node.play(at=node.now + 4001.0)), "one trial once its pause is over"
 
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -283,7 +283,8 @@
 def judge_always(stage):
     """What holds whatever fails."""
     assert stage.failing.failed, "the call was never made"
-    assert not stage.errors and not stage.exchange.broken
+    assert not stage.errors
+    assert not stage.exchange.broken
     assert not [line for line in stage.logged if " failed: " in line]
     unsafe = [id_ for id_ in stage.ids_at_workers() if id_.startswith("unsafe")]
     assert len(unsafe) == len(set(unsafe)), "a request that must not be repeated came twice"
@@ -345,12 +346,14 @@
     broken = frozenset().union(*stage.failing.failed)
     failed = {id_: answer for id_, answer in answers.items() if answer is None or answer[0] != 200}
     if stage.port in broken:  # a client's own connection: nobody is left to be answered on it
-        assert len(failed) == len(stage.lost) <= 1 and set(stage.lost) <= broken
+        assert len(failed) == len(stage.lost) <= 1
+        assert set(stage.lost) <= broken
     elif stage.discovery.port in broken:
         assert not failed
     else:
         # What may have run and must not be repeated has failed; anything else is tried again.
-        assert len(failed) <= 1 and all(id_.startswith("unsafe") for id_ in failed)
+        assert len(failed) <= 1
+        assert all(id_.startswith("unsafe") for id_ in failed)
         assert all(answer[0] == 502 for answer in failed.values())
 
 
@@ -371,6 +374,7 @@
 
     ended, served = stage.play(conversation)
     judge_always(stage)
-    assert all(answer[0] in (502, 503) for answer in ended) and served == (200, b"unsafe-2")
+    assert all(answer[0] in (502, 503) for answer in ended)
+    assert served == (200, b"unsafe-2")
     assert stage.ids_at_workers() == ["unsafe-2"]
     assert not {Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT} & set(stage.outcomes)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -88,7 +88,8 @@
         dial.delayed(Cause.LOCAL)
         dispatcher.advance(RETRY_MS)
     dispatcher.advance(RETRY_MS)
-    assert dial.cancelled and dispatcher.outcomes == [Outcome.MOOT]
+    assert dial.cancelled
+    assert dispatcher.outcomes == [Outcome.MOOT]
     assert not dispatcher.exchange.snapshot(dispatcher.now).avoided
     dispatcher.advance(RETRY_MS)
     dispatcher.dials[0].up().finish()
@@ -137,7 +138,8 @@
     end.pipe.open = False
     end.connection.connection_lost(failed(errno.ENOBUFS))
     dispatcher.settle()
-    assert dispatcher.outcomes == [outcome] and not dispatcher.exchange.snapshot(dispatcher.now).avoided
+    assert dispatcher.outcomes == [outcome]
+    assert not dispatcher.exchange.snapshot(dispatcher.now).avoided
     assert [answer[0] for answer in client.answers()] == ([status] if status else [])
 
 
@@ -184,7 +186,8 @@
             assert port.listener.has_waiting_clients, "a port that closes now would reset the client"
             port.dispatcher.advance(RETRY_MS + TICK)
         port.turn()
-        assert port.listener.connections == 1 and not port.listener.has_waiting_clients
+        assert port.listener.connections == 1
+        assert not port.listener.has_waiting_clients
 
 
 def test_accepts_that_fail_for_their_connections_do_not_hold_up_those_behind(port, monkeypatch):
@@ -331,7 +334,8 @@
     client.connect(str(tmp_path / "socket"))
     for tries in (1, 2):
         turns(loop, 10)
-        assert sock.calls == tries and not heard
+        assert sock.calls == tries
+        assert not heard
         later.run()
     turns(loop, 10)
     assert len(heard) == 1
@@ -360,10 +364,12 @@
     sender.send({"number": 1})
     for _ in range(2):
         turns(loop, 10)
-        assert not got and not sender.flushed
+        assert not got
+        assert not sender.flushed
         later.run()
     turns(loop, 10)
-    assert got == [{"number": 1}] and sender.flushed
+    assert got == [{"number": 1}]
+    assert sender.flushed
     sender.close()
     receiver.close()
     loop.close()
@@ -414,8 +420,10 @@
     with failing_calls(monkeypatch, Failure(Call.SOCKET, 1, number, count=3)) as failing:
         failing.start()
         opening.open()
-    assert opening.listener.listening and len(failing.failed) == 3
-    assert len(opening.logged) == 1 and "trying again" in opening.logged[0]
+    assert opening.listener.listening
+    assert len(failing.failed) == 3
+    assert len(opening.logged) == 1
+    assert "trying again" in opening.logged[0]
 
 
 def test_a_start_on_an_address_that_is_taken_ends_at_once(opening):
@@ -430,4 +438,5 @@
         told_to_end = partial(setattr, opening.listener, "draining", True)
         monkeypatch.setattr("eiderfield.program.listeners.log", lambda text: told_to_end())
         opening.open()
-    assert not opening.listener.listening and failing.failed
+    assert not opening.listener.listening
+    assert failing.failed
--- a/tests/test_fleet_scenarios.py
+++ b/tests/test_fleet_scenarios.py
@@ -161,7 +161,8 @@
     log.write("one")
     with path.open("a") as file:
         file.write('{"t": 1, "what"')
-    assert [event["what"] for event in reader.read_new()] == ["one"] and reader.read_new() == []
+    assert [event["what"] for event in reader.read_new()] == ["one"]
+    assert reader.read_new() == []
     with path.open("a") as file:
         file.write(': "two"}\n')
     assert [event["what"] for event in reader.read_new()] == ["two"]
@@ -244,9 +245,13 @@
     folder = tmp_path / "run"
     play(replace(SMALL, jobs=10, faults=(Fault("kill", "n0", on="begun:2"),)), folder)
     table = parquet.read_table(write_events(folder))
-    assert table.num_rows > 20 and set(table.column("book").to_pylist()) == {"workers", "clients"}
+    assert table.num_rows > 20
+    assert set(table.column("book").to_pylist()) == {"workers", "clients"}
     page = write_page(folder).read_text()
-    assert "<svg" in page and "kill n0" in page and "<script" not in page and "<link" not in page
+    assert "<svg" in page
+    assert "kill n0" in page
+    assert "<script" not in page
+    assert "<link" not in page
     assert json.loads((folder / "result.json").read_text())["counts"]["jobs"] == 10
 
 
@@ -254,7 +259,8 @@
     path = tmp_path / "s.toml"
     path.write_text("jobs = 0")
     told_ = CliRunner().invoke(main, ["lab", "fleet", "run", str(path)])
-    assert told_.exit_code == 2 and "jobs is not from 1" in told_.output
+    assert told_.exit_code == 2
+    assert "jobs is not from 1" in told_.output
     assert CliRunner().invoke(main, ["lab", "fleet", "run"]).exit_code == 2
     assert CliRunner().invoke(main, ["lab", "fleet", "run", "--seeds", "x"]).exit_code == 2
     assert json.loads(CliRunner().invoke(main, ["lab", "fleet", "draw", "4"]).output)["seed"] == 4
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -96,7 +96,8 @@
     assert survey.folder.incarnations.heartbeats(lives) == told["beats"]
     assert survey.folder.end_requests.all() == told["wishes"]
     assert plain(survey.folder.ids.holder("never-written")) == told["orphan"]
-    assert survey.verify() == told["verify"] and survey.faults == told["faults"]
+    assert survey.verify() == told["verify"]
+    assert survey.faults == told["faults"]
 
 
 def test_a_dispatcher_that_starts_on_a_golden_folder_takes_over_all_that_is_open(golden_folder):
@@ -127,9 +128,12 @@
         database.executescript((GOLDEN / "custody" / "first_schema.sql").read_text())
     database.close()
     as_it_is = RecordStore(path, write=False).get("j")
-    assert as_it_is.due == 9.0 and as_it_is.stage == Stage.CLAIMED and as_it_is.attempts[0].worker == "w0"
+    assert as_it_is.due == 9.0
+    assert as_it_is.stage == Stage.CLAIMED
+    assert as_it_is.attempts[0].worker == "w0"
     brought_up = RecordStore(path)
-    assert brought_up.version == SCHEMA and brought_up.get("j") == as_it_is
+    assert brought_up.version == SCHEMA
+    assert brought_up.get("j") == as_it_is
 
 
 # The rollout journal.
@@ -142,7 +146,8 @@
     journal, told = read(folder, plan), expected(folder)
     assert (journal.plan, journal.id) == (told["plan"], told["id"])
     assert plain(journal.state.encode()) == told["state"]
-    assert journal.said == told["said"] and journal.processes == told["processes"]
+    assert journal.said == told["said"]
+    assert journal.processes == told["processes"]
     assert journal.wish() == ("undo" if name == "paused" else "")
     course = RolloutStateMachine(plan, journal.state)
     assert course.state.phase == told["state"]["phase"]
--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -60,7 +60,8 @@
     control = control_of(address=Quota(rate=2.0, burst=3.0))
     come = [control.admit("192.0.2.1", 0.0) for _ in range(5)]
     assert [reason(c) for c in come] == [None, None, None, Reason.ADDRESS_RATE, Reason.ADDRESS_RATE]
-    assert not come[-1].answer and come[-1].retry_after == 500.0
+    assert not come[-1].answer
+    assert come[-1].retry_after == 500.0
     assert reason(control.admit("192.0.2.1", 499.0)) == Reason.ADDRESS_RATE
     assert reason(control.admit("192.0.2.1", 500.0)) is None
     came = [reason(control.admit("192.0.2.1", 60_000.0)) for _ in range(4)]
@@ -103,11 +104,14 @@
     for step in range(200):  # a crowd that swings between 85 and 95 every 50 ms
         control.update_usage(step * 50.0, 95 if step % 2 else 85, 0.0)
         told.append(control.overloaded)
-    assert told[0] is False and all(told[1:]) and control.idle_limit(60_000.0) == 5000.0
+    assert told[0] is False
+    assert all(told[1:])
+    assert control.idle_limit(60_000.0) == 5000.0
     control.update_usage(10_400.0, 60, 0.0)
     assert control.overloaded, "it has been crowded for less than its time"
     control.update_usage(11_000.0, 60, 0.0)
-    assert not control.overloaded and control.idle_limit(60_000.0) == 60_000.0
+    assert not control.overloaded
+    assert control.idle_limit(60_000.0) == 60_000.0
 
 
 def test_in_a_crowded_house_one_address_has_a_share_and_no_more():
@@ -123,7 +127,8 @@
     """Refusing all until memory came back would refuse them for ever: what was taken may stay taken."""
     control = control_of(hold=0.0)
     control.update_usage(0.0, 60, 0.96)
-    assert control.capacity == 60 and control.overloaded
+    assert control.capacity == 60
+    assert control.overloaded
     control.update_usage(1.0, 20, 0.96)  # at night most leave
     assert control.capacity == 60
     control.update_usage(2.0, 20, 0.90)
@@ -228,6 +233,5 @@
 def test_without_limits_everybody_comes():
     control = control_of()
     assert all(isinstance(control.admit("192.0.2.1", 0.0), int) for _ in range(5000))
-    assert (
-        control.begin_message(control.register("192.0.2.1", 0.0)) is None and control.idle_limit(inf) == inf
-    )
+    assert control.begin_message(control.register("192.0.2.1", 0.0)) is None
+    assert control.idle_limit(inf) == inf
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -42,9 +42,13 @@
 def test_the_new_process_takes_port_list_and_bans_and_the_old_one_accepts_no_more(pair):
     pair.old.dispatcher.table.ban("w2")
     pair.old.dispatcher.tell((3, "SERVING"), (3, "DELETED"))
-    assert not pair.new.done and not pair.new.dispatcher.listener.listening
+    assert not pair.new.done
+    assert not pair.new.dispatcher.listener.listening
     pair.go()
-    assert pair.new.done and pair.new.takes() and not pair.old.takes() and pair.old.handover.handed_over
+    assert pair.new.done
+    assert pair.new.takes()
+    assert not pair.old.takes()
+    assert pair.old.handover.handed_over
     assert [state(pair.new, w) for w in (1, 2)] == [EndpointState.READY, EndpointState.DRAINING]
     assert pair.new.dispatcher.table.ban("w3"), "ids that were ever listed are remembered"
     assert pair.new.dispatcher.table.ban("w4") is None
@@ -54,7 +58,9 @@
 def test_the_new_process_accepts_only_once_the_old_one_has_stopped(pair):
     pair.wires[1].deliver()
     pair.wires[0].deliver()
-    assert pair.new.dispatcher.listener.listening and not pair.new.takes() and not pair.new.done
+    assert pair.new.dispatcher.listener.listening
+    assert not pair.new.takes()
+    assert not pair.new.done
 
 
 def test_an_id_that_one_process_holds_is_not_taken_by_the_other(pair):
@@ -70,7 +76,8 @@
             assert client.answers()[0][0] == 409
     first.pipe.break_off()
     pair.go()
-    assert not pair.new.dispatcher.exchange.holds("before") and pair.new.dispatcher.exchange.holds("after")
+    assert not pair.new.dispatcher.exchange.holds("before")
+    assert pair.new.dispatcher.exchange.holds("after")
 
 
 def test_an_id_that_goes_and_comes_at_once_is_held(pair):
@@ -92,7 +99,8 @@
     side.dispatcher.table.unban("w1")
     pair.go()
     assert state(pair.old, 1) == state(pair.new, 1) == EndpointState.READY
-    assert not pair.old.dispatcher.table.bans.since and not pair.new.dispatcher.table.bans.since
+    assert not pair.old.dispatcher.table.bans.since
+    assert not pair.new.dispatcher.table.bans.since
 
 
 def test_legs_and_work_of_either_process_are_known_to_the_other(pair):
@@ -124,7 +132,8 @@
         5.0,
         0.25,
     )
-    assert heir._key_counts.total == 42 and heir._key_counts.by_key[7] == 40
+    assert heir._key_counts.total == 42
+    assert heir._key_counts.by_key[7] == 40
 
 
 def test_a_worker_known_to_fail_is_known_to_the_next_process(pair):
@@ -163,11 +172,11 @@
         pair.go()
     pair.part(1)
     old = pair.old.dispatcher
-    assert pair.old.takes() and not pair.old.handover.handed_over and not old.exchange.holds("r")
-    assert (
-        old.side._max_connections == old.side._configured_connections
-        and old.listener.held_by_other_process == 0
-    )
+    assert pair.old.takes()
+    assert not pair.old.handover.handed_over
+    assert not old.exchange.holds("r")
+    assert old.side._max_connections == old.side._configured_connections
+    assert old.listener.held_by_other_process == 0
     assert bool(heard) == (when == "when all is given")
     old.settle()
     assert not any(worker.sibling_attempts for worker in old.exchange._module._fleet.workers.values())
@@ -178,7 +187,9 @@
     pair.go()
     pair.part(0)
     new = pair.new.dispatcher
-    assert pair.new.takes() and not new.exchange.holds("r") and new.listener.held_by_other_process == 0
+    assert pair.new.takes()
+    assert not new.exchange.holds("r")
+    assert new.listener.held_by_other_process == 0
     assert new.side._max_connections == new.side._configured_connections
 
 
@@ -198,7 +209,9 @@
             return
         fd, given_away = client.connection.detach()
         with socket.socket(fileno=fd) as copy:
-            assert not client.pipe.open and not old.listener.connections and given_away.begun == message[:cut]
+            assert not client.pipe.open
+            assert not old.listener.connections
+            assert given_away.begun == message[:cut]
             there.sendall(b"x")
             assert copy.recv(1) == b"x", "the connection itself is open"
         heir = Client(new, handover=given_away)
@@ -209,12 +222,14 @@
 def test_what_owes_an_answer_is_not_given_away():
     dispatcher = InMemoryDispatcher()
     client = dispatcher.client()
-    assert client.connection.detach() is None and client.pipe.open
+    assert client.connection.detach() is None
+    assert client.pipe.open
 
 
 def test_a_process_that_says_nothing_is_not_waited_for(pair):
     pair.new.dispatcher.advance(PATIENCE + 8.0)
-    assert pair.new.done and not pair.wires[1].open
+    assert pair.new.done
+    assert not pair.wires[1].open
 
 
 def test_a_process_that_comes_while_another_hands_over_waits_for_its_end(pair):
@@ -230,11 +245,15 @@
     there.deliver()
     here.deliver()
     third.dispatcher.advance(PATIENCE + 8.0)
-    assert here.open and not third.done
+    assert here.open
+    assert not third.done
     pair.part(0)
     for wire in (here, there, here):
         wire.deliver()
-    assert third.done and third.takes() and not pair.new.takes() and pair.new.handover.handed_over
+    assert third.done
+    assert third.takes()
+    assert not pair.new.takes()
+    assert pair.new.handover.handed_over
     third.dispatcher.listener._socket.close()
 
 
@@ -303,16 +322,17 @@
         memory = {**FirstForm.STATE["memory"], "pacers": FirstForm.STATE["memory"]["pacers"] * classes}
         wire.receive({**FirstForm.STATE, "memory": memory}, [os.dup(listener.fileno())])
         new.dispatcher.settle()
-        assert wire.sent[1][0]["is"] == "taken" and wire.sent[1][0]["doors"] == [LISTEN]
+        assert wire.sent[1][0]["is"] == "taken"
+        assert wire.sent[1][0]["doors"] == [LISTEN]
         wire.receive(FirstForm.YOURS, [])
-    assert (
-        new.done
-        and new.takes()
-        and wire.open
-        and not [line for line in new.dispatcher.logged if "read" in line]
-    )
-    assert new.dispatcher.listener.held_by_other_process == 3 and new.dispatcher.exchange.holds("held")
-    assert state(new, 1) == EndpointState.READY and new.dispatcher.table.bans.since == {"w2": 5.0}
+    assert new.done
+    assert new.takes()
+    assert wire.open
+    assert not [line for line in new.dispatcher.logged if "read" in line]
+    assert new.dispatcher.listener.held_by_other_process == 3
+    assert new.dispatcher.exchange.holds("held")
+    assert state(new, 1) == EndpointState.READY
+    assert new.dispatcher.table.bans.since == {"w2": 5.0}
     new.dispatcher.listener._socket.close()
 
 
@@ -324,11 +344,13 @@
     old.handover.accept(wire)
     wire.receive(FirstForm.ASK, [])
     [(told, fds)] = wire.sent
-    assert told.keys() >= FirstForm.STATE.keys() and told["memory"].keys() >= FirstForm.STATE["memory"].keys()
+    assert told.keys() >= FirstForm.STATE.keys()
+    assert told["memory"].keys() >= FirstForm.STATE["memory"].keys()
     assert len(fds) == 1, "a socket that it does not know of would leak in it"
     os.close(fds[0])
     wire.receive(FirstForm.TAKEN, [])
-    assert old.handover.handed_over and not old.takes()
+    assert old.handover.handed_over
+    assert not old.takes()
     old.dispatcher.client(id_="a")
     old.dispatcher.settle()
     old.dispatcher.advance(8.0)
@@ -346,7 +368,8 @@
     assert link is not None
     link.close()
     ear.close(unlink=False)
-    assert (deep / "s").exists() and connect_link(Loop(), deep / "s") is None
+    assert (deep / "s").exists()
+    assert connect_link(Loop(), deep / "s") is None
     again = LinkListener(Loop(), deep / "s", lambda link: None)
     again.open()  # in the place of the dead one
     again.close(unlink=True)
@@ -476,7 +499,8 @@
     assert heard(later, 5) == 5 and heard(console, 1) == 1, "all of them by the next process"
     old.send_signal(signal.SIGTERM)
     releases.worker.let.set()
-    assert ask(busy, b"") == (200, b"cba") and old.wait(30) == 0
+    assert ask(busy, b"") == (200, b"cba")
+    assert old.wait(30) == 0
     while list(unpack_counts((message := peer.recv(300))[ENVELOPE.size :])) != [(releases.number, 0)]:
         pass  # told by the next process, whose life is later, though the job was the old one's
     assert ENVELOPE.unpack_from(message)[1] > first[1]
@@ -497,7 +521,8 @@
     first.send_signal(signal.SIGTERM)  # it stays for its job
     third = releases.launch()
     releases.worker.let.set()
-    assert ask(busy, b"") == (200, b"cba") and first.wait(30) == 0
+    assert ask(busy, b"") == (200, b"cba")
+    assert first.wait(30) == 0
     _, last = releases.up(*third)
     assert call(last, "/-/ready")[0] == 200
     second.send_signal(signal.SIGTERM)
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -116,9 +116,11 @@
 
 def test_a_full_house_passes_on_in_batches_and_every_phone_is_served_by_the_new_process(removal):
     removal.go()
-    assert removal.new.listener.parked == len(removal.clients) and removal.old.listener.parked == 0
+    assert removal.new.listener.parked == len(removal.clients)
+    assert removal.old.listener.parked == 0
     old = removal.old.listener
-    assert old.figures()["lent"] == len(removal.clients) and old.connections == 0
+    assert old.figures()["lent"] == len(removal.clients)
+    assert old.connections == 0
     for number, client in enumerate(removal.clients[:20]):
         assert asked(removal, client, f"r{number}") == [200]
     lent = removal.old.listener.figures()["lent"]
@@ -158,7 +160,8 @@
 def test_without_copies_nothing_counts_twice_and_nothing_is_lost_in_a_usual_upgrade():
     removal = Removal(BATCH + 5, IDLING)
     removal.go()
-    assert removal.old.listener.figures()["lent"] == 0 and removal.new.listener.parked == BATCH + 5
+    assert removal.old.listener.figures()["lent"] == 0
+    assert removal.new.listener.parked == BATCH + 5
     removal.kill(0)
     assert asked(removal, removal.clients[0], "r") == [200]
     removal.close()
@@ -176,9 +179,11 @@
 def test_what_the_new_process_closes_is_over_for_its_client_though_there_was_a_copy(removal):
     removal.go()
     removal.new.pass_time(IDLING.keep + 2000.0)
-    assert removal.new.listener.parked == 0 and any(client.open for client in removal.clients)
+    assert removal.new.listener.parked == 0
+    assert any(client.open for client in removal.clients)
     removal.go()
-    assert not any(client.open for client in removal.clients) and removal.old.listener.figures()["lent"] == 0
+    assert not any(client.open for client in removal.clients)
+    assert removal.old.listener.figures()["lent"] == 0
 
 
 def test_what_the_new_process_has_no_room_for_stays_until_the_old_one_ends():
@@ -204,8 +209,10 @@
     removal.new.listener.parking._idle = None
     removal.new.listener.idling = replace(IDLING, park_after=inf)
     removal.go()
-    assert removal.new.listener.connections == 30 and removal.new.listener.parked == 0
-    assert asked(removal, removal.clients[3], "r") == [200] and all(client.open for client in removal.clients)
+    assert removal.new.listener.connections == 30
+    assert removal.new.listener.parked == 0
+    assert asked(removal, removal.clients[3], "r") == [200]
+    assert all(client.open for client in removal.clients)
     removal.close()
 
 
@@ -220,7 +227,8 @@
                 removal.new.listener.parking._idle, "park", partial(full, removal.new.listener.parking._idle)
             )
             removal.go()
-        assert removal.new.listener.connections == there and removal.old.listener.connections == 30 - there
+        assert removal.new.listener.connections == there
+        assert removal.old.listener.connections == 30 - there
         assert all(client.open for client in removal.clients)
         assert asked(removal, removal.clients[3], "r") == [200]
         removal.close()
@@ -248,7 +256,8 @@
     assert removal.old.listener.connections == 1
     removal.old.pass_time(IDLING.park_after + 10.0)
     removal.go()
-    assert removal.old.listener.connections == 0 and asked(removal, late, "r") == [200]
+    assert removal.old.listener.connections == 0
+    assert asked(removal, late, "r") == [200]
 
 
 def test_a_process_of_the_version_before_gets_them_one_by_one():
@@ -257,12 +266,14 @@
     real = removal.wires[1].send
     removal.wires[1].send = lambda told, fds=(): real({k: v for k, v in told.items() if k != "parks"}, fds)
     removal.go()
-    assert removal.old.listener.parked == 20 and removal.new.listener.parked == 0
+    assert removal.old.listener.parked == 20
+    assert removal.new.listener.parked == 0
     removal.ends[0].pass_clients([LISTEN])
     for _ in range(5):
         removal.ends[0].pass_idle_clients()
         removal.go()
-    assert removal.old.listener.connections == 0 and asked(removal, removal.clients[3], "r") == [200]
+    assert removal.old.listener.connections == 0
+    assert asked(removal, removal.clients[3], "r") == [200]
     removal.close()
 
 
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -52,7 +52,8 @@
 def test_each_kind_of_message_is_recorded():
     kinds = {recorded(name)[0]["is"] for name in NAMES}
     words = "ask state taken yours news ban client wait parked got departed"
-    assert kinds == set(words.split()) and len(NAMES) == 17
+    assert kinds == set(words.split())
+    assert len(NAMES) == 17
 
 
 SHORT = {
@@ -82,10 +83,13 @@
 @pytest.mark.parametrize("name", ["state", "state-peers"])
 def test_the_state_of_731b84e_is_read(name):
     state = decode(name)
-    assert state.listeners == (LISTEN,) and state.with_peers == (name == "state-peers")
+    assert state.listeners == (LISTEN,)
+    assert state.with_peers == (name == "state-peers")
     assert set(state.request_ids) == {"held1", "held2", "held3", "keyed"}
-    assert state.attempts == (m.AttemptsOut("w1", 1),) and state.bans == {"w2": START}
-    assert state.table.index == 3 and state.table.unbanned == (UnbannedWorker("w6", START, STATE_AT),)
+    assert state.attempts == (m.AttemptsOut("w1", 1),)
+    assert state.bans == {"w2": START}
+    assert state.table.index == 3
+    assert state.table.unbanned == (UnbannedWorker("w6", START, STATE_AT),)
     slow = EndpointRecord("w3", "127.0.0.1:3", "SERVING", "z1", "", 0, 1.0, START - 100.0, None)
     assert state.table.endpoints[2] == slow
     statuses = {endpoint.name: endpoint.status for endpoint in state.table.endpoints}
@@ -98,7 +102,8 @@
     assert (learnt.retry_tokens, learnt.served_rate, learnt.served_at) == (5.0, 0.75, STATE_AT)
     assert learnt.recent_work == (m.RecentWork(964320697, ((START + 10.0, 80.0),)),)
     assert learnt.keys == ((11087761916137914656, 4), (11534753796086380509, 1))
-    assert learnt.slots == ((0, 2.0),) and learnt.outliers == (m.OutlierState(797615265, 2.0, 1),)
+    assert learnt.slots == ((0, 2.0),)
+    assert learnt.outliers == (m.OutlierState(797615265, 2.0, 1),)
 
 
 @pytest.mark.parametrize("name", NAMES)
@@ -193,7 +198,9 @@
     message, _ = recorded("state")
     logged = []
     state = codec(STATE_AT, logged).decode({**message, "memory": {**message["memory"], "spent": [1.0]}})
-    assert state.learnt is None and state.listeners and "spent" in logged[0]
+    assert state.learnt is None
+    assert state.listeners
+    assert "spent" in logged[0]
 
 
 def test_the_tests_dispatchers_start_where_the_recorded_ones_did():
--- a/tests/test_idmap.py
+++ b/tests/test_idmap.py
@@ -11,7 +11,8 @@
     """Two dispatchers, or the simulator, that number a worker differently would send a key to other homes."""
     assert IdMap().worker("s-1a82eb72") == 0x1A82EB72
     assert IdMap.subject("7f3a9c21e0b4d655") == 0x7F3A9C21E0B4D655
-    assert IdMap.subject("0" * 16) == 1 and IdMap.subject("") == 0
+    assert IdMap.subject("0" * 16) == 1
+    assert IdMap.subject("") == 0
 
 
 def test_other_names_get_the_same_number_in_every_process():
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -78,4 +78,5 @@
         monkeypatch.setattr(player.node, "handle", record)
         player.run(300)
         logs.append(log)
-    assert logs[0] == logs[1] and len(logs[0]) > 100
+    assert logs[0] == logs[1]
+    assert len(logs[0]) > 100
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -33,19 +33,24 @@
 @pytest.mark.parametrize("known_red", [None, "", "\n"])
 def test_without_a_list_nothing_is_passed_over(project, known_red):
     done = project(known_red)
-    assert done.returncode == 1 and "1 failed, 1 passed" in done.stdout and "known red" not in done.stdout
+    assert done.returncode == 1
+    assert "1 failed, 1 passed" in done.stdout
+    assert "known red" not in done.stdout
 
 
 @pytest.mark.parametrize("options", [(), ("-n", "2")])
 def test_a_listed_test_that_fails_is_passed_over_and_printed(project, options):
     done = project(BAD, *options)
-    assert done.returncode == 0 and "1 passed, 1 xfailed" in done.stdout
+    assert done.returncode == 0
+    assert "1 passed, 1 xfailed" in done.stdout
     assert "known red: test_two.py::test_bad: a fault (issue 2)" in done.stdout
 
 
 def test_a_listed_test_that_passes_is_a_failure(project):
     done = project(GOOD)
-    assert done.returncode == 1 and "2 failed" in done.stdout and "[XPASS(strict)] none" in done.stdout
+    assert done.returncode == 1
+    assert "2 failed" in done.stdout
+    assert "[XPASS(strict)] none" in done.stdout
 
 
 @pytest.mark.parametrize(
@@ -60,7 +65,8 @@
 )
 def test_a_faulty_list_is_an_error(project, known_red, fault):
     done = project(known_red)
-    assert done.returncode == pytest.ExitCode.USAGE_ERROR and fault in done.stderr
+    assert done.returncode == pytest.ExitCode.USAGE_ERROR
+    assert fault in done.stderr
 
 
 def test_node_ids_may_hold_the_separator(tmp_path):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -33,15 +33,18 @@
         dispatcher = experiment.start_dispatcher("h", config, workers)
         clients = experiment.start_idle_clients(dispatcher.listen, 0, addresses=4)
         report = clients.run(Connect(20))
-        assert report.open == 20 and report.statuses["200"] == 20
+        assert report.open == 20
+        assert report.statuses["200"] == 20
         wait_for("all are parked", lambda: dispatcher.connections("parked") == 20)
         report = clients.run(Wake(5, seconds=0.05))
-        assert report.statuses == {"200": 5} and report.histogram().get_total_count() == 5
+        assert report.statuses == {"200": 5}
+        assert report.histogram().get_total_count() == 5
         assert clients.run(ConnectSilently(2, seconds=0.1)).connected == 2
         report = clients.run(Trickle(2, interval=0.02, seconds=0.2, part="body"))
         assert report.statuses == {"still open": 2}
         stream = experiment.start_stream(dispatcher.listen, 200.0, 0.2, "s").report()
-        assert stream.sent == 40 and stream.statuses == {"200": 40, "none": 0}
+        assert stream.sent == 40
+        assert stream.statuses == {"200": 40, "none": 0}
         assert stream.lateness_histogram().get_total_count() == 40
         assert clients.run(HangUp(20)).open == 0
         wait_for("they have left", lambda: dispatcher.connections("open") <= 4)
@@ -89,7 +92,8 @@
 )
 def test_a_faulty_command_is_named_and_starts_nothing(words, text):
     result = CliRunner().invoke(main, ["lab", "idle", *words])
-    assert result.exit_code in (1, 2) and text in result.output
+    assert result.exit_code in (1, 2)
+    assert text in result.output
 
 
 def test_a_result_is_shown_as_a_table(capsys):
@@ -107,6 +111,8 @@
     }  # fmt: skip
     show_idle(json.loads(json.dumps(told)))
     text = capsys.readouterr().out
-    assert "9,000" in text and "28" in text and "1.5 / 2.0 / 2.5" in text
+    assert "9,000" in text
+    assert "28" in text
+    assert "1.5 / 2.0 / 2.5" in text
     text = found.encode().decode()
     assert StreamReport(1, {}, text, text).latency_histogram().get_value_at_percentile(50) == 1500
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -27,7 +27,9 @@
     dispatcher = InMemoryDispatcher()
     silent, usual = Client(dispatcher), served(dispatcher, Client(dispatcher))
     dispatcher.advance(OWED)
-    assert not silent.pipe.open and not silent.answers() and usual.pipe.open
+    assert not silent.pipe.open
+    assert not silent.answers()
+    assert usual.pipe.open
     dispatcher.advance(KEEP)
     assert not usual.pipe.open
 
@@ -57,7 +59,8 @@
     dispatcher = InMemoryDispatcher()
     client = Client(dispatcher)
     client.send(b"POST /none HTTP/1.1\r\n\r\nPOST /safe/a HTTP/1.1\r\nX-Request-Id: r1\r\n\r\n")
-    assert [status for status, *_ in client.answers()] == [404] and not dispatcher.dials
+    assert [status for status, *_ in client.answers()] == [404]
+    assert not dispatcher.dials
     dispatcher.advance(LINGER_TIME + TICK)
     assert not client.pipe.open
 
@@ -98,7 +101,8 @@
     [job] = dispatcher.exchange._jobs.values()
     job.attempts[0].timer.cancel()  # its leg outlives the job
     dispatcher.advance(110.0)
-    assert client.answers()[0][0] == 502 and job.attempts[0].open
+    assert client.answers()[0][0] == 502
+    assert job.attempts[0].open
     client.post()
     assert client.answers()[0][0] == 409
 
@@ -111,7 +115,9 @@
     client = dispatcher.client(path=path)
     end = dispatcher.dials[0].up()
     end.status(status)
-    assert client.answers()[0][0] == 400 and not dispatcher.dials and not dispatcher.exchange.unanswered
+    assert client.answers()[0][0] == 400
+    assert not dispatcher.dials
+    assert not dispatcher.exchange.unanswered
     assert all(not w.strikes for w in dispatcher.exchange._module._fleet.workers.values())
 
 
@@ -120,7 +126,8 @@
     dispatcher = InMemoryDispatcher(workers=2)
     client = dispatcher.client()
     dispatcher.dials[0].up().status(status)
-    assert not client.answers() and dispatcher.exchange.unanswered
+    assert not client.answers()
+    assert dispatcher.exchange.unanswered
 
 
 @pytest.mark.parametrize(
@@ -130,7 +137,8 @@
     dispatcher = InMemoryDispatcher()
     client = Client(dispatcher)
     client.post(X_Extras=extras)
-    assert client.answers()[0][0] == 400 and not dispatcher.dials
+    assert client.answers()[0][0] == 400
+    assert not dispatcher.dials
 
 
 @pytest.mark.parametrize(
@@ -142,7 +150,8 @@
     headers = {"Idempotency_Key": "k", **headers}
     lines = f"POST /keyed/a HTTP/1.1\r\nX-Request-Id: {headers.pop('id_', 'r1')}\r\n"
     client.send((lines + f"Idempotency-Key: {headers['Idempotency_Key']}\r\n\r\n").encode("latin-1"))
-    assert client.answers()[0][0] == 400 and not dispatcher.dials
+    assert client.answers()[0][0] == 400
+    assert not dispatcher.dials
 
 
 def test_a_client_that_does_not_read_is_not_read_either():
@@ -150,9 +159,11 @@
     client = Client(dispatcher)
     client.pipe.stuck = True
     client.send(b"GET /ready HTTP/1.1\r\n\r\n" * 10)
-    assert client.pipe.paused and len(client.answers()) == 1
+    assert client.pipe.paused
+    assert len(client.answers()) == 1
     client.pipe.unstick()
-    assert not client.pipe.paused and len(client.answers()) == 9
+    assert not client.pipe.paused
+    assert len(client.answers()) == 9
 
 
 def test_a_client_that_never_reads_its_last_answer_keeps_no_descriptor():
@@ -171,7 +182,8 @@
     dispatcher = InMemoryDispatcher(most=1)
     connection = ClientConnection(dispatcher.listener)
     dispatcher.listener.add(connection)
-    assert dispatcher.listener.make_room() and connection.phase == Phase.CLOSED
+    assert dispatcher.listener.make_room()
+    assert connection.phase == Phase.CLOSED
 
     pipe = Pipe(connection)
     connection.connection_made(pipe)
@@ -183,12 +195,18 @@
     usual = served(dispatcher, Client(dispatcher))
     silent, half = Client(dispatcher), Client(dispatcher)
     half.send(b"POST /safe")
-    assert dispatcher.listener.make_room() and not silent.pipe.open and usual.pipe.open
+    assert dispatcher.listener.make_room()
+    assert not silent.pipe.open
+    assert usual.pipe.open
     dispatcher.advance(EVICTION_GRACE)
     busy = dispatcher.client(id_="r7")
-    assert dispatcher.listener.make_room() and not half.pipe.open and usual.pipe.open
+    assert dispatcher.listener.make_room()
+    assert not half.pipe.open
+    assert usual.pipe.open
     Client(dispatcher).post(id_="r8")
-    assert dispatcher.listener.make_room() and not usual.pipe.open and busy.pipe.open
+    assert dispatcher.listener.make_room()
+    assert not usual.pipe.open
+    assert busy.pipe.open
 
 
 class Loop:
@@ -239,7 +257,8 @@
     dispatcher = InMemoryDispatcher()
     dispatcher.listener._loop, dispatcher.listener._socket = loop, listener = Loop(), Port(fault=errno.EMFILE)
     dispatcher.listener._accept()
-    assert listener.asked == 1 and not loop.reading
+    assert listener.asked == 1
+    assert not loop.reading
     dispatcher.advance(ACCEPT_RETRY + TICK)
     assert loop.reading
 
@@ -250,12 +269,14 @@
     dispatcher.listener._client_waits_in_backlog = lambda: True
     busy = [dispatcher.client(id_=f"r{n}") for n in range(2)]
     dispatcher.listener._accept()
-    assert len(loop.tasks) == ACCEPTED_PER_TURN and loop.reading
+    assert len(loop.tasks) == ACCEPTED_PER_TURN
+    assert loop.reading
     dispatcher.listener._most = 2
     for connection in list(dispatcher.listener._unproven):
         connection.abort()
     dispatcher.listener._accept()
-    assert not loop.reading and all(client.pipe.open for client in busy)
+    assert not loop.reading
+    assert all(client.pipe.open for client in busy)
     busy[0].pipe.break_off()
     assert loop.reading
 
@@ -280,11 +301,13 @@
     dispatcher.advance(EVICTION_GRACE)
     slow.send(b"fe/a HTTP/1.1\r\n")
     assert dispatcher.listener.make_room()
-    assert slow.pipe.open and not stopped.pipe.open
+    assert slow.pipe.open
+    assert not stopped.pipe.open
     other = Client(dispatcher)
     other.send(b"POST")
     assert not dispatcher.listener.make_room(), "what has just come in is not given up for want of room"
-    assert slow.pipe.open and other.pipe.open
+    assert slow.pipe.open
+    assert other.pipe.open
     dispatcher.advance(WHOLE - EVICTION_GRACE - 100.0)
     slow.send(b"X-Request-Id: r1\r\n\r\n")
     assert dispatcher.dials, "a job may take that long to come in"
@@ -349,7 +372,8 @@
     assert client.pipe.paused
     dispatcher.advance(4000.0)
     end.finish()
-    assert [status for status, *_ in client.answers()] == [200] and not client.pipe.paused
+    assert [status for status, *_ in client.answers()] == [200]
+    assert not client.pipe.paused
     dispatcher.advance(WHOLE / 2)
     client.send(b"x" * 3000)
     assert dispatcher.exchange.holds("r2")
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -31,8 +31,10 @@
 
 def test_a_quiet_connection_is_parked_and_its_next_job_finds_it_as_it_was(harness):
     [client] = harness.parked()
-    assert client.open and harness.listener.connections == 1
-    assert client.ask("r2") == [200] and harness.listener.parked == 0
+    assert client.open
+    assert harness.listener.connections == 1
+    assert client.ask("r2") == [200]
+    assert harness.listener.parked == 0
     harness.pass_time(IDLING.park_after + 2 * TICK)
     assert harness.listener.parked == 1
     assert client.ask("r3") == [200]
@@ -58,7 +60,8 @@
     harness.pass_time(WHOLE - 1.0)
     assert not harness.listener.parked
     harness.pass_time(100.0)
-    assert half.statuses() == [408] and not silent.open
+    assert half.statuses() == [408]
+    assert not silent.open
 
 
 def test_a_message_that_begins_at_the_moment_of_parking_is_not_missed(harness):
@@ -76,7 +79,8 @@
     assert harness.listener.parked == 1
     harness.turn()
     harness.work()
-    assert client.statuses() == [200] and not harness.listener.parked
+    assert client.statuses() == [200]
+    assert not harness.listener.parked
 
 
 def test_a_message_that_begins_at_the_moment_of_expiry_is_answered(harness):
@@ -101,7 +105,8 @@
         harness.pass_time(WHOLE / 10 - 1.0)
         client.send(b"x")
         harness.turn()
-    assert not client.statuses() and not harness.listener.parked
+    assert not client.statuses()
+    assert not harness.listener.parked
     harness.pass_time(100.0)
     assert client.statuses() == [408], "a drip extends nothing"
 
@@ -111,7 +116,9 @@
     harness.pass_time(IDLING.keep - IDLING.park_after - 100.0)
     assert client.open
     harness.pass_time(1200.0)
-    assert not client.open and not harness.listener.connections and harness.listener.figures()["expired"] == 1
+    assert not client.open
+    assert not harness.listener.connections
+    assert harness.listener.figures()["expired"] == 1
     assert harness.dispatcher.wheel.next_at() == inf, "nothing wakes a program at rest"
 
 
@@ -122,7 +129,8 @@
     message_and_end.send(b"POST /safe")
     message_and_end.sock.shutdown(socket.SHUT_WR)
     harness.turn(1)
-    assert harness.listener.figures()["left"] == 2 and harness.listener.figures()["woken"] == 1
+    assert harness.listener.figures()["left"] == 2
+    assert harness.listener.figures()["woken"] == 1
     harness.turn()
     assert not harness.listener.connections
 
@@ -139,7 +147,8 @@
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     client.close()
     harness.turn()
-    assert harness.listener.figures()["left"] == 1 and not harness.listener.connections
+    assert harness.listener.figures()["left"] == 1
+    assert not harness.listener.connections
     harness.close()
 
 
@@ -151,7 +160,8 @@
     connection._transport.write(b"x" * 4_000_000)
     assert not harness.listener.parking.park(connection)
     harness.pass_time(IDLING.park_after * 3)
-    assert not harness.listener.parked and client.open
+    assert not harness.listener.parked
+    assert client.open
 
 
 def test_thousands_that_end_in_one_second_end_a_few_in_each_tick():
@@ -163,7 +173,8 @@
         harness.dispatcher.now += TICK
         harness.dispatcher.wheel.advance(harness.dispatcher.now)
         left.append(harness.listener.connections)
-    assert left[0] >= 2 * EXPIRED_PER_PASS and len(left) <= 5
+    assert left[0] >= 2 * EXPIRED_PER_PASS
+    assert len(left) <= 5
     assert not any(client.open for client in clients)
     harness.close()
 
@@ -200,7 +211,8 @@
     harness.listener.set_idle_limits(replace(IDLING, park_after=inf))
     assert client.ask("r2") == [200]
     harness.pass_time(IDLING.keep / 2)
-    assert not harness.listener.parked and client.open
+    assert not harness.listener.parked
+    assert client.open
 
 
 def test_in_a_full_house_the_longest_quiet_gives_way_and_who_has_just_spoken_never_does():
@@ -210,22 +222,27 @@
     harness.pass_time(IDLING.park_after + 2 * TICK)
     first.send(b"P")  # speaks at this very moment
     third, fourth = SocketClient(harness), SocketClient(harness)
-    assert third.ask("t") == [200] and fourth.ask("f") == [200]
+    assert third.ask("t") == [200]
+    assert fourth.ask("f") == [200]
     assert harness.listener.connections == 4
-    assert harness.listener.make_room() and first.open and not second.open
+    assert harness.listener.make_room()
+    assert first.open
+    assert not second.open
 
 
 def test_a_clock_that_jumps_ends_only_whose_time_it_ended_and_runs_on(harness):
     """The program's clock is a steady one, so it jumps forward only, as after a machine that slept."""
     clients = harness.parked(3)
-    assert clients[0].ask("r") == [200] and harness.listener.parked == 2
+    assert clients[0].ask("r") == [200]
+    assert harness.listener.parked == 2
     harness.dispatcher.now += IDLING.keep / 2
     harness.dispatcher.wheel.advance(harness.dispatcher.now)
     harness.turn()
     assert clients[1].open
     harness.dispatcher.now += 86_400_000.0
     harness.pass_time(10 * TICK)
-    assert not any(client.open for client in clients) and harness.dispatcher.wheel.next_at() == inf
+    assert not any(client.open for client in clients)
+    assert harness.dispatcher.wheel.next_at() == inf
 
 
 def test_waking_needs_no_descriptor(harness, monkeypatch):
@@ -253,7 +270,8 @@
     clients = harness.parked(3)
     newcomer = SocketClient(harness)
     harness.turn()
-    assert sum(client.open for client in clients) == 2 and newcomer.ask("n") == [200]
+    assert sum(client.open for client in clients) == 2
+    assert newcomer.ask("n") == [200]
     harness.close()
 
 
@@ -268,7 +286,8 @@
     monkeypatch.setattr(IdleConnections, "park", full)
     harness.pass_time(IDLING.park_after * 5)
     harness.turn()
-    assert not harness.listener.parked and client.ask("r2") == [200]
+    assert not harness.listener.parked
+    assert client.ask("r2") == [200]
 
 
 def test_at_the_end_the_quiet_are_closed_and_who_speaks_is_answered(harness):
@@ -276,7 +295,8 @@
     speaks.send(message("last"))
     harness.listener.sending_away = True
     harness.listener.close_idle()
-    assert not quiet.open and harness.listener.connections == 1
+    assert not quiet.open
+    assert harness.listener.connections == 1
     harness.turn()
     harness.work()
     assert speaks.statuses() == [200]
@@ -297,7 +317,8 @@
 
     harness.listener.successor = take
     harness.listener.hand_over_some()
-    assert not harness.listener.connections and heir.listener.connections == 2
+    assert not harness.listener.connections
+    assert heir.listener.connections == 2
     for client, id_ in ((quiet, "q"), (speaks, None)):
         if id_ is not None:
             client.send(message(id_))
@@ -323,7 +344,8 @@
     heir.listener.adopt_connection(socket.socket(fileno=fd), handover)
     heir.turn()
     heir.pass_time(WHOLE - 200.0)
-    assert client.open and not client.statuses()
+    assert client.open
+    assert not client.statuses()
     client.send(message("r2")[20:])
     heir.turn()
     heir.work()
@@ -403,7 +425,9 @@
         client, owed, begun, since = state
         statuses = client.statuses()
         if statuses and statuses[-1] == 408:
-            assert begun and self.harness.dispatcher.now >= since + WHOLE and statuses == [200] * owed + [408]
+            assert begun
+            assert self.harness.dispatcher.now >= since + WHOLE
+            assert statuses == [200] * owed + [408]
             del self.clients[number]
         elif client.open:
             assert statuses == [200] * owed
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -99,7 +99,8 @@
         stranger.sendto(ENVELOPE.pack(FORM, 1, 1) + b"x", tier.addresses[0])
     tier.say(1, 1, 1, b"known")
     tier.read()
-    assert tier.heard == [(1, b"known")] and tier.port.figures["strangers"] == 1
+    assert tier.heard == [(1, b"known")]
+    assert tier.port.figures["strangers"] == 1
 
 
 def test_repeats_and_what_was_overtaken_are_dropped_by_peer(tier):
@@ -133,7 +134,8 @@
     tier.ends[1].sendto(b"z" * (MAX_MESSAGE + 50), tier.addresses[0])
     tier.read()
     assert not tier.heard
-    assert tier.port.figures["other_form"] == 1 and tier.port.figures["malformed"] == 2
+    assert tier.port.figures["other_form"] == 1
+    assert tier.port.figures["malformed"] == 2
 
 
 def test_a_peer_that_floods_is_heard_so_often_and_the_others_still_are(tier):
@@ -157,7 +159,8 @@
     second.open()
     second.tell(1, b"x")
     second.close()
-    assert len(tier.logged) == 1 and "peer_listen" in tier.logged[0]
+    assert len(tier.logged) == 1
+    assert "peer_listen" in tier.logged[0]
 
 
 def test_the_next_process_goes_on_with_the_port_while_the_one_before_rests(tier):
@@ -167,7 +170,8 @@
     tier.port.pause()
     tier.say(1, 1, 1, b"to the next")
     tier.read()
-    assert tier.heard == [(1, b"to the next")] and following.figures["heard"] == 1
+    assert tier.heard == [(1, b"to the next")]
+    assert following.figures["heard"] == 1
     tier.port.tell(1, b"not said")
     following.tell(1, b"said")
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"said"
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -97,7 +97,8 @@
         node.end(id_, 0, sends(actions)[0].worker, Outcome.FULL)
         waits.append(worker.full_until - node.now)
         node.play(at=node.now + 100.0)
-    assert waits == sorted(waits) and waits[-1] >= 2 * waits[0]
+    assert waits == sorted(waits)
+    assert waits[-1] >= 2 * waits[0]
     id_, _ = node.arrive()
     node.now += 10_000.0
     id_, actions = node.arrive()
@@ -230,7 +231,8 @@
     workers[first].fulls, workers[first].full_until = 2, 500.0
     workers[second].strikes = 1
     homes = {w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), node.now)}
-    assert len(homes) == 2 and not homes & {first, second}
+    assert len(homes) == 2
+    assert not homes & {first, second}
     assert first in {w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), 600.0)}
 
 
@@ -242,7 +244,8 @@
     homes = [
         [w.entry.worker for w in n.dispatcher._selector.homes(keyed(101), n.now)] for n in (first, second)
     ]
-    assert homes[0] == homes[1] and len(homes[0]) == 2
+    assert homes[0] == homes[1]
+    assert len(homes[0]) == 2
 
 
 def test_a_hot_key_gets_as_many_homes_as_its_share_fills():
@@ -261,7 +264,8 @@
         )
     )
     for key in range(1, 20):
-        assert sent_to(node, key, 1) <= {1, 2, 3, 4} and sent_to(node, key, 1)
+        assert sent_to(node, key, 1) <= {1, 2, 3, 4}
+        assert sent_to(node, key, 1)
 
 
 def test_counts_of_keys_do_not_grow_without_end(monkeypatch):
@@ -269,7 +273,8 @@
     node = Node(workers=2)
     for key in range(1, 300):
         sent_to(node, key, 1)
-    assert len(node.dispatcher._key_counts.by_key) <= 50 and len(node.dispatcher._fleet.key_orders) <= 51
+    assert len(node.dispatcher._key_counts.by_key) <= 50
+    assert len(node.dispatcher._fleet.key_orders) <= 51
 
 
 def late_site():
@@ -323,7 +328,8 @@
         for send in sends(node.arrive(key=7)[1]):
             got += [node.now - started] if send.worker == 1 else []
             node.end(send.id, 0, send.worker, Outcome.OK, final=True, elapsed=40.0)
-    assert got and COLD_REST * BASE.cold <= got[0] < (COLD_REST + 0.1) * BASE.cold
+    assert got
+    assert COLD_REST * BASE.cold <= got[0] < (COLD_REST + 0.1) * BASE.cold
     node.dispatcher._fleet.workers[1].recent.append((node.now, inf))
     assert [send.worker for send in sends(node.arrive(key=7)[1])] == [2], "its budget is spent"
 
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -35,11 +35,9 @@
     _, actions = node.arrive(cls=1, due=100.0)
     assert len(sends(actions)) == 1
     actions = node.play(at=97.0)
-    assert (
-        FailRequest in kinds(actions)
-        and RejectRequest not in kinds(actions)
-        and CancelAttempt in kinds(actions)
-    )
+    assert FailRequest in kinds(actions)
+    assert RejectRequest not in kinds(actions)
+    assert CancelAttempt in kinds(actions)
 
 
 def test_an_unsafe_job_is_repeated_only_when_it_never_ran():
@@ -70,7 +68,8 @@
         got = sends(actions)
         assert bool(got) is again
         if again:
-            assert got[0].worker % 2 == first % 2 and got[0].worker != first
+            assert got[0].worker % 2 == first % 2
+            assert got[0].worker != first
         else:  # its only group member is under suspicion: held; its window is over: failed
             assert (FailRequest in kinds(actions)) is (later > keyed.window)
 
@@ -94,7 +93,8 @@
     id_, actions = node.arrive()
     worker = sends(actions)[0].worker
     actions = node.play(AttemptEnded(id_, 0, worker, Outcome.RESET, 5.0, False), ClientDisconnected(id_))
-    assert not sends(actions) and FailRequest not in kinds(actions)
+    assert not sends(actions)
+    assert FailRequest not in kinds(actions)
 
 
 def test_late_outcomes_after_the_final_answer_change_nothing(node):
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -102,7 +102,8 @@
     dispatcher.now += 4_000.0  # nothing was read and no timer went off
     dispatcher.exchange.absent(4_000.0)
     dispatcher.settle()
-    assert end.pipe.open and not dispatcher.exchange.snapshot(dispatcher.now).avoided
+    assert end.pipe.open
+    assert not dispatcher.exchange.snapshot(dispatcher.now).avoided
     assert any("stood still for 4000 ms" in line for line in dispatcher.logged)
     end.say({"id": "r1", "from": "w", "state": "done", "result": "ok"}, head=False, end=True)
     assert client.answers()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -51,5 +51,6 @@
     done = subprocess.run(
         [sys.executable, "-m", "eiderfield"], cwd=ROOT, env=environ, capture_output=True, text=True
     )
-    assert done.returncode == 2 and done.stderr.startswith("eiderfield: LB_CONFIG")
+    assert done.returncode == 2
+    assert done.stderr.startswith("eiderfield: LB_CONFIG")
     assert done.stderr.count("\n") == 1
--- a/tests/test_program_parts.py
+++ b/tests/test_program_parts.py
@@ -108,9 +108,11 @@
         raise ConfigError("settings.classes: is faulty")
 
     joined.program.reload(load)
-    assert not joined.calls and joined.program.settings.current is joined.config
+    assert not joined.calls
+    assert joined.program.settings.current is joined.config
     report = joined.program.settings.report()
-    assert report["generation"] == 1 and report["refused"]["why"] == "settings.classes: is faulty"
+    assert report["generation"] == 1
+    assert report["refused"]["why"] == "settings.classes: is faulty"
 
 
 def test_figures_of_all_parts_are_told_together(joined):
@@ -129,13 +131,16 @@
     joined.last.still_busy = True
     joined.program.stop()
     joined.pass_time(10_000.0)
-    assert not joined.names("stop") and not joined.program.ended.is_set()
+    assert not joined.names("stop")
+    assert not joined.program.ended.is_set()
     joined.last.still_busy = False
     joined.pass_time(2.0 * CHECK_INTERVAL)
-    assert joined.names("stop") == ["first", "last"] and joined.program.ended.is_set()
+    assert joined.names("stop") == ["first", "last"]
+    assert joined.program.ended.is_set()
 
 
 def test_a_process_whom_nobody_keeps_ends_when_its_listeners_close(joined):
     joined.program.stop()
     joined.pass_time(ShutdownTimes.of(DEADLINE).close_listeners + CHECK_INTERVAL)
-    assert joined.names("stop") == ["first", "last"] and joined.program.ended.is_set()
+    assert joined.names("stop") == ["first", "last"]
+    assert joined.program.ended.is_set()
--- a/tests/test_regression.py
+++ b/tests/test_regression.py
@@ -123,4 +123,5 @@
         monkeypatch.setattr("eiderfield.lab.regression.run_benches", lambda *args, rows=rows: rows)
         result = CliRunner().invoke(main, words)
         assert result.exit_code == code, result.output
-        assert "0.200" in result.output and "0.900" in result.output
+        assert "0.200" in result.output
+        assert "0.900" in result.output
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -62,12 +62,15 @@
     new = moving.up(8600)
     assert b"after" not in new.pipe.written, "another source may count on its own"
     old.say(news("DRAINING", 8, snapshot=False), head=False)
-    assert old.pipe.open and moving.states == [EndpointState.DRAINING]
+    assert old.pipe.open
+    assert moving.states == [EndpointState.DRAINING]
     new.say(news("SERVING", 3))
-    assert not old.pipe.open and moving.states == [EndpointState.READY]
+    assert not old.pipe.open
+    assert moving.states == [EndpointState.READY]
     new.pipe.break_off()
     moving.dispatcher.advance(150.0)
-    assert b"after=3 " in moving.up(8600).pipe.written and not moving.dials(8500)
+    assert b"after=3 " in moving.up(8600).pipe.written
+    assert not moving.dials(8500)
     worker.finish()
     assert client.answers()[0][0] == 200
 
@@ -86,7 +89,8 @@
     again.say(news("DRAINING", 8, snapshot=False))
     assert moving.states == [EndpointState.DRAINING]
     moving.up(8600).say(news("SERVING", 3))
-    assert moving.states == [EndpointState.READY] and not again.pipe.open
+    assert moving.states == [EndpointState.READY]
+    assert not again.pipe.open
     moving.dispatcher.advance(20_000.0)
     assert not moving.dials(8500)
 
@@ -95,7 +99,8 @@
     moving = Moving()
     first = moving.dials(8500)
     moving.dispatcher.advance(DIAL_TIMEOUT + 150.0)
-    assert first[0].cancelled and len(moving.dials(8500)) == 1
+    assert first[0].cancelled
+    assert len(moving.dials(8500)) == 1
 
 
 @pytest.mark.parametrize("state", ["dialling", "backing off", "up", "between"])
@@ -113,7 +118,8 @@
     moving.up(8600).say(news("DRAINING"))
     moving.dispatcher.advance(20_000.0)
     assert moving.states == [EndpointState.DRAINING]
-    assert not moving.dials(8500) and not moving.dials(8550)
+    assert not moving.dials(8500)
+    assert not moving.dials(8550)
 
 
 @pytest.mark.parametrize("ports", [(8600, 8700, 8800), (8600, 8500), (8600, 8700, 8600), (8600, 8600)])
@@ -142,7 +148,8 @@
     moving.up(ports[-1]).say(news("SERVING", 3))
     assert moving.states == [EndpointState.READY]
     moving.dispatcher.advance(1.0)
-    assert not moving.dispatcher.dials and sum(end.pipe.open for end in moving.dispatcher.ends) == 1
+    assert not moving.dispatcher.dials
+    assert sum(end.pipe.open for end in moving.dispatcher.ends) == 1
 
 
 def test_a_program_that_ends_ends_both_feeds():
@@ -151,7 +158,8 @@
     moving.move(8600)
     moving.following.stop()
     moving.dispatcher.advance(20_000.0)
-    assert not old.pipe.open and not moving.dials(8600)
+    assert not old.pipe.open
+    assert not moving.dials(8600)
 
 
 def test_a_file_read_again_wins_over_the_environment_in_where_discovery_is(tmp_path):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -122,5 +122,7 @@
     worker.faults = 3.0
     worker.strike(node.now, erring=True)
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, ready_at=node.now),)))
-    assert worker.reported == -math.inf and not worker.erring and not worker.faults
+    assert worker.reported == -math.inf
+    assert not worker.erring
+    assert not worker.faults
     assert sends(node.arrive()[1])
--- a/tests/test_rollout_analysis.py
+++ b/tests/test_rollout_analysis.py
@@ -115,7 +115,8 @@
 def test_a_change_that_is_no_worse_goes_on_and_a_worse_one_is_undone_by_class():
     assert decide(CanaryAnalysis(WATCHING, ["a"]), window()).decision == Decision.GO
     said = decide(CanaryAnalysis(WATCHING, ["a"]), window(new=0.85))
-    assert said.decision == Decision.UNDO and "class a" in said.why
+    assert said.decision == Decision.UNDO
+    assert "class a" in said.why
 
 
 def waiting(new, old, asked=50):
@@ -131,7 +132,8 @@
 def test_one_that_serves_in_time_but_slower_is_undone_and_one_as_fast_goes_on():
     assert decide(CanaryAnalysis(WATCHING, ["a"]), waiting(200.0, 200.0)).decision == Decision.GO
     said = decide(CanaryAnalysis(WATCHING, ["a"]), waiting(260.0, 200.0))
-    assert said.decision == Decision.UNDO and "slower" in said.why
+    assert said.decision == Decision.UNDO
+    assert "slower" in said.why
     assert decide(CanaryAnalysis(WATCHING, ["a"]), waiting(160.0, 200.0)).decision == Decision.GO
 
 
@@ -143,12 +145,14 @@
 
 def test_a_canary_with_little_traffic_is_held_and_not_passed():
     said = decide(CanaryAnalysis(replace(WATCHING, seconds=20.0), ["a"]), window(asked=1))
-    assert said.decision == Decision.HOLD and "a" in said.why
+    assert said.decision == Decision.HOLD
+    assert "a" in said.why
 
 
 def test_a_class_that_nobody_asks_for_holds_nothing_up():
     said = decide(CanaryAnalysis(WATCHING, ["a", "b"]), window())
-    assert said.decision == Decision.GO and "b" in said.why
+    assert said.decision == Decision.GO
+    assert "b" in said.why
 
 
 def test_one_bad_class_of_two_is_enough():
@@ -171,7 +175,8 @@
 )
 def test_what_no_chance_explains_undoes_at_once(more, why):
     said = CanaryAnalysis(WATCHING, ["a"]).look(1.0, window(**more))
-    assert said.decision == Decision.UNDO and why in said.why
+    assert said.decision == Decision.UNDO
+    assert why in said.why
 
 
 def test_one_that_is_not_ready_yet_or_cold_is_waited_for():
@@ -205,7 +210,8 @@
 def test_the_chances_of_error_hold_over_simulated_rollouts():
     """100 each here; the figures of 1,000 are in docs/rollout.md."""
     good, bad = (weigh(100, worse, 0.03)["sequential, with the baseline"] for worse in (0.0, 0.08))
-    assert good["undo"] <= 0.05 and bad["undo"] >= 0.9
+    assert good["undo"] <= 0.05
+    assert bad["undo"] >= 0.9
 
 
 @pytest.mark.parametrize(("new", "word"), [(1.05, Decision.GO), (1.6, Decision.UNDO)])
@@ -222,7 +228,8 @@
         said = judge.look(1.0, seen)
         if said.decision is not Decision.WAIT:
             break
-    assert said.decision is word and ("legs a job" in said.why) == (word is Decision.UNDO)
+    assert said.decision is word
+    assert ("legs a job" in said.why) == (word is Decision.UNDO)
 
 
 @pytest.mark.parametrize(("new", "word"), [(1.5, Decision.GO), (2.5, Decision.UNDO)])
@@ -237,12 +244,14 @@
         said = judge.look(1.0, seen)
         if said.decision is not Decision.WAIT:
             break
-    assert said.decision is word and ("processor a job" in said.why) == (word is Decision.UNDO)
+    assert said.decision is word
+    assert ("processor a job" in said.why) == (word is Decision.UNDO)
 
 
 def test_the_command_shows_the_stages_and_names_a_fault(tmp_path):
     told = CliRunner().invoke(main, ["rollout", "plan", str(ROOT / "deploy" / "rollout-example.toml")])
-    assert told.exit_code == 0 and "canary, zone kochi, 1 at once: n0" in told.output
+    assert told.exit_code == 0
+    assert "canary, zone kochi, 1 at once: n0" in told.output
     assert "zone kollam changes in the last stage alone" in told.output, "its second zone has no other"
     late = [("a", "z0"), ("b", "z0"), ("c", "z1")]
     text = EXAMPLE.split("[[dispatcher]]")[0].replace("shares = [0.25, 0.5]", "shares = [0.5]")
@@ -257,6 +266,8 @@
     path = tmp_path / "p.toml"
     path.write_text(EXAMPLE.replace("out = 1", "out = 9"))
     told = CliRunner().invoke(main, ["rollout", "plan", str(path)])
-    assert told.exit_code == 2 and "stages.out" in told.output
+    assert told.exit_code == 2
+    assert "stages.out" in told.output
     told = CliRunner().invoke(main, ["rollout", "weigh", "--rollouts", "3"])
-    assert told.exit_code == 0 and "z test" in told.output
+    assert told.exit_code == 0
+    assert "z test" in told.output
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -34,14 +34,11 @@
     told = change(failpoints=failpoints)
     found = play_change(SCENARIO, told, tmp_path / "run")
     assert found.findings == [] and verdict(told, found) == "right", found
-    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "new") and found.controllers == 1 + len(
-        failpoints
-    )
-    assert (
-        found.counts["jobs"] == found.counts["served"]
-        and not found.attempts_to_banned
-        and found.most_unavailable <= 1
-    )
+    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "new")
+    assert found.controllers == 1 + len(failpoints)
+    assert found.counts["jobs"] == found.counts["served"]
+    assert not found.attempts_to_banned
+    assert found.most_unavailable <= 1
 
 
 @pytest.mark.parametrize(
@@ -51,7 +48,8 @@
     told = change(program=kind)
     found = play_change(SCENARIO, told, tmp_path / "run")
     assert (found.phase, found.stage) == ("undone", 0) and why in found.why, found
-    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "old") and found.bans_kept
+    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "old")
+    assert found.bans_kept
 
 
 def test_a_canary_that_is_killed_is_brought_back_and_no_other_is_touched(tmp_path):
@@ -66,7 +64,8 @@
     told = change(faults=faults)
     found = play_change(SCENARIO, told, tmp_path / "run")
     assert found.phase == "done" and found.findings == [], found
-    assert found.counts["begun_twice"] == 0 and found.bans_kept
+    assert found.counts["begun_twice"] == 0
+    assert found.bans_kept
 
 
 def test_an_old_process_that_is_killed_as_its_successor_starts_leaves_a_fleet_of_one_side(tmp_path):
@@ -75,7 +74,8 @@
     found = play_change(SCENARIO, change(faults=faults, decision="undo"), tmp_path / "run")
     version = {"done": "new", "undone": "old"}[found.phase]
     assert found.versions == dict.fromkeys(("n0", "n1", "n2"), version) and found.bans_kept, found
-    assert found.findings == [] and not found.attempts_to_banned
+    assert found.findings == []
+    assert not found.attempts_to_banned
 
 
 def test_a_fleet_that_is_told_to_end_in_mid_stage_is_undone_and_no_job_taken_is_lost(tmp_path):
@@ -132,15 +132,18 @@
     )
     found = play_change(SCENARIO, told, tmp_path / "run")
     assert found.phase == "held" and "can be seen" in found.why, found
-    assert found.findings == [] and found.versions["n1"] == found.versions["n2"] == "old"
+    assert found.findings == []
+    assert found.versions["n1"] == found.versions["n2"] == "old"
 
 
 def test_the_marks_tell_whose_processes_are_there(tmp_path):
     with Fleet(Scenario(dispatchers=1, workers=2, cell=2, jobs=1), tmp_path / "run") as fleet:
         [dispatcher] = fleet.dispatchers.values()
-        assert version_of(dispatcher, "any") == "old" and len(dispatcher.processes()) == 1
+        assert version_of(dispatcher, "any") == "old"
+        assert len(dispatcher.processes()) == 1
         told = json.loads((tmp_path / "run" / "scenario.json").read_text())
-        assert told["dispatchers"] == 1 and START_ARGUMENTS[-1] == "--config"
+        assert told["dispatchers"] == 1
+        assert START_ARGUMENTS[-1] == "--config"
 
 
 def test_the_same_seed_draws_the_same_change_and_worse_ones_take_turns_with_good_ones():
@@ -160,17 +163,21 @@
 
 def test_intervals_of_shares():
     low, high = wilson(50, 50)
-    assert 0.92 < low < 0.94 and high == 1.0 and wilson(0, 0) == (0.0, 1.0)
+    assert 0.92 < low < 0.94
+    assert high == 1.0
+    assert wilson(0, 0) == (0.0, 1.0)
 
 
 def test_the_commands_of_a_change_say_what_is_wrong(tmp_path):
     run = CliRunner()
     told = run.invoke(main, ["rollout", "status", str(tmp_path)])
-    assert told.exit_code == 1 and "holds no change" in told.output
+    assert told.exit_code == 1
+    assert "holds no change" in told.output
     plan = tmp_path / "plan.toml"
     plan.write_text('name = "x"\n[change]\nprogram = "p"\nbefore = "o"\n[[dispatcher]]\nname = "n0"\n'
                     'console = "127.0.0.1:1"\nspare = "127.0.0.1:2"\nstart = ["s"]\n')  # fmt: skip
     told = run.invoke(main, ["rollout", "start", str(plan), "--folder", str(tmp_path / "c")])
-    assert told.exit_code == 2 and "change.program" in told.output
+    assert told.exit_code == 2
+    assert "change.program" in told.output
     told = run.invoke(main, ["lab", "fleet", "rollouts", "--seeds", "x"])
     assert told.exit_code == 2
--- a/tests/test_rollout_on_failing_disk.py
+++ b/tests/test_rollout_on_failing_disk.py
@@ -141,7 +141,8 @@
     healthy = Change(tmp_path / "healthy", faults)
     healthy.begin()
     faults.counts.clear()
-    assert healthy.lead() == "done" and set(healthy.sides()) == {Version.NEW}
+    assert healthy.lead() == "done"
+    assert set(healthy.sides()) == {Version.NEW}
     healthy.controller.close()
     many = faults.counts[kind]
     for first in range(1, many + 1, max(1, many // POSITIONS)):
@@ -184,7 +185,8 @@
         change.now += 1.0
         change.controller.turn()
     assert change.controller.course.state.paused
-    assert (change.folder / "wish.json").exists() and change.controller.journal.wish() == ""
+    assert (change.folder / "wish.json").exists()
+    assert change.controller.journal.wish() == ""
     ask(change.folder, "resume")
     for _ in range(3):
         change.now += 1.0
@@ -244,7 +246,8 @@
         begin(tmp_path / "plan.toml", folder)
     plan, base = plan_of(folder)
     [texts] = prepare(plan, base, folder).values()
-    assert texts.text[Version.OLD] == FILE and texts.text[Version.NEW] != FILE
+    assert texts.text[Version.OLD] == FILE
+    assert texts.text[Version.NEW] != FILE
     for side in (Version.NEW, Version.OLD):
         texts.put(side)
         assert texts.lies() is side
@@ -263,7 +266,8 @@
         monkeypatch.setattr(time, "time", lambda: real() + step)
         [after] = hands.look()["n0"]
         hands.close()
-    assert after.found.pid == os.getpid() and 0.0 <= after.age - before < 4.0
+    assert after.found.pid == os.getpid()
+    assert 0.0 <= after.age - before < 4.0
 
 
 @pytest.mark.parametrize("step", [5.0, 3600.0, -5.0, -3600.0])
--- a/tests/test_rollout_settings.py
+++ b/tests/test_rollout_settings.py
@@ -42,7 +42,9 @@
     text = merged(FILE, tomllib.loads('[[settings.classes]]\nname = "lookup"\nvalue = 2.0\n'))
     told = tomllib.loads(text)
     assert told["settings"]["classes"] == [{**tomllib.loads(FILE)["settings"]["classes"][0], "value": 2.0}]
-    assert "# Ours." in text and "# of the module" in text and "# points" in text
+    assert "# Ours." in text
+    assert "# of the module" in text
+    assert "# points" in text
 
 
 def test_a_class_that_is_not_there_is_added_and_a_json_file_is_laid_over_too():
@@ -76,7 +78,8 @@
     texts.put(Version.NEW)
     (tmp_path / "over.toml").write_text("[limits]\nsockets = 1000\n")
     again = prepare(plan, tmp_path, tmp_path / "change")["n0"]  # another controller, later
-    assert again.lies() is Version.NEW and again.digest == texts.digest
+    assert again.lies() is Version.NEW
+    assert again.digest == texts.digest
     again.put(Version.OLD)
     assert (tmp_path / "n0.toml").read_text() == FILE
     (tmp_path / "n0.toml").write_text(FILE + "# by hand\n")
--- a/tests/test_rollout_state_machine.py
+++ b/tests/test_rollout_state_machine.py
@@ -113,13 +113,15 @@
     world = World()
     assert world.run() == "done"
     assert world.sides() == {name: ["new"] for name in NAMES}
-    assert world.changing_most == 1 and [m.member for m in world.moves if isinstance(m, Start)] == list(NAMES)
+    assert world.changing_most == 1
+    assert [m.member for m in world.moves if isinstance(m, Start)] == list(NAMES)
 
 
 def test_a_worse_one_is_undone_in_its_first_stage():
     world = World()
     world.share[Version.NEW] = 0.7
-    assert world.run() == "undone" and "class a" in world.course.state.why
+    assert world.run() == "undone"
+    assert "class a" in world.course.state.why
     assert world.sides() == {name: ["old"] for name in NAMES}
     assert {m.member for m in world.moves} == {"n0"}
 
@@ -127,22 +129,26 @@
 def test_one_that_never_gets_ready_is_ended_and_the_old_one_serves_on():
     world = World()
     world.broken.add(Version.NEW)
-    assert world.run() == "undone" and "not ready" in world.course.state.why
+    assert world.run() == "undone"
+    assert "not ready" in world.course.state.why
     ended = [m for m in world.moves if isinstance(m, End)]
-    assert world.sides()["n0"] == ["old"] and len(ended) == 1
+    assert world.sides()["n0"] == ["old"]
+    assert len(ended) == 1
 
 
 def test_one_that_ends_at_its_start_is_a_fault_not_a_wait():
     world = World()
     world.dead_at_start.add("n0")
-    assert world.run() == "undone" and "ended at once" in world.course.state.why
+    assert world.run() == "undone"
+    assert "ended at once" in world.course.state.why
 
 
 def test_a_new_one_that_is_gone_later_is_brought_back_at_once():
     world = World()
     world.run(until=lambda course: course.state.stage == 1 and course.state.phase == "watching")
     world.processes["n1"].clear()
-    assert world.run() == "undone" and "n1 is gone" in world.course.state.why
+    assert world.run() == "undone"
+    assert "n1 is gone" in world.course.state.why
     assert world.sides() == {name: ["old"] for name in NAMES}
 
 
@@ -151,13 +157,16 @@
     world.lazy.add(world.processes["n0"][0]["pid"])
     assert world.run() == "done"
     hard = [m for m in world.moves if isinstance(m, End) and m.hard]
-    assert [m.member for m in hard] == ["n0"] and world.now > ENDING
+    assert [m.member for m in hard] == ["n0"]
+    assert world.now > ENDING
 
 
 def test_a_fleet_that_is_ill_is_not_begun_with_and_the_ill_ones_are_named():
     world = World()
     world.processes["n2"].clear()
-    assert world.run() == "refused" and "n2" in world.course.state.why and not world.moves
+    assert world.run() == "refused"
+    assert "n2" in world.course.state.why
+    assert not world.moves
 
 
 def test_an_old_one_that_cannot_be_brought_back_is_named():
@@ -166,9 +175,11 @@
     world.lose_allowed = True  # one that was started and is not ready makes room for the next trial
     world.broken.add(Version.OLD)
     world.processes["n0"].clear()
-    assert world.run() == "stuck" and set(world.course.state.missing) == {"n0"}
+    assert world.run() == "stuck"
+    assert set(world.course.state.missing) == {"n0"}
     world.broken.clear()
-    assert world.course.obey("undo") == "" and world.run() == "undone"
+    assert world.course.obey("undo") == ""
+    assert world.run() == "undone"
     assert world.sides()["n0"] == ["old"]
 
 
@@ -178,7 +189,8 @@
     assert world.course.obey("pause") == ""
     before = len(world.moves)
     world.run(100)
-    assert world.course.state.phase == "watching" and len(world.moves) == before
+    assert world.course.state.phase == "watching"
+    assert len(world.moves) == before
     world.processes["n0"].clear()
     assert world.run() == "undone"
 
@@ -188,8 +200,10 @@
     world.run(until=lambda course: course.state.stage == 1 and course.state.phase == "watching")
     world.course.obey("undo")
     world.turn()
-    assert world.course.state.phase == "undoing" and world.course.obey("resume") == ""
-    assert world.run() == "done" and world.sides() == {name: ["new"] for name in NAMES}
+    assert world.course.state.phase == "undoing"
+    assert world.course.obey("resume") == ""
+    assert world.run() == "done"
+    assert world.sides() == {name: ["new"] for name in NAMES}
 
 
 def test_a_held_stage_waits_for_a_word():
@@ -198,7 +212,8 @@
     assert world.run(60, until=lambda course: course.state.phase == "held") == "held"
     world.run(50, until=lambda course: False)
     assert world.course.state.phase == "held"
-    assert world.course.obey("undo") == "" and world.run() == "undone"
+    assert world.course.obey("undo") == ""
+    assert world.run() == "undone"
 
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=150,
@@ -223,7 +238,8 @@
     world.course.obey("resume") if world.course.state.paused else None
     world.run(600)
     phase, sides = world.course.state.phase, world.sides()
-    assert phase in ENDS | {"held"} and world.changing_most <= 2
+    assert phase in ENDS | {"held"}
+    assert world.changing_most <= 2
     if phase == "done":
         assert all(there in (["new"], []) for there in sides.values())
     elif phase == "undone":
@@ -238,8 +254,10 @@
     mover.want("n0", Version.OLD)
     one = ProcessStatus(Version.OLD, 7, ("h", 1), True, "", Version.NEW)
     [move] = mover.step(1.0, {"n0": [one]}, 3)
-    assert move == Configure("n0", Version.OLD, None if program else 7) and not mover.arrived("n0")
-    assert mover.step(2.0, {"n0": [replace(one, lies=Version.OLD)]}, 3) == [] and mover.arrived("n0")
+    assert move == Configure("n0", Version.OLD, None if program else 7)
+    assert not mover.arrived("n0")
+    assert mover.step(2.0, {"n0": [replace(one, lies=Version.OLD)]}, 3) == []
+    assert mover.arrived("n0")
 
 
 # The journal.
@@ -346,7 +364,8 @@
     meter = WindowMeter()
     assert meter.look({"n0": [told(success=10, in_time=9)]}, [])[0].asked == {}
     [one] = meter.look({"n0": [told(success=15, busy=5, in_time=13)]}, [])
-    assert one.asked == {"a": 10} and one.in_time == {"a": 4}
+    assert one.asked == {"a": 10}
+    assert one.in_time == {"a": 4}
     assert one.waits == {"a": (5, 25.0, 130.0)}
 
 
@@ -369,7 +388,8 @@
     meter = WindowMeter()
     meter.look({"n0": [told(1, banned=["w1", "w2"])]}, [])
     [one] = meter.look({"n0": [told(1, banned=["w1", "w2"]), told(2, Version.NEW, banned=["w1"])]}, ["n0"])
-    assert one.broken == "it forgot the ban of w2" and one.new
+    assert one.broken == "it forgot the ban of w2"
+    assert one.new
     [one] = meter.look({"n0": [told(2, Version.NEW, banned=["w1"], broken=1)]}, ["n0"])
     assert one.broken == "answered"
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -35,8 +35,10 @@
         elif what == "expired":
             over = {k for k, since in model.items() if (since // BUCKET_MS + 1) * BUCKET_MS + keep <= value}
             found = table.expired(value, keep, key)
-            assert len(found) == len(set(found)) == min(key, len(over)) and set(found) <= over
-        assert len(table) == len(model) and all((k in table) == (k in model) for k in range(31))
+            assert len(found) == len(set(found)) == min(key, len(over))
+            assert set(found) <= over
+        assert len(table) == len(model)
+        assert all((k in table) == (k in model) for k in range(31))
         first = min(model.values(), default=inf)
         assert table.next_expiry(keep) == (
             inf if first == inf else (first // BUCKET_MS + 1) * BUCKET_MS + keep
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -63,15 +63,20 @@
     requests = len(requests_of(plan(rate=20.0, seconds=1.0)))
     for day, workers in zip(report["measurements"], (8, 24), strict=True):
         assert day["workers"] == workers
-        assert sum(day["statuses"].values()) == requests and "none" not in day["statuses"]
+        assert sum(day["statuses"].values()) == requests
+        assert "none" not in day["statuses"]
         assert 0 < day["connections"] <= 3 * requests
         assert day["list_bytes"] > 4 * 100  # four changes were told
-        assert day["processor_seconds"] > 0.0 and day["peak_memory"] > 10 * MEGABYTE
+        assert day["processor_seconds"] > 0.0
+        assert day["peak_memory"] > 10 * MEGABYTE
         assert day["peak_descriptors"] > 5
     kept = verdicts(report)
-    assert kept["descriptors"] and kept["connections to workers"] and kept["bytes of lists, KB"]
+    assert kept["descriptors"]
+    assert kept["connections to workers"]
+    assert kept["bytes of lists, KB"]
     assert code == (0 if all(kept.values()) else 1)  # a busy machine may show in the processor's time
-    assert "p50" in output and "p99" in output
+    assert "p50" in output
+    assert "p99" in output
     assert any("policy" in path or "decide" in path for path, _, _ in pstats.Stats(str(profile)).stats)
 
 
@@ -82,7 +87,8 @@
     (planted / "__init__.py").write_text(PLANTED_INIT.format(planted=str(planted), real=real))
     (planted / "__main__.py").write_text(PLANTED_MAIN.format(real=real))
     code, report, output = run(tmp_path, "--checkout", str(planted.parent))
-    assert code == 1 and "OVER" in output
+    assert code == 1
+    assert "OVER" in output
     assert verdicts(report)["descriptors"] is False
 
 
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -107,9 +107,11 @@
         give(settings={"classes": [{**CLASS, "value": 9}]}, limits={"sockets": 2000})
         wait_for("the refusal", lambda: running()["refused"] is not None)
         third = running()
-        assert third["refused"]["why"].startswith("limits.sockets") and third["digest"] == second["digest"]
+        assert third["refused"]["why"].startswith("limits.sockets")
+        assert third["digest"] == second["digest"]
         assert third["refused"]["settings"]["settings"]["classes"][0]["value"] == 9
-        assert third["settings"]["settings"]["classes"][0]["value"] == 7 and third["generation"] == 2
+        assert third["settings"]["settings"]["classes"][0]["value"] == 7
+        assert third["generation"] == 2
         path.write_text("not = [toml")
         process.send_signal(signal.SIGHUP)
         wait_for("another refusal", lambda: "TOML" in running()["refused"]["why"])
@@ -128,7 +130,8 @@
     told = Change(program="", settings=GOOD, watch=QUICK, banned_worker="w5")
     found = play_change(SCENARIO, told, tmp_path / "run")
     assert found.phase == "done" and found.findings == [], found
-    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "new") and found.bans_kept
+    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "new")
+    assert found.bans_kept
     assert verdict(replace(told, program="none"), found) == "right"
 
 
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -46,10 +46,12 @@
     """antigua-reparto-later, 152 nodes: each sent to all of 207 workers and knew none of them."""
     nodes = [part(me, 40) for me in range(40)]
     used = Counter(w.entry.worker for n in nodes for w in n.dispatcher._fleet.subset.workers)
-    assert set(used.values()) == {4} and len(used) == 40
+    assert set(used.values()) == {4}
+    assert len(used) == 40
     for node in nodes:
         zones = Counter((w.entry.zone, w.entry.kind) for w in node.dispatcher._fleet.subset.workers)
-        assert len(node.dispatcher._fleet.subset.workers) == 4 and max(zones.values()) == 1
+        assert len(node.dispatcher._fleet.subset.workers) == 4
+        assert max(zones.values()) == 1
 
 
 def test_a_node_keeps_to_its_part_but_for_repeats_bound_elsewhere():
@@ -75,20 +77,23 @@
         for sent in sends(actions):
             used.add(sent.worker)
             node.end(id_, 0, sent.worker, Outcome.OK, final=True)
-    assert len(used) > 20 and len(node.dispatcher._fleet.subset.workers) == 40
+    assert len(used) > 20
+    assert len(node.dispatcher._fleet.subset.workers) == 40
 
 
 def test_keys_spread_evenly_over_workers():
     """The hash of a tuple of integers made one of 14 workers first home of six times the keys of another."""
     first = Counter(min(range(1000, 1014), key=lambda w: mix(key, w)) for key in range(1, 2801))
-    assert len(first) == 14 and max(first.values()) < 1.5 * min(first.values())
+    assert len(first) == 14
+    assert max(first.values()) < 1.5 * min(first.values())
 
 
 def test_counts_are_told_to_every_peer_as_jobs_come_and_go():
     node = Node(TALKING, workers=1)
     id_, actions = node.arrive()
     told = [a for a in actions if isinstance(a, SendPeerReport)]
-    assert [a.peer for a in told] == [1, 2] and list(unpack_counts(told[0].data)) == [(1, 1)]
+    assert [a.peer for a in told] == [1, 2]
+    assert list(unpack_counts(told[0].data)) == [(1, 1)]
     actions = node.end(id_, 0, 1, Outcome.OK, final=True)
     assert [list(unpack_counts(a.data)) for a in actions if isinstance(a, SendPeerReport)] == [[(1, 0)]] * 2
 
@@ -98,7 +103,8 @@
     node = part(0, 40, may_tell=True)
     assert len(node.dispatcher._gossip.peers) == 9
     node.play(EndpointsUpdated(EndpointListKind.FULL, 3, FLEET[:4]))
-    assert len(node.dispatcher._fleet.subset.workers) == 4 and not node.dispatcher._gossip.peers
+    assert len(node.dispatcher._fleet.subset.workers) == 4
+    assert not node.dispatcher._gossip.peers
 
 
 def test_nothing_is_told_where_nodes_may_not_talk():
@@ -134,7 +140,8 @@
 
 def test_a_message_holds_what_the_wire_takes():
     data = pack_counts([(n, 1000) for n in range(80)])
-    assert len(data) <= 256 and next(iter(unpack_counts(data))) == (0, 255)
+    assert len(data) <= 256
+    assert next(iter(unpack_counts(data))) == (0, 255)
 
 
 def silent(**more):
@@ -148,7 +155,9 @@
     node, mine = silent()
     _, actions = node.arrive()
     probed = [a.worker for a in actions if isinstance(a, ProbeWorker)]
-    assert len(set(probed)) == 3 and set(probed) < set(mine) and not sends(actions)
+    assert len(set(probed)) == 3
+    assert set(probed) < set(mine)
+    assert not sends(actions)
     assert not sends(node.play(ProbeCompleted(probed[0], Outcome.OK, 1.0, (0.0,)), at=2.0))
     got = node.play(ProbeCompleted(probed[1], Outcome.OK, 1.0, (1.0,)), at=3.0)
     assert [s.worker for s in sends(got)] == [probed[1]]
@@ -165,7 +174,8 @@
 def test_no_probes_where_starts_are_told_probes_not_allowed_or_nodes_are_few(more):
     node, _ = silent(**more)
     _, actions = node.arrive()
-    assert len(sends(actions)) == 1 and not [a for a in actions if isinstance(a, ProbeWorker)]
+    assert len(sends(actions)) == 1
+    assert not [a for a in actions if isinstance(a, ProbeWorker)]
 
 
 def test_a_fresh_report_spares_the_probes():
@@ -263,7 +273,8 @@
     assert not cancels(node.play(TimerFired(0), at=patience - 2.0))
     assert cancels(node.play(TimerFired(0), at=patience + 2.0)) == [CancelAttempt(id_, 0)]
     again = sends(node.end(id_, 0, worker, Outcome.CANCELLED))
-    assert [send.id for send in again] == [id_] and again[0].worker != worker
+    assert [send.id for send in again] == [id_]
+    assert again[0].worker != worker
     assert not node.dispatcher._selector.is_free(node.dispatcher._fleet.workers[worker], node.now), (
         "the next would wait too"
     )
@@ -320,14 +331,14 @@
     assert again.worker != worker, "the job goes elsewhere at once"
     node.end(id_, 1, again.worker, Outcome.OK, final=True)
     full = node.dispatcher._fleet.workers[worker]
-    assert not node.dispatcher._selector.is_free(
-        full, node.now + 400.0
-    ) and node.dispatcher._selector.is_free(full, node.now + 600.0)
+    assert not node.dispatcher._selector.is_free(full, node.now + 400.0)
+    assert node.dispatcher._selector.is_free(full, node.now + 600.0)
     node.now += 600.0
     for _ in range(40):  # a trial comes, and its answer makes an end of the matter
         for send in sends(node.arrive(key=7)[1]):
             node.end(send.id, 0, send.worker, Outcome.OK, final=True)
-    assert full.strikes == 0 and worker not in node.dispatcher.snapshot(node.now).avoided
+    assert full.strikes == 0
+    assert worker not in node.dispatcher.snapshot(node.now).avoided
 
 
 def test_what_is_called_off_unstarted_is_no_repeat_of_what_may_have_run():
@@ -359,7 +370,8 @@
             break
     node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.aim + 2.0)
     [again] = [s for s in sends(node.end(id_, 0, first.worker, Outcome.CANCELLED)) if s.id == id_]
-    assert again.worker % 3 == zone and again.worker != first.worker
+    assert again.worker % 3 == zone
+    assert again.worker != first.worker
 
 
 def test_a_job_that_starts_at_clock_zero_has_started():
@@ -368,7 +380,8 @@
     id_, _ = node.arrive()
     node.play(AttemptProgressed(id_, 0, 1, 1, 0.0))
     node.end(id_, 0, 1, Outcome.OK, final=True)
-    assert node.dispatcher._fleet.workers[1].unstarted == 0 and sends(node.arrive()[1])
+    assert node.dispatcher._fleet.workers[1].unstarted == 0
+    assert sends(node.arrive()[1])
 
 
 FULL = replace(CROWD, balancers=200, classes=(replace(SAFE, late_worth=0.0),))
@@ -435,7 +448,8 @@
         "before the queued mean is over"
     )
     [told] = [a for a in node.end(id_, 0, 0, Outcome.CANCELLED) if isinstance(a, RejectRequest)]
-    assert told.id == id_ and told.retry_after > 0.0
+    assert told.id == id_
+    assert told.retry_after > 0.0
 
 
 def test_a_late_job_stays_where_queues_are_short_where_nodes_are_few_and_where_late_answers_have_worth():
@@ -448,7 +462,8 @@
             node.end(id_, number, worker, Outcome.CONNECT_FAILED)
         module._outliers.mean_wait, node.now = queued, 2000.0
         told = node.end(id_, 2, worker, Outcome.CONNECT_FAILED)
-        assert not [a for a in told if isinstance(a, RejectRequest)] and id_ in module._jobs
+        assert not [a for a in told if isinstance(a, RejectRequest)]
+        assert id_ in module._jobs
 
 
 def test_a_repeat_is_as_old_as_its_clients_first_try():
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -104,8 +104,11 @@
     fleet.run(3600.0)
     before = fleet.sent_to([1], 0.0)
     fleet.run(9000.0)
-    assert before > 0 and fleet.sent_to([1], 3600.0) == 0
-    assert not fleet.broken and not fleet.owed() and fleet.served() > 0.9
+    assert before > 0
+    assert fleet.sent_to([1], 3600.0) == 0
+    assert not fleet.broken
+    assert not fleet.owed()
+    assert fleet.served() > 0.9
 
 
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
@@ -116,7 +119,8 @@
     assert not fleet.broken, fleet.broken[:3]
     assert max(fleet.worst(worker, 18_000.0) for worker in zone) <= 1.0
     assert max(fleet.slow_start_use(worker, 18_000.0) for worker in zone) <= 1.0
-    assert fleet.sent_to(zone, 9600.0) > 20 * len(zone) and not fleet.owed()
+    assert fleet.sent_to(zone, 9600.0) > 20 * len(zone)
+    assert not fleet.owed()
 
 
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
@@ -129,6 +133,7 @@
     fleet.run(10_000.0)
     fleet.wake(silent)
     fleet.run(20_000.0)
-    assert not fleet.broken and not fleet.owed()
+    assert not fleet.broken
+    assert not fleet.owed()
     assert fleet.served() > 0.85
     assert fleet.sent_to(silent, 16_000.0) > 4 * len(silent)
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -40,7 +40,8 @@
     dispatcher.table.load({"index": 9, "snapshot": True, "endpoints": []})
     client = Client(dispatcher)
     client.post()
-    assert not dispatcher.dials and not client.answers()
+    assert not dispatcher.dials
+    assert not client.answers()
 
 
 @pytest.mark.parametrize(
@@ -85,7 +86,8 @@
     client = dispatcher.client(path="/unsafe/a")
     dispatcher.dials[0].up().status(503, Retry_After="1")
     [(status, head, _)] = client.answers()
-    assert status == 502 and not head.get("retry-after")
+    assert status == 502
+    assert not head.get("retry-after")
 
 
 def test_a_result_is_served_as_it_is_and_its_connection_used_again():
@@ -95,7 +97,8 @@
     end.finish(result="naïve ✓")
     assert [(s, b.decode()) for s, _, b in client.answers()] == [(200, "naïve ✓")]
     client.post(id_="r2")
-    assert end.take() == ["r2"] and not dispatcher.dials
+    assert end.take() == ["r2"]
+    assert not dispatcher.dials
 
 
 def test_what_passes_to_a_worker_is_unchanged():
@@ -106,7 +109,8 @@
     end.take()
     head = end.requests[0]
     assert (head.method, head.target, head.get("x-request-id")) == ("POST", "/keyed/a%20b?c=d&e", "id-1")
-    assert head.get("idempotency-key") == "k1" and sent.endswith(b"\x00body")
+    assert head.get("idempotency-key") == "k1"
+    assert sent.endswith(b"\x00body")
     assert head.get("x-deadline-ms") == str(3000 - int(DEADLINE_MARGIN))
 
 
@@ -136,7 +140,8 @@
     for number, end in enumerate([*ends, *ends]):
         dispatcher.advance(4000.0)
         dispatcher.client(id_=f"t{number}")
-        assert end.take() == [f"t{number}"] and not dispatcher.dials
+        assert end.take() == [f"t{number}"]
+        assert not dispatcher.dials
         end.finish()
 
 
@@ -148,7 +153,8 @@
     end.finish()
     end.connection.eof_received()
     dispatcher.client(id_="r2")
-    assert len(dispatcher.dials) == 1 and dispatcher.side.connections == 1
+    assert len(dispatcher.dials) == 1
+    assert dispatcher.side.connections == 1
 
 
 def test_where_a_kept_connection_proved_dead_the_others_are_not_used():
@@ -197,19 +203,22 @@
     end = dispatcher.dials[0].up()
     client.pipe.break_off()
     dispatcher.settle()
-    assert not end.pipe.open and not dispatcher.exchange.unanswered
+    assert not end.pipe.open
+    assert not dispatcher.exchange.unanswered
 
 
 def test_descriptors_stay_bounded_on_both_sides():
     dispatcher = InMemoryDispatcher(workers=1, most=3, worker_connections=2)
     idle = [Client(dispatcher) for _ in range(3)]
-    assert dispatcher.listener.make_room() and not idle[0].pipe.open  # the longest idle one gave way
+    assert dispatcher.listener.make_room()
+    assert not idle[0].pipe.open
     Client(dispatcher)
     for client in (idle[1], idle[2]):
         client.post(id_=f"r{id(client)}")
     assert dispatcher.listener.make_room()
     dispatcher.client(id_="r9")
-    assert not dispatcher.listener.make_room() and dispatcher.side.connections <= 2
+    assert not dispatcher.listener.make_room()
+    assert dispatcher.side.connections <= 2
 
 
 def test_an_unready_dispatcher_says_so():
@@ -222,7 +231,8 @@
     assert client.ask("GET", "/ready")[0][0] == 200
     dispatcher.listener.draining = True
     [(status, head, _)] = client.ask("GET", "/ready")
-    assert status == 503 and head.get("connection") == "close"
+    assert status == 503
+    assert head.get("connection") == "close"
 
 
 @pytest.mark.parametrize(
@@ -243,7 +253,8 @@
     client = Client(dispatcher)
     client.send(message)
     assert [answer[0] for answer in client.answers()] == [status]
-    assert not dispatcher.dials and not dispatcher.exchange.unanswered
+    assert not dispatcher.dials
+    assert not dispatcher.exchange.unanswered
 
 
 def test_thousands_of_pipelined_messages_do_not_nest():
@@ -260,7 +271,8 @@
     client = Client(dispatcher)
     client.send(b"POST /safe HTTP/1.1\r\n")
     dispatcher.advance(40_000.0)
-    assert client.answers()[0][0] == 408 and not client.pipe.open
+    assert client.answers()[0][0] == 408
+    assert not client.pipe.open
 
 
 def test_only_quiet_connections_are_closed_at_the_end():
@@ -272,7 +284,9 @@
     assert (idle.pipe.open, busy.pipe.open, begun.pipe.open) == (False, True, True)
     dispatcher.dials[0].up().finish()
     [(status, head, _)] = busy.answers()
-    assert status == 200 and head.get("connection") == "close" and busy.pipe.ended
+    assert status == 200
+    assert head.get("connection") == "close"
+    assert busy.pipe.ended
 
 
 def test_while_a_program_ends_its_clients_stay_until_it_leaves_and_later_jobs_are_answered_in_time():
@@ -283,7 +297,8 @@
     end = dispatcher.dials[0].up()
     end.finish()
     [(status, head, _)] = client.answers()
-    assert status == 200 and not head.get("connection")
+    assert status == 200
+    assert not head.get("connection")
     dispatcher.listener.answer_by = dispatcher.now + 500.0
     client.post(id_="r2", wait=5000)
     end.take()
@@ -297,7 +312,8 @@
     dispatcher.exchange._module._expire = lambda now: None
     client = dispatcher.client(wait=400)
     dispatcher.advance(430.0)
-    assert client.answers()[0][0] == 502 and dispatcher.logged
+    assert client.answers()[0][0] == 502
+    assert dispatcher.logged
 
 
 def test_an_answer_that_cannot_be_given_leaves_the_turns_other_actions(monkeypatch):
@@ -307,7 +323,8 @@
     first.post(id_="r1", wait=300)
     second.post(id_="r2", wait=300)
     dispatcher.advance(310.0)
-    assert second.answers() and "ZeroDivisionError" in dispatcher.logged[0]
+    assert second.answers()
+    assert "ZeroDivisionError" in dispatcher.logged[0]
 
 
 SOURCE = ("127.0.0.1", 8500)
@@ -342,7 +359,8 @@
         end.pipe.send(b"1\r\n\n\r\n")
     assert end.pipe.open
     dispatcher.advance(SILENCE + 500.0)
-    assert not end.pipe.open and list(dispatcher.exchange._table.values()) == [EndpointState.DRAINING]
+    assert not end.pipe.open
+    assert list(dispatcher.exchange._table.values()) == [EndpointState.DRAINING]
     again = dispatcher.dials[-1].up()
     assert b"after=5 " in again.pipe.written
 
@@ -363,7 +381,8 @@
     end.pipe.send(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n" % (len(line) + 1, line)
     )
-    assert not end.pipe.open and dispatcher.exchange.knows_workers
+    assert not end.pipe.open
+    assert dispatcher.exchange.knows_workers
     dispatcher.advance(300.0)
     assert dispatcher.dials
 
@@ -378,6 +397,7 @@
     for _ in range(int(SILENCE / 100.0) + 1):
         end.pipe.send(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
         dispatcher.advance(100.0)
-    assert not end.pipe.open and dispatcher.exchange.knows_workers
+    assert not end.pipe.open
+    assert dispatcher.exchange.knows_workers
     dispatcher.advance(300.0)
     assert dispatcher.dials
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -77,7 +77,8 @@
         assert "listens on" in process.stderr.readline()
         with socket.create_connection(("127.0.0.1", port)) as sock:
             assert ask(sock, JOB) == (200, b"cba")
-    assert ready.asked.is_set() and not draining.asked.is_set()
+    assert ready.asked.is_set()
+    assert not draining.asked.is_set()
 
 
 def test_a_silent_agent_delays_a_start_for_the_grace_of_a_drain_and_no_longer(tmp_path):
@@ -99,7 +100,8 @@
     monkeypatch.setattr(wheel, "at", lambda when, call: waits.append(when) or call())
     loop.run_until_complete(program.discovery.first_list())
     loop.close()
-    assert config.site.drain_grace == LONG and waits == [1e6 + FIRST_LIST_TIMEOUT]
+    assert config.site.drain_grace == LONG
+    assert waits == [1e6 + FIRST_LIST_TIMEOUT]
 
 
 def test_a_process_that_is_told_to_end_before_it_is_up_ends(tmp_path):
@@ -138,7 +140,8 @@
     with open(ROOT / "deploy" / "balancer.toml", "rb") as file:
         run = tomllib.load(file)["run"]
     command = run.replace(".venv/bin/python", sys.executable)
-    assert command != run and "exec " in run
+    assert command != run
+    assert "exec " in run
     worker, port, path = CountingWorker(), free_port(), tmp_path / "config.json"
     source = DiscoveryServer(worker.port)
     path.write_text(json.dumps(program_config(port, f"127.0.0.1:{source.port}")))
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -144,7 +144,8 @@
     for worker in node.dispatcher._fleet.key_orders.first(7, 20)[0]:
         worker.full_until = 1e9
     waiting = [node.arrive(key=7)[0] for _ in range(4)]
-    assert busy in node.dispatcher._jobs and waiting[-1] in node.dispatcher._jobs
+    assert busy in node.dispatcher._jobs
+    assert waiting[-1] in node.dispatcher._jobs
 
     def wake(number):
         node.play(at=100.0 + number)
@@ -204,7 +205,8 @@
         assert max(sizes) - min(sizes) <= 1, sizes
         sharers = Counter(worker for node in nodes for worker in members(node))
         assert set(sharers) == set(entries)
-        assert min(sharers.values()) >= SHARERS[False] and max(sharers.values()) <= 2 * SHARERS[False]
+        assert min(sharers.values()) >= SHARERS[False]
+        assert max(sharers.values()) <= 2 * SHARERS[False]
     assert min(sizes) >= SUBSET - 1
 
 
@@ -240,7 +242,8 @@
         assert 0.9 * size / groups <= len(subset) <= 1.1 * size / groups
         parts = Counter((worker.entry.zone, worker.entry.kind) for worker in subset)
         even = len(subset) / 8
-        assert len(parts) == 8 and 0.67 * even <= min(parts.values()) <= max(parts.values()) <= 1.5 * even
+        assert len(parts) == 8
+        assert 0.67 * even <= min(parts.values()) <= max(parts.values()) <= 1.5 * even
 
 
 @pytest.mark.parametrize("zones", [3, 4, 5])
@@ -248,7 +251,8 @@
     """Were a zone's dispatchers all of one group, the loss of the zone would leave its workers idle."""
     groups = node_of(3200, 0, 200).dispatcher._fleet.subset.groups
     seen = {subsetting.group_of_dispatcher(me, 200, groups, keyed=True) for me in range(0, 200, zones)}
-    assert groups > 1 and seen == set(range(groups))
+    assert groups > 1
+    assert seen == set(range(groups))
 
 
 @pytest.mark.parametrize(("dispatchers", "size"), [(4, 12), (200, 200), (40, 60), (200, 400), (3, 3200)])
@@ -302,7 +306,8 @@
             found, whole = orders.first(key, count)
             wanted = sorted(workers, key=lambda worker: mix(key, worker))
             numbers = [worker.entry.worker for worker in found]
-            assert numbers == wanted[: len(numbers)] and (len(numbers) >= count or whole)
+            assert numbers == wanted[: len(numbers)]
+            assert len(numbers) >= count or whole
             assert not whole or len(numbers) == len(wanted)
 
 
@@ -317,7 +322,8 @@
         id_, actions = node.arrive(cls=1, key=key if keyed else 0)
         [first] = sends(actions)
         [again] = sends(node.end(id_, 0, first.worker, Outcome.RESET))
-        assert again.id == id_ and again.worker != first.worker
+        assert again.id == id_
+        assert again.worker != first.worker
         assert (again.worker - 1) // 2 == (first.worker - 1) // 2
         node.end(id_, 1, again.worker, Outcome.OK, final=True)
         node.now += 1000.0  # the workers whose connections broke have rested
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -145,7 +145,8 @@
 def test_times_are_converted_by_what_the_wall_clock_shows_now(step):
     wall = Wall()
     clock = WallClock(lambda: 7000.0, wall)
-    assert clock.to_unix(6000.0) == UNIX - 1000.0 and clock.from_unix(UNIX - 1000.0) == 6000.0
+    assert clock.to_unix(6000.0) == UNIX - 1000.0
+    assert clock.from_unix(UNIX - 1000.0) == 6000.0
     wall.step(step)
     assert clock.to_unix(6000.0) == UNIX + step - 1000.0
 
@@ -167,7 +168,8 @@
     machine.dispatcher.advance(1000.0)
     machine.beat()
     machine.tell(("new", since), ("old", 0))
-    assert machine.started("new") == 3000.0 and machine.started("old") is None
+    assert machine.started("new") == 3000.0
+    assert machine.started("old") is None
 
 
 @steps
@@ -255,7 +257,8 @@
     consul.answer(9, instance("a", 1), instance("b", 2, since_ms=since), instance("c", 3))
     workers = dispatcher.exchange._module._fleet.workers.values()
     ages = {dispatcher.ids.name(w.entry.worker): dispatcher.now - w.entry.ready_at for w in workers}
-    assert ages["n/b"] == pytest.approx(1000.0) and ages["n/c"] == pytest.approx(1000.0)
+    assert ages["n/b"] == pytest.approx(1000.0)
+    assert ages["n/c"] == pytest.approx(1000.0)
 
 
 @pytest.mark.parametrize("off", [-HOUR, HOUR])
@@ -320,7 +323,8 @@
     assert end.take() == ["r1"]
     machine.wall.step(step)
     dispatcher.advance(900.0)
-    assert not client.answers() and client.pipe.open
+    assert not client.answers()
+    assert client.pipe.open
     second = dispatcher.client(id_="r2", wait=1000)
     dispatcher.advance(200.0)
     assert client.answers()[0][0] in (502, 503)
@@ -397,12 +401,11 @@
     module._fleet.workers[old.ids.worker("slow")].recent.append((old.now - 30.0, 80.0))
     heir = takeover.go().module()
     assert takeover.age(heir._queues.pacers[0].next_at) == pytest.approx(-250.0)
-    assert (
-        takeover.age(heir._slow_start.served_at) == pytest.approx(100.0)
-        and heir._slow_start.served_rate == 0.5
-    )
+    assert takeover.age(heir._slow_start.served_at) == pytest.approx(100.0)
+    assert heir._slow_start.served_rate == 0.5
     [(at, work)] = heir._fleet.workers[old.ids.worker("slow")].recent
-    assert takeover.age(at) == pytest.approx(30.0) and work == 80.0
+    assert takeover.age(at) == pytest.approx(30.0)
+    assert work == 80.0
 
 
 def test_slow_start_goes_on_over_a_step_between_two_starts(takeover):
--- a/tests/test_wheel.py
+++ b/tests/test_wheel.py
@@ -54,7 +54,8 @@
     for at in (SPANS[1] * 2 + 9 * TICK, 7 * TICK, SPANS[0] + TICK, SPANS[2] + 1.0, SPANS[1] + 5 * TICK):
         wheel.at(at, lambda at=at: seen.append(at))
     wheel.advance(SPANS[2] * 2)
-    assert seen == sorted(seen) and len(seen) == 5
+    assert seen == sorted(seen)
+    assert len(seen) == 5
 
 
 def test_a_timer_that_fails_leaves_the_others():
@@ -63,7 +64,8 @@
     wheel.at(4.0, lambda: 1 / 0)
     wheel.at(4.0, lambda: seen.append(1))
     wheel.advance(4.0)
-    assert seen and isinstance(failed[0], ZeroDivisionError)
+    assert seen
+    assert isinstance(failed[0], ZeroDivisionError)
 
 
 def test_a_timer_asked_for_by_a_timer_comes_at_a_later_tick():
@@ -89,7 +91,8 @@
         wheel.advance(1000.0)
         turns += 1
         assert len(idle) - before <= MAX_PATIENT_PER_TURN
-    assert idle == list(range(10_000)) and turns <= 10_000 / MAX_PATIENT_PER_TURN + 10_000 / MAX_PER_TURN + 2
+    assert idle == list(range(10_000))
+    assert turns <= 10_000 / MAX_PATIENT_PER_TURN + 10_000 / MAX_PER_TURN + 2
 
 
 def test_a_job_that_comes_due_while_idlers_wait_is_not_behind_them():
@@ -117,7 +120,8 @@
     del call
     timer.cancel()
     gc.collect()
-    assert seen() is None and wheel.next_at() == float("inf")
+    assert seen() is None
+    assert wheel.next_at() == float("inf")
 
 
 def test_after_a_clock_that_jumped_nothing_is_lost_and_empty_time_costs_nothing():
@@ -134,7 +138,9 @@
 
     wheel._enter_tick = counted
     wheel.advance(SPANS[2] * 5)
-    assert len(seen) == 4 and steps < 30
+    assert len(seen) == 4
+    assert steps < 30
     wheel.advance(SPANS[2])  # back in time: nothing happens, and what is new is not early
     timer = wheel.at(SPANS[2], lambda: seen.append(0))
-    assert timer.tick * TICK > SPANS[2] * 5 and len(seen) == 4
+    assert timer.tick * TICK > SPANS[2] * 5
+    assert len(seen) == 4
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -67,10 +67,12 @@
     changed = TABLE.replace("02 0000803f", "01 0000803f")
     update = "01 0300 00 2900000000000000 00000000"
     first, second = events(TABLE, update, changed, update)
-    assert first[1].kind is EndpointListKind.DELTA and first[1].version == 41
+    assert first[1].kind is EndpointListKind.DELTA
+    assert first[1].version == 41
     assert [e.state for e in first[1].entries] == [EndpointState.READY, EndpointState.READY]
     assert [e.state for e in second[1].entries] == [EndpointState.DRAINING, EndpointState.READY]
-    assert first[1].entries[1].zone == 1 and first[1].entries[1].weight == 1.5
+    assert first[1].entries[1].zone == 1
+    assert first[1].entries[1].weight == 1.5
 
 
 def test_a_failed_list_needs_no_table():
@@ -125,7 +127,8 @@
 
 def test_settings():
     settings = wire.parse_settings(GOOD)
-    assert settings.classes[1].effect is Effect.KEYED and settings.classes[1].scope is Scope.CELL
+    assert settings.classes[1].effect is Effect.KEYED
+    assert settings.classes[1].scope is Scope.CELL
     assert [c.stretch for c in settings.classes] == [2.0, 2.5]
     assert [c.kind for c in settings.classes] == [-1, 1]
     assert (settings.balancers, settings.me, settings.may_cancel) == (3, 2, False)
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -52,7 +52,8 @@
     dispatcher.settle()
     dispatcher.dials.append(dial)  # it came up in the moment in which it was called off
     end = dial.up()
-    assert not end.pipe.open and not end.pipe.written
+    assert not end.pipe.open
+    assert not end.pipe.written
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a"])
@@ -77,7 +78,8 @@
     client = dispatcher.client()
     end = dispatcher.dials[0].up()
     end.finish()
-    assert client.answers()[0][0] == 200 and end.pipe.open
+    assert client.answers()[0][0] == 200
+    assert end.pipe.open
     end.pipe.send(HEAD + line("r1", state="done", result="again") + b"0\r\n\r\n")
     assert not end.pipe.open
 
@@ -92,7 +94,8 @@
     assert end.take() == ["r2"]
     end.pipe.send(HEAD + line("r1", state="done", result="again") + b"0\r\n\r\n")
     dispatcher.settle()
-    assert not end.pipe.open and not second.answers()
+    assert not end.pipe.open
+    assert not second.answers()
     assert any("cannot be used: a line is not about" in text for text in dispatcher.logged)
 
 
@@ -107,7 +110,8 @@
         if end.pipe.open:
             end.pipe.send(b"fa0\r\n%s\r\n" % endless if endless[:1] == b"x" else endless)
         dispatcher.advance(11.0)
-    assert not end.pipe.open and client.answers()[0][0] == 502
+    assert not end.pipe.open
+    assert client.answers()[0][0] == 502
 
 
 def test_a_drain_told_while_the_attempt_waits_behind_its_claim_sends_nothing():
@@ -139,7 +143,8 @@
     dispatcher.settle()
     for dial in list(dispatcher.dials):
         end = dial.up()
-        assert end.take() == [] and not end.pipe.written
+        assert end.take() == []
+        assert not end.pipe.written
 
 
 @pytest.mark.parametrize("tail", [b"0\r\n\r\n", b'5\r\n{"id"\r\n0\r\n\r\n', b"2\r\n{\n\r\n0\r\n\r\n"])
@@ -150,7 +155,8 @@
     end.take()
     end.pipe.send(HEAD + line("r1", state="started") + tail)
     dispatcher.settle()
-    assert client.answers()[0][0] == 502 and not end.pipe.open
+    assert client.answers()[0][0] == 502
+    assert not end.pipe.open
     assert dispatcher.exchange.spoilt_answers == 1
     assert "an answer cannot be used: " in dispatcher.logged[-1]
 
@@ -174,7 +180,8 @@
     task = driver.dial(asyncio.BufferedProtocol(), ("127.0.0.1", 9), lambda: heard.append("refused"))
     loop.run_until_complete(task)
     loop.close()
-    assert heard == failed and len(calls) == len(faults) + (not failed)
+    assert heard == failed
+    assert len(calls) == len(faults) + (not failed)
 
 
 def test_a_dial_that_waits_for_a_descriptor_can_be_called_off(monkeypatch):
@@ -218,11 +225,14 @@
             dispatcher.settle()
         else:
             second.status(500 if fault == "500" else 503, **({} if fault == "500" else {"X_Not_Run": "1"}))
-    assert first.pipe.open and not client.answers()
+    assert first.pipe.open
+    assert not client.answers()
     first.say({"id": "r1", "from": "w", "state": "done", "result": "first"}, head=False, end=True)
     assert [(status, body) for status, _, body in client.answers()] == [(200, b"first")]
     dispatcher.advance(1000.0)
-    assert not client.answers() and not dispatcher.dials and not dispatcher.exchange.unanswered
+    assert not client.answers()
+    assert not dispatcher.dials
+    assert not dispatcher.exchange.unanswered
 
 
 def test_a_hedged_request_and_the_first_attempt_that_fail_in_one_turn_end_in_one_answer():
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -211,7 +211,8 @@
     for at in (1500.0, 1501.0):
         node.now = at
         picked.append(started(node)[1])
-    assert slow.pace(1500.0) > SLOW and picked == [2, 2]
+    assert slow.pace(1500.0) > SLOW
+    assert picked == [2, 2]
     for _ in range(20):
         slow.learn(1502.0, 1.0, True)
     slow.open.clear()
@@ -233,7 +234,8 @@
             node.end(id_, 0, 1, Outcome.ERROR)
         elif send is not None:
             node.play(AttemptProgressed(id_, 0, 2, 1, 0.0))
-    assert at_bad == 2 and bad.strikes
+    assert at_bad == 2
+    assert bad.strikes
 
 
 def test_one_answer_does_not_clear_a_worker_that_fails_every_third_job():
