--- a/eiderfield/batch/registry.py
+++ b/eiderfield/batch/registry.py
@@ -86,7 +86,7 @@
         self._id_prefix = f"{name}-{os.urandom(RANDOM_ID_BYTES).hex()}"
         self._last_number = 0
         self._size = 0  # bytes of unfinished jobs' bodies and finished ones' results
-        self._classes = {cls.name: number for number, cls in enumerate(exchange.site.classes)}
+        self._classes = {cls.name: number for number, cls in enumerate(exchange.settings.classes)}
         self._jobs: dict[str, BatchJob] = {}
         self._finished: OrderedDict[str, BatchJob] = OrderedDict()  # the oldest first
         self._acceptance: dict[str, Callable[[BatchJob], None]] = {}  # by id, called once the job is stored
@@ -167,7 +167,7 @@
         """Ends a job. One that has its final answer keeps it; one that may run ends once, as terminated."""
         job = self._find(job_id)
         if job.answer is None:
-            answer = self._exchange.withdraw(job.number)
+            answer = self._exchange.cancel_request(job.number)
             if answer is not None:
                 self._finish(job, answer)
 
@@ -201,7 +201,7 @@
         check_body(template.body)
         check_name(template.subject)
         check_name(template.idempotency_key)
-        cls = self._exchange.site.classes[self._classes[template.job_class]]
+        cls = self._exchange.settings.classes[self._classes[template.job_class]]
         if cls.effect == Effect.UNSAFE and template.idempotency_key:
             raise DeniedByDrmError(f"workers drop no repeat of class {cls.name}: it takes no key")
 
@@ -227,7 +227,7 @@
     def _request_of(self, job: BatchJob, body: bytes) -> Request:
         template = job.template
         number = self._classes[template.job_class]
-        cls = self._exchange.site.classes[number]
+        cls = self._exchange.settings.classes[number]
         key = template.idempotency_key or (job.job_id if cls.effect == Effect.KEYED else "")
         return Request(
             id=job.job_id,
@@ -242,7 +242,7 @@
     def _next_id(self) -> str:
         """An id that no other front's client uses."""
         self._last_number += 1
-        while self._exchange.holds(f"{self._id_prefix}.{self._last_number}"):
+        while self._exchange.has_request(f"{self._id_prefix}.{self._last_number}"):
             self._last_number += 1
         return f"{self._id_prefix}.{self._last_number}"
 
@@ -290,7 +290,7 @@
     def _state(self, job: BatchJob) -> JobState:
         if job.answer is not None:
             return JobState.DONE if job.answer.verdict == Verdict.SERVED else JobState.FAILED
-        standing = self._exchange.state_of(job.number) if job.number else None
+        standing = self._exchange.request_state(job.number) if job.number else None
         return JobState.RUNNING if standing == RequestState.RUNNING else JobState.QUEUED_ACTIVE
 
 
--- a/eiderfield/durable_requests/claims.py
+++ b/eiderfield/durable_requests/claims.py
@@ -57,7 +57,7 @@
     def request(self, attempt: Attempt, note: AttemptRecord, go: Go, pause: float = RETRY_INTERVAL) -> None:
         """Records an attempt; `go` hears whether it may begin."""
         if attempt.open:  # else its time was over while the disk refused it
-            claim = Claim(attempt.job.request.id, note)
+            claim = Claim(attempt.pending.request.id, note)
             self._thread.write(claim, partial(self._on_outcome, attempt, note, go, pause))
 
     def _on_outcome(
@@ -69,7 +69,7 @@
             self._timers.at(self._clock() + pause, again)
             return
         if isinstance(outcome, EndRequested):
-            self._end(attempt.job.request.id)
+            self._end(attempt.pending.request.id)
         if isinstance(outcome, Claimed) and attempt.open:
             self._held[attempt] = outcome.incarnation
         go(isinstance(outcome, Claimed))
@@ -84,7 +84,7 @@
         """An attempt is over; one that never ran is taken off the record."""
         self._held.pop(attempt, None)
         if not attempt.may_have_run:
-            release = ReleaseClaim(attempt.job.request.id, attempt.number)
+            release = ReleaseClaim(attempt.pending.request.id, attempt.number)
             self._thread.write(release, lambda outcome: None)
 
     def drop_all(self) -> None:
--- a/eiderfield/durable_requests/coordinator.py
+++ b/eiderfield/durable_requests/coordinator.py
@@ -50,7 +50,16 @@
 from eiderfield.durable_requests.record import AttemptRecord, Record, record_of, request_of
 from eiderfield.durable_requests.settings import DurableRequestSettings
 from eiderfield.durable_requests.waiters import Answered, Waiter
-from eiderfield.exchange import Answer, Attempt, Exchange, Job, Request, RequestState, Timers, Verdict
+from eiderfield.exchange import (
+    Answer,
+    Attempt,
+    Exchange,
+    PendingRequest,
+    Request,
+    RequestState,
+    Timers,
+    Verdict,
+)
 from eiderfield.idmap import IdMap
 from eiderfield.interface import Effect, Endpoint
 from eiderfield.machine import steady_ms
@@ -93,7 +102,7 @@
         log: Callable[[str], None],
     ) -> None:
         """Opens the folder; `FolderError` if only an operator can make that possible."""
-        classes = exchange.site.classes
+        classes = exchange.settings.classes
         self.settings = settings
         self._exchange = exchange
         self._ids = ids
@@ -145,9 +154,9 @@
         may not be repeated, for its answer may still come."""
         if not self._owned:
             return
-        classes = self._exchange.site.classes
+        classes = self._exchange.settings.classes
         attempts = self._claims.open_attempts
-        if any(classes[attempt.job.request.cls].effect == Effect.UNSAFE for attempt in attempts):
+        if any(classes[attempt.pending.request.cls].effect == Effect.UNSAFE for attempt in attempts):
             self._timers.at(self._clock() + RETRY_AFTER, self.leave)
         else:
             self.thread.leave(self._on_left)
@@ -277,7 +286,7 @@
     def _submit(self, request: Request, owned: OwnedRequest, earlier: EarlierAttempts = ()) -> None:
         early = replace(request, due=request.due - EARLY)
         try:
-            owned.number = self._exchange.submit(early, lambda answer: None, kept=True, before=earlier)
+            owned.number = self._exchange.submit(early, lambda answer: None, durable=True, before=earlier)
         except ValueError:  # an attempt of its earlier time here is not over yet
             again = partial(self._submit_again, request, owned, earlier)
             self._timers.at(self._clock() + RETRY_INTERVAL, again)
@@ -330,9 +339,9 @@
         owned = self._owned.get(id_)
         if owned is None or not owned.number or owned.is_waited_for:
             return
-        if self._exchange.state_of(owned.number) is not RequestState.HELD:
+        if self._exchange.request_state(owned.number) is not RequestState.HELD:
             return
-        ended = self._exchange.withdraw(owned.number)
+        ended = self._exchange.cancel_request(owned.number)
         if ended is None:
             return
         if ended.may_have_run:
@@ -345,26 +354,26 @@
 
     def claim(self, leg: Attempt, go: Go) -> None:
         """Records an attempt before it begins."""
-        entry = self._exchange.entry(leg.worker)
+        entry = self._exchange.endpoint(leg.worker)
         worker, zone = self._ids.name(leg.worker), self._ids.zone_name(entry.zone)
         self._claims.request(leg, AttemptRecord(leg.number, worker, zone, entry.cell, steady_ms()), go)
 
     def may_write(self, leg: Attempt) -> bool:
         """Whether a claimed attempt may still begin: somebody waits for it, and its claim holds."""
-        owned = self._owned.get(leg.job.request.id)
+        owned = self._owned.get(leg.pending.request.id)
         is_waited_for = owned is None or owned.is_waited_for
         return is_waited_for and self._claims.allows(leg)
 
-    def ended(self, leg: Attempt) -> None:
+    def attempt_ended(self, leg: Attempt) -> None:
         """An attempt is over."""
         self._claims.end(leg)
-        self._abandon_unless_waited_for(leg.job.request.id)
+        self._abandon_unless_waited_for(leg.pending.request.id)
 
-    def finish(self, job: Job, answer: Answer) -> None:
+    def finish(self, pending: PendingRequest, answer: Answer) -> None:
         """Records an answer; its waiters hear it after that."""
-        owned = self._owned.get(job.request.id)
-        if owned is not None and owned.number == job.id:
-            self._finish(job.request.id, owned, answer)
+        owned = self._owned.get(pending.request.id)
+        if owned is not None and owned.number == pending.id:
+            self._finish(pending.request.id, owned, answer)
 
     def _finish(self, id_: str, owned: OwnedRequest, answer: Answer, reason: str = "") -> None:
         finish = Finish(id_, answer, reason)
@@ -426,7 +435,7 @@
 
     def _earlier(self, attempt: AttemptRecord, ahead: float) -> tuple[Endpoint, float]:
         worker = self._ids.worker(attempt.worker)
-        known = self._exchange.entry(worker)
+        known = self._exchange.endpoint(worker)
         entry = Endpoint(worker, self._ids.zone(attempt.zone), known.kind, attempt.cell, known.state)
         return entry, attempt.sent + ahead
 
@@ -436,7 +445,7 @@
             owned = self._owned.get(id_)
             if owned is None or not owned.number:
                 continue
-            answer = self._exchange.withdraw(owned.number)
+            answer = self._exchange.cancel_request(owned.number)
             if answer is not None:  # else its answer is being recorded: that one wins
                 self._finish(id_, owned, answer, "its end was asked for")
 
@@ -445,7 +454,7 @@
         for id_, owned in [each for each in self._owned.items() if not each[1].is_accepting]:
             del self._owned[id_]
             if owned.number:
-                self._exchange.give_up(owned.number)
+                self._exchange.release_request(owned.number)
             for waiter in owned.waiters:
                 self._wait_elsewhere(id_, waiter)
         self._claims.drop_all()
--- a/eiderfield/exchange.py
+++ b/eiderfield/exchange.py
@@ -1,4 +1,4 @@
-"""The core round the decision module: it owns jobs and attempts and knows no socket, no wire and no clock.
+"""Owns requests and their attempts between the client side and the worker side; no I/O, no clock.
 
 Fronts hand requests in with `submit` and get one final answer each. The worker side reports how attempts
 fare. Whatever came in during a turn of the loop reaches the module in one call, `turn`.
@@ -79,14 +79,14 @@
     SERVED = "served"
     DECLINED = "declined"
     FAILED = "failed"
-    REJECTED = "rejected"  # a worker cannot use the job
+    REJECTED = "rejected"  # a worker cannot use the request
     TERMINATED = "terminated"
-    CONFLICT = "conflict"  # the id, or the key, is that of another job, which is kept
+    CONFLICT = "conflict"  # the id, or the key, is that of another request, which is kept
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The one final answer to a job. `retry_after` is in milliseconds, 0 for no advice."""
+    """The one final answer to a request. `retry_after` is in milliseconds, 0 for no advice."""
 
     verdict: Verdict
     result: bytes = b""
@@ -96,7 +96,7 @@
 
 
 class RequestState(Enum):
-    """Where a job without a final answer stands."""
+    """Where a request without a final answer stands."""
 
     HELD = "held"
     OUT = "out"
@@ -121,13 +121,13 @@
     """The worker side, as the exchange uses it."""
 
     def start(self, attempt: Attempt) -> None:
-        """Begins an attempt; its end is reported with `Exchange.ended` or `Exchange.served`."""
+        """Start an attempt; its end is reported by `Exchange.attempt_ended` or `Exchange.record_result`."""
 
     def stop(self, attempt: Attempt) -> None:
         """Gives an attempt up by closing its connection; nothing is reported after that."""
 
     def probe(self, worker: int) -> None:
-        """Asks a worker for a sign of life; answered with `Exchange.probed`."""
+        """Asks a worker for a sign of life; answered with `Exchange.probe_completed`."""
 
     def close_idle(self, worker: int) -> None:
         """Closes what connections to a worker carry nothing."""
@@ -144,7 +144,7 @@
     """Who is told of what another process of the same dispatcher must know to keep the rules."""
 
     def request_taken(self, id_: str) -> None:
-        """A job of this id has been taken."""
+        """A request of this id has been taken."""
 
     def id_released(self, id_: str) -> None:
         """The id is free again."""
@@ -154,10 +154,10 @@
 
 
 class DurableRequests(Protocol):
-    """Who writes down the work in hand of some jobs, so that it outlives this process."""
+    """Who writes down the work in hand of some requests, so that it outlives this process."""
 
     def claim(self, attempt: Attempt, go: Callable[[bool], None]) -> None:
-        """An attempt of a kept job is to begin.
+        """An attempt of a kept request is to begin.
 
         `go(True)` is called once that is written down, `go(False)` if it may not begin.
         """
@@ -165,18 +165,18 @@
     def may_write(self, attempt: Attempt) -> bool:
         """Whether a claimed attempt may still begin: another dispatcher may take this one for lost."""
 
-    def ended(self, attempt: Attempt) -> None:
-        """An attempt of a kept job is over, and what it proves is known."""
+    def attempt_ended(self, attempt: Attempt) -> None:
+        """An attempt of a kept request is over, and what it proves is known."""
 
-    def finish(self, job: Job, answer: Answer) -> None:
-        """A kept job has its final answer, which is told with `job.answer` once it is written down."""
+    def finish(self, pending: PendingRequest, answer: Answer) -> None:
+        """Persist the final answer of a durable request, then pass it to `pending.answer`."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
     """One attempt. It may have run from the moment its last byte left, unless its end proves otherwise."""
 
-    job: Job
+    pending: PendingRequest
     number: int
     worker: int
     sent: float
@@ -186,7 +186,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Job:
+class PendingRequest:
     """A request that has been taken, until its final answer."""
 
     id: int
@@ -194,11 +194,11 @@
     answer: Callable[[Answer], None]
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
-    kept: bool = False  # whether the custodian keeps it
+    durable: bool = False  # whether durable requests persist it
     client_waits: Callable[[], bool] | None = None  # asked before each attempt begins; None: always
     running: bool = False
-    came: float = 0.0  # at the turn in which the module heard of it
-    began: float = 0.0  # at the turn in which a worker's word of its start was heard, 0 if none was
+    received_at: float = 0.0  # at the turn in which the module heard of it
+    started_at: float = 0.0  # at the turn in which a worker's word of its start was heard, 0 if none was
     timer: Timer | None = None
 
 
@@ -208,18 +208,18 @@
     def __init__(
         self, site: Settings, seed: int, timers: Timers, wake: Callable[[], None], log: Callable[[str], None]
     ) -> None:
-        self.site = site
-        self._module = Dispatcher(site, seed)
+        self.settings = site
+        self._dispatcher = Dispatcher(site, seed)
         self._timers = timers
         self._wake = wake
         self._log = log
         self._worker_side: WorkerSide | None = None
-        self._jobs: dict[int, Job] = {}
-        self._ids: set[str] = set()  # of the jobs that are not over or still have an attempt out
+        self._pending: dict[int, PendingRequest] = {}
+        self._ids: set[str] = set()  # of the requests that are not over or still have an attempt out
         self._last_id = 0
         self._news: list[Event] = []  # of the routing table: applied before anything else of the turn
         self._events: list[Event] = []
-        self._out: dict[tuple[int, int], Attempt] = {}  # every attempt that is out, also of answered jobs
+        self._out: dict[tuple[int, int], Attempt] = {}  # every attempt that is out, also of answered requests
         self._out_at: Counter[int] = Counter()  # how many of them at each worker
         self.other_process: OtherProcess | None = None
         self.durable_requests: DurableRequests | None = None
@@ -228,15 +228,16 @@
         self._other_process_workers: set[int] = set()  # workers at which that process has attempts out
         self._table: dict[int, EndpointState] = {}
         self._entries: dict[int, Endpoint] = {}  # all that were ever listed, as they were last
-        self.answers: Counter[tuple[int, Verdict]] = Counter()  # final answers so far, by class
+        self.final_answers: Counter[tuple[int, Verdict]] = Counter()  # final answers so far, by class
         self.attempts_written = 0  # attempts whose last byte has left, so far
-        self.in_time: Counter[int] = Counter()  # served within the class's aim so far, by class
-        self.waits: dict[int, list[float]] = {}  # by class: served jobs, sum and squares of ln(ms they took)
-        self.broken: Counter[str] = Counter()  # rules that only a guard here kept from being broken, so far
-        self.spoilt_answers = 0  # of workers, that could not be used, so far
-        self.called_off: Counter[str] = Counter()  # attempts given up before their end so far, by why
-        self._new: list[Job] = []  # that came since the last turn
-        self._served: list[Job] = []  # and that were served
+        self.served_within_objective: Counter[int] = Counter()  # by class, within the latency objective
+        # By class: number of served requests, sum and sum of squares of ln(response time in ms).
+        self.response_time_sums: dict[int, list[float]] = {}
+        self.prevented_violations: Counter[str] = Counter()  # violations that a guard prevented, by rule
+        self.malformed_responses = 0  # of workers, that could not be used, so far
+        self.cancelled_attempts: Counter[str] = Counter()  # attempts given up before their end so far, by why
+        self._new: list[PendingRequest] = []  # that came since the last turn
+        self._served: list[PendingRequest] = []  # and that were served
         self._takers: dict[type[Action], Callable[[Any, float], None]] = {
             StartAttempt: self._send,
             CancelAttempt: self._cancel,
@@ -251,7 +252,7 @@
             FetchEndpoints: self._follow,
         }
 
-    def attach(self, worker_side: WorkerSide) -> None:
+    def attach_worker_side(self, worker_side: WorkerSide) -> None:
         """Joins the worker side."""
         self._worker_side = worker_side
 
@@ -262,129 +263,135 @@
 
     @property
     def unanswered(self) -> int:
-        """How many jobs still lack their final answer."""
-        return len(self._jobs)
+        """How many requests still lack their final answer."""
+        return len(self._pending)
 
     def snapshot(self, now: float) -> Snapshot:
         """What the module holds, and whom it avoids."""
-        return self._module.snapshot(now)
+        return self._dispatcher.snapshot(now)
 
-    def fits(self, site: Settings) -> None:
+    def check_settings(self, site: Settings) -> None:
         """Raises `ValueError`, which names the key, for what only a new process can take.
 
-        Jobs are known by their class's and tenant's place, and reports by their columns, so these stay."""
+        Requests refer to classes and tenants by index, and load reports to columns, so these stay."""
         for key, name in (("classes", "classes"), ("projects", "tenants")):
-            old, new = ([one.name for one in getattr(each, name)] for each in (self.site, site))
+            old, new = ([one.name for one in getattr(each, name)] for each in (self.settings, site))
             if old != new:
                 raise ValueError(f"settings.{key} names others than at the start: {new}, not {old}")
         for key, name in (
             ("load_info.columns", "report_fields"), ("zones", "zones"), ("discovery", "subscribe"),
             ("family_info.tells_start", "tells_start"), ("policy_limits.may_tell", "may_tell"),
         ):  # fmt: skip
-            if getattr(site, name) != getattr(self.site, name):
+            if getattr(site, name) != getattr(self.settings, name):
                 raise ValueError(f"settings.{key} takes effect at the next start alone")
 
-    def adopt(self, site: Settings) -> None:
+    def apply_settings(self, site: Settings) -> None:
         """Takes new numbers, which fit. What came before keeps the class with which it came."""
-        self._module.adopt(site)
-        self.site = site
+        self._dispatcher.adopt(site)
+        self.settings = site
         self._wake()
 
     # Fronts.
 
-    def holds(self, id_: str) -> bool:
-        """Whether a job of this id is not over, or has an attempt out: another would be its second copy."""
+    def has_request(self, id_: str) -> bool:
+        """Whether a request of this id is pending or still has an open attempt."""
         return id_ in self._ids or id_ in self._other_process_ids
 
     def submit(
-        self, request: Request, answer: Callable[[Answer], None], kept: bool = False,
+        self, request: Request, answer: Callable[[Answer], None], durable: bool = False,
         before: Iterable[tuple[Endpoint, float]] = (), client_waits: Callable[[], bool] | None = None,
     ) -> int:  # fmt: skip
-        """Takes a job. `answer` is called once, never before this returns.
+        """Takes a request. `answer` is called once, never before this returns.
 
         `client_waits` tells whether the client is still connected, also where its close has not been read.
         `before` are attempts that a dispatcher which is lost had begun: the worker as it was, and when.
         """
-        if self.holds(request.id):
-            raise ValueError(f"job {request.id} is there already")
+        if self.has_request(request.id):
+            raise ValueError(f"request {request.id} is there already")
         self._ids.add(request.id)
         if self.other_process is not None:
             self.other_process.request_taken(request.id)
         self._last_id += 1
-        job = Job(self._last_id, request, answer, kept=kept, client_waits=client_waits)
+        pending = PendingRequest(self._last_id, request, answer, durable=durable, client_waits=client_waits)
         before = tuple(before)
         for number, (entry, sent) in enumerate(before):
-            job.attempts.append(Attempt(job, number, entry.worker, sent, open=False, may_have_run=True))
-        self._jobs[job.id] = job
-        self._new.append(job)
+            pending.attempts.append(
+                Attempt(pending, number, entry.worker, sent, open=False, may_have_run=True)
+            )
+        self._pending[pending.id] = pending
+        self._new.append(pending)
         a = request
         # The module answers just before the time ends; this guards against one that does not.
-        job.timer = self._timers.at(a.due + self.site.answer_slack, lambda: self._overdue(job))
+        pending.timer = self._timers.at(a.due + self.settings.answer_slack, lambda: self._overdue(pending))
         flags = REPEAT if a.repeat else 0
         self._post(
-            RequestReceived(job.id, a.cls, a.due, a.tenant, a.subject, 0.0, a.slots, a.memory, flags, before)
+            RequestReceived(
+                pending.id, a.cls, a.due, a.tenant, a.subject, 0.0, a.slots, a.memory, flags, before
+            )
         )
-        return job.id
+        return pending.id
 
-    def give_up(self, id_: int) -> None:
-        """Ends a job that another dispatcher has taken over from this one: it is answered there."""
-        if (job := self._jobs.get(id_)) is not None:
-            self._finish(job)
-            for attempt in job.attempts:
+    def release_request(self, id_: int) -> None:
+        """Ends a request that another dispatcher has taken over from this one: it is answered there."""
+        if (pending := self._pending.get(id_)) is not None:
+            self._finish(pending)
+            for attempt in pending.attempts:
                 self._stop(attempt, "taken over")
             self._post(ClientDisconnected(id_))
 
-    def withdraw(self, id_: int) -> Answer | None:
-        """Ends a job that nobody waits for. None if it has its final answer already: that one wins."""
-        job = self._jobs.get(id_)
-        if job is None:
+    def cancel_request(self, id_: int) -> Answer | None:
+        """Ends a request that nobody waits for. None if it has its final answer already: that one wins."""
+        pending = self._pending.get(id_)
+        if pending is None:
             return None
-        answer = Answer(Verdict.TERMINATED, may_have_run=may_have_run(job), attempts=len(job.attempts))
-        self._finish(job)
-        for attempt in job.attempts:
+        answer = Answer(
+            Verdict.TERMINATED, may_have_run=may_have_run(pending), attempts=len(pending.attempts)
+        )
+        self._finish(pending)
+        for attempt in pending.attempts:
             self._stop(attempt, "nobody waits")
         self._post(ClientDisconnected(id_))
         return answer
 
-    def state_of(self, id_: int) -> RequestState | None:
-        """Where a job stands, None once it has its final answer."""
-        job = self._jobs.get(id_)
-        if job is None:
+    def request_state(self, id_: int) -> RequestState | None:
+        """Where a request stands, None once it has its final answer."""
+        pending = self._pending.get(id_)
+        if pending is None:
             return None
-        if not any(attempt.open for attempt in job.attempts):
+        if not any(attempt.open for attempt in pending.attempts):
             return RequestState.HELD
-        return RequestState.RUNNING if job.running or not self.site.tells_start else RequestState.OUT
+        return RequestState.RUNNING if pending.running or not self.settings.tells_start else RequestState.OUT
 
     # The dispatcher's other process, while one hands over to the next.
 
     @property
-    def ids(self) -> list[str]:
+    def request_ids(self) -> list[str]:
         """The ids that may not be taken again yet."""
         return list(self._ids)
 
     @property
-    def out_at(self) -> dict[int, int]:
+    def open_attempts_per_worker(self) -> dict[int, int]:
         """How many attempts are out at each worker."""
         return {worker: out for worker, out in self._out_at.items() if out}
 
     def memory(self) -> dict[str, Any]:
         """What the module has learnt and spent, in plain values."""
-        return self._module.memory()
+        return self._dispatcher.memory()
 
     def resume(self, memory: dict[str, Any], now: float) -> None:
         """Goes on from the memory of another process. What can't be read of it is left."""
         self.turn(now)  # the list first
         try:
-            self._module.resume(memory)
+            self._dispatcher.resume(memory)
         except (ValueError, TypeError, LookupError, AttributeError) as error:
             self._log(f"what the process before had learnt is not taken: {error!r}")
 
-    def ids_of_other_process(self, came: Iterable[str], went: Iterable[str]) -> None:
-        """The other process took jobs, or let ids go."""
+    def update_other_process_ids(self, came: Iterable[str], went: Iterable[str]) -> None:
+        """The other process took requests, or let ids go."""
         self._other_process_ids.update(came)
         self._other_process_ids.difference_update(went)
 
-    def attempts_of_other_process(self, worker: int, out: int, work: float) -> None:
+    def update_other_process_attempts(self, worker: int, out: int, work: float) -> None:
         """The other process has so many attempts out at a worker and has just sent it so much work."""
         (self._other_process_workers.add if out else self._other_process_workers.discard)(worker)
         self._post(SiblingReportReceived(worker, out, work))
@@ -394,11 +401,11 @@
         self.other_process = None
         self._other_process_ids.clear()
         for worker in list(self._other_process_workers):
-            self.attempts_of_other_process(worker, 0, 0.0)
+            self.update_other_process_attempts(worker, 0, 0.0)
 
     # Worker side and routing table.
 
-    def routing(self, kind: EndpointListKind, version: int, entries: tuple[Endpoint, ...]) -> None:
+    def update_endpoints(self, kind: EndpointListKind, version: int, entries: tuple[Endpoint, ...]) -> None:
         """News of the routing table; binding at once for every attempt that has not begun to be written."""
         if kind != EndpointListKind.DELTA:
             self._table = dict.fromkeys(self._table, EndpointState.GONE)
@@ -413,12 +420,14 @@
         A connection may come up late and this process be held up since the attempt was decided: meanwhile a
         drain may have been told, the client have left, its time or the window for repeats have ended.
         """
-        job = attempt.job
-        if not attempt.open or job.answered or self._table.get(attempt.worker) != EndpointState.READY:
+        pending = attempt.pending
+        if not attempt.open or pending.answered or self._table.get(attempt.worker) != EndpointState.READY:
             return False
-        if now > self._begin_by(attempt) or (job.client_waits is not None and not job.client_waits()):
+        if now > self._begin_by(attempt) or (pending.client_waits is not None and not pending.client_waits()):
             return False
-        return not job.kept or self.durable_requests is None or self.durable_requests.may_write(attempt)
+        return (
+            not pending.durable or self.durable_requests is None or self.durable_requests.may_write(attempt)
+        )
 
     def _begin_by(self, attempt: Attempt) -> float:
         """When an attempt must have begun at the latest.
@@ -426,89 +435,96 @@
         That is in its client's time and, where an attempt before it may have run, within the window in which
         workers discard the repeat of a keyed request.
         """
-        request = attempt.job.request
-        cls = self.site.classes[request.cls]
+        request = attempt.pending.request
+        cls = self.settings.classes[request.cls]
         if cls.effect != Effect.KEYED:
             return request.due
-        ran = [other.sent for other in attempt.job.attempts if other is not attempt and other.may_have_run]
+        ran = [
+            other.sent for other in attempt.pending.attempts if other is not attempt and other.may_have_run
+        ]
         return min([request.due, *[sent + cls.window - HELD_UP for sent in ran]])
 
-    def entry(self, worker: int) -> Endpoint:
+    def endpoint(self, worker: int) -> Endpoint:
         """A worker as the list told it last; one of no place, and gone, where it never did."""
         return self._entries.get(worker, Endpoint(worker, state=EndpointState.GONE))
 
-    def wrote(self, attempt: Attempt) -> None:
+    def request_written(self, attempt: Attempt) -> None:
         """The attempt's last byte has left."""
         attempt.may_have_run = True
         self.attempts_written += 1
 
-    def noted(self, attempt: Attempt, what: int, share: float = 0.0) -> None:
+    def record_progress(self, attempt: Attempt, what: int, share: float = 0.0) -> None:
         """A worker told of a start or of progress."""
         if attempt.open:
-            attempt.job.running = attempt.job.running or what == STARTED
-            self._post(AttemptProgressed(attempt.job.id, attempt.number, attempt.worker, what, share))
+            attempt.pending.running = attempt.pending.running or what == STARTED
+            self._post(AttemptProgressed(attempt.pending.id, attempt.number, attempt.worker, what, share))
 
-    def served(self, attempt: Attempt, result: bytes, load: tuple[float, ...] = ()) -> None:
+    def record_result(self, attempt: Attempt, result: bytes, load: tuple[float, ...] = ()) -> None:
         """A worker gave the whole result: the first one is the final answer. `load` is its report, if any."""
         if not attempt.open:
             return
-        job = attempt.job
-        if not job.answered:
-            self._finish(job, Answer(Verdict.SERVED, result, may_have_run=True, attempts=len(job.attempts)))
-        self.ended(attempt, Outcome.OK, load)
+        pending = attempt.pending
+        if not pending.answered:
+            self._finish(
+                pending, Answer(Verdict.SERVED, result, may_have_run=True, attempts=len(pending.attempts))
+            )
+        self.attempt_ended(attempt, Outcome.OK, load)
 
-    def spoilt(self, worker: int, why: str) -> None:
+    def record_malformed_response(self, worker: int, why: str) -> None:
         """A worker's answer cannot be read, or is not about what it was asked."""
-        self.spoilt_answers += 1
+        self.malformed_responses += 1
         self._log(f"worker {worker}: an answer cannot be used: {why}")
 
-    def rejected(self, attempt: Attempt) -> None:
-        """A worker said that the job itself is faulty: no other one could use it, and the worker is well."""
+    def record_rejection(self, attempt: Attempt) -> None:
+        """Record that a worker rejected the request itself: the worker is healthy, a retry is useless."""
         if not attempt.open:
             return
-        job = attempt.job
-        if not job.answered:
+        pending = attempt.pending
+        if not pending.answered:
             self._finish(
-                job, Answer(Verdict.REJECTED, may_have_run=may_have_run(job), attempts=len(job.attempts))
+                pending,
+                Answer(Verdict.REJECTED, may_have_run=may_have_run(pending), attempts=len(pending.attempts)),
             )
-        self.ended(attempt, Outcome.ERROR)
+        self.attempt_ended(attempt, Outcome.ERROR)
 
-    def ended(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
         """An attempt is over. `load` is the report that came with its end, if any."""
         if not attempt.open:
             return
         attempt.open = False
-        self._let_go(attempt.job)
-        if self._out.pop((attempt.job.id, attempt.number), None) is not None:
+        self._let_go(attempt.pending)
+        if self._out.pop((attempt.pending.id, attempt.number), None) is not None:
             self._count_out(attempt.worker, -1)
         attempt.may_have_run = attempt.may_have_run and outcome not in NEVER_RAN
-        attempt.job.running = False
-        if attempt.job.kept and self.durable_requests is not None:
-            self.durable_requests.ended(attempt)
+        attempt.pending.running = False
+        if attempt.pending.durable and self.durable_requests is not None:
+            self.durable_requests.attempt_ended(attempt)
         if attempt.timer is not None:
             attempt.timer.cancel()
         # The time that it took is filled in at the turn, which alone knows the clock.
         ended = AttemptEnded(
-            attempt.job.id,
+            attempt.pending.id,
             attempt.number,
             attempt.worker,
             outcome,
             attempt.sent,
-            attempt.job.answered,
+            attempt.pending.answered,
             0,
             load,
         )
         self._post(ended)
 
-    def probed(self, worker: int, outcome: Outcome, elapsed: float, load: tuple[float, ...] = ()) -> None:
+    def probe_completed(
+        self, worker: int, outcome: Outcome, elapsed: float, load: tuple[float, ...] = ()
+    ) -> None:
         """A worker's answer to a probe."""
         self._post(ProbeCompleted(worker, outcome, elapsed, load))
 
-    def peer_said(self, peer: int, data: bytes) -> None:
+    def peer_report_received(self, peer: int, data: bytes) -> None:
         """Another dispatcher of the tier said something to this one."""
         self._post(PeerReportReceived(peer, data))
 
-    def absent(self, span: float) -> None:
+    def process_resumed(self, span: float) -> None:
         """This process was stopped, or got no processor, for `span` ms, and has read what came meanwhile.
 
         From what it did not hear nothing follows: the silence of workers with an attempt counts from now.
@@ -516,7 +532,7 @@
         if span >= NAMED:
             self._log(f"this process stood still for {span:.0f} ms")
         for attempt in self._out.values():
-            self._post(AttemptProgressed(attempt.job.id, attempt.number, attempt.worker, AWAY, 0.0))
+            self._post(AttemptProgressed(attempt.pending.id, attempt.number, attempt.worker, AWAY, 0.0))
 
     # The turn.
 
@@ -526,11 +542,11 @@
         for event in events:
             if isinstance(event, AttemptEnded):
                 event.elapsed = now - event.elapsed
-            elif isinstance(event, AttemptProgressed) and event.what == STARTED and event.id in self._jobs:
-                job = self._jobs[event.id]
-                job.began = job.began or now
+            elif isinstance(event, AttemptProgressed) and event.what == STARTED and event.id in self._pending:
+                pending = self._pending[event.id]
+                pending.started_at = pending.started_at or now
         self._date(now)
-        for action in self._module.handle(now, events):
+        for action in self._dispatcher.handle(now, events):
             try:
                 self._takers[type(action)](action, now)
             except Exception as error:  # a port that fails must not take the turn's other actions along
@@ -538,17 +554,17 @@
 
     def _date(self, now: float) -> None:
         """Dates what came since the last turn, and counts what was served within its class's aim."""
-        for job in self._new:
-            job.came = now
+        for pending in self._new:
+            pending.received_at = now
         self._new.clear()
-        for job in self._served:
-            cls = self.site.classes[job.request.cls]
-            ran = now - job.began if job.began else 0.0
-            took = log(max(1.0, now - job.came))
-            moments = self.waits.setdefault(job.request.cls, [0, 0.0, 0.0])
+        for pending in self._served:
+            cls = self.settings.classes[pending.request.cls]
+            ran = now - pending.started_at if pending.started_at else 0.0
+            took = log(max(1.0, now - pending.received_at))
+            moments = self.response_time_sums.setdefault(pending.request.cls, [0, 0.0, 0.0])
             moments[:] = moments[0] + 1, moments[1] + took, moments[2] + took * took
-            if now - job.came <= cls.aim + cls.stretch * ran:
-                self.in_time[job.request.cls] += 1
+            if now - pending.received_at <= cls.aim + cls.stretch * ran:
+                self.served_within_objective[pending.request.cls] += 1
         self._served.clear()
 
     def _post(self, event: Event) -> None:
@@ -556,36 +572,36 @@
         self._wake()
 
     def _send(self, action: StartAttempt, now: float) -> None:
-        job = self._jobs.get(action.id)
-        if job is None or self._worker_side is None:
-            self._log(f"an attempt of job {action.id}, which is over, was not sent")
+        pending = self._pending.get(action.id)
+        if pending is None or self._worker_side is None:
+            self._log(f"an attempt of request {action.id}, which is over, was not sent")
             return
-        attempt = Attempt(job, len(job.attempts), action.worker, now)
-        out = any(other.open for other in job.attempts)
-        job.attempts.append(attempt)
-        job.began = 0.0  # an attempt before this one may have begun it
+        attempt = Attempt(pending, len(pending.attempts), action.worker, now)
+        out = any(other.open for other in pending.attempts)
+        pending.attempts.append(attempt)
+        pending.started_at = 0.0  # an attempt before this one may have begun it
         # Guards the wire against a module that errs: it hears that the attempt was never sent.
-        if len(job.attempts) > self.site.max_attempts or (out and not self.site.may_copy):
-            self.broken["attempts"] += 1
-            self.ended(attempt, Outcome.MOOT)
+        if len(pending.attempts) > self.settings.max_attempts or (out and not self.settings.may_copy):
+            self.prevented_violations["attempts"] += 1
+            self.attempt_ended(attempt, Outcome.MOOT)
             return
-        due = job.request.due
+        due = pending.request.due
         end = min(due, now + action.timeout) if action.timeout > 0.0 else due
-        self._out[job.id, attempt.number] = attempt
+        self._out[pending.id, attempt.number] = attempt
         self._count_out(attempt.worker, 1, action.work)
         attempt.timer = self._timers.at(end, lambda: self._stop(attempt, "timed out", Outcome.TIMEOUT))
-        if job.kept and self.durable_requests is not None:
+        if pending.durable and self.durable_requests is not None:
             self.durable_requests.claim(attempt, partial(self._claimed, attempt))
         else:
             self._worker_side.start(attempt)
 
     def _claimed(self, attempt: Attempt, may: bool) -> None:
-        """A kept job's attempt has been written down and may begin, or may not."""
+        """A kept request's attempt has been written down and may begin, or may not."""
         if attempt.open and self._worker_side is not None:
             if may:
                 self._worker_side.start(attempt)
             else:
-                self.ended(attempt, Outcome.MOOT)
+                self.attempt_ended(attempt, Outcome.MOOT)
 
     def _count_out(self, worker: int, more: int, work: float = 0.0) -> None:
         self._out_at[worker] += more
@@ -599,19 +615,22 @@
     def _stop(self, attempt: Attempt, why: str, outcome: Outcome = Outcome.CANCELLED) -> None:
         """Gives an attempt up. One whose last byte had not left is known never to have run."""
         if attempt.open and self._worker_side is not None:
-            self.called_off[why] += 1
+            self.cancelled_attempts[why] += 1
             self._worker_side.stop(attempt)
-            self.ended(attempt, outcome if attempt.may_have_run else Outcome.MOOT)
+            self.attempt_ended(attempt, outcome if attempt.may_have_run else Outcome.MOOT)
 
     def _refuse(self, action: RejectRequest, now: float) -> None:
-        if (job := self._jobs.get(action.id)) is not None:
-            ran = may_have_run(job)
-            self._finish(job, Answer(Verdict.DECLINED, b"", action.retry_after, ran, len(job.attempts)))
+        if (pending := self._pending.get(action.id)) is not None:
+            ran = may_have_run(pending)
+            self._finish(
+                pending, Answer(Verdict.DECLINED, b"", action.retry_after, ran, len(pending.attempts))
+            )
 
     def _fail(self, action: FailRequest, now: float) -> None:
-        if (job := self._jobs.get(action.id)) is not None:
+        if (pending := self._pending.get(action.id)) is not None:
             self._finish(
-                job, Answer(Verdict.FAILED, may_have_run=may_have_run(job), attempts=len(job.attempts))
+                pending,
+                Answer(Verdict.FAILED, may_have_run=may_have_run(pending), attempts=len(pending.attempts)),
             )
 
     def _set_timer(self, action: SetTimer, now: float) -> None:
@@ -637,38 +656,38 @@
 
     # Ends.
 
-    def _finish(self, job: Job, answer: Answer | None = None) -> None:
-        """The one place where a job gets its final answer, or ends without one."""
-        job.answered = True
-        del self._jobs[job.id]
-        self._let_go(job)
-        if job.timer is not None:
-            job.timer.cancel()
+    def _finish(self, pending: PendingRequest, answer: Answer | None = None) -> None:
+        """The one place where a request gets its final answer, or ends without one."""
+        pending.answered = True
+        del self._pending[pending.id]
+        self._let_go(pending)
+        if pending.timer is not None:
+            pending.timer.cancel()
         if answer is not None:
-            self.answers[job.request.cls, answer.verdict] += 1
+            self.final_answers[pending.request.cls, answer.verdict] += 1
             if answer.verdict is Verdict.SERVED:
-                self._served.append(job)
-            if job.kept and self.durable_requests is not None:
-                self.durable_requests.finish(job, answer)
+                self._served.append(pending)
+            if pending.durable and self.durable_requests is not None:
+                self.durable_requests.finish(pending, answer)
             else:
-                job.answer(answer)
+                pending.answer(answer)
 
-    def _let_go(self, job: Job) -> None:
-        if job.answered and not any(attempt.open for attempt in job.attempts):
-            self._ids.discard(job.request.id)
+    def _let_go(self, pending: PendingRequest) -> None:
+        if pending.answered and not any(attempt.open for attempt in pending.attempts):
+            self._ids.discard(pending.request.id)
             if self.other_process is not None:
-                self.other_process.id_released(job.request.id)
-
-    def _overdue(self, job: Job) -> None:
-        if not job.answered:
-            self._log(f"job {job.id} had no answer when its time ended")
-            self.broken["answered"] += 1
-            self._fail(FailRequest(job.id), 0.0)
-            for attempt in job.attempts:
+                self.other_process.id_released(pending.request.id)
+
+    def _overdue(self, pending: PendingRequest) -> None:
+        if not pending.answered:
+            self._log(f"request {pending.id} had no answer when its time ended")
+            self.prevented_violations["answered"] += 1
+            self._fail(FailRequest(pending.id), 0.0)
+            for attempt in pending.attempts:
                 self._stop(attempt, "timed out")
-            self._post(ClientDisconnected(job.id))
+            self._post(ClientDisconnected(pending.id))
 
 
-def may_have_run(job: Job) -> bool:
-    """Whether any attempt of a job may have run or may still do so."""
-    return any(attempt.may_have_run for attempt in job.attempts)
+def may_have_run(pending: PendingRequest) -> bool:
+    """Whether any attempt of a request may have run or may still do so."""
+    return any(attempt.may_have_run for attempt in pending.attempts)
--- a/eiderfield/lab/fleet/failpoints.py
+++ b/eiderfield/lab/fleet/failpoints.py
@@ -39,14 +39,14 @@
             os.kill(os.getpid(), signal.SIGKILL if how == "kill" else signal.SIGSTOP)
 
     exchange_class: Any = Exchange
-    wrote = exchange_class.wrote
+    wrote = exchange_class.request_written
 
     def wrote_then_point(exchange: Any, attempt: Any) -> None:
         wrote(exchange, attempt)
         point("sent")
 
     Member.point = staticmethod(point)
-    exchange_class.wrote = wrote_then_point
+    exchange_class.request_written = wrote_then_point
 
 
 def leave_marker(how: str, lasts: float) -> None:
--- a/eiderfield/lab/fleet/faulty_programs.py
+++ b/eiderfield/lab/fleet/faulty_programs.py
@@ -101,7 +101,7 @@
 def end_early(exchange: Any, action: Any, now: float, rejected: bool) -> None:
     """Sends a job on, and ends it at once."""
     send(exchange, action, now)
-    job = exchange._jobs.get(action.id)
+    job = exchange._pending.get(action.id)
     if job is None or len(job.attempts) != 1:
         return
     if rejected:
@@ -133,8 +133,8 @@
 
 def half_of_last_class(exchange: Any, action: Any) -> bool:
     """Whether the job is of the last class, and every second of them."""
-    job = exchange._jobs.get(action.id)
-    is_last = job is not None and job.request.cls == len(exchange.site.classes) - 1
+    job = exchange._pending.get(action.id)
+    is_last = job is not None and job.request.cls == len(exchange.settings.classes) - 1
     return is_last and next(number) % 2 == 1
 
 
@@ -145,20 +145,20 @@
 
 def half_in_second_zone(exchange: Any, action: Any) -> bool:
     """Whether the dispatcher is in the second zone, and every second job there."""
-    return exchange.site.zone == 1 and next(number) % 2 == 1
+    return exchange.settings.zone == 1 and next(number) % 2 == 1
 
 
 def send_late(exchange: Any, action: Any, now: float) -> None:
     """Forwards a job after a wait."""
-    job = exchange._jobs.get(action.id)
-    wait = WAIT_SHARE * exchange.site.classes[job.request.cls].aim if job is not None else 0.0
+    job = exchange._pending.get(action.id)
+    wait = WAIT_SHARE * exchange.settings.classes[job.request.cls].aim if job is not None else 0.0
     exchange._timers.at(now + wait, lambda: send(exchange, action, now + wait))
 
 
 def send_twice(exchange: Any, action: Any, now: float) -> None:
     """Forwards a job, and cancels the first attempt of one in three."""
     send(exchange, action, now)
-    job = exchange._jobs.get(action.id)
+    job = exchange._pending.get(action.id)
     if job is None or len(job.attempts) != 1 or next(number) % EVERY_CANCELLED != 0:
         return
     first = job.attempts[0]
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -47,8 +47,8 @@
         self._durable = durable
         self._ids = ids
         self._clock = clock
-        self._classes = {cls.name: number for number, cls in enumerate(exchange.site.classes)}
-        self._tenants = {tenant.name: number for number, tenant in enumerate(exchange.site.tenants)}
+        self._classes = {cls.name: number for number, cls in enumerate(exchange.settings.classes)}
+        self._tenants = {tenant.name: number for number, tenant in enumerate(exchange.settings.tenants)}
 
     def message(
         self, listener: Listener, connection: ClientConnection, head: Head, body: bytes
@@ -84,7 +84,7 @@
         if self._durable is not None and self._durable.keeps(request.cls):
             connection.proven = True
             return self._durable.take(request, partial(write_answer, connection, durable=True))
-        if self._exchange.holds(request.id):  # the workers would see the request twice
+        if self._exchange.has_request(request.id):  # the workers would see the request twice
             connection.reject(409, "X-Request-Id is that of a job which is not over yet")
             return None
         connection.proven = True
@@ -94,10 +94,10 @@
         return partial(self._withdraw, id_)
 
     def _withdraw(self, id_: int) -> None:
-        self._exchange.withdraw(id_)
+        self._exchange.cancel_request(id_)
 
     def _read_request(self, number: int, parts: list[str], head: Head, body: bytes, until: float) -> Request:
-        cls = self._exchange.site.classes[number]
+        cls = self._exchange.settings.classes[number]
         _check_ids(head, cls)
         needs = read_extras(head.get("x-extras"))
         return Request(
--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -146,7 +146,9 @@
         for entry, endpoint in zip(entries, endpoints.endpoints, strict=True):
             self._entries[entry.worker] = entry
             self._workers.set_address(entry.worker, endpoint.address)
-        self._exchange.routing(kind, endpoints.index, tuple([self._with_bans(entry) for entry in entries]))
+        self._exchange.update_endpoints(
+            kind, endpoints.index, tuple([self._with_bans(entry) for entry in entries])
+        )
         if kind != EndpointListKind.CACHED:
             self.on_list()
 
@@ -179,7 +181,7 @@
         """Tells the exchange of a worker whose ban has begun or ended."""
         if worker in self._entries:
             entry = self._with_bans(self._entries[worker])
-            self._exchange.routing(EndpointListKind.DELTA, self.index or 0, (entry,))
+            self._exchange.update_endpoints(EndpointListKind.DELTA, self.index or 0, (entry,))
 
     # The next process.
 
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -65,9 +65,9 @@
         self._adopt_listeners(message.listeners, descriptors)
         parts = self._parts
         parts.table.take_over(message.table, message.bans)
-        parts.exchange.ids_of_other_process(message.request_ids, ())
+        parts.exchange.update_other_process_ids(message.request_ids, ())
         for attempts in message.attempts:
-            parts.exchange.attempts_of_other_process(
+            parts.exchange.update_other_process_attempts(
                 parts.table.ids.worker(attempts.worker), attempts.out, 0.0
             )
         if message.learnt is not None:
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -70,12 +70,12 @@
 
     def _state(self, listeners: tuple[str, ...], with_peers: bool) -> DispatcherState:
         exchange, table = self._parts.exchange, self._parts.table
-        out_at = exchange.out_at.items()
+        out_at = exchange.open_attempts_per_worker.items()
         return DispatcherState(
             listeners=listeners,
             table=table.state(),
             bans=table.bans.since,
-            request_ids=tuple(exchange.ids),
+            request_ids=tuple(exchange.request_ids),
             attempts=tuple(AttemptsOut(table.ids.name(worker), out) for worker, out in out_at),
             learnt=from_policy(exchange.memory()),
             with_peers=with_peers,
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -173,9 +173,9 @@
         exchange, ids = self._parts.exchange, self._parts.table.ids
         taken = [id_ for id_, is_taken in message.request_ids.items() if is_taken]
         freed = [id_ for id_, is_taken in message.request_ids.items() if not is_taken]
-        exchange.ids_of_other_process(taken, freed)
+        exchange.update_other_process_ids(taken, freed)
         for attempts in message.attempts:
-            exchange.attempts_of_other_process(ids.worker(attempts.worker), attempts.out, attempts.work)
+            exchange.update_other_process_attempts(ids.worker(attempts.worker), attempts.out, attempts.work)
 
     def _ban_changed(self, message: BanChanged, descriptors: list[int]) -> None:
         self._parts.table.apply_ban(message.worker, message.since)
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -145,7 +145,7 @@
         """All that was written has left."""
         self._flushed = True
         if isinstance(self.load, Attempt) and self.phase == Phase.BUSY:
-            self.pool.exchange.wrote(self.load)
+            self.pool.exchange.request_written(self.load)
 
     # What the pool calls.
 
@@ -157,7 +157,7 @@
             # While the connection came up a drain may have been told, the request ended or its client left.
             self.load = None
             self.pool.put_back(self)
-            self.pool.exchange.ended(load, Outcome.MOOT)
+            self.pool.exchange.attempt_ended(load, Outcome.MOOT)
             return
         self.phase = Phase.BUSY
         self._head = None
@@ -167,7 +167,7 @@
         if transport.is_closing():  # the write itself failed: nothing has left whole
             self._flushed = False
         elif self._flushed and isinstance(load, Attempt):
-            self.pool.exchange.wrote(load)
+            self.pool.exchange.request_written(load)
 
     def close(self) -> None:
         """Closes the connection; nothing more is reported of what it carried."""
@@ -200,7 +200,7 @@
             return
         self._delayed = True
         if isinstance(self.load, Attempt):  # the worker's silence tells nothing meanwhile
-            self.pool.exchange.noted(self.load, AWAY)
+            self.pool.exchange.record_progress(self.load, AWAY)
 
     # Answers.
 
@@ -213,7 +213,7 @@
                 self._read_part(part)
         except (ValueError, RecursionError) as error:  # an answer that cannot be read is none
             if self.load is not None:
-                self.pool.exchange.spoilt(self.worker, str(error))
+                self.pool.exchange.record_malformed_response(self.worker, str(error))
             self._break_off()
 
     def _read_part(self, part: object) -> None:
@@ -233,7 +233,7 @@
         verdict = verdict_of(head)
         if verdict is Verdict.REJECTED:
             self._await_end()
-            self.pool.exchange.rejected(attempt)
+            self.pool.exchange.record_rejection(attempt)
         elif verdict is not Verdict.ACCEPTED:
             outcome = Outcome.FULL if verdict is Verdict.NOT_RUN else Outcome.ERROR
             self._end_attempt(attempt, outcome, self._load_report(None))
@@ -259,32 +259,32 @@
         attempt = self.load
         if not isinstance(attempt, Attempt) or not line.strip():
             return
-        update = parse_update(line, attempt.job.request.id)
+        update = parse_update(line, attempt.pending.request.id)
         if update is not None:
             self._apply_update(attempt, update)
 
     def _apply_update(self, attempt: Attempt, update: Update) -> None:
         match update:
             case Started():
-                self.pool.exchange.noted(attempt, STARTED)
+                self.pool.exchange.record_progress(attempt, STARTED)
             case Progress(share):
-                self.pool.exchange.noted(attempt, PROGRESS, share)
+                self.pool.exchange.record_progress(attempt, PROGRESS, share)
             case Result(body, report):
                 self._await_end()
-                self.pool.exchange.served(attempt, body, self._load_report(report))
+                self.pool.exchange.record_result(attempt, body, self._load_report(report))
             case Failure(outcome, report):
                 self._end_attempt(attempt, outcome, self._load_report(report))
 
     def _load_report(self, report: object) -> tuple[float, ...]:
         """The load report in an attempt's last object, or else in its answer's head."""
-        fields = self.pool.exchange.site.report_fields
+        fields = self.pool.exchange.settings.report_fields
         if not fields or self._head is None:
             return ()
         return from_object(report, fields) or from_text(self._head.get("x-load"), fields)
 
     def _end_attempt(self, attempt: Attempt, outcome: Outcome, load_report: tuple[float, ...]) -> None:
         self._await_end()
-        self.pool.exchange.ended(attempt, outcome, load_report)
+        self.pool.exchange.attempt_ended(attempt, outcome, load_report)
 
     def _await_end(self) -> None:
         """The outcome is known; the answer's end makes the connection usable again."""
@@ -298,7 +298,7 @@
             self._line.clear()
         load = self.load
         if isinstance(load, Attempt):
-            self.pool.exchange.spoilt(self.worker, "it ended before its last line")
+            self.pool.exchange.record_malformed_response(self.worker, "it ended before its last line")
             self._break_off()
             return
         self.load = None
--- a/eiderfield/net/worker_pool.py
+++ b/eiderfield/net/worker_pool.py
@@ -51,7 +51,7 @@
         self._connections: set[WorkerConnection] = set()
         # Those that carry nothing, with when each fell idle, oldest first.
         self._idle: OrderedDict[WorkerConnection, float] = OrderedDict()
-        exchange.attach(self)
+        exchange.attach_worker_side(self)
 
     def set_timeouts(self, dial_timeout: float, idle_timeout: float) -> None:
         """How long a connection may take to come up, and stand idle, in ms; for what is begun from now on."""
@@ -117,7 +117,7 @@
 
     def probe(self, worker: int) -> None:
         """Checks a worker's health, and asks for its load where the deployment has reports."""
-        wants_report = bool(self.exchange.site.report_fields)
+        wants_report = bool(self.exchange.settings.report_fields)
         self._send(worker, HealthCheck(worker, self._clock(), wants_report))
 
     def close_idle(self, worker: int) -> None:
@@ -140,7 +140,7 @@
         """The request of an attempt or a health check."""
         if isinstance(load, HealthCheck):
             return probe_request(load.wants_report)
-        return attempt_request(load.job.request, self._clock())
+        return attempt_request(load.pending.request, self._clock())
 
     def heard_others(self, worker: int, since: int) -> bool:
         """Whether bytes have come from any other worker since the pool's count of reads was `since`."""
@@ -150,17 +150,17 @@
     def report_failure(self, load: Load | None, outcome: Outcome) -> None:
         """An attempt or a health check ended without an answer."""
         if isinstance(load, Attempt):
-            self.exchange.ended(load, outcome)
+            self.exchange.attempt_ended(load, outcome)
         elif load is not None:
-            self.exchange.probed(load.worker, outcome, self._clock() - load.sent)
+            self.exchange.probe_completed(load.worker, outcome, self._clock() - load.sent)
 
     def report_health(self, check: HealthCheck, status: int) -> None:
         """A health check was answered."""
         report: tuple[float, ...] = ()
         if check.wants_report and status == 200:
-            report = from_body(bytes(check.body), self.exchange.site.report_fields)
+            report = from_body(bytes(check.body), self.exchange.settings.report_fields)
         outcome = Outcome.OK if status == 200 else Outcome.ERROR
-        self.exchange.probed(check.worker, outcome, self._clock() - check.sent, report)
+        self.exchange.probe_completed(check.worker, outcome, self._clock() - check.sent, report)
 
     def put_back(self, connection: WorkerConnection) -> None:
         """A connection carries nothing any more and may be used again."""
--- a/eiderfield/policy/admission.py
+++ b/eiderfield/policy/admission.py
@@ -9,8 +9,8 @@
 from eiderfield.policy.context import Context
 from eiderfield.policy.queues import SLB_SIZE, ClassQueues
 
-GRB_PER_WORKER = 4  # jobs in the GRB for each worker: about as long as clients find an answer useful
-GRB_WAIT = 4.0  # the GRB is full when what is held would wait so many times the newest job's slack
+GRB_PER_WORKER = 4  # requests in the GRB for each worker: about as long as clients find an answer useful
+GRB_WAIT = 4.0  # the GRB is full when what is held would wait so many times the newest request's slack
 FEWEST_WORKERS = 4  # that the GRB is meant for
 QUOTA_SECONDS = 2.0  # of a tenant's quota that may be saved up
 MS_PER_S = 1000.0
@@ -45,11 +45,11 @@
 
 
 def expected_wait(queues: ClassQueues, out: int) -> float:
-    """The ms that a job would wait behind all that is held, with so many attempts out."""
+    """The ms that a request would wait behind all that is held, with so many attempts out."""
     return queues.held_run / max(1, out)
 
 
 def is_full(queues: ClassQueues, wait: float, slack: float, workers: int) -> bool:
-    """Whether a job has to be shed, when the newest one has so much slack and would wait so long."""
+    """Whether a request has to be shed, when the newest one has so much slack and would wait so long."""
     most = GRB_PER_WORKER * max(FEWEST_WORKERS, workers)
     return queues.held > most or (queues.held > SLB_SIZE and wait > GRB_WAIT * slack)
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -62,7 +62,7 @@
 from eiderfield.policy.outlier_detection import SILENT_RUNS, OutlierDetector
 from eiderfield.policy.queues import ClassQueue, ClassQueues
 from eiderfield.policy.rate_control import WINDOW_MS
-from eiderfield.policy.request import Attempt, Job
+from eiderfield.policy.request import AttemptRecord, QueuedRequest
 from eiderfield.policy.retry_rules import RetryBudget, may_reject, retry_cost
 from eiderfield.policy.selection import EndpointSelector
 from eiderfield.policy.slow_start import SlowStart
@@ -93,10 +93,12 @@
         self._selector = EndpointSelector(
             self._context, self._fleet, self._slow_start, self._reports, self._gossip, self._key_counts
         )
-        self._jobs: dict[int, Job] = {}
-        self._late_attempts: dict[tuple[int, int], Attempt] = {}  # of answered jobs: still out at a worker
+        self._requests: dict[int, QueuedRequest] = {}
+        self._late_attempts: dict[
+            tuple[int, int], AttemptRecord
+        ] = {}  # of answered requests: still out at a worker
         self._out = 0  # own attempts out
-        self._deadlines: list[tuple[float, int]] = []  # a heap of times and jobs
+        self._deadlines: list[tuple[float, int]] = []  # a heap of times and requests
         self._timer_at = 0.0  # when the pending timer fires, 0 for none
         self._timer_token = 0
         self._watching = False
@@ -188,15 +190,15 @@
             self._timer_at = 0.0
 
     def _client_disconnected(self, event: ClientDisconnected, now: float) -> None:
-        job = self._jobs.get(event.id)
-        if job is not None:
-            self._finish(job)
+        request = self._requests.get(event.id)
+        if request is not None:
+            self._finish(request)
 
     def _stream_started(self, event: StreamStarted, now: float) -> None:
-        job = self._jobs.get(event.id)
-        if job is not None:
-            job.streaming = True
-            self._queues.remove(job)
+        request = self._requests.get(event.id)
+        if request is not None:
+            request.streaming = True
+            self._queues.remove(request)
 
     def _probe_completed(self, event: ProbeCompleted, now: float) -> None:
         self._reports.report(self._fleet.workers.get(event.worker), event.load, now)
@@ -218,27 +220,29 @@
             self._split_anew()
 
     def _request_received(self, event: RequestReceived, now: float) -> None:
-        if event.cls >= len(self._queues.pacers) or event.id in self._jobs:
+        if event.cls >= len(self._queues.pacers) or event.id in self._requests:
             raise ValueError(f"request {event.id}: unknown class {event.cls} or id in use")
-        job, slack = self._job_of(event, now)
-        self._slow_start.least_cost = min(self._slow_start.least_cost, job.cost)
-        if job.key:
-            self._count_key(job.key)
-        self._jobs[job.id] = job
+        request, slack = self._queue_request(event, now)
+        self._slow_start.least_cost = min(self._slow_start.least_cost, request.cost)
+        if request.key:
+            self._count_key(request.key)
+        self._requests[request.id] = request
         for entry, sent in event.before:  # of a dispatcher that is lost: they may have run or still do so
             worker = self._fleet.known(entry)
-            job.attempts.append(Attempt(job, len(job.attempts), worker, entry, sent, sent, open=False))
-        deadline = job.due - DEADLINE_TICKS * self._context.settings.tick
-        heapq.heappush(self._deadlines, (deadline, job.id))
-        self._queues.add(job, job.class_queue.grb)
-        if event.before and self._fleet.ready.by_number and not self._selector.may_go_on(job, now):
-            self._answer(job)
+            request.attempts.append(
+                AttemptRecord(request, len(request.attempts), worker, entry, sent, sent, open=False)
+            )
+        deadline = request.due - DEADLINE_TICKS * self._context.settings.tick
+        heapq.heappush(self._deadlines, (deadline, request.id))
+        self._queues.add(request, request.class_queue.grb)
+        if event.before and self._fleet.ready.by_number and not self._selector.may_go_on(request, now):
+            self._answer(request)
         wait = expected_wait(self._queues, self._out)
         if is_full(self._queues, wait, slack, len(self._fleet.subset)):
             self._shed(wait)
 
-    def _job_of(self, event: RequestReceived, now: float) -> tuple[Job, float]:
-        """The job of a request, and how long it may wait and still be in time."""
+    def _queue_request(self, event: RequestReceived, now: float) -> tuple[QueuedRequest, float]:
+        """The request of a request, and how long it may wait and still be in time."""
         client_retry = bool(event.flags & REPEAT)
         queue = self._queue_of(event, client_retry, now)
         pacer = queue.pacer
@@ -248,7 +252,7 @@
         age = pacer.patience - left if client_retry else 0.0
         aim = queue.cls.aim + queue.cls.stretch * (event.work or run) - age
         slack = min(aim, left) - run
-        job = Job(
+        request = QueuedRequest(
             id=event.id,
             key=event.key,
             due=event.due,
@@ -260,7 +264,7 @@
             timely=inf if queue.cls.late_worth else now + slack,
             slots=event.slots or 1.0,
         )
-        return job, slack
+        return request, slack
 
     def _queue_of(self, event: RequestReceived, client_retry: bool, now: float) -> ClassQueue:
         over_quota = self._quotas.is_over(event.tenant, client_retry, now)
@@ -275,7 +279,7 @@
             self._fleet.key_orders.forget()
 
     def _attempt_ended(self, event: AttemptEnded, now: float) -> None:
-        job, attempt = self._find(event.id, event.attempt)
+        request, attempt = self._find(event.id, event.attempt)
         if attempt is None or not attempt.open:
             return  # an attempt from before this dispatcher's present life
         self._close(attempt)
@@ -286,16 +290,16 @@
         if outcome in (Outcome.OK, Outcome.ERROR):
             worker.count_end(outcome == Outcome.ERROR)
         if attempt.started is not None:
-            worker.learn(now, (now - attempt.started) / attempt.job.run, outcome == Outcome.OK)
+            worker.learn(now, (now - attempt.started) / attempt.request.run, outcome == Outcome.OK)
         self._judge_worker(attempt, event, now)
-        if job is None:
+        if request is None:
             del self._late_attempts[event.id, event.attempt]
         elif event.final:
-            self._finish(job)
-        elif not job.out() and job.queue is None:
-            self._go_on(job, now, outcome == Outcome.ERROR)
+            self._finish(request)
+        elif not request.out() and request.queue is None:
+            self._go_on(request, now, outcome == Outcome.ERROR)
 
-    def _judge_worker(self, attempt: Attempt, event: AttemptEnded, now: float) -> None:
+    def _judge_worker(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
         """Takes in what an attempt's end says of its worker."""
         worker, outcome = attempt.worker, event.outcome
         if outcome == Outcome.OK:
@@ -311,30 +315,30 @@
                 worker.strike(now)
         elif outcome == Outcome.ERROR:
             worker.alive(now)
-            if worker.faults > FAULTY:  # who fails its jobs at once holds fewest and would draw others in
+            if worker.faults > FAULTY:  # who fails its requests at once holds fewest and would draw others in
                 worker.strike(now, erring=self._context.trial_effect != Effect.UNSAFE)
         elif outcome == Outcome.CANCELLED and attempt.started is None:
             self._called_off_unstarted(attempt, now)
 
-    def _served(self, attempt: Attempt, event: AttemptEnded, now: float) -> None:
-        job, pacer = attempt.job, attempt.job.class_queue.pacer
-        late = event.elapsed >= SILENT_RUNS * max(pacer.run_of(job.hint), job.cls.aim)
+    def _served(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
+        request, pacer = attempt.request, attempt.request.class_queue.pacer
+        late = event.elapsed >= SILENT_RUNS * max(pacer.run_of(request.hint), request.cls.aim)
         attempt.worker.alive(now, not late)
-        pacer.learn(event.elapsed if attempt.started is None else now - attempt.started, job.hint)
-        self._slow_start.count_served(job.cost, now)
+        pacer.learn(event.elapsed if attempt.started is None else now - attempt.started, request.hint)
+        self._slow_start.count_served(request.cost, now)
 
-    def _worker_is_full(self, attempt: Attempt, now: float) -> None:
+    def _worker_is_full(self, attempt: AttemptRecord, now: float) -> None:
         worker = attempt.worker
         worker.alive(now)
         worker.fulls += 1
         worker.full_until = now + LOOK_AGAIN_MS * min(worker.fulls, MOST_FULL_PAUSES)
         # No sign: a draining worker's hand-backs, nor one worker's word while others are free.
         if worker.entry.state == EndpointState.READY and not self._selector.is_any_free(now):
-            attempt.job.class_queue.pacer.accepted -= 1
+            attempt.request.class_queue.pacer.accepted -= 1
 
-    def _called_off_unstarted(self, attempt: Attempt, now: float) -> None:
+    def _called_off_unstarted(self, attempt: AttemptRecord, now: float) -> None:
         waited = now - attempt.sent
-        if waited >= self._outliers.short_wait(attempt.job):
+        if waited >= self._outliers.short_wait(attempt.request):
             self._outliers.count_wait(waited)
             # Where one has waited too long the next would too.
             attempt.worker.full_until = now + 2.0 * LOOK_AGAIN_MS
@@ -348,92 +352,92 @@
         if attempt.started is None and event.what == STARTED:
             self._started(attempt, now)
 
-    def _started(self, attempt: Attempt, now: float) -> None:
+    def _started(self, attempt: AttemptRecord, now: float) -> None:
         worker, waited = attempt.worker, now - attempt.sent
         attempt.started = now
         worker.fulls = 0
         worker.unstarted -= 1
         self._outliers.count_wait(waited)
         self._reports.started(worker)
-        # One waiting job of each dispatcher is a long queue (i1da742): after a wait others come first.
+        # One waiting request of each dispatcher is a long queue (i1da742): after a wait others come first.
         others = self._fleet.subset.sharers / self._reports.slots_of(worker) - 1.0
         worker.full_until = max(worker.full_until, now + waited * min(PAUSES, others))
         self._fleet.resting[worker.entry.worker] = worker
 
     # Ends and retries.
 
-    def _find(self, id_: int, number: int) -> tuple[Job | None, Attempt | None]:
-        job = self._jobs.get(id_)
-        attempts = job.attempts if job is not None else []
+    def _find(self, id_: int, number: int) -> tuple[QueuedRequest | None, AttemptRecord | None]:
+        request = self._requests.get(id_)
+        attempts = request.attempts if request is not None else []
         if number < len(attempts):
-            return job, attempts[number]
-        return job, self._late_attempts.get((id_, number))
+            return request, attempts[number]
+        return request, self._late_attempts.get((id_, number))
 
-    def _close(self, attempt: Attempt) -> None:
+    def _close(self, attempt: AttemptRecord) -> None:
         """Takes in that an attempt is over."""
         worker = attempt.worker
         attempt.open = False
         self._out -= 1
-        worker.own_slots -= attempt.job.slots
-        worker.open.pop((attempt.job.id, attempt.number), None)
+        worker.own_slots -= attempt.request.slots
+        worker.open.pop((attempt.request.id, attempt.number), None)
         worker.unstarted -= attempt.started is None
         if not worker.open:
             self._fleet.busy.pop(worker.entry.worker, None)
             worker.silent = False  # with nothing left there, a trial must tell
         self._gossip.changed(worker)
 
-    def _finish(self, job: Job) -> None:
-        """Forgets a job that is over. What is still out is called off, which frees workers that heed it."""
-        job.answered = True
-        self._queues.remove(self._jobs.pop(job.id))
-        for attempt in job.attempts:
+    def _finish(self, request: QueuedRequest) -> None:
+        """Forget a request that is over and cancel its open attempts, which frees workers that support it."""
+        request.answered = True
+        self._queues.remove(self._requests.pop(request.id))
+        for attempt in request.attempts:
             if attempt.open:
-                self._late_attempts[job.id, attempt.number] = attempt
+                self._late_attempts[request.id, attempt.number] = attempt
                 if self._context.settings.may_cancel:
-                    self._context.actions.append(CancelAttempt(job.id, attempt.number))
+                    self._context.actions.append(CancelAttempt(request.id, attempt.number))
 
-    def _answer(self, job: Job, retry_after: float = 0.0) -> None:
+    def _answer(self, request: QueuedRequest, retry_after: float = 0.0) -> None:
         """The one place of this dispatcher's final answers: a refusal if rule 2 allows it, else a failure."""
         settings = self._context.settings
-        self._finish(job)
+        self._finish(request)
         advice = min(retry_after, settings.max_retry_after) if settings.may_advise else 0.0
         self._context.actions.append(
-            RejectRequest(job.id, advice) if may_reject(job) else FailRequest(job.id)
+            RejectRequest(request.id, advice) if may_reject(request) else FailRequest(request.id)
         )
 
-    def _go_on(self, job: Job, now: float, failed: bool) -> None:
-        """Retries a job that is not out any more, or answers it."""
-        if self._may_retry(job, now, failed):
-            self._queues.add_first(job)
+    def _go_on(self, request: QueuedRequest, now: float, failed: bool) -> None:
+        """Retries a request that is not out any more, or answers it."""
+        if self._may_retry(request, now, failed):
+            self._queues.add_first(request)
         else:
-            self._answer(job)
+            self._answer(request)
 
-    def _may_retry(self, job: Job, now: float, failed: bool = False) -> bool:
+    def _may_retry(self, request: QueuedRequest, now: float, failed: bool = False) -> bool:
         """Whether a further attempt is legal and within the retry budget, from which its cost is taken."""
-        cost = retry_cost(job, now, self._context.settings.tells_start, failed)
-        if job.answered or self._retry_budget.tokens < cost or not self._selector.may_go_on(job, now):
+        cost = retry_cost(request, now, self._context.settings.tells_start, failed)
+        if request.answered or self._retry_budget.tokens < cost or not self._selector.may_go_on(request, now):
             return False
         self._retry_budget.spend(cost)
         return True
 
-    def _give_up(self, attempt: Attempt, now: float) -> None:
-        """Sends a job on whose worker or connection says nothing, within what its class allows."""
-        job, settings = attempt.job, self._context.settings
-        if attempt.given_up or job.answered or job.queue is not None:
+    def _give_up(self, attempt: AttemptRecord, now: float) -> None:
+        """Sends a request on whose worker or connection says nothing, within what its class allows."""
+        request, settings = attempt.request, self._context.settings
+        if attempt.given_up or request.answered or request.queue is not None:
             return
         if settings.may_copy:  # a hedged request
-            if self._may_retry(job, now):
+            if self._may_retry(request, now):
                 attempt.given_up = True
-                self._queues.add_first(job)
+                self._queues.add_first(request)
         elif settings.may_cancel and (attempt.started is None or self._retry_budget.tokens >= 1.0):
-            hopeless = attempt.started is None and self._outliers.is_hopeless(job, now)
-            if hopeless or self._selector.has_alternative(job, now):
+            hopeless = attempt.started is None and self._outliers.is_hopeless(request, now)
+            if hopeless or self._selector.has_alternative(request, now):
                 self._call_off(attempt)
 
-    def _call_off(self, attempt: Attempt) -> None:
-        """Cancels an attempt; its end, when that is told, sends the job on."""
+    def _call_off(self, attempt: AttemptRecord) -> None:
+        """Cancels an attempt; its end, when that is told, sends the request on."""
         attempt.given_up = True
-        self._context.actions.append(CancelAttempt(attempt.job.id, attempt.number))
+        self._context.actions.append(CancelAttempt(attempt.request.id, attempt.number))
         if attempt.worker.silent:  # a trial on a connection open already would fall silent too
             self._context.actions.append(CloseIdleConnections(attempt.worker.entry.worker))
 
@@ -441,15 +445,15 @@
         """Rule 1: whatever is left when a client's time ends gets its answer just before."""
         while self._deadlines and self._deadlines[0][0] <= now:
             _, id_ = heapq.heappop(self._deadlines)
-            job = self._jobs.get(id_)
-            if job is not None and not job.streaming:
-                self._answer(job)
+            request = self._requests.get(id_)
+            if request is not None and not request.streaming:
+                self._answer(request)
 
     def _shed(self, wait: float) -> None:
         """The GRB is full: the lowest worth goes first, the newest of it, with a hint when to come again."""
-        for job in self._queues.shed_order():
-            if may_reject(job) and not job.out():
-                self._answer(job, wait)
+        for request in self._queues.shed_order():
+            if may_reject(request) and not request.out():
+                self._answer(request, wait)
                 return
 
     # Sending.
@@ -458,65 +462,71 @@
         """GRB to SLBs, SLBs to workers: highest worth first, first come first within a buffer."""
         for queue in self._queues.by_worth:
             queue.set_late_aside(now)
-            for job in [job for job in queue.late.values() if self._outliers.is_hopeless(job, now)]:
-                self._answer(job, self._outliers.mean_wait)
+            for request in [
+                request for request in queue.late.values() if self._outliers.is_hopeless(request, now)
+            ]:
+                self._answer(request, self._outliers.mean_wait)
             queue.fill_slb()
         self._fleet.doubt_again()
         self._slow_start.fade(now)
-        free: list[Worker] | None = None  # found when a job without a key is to go, or probes may be wanted
+        free: list[Worker] | None = (
+            None  # found when a request without a key is to go, or probes may be wanted
+        )
         if self._reports.probing:
             free = [worker for worker in self._fleet.subset.workers if self._selector.is_free(worker, now)]
             shown = any(self._reports.shown(worker, now) > 0.0 for worker in free)
             if not shown and self._reports.probe(now):
                 return
-        for queue, jobs in self._queues.to_release():
-            free = self._release_from(queue, jobs, free, now)
+        for queue, requests in self._queues.to_release():
+            free = self._release_from(queue, requests, free, now)
 
     def _release_from(
-        self, queue: ClassQueue, jobs: list[Job], free: list[Worker] | None, now: float
+        self, queue: ClassQueue, requests: list[QueuedRequest], free: list[Worker] | None, now: float
     ) -> list[Worker] | None:
-        """Sends the jobs of one buffer as its rate lets them go. Returns the free workers, once found."""
-        for job in jobs:
+        """Sends the requests of one buffer as its rate lets them go. Returns the free workers, once found."""
+        for request in requests:
             if queue.pacer.must_wait(now):
                 break
-            if not job.key:
+            if not request.key:
                 free = self._selector.free_workers(now) if free is None else free
                 if not free:
                     break
-            worker = self._selector.pick(job, free or [], now)
+            worker = self._selector.pick(request, free or [], now)
             if worker is not None:
-                self._send(job, worker, now)
+                self._send(request, worker, now)
                 if free and worker in free and not self._selector.is_free(worker, now):
                     free.remove(worker)
-            elif not job.key and not job.attempts and job.slots <= 1.0:
+            elif not request.key and not request.attempts and request.slots <= 1.0:
                 break  # the next of this buffer would hardly find one either
         return free
 
-    def _send(self, job: Job, worker: Worker, now: float) -> None:
+    def _send(self, request: QueuedRequest, worker: Worker, now: float) -> None:
         """The one gate of attempts: enforces rules 2, 3 and 4 whatever the callers meant."""
-        if job.answered or worker.entry.state != EndpointState.READY:
+        if request.answered or worker.entry.state != EndpointState.READY:
             return
-        if not self._slow_start.covers(worker, job.cost) or not self._selector.is_legal(job, worker, now):
+        if not self._slow_start.covers(worker, request.cost) or not self._selector.is_legal(
+            request, worker, now
+        ):
             return
-        self._queues.remove(job)
-        attempt = Attempt(job, len(job.attempts), worker, worker.entry, now, now)
-        job.attempts.append(attempt)
+        self._queues.remove(request)
+        attempt = AttemptRecord(request, len(request.attempts), worker, worker.entry, now, now)
+        request.attempts.append(attempt)
         self._out += 1
         self._add_to_worker(attempt, now)
         self._outliers.attempt_sent(attempt)
-        job.class_queue.pacer.count_send(now)
+        request.class_queue.pacer.count_send(now)
         self._retry_budget.count_attempt()
-        self._context.actions.append(StartAttempt(job.id, worker.entry.worker, work=job.cost))
+        self._context.actions.append(StartAttempt(request.id, worker.entry.worker, work=request.cost))
 
-    def _add_to_worker(self, attempt: Attempt, now: float) -> None:
+    def _add_to_worker(self, attempt: AttemptRecord, now: float) -> None:
         """Takes in at its worker that an attempt is out."""
-        job, worker = attempt.job, attempt.worker
-        worker.open[job.id, attempt.number] = attempt
+        request, worker = attempt.request, attempt.worker
+        worker.open[request.id, attempt.number] = attempt
         worker.unstarted += 1
-        worker.own_slots += job.slots
-        worker.slots_free -= job.slots
+        worker.own_slots += request.slots
+        worker.slots_free -= request.slots
         if worker.slow_start_left < inf:
-            worker.recent.append((now, job.cost))
+            worker.recent.append((now, request.cost))
         self._fleet.busy[worker.entry.worker] = worker
         self._gossip.changed(worker)
 
@@ -549,7 +559,7 @@
 
 
 def opens_something(events: list[Event]) -> bool:
-    """Whether held jobs may find a worker after these events: a job's progress opens nothing."""
+    """Whether held requests may find a worker after these events: a request's progress opens nothing."""
     if not events:
         return True
     return any(not isinstance(event, AttemptProgressed) or event.what == STARTED for event in events)
--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -20,13 +20,15 @@
 from eiderfield.interface import Endpoint
 
 if TYPE_CHECKING:
-    from eiderfield.policy.request import Attempt
+    from eiderfield.policy.request import AttemptRecord
 
 STRIKE_PAUSE_MS = 500.0  # without sends after a first strike, doubled with each further one
 LONGEST_STRIKE_PAUSE_MS = 4000.0
 FAULT_FADE = 0.8  # weight of an error, compared with the next one
 FAULTY = 1.5  # sum of errors at which a worker is rested: two in a row, or one in three
-PACE_JOBS = 3.0  # jobs of the usual length that a worker is credited with, so that one long job says little
+PACE_REQUESTS = (
+    3.0  # requests of the usual length that a worker is credited with, so that one long request says little
+)
 PACE_MEMORY_MS = 5000.0  # over which what a worker has had running is forgotten
 RECENT_ATTEMPTS = 1024  # attempts to a warming worker that are remembered: more are not sent in a window
 
@@ -36,7 +38,7 @@
     """A worker as the list, its answers and its silence show it."""
 
     entry: Endpoint
-    open: dict[tuple[int, int], Attempt] = field(default_factory=dict)  # own attempts out, oldest first
+    open: dict[tuple[int, int], AttemptRecord] = field(default_factory=dict)  # own attempts out, oldest first
     unstarted: int = 0
     own_slots: float = 0.0  # slots of own attempts out
     sibling_attempts: int = 0  # attempts that this node's other process has out here, while it is upgraded
@@ -44,28 +46,32 @@
     full_until: float = 0.0
     strikes: int = 0
     ran: float = 0.0  # what ran here lately and is over, in usual running times
-    done: float = 0.0  # how many of these jobs were done
+    done: float = 0.0  # how many of these requests were done
     faded: float = 0.0
-    faults: float = 0.0  # errors, each ended job weighing less than the next by FAULT_FADE
+    faults: float = 0.0  # errors, each ended request weighing less than the next by FAULT_FADE
     fulls: int = 0  # in a row, without a start between
     resets: int = 0  # in a row, without a sign of life between
     suspect_until: float = 0.0
     silent: bool = False
-    erring: bool = False  # it fails jobs at once, and others well: for what may run twice, behind all others
+    erring: bool = (
+        False  # it fails requests at once, and others well: for what may run twice, behind all others
+    )
     recent: deque[tuple[float, float]] = field(
         default_factory=lambda: deque(maxlen=RECENT_ATTEMPTS)
     )  # cold: time, work
     slow_start_left: float = inf
-    lot: float = 1.0  # cold: the share of a job's cost that must be left of the budget
+    lot: float = 1.0  # cold: the share of a request's cost that must be left of the budget
     slots_free: float = 0.0  # as last reported, less own sends since
     reported: float = -inf
     probed: float = -inf
-    peer_reports: dict[int, tuple[float, int]] = field(default_factory=dict)  # by peer: when, its jobs here
+    peer_reports: dict[int, tuple[float, int]] = field(
+        default_factory=dict
+    )  # by peer: when, its requests here
     peer_slots: int = 0  # their sum
     peer_slots_until: float = 0.0
 
     def total(self, now: float) -> float:
-        """The slots taken or waited for by jobs of this dispatcher and, as far as they told, of its peers."""
+        """Slots in use by requests of this dispatcher and, as far as reported, of its peers."""
         return (
             self.own_slots + self.sibling_attempts + (self.peer_slots if now < self.peer_slots_until else 0)
         )
@@ -91,17 +97,17 @@
         self.faults = self.faults * FAULT_FADE + failed
 
     def learn(self, now: float, ran: float, done: bool) -> None:
-        """Takes in that a job which had started is over, after so many usual running times."""
+        """Takes in that a request which had started is over, after so many usual running times."""
         kept = max(0.0, 1.0 - (now - self.faded) / PACE_MEMORY_MS)
         self.ran = self.ran * kept + ran
         self.done = self.done * kept + done
         self.faded = now
 
     def pace(self, now: float) -> float:
-        """How much longer than usual jobs run here; those still running show first that it turns slow."""
+        """How much longer than usual requests run here; those still running show first that it turns slow."""
         kept = max(0.0, 1.0 - (now - self.faded) / PACE_MEMORY_MS)
-        out = sum([(now - a.started) / a.job.run for a in self.open.values() if a.started is not None])
-        return (PACE_JOBS + self.ran * kept + out) / (PACE_JOBS + self.done * kept)
+        out = sum([(now - a.started) / a.request.run for a in self.open.values() if a.started is not None])
+        return (PACE_REQUESTS + self.ran * kept + out) / (PACE_REQUESTS + self.done * kept)
 
     def strike(self, now: float, erring: bool = False) -> None:
         """A failed connection, a reset, silence, errors: no sends for a while, then one trial (half-open)."""
--- a/eiderfield/policy/fleet.py
+++ b/eiderfield/policy/fleet.py
@@ -127,12 +127,12 @@
                 self.workers[number].recent.extend((at, work) for at, work in recent)
 
     def erring(self) -> list[tuple[int, float, int]]:
-        """The workers that fail their jobs at once, in plain values, for the next process."""
+        """The workers that fail their requests at once, in plain values, for the next process."""
         failing = [worker for worker in self.workers.values() if worker.erring]
         return [(worker.entry.worker, worker.faults, worker.strikes) for worker in failing]
 
     def resume_erring(self, told: Iterable[tuple[int, float, int]]) -> None:
-        """Goes on from the workers that the process before knew to fail their jobs at once."""
+        """Goes on from the workers that the process before knew to fail their requests at once."""
         for number, faults, strikes in told:
             worker = self.workers.get(number)
             if worker is not None:
--- a/eiderfield/policy/gossip.py
+++ b/eiderfield/policy/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: dispatchers that share workers tell each other the slots that their jobs take there.
+"""Gossip: dispatchers that share workers tell each other the slots that their requests take there.
 
 A count that was lost is replaced by the next, and forgotten after a while: its sender may have died.
 """
@@ -19,7 +19,7 @@
 
     def __init__(self, context: Context, fleet: Fleet) -> None:
         self.peers: list[int] = []  # dispatchers that share this one's workers and may talk
-        self._changed: dict[int, Worker] = {}  # workers where own jobs came or went in this call
+        self._changed: dict[int, Worker] = {}  # workers where own requests came or went in this call
         self._context = context
         self._fleet = fleet
 
@@ -34,21 +34,23 @@
             self.peers = [number for number in alike if number != settings.me]
 
     def changed(self, worker: Worker) -> None:
-        """Own jobs came or went at a worker."""
+        """Own requests came or went at a worker."""
         self._changed[worker.entry.worker] = worker
 
     def receive(self, peer: int, data: bytes, now: float) -> None:
-        """A peer tells how many slots its jobs take at workers."""
+        """A peer tells how many slots its requests take at workers."""
         for number, count in unpack_counts(data):
             worker = self._fleet.workers.get(number)
             if worker is not None:
                 worker.peer_reports[peer] = (now, count)
                 worker.peer_slots_until = now + FRESH_MS
-                fresh = [jobs for told_at, jobs in worker.peer_reports.values() if told_at > now - FRESH_MS]
+                fresh = [
+                    requests for told_at, requests in worker.peer_reports.values() if told_at > now - FRESH_MS
+                ]
                 worker.peer_slots = sum(fresh)
 
     def send(self) -> None:
-        """Tells the peers of the workers where own jobs came or went."""
+        """Tells the peers of the workers where own requests came or went."""
         counts = [(number, round(w.own_slots) + w.sibling_attempts) for number, w in self._changed.items()]
         data = pack_counts(counts)
         if data:
--- a/eiderfield/policy/load_reports.py
+++ b/eiderfield/policy/load_reports.py
@@ -15,9 +15,9 @@
 from eiderfield.policy.fleet import Fleet
 
 UNKNOWN_SLOTS = 2.0  # that a worker is taken to have, until it shows more
-FRESH_MS = 500.0  # for which a report of free slots holds: less than a short job runs
-PROBES = 3  # workers probed for a job when no report shows a free slot
-PROBE_WAIT_MS = 10.0  # for which jobs wait for the probes' answers
+FRESH_MS = 500.0  # for which a report of free slots holds: less than a short request runs
+PROBES = 3  # workers probed for a request when no report shows a free slot
+PROBE_WAIT_MS = 10.0  # for which requests wait for the probes' answers
 PROBED_AGAIN_MS = 200.0  # after which a worker may be probed again
 
 
@@ -26,7 +26,7 @@
 
     def __init__(self, context: Context, fleet: Fleet) -> None:
         self.slots: defaultdict[int, float] = defaultdict(lambda: UNKNOWN_SLOTS)  # most seen, by kind
-        self.waits_until = 0.0  # until when jobs wait for probes
+        self.waits_until = 0.0  # until when requests wait for probes
         self.probing = False
         self._context = context
         self._fleet = fleet
@@ -51,7 +51,7 @@
 
     def started(self, worker: Worker) -> None:
         """Takes in that an attempt has started."""
-        self._saw(worker, sum([a.job.slots for a in worker.open.values() if a.started is not None]))
+        self._saw(worker, sum([a.request.slots for a in worker.open.values() if a.started is not None]))
 
     def slots_of(self, worker: Worker) -> float:
         """The slots that a worker is taken to have."""
@@ -64,7 +64,7 @@
         return 1.0 if worker.slots_free >= 1 else -1.0
 
     def probe(self, now: float) -> bool:
-        """Asks some workers for a report; returns whether jobs wait for it."""
+        """Asks some workers for a report; returns whether requests wait for it."""
         old = now - PROBED_AGAIN_MS
         silent = [w for w in self._fleet.subset.workers if max(w.reported, w.probed) < old]
         asked = [worker for worker in silent if self._fleet.is_usable(worker, now)]
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -21,34 +21,36 @@
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.fleet import Fleet
-from eiderfield.policy.request import Attempt, Job
+from eiderfield.policy.request import AttemptRecord, QueuedRequest
 
 SILENT_NOTES = 1.6  # intervals of notes without any sign of life: a process's pause swallows some
 STUCK_NOTES = 3.6  # intervals without a note of one attempt, at a worker that is well
 SILENT_RUNS = 3.0  # mean running times that may pass where there are no notes
 STUCK_RUNS = 8.0  # mean running times that an attempt may wait unstarted
 STUCK_RUNS_OF_MANY = 0.2  # and among many dispatchers
-WAIT_WEIGHT = 0.1  # of one job's wait in their mean
+WAIT_WEIGHT = 0.1  # of one request's wait in their mean
 CHECKED_AGAIN_MS = 200.0  # after which a suspicion that has come true is looked at again
 
 
 class OutlierDetector:
     """Looks for silent workers and stuck attempts when one may have become so."""
 
-    def __init__(self, context: Context, fleet: Fleet, give_up: Callable[[Attempt, float], None]) -> None:
+    def __init__(
+        self, context: Context, fleet: Fleet, give_up: Callable[[AttemptRecord, float], None]
+    ) -> None:
         self.next_check = inf  # nobody is suspect before
-        self.mean_wait = 0.0  # of jobs, at workers, until they start, in ms
+        self.mean_wait = 0.0  # of requests, at workers, until they start, in ms
         self._context = context
         self._fleet = fleet
         self._give_up = give_up
 
-    def attempt_sent(self, attempt: Attempt) -> None:
+    def attempt_sent(self, attempt: AttemptRecord) -> None:
         """An attempt is out, and may fall silent."""
         silence, stuck = self._silent_from(attempt.worker), self._stuck_from(attempt)
         self.next_check = min(self.next_check, silence, stuck)
 
     def count_wait(self, wait: float) -> None:
-        """Takes in how long a job waited at a worker."""
+        """Takes in how long a request waited at a worker."""
         self.mean_wait += WAIT_WEIGHT * (wait - self.mean_wait)
 
     def check(self, now: float) -> None:
@@ -67,14 +69,14 @@
         if self.next_check <= now:
             self.next_check = now + CHECKED_AGAIN_MS
 
-    def short_wait(self, job: Job) -> float:
+    def short_wait(self, request: QueuedRequest) -> float:
         """The wait that one of many dispatchers takes for a short one, in ms."""
-        return STUCK_RUNS_OF_MANY * self._usual_run(job)
+        return STUCK_RUNS_OF_MANY * self._usual_run(request)
 
-    def is_hopeless(self, job: Job, now: float) -> bool:
-        """Whether a job that can't be in time would, at queues everywhere, make others late as well."""
-        late = self._context.many and now >= job.timely
-        return late and self.mean_wait > self.short_wait(job)
+    def is_hopeless(self, request: QueuedRequest, now: float) -> bool:
+        """Whether a request that can't be in time would, at queues everywhere, make others late as well."""
+        late = self._context.many and now >= request.timely
+        return late and self.mean_wait > self.short_wait(request)
 
     def _check_worker(self, worker: Worker, now: float) -> None:
         if worker.silent:
@@ -84,7 +86,7 @@
             worker.silent = True
             worker.strike(now)
             self._fleet.resting[worker.entry.worker] = worker
-            text = f"worker {worker.entry.worker} silent, {len(worker.open)} jobs out"
+            text = f"worker {worker.entry.worker} silent, {len(worker.open)} requests out"
             self._context.actions.append(LogMessage(text))
         else:
             self.next_check = min(self.next_check, silent_from)
@@ -92,14 +94,14 @@
     def _silent_from(self, worker: Worker) -> float:
         """When the worker's silence becomes suspect: measured from its last sign of life."""
         oldest = next(iter(worker.open.values()))
-        runs = SILENT_RUNS * self._usual_run(oldest.job)
+        runs = SILENT_RUNS * self._usual_run(oldest.request)
         notes = SILENT_NOTES * self._context.settings.progress
         return max(worker.heard, oldest.sent) + (notes or runs)
 
-    def _stuck_from(self, attempt: Attempt) -> float:
+    def _stuck_from(self, attempt: AttemptRecord) -> float:
         """When an attempt is stuck: no note came in time or, if not started, its wait is too long."""
         settings = self._context.settings
-        if attempt.given_up or attempt.job.streaming:
+        if attempt.given_up or attempt.request.streaming:
             return inf
         if attempt.started is not None:
             notes = SILENT_NOTES if attempt.worker.silent else STUCK_NOTES
@@ -108,16 +110,16 @@
             return inf
         if self._context.many:
             return self._impatient_from(attempt)
-        return attempt.sent + STUCK_RUNS / STUCK_RUNS_OF_MANY * self.short_wait(attempt.job)
+        return attempt.sent + STUCK_RUNS / STUCK_RUNS_OF_MANY * self.short_wait(attempt.request)
 
-    def _impatient_from(self, attempt: Attempt) -> float:
+    def _impatient_from(self, attempt: AttemptRecord) -> float:
         """When one of many dispatchers calls an unstarted attempt off: each wait is twice the last."""
-        short = self.short_wait(attempt.job)
+        short = self.short_wait(attempt.request)
         patient_until = attempt.sent + max(short, self.mean_wait) * 2.0**attempt.number
         if self.mean_wait <= short:
             return patient_until
         # Where all queues are long, leaving one loses the place and the data.
-        return min(patient_until, max(attempt.job.timely, attempt.sent + short))
+        return min(patient_until, max(attempt.request.timely, attempt.sent + short))
 
-    def _usual_run(self, job: Job) -> float:
-        return max(job.class_queue.pacer.run_of(job.hint), job.cls.aim)
+    def _usual_run(self, request: QueuedRequest) -> float:
+        return max(request.class_queue.pacer.run_of(request.hint), request.cls.aim)
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -1,12 +1,12 @@
 """Queues of the requests that wait here, by class and tenant.
 
-Theory of operation. The design names two stages. A job first enters the global request buffer (GRB), which
-bounds what is held in all; each class has its part of it. From there it moves to the second-level buffer
-(SLB) of its class, which is short and from which jobs are released at the class's rate, first come first
-served. While an SLB is nearly full, its class stays in the GRB. What can be worth nothing any more moves
-aside, so that it doesn't make what comes after it late as well.
+Theory of operation. The design names two stages. A request first enters the global request buffer (GRB),
+which bounds what is held in all; each class has its part of it. From there it moves to the second-level
+buffer (SLB) of its class, which is short and from which requests are released at the class's rate, first come
+first served. While an SLB is nearly full, its class stays in the GRB. What can be worth nothing any more
+moves aside, so that it doesn't make what comes after it late as well.
 
-What must never happen: a job in two queues; a job that is answered and still in one.
+What must never happen: a request in two queues; a request that is answered and still in one.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 from eiderfield.policy.rate_control import FLOOR_REST, FLOOR_TOP, Pacer
 
 if TYPE_CHECKING:
-    from eiderfield.policy.request import Job
+    from eiderfield.policy.request import QueuedRequest
 
 LEAST_RUN_MS = 1.0  # that a request of a class is taken to run before any has: an objective may be 0
-SLB_SIZE = 8  # jobs in a second-level buffer: enough to keep every worker fed between two events
+SLB_SIZE = 8  # requests in a second-level buffer: enough to keep every worker fed between two events
 NEAR_FULL = 0.75  # share of an SLB at which its class is held in the GRB
 
 
@@ -35,9 +35,11 @@
     cls: RequestClass
     pacer: Pacer
     worth: float
-    grb: OrderedDict[int, Job] = field(default_factory=OrderedDict)
-    slb: OrderedDict[int, Job] = field(default_factory=OrderedDict)
-    late: OrderedDict[int, Job] = field(default_factory=OrderedDict)  # what can be worth nothing any more
+    grb: OrderedDict[int, QueuedRequest] = field(default_factory=OrderedDict)
+    slb: OrderedDict[int, QueuedRequest] = field(default_factory=OrderedDict)
+    late: OrderedDict[int, QueuedRequest] = field(
+        default_factory=OrderedDict
+    )  # what can be worth nothing any more
 
     def room(self) -> bool:
         """Whether the SLB is not near-full. The SLB of a class with a high floor grows as its rate is cut."""
@@ -49,17 +51,17 @@
     def set_late_aside(self, now: float) -> None:
         """Moves what can be in time no more behind what can."""
         for queue in (self.slb, self.grb):
-            late = [job for job in islice(queue.values(), SLB_SIZE) if now > job.timely]
-            for job in late:
-                job.queue = self.late
-                self.late[job.id] = queue.pop(job.id)
+            late = [request for request in islice(queue.values(), SLB_SIZE) if now > request.timely]
+            for request in late:
+                request.queue = self.late
+                self.late[request.id] = queue.pop(request.id)
 
     def fill_slb(self) -> None:
-        """Moves jobs from the GRB to the SLB while that has room."""
+        """Moves requests from the GRB to the SLB while that has room."""
         while self.grb and self.room():
-            _, job = self.grb.popitem(last=False)
-            job.queue = self.slb
-            self.slb[job.id] = job
+            _, request = self.grb.popitem(last=False)
+            request.queue = self.slb
+            self.slb[request.id] = request
 
 
 QueueId = tuple[int, int, bool]  # class, tenant, and whether the tenant is above its quota
@@ -81,7 +83,7 @@
                     self.by_id[number, tenant, over_quota] = ClassQueue(cls, pacer, worth)
         self.by_worth: list[ClassQueue] = []
         self._sort()
-        self.held = 0  # jobs that wait here
+        self.held = 0  # requests that wait here
         self.held_run = 0.0  # their expected running time, in ms
 
     def adopt(self, settings: Settings) -> None:
@@ -102,26 +104,26 @@
         for pacer, values in zip(self.pacers, learnt, strict=True):
             pacer.run, pacer.rate, pacer.uncut, pacer.next_at = values
 
-    def add(self, job: Job, queue: OrderedDict[int, Job]) -> None:
-        """Holds a job in a queue, behind the others."""
-        job.queue = queue
-        queue[job.id] = job
+    def add(self, request: QueuedRequest, queue: OrderedDict[int, QueuedRequest]) -> None:
+        """Holds a request in a queue, behind the others."""
+        request.queue = queue
+        queue[request.id] = request
         self.held += 1
-        self.held_run += job.run
+        self.held_run += request.run
 
-    def add_first(self, job: Job) -> None:
-        """Holds a job that goes on before the others of its class: it has waited longest."""
-        self.add(job, job.class_queue.slb)
-        job.class_queue.slb.move_to_end(job.id, last=False)
+    def add_first(self, request: QueuedRequest) -> None:
+        """Holds a request that goes on before the others of its class: it has waited longest."""
+        self.add(request, request.class_queue.slb)
+        request.class_queue.slb.move_to_end(request.id, last=False)
 
-    def remove(self, job: Job) -> None:
-        """Takes a job out of its queue, if it is in one."""
-        if job.queue is None:
+    def remove(self, request: QueuedRequest) -> None:
+        """Takes a request out of its queue, if it is in one."""
+        if request.queue is None:
             return
-        del job.queue[job.id]
-        job.queue = None
+        del request.queue[request.id]
+        request.queue = None
         self.held -= 1
-        self.held_run -= job.run
+        self.held_run -= request.run
 
     def close_windows(self, now: float, window_ms: float) -> None:
         """Ends the windows of rate control that are over."""
@@ -130,16 +132,18 @@
                 waiting = any(queue.slb or queue.grb for queue in self.by_worth if queue.pacer is pacer)
                 pacer.close_window(now, waiting)
 
-    def to_release(self) -> Iterator[tuple[ClassQueue, list[Job]]]:
-        """The first jobs of each queue, in the order of release; late ones only while no other waits."""
+    def to_release(self) -> Iterator[tuple[ClassQueue, list[QueuedRequest]]]:
+        """The first requests of each queue, in the order of release; late ones only while no other waits."""
         timely = any(queue.slb for queue in self.by_worth)
         for queue in self.by_worth:
             buffer = queue.slb if timely else queue.late
             yield queue, list(islice(buffer.values(), SLB_SIZE))
 
-    def shed_order(self) -> Iterator[Job]:
-        """The jobs that are held, in the order in which they are shed: what is late, then the lowest worth,
-        of that the GRB before the SLB, and the newest first."""
+    def shed_order(self) -> Iterator[QueuedRequest]:
+        """Yield held requests in the order in which they are shed.
+
+        Late requests come first, then the lowest weight, and of that the GRB before the SLB, the newest first.
+        """
         by_worth = [(queue.worth, queue.grb) for queue in self.by_worth]
         by_worth += [(queue.worth, queue.slb) for queue in self.by_worth]
         by_worth.sort(key=lambda pair: pair[0])
--- a/eiderfield/policy/rate_control.py
+++ b/eiderfield/policy/rate_control.py
@@ -28,9 +28,9 @@
 
     floor_share: float
     run_default: float
-    run: float = 0.0  # mean running time; where jobs carry hints, its ratio to the hint
+    run: float = 0.0  # mean running time; where requests carry hints, its ratio to the hint
     patience: float = 0.0  # the longest time that a client gave, in ms
-    rate: float | None = None  # jobs a second; None: unpaced
+    rate: float | None = None  # requests a second; None: unpaced
     uncut: float = 0.0  # the rate before the first cut
     next_at: float = 0.0
     start: float = 0.0
@@ -38,11 +38,11 @@
     accepted: int = 0
 
     def run_of(self, hint: float) -> float:
-        """The expected running time of a job of this class."""
+        """The expected running time of a request of this class."""
         return hint * (self.run or 1.0) if hint else self.run or self.run_default
 
     def learn(self, ran: float, hint: float) -> None:
-        """Takes in how long a job ran."""
+        """Takes in how long a request ran."""
         self.run += RUN_WEIGHT * (ran / (hint or 1.0) - self.run) if self.run else ran / (hint or 1.0)
 
     def count_send(self, now: float) -> None:
@@ -53,7 +53,7 @@
             self.next_at = max(now, self.next_at) + MS_PER_S / self.rate
 
     def must_wait(self, now: float) -> bool:
-        """Whether the next job may not be released yet."""
+        """Whether the next request may not be released yet."""
         return self.rate is not None and now < self.next_at
 
     def close_window(self, now: float, waiting: bool) -> None:
--- a/eiderfield/policy/request.py
+++ b/eiderfield/policy/request.py
@@ -1,8 +1,8 @@
-"""Requests that this dispatcher has accepted, as jobs, and their attempts.
+"""Requests that this dispatcher has accepted, and their attempts.
 
-A job is held (in a queue of its class), out (an attempt is open), or both where hedging is allowed, until it
-is answered. The ledger of its attempts alone says what may be done with it (`retry_rules.py`): an attempt may
-have run until an outcome proves that it did not, and stays in the ledger after its end.
+A request is held (in a queue of its class), out (an attempt is open), or both where hedging is allowed, until
+it is answered. The ledger of its attempts alone says what may be done with it (`retry_rules.py`): an attempt
+may have run until an outcome proves that it did not, and stays in the ledger after its end.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
-    """One attempt of a job, as far as this dispatcher knows it."""
+class AttemptRecord:
+    """One attempt of a request, as far as this dispatcher knows it."""
 
-    job: Job
+    request: QueuedRequest
     number: int
     worker: Worker
     entry: Endpoint  # the worker's as it was at the send: a number may come back in another zone or cell
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Job:
+class QueuedRequest:
     """A request with the ledger of its attempts."""
 
     id: int
@@ -48,12 +48,12 @@
     run: float  # expected running time, in ms
     timely: float  # when it must be sent at the latest to be worth anything
     slots: float = 1.0  # that it takes while it runs
-    attempts: list[Attempt] = field(default_factory=list)
-    queue: OrderedDict[int, Job] | None = None  # in which it waits
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    queue: OrderedDict[int, QueuedRequest] | None = None  # in which it waits
     answered: bool = False
     streaming: bool = False  # its stream has started
 
-    def first_run(self) -> Attempt | None:
+    def first_run(self) -> AttemptRecord | None:
         """The first attempt that may have run or may still do so."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
--- a/eiderfield/policy/retry_rules.py
+++ b/eiderfield/policy/retry_rules.py
@@ -14,38 +14,38 @@
 from eiderfield.interface import HELD_UP, Effect, Scope
 from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.ready import ReadyWorkers
-from eiderfield.policy.request import Job
+from eiderfield.policy.request import QueuedRequest
 
 RETRY_BURST = 5.0  # retries that may be saved up
 RETRY_SHARE = 0.1  # retries of what may have run, as a share of attempts
 
 
-def may_resend(job: Job, worker: Worker, now: float, hedging: bool, max_attempts: int) -> bool:
-    """Rule 2 for an attempt: whether this job may go to this worker (again). A cancel proves nothing."""
-    if len(job.attempts) >= max_attempts or job.streaming or (job.out() and not hedging):
+def may_resend(request: QueuedRequest, worker: Worker, now: float, hedging: bool, max_attempts: int) -> bool:
+    """Rule 2 for an attempt: whether this request may go to this worker (again). A cancel proves nothing."""
+    if len(request.attempts) >= max_attempts or request.streaming or (request.out() and not hedging):
         return False
-    first = job.first_run()
-    if first is None or job.cls.effect == Effect.SAFE:
+    first = request.first_run()
+    if first is None or request.cls.effect == Effect.SAFE:
         return True
-    if job.cls.effect == Effect.UNSAFE or now > first.sent + job.cls.window - HELD_UP:
+    if request.cls.effect == Effect.UNSAFE or now > first.sent + request.cls.window - HELD_UP:
         return False
     same_zone = worker.entry.zone == first.entry.zone
     same_cell = worker.entry.cell == first.entry.cell
-    return {Scope.ALL: True, Scope.ZONE: same_zone, Scope.CELL: same_cell}[job.cls.scope]
+    return {Scope.ALL: True, Scope.ZONE: same_zone, Scope.CELL: same_cell}[request.cls.scope]
 
 
-def may_reject(job: Job) -> bool:
+def may_reject(request: QueuedRequest) -> bool:
     """Rule 2 for a refusal, which tells the client that it may safely come again."""
-    discarded_everywhere = job.cls.effect == Effect.KEYED and job.cls.scope == Scope.ALL
-    return discarded_everywhere or job.cls.effect == Effect.SAFE or job.first_run() is None
+    discarded_everywhere = request.cls.effect == Effect.KEYED and request.cls.scope == Scope.ALL
+    return discarded_everywhere or request.cls.effect == Effect.SAFE or request.first_run() is None
 
 
-def retry_group(job: Job, ready: ReadyWorkers) -> dict[int, Worker]:
-    """The ready workers that discard a repeat of the job: an attempt is legal at all of them, or at none."""
-    first = job.first_run()
-    if first is None or job.cls.effect != Effect.KEYED or job.cls.scope == Scope.ALL:
+def retry_group(request: QueuedRequest, ready: ReadyWorkers) -> dict[int, Worker]:
+    """Return the ready workers that discard a repeat of the request: legal at all of them or at none."""
+    first = request.first_run()
+    if first is None or request.cls.effect != Effect.KEYED or request.cls.scope == Scope.ALL:
         return ready.by_number
-    if job.cls.scope == Scope.ZONE:
+    if request.cls.scope == Scope.ZONE:
         return ready.in_zone(first.entry.zone)
     return ready.in_cell(first.entry.cell)
 
@@ -65,11 +65,11 @@
         self.tokens -= cost
 
 
-def retry_cost(job: Job, now: float, tells_start: bool, failed: bool) -> float:
+def retry_cost(request: QueuedRequest, now: float, tells_start: bool, failed: bool) -> float:
     """What a further attempt costs of the budget: the part of a run that the last one may have used up."""
-    last = job.attempts[-1]
+    last = request.attempts[-1]
     started = last.started is not None
     cost = float(last.may_have_run and (started or not tells_start))  # called off unstarted it cost nothing
     if failed and last.started is not None:
-        cost = min(cost, (now - last.started) / job.run)
+        cost = min(cost, (now - last.started) / request.run)
     return cost
--- a/eiderfield/policy/selection.py
+++ b/eiderfield/policy/selection.py
@@ -1,9 +1,10 @@
-"""Endpoint selection: the worker that a job goes to.
+"""Endpoint selection: the worker that a request goes to.
 
-Theory of operation. A job without a key may go to any worker of the subset, one with a key to the key's
-homes, and a retry only to workers that discard a repeat. Of these, the ones that are free and fit the job are
-ranked; the lowest rank wins, and ties are broken at random. The rank is the number of own jobs there, as the
-design has it, behind what makes a worker better than others in kind: not slow, not failing, in this zone.
+Theory of operation. A request without a key may go to any worker of the subset, one with a key to the key's
+homes, and a retry only to workers that discard a repeat. Of these, the ones that are free and fit the request
+are ranked; the lowest rank wins, and ties are broken at random. The rank is the number of own requests there,
+as the design has it, behind what makes a worker better than others in kind: not slow, not failing, in this
+zone.
 
 What must never happen: a walk over the whole fleet for a request.
 """
@@ -18,20 +19,20 @@
 from eiderfield.policy.fleet import EXAMINED, Fleet
 from eiderfield.policy.gossip import Gossip
 from eiderfield.policy.load_reports import LoadReports
-from eiderfield.policy.request import Job
+from eiderfield.policy.request import QueuedRequest
 from eiderfield.policy.retry_rules import may_resend, retry_group
 from eiderfield.policy.slow_start import SlowStart
 
-SPARE = 1  # jobs above its slots that all dispatchers should keep at a worker that doesn't tell starts
-SLOW = 2.3  # how many times longer than usual jobs run where a worker counts as slow
-COLD_REST = 0.1  # share of the warm-up for which a worker is no home: jobs there would mostly be late
+SPARE = 1  # requests above its slots that all dispatchers should keep at a worker that doesn't tell starts
+SLOW = 2.3  # how many times longer than usual requests run where a worker counts as slow
+COLD_REST = 0.1  # share of the warm-up for which a worker is no home: requests there would mostly be late
 MORE_HOMES = 4  # times as many workers of a key that are looked at, while too few of them may be homes
 
 Rank = tuple[float, bool, int]
 
 
 class EndpointSelector:
-    """Chooses workers for jobs."""
+    """Chooses workers for requests."""
 
     def __init__(
         self,
@@ -49,34 +50,34 @@
         self._gossip = gossip
         self._key_counts = key_counts
 
-    def is_legal(self, job: Job, worker: Worker, now: float) -> bool:
-        """Whether the retry rules let the job go to this worker (again)."""
+    def is_legal(self, request: QueuedRequest, worker: Worker, now: float) -> bool:
+        """Whether the retry rules let the request go to this worker (again)."""
         settings = self._context.settings
-        return may_resend(job, worker, now, settings.may_copy, settings.max_attempts)
+        return may_resend(request, worker, now, settings.may_copy, settings.max_attempts)
 
-    def may_go_on(self, job: Job, now: float) -> bool:
-        """Whether the retry rules let the job go to any ready worker (again)."""
-        group = retry_group(job, self._fleet.ready)
-        return any(self.is_legal(job, worker, now) for worker in first_of(group))
+    def may_go_on(self, request: QueuedRequest, now: float) -> bool:
+        """Whether the retry rules let the request go to any ready worker (again)."""
+        group = retry_group(request, self._fleet.ready)
+        return any(self.is_legal(request, worker, now) for worker in first_of(group))
 
-    def has_alternative(self, job: Job, now: float) -> bool:
-        """Whether the job might go to a usable worker, were its present attempt not out."""
-        group = retry_group(job, self._fleet.ready)
+    def has_alternative(self, request: QueuedRequest, now: float) -> bool:
+        """Whether the request might go to a usable worker, were its present attempt not out."""
+        group = retry_group(request, self._fleet.ready)
         most = self._context.settings.max_attempts
-        if not any(may_resend(job, worker, now, True, most) for worker in first_of(group)):
+        if not any(may_resend(request, worker, now, True, most) for worker in first_of(group)):
             return False
         return any(self._fleet.is_usable(worker, now) for worker in group.values())
 
     def is_any_free(self, now: float) -> bool:
-        """Whether any worker can take one more own job now."""
+        """Whether any worker can take one more own request now."""
         return any(self.is_free(worker, now) for worker in self._fleet.examined())
 
     def free_workers(self, now: float) -> list[Worker]:
-        """The workers that can take one more own job without a key now."""
+        """The workers that can take one more own request without a key now."""
         return [worker for worker in self._fleet.examined() if self.is_free(worker, now)]
 
     def is_free(self, worker: Worker, now: float) -> bool:
-        """Whether the worker can take one more own job now. Brings its slow start budget up to date."""
+        """Whether the worker can take one more own request now. Brings its slow start budget up to date."""
         half_open = worker.strikes and not worker.erring
         if now < worker.full_until or (half_open and worker.open) or not self._fleet.is_usable(worker, now):
             return False
@@ -85,85 +86,87 @@
         self._slow_start.refresh(worker, now)
         return self._slow_start.may_take_any(worker)
 
-    def pick(self, job: Job, free: list[Worker], now: float) -> Worker | None:
-        """The best worker for a job; one without a key is to go to one of those that are `free`."""
-        pool = self._pool(job, free, now)
-        ranked = [(self._rank(w, job, now), w) for w in pool if self._is_ready(w, job, now)]
+    def pick(self, request: QueuedRequest, free: list[Worker], now: float) -> Worker | None:
+        """The best worker for a request; one without a key is to go to one of those that are `free`."""
+        pool = self._pool(request, free, now)
+        ranked = [(self._rank(w, request, now), w) for w in pool if self._is_ready(w, request, now)]
         if not ranked:
             return None
         lowest = min([rank for rank, _ in ranked])
         return self._context.random.choice([worker for rank, worker in ranked if rank == lowest])
 
-    def homes(self, job: Job, now: float) -> list[Worker]:
+    def homes(self, request: QueuedRequest, now: float) -> list[Worker]:
         """The free ones of a key's homes, as many as its share of the requests needs."""
-        if not self.may_go_on(job, now):
+        if not self.may_go_on(request, now):
             return []
-        most = self._key_counts.homes(job.key, len(self._fleet.subset), self._context.many)
+        most = self._key_counts.homes(request.key, len(self._fleet.subset), self._context.many)
         if most > EXAMINED:
-            return self._some_homes(job, most, now)
-        homes = self._open_homes(job, most, now)
-        if self._must_leave_subset(job, homes):
-            return self._free_in_group(job, now)
+            return self._some_homes(request, most, now)
+        homes = self._open_homes(request, most, now)
+        if self._must_leave_subset(request, homes):
+            return self._free_in_group(request, now)
         return [worker for worker in homes if self.is_free(worker, now)]
 
-    def _pool(self, job: Job, free: list[Worker], now: float) -> list[Worker]:
-        if job.key:
-            return self.homes(job, now)
-        if job.first_run() is None:
+    def _pool(self, request: QueuedRequest, free: list[Worker], now: float) -> list[Worker]:
+        if request.key:
+            return self.homes(request, now)
+        if request.first_run() is None:
             return free
-        legal = [worker for worker in free if self.is_legal(job, worker, now)]
-        return legal or self._free_in_group(job, now)  # which may have no worker in this subset
+        legal = [worker for worker in free if self.is_legal(request, worker, now)]
+        return legal or self._free_in_group(request, now)  # which may have no worker in this subset
 
-    def _some_homes(self, job: Job, most: int, now: float) -> list[Worker]:
+    def _some_homes(self, request: QueuedRequest, most: int, now: float) -> list[Worker]:
         """Some free homes of a key that has so many that a part of them, drawn at random, does as well."""
-        group = retry_group(job, self._fleet.ready)
-        order, _ = self._fleet.key_orders.first(job.key, most)
+        group = retry_group(request, self._fleet.ready)
+        order, _ = self._fleet.key_orders.first(request.key, most)
         drawn = self._context.random.sample(order[:most], min(EXAMINED, len(order)))
         legal = [worker for worker in drawn if worker.entry.worker in group]
-        return [w for w in legal if self._is_open_home(w, job, now) and self.is_free(w, now)]
+        return [w for w in legal if self._is_open_home(w, request, now) and self.is_free(w, now)]
 
-    def _open_homes(self, job: Job, most: int, now: float) -> list[Worker]:
+    def _open_homes(self, request: QueuedRequest, most: int, now: float) -> list[Worker]:
         """The first workers of a key that may be its homes.
 
         A warming one takes nobody's place: its budget could let nothing through (incident ia7713c)."""
         count, whole = 2 * most, False
         while True:
-            order, whole = self._fleet.key_orders.first(job.key, count)
-            homes, warm = self._take_homes(job, order, most, now)
+            order, whole = self._fleet.key_orders.first(request.key, count)
+            homes, warm = self._take_homes(request, order, most, now)
             if whole or warm == most:
                 return homes
             count = MORE_HOMES * len(order)
 
-    def _take_homes(self, job: Job, order: list[Worker], most: int, now: float) -> tuple[list[Worker], int]:
+    def _take_homes(
+        self, request: QueuedRequest, order: list[Worker], most: int, now: float
+    ) -> tuple[list[Worker], int]:
         """The homes within a part of a key's order, and how many of these are warm."""
-        group = retry_group(job, self._fleet.ready)
+        group = retry_group(request, self._fleet.ready)
         anywhere = group is self._fleet.ready.by_number
         homes: list[Worker] = []
         warm = 0
         for worker in order:
             legal = anywhere or worker.entry.worker in group
-            if legal and self._is_open_home(worker, job, now):
+            if legal and self._is_open_home(worker, request, now):
                 homes.append(worker)
                 warm += not self._slow_start.is_warming(worker, now)
                 if warm == most:
                     break
         return homes, warm
 
-    def _must_leave_subset(self, job: Job, homes: list[Worker]) -> bool:
+    def _must_leave_subset(self, request: QueuedRequest, homes: list[Worker]) -> bool:
         """Whether a retry is bound to workers of which this subset has no further one."""
-        group = retry_group(job, self._fleet.ready)
+        group = retry_group(request, self._fleet.ready)
         if group is self._fleet.ready.by_number or self._fleet.subset.groups == 1:
             return False
-        tried = [attempt.worker for attempt in job.attempts]
+        tried = [attempt.worker for attempt in request.attempts]
         return all(worker in tried for worker in homes)
 
-    def _free_in_group(self, job: Job, now: float) -> list[Worker]:
-        """The free ones of all workers to which a job may go (again), in this subset or not."""
-        group = retry_group(job, self._fleet.ready).values()
-        return [w for w in group if self.is_legal(job, w, now) and self.is_free(w, now)]
+    def _free_in_group(self, request: QueuedRequest, now: float) -> list[Worker]:
+        """The free ones of all workers to which a request may go (again), in this subset or not."""
+        group = retry_group(request, self._fleet.ready).values()
+        return [w for w in group if self.is_legal(request, w, now) and self.is_free(w, now)]
 
     def _is_full(self, worker: Worker, now: float) -> bool:
-        """Whether a worker has as many jobs as it should, as far as this dispatcher knows."""
+        """Whether a worker has as many requests as it should, as far as this dispatcher knows."""
         most = self._reports.slots_of(worker) + SPARE
         if self._context.settings.tells_start:  # one may wait there: more would do so unseen and unmovable
             full = worker.unstarted > 0
@@ -172,46 +175,46 @@
             full = out >= most and self._reports.shown(worker, now) <= 0.0
         return full or (bool(self._gossip.peers) and worker.total(now) >= most)
 
-    def _is_open_home(self, worker: Worker, job: Job, now: float) -> bool:
-        """Whether jobs should wait for this home: not if just started, taking nothing, or trials alone."""
-        if (worker.fulls > 1 and now < worker.full_until) or not self._is_trusted(worker, job, now):
+    def _is_open_home(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
+        """Whether requests should wait for this home: not if just started, full, or taking trials alone."""
+        if (worker.fulls > 1 and now < worker.full_until) or not self._is_trusted(worker, request, now):
             return False
         soon = now + (1.0 - COLD_REST) * self._context.settings.cold
         return self._fleet.is_usable(worker, now) and not self._slow_start.is_warming(worker, soon)
 
-    def _is_trusted(self, worker: Worker, job: Job, now: float) -> bool:
-        """Whether a job may go to a worker that was struck: trials are of what may best be repeated."""
+    def _is_trusted(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
+        """Whether a request may go to a worker that was struck: trials are of what may best be repeated."""
         if not worker.strikes:
             return True
         untried = not worker.erring and now >= worker.suspect_until + STRIKE_PAUSE_MS
-        return untried or job.cls.effect <= max(self._context.trial_effect, worker.erring)
+        return untried or request.cls.effect <= max(self._context.trial_effect, worker.erring)
 
-    def _is_ready(self, worker: Worker, job: Job, now: float) -> bool:
-        """Whether this worker may take this job: its kind, rule 2's group, and rule 4's budget."""
-        if not self._is_trusted(worker, job, now):
+    def _is_ready(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
+        """Whether this worker may take this request: its kind, rule 2's group, and rule 4's budget."""
+        if not self._is_trusted(worker, request, now):
             return False
-        if job.cls.kind >= 0 and worker.entry.kind != job.cls.kind:
+        if request.cls.kind >= 0 and worker.entry.kind != request.cls.kind:
             return False
         # Who waits for several slots keeps free ones from others; where all is seen, none need wait there.
-        must_fit = job.slots > 1.0 or self._context.sees_all
-        if must_fit and worker.total(now) and not self._fits(worker, job, now):
+        must_fit = request.slots > 1.0 or self._context.sees_all
+        if must_fit and worker.total(now) and not self._fits(worker, request, now):
             return False
-        if any(attempt.worker is worker and attempt.open for attempt in job.attempts):
+        if any(attempt.worker is worker and attempt.open for attempt in request.attempts):
             return False
-        return self._slow_start.covers(worker, job.cost) and self.is_legal(job, worker, now)
+        return self._slow_start.covers(worker, request.cost) and self.is_legal(request, worker, now)
 
-    def _fits(self, worker: Worker, job: Job, now: float) -> bool:
-        """Whether the worker has the slots that a job takes, as far as this dispatcher knows."""
+    def _fits(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
+        """Whether the worker has the slots that a request takes, as far as this dispatcher knows."""
         room = self._reports.slots_of(worker) - worker.total(now)
-        may_wait = self._context.free_slots_column < 0 or now >= job.timely
-        return job.slots <= room + SPARE * may_wait
+        may_wait = self._context.free_slots_column < 0 or now >= request.timely
+        return request.slots <= room + SPARE * may_wait
 
-    def _rank(self, worker: Worker, job: Job, now: float) -> Rank:
-        """Own jobs, and before them what makes a worker ready only while no better one is."""
+    def _rank(self, worker: Worker, request: QueuedRequest, now: float) -> Rank:
+        """Own requests, and before them what makes a worker ready only while no better one is."""
         settings = self._context.settings
         pace = worker.pace(now) if settings.tells_start else 1.0
         slow = pace > SLOW
-        tight = (self._gossip.peers or job.slots > 1.0) and not self._fits(worker, job, now)
+        tight = (self._gossip.peers or request.slots > 1.0) and not self._fits(worker, request, now)
         tier = 1.0 if tight else -self._reports.shown(worker, now)
         tier += 2.0 * worker.erring + slow
         if self._context.many and worker.slow_start_left < float("inf"):
--- a/eiderfield/program/core.py
+++ b/eiderfield/program/core.py
@@ -42,7 +42,7 @@
     ids = IdMap(config.zones, config.kinds)
     exchange = Exchange(config.site, config.seed, driver.wheel, driver.wake, log)
     driver.turn = exchange.turn
-    driver.on_pause = exchange.absent
+    driver.on_pause = exchange.process_resumed
     workers = WorkerPool(
         exchange,
         driver.wheel,
@@ -81,7 +81,7 @@
     def reload(self, old: Config, new: Config) -> None:
         """Gives the policy its settings and the worker side its timeouts."""
         if new.site != old.site:
-            self._core.exchange.adopt(new.site)
+            self._core.exchange.apply_settings(new.site)
         self._core.workers.set_timeouts(new.dial_timeout, new.conn_idle)
 
     @property
--- a/eiderfield/program/peers.py
+++ b/eiderfield/program/peers.py
@@ -45,7 +45,7 @@
         settings.everyone,
         config.site.me,
         core.clock,
-        core.exchange.peer_said,
+        core.exchange.peer_report_received,
         log,
         unix_ms,
     )
--- a/eiderfield/program/settings.py
+++ b/eiderfield/program/settings.py
@@ -80,7 +80,7 @@
         why = ", ".join(sorted({FIXED[name] for name in kept}))
         why = why and f"{why}: a new value takes effect at the next start alone"
         try:
-            self._exchange.fits(config.site)
+            self._exchange.check_settings(config.site)
         except ValueError as error:
             why, kept = why or str(error), {**kept, "site": old.site}
         if why and config.strict:
--- a/tests/golden/handover/record.py
+++ b/tests/golden/handover/record.py
@@ -41,7 +41,7 @@
 
 def teach(dispatcher):
     """Lets the decisions of a process have learnt something that the next one goes on from."""
-    module = dispatcher.exchange._module
+    module = dispatcher.exchange._dispatcher
     module._served_rate = 0.75
     pacer = module._pacers[0]
     pacer.run, pacer.rate, pacer.uncut, pacer.next_at = 120.0, 4.0, 20.0, dispatcher.now + 250.0
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -205,7 +205,7 @@
 
 
 def any_line(self, line):
-    self.pool.exchange.served(self.load, b"wrong") if self.load else None
+    self.pool.exchange.record_result(self.load, b"wrong") if self.load else None
 
 
 def twice(real):
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -67,7 +67,7 @@
 
 
 def test_each_class_is_served_once_with_the_workers_result(dispatcher):
-    for number, cls in enumerate(dispatcher.exchange.site.classes):
+    for number, cls in enumerate(dispatcher.exchange.settings.classes):
         client = ask(dispatcher, cls, id_=f"r{number}")
         end = (
             dispatcher.dials[0].up()
@@ -112,7 +112,7 @@
 def test_a_tenant_is_known_by_name_and_an_unknown_one_has_no_share(dispatcher, monkeypatch):
     came = []
     monkeypatch.setattr(core, "RequestReceived", lambda *args: came.append(args[3]) or REAL(*args))
-    cls, tenants = dispatcher.exchange.site.classes[0], dispatcher.exchange.site.tenants
+    cls, tenants = dispatcher.exchange.settings.classes[0], dispatcher.exchange.settings.tenants
     words = [tenant.name for tenant in tenants] + ["nobody", ""]
     for number, word in enumerate(words):
         ask(dispatcher, cls, id_=f"t{number}", **({"X_Tenant": word} if word else {}))
@@ -142,7 +142,7 @@
 
 def test_two_answers_of_second_copies_in_one_turn_are_one_answer():
     dispatcher = InMemoryDispatcher(DEPLOYMENTS["admissions"])
-    client = ask(dispatcher, dispatcher.exchange.site.classes[0])
+    client = ask(dispatcher, dispatcher.exchange.settings.classes[0])
     first = dispatcher.dials[0].up()
     first.say({"id": "r1", "from": "w", "state": "started"})
     while not dispatcher.dials:  # silence: the class may have a second copy
@@ -157,7 +157,7 @@
     dispatcher.settle()
     assert [(status, body) for status, _, body in client.answers()] == [(200, b"second")]
     assert dispatcher.exchange.unanswered == 0
-    assert not dispatcher.exchange.holds("r1")
+    assert not dispatcher.exchange.has_request("r1")
 
 
 @pytest.mark.parametrize("cut", ["before", "within", "after"])
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -225,7 +225,7 @@
     kept.take()
     [record] = kept.coordinator.member.open_records.values()
     kept.coordinator._owned.clear()
-    kept.dispatcher.exchange.withdraw(1)
+    kept.dispatcher.exchange.cancel_request(1)
     kept.writer.queue.clear()
     kept.dispatcher.settle()
     kept.writer.queue.clear()
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -34,7 +34,7 @@
     for _ in range(40):
         actions = node.arrive(cls=cls)[1]
         while found := sends(actions):
-            send, number = found[0], len(node.dispatcher._jobs[found[0].id].attempts) - 1
+            send, number = found[0], len(node.dispatcher._requests[found[0].id].attempts) - 1
             node.now += 1.0
             node.play(AttemptProgressed(send.id, number, send.worker, STARTED, 0.0))
             node.now += 1.0
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -204,14 +204,14 @@
         return time.monotonic() * 1000.0
 
     def _record_outcomes(self) -> None:
-        ended = self.exchange.ended
+        ended = self.exchange.attempt_ended
 
         def recording(leg, outcome, load=()):
             if leg.open:
                 self.outcomes.append(outcome)
             ended(leg, outcome, load)
 
-        self.exchange.ended = recording
+        self.exchange.attempt_ended = recording
 
     def endpoint(self, number: int, status: str) -> dict[str, object]:
         address = f"127.0.0.1:{self.workers[number].port}"
@@ -284,7 +284,7 @@
     """What holds whatever fails."""
     assert stage.failing.failed, "the call was never made"
     assert not stage.errors
-    assert not stage.exchange.broken
+    assert not stage.exchange.prevented_violations
     assert not [line for line in stage.logged if " failed: " in line]
     unsafe = [id_ for id_ in stage.ids_at_workers() if id_.startswith("unsafe")]
     assert len(unsafe) == len(set(unsafe)), "a request that must not be repeated came twice"
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -69,14 +69,14 @@
     """A dispatcher that keeps the outcomes of its attempts."""
     dispatcher = InMemoryDispatcher(workers=2)
     dispatcher.outcomes = []
-    ended = dispatcher.exchange.ended
+    ended = dispatcher.exchange.attempt_ended
 
     def recording(leg, outcome, load=()):
         if leg.open:
             dispatcher.outcomes.append(outcome)
         ended(leg, outcome, load)
 
-    dispatcher.exchange.ended = recording
+    dispatcher.exchange.attempt_ended = recording
     return dispatcher
 
 
@@ -99,7 +99,7 @@
 def test_a_worker_is_not_taken_for_silent_while_this_host_cannot_dial_it(dispatcher):
     client = dispatcher.client(path="/unsafe/a", wait=4900)
     dispatcher.side.set_timeouts(5000.0, 10_000.0)
-    dispatcher.exchange.withdraw(1)
+    dispatcher.exchange.cancel_request(1)
     del client
     dispatcher.advance(100.0)
     dispatcher.client(path="/unsafe/a", id_="r2", wait=4900)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -76,8 +76,8 @@
             assert client.answers()[0][0] == 409
     first.pipe.break_off()
     pair.go()
-    assert not pair.new.dispatcher.exchange.holds("before")
-    assert pair.new.dispatcher.exchange.holds("after")
+    assert not pair.new.dispatcher.exchange.has_request("before")
+    assert pair.new.dispatcher.exchange.has_request("after")
 
 
 def test_an_id_that_goes_and_comes_at_once_is_held(pair):
@@ -86,7 +86,7 @@
     client.pipe.break_off()
     pair.old.dispatcher.client(id_="r")
     pair.go()
-    assert pair.new.dispatcher.exchange.holds("r")
+    assert pair.new.dispatcher.exchange.has_request("r")
 
 
 @pytest.mark.parametrize("who", ["old", "new"])
@@ -109,24 +109,23 @@
     pair.new.dispatcher.client(id_="after")
     pair.go()
     for here, there in ((pair.old, pair.new), (pair.new, pair.old)):
-        out = here.dispatcher.exchange.out_at
+        out = here.dispatcher.exchange.open_attempts_per_worker
         assert sum(out.values()) == 1
-        workers = there.dispatcher.exchange._module._fleet.workers
+        workers = there.dispatcher.exchange._dispatcher._fleet.workers
         assert {w.entry.worker: w.sibling_attempts for w in workers.values() if w.sibling_attempts} == out
-    assert pair.old.dispatcher.exchange.out_at != pair.new.dispatcher.exchange.out_at, (
-        "fewest jobs of both goes first"
-    )
-    [worker] = pair.new.dispatcher.exchange.out_at
-    [(_, work)] = pair.old.dispatcher.exchange._module._fleet.workers[worker].recent
+    old, new = pair.old.dispatcher.exchange, pair.new.dispatcher.exchange
+    assert old.open_attempts_per_worker != new.open_attempts_per_worker, "fewest jobs of both goes first"
+    [worker] = pair.new.dispatcher.exchange.open_attempts_per_worker
+    [(_, work)] = pair.old.dispatcher.exchange._dispatcher._fleet.workers[worker].recent
     assert work > 0.0
 
 
 def test_what_the_module_learnt_goes_along(pair):
-    module = pair.old.dispatcher.exchange._module
+    module = pair.old.dispatcher.exchange._dispatcher
     module._queues.pacers[0].run, module._queues.pacers[0].rate, module._retry_budget.tokens = 77.0, 5.0, 0.25
     module._key_counts.by_key.update({7: 40, 8: 2})
     pair.go()
-    heir = pair.new.dispatcher.exchange._module
+    heir = pair.new.dispatcher.exchange._dispatcher
     assert (heir._queues.pacers[0].run, heir._queues.pacers[0].rate, heir._retry_budget.tokens) == (
         77.0,
         5.0,
@@ -138,12 +137,12 @@
 
 def test_a_worker_known_to_fail_is_known_to_the_next_process(pair):
     """Each new process of sofia's upgrade day sent jobs that must never run twice to find it out anew."""
-    old = pair.old.dispatcher.exchange._module
+    old = pair.old.dispatcher.exchange._dispatcher
     [id_] = [w for w in old._fleet.workers if w == pair.old.dispatcher.ids.worker("w1")]
     old._fleet.workers[id_].faults = 2.0
     old._fleet.workers[id_].strike(0.0, erring=True)
     pair.go()
-    heir = pair.new.dispatcher.exchange._module._fleet.workers[id_]
+    heir = pair.new.dispatcher.exchange._dispatcher._fleet.workers[id_]
     assert (heir.faults, heir.strikes, heir.erring) == (2.0, 1, True)
 
 
@@ -174,12 +173,12 @@
     old = pair.old.dispatcher
     assert pair.old.takes()
     assert not pair.old.handover.handed_over
-    assert not old.exchange.holds("r")
+    assert not old.exchange.has_request("r")
     assert old.side._max_connections == old.side._configured_connections
     assert old.listener.held_by_other_process == 0
     assert bool(heard) == (when == "when all is given")
     old.settle()
-    assert not any(worker.sibling_attempts for worker in old.exchange._module._fleet.workers.values())
+    assert not any(worker.sibling_attempts for worker in old.exchange._dispatcher._fleet.workers.values())
 
 
 def test_the_new_process_is_alone_once_the_old_one_has_ended(pair):
@@ -188,7 +187,7 @@
     pair.part(0)
     new = pair.new.dispatcher
     assert pair.new.takes()
-    assert not new.exchange.holds("r")
+    assert not new.exchange.has_request("r")
     assert new.listener.held_by_other_process == 0
     assert new.side._max_connections == new.side._configured_connections
 
@@ -318,7 +317,7 @@
     [(asked, _)] = wire.sent
     assert {**asked, **FirstForm.ASK} == asked, "what the first form asks for is said as it was"
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        classes = len(new.dispatcher.exchange.site.classes)
+        classes = len(new.dispatcher.exchange.settings.classes)
         memory = {**FirstForm.STATE["memory"], "pacers": FirstForm.STATE["memory"]["pacers"] * classes}
         wire.receive({**FirstForm.STATE, "memory": memory}, [os.dup(listener.fileno())])
         new.dispatcher.settle()
@@ -330,7 +329,7 @@
     assert wire.open
     assert not [line for line in new.dispatcher.logged if "read" in line]
     assert new.dispatcher.listener.held_by_other_process == 3
-    assert new.dispatcher.exchange.holds("held")
+    assert new.dispatcher.exchange.has_request("held")
     assert state(new, 1) == EndpointState.READY
     assert new.dispatcher.table.bans.since == {"w2": 5.0}
     new.dispatcher.listener._socket.close()
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -116,7 +116,7 @@
 
 def teach(dispatcher):
     """What the recorder's function of this name does, by the present names."""
-    module = dispatcher.exchange._module
+    module = dispatcher.exchange._dispatcher
     module._slow_start.served_rate = 0.75
     pacer = module._queues.pacers[0]
     pacer.run, pacer.rate, pacer.uncut, pacer.next_at = 120.0, 4.0, 20.0, dispatcher.now + 250.0
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -98,7 +98,7 @@
     dispatcher = InMemoryDispatcher(site=replace(SITE, may_cancel=False), workers=1)
     client = dispatcher.client(path="/unsafe/a", wait=100)
     dispatcher.dials[0].up().take()
-    [job] = dispatcher.exchange._jobs.values()
+    [job] = dispatcher.exchange._pending.values()
     job.attempts[0].timer.cancel()  # its leg outlives the job
     dispatcher.advance(110.0)
     assert client.answers()[0][0] == 502
@@ -118,7 +118,7 @@
     assert client.answers()[0][0] == 400
     assert not dispatcher.dials
     assert not dispatcher.exchange.unanswered
-    assert all(not w.strikes for w in dispatcher.exchange._module._fleet.workers.values())
+    assert all(not w.strikes for w in dispatcher.exchange._dispatcher._fleet.workers.values())
 
 
 @pytest.mark.parametrize("status", [408, 429])
@@ -342,7 +342,7 @@
     end.finish()
     client.send(b"-Id: r2\r\nContent-Length: 0\r\n\r\n")
     assert [status for status, *_ in client.answers()] == [200]
-    assert dispatcher.exchange.holds("r2"), "taken"
+    assert dispatcher.exchange.has_request("r2"), "taken"
 
 
 def test_each_of_several_messages_behind_one_another_has_its_own_time():
@@ -359,7 +359,7 @@
     dispatcher.advance(WHOLE - 600.0)
     assert not client.answers(), "its first byte came 2 s after those of the one before"
     client.send(b"X-Request-Id: r3\r\nContent-Length: 0\r\n\r\n")
-    assert dispatcher.exchange.holds("r3")
+    assert dispatcher.exchange.has_request("r3")
 
 
 def test_bytes_that_wait_behind_a_pause_count_from_its_end():
@@ -376,4 +376,4 @@
     assert not client.pipe.paused
     dispatcher.advance(WHOLE / 2)
     client.send(b"x" * 3000)
-    assert dispatcher.exchange.holds("r2")
+    assert dispatcher.exchange.has_request("r2")
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -100,7 +100,7 @@
     end = dispatcher.dials[0].up()
     end.say({"id": "r1", "from": "w", "state": "started"})
     dispatcher.now += 4_000.0  # nothing was read and no timer went off
-    dispatcher.exchange.absent(4_000.0)
+    dispatcher.exchange.process_resumed(4_000.0)
     dispatcher.settle()
     assert end.pipe.open
     assert not dispatcher.exchange.snapshot(dispatcher.now).avoided
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -28,8 +28,8 @@
 def test_new_numbers_count_for_what_comes_and_what_is_held_is_answered():
     dispatcher = InMemoryDispatcher(workers=1)
     first, end = dispatcher.client(), dispatcher.dials[0].up()
-    dispatcher.exchange.fits(site := replace(changed(SITE, worth=50.0, aim=9000.0), max_attempts=1))
-    dispatcher.exchange.adopt(site)
+    dispatcher.exchange.check_settings(site := replace(changed(SITE, worth=50.0, aim=9000.0), max_attempts=1))
+    dispatcher.exchange.apply_settings(site)
     end.finish()
     assert first.answers()[0][0] == 200
     second = dispatcher.client(id_="r2")
@@ -42,12 +42,12 @@
     dispatcher = InMemoryDispatcher(workers=1)
     worths = zip(SITE.classes, (1.0, 1.0, 10.0), strict=True)
     site = replace(SITE, classes=tuple(replace(cls, worth=worth) for cls, worth in worths))
-    dispatcher.exchange.adopt(site)
-    lanes = dispatcher.exchange._module._queues.by_worth
+    dispatcher.exchange.apply_settings(site)
+    lanes = dispatcher.exchange._dispatcher._queues.by_worth
     assert [lane.cls.name for lane in lanes[:2]] == [SITE.classes[2].name] * 2
     assert (
-        dispatcher.exchange._module._queues.pacers[2].floor_share
-        > dispatcher.exchange._module._queues.pacers[0].floor_share
+        dispatcher.exchange._dispatcher._queues.pacers[2].floor_share
+        > dispatcher.exchange._dispatcher._queues.pacers[0].floor_share
     )
 
 
@@ -63,7 +63,7 @@
 )
 def test_what_only_a_new_process_can_take_is_named_by_its_key(site, key):
     with pytest.raises(ValueError, match=key):
-        InMemoryDispatcher(workers=1).exchange.fits(site)
+        InMemoryDispatcher(workers=1).exchange.check_settings(site)
 
 
 CLASS = {"name": "echo", "value": 1, "goal_time": 300, "give_up": 5000, "idempotency": "retryable"}
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -212,7 +212,7 @@
         node.now = 60_000.0 + age
         out = [a for w in node.dispatcher._fleet.subset.workers for a in w.open.values()]
         for attempt in [a for a in out if node.now >= a.sent + work]:
-            node.end(attempt.job.id, 0, 0, Outcome.OK, final=True, elapsed=work)
+            node.end(attempt.request.id, 0, 0, Outcome.OK, final=True, elapsed=work)
         node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = each, node.now
         node.dispatcher._queues.pacers[0].run = work
         for send in sends(node.arrive(key=7)[1]):
@@ -318,7 +318,7 @@
         node.dispatcher._key_counts.by_key.update({1: 800, 2: 200})
         node.dispatcher._key_counts.total = 1000
         id_, _ = node.arrive(key=2)
-        job = node.dispatcher._jobs[id_]
+        job = node.dispatcher._requests[id_]
         job.attempts.clear()
         homes.append(len(node.dispatcher._selector.homes(job, 600.0)))
     assert homes[0] > homes[1] >= 10, homes
@@ -365,7 +365,7 @@
         zone = first.worker % 3
         if all(
             w.entry.zone != zone
-            for w in node.dispatcher._selector.homes(node.dispatcher._jobs[id_], node.now)
+            for w in node.dispatcher._selector.homes(node.dispatcher._requests[id_], node.now)
         ):
             break
     node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.aim + 2.0)
@@ -394,7 +394,7 @@
     jobs = []
     for key in range(1, 26):
         id_, actions = node.arrive(key=key)
-        jobs.append(module._jobs[id_])
+        jobs.append(module._requests[id_])
         for send in sends(actions):
             node.play(AttemptProgressed(id_, 0, send.worker, 1, 0.0))  # and so it is free for the next
         jobs[-1].attempts.clear()
@@ -443,7 +443,7 @@
     """calm+mass: after a burst 85% of what was served was late, for 15 s at half the burst's load: late jobs
     kept the workers so busy that the next were late too."""
     node, id_ = crowded()
-    timely = node.dispatcher._jobs[id_].timely
+    timely = node.dispatcher._requests[id_].timely
     assert cancels(node.play(TimerFired(0), at=timely + 1.0)) == [CancelAttempt(id_, 0)], (
         "before the queued mean is over"
     )
@@ -463,7 +463,7 @@
         module._outliers.mean_wait, node.now = queued, 2000.0
         told = node.end(id_, 2, worker, Outcome.CONNECT_FAILED)
         assert not [a for a in told if isinstance(a, RejectRequest)]
-        assert id_ in module._jobs
+        assert id_ in module._requests
 
 
 def test_a_repeat_is_as_old_as_its_clients_first_try():
@@ -471,7 +471,7 @@
     node = Node(FULL, workers=8)
     first, _ = node.arrive(due=5000.0)
     again, _ = node.arrive(due=4400.0, flags=REPEAT)
-    jobs = node.dispatcher._jobs
+    jobs = node.dispatcher._requests
     assert jobs[first].timely - jobs[again].timely == pytest.approx(600.0)
     short, _ = node.arrive(due=4400.0)  # no repeat: only less patient
     assert jobs[short].timely == jobs[first].timely
@@ -483,7 +483,7 @@
     for balancers in (MANY, MANY + 1):
         node = Node(replace(FULL, balancers=balancers), workers=12)
         id_, _ = node.arrive(key=7)
-        job = node.dispatcher._jobs[id_]
+        job = node.dispatcher._requests[id_]
         job.attempts.clear()
         homes.append(
             len(node.dispatcher._selector.homes(job, 0.0)) + 1
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -16,13 +16,13 @@
 
 def outcomes(dispatcher):
     """The outcomes that the module hears from now on."""
-    heard, real = [], dispatcher.exchange._module.handle
+    heard, real = [], dispatcher.exchange._dispatcher.handle
 
     def handle(now, events):
         heard.extend(event.outcome for event in events if hasattr(event, "outcome"))
         return real(now, events)
 
-    dispatcher.exchange._module.handle = handle
+    dispatcher.exchange._dispatcher.handle = handle
     return heard
 
 
@@ -309,7 +309,7 @@
 
 def test_a_module_that_forgets_a_job_is_made_good():
     dispatcher = InMemoryDispatcher(workers=0)
-    dispatcher.exchange._module._expire = lambda now: None
+    dispatcher.exchange._dispatcher._expire = lambda now: None
     client = dispatcher.client(wait=400)
     dispatcher.advance(430.0)
     assert client.answers()[0][0] == 502
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -144,8 +144,8 @@
     for worker in node.dispatcher._fleet.key_orders.first(7, 20)[0]:
         worker.full_until = 1e9
     waiting = [node.arrive(key=7)[0] for _ in range(4)]
-    assert busy in node.dispatcher._jobs
-    assert waiting[-1] in node.dispatcher._jobs
+    assert busy in node.dispatcher._requests
+    assert waiting[-1] in node.dispatcher._requests
 
     def wake(number):
         node.play(at=100.0 + number)
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -135,7 +135,7 @@
     dispatcher.exchange.durable_requests = claiming = Claiming()
     front = dispatcher.listener.front
     submit = dispatcher.exchange.submit
-    dispatcher.exchange.submit = lambda request, answer, **more: submit(request, answer, kept=True, **more)
+    dispatcher.exchange.submit = lambda request, answer, **more: submit(request, answer, durable=True, **more)
     assert front is not None
     dispatcher.client()
     dispatcher.tell((1, "DRAINING"))
@@ -157,7 +157,7 @@
     dispatcher.settle()
     assert client.answers()[0][0] == 502
     assert not end.pipe.open
-    assert dispatcher.exchange.spoilt_answers == 1
+    assert dispatcher.exchange.malformed_responses == 1
     assert "an answer cannot be used: " in dispatcher.logged[-1]
 
 
