--- a/eiderfield/batch/registry.py
+++ b/eiderfield/batch/registry.py
@@ -231,8 +231,8 @@
         key = template.idempotency_key or (job.job_id if cls.effect == Effect.KEYED else "")
         return Request(
             id=job.job_id,
-            cls=number,
-            due=job.submitted + (template.deadline or cls.deadline),
+            class_index=number,
+            deadline=job.submitted + (template.deadline or cls.deadline_ms),
             target=f"/{cls.name}/{template.subject}" if template.subject else f"/{cls.name}",
             body=body,
             idempotency_key=key,
--- a/eiderfield/config.py
+++ b/eiderfield/config.py
@@ -292,7 +292,7 @@
 def _peers(tree: Tree, site: Settings, strict: bool) -> PeerConfig | None:
     if not (tree.has("peer_listen") or tree.has("peers") or tree.has("peers_all")):
         return None
-    if not site.may_tell:  # the platform may name them where it forbids to use them
+    if not site.gossip_allowed:  # the platform may name them where it forbids to use them
         if strict:
             raise ConfigError("peer_listen says nothing: settings.policy_limits.may_tell is not true")
         return None
@@ -300,8 +300,8 @@
     if not isinstance(raw, list) or not all(isinstance(text, str) for text in raw):
         raise ConfigError("peers is not a list of host:port")
     peers = tuple(address_of(text, f"peers.{number}") for number, text in enumerate(raw))
-    if len(peers) != site.balancers:
-        raise ConfigError(f"peers names {len(peers)} dispatchers, settings.balancers {site.balancers}")
+    if len(peers) != site.dispatcher_count:
+        raise ConfigError(f"peers names {len(peers)} dispatchers, settings.balancers {site.dispatcher_count}")
     if len(set(peers)) != len(peers):
         raise ConfigError("peers names one address twice: nobody could tell who speaks")
     return PeerConfig(listen, peers, tree.address("peers_all") if tree.has("peers_all") else None)
--- a/eiderfield/durable_requests/coordinator.py
+++ b/eiderfield/durable_requests/coordinator.py
@@ -110,7 +110,7 @@
         self._clock = clock
         self._log = log
         self._class_names = [cls.name for cls in classes]
-        self.member = Member(settings, name, {cls.name: cls.worth for cls in classes}, log)
+        self.member = Member(settings, name, {cls.name: cls.priority_weight for cls in classes}, log)
         self.thread = CommitThread(self.member, self, call_in_loop, settings.most_waiting)
         self._claims = AttemptClaims(self.thread, timers, clock, lambda id_: self.on_end_requested([id_]))
         self._owned: dict[str, OwnedRequest] = {}
@@ -156,7 +156,7 @@
             return
         classes = self._exchange.settings.classes
         attempts = self._claims.open_attempts
-        if any(classes[attempt.pending.request.cls].effect == Effect.UNSAFE for attempt in attempts):
+        if any(classes[attempt.pending.request.class_index].effect == Effect.UNSAFE for attempt in attempts):
             self._timers.at(self._clock() + RETRY_AFTER, self.leave)
         else:
             self.thread.leave(self._on_left)
@@ -198,7 +198,7 @@
             self.member.counters.refused += 1
             waiter.answer(Answer(Verdict.DECLINED, retry_after=RETRY_AFTER))
             return lambda: None
-        waiter.timer = self._timers.at(request.due - EARLY / 4.0, partial(self._on_late, waiter))
+        waiter.timer = self._timers.at(request.deadline - EARLY / 4.0, partial(self._on_late, waiter))
         if not is_here and self.full:
             self._wait_elsewhere(request.id, waiter)
         else:
@@ -238,9 +238,9 @@
 
     def _accept(self, waiter: Waiter) -> None:
         request = waiter.request
-        name = self._class_names[request.cls]
+        name = self._class_names[request.class_index]
         record = record_of(request, name, self._clock(), steady_ms(), waiter.front)
-        owned = self._owned.setdefault(request.id, OwnedRequest(request.cls))
+        owned = self._owned.setdefault(request.id, OwnedRequest(request.class_index))
         self.thread.write(Accept(record), partial(self._on_accept_outcome, waiter, owned))
 
     def _on_accept_outcome(self, waiter: Waiter, owned: OwnedRequest, outcome: Outcome) -> None:
@@ -284,7 +284,7 @@
         waiter.accepted()
 
     def _submit(self, request: Request, owned: OwnedRequest, earlier: EarlierAttempts = ()) -> None:
-        early = replace(request, due=request.due - EARLY)
+        early = replace(request, deadline=request.deadline - EARLY)
         try:
             owned.number = self._exchange.submit(early, lambda answer: None, durable=True, before=earlier)
         except ValueError:  # an attempt of its earlier time here is not over yet
@@ -296,7 +296,7 @@
     def _submit_again(self, request: Request, owned: OwnedRequest, earlier: EarlierAttempts) -> None:
         if self._owned.get(request.id) is not owned:
             return
-        if self._clock() >= request.due - EARLY:
+        if self._clock() >= request.deadline - EARLY:
             answer = Answer(Verdict.FAILED, may_have_run=bool(earlier), attempts=len(earlier))
             self._finish(request.id, owned, answer, "its time was over")
         else:
@@ -317,7 +317,7 @@
                 continue
             if record is not None:
                 waiter.answer(record.answer)
-            elif waiter.request.cls >= 0 and self._clock() < waiter.request.due - EARLY:
+            elif waiter.request.class_index >= 0 and self._clock() < waiter.request.deadline - EARLY:
                 self._accept(waiter)
             else:
                 waiter.answer(Answer(Verdict.FAILED))
--- a/eiderfield/durable_requests/record.py
+++ b/eiderfield/durable_requests/record.py
@@ -61,10 +61,17 @@
 
     def encode(self) -> str:
         """Its stored form."""
-        return json.dumps({
-            "target": self.target, "host": self.host, "key": self.key, "subject": self.subject,
-            "tenant": self.tenant, "slots": self.slots, "memory": self.memory,
-        })  # fmt: skip
+        return json.dumps(
+            {
+                "target": self.target,
+                "host": self.host,
+                "key": self.key,
+                "subject": self.subject,
+                "tenant": self.tenant,
+                "slots": self.slots,
+                "memory": self.memory,
+            }
+        )
 
     @classmethod
     def decode(cls, text: str) -> RequestHead:
@@ -134,10 +141,16 @@
     def finished_with(self, answer: Answer, now: float, reason: str = "") -> Record:
         """With its final answer."""
         return replace(
-            self, stage=Stage.FINAL, finished=now, verdict=answer.verdict.value, result=answer.result,
-            retry_after=answer.retry_after, may_have_run=answer.may_have_run, attempt_count=answer.attempts,
+            self,
+            stage=Stage.FINAL,
+            finished=now,
+            verdict=answer.verdict.value,
+            result=answer.result,
+            retry_after=answer.retry_after,
+            may_have_run=answer.may_have_run,
+            attempt_count=answer.attempts,
             reason=reason,
-        )  # fmt: skip
+        )
 
     def taken_over(self) -> Record:
         """As its next owner writes it, who numbers attempts from those that there were."""
@@ -158,10 +171,15 @@
     """The record of a request. `now` is the time of the clock that its `due` is told in, `accepted` the same
     moment on the monotonic one."""
     head = RequestHead(
-        request.target, request.host, request.idempotency_key, request.subject, request.tenant,
-        request.slots, request.memory,
-    )  # fmt: skip
-    due = request.due - now + accepted
+        request.target,
+        request.host,
+        request.idempotency_key,
+        request.subject,
+        request.tenant_index,
+        request.slots,
+        request.memory,
+    )
+    due = request.deadline - now + accepted
     return Record(request.id, cls, due, accepted, head, request.body, front=front)
 
 
@@ -170,7 +188,16 @@
     `monotonic`."""
     head = record.head
     return Request(
-        id=record.id, cls=cls, due=record.due - monotonic + now, target=head.target, host=head.host,
-        body=record.body, idempotency_key=head.key, subject=head.subject, repeat=True, tenant=head.tenant,
-        slots=head.slots, memory=head.memory,
-    )  # fmt: skip
+        id=record.id,
+        class_index=cls,
+        deadline=record.due - monotonic + now,
+        target=head.target,
+        host=head.host,
+        body=record.body,
+        idempotency_key=head.key,
+        subject=head.subject,
+        is_client_retry=True,
+        tenant_index=head.tenant,
+        slots=head.slots,
+        memory=head.memory,
+    )
--- a/eiderfield/durable_requests/settings.py
+++ b/eiderfield/durable_requests/settings.py
@@ -52,7 +52,7 @@
         takeover_rate=table.number("takeover_per_s", usual.takeover_rate, 1.0, 1_000_000.0),
         flush=table.flag("flush", usual.flush),
     )
-    shortest = min(site.classes[number].deadline for number in found.classes)
+    shortest = min(site.classes[number].deadline_ms for number in found.classes)
     if found.lease >= shortest:
         raise ConfigError(
             f"{table.key('lease_ms')} is not below the shortest give-up time of a kept class, {shortest:g}: "
--- a/eiderfield/exchange.py
+++ b/eiderfield/exchange.py
@@ -57,18 +57,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """One request as a front took it. `due` is when nobody waits for its answer any more."""
+    """One request as a front took it. `deadline` is when nobody waits for its answer any more."""
 
     id: str
-    cls: int
-    due: float
+    class_index: int
+    deadline: float
     target: str
     host: str = "backend.local"
     body: bytes = b""
     idempotency_key: str = ""
     subject: int = 0
-    repeat: bool = False
-    tenant: int = 0  # its place in the settings; beyond them where it is not one of these
+    is_client_retry: bool = False
+    tenant_index: int = 0  # its place in the settings; beyond them where it is not one of these
     slots: float = 1.0
     memory: float = 0.0
 
@@ -279,9 +279,12 @@
             if old != new:
                 raise ValueError(f"settings.{key} names others than at the start: {new}, not {old}")
         for key, name in (
-            ("load_info.columns", "report_fields"), ("zones", "zones"), ("discovery", "subscribe"),
-            ("family_info.tells_start", "tells_start"), ("policy_limits.may_tell", "may_tell"),
-        ):  # fmt: skip
+            ("load_info.columns", "load_report_fields"),
+            ("zones", "zone_count"),
+            ("discovery", "subscribes_to_endpoints"),
+            ("family_info.tells_start", "workers_report_start"),
+            ("policy_limits.may_tell", "gossip_allowed"),
+        ):
             if getattr(site, name) != getattr(self.settings, name):
                 raise ValueError(f"settings.{key} takes effect at the next start alone")
 
@@ -298,9 +301,13 @@
         return id_ in self._ids or id_ in self._other_process_ids
 
     def submit(
-        self, request: Request, answer: Callable[[Answer], None], durable: bool = False,
-        before: Iterable[tuple[Endpoint, float]] = (), client_waits: Callable[[], bool] | None = None,
-    ) -> int:  # fmt: skip
+        self,
+        request: Request,
+        answer: Callable[[Answer], None],
+        durable: bool = False,
+        before: Iterable[tuple[Endpoint, float]] = (),
+        client_waits: Callable[[], bool] | None = None,
+    ) -> int:
         """Takes a request. `answer` is called once, never before this returns.
 
         `client_waits` tells whether the client is still connected, also where its close has not been read.
@@ -322,11 +329,22 @@
         self._new.append(pending)
         a = request
         # The module answers just before the time ends; this guards against one that does not.
-        pending.timer = self._timers.at(a.due + self.settings.answer_slack, lambda: self._overdue(pending))
-        flags = REPEAT if a.repeat else 0
+        pending.timer = self._timers.at(
+            a.deadline + self.settings.answer_slack_ms, lambda: self._overdue(pending)
+        )
+        flags = REPEAT if a.is_client_retry else 0
         self._post(
             RequestReceived(
-                pending.id, a.cls, a.due, a.tenant, a.subject, 0.0, a.slots, a.memory, flags, before
+                pending.id,
+                a.class_index,
+                a.deadline,
+                a.tenant_index,
+                a.subject,
+                0.0,
+                a.slots,
+                a.memory,
+                flags,
+                before,
             )
         )
         return pending.id
@@ -360,7 +378,11 @@
             return None
         if not any(attempt.open for attempt in pending.attempts):
             return RequestState.HELD
-        return RequestState.RUNNING if pending.running or not self.settings.tells_start else RequestState.OUT
+        return (
+            RequestState.RUNNING
+            if pending.running or not self.settings.workers_report_start
+            else RequestState.OUT
+        )
 
     # The dispatcher's other process, while one hands over to the next.
 
@@ -436,13 +458,13 @@
         workers discard the repeat of a keyed request.
         """
         request = attempt.pending.request
-        cls = self.settings.classes[request.cls]
+        cls = self.settings.classes[request.class_index]
         if cls.effect != Effect.KEYED:
-            return request.due
+            return request.deadline
         ran = [
             other.sent for other in attempt.pending.attempts if other is not attempt and other.may_have_run
         ]
-        return min([request.due, *[sent + cls.window - HELD_UP for sent in ran]])
+        return min([request.deadline, *[sent + cls.repeat_window_ms - HELD_UP for sent in ran]])
 
     def endpoint(self, worker: int) -> Endpoint:
         """A worker as the list told it last; one of no place, and gone, where it never did."""
@@ -558,13 +580,13 @@
             pending.received_at = now
         self._new.clear()
         for pending in self._served:
-            cls = self.settings.classes[pending.request.cls]
+            cls = self.settings.classes[pending.request.class_index]
             ran = now - pending.started_at if pending.started_at else 0.0
             took = log(max(1.0, now - pending.received_at))
-            moments = self.response_time_sums.setdefault(pending.request.cls, [0, 0.0, 0.0])
+            moments = self.response_time_sums.setdefault(pending.request.class_index, [0, 0.0, 0.0])
             moments[:] = moments[0] + 1, moments[1] + took, moments[2] + took * took
-            if now - pending.received_at <= cls.aim + cls.stretch * ran:
-                self.served_within_objective[pending.request.cls] += 1
+            if now - pending.received_at <= cls.latency_objective_ms + cls.objective_stretch * ran:
+                self.served_within_objective[pending.request.class_index] += 1
         self._served.clear()
 
     def _post(self, event: Event) -> None:
@@ -581,11 +603,11 @@
         pending.attempts.append(attempt)
         pending.started_at = 0.0  # an attempt before this one may have begun it
         # Guards the wire against a module that errs: it hears that the attempt was never sent.
-        if len(pending.attempts) > self.settings.max_attempts or (out and not self.settings.may_copy):
+        if len(pending.attempts) > self.settings.max_attempts or (out and not self.settings.hedging_allowed):
             self.prevented_violations["attempts"] += 1
             self.attempt_ended(attempt, Outcome.MOOT)
             return
-        due = pending.request.due
+        due = pending.request.deadline
         end = min(due, now + action.timeout) if action.timeout > 0.0 else due
         self._out[pending.id, attempt.number] = attempt
         self._count_out(attempt.worker, 1, action.work)
@@ -664,7 +686,7 @@
         if pending.timer is not None:
             pending.timer.cancel()
         if answer is not None:
-            self.final_answers[pending.request.cls, answer.verdict] += 1
+            self.final_answers[pending.request.class_index, answer.verdict] += 1
             if answer.verdict is Verdict.SERVED:
                 self._served.append(pending)
             if pending.durable and self.durable_requests is not None:
--- a/eiderfield/interface.py
+++ b/eiderfield/interface.py
@@ -73,15 +73,15 @@
     `stretch` lengthens the aim by so many own running times."""
 
     name: str
-    worth: float
-    aim: float
-    deadline: float
+    priority_weight: float
+    latency_objective_ms: float
+    deadline_ms: float
     effect: Effect
     scope: Scope = Scope.ALL
-    window: float = 0.0
-    late_worth: float = 0.0
-    stretch: float = 0.0
-    stream: bool = False
+    repeat_window_ms: float = 0.0
+    late_weight: float = 0.0
+    objective_stretch: float = 0.0
+    streamed: bool = False
     kind: int = -1
     priority: int = 0
 
@@ -101,33 +101,33 @@
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    balancers: int = 1
-    me: int = 0
-    zone: int = 0
-    zones: int = 1
-    tick: float = 1.0
-    worth_by_work: bool = False
-    over_share_worth: float = 1.0
-    subscribe: bool = False
-    report_fields: tuple[str, ...] = ()
-    tells_start: bool = False
-    progress: float = 0.0
-    may_cancel: bool = False
-    may_probe: bool = False
-    may_tell: bool = False
-    may_copy: bool = False
-    may_advise: bool = False
+    dispatcher_count: int = 1
+    dispatcher_index: int = 0
+    zone_index: int = 0
+    zone_count: int = 1
+    clock_resolution_ms: float = 1.0
+    weight_by_work: bool = False
+    over_quota_weight: float = 1.0
+    subscribes_to_endpoints: bool = False
+    load_report_fields: tuple[str, ...] = ()
+    workers_report_start: bool = False
+    progress_interval: float = 0.0
+    cancellation_allowed: bool = False
+    probing_allowed: bool = False
+    gossip_allowed: bool = False
+    hedging_allowed: bool = False
+    retry_advice_allowed: bool = False
     max_attempts: int = 1
-    max_open: int = 1_000_000
-    max_retry_after: float = 0.0
-    answer_slack: float = 0.0
-    drain_grace: float = 0.0
-    fall_multiple: float = 1.0
-    fall: float = 1000.0
-    cold: float = 0.0
-    cold_share: float = 1.0
-    ask_within: float = 0.0
-    cross_zone_price: float = 0.0
+    max_open_attempts: int = 1_000_000
+    max_retry_after_ms: float = 0.0
+    answer_slack_ms: float = 0.0
+    drain_grace_ms: float = 0.0
+    recovery_ramp_multiple: float = 1.0
+    recovery_ramp_ms: float = 1000.0
+    slow_start_window_ms: float = 0.0
+    slow_start_share: float = 1.0
+    poll_interval_ms: float = 0.0
+    cross_zone_cost: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -151,15 +151,17 @@
     """A request has been accepted and is owed exactly one final answer before `due`."""
 
     id: int
-    cls: int
-    due: float
-    tenant: int = 0
+    class_index: int
+    deadline: float
+    tenant_index: int = 0
     key: int = 0
-    work: float = 0.0
+    expected_work: float = 0.0
     slots: float = 1.0
     memory: float = 0.0
     flags: int = 0
-    before: tuple[tuple[Endpoint, float], ...] = ()  # attempts of a lost dispatcher: to whom, and when
+    earlier_attempts: tuple[
+        tuple[Endpoint, float], ...
+    ] = ()  # attempts of a lost dispatcher: to whom, and when
 
 
 @dataclass(slots=True)
--- a/eiderfield/lab/fleet/faulty_programs.py
+++ b/eiderfield/lab/fleet/faulty_programs.py
@@ -134,7 +134,7 @@
 def half_of_last_class(exchange: Any, action: Any) -> bool:
     """Whether the job is of the last class, and every second of them."""
     job = exchange._pending.get(action.id)
-    is_last = job is not None and job.request.cls == len(exchange.settings.classes) - 1
+    is_last = job is not None and job.request.class_index == len(exchange.settings.classes) - 1
     return is_last and next(number) % 2 == 1
 
 
@@ -145,13 +145,17 @@
 
 def half_in_second_zone(exchange: Any, action: Any) -> bool:
     """Whether the dispatcher is in the second zone, and every second job there."""
-    return exchange.settings.zone == 1 and next(number) % 2 == 1
+    return exchange.settings.zone_index == 1 and next(number) % 2 == 1
 
 
 def send_late(exchange: Any, action: Any, now: float) -> None:
     """Forwards a job after a wait."""
     job = exchange._pending.get(action.id)
-    wait = WAIT_SHARE * exchange.settings.classes[job.request.cls].aim if job is not None else 0.0
+    wait = (
+        WAIT_SHARE * exchange.settings.classes[job.request.class_index].latency_objective_ms
+        if job is not None
+        else 0.0
+    )
     exchange._timers.at(now + wait, lambda: send(exchange, action, now + wait))
 
 
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -81,7 +81,7 @@
             connection.answer(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
 
     def _take(self, connection: ClientConnection, request: Request) -> Callable[[], None] | None:
-        if self._durable is not None and self._durable.keeps(request.cls):
+        if self._durable is not None and self._durable.keeps(request.class_index):
             connection.proven = True
             return self._durable.take(request, partial(write_answer, connection, durable=True))
         if self._exchange.has_request(request.id):  # the workers would see the request twice
@@ -102,15 +102,15 @@
         needs = read_extras(head.get("x-extras"))
         return Request(
             id=head.get("x-request-id"),
-            cls=number,
-            due=min(self._clock() + _read_deadline(head, cls), until),
+            class_index=number,
+            deadline=min(self._clock() + _read_deadline(head, cls), until),
             target=head.target,
             host=head.get("host") or "backend.local",
             body=body,
             idempotency_key=head.get("idempotency-key"),
             subject=self._ids.subject(parts[-1]) if parts else 0,
-            repeat=head.get("x-retry") == "1",
-            tenant=self._tenants.get(plain(head.get("x-tenant")), len(self._tenants)),
+            is_client_retry=head.get("x-retry") == "1",
+            tenant_index=self._tenants.get(plain(head.get("x-tenant")), len(self._tenants)),
             slots=needs.get("slots", 1.0),
             memory=needs.get("memory", 0.0),
         )
@@ -129,11 +129,11 @@
 def _read_deadline(head: Head, cls: RequestClass) -> float:
     """How long the client waits, in ms; no longer than its class allows."""
     if "x-deadline-ms" not in head.headers:
-        return cls.deadline
+        return cls.deadline_ms
     text = head.get("x-deadline-ms")
     if not text.isascii() or not text.isdigit() or len(text) > DEADLINE_DIGITS:
         raise MalformedMessageError("X-Deadline-Ms is not a whole number")
-    return min(float(text), cls.deadline)
+    return min(float(text), cls.deadline_ms)
 
 
 def read_extras(text: str) -> dict[str, float]:
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -277,7 +277,7 @@
 
     def _load_report(self, report: object) -> tuple[float, ...]:
         """The load report in an attempt's last object, or else in its answer's head."""
-        fields = self.pool.exchange.settings.report_fields
+        fields = self.pool.exchange.settings.load_report_fields
         if not fields or self._head is None:
             return ()
         return from_object(report, fields) or from_text(self._head.get("x-load"), fields)
--- a/eiderfield/net/worker_messages.py
+++ b/eiderfield/net/worker_messages.py
@@ -109,7 +109,7 @@
 
 def attempt_request(request: Request, now: float) -> bytes:
     """The request of an attempt, with what is left of the client's time."""
-    left = int(request.due - now - DEADLINE_MARGIN)
+    left = int(request.deadline - now - DEADLINE_MARGIN)
     headers = {"X-Request-Id": request.id, "X-Deadline-Ms": str(max(LEAST_DEADLINE, left))}
     if request.idempotency_key:
         headers["Idempotency-Key"] = request.idempotency_key
--- a/eiderfield/net/worker_pool.py
+++ b/eiderfield/net/worker_pool.py
@@ -117,7 +117,7 @@
 
     def probe(self, worker: int) -> None:
         """Checks a worker's health, and asks for its load where the deployment has reports."""
-        wants_report = bool(self.exchange.settings.report_fields)
+        wants_report = bool(self.exchange.settings.load_report_fields)
         self._send(worker, HealthCheck(worker, self._clock(), wants_report))
 
     def close_idle(self, worker: int) -> None:
@@ -158,7 +158,7 @@
         """A health check was answered."""
         report: tuple[float, ...] = ()
         if check.wants_report and status == 200:
-            report = from_body(bytes(check.body), self.exchange.settings.report_fields)
+            report = from_body(bytes(check.body), self.exchange.settings.load_report_fields)
         outcome = Outcome.OK if status == 200 else Outcome.ERROR
         self.exchange.probe_completed(check.worker, outcome, self._clock() - check.sent, report)
 
--- a/eiderfield/policy/admission.py
+++ b/eiderfield/policy/admission.py
@@ -31,7 +31,7 @@
     def adopt(self) -> None:
         """Takes new settings."""
         settings = self._context.settings
-        self._shares = [tenant.quota_per_s / settings.balancers for tenant in settings.tenants]
+        self._shares = [tenant.quota_per_s / settings.dispatcher_count for tenant in settings.tenants]
 
     def is_over(self, tenant: int, client_retry: bool, now: float) -> bool:
         """Whether a tenant is above its quota, which clients' retries do not use."""
--- a/eiderfield/policy/context.py
+++ b/eiderfield/policy/context.py
@@ -21,18 +21,18 @@
     @property
     def many(self) -> bool:
         """Whether there are so many dispatchers that each sees little of a worker."""
-        return self.settings.balancers > MANY
+        return self.settings.dispatcher_count > MANY
 
     @property
     def free_slots_column(self) -> int:
         """The place of the free slots in a load report, -1 where reports do not tell them."""
-        fields = self.settings.report_fields
+        fields = self.settings.load_report_fields
         return fields.index("x0") if "x0" in fields else -1
 
     @property
     def sees_all(self) -> bool:
         """Whether this dispatcher is alone and reports tell of slots: nothing at a worker is unseen then."""
-        return self.settings.balancers == 1 and self.free_slots_column >= 0
+        return self.settings.dispatcher_count == 1 and self.free_slots_column >= 0
 
     @property
     def trial_effect(self) -> Effect:
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -220,22 +220,29 @@
             self._split_anew()
 
     def _request_received(self, event: RequestReceived, now: float) -> None:
-        if event.cls >= len(self._queues.pacers) or event.id in self._requests:
-            raise ValueError(f"request {event.id}: unknown class {event.cls} or id in use")
+        if event.class_index >= len(self._queues.pacers) or event.id in self._requests:
+            raise ValueError(f"request {event.id}: unknown class {event.class_index} or id in use")
         request, slack = self._queue_request(event, now)
         self._slow_start.least_cost = min(self._slow_start.least_cost, request.cost)
         if request.key:
             self._count_key(request.key)
         self._requests[request.id] = request
-        for entry, sent in event.before:  # of a dispatcher that is lost: they may have run or still do so
+        for (
+            entry,
+            sent,
+        ) in event.earlier_attempts:  # of a dispatcher that is lost: they may have run or still do so
             worker = self._fleet.known(entry)
             request.attempts.append(
                 AttemptRecord(request, len(request.attempts), worker, entry, sent, sent, open=False)
             )
-        deadline = request.due - DEADLINE_TICKS * self._context.settings.tick
+        deadline = request.due - DEADLINE_TICKS * self._context.settings.clock_resolution_ms
         heapq.heappush(self._deadlines, (deadline, request.id))
         self._queues.add(request, request.class_queue.grb)
-        if event.before and self._fleet.ready.by_number and not self._selector.may_go_on(request, now):
+        if (
+            event.earlier_attempts
+            and self._fleet.ready.by_number
+            and not self._selector.may_go_on(request, now)
+        ):
             self._answer(request)
         wait = expected_wait(self._queues, self._out)
         if is_full(self._queues, wait, slack, len(self._fleet.subset)):
@@ -246,30 +253,32 @@
         client_retry = bool(event.flags & REPEAT)
         queue = self._queue_of(event, client_retry, now)
         pacer = queue.pacer
-        run, left = pacer.run_of(event.work), event.due - now
+        run, left = pacer.run_of(event.expected_work), event.deadline - now
         pacer.patience = max(pacer.patience, left)
         # A client's repeat brings what is left of its time: its aim began with the first try.
         age = pacer.patience - left if client_retry else 0.0
-        aim = queue.cls.aim + queue.cls.stretch * (event.work or run) - age
+        aim = (
+            queue.cls.latency_objective_ms + queue.cls.objective_stretch * (event.expected_work or run) - age
+        )
         slack = min(aim, left) - run
         request = QueuedRequest(
             id=event.id,
             key=event.key,
-            due=event.due,
-            hint=event.work,
+            due=event.deadline,
+            hint=event.expected_work,
             class_queue=queue,
             cls=queue.cls,
-            cost=event.work or run,
+            cost=event.expected_work or run,
             run=run,
-            timely=inf if queue.cls.late_worth else now + slack,
+            timely=inf if queue.cls.late_weight else now + slack,
             slots=event.slots or 1.0,
         )
         return request, slack
 
     def _queue_of(self, event: RequestReceived, client_retry: bool, now: float) -> ClassQueue:
-        over_quota = self._quotas.is_over(event.tenant, client_retry, now)
-        tenant = event.tenant if event.tenant < len(self._quotas) else 0
-        return self._queues.by_id[event.cls, tenant, over_quota]
+        over_quota = self._quotas.is_over(event.tenant_index, client_retry, now)
+        tenant = event.tenant_index if event.tenant_index < len(self._quotas) else 0
+        return self._queues.by_id[event.class_index, tenant, over_quota]
 
     def _count_key(self, key: int) -> None:
         forgot = self._key_counts.count(key)
@@ -322,7 +331,9 @@
 
     def _served(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
         request, pacer = attempt.request, attempt.request.class_queue.pacer
-        late = event.elapsed >= SILENT_RUNS * max(pacer.run_of(request.hint), request.cls.aim)
+        late = event.elapsed >= SILENT_RUNS * max(
+            pacer.run_of(request.hint), request.cls.latency_objective_ms
+        )
         attempt.worker.alive(now, not late)
         pacer.learn(event.elapsed if attempt.started is None else now - attempt.started, request.hint)
         self._slow_start.count_served(request.cost, now)
@@ -393,14 +404,14 @@
         for attempt in request.attempts:
             if attempt.open:
                 self._late_attempts[request.id, attempt.number] = attempt
-                if self._context.settings.may_cancel:
+                if self._context.settings.cancellation_allowed:
                     self._context.actions.append(CancelAttempt(request.id, attempt.number))
 
     def _answer(self, request: QueuedRequest, retry_after: float = 0.0) -> None:
         """The one place of this dispatcher's final answers: a refusal if rule 2 allows it, else a failure."""
         settings = self._context.settings
         self._finish(request)
-        advice = min(retry_after, settings.max_retry_after) if settings.may_advise else 0.0
+        advice = min(retry_after, settings.max_retry_after_ms) if settings.retry_advice_allowed else 0.0
         self._context.actions.append(
             RejectRequest(request.id, advice) if may_reject(request) else FailRequest(request.id)
         )
@@ -414,7 +425,7 @@
 
     def _may_retry(self, request: QueuedRequest, now: float, failed: bool = False) -> bool:
         """Whether a further attempt is legal and within the retry budget, from which its cost is taken."""
-        cost = retry_cost(request, now, self._context.settings.tells_start, failed)
+        cost = retry_cost(request, now, self._context.settings.workers_report_start, failed)
         if request.answered or self._retry_budget.tokens < cost or not self._selector.may_go_on(request, now):
             return False
         self._retry_budget.spend(cost)
@@ -425,11 +436,11 @@
         request, settings = attempt.request, self._context.settings
         if attempt.given_up or request.answered or request.queue is not None:
             return
-        if settings.may_copy:  # a hedged request
+        if settings.hedging_allowed:  # a hedged request
             if self._may_retry(request, now):
                 attempt.given_up = True
                 self._queues.add_first(request)
-        elif settings.may_cancel and (attempt.started is None or self._retry_budget.tokens >= 1.0):
+        elif settings.cancellation_allowed and (attempt.started is None or self._retry_budget.tokens >= 1.0):
             hopeless = attempt.started is None and self._outliers.is_hopeless(request, now)
             if hopeless or self._selector.has_alternative(request, now):
                 self._call_off(attempt)
@@ -539,7 +550,7 @@
 
     def _keep_watching(self) -> None:
         """Opens the subscription to the list, where the settings want one, and again after it failed."""
-        if self._context.settings.subscribe and not self._watching:
+        if self._context.settings.subscribes_to_endpoints and not self._watching:
             self._watching = True
             self._context.actions.append(WatchEndpoints(True))
 
@@ -551,7 +562,7 @@
             times = [*self._fleet.rest_ends(now), self._reports.waits_until]
             times += [pacer.next_at for pacer in self._queues.pacers if pacer.rate is not None]
             at = min([at, now + LOOK_AGAIN_MS, *[time for time in times if time > now]])
-        at = max(at, now + self._context.settings.tick)
+        at = max(at, now + self._context.settings.clock_resolution_ms)
         if at < inf and (not self._timer_at or at < self._timer_at):
             self._timer_at = at
             self._timer_token += 1
--- a/eiderfield/policy/fleet.py
+++ b/eiderfield/policy/fleet.py
@@ -76,8 +76,8 @@
     def deal(self) -> None:
         """Splits the fleet anew."""
         settings, groups = self._context.settings, self._groups()
-        group = group_of_dispatcher(settings.me, settings.balancers, groups, self.keyed)
-        sharers = settings.balancers / groups
+        group = group_of_dispatcher(settings.dispatcher_index, settings.dispatcher_count, groups, self.keyed)
+        sharers = settings.dispatcher_count / groups
         self.subset.deal(self.ready.by_number.values(), self.keyed, groups, group, sharers)
         self.key_orders.reset(self.subset.workers)
 
@@ -167,5 +167,5 @@
         """How many groups the fleet should be split into."""
         settings, ready = self._context.settings, len(self.ready.by_number)
         if self.keyed:
-            return keyed_groups(self.subset.groups, settings.balancers, ready)
-        return balanced_groups(self.subset.groups, settings.balancers, settings.may_tell, ready)
+            return keyed_groups(self.subset.groups, settings.dispatcher_count, ready)
+        return balanced_groups(self.subset.groups, settings.dispatcher_count, settings.gossip_allowed, ready)
--- a/eiderfield/policy/gossip.py
+++ b/eiderfield/policy/gossip.py
@@ -26,12 +26,12 @@
     def choose(self) -> None:
         """Finds the peers: the dispatchers of the same group, unless they are too many to listen to."""
         settings, subset = self._context.settings, self._fleet.subset
-        nodes, groups, keyed = settings.balancers, subset.groups, self._fleet.keyed
+        nodes, groups, keyed = settings.dispatcher_count, subset.groups, self._fleet.keyed
         self.peers = []
-        if settings.may_tell and subset.sharers < 2 * SHARERS[True]:
-            own = group_of_dispatcher(settings.me, nodes, groups, keyed)
+        if settings.gossip_allowed and subset.sharers < 2 * SHARERS[True]:
+            own = group_of_dispatcher(settings.dispatcher_index, nodes, groups, keyed)
             alike = [n for n in range(nodes) if group_of_dispatcher(n, nodes, groups, keyed) == own]
-            self.peers = [number for number in alike if number != settings.me]
+            self.peers = [number for number in alike if number != settings.dispatcher_index]
 
     def changed(self, worker: Worker) -> None:
         """Own requests came or went at a worker."""
--- a/eiderfield/policy/load_reports.py
+++ b/eiderfield/policy/load_reports.py
@@ -36,9 +36,9 @@
 
         Few dispatchers see enough by themselves, and so does who sends to a large part of the fleet."""
         settings, fleet = self._context.settings, self._fleet
-        sees_enough = settings.tells_start or fleet.subset.groups == 1 or fleet.keyed
+        sees_enough = settings.workers_report_start or fleet.subset.groups == 1 or fleet.keyed
         reported = self._context.free_slots_column >= 0
-        self.probing = settings.may_probe and reported and not sees_enough
+        self.probing = settings.probing_allowed and reported and not sees_enough
 
     def report(self, worker: Worker | None, load: tuple[float, ...], now: float) -> None:
         """Takes in a load report."""
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -95,7 +95,7 @@
         """When the worker's silence becomes suspect: measured from its last sign of life."""
         oldest = next(iter(worker.open.values()))
         runs = SILENT_RUNS * self._usual_run(oldest.request)
-        notes = SILENT_NOTES * self._context.settings.progress
+        notes = SILENT_NOTES * self._context.settings.progress_interval
         return max(worker.heard, oldest.sent) + (notes or runs)
 
     def _stuck_from(self, attempt: AttemptRecord) -> float:
@@ -105,8 +105,8 @@
             return inf
         if attempt.started is not None:
             notes = SILENT_NOTES if attempt.worker.silent else STUCK_NOTES
-            return attempt.heard + notes * settings.progress if settings.progress else inf
-        if not settings.tells_start:
+            return attempt.heard + notes * settings.progress_interval if settings.progress_interval else inf
+        if not settings.workers_report_start:
             return inf
         if self._context.many:
             return self._impatient_from(attempt)
@@ -122,4 +122,4 @@
         return min(patient_until, max(attempt.request.timely, attempt.sent + short))
 
     def _usual_run(self, request: QueuedRequest) -> float:
-        return max(request.class_queue.pacer.run_of(request.hint), request.cls.aim)
+        return max(request.class_queue.pacer.run_of(request.hint), request.cls.latency_objective_ms)
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -71,15 +71,15 @@
     """All queues of a dispatcher, highest worth first, and what is held in them."""
 
     def __init__(self, settings: Settings) -> None:
-        floors = {max(cls.worth for cls in settings.classes): FLOOR_TOP}
-        runs = [max(LEAST_RUN_MS, 0.5 * cls.aim) for cls in settings.classes]
-        floor_shares = [floors.get(cls.worth, FLOOR_REST) for cls in settings.classes]
+        floors = {max(cls.priority_weight for cls in settings.classes): FLOOR_TOP}
+        runs = [max(LEAST_RUN_MS, 0.5 * cls.latency_objective_ms) for cls in settings.classes]
+        floor_shares = [floors.get(cls.priority_weight, FLOOR_REST) for cls in settings.classes]
         self.pacers = [Pacer(*figures) for figures in zip(floor_shares, runs, strict=True)]
         self.by_id: dict[QueueId, ClassQueue] = {}
         for number, (cls, pacer) in enumerate(zip(settings.classes, self.pacers, strict=True)):
             for tenant in range(max(1, len(settings.tenants))):
                 for over_quota in (False, True):
-                    worth = cls.worth * (settings.over_share_worth if over_quota else 1.0)
+                    worth = cls.priority_weight * (settings.over_quota_weight if over_quota else 1.0)
                     self.by_id[number, tenant, over_quota] = ClassQueue(cls, pacer, worth)
         self.by_worth: list[ClassQueue] = []
         self._sort()
@@ -142,7 +142,7 @@
     def shed_order(self) -> Iterator[QueuedRequest]:
         """Yield held requests in the order in which they are shed.
 
-        Late requests come first, then the lowest weight, and of that the GRB before the SLB, the newest first.
+        Late requests come first, then the lowest weight (the GRB before the SLB), the newest first.
         """
         by_worth = [(queue.worth, queue.grb) for queue in self.by_worth]
         by_worth += [(queue.worth, queue.slb) for queue in self.by_worth]
--- a/eiderfield/policy/retry_rules.py
+++ b/eiderfield/policy/retry_rules.py
@@ -27,7 +27,7 @@
     first = request.first_run()
     if first is None or request.cls.effect == Effect.SAFE:
         return True
-    if request.cls.effect == Effect.UNSAFE or now > first.sent + request.cls.window - HELD_UP:
+    if request.cls.effect == Effect.UNSAFE or now > first.sent + request.cls.repeat_window_ms - HELD_UP:
         return False
     same_zone = worker.entry.zone == first.entry.zone
     same_cell = worker.entry.cell == first.entry.cell
--- a/eiderfield/policy/selection.py
+++ b/eiderfield/policy/selection.py
@@ -53,7 +53,7 @@
     def is_legal(self, request: QueuedRequest, worker: Worker, now: float) -> bool:
         """Whether the retry rules let the request go to this worker (again)."""
         settings = self._context.settings
-        return may_resend(request, worker, now, settings.may_copy, settings.max_attempts)
+        return may_resend(request, worker, now, settings.hedging_allowed, settings.max_attempts)
 
     def may_go_on(self, request: QueuedRequest, now: float) -> bool:
         """Whether the retry rules let the request go to any ready worker (again)."""
@@ -168,7 +168,9 @@
     def _is_full(self, worker: Worker, now: float) -> bool:
         """Whether a worker has as many requests as it should, as far as this dispatcher knows."""
         most = self._reports.slots_of(worker) + SPARE
-        if self._context.settings.tells_start:  # one may wait there: more would do so unseen and unmovable
+        if (
+            self._context.settings.workers_report_start
+        ):  # one may wait there: more would do so unseen and unmovable
             full = worker.unstarted > 0
         else:
             out = (len(worker.open) + worker.sibling_attempts) * self._fleet.subset.sharers
@@ -179,7 +181,7 @@
         """Whether requests should wait for this home: not if just started, full, or taking trials alone."""
         if (worker.fulls > 1 and now < worker.full_until) or not self._is_trusted(worker, request, now):
             return False
-        soon = now + (1.0 - COLD_REST) * self._context.settings.cold
+        soon = now + (1.0 - COLD_REST) * self._context.settings.slow_start_window_ms
         return self._fleet.is_usable(worker, now) and not self._slow_start.is_warming(worker, soon)
 
     def _is_trusted(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
@@ -212,14 +214,14 @@
     def _rank(self, worker: Worker, request: QueuedRequest, now: float) -> Rank:
         """Own requests, and before them what makes a worker ready only while no better one is."""
         settings = self._context.settings
-        pace = worker.pace(now) if settings.tells_start else 1.0
+        pace = worker.pace(now) if settings.workers_report_start else 1.0
         slow = pace > SLOW
         tight = (self._gossip.peers or request.slots > 1.0) and not self._fits(worker, request, now)
         tier = 1.0 if tight else -self._reports.shown(worker, now)
         tier += 2.0 * worker.erring + slow
         if self._context.many and worker.slow_start_left < float("inf"):
             tier -= 1.0  # a lot that is drawn is used at once
-        elsewhere = settings.cross_zone_price > 0.0 and worker.entry.zone != settings.zone
+        elsewhere = settings.cross_zone_cost > 0.0 and worker.entry.zone != settings.zone_index
         load = (len(worker.open) + worker.sibling_attempts + 1) * (pace if slow else 1.0)
         return tier, elsewhere, ceil(load)
 
--- a/eiderfield/policy/slow_start.py
+++ b/eiderfield/policy/slow_start.py
@@ -51,15 +51,15 @@
     def is_warming(self, worker: Worker, now: float) -> bool:
         """Whether a worker is in its warm-up."""
         started = worker.entry.ready_at
-        return started > 0.0 and max(0.0, now - started) < self._context.settings.cold
+        return started > 0.0 and max(0.0, now - started) < self._context.settings.slow_start_window_ms
 
     def capacity_share(self, worker: Worker, now: float) -> float:
         """The part of its capacity that a worker has at the least: it rises evenly over the warm-up."""
         settings = self._context.settings
         warmed = 1.0
         if self.is_warming(worker, now):
-            warmed = max(0.0, now - worker.entry.ready_at) / settings.cold
-        return settings.cold_share + (1.0 - settings.cold_share) * warmed
+            warmed = max(0.0, now - worker.entry.ready_at) / settings.slow_start_window_ms
+        return settings.slow_start_share + (1.0 - settings.slow_start_share) * warmed
 
     def refresh(self, worker: Worker, now: float) -> None:
         """Brings a worker's budget up to date."""
@@ -76,13 +76,15 @@
     def budget_left(self, worker: Worker, now: float) -> float:
         """Rule 4: the work that a warming worker may still be sent. Draws its lot for the present window."""
         settings, many = self._context.settings, self._context.many
-        if not self.is_warming(worker, now) or not settings.fall:  # without a window there is no rule 4
+        if (
+            not self.is_warming(worker, now) or not settings.recovery_ramp_ms
+        ):  # without a window there is no rule 4
             return inf
         self._measure(now)
         margin = COLD_MARGIN_OF_MANY if many else COLD_MARGIN
-        allowed = margin * settings.fall_multiple * self.served_by_each * settings.fall
+        allowed = margin * settings.recovery_ramp_multiple * self.served_by_each * settings.recovery_ramp_ms
         allowed *= self.capacity_share(worker, now)
-        while worker.recent and worker.recent[0][0] <= now - settings.fall:
+        while worker.recent and worker.recent[0][0] <= now - settings.recovery_ramp_ms:
             worker.recent.popleft()
         if len(worker.recent) == RECENT_ATTEMPTS:  # earlier ones of this window are forgotten
             return -inf
@@ -93,9 +95,9 @@
     def _lot(self, worker: Worker, now: float) -> float:
         """The share of a request's cost that has to be left of the budget for a whole one to be sent."""
         settings = self._context.settings
-        window = int((now - worker.entry.ready_at) / settings.fall)
+        window = int((now - worker.entry.ready_at) / settings.recovery_ramp_ms)
         draw = mix(worker.entry.worker, window) / HASH_RANGE
-        return (draw + settings.me / settings.balancers) % 1.0
+        return (draw + settings.dispatcher_index / settings.dispatcher_count) % 1.0
 
     def _measure(self, now: float) -> None:
         """Reckons what a warm worker serves: what was served, over the capacity that there is."""
--- a/eiderfield/program/discovery.py
+++ b/eiderfield/program/discovery.py
@@ -46,7 +46,7 @@
             return
         listed = asyncio.Event()
         self._core.table.on_list = listed.set
-        wait = min(self._config.site.drain_grace, FIRST_LIST_TIMEOUT)
+        wait = min(self._config.site.drain_grace_ms, FIRST_LIST_TIMEOUT)
         self._core.driver.wheel.at(self._core.clock() + wait, listed.set)
         await listed.wait()
 
@@ -67,7 +67,9 @@
             return None
         watch = self._consul(source) if source.kind == "consul" else self._platform(source, needs_snapshot)
         site = config.site
-        watch.backoff = Backoff(site.balancers, site.me, Random(config.seed), site.drain_grace)
+        watch.backoff = Backoff(
+            site.dispatcher_count, site.dispatcher_index, Random(config.seed), site.drain_grace_ms
+        )
         return watch
 
     def _consul(self, source: Discovery) -> Watch:
--- a/eiderfield/program/peers.py
+++ b/eiderfield/program/peers.py
@@ -43,7 +43,7 @@
         settings.listen,
         settings.peers,
         settings.everyone,
-        config.site.me,
+        config.site.dispatcher_index,
         core.clock,
         core.exchange.peer_report_received,
         log,
--- a/eiderfield/program/program.py
+++ b/eiderfield/program/program.py
@@ -103,7 +103,7 @@
     def stop(self) -> None:
         """Begins the end: taken requests are answered, and clients are asked to go elsewhere."""
         classes = self.settings.current.site.classes
-        self.shutdown.begin(max(each.deadline for each in classes))
+        self.shutdown.begin(max(each.deadline_ms for each in classes))
 
     def _apply_static_endpoints(self, config: Config) -> None:
         if config.discovery.kind == "static" and config.known is not None:
--- a/eiderfield/wire.py
+++ b/eiderfield/wire.py
@@ -389,19 +389,19 @@
         stretch = pairs.number(at + "aim_stretch", _nth(stretches, n, "family_info.class_stretch"))
         cls = RequestClass(
             name=pairs.text(at + "name", str(n)),
-            worth=pairs.number(at + "value"),
-            aim=pairs.number(at + "goal_time"),
-            deadline=pairs.number(at + "give_up"),
+            priority_weight=pairs.number(at + "value"),
+            latency_objective_ms=pairs.number(at + "goal_time"),
+            deadline_ms=pairs.number(at + "give_up"),
             effect=Effect(pairs.choice(at + "idempotency", _EFFECTS)),
             scope=Scope(pairs.choice(at + "key_scope", _SCOPES, "all")),
-            window=pairs.number(at + "repeat_window", 0.0),
-            late_worth=pairs.number(at + "late_value", 0.0),
-            stretch=stretch,
-            stream=pairs.flag(at + "streamed"),
+            repeat_window_ms=pairs.number(at + "repeat_window", 0.0),
+            late_weight=pairs.number(at + "late_value", 0.0),
+            objective_stretch=stretch,
+            streamed=pairs.flag(at + "streamed"),
             kind=int(_nth(kinds, n, "family_info.class_kind", -1.0)),
             priority=int(_nth(priorities, n, "family_info.class_priority")),
         )
-        if cls.aim > cls.deadline:
+        if cls.latency_objective_ms > cls.deadline_ms:
             raise ValueError(f"setting {at}goal_time is longer than {at}give_up")
         classes.append(cls)
     tenants = tuple(
@@ -421,35 +421,37 @@
     return Settings(
         classes=tuple(classes),
         tenants=tenants,
-        balancers=balancers,
-        me=me,
-        zone=pairs.whole("locality", 0),
-        zones=zones,
-        tick=pairs.number("tick", 1.0),
-        worth_by_work=bool(pairs.choice("counted_by", {"request": 0, "work": 1}, "request")),
-        over_share_worth=pairs.number("over_share_worth", 1.0),
-        subscribe=bool(pairs.choice("discovery", {"automatic": 0, "subscribe": 1}, "automatic")),
-        report_fields=()
+        dispatcher_count=balancers,
+        dispatcher_index=me,
+        zone_index=pairs.whole("locality", 0),
+        zone_count=zones,
+        clock_resolution_ms=pairs.number("tick", 1.0),
+        weight_by_work=bool(pairs.choice("counted_by", {"request": 0, "work": 1}, "request")),
+        over_quota_weight=pairs.number("over_share_worth", 1.0),
+        subscribes_to_endpoints=bool(
+            pairs.choice("discovery", {"automatic": 0, "subscribe": 1}, "automatic")
+        ),
+        load_report_fields=()
         if pairs.text("load_info.how", "none") == "none"
         else tuple(pairs.words("load_info.columns")),
-        tells_start=pairs.flag("family_info.tells_start"),
-        progress=pairs.number("family_info.progress", 0.0),
-        may_cancel=pairs.flag(limits + "cancel"),
-        may_probe=pairs.flag(limits + "probes"),
-        may_tell=pairs.flag(limits + "may_tell"),
-        may_copy=pairs.flag(limits + "may_duplicate"),
-        may_advise=pairs.flag(limits + "retry_after"),
+        workers_report_start=pairs.flag("family_info.tells_start"),
+        progress_interval=pairs.number("family_info.progress", 0.0),
+        cancellation_allowed=pairs.flag(limits + "cancel"),
+        probing_allowed=pairs.flag(limits + "probes"),
+        gossip_allowed=pairs.flag(limits + "may_tell"),
+        hedging_allowed=pairs.flag(limits + "may_duplicate"),
+        retry_advice_allowed=pairs.flag(limits + "retry_after"),
         max_attempts=pairs.whole(limits + "max_attempts", 1, low=1),
-        max_open=pairs.whole(limits + "max_open", 1_000_000, low=1),
-        max_retry_after=pairs.number(limits + "max_retry_after", 0.0),
-        answer_slack=pairs.number("rules.answer_slack", 0.0),
-        drain_grace=pairs.number("rules.drain_grace", 0.0),
-        fall_multiple=pairs.number("rules.fall_multiple", 1.0),
-        fall=pairs.number("rules.fall", 1000.0),
-        cold=pairs.number("rules.cold", 0.0),
-        cold_share=pairs.number("rules.start_capacity", 1.0),
-        ask_within=pairs.number("rules.ask_within", 0.0),
-        cross_zone_price=pairs.number("penalties.cross_zone", 0.0),
+        max_open_attempts=pairs.whole(limits + "max_open", 1_000_000, low=1),
+        max_retry_after_ms=pairs.number(limits + "max_retry_after", 0.0),
+        answer_slack_ms=pairs.number("rules.answer_slack", 0.0),
+        drain_grace_ms=pairs.number("rules.drain_grace", 0.0),
+        recovery_ramp_multiple=pairs.number("rules.fall_multiple", 1.0),
+        recovery_ramp_ms=pairs.number("rules.fall", 1000.0),
+        slow_start_window_ms=pairs.number("rules.cold", 0.0),
+        slow_start_share=pairs.number("rules.start_capacity", 1.0),
+        poll_interval_ms=pairs.number("rules.ask_within", 0.0),
+        cross_zone_cost=pairs.number("penalties.cross_zone", 0.0),
     )
 
 
--- a/tests/support/driven_fleet.py
+++ b/tests/support/driven_fleet.py
@@ -106,7 +106,7 @@
         self._order = count()
         self._pending: dict[int, list[Event]] = {}
         self._version = 0
-        self.nodes = [Dispatcher(replace(settings, me=n), n + 1) for n in range(nodes)]
+        self.nodes = [Dispatcher(replace(settings, dispatcher_index=n), n + 1) for n in range(nodes)]
         self.workers = {
             n: ModelledWorker(Endpoint(n, zone=n % 2, cell=n % 2), load.slots, load.queue_size)
             for n in range(1, load.workers + 1)
@@ -135,7 +135,7 @@
 
     def drain_out(self) -> None:
         """Lets the time of all clients end, without further requests."""
-        self.run(max(cls.deadline for cls in self.settings.classes) + 1000.0, arrivals=False)
+        self.run(max(cls.deadline_ms for cls in self.settings.classes) + 1000.0, arrivals=False)
         unanswered = [request.id for request in self.requests if request.answered is None]
         if unanswered:
             raise RuleBrokenError(f"never answered: {unanswered}")
@@ -169,20 +169,20 @@
         id_ = len(self.requests)
         number = id_ % len(self.settings.classes)
         cls = self.settings.classes[number]
-        request = ModelledRequest(id_, id_ % len(self.nodes), cls, self.now + cls.deadline)
+        request = ModelledRequest(id_, id_ % len(self.nodes), cls, self.now + cls.deadline_ms)
         self.requests.append(request)
         self._post(request.node, RequestReceived(id_, number, request.due))
 
     def _answer(self, request: ModelledRequest, served: bool) -> None:
         if request.answered is not None:
             raise RuleBrokenError(f"request {request.id}: two answers")
-        if self.now > request.due + self.settings.answer_slack:
+        if self.now > request.due + self.settings.answer_slack_ms:
             raise RuleBrokenError(f"request {request.id}: answered at {self.now}, due {request.due}")
         request.answered, request.served = self.now, served
 
     def _check_answers(self) -> None:
         for request in self.requests:
-            if request.answered is None and self.now > request.due + self.settings.answer_slack:
+            if request.answered is None and self.now > request.due + self.settings.answer_slack_ms:
                 raise RuleBrokenError(f"request {request.id}: no answer at {self.now}, due {request.due}")
 
     # Dispatchers.
@@ -232,7 +232,7 @@
             raise RuleBrokenError(f"request {request.id}: sent to a worker that drains")
         if len(request.attempts) >= settings.max_attempts:
             raise RuleBrokenError(f"request {request.id}: too many attempts")
-        if any(attempt.open for attempt in request.attempts) and not settings.may_copy:
+        if any(attempt.open for attempt in request.attempts) and not settings.hedging_allowed:
             raise RuleBrokenError(f"request {request.id}: two attempts out")
         if ran and cls.effect == Effect.UNSAFE:
             raise RuleBrokenError(f"request {request.id}: sent again though it may have run")
@@ -240,7 +240,7 @@
             first = ran[0]
             in_zone = cls.scope != Scope.ZONE or worker.entry.zone == first.entry.zone
             in_cell = cls.scope != Scope.CELL or worker.entry.cell == first.entry.cell
-            if self.now > first.sent + cls.window or not (in_zone and in_cell):
+            if self.now > first.sent + cls.repeat_window_ms or not (in_zone and in_cell):
                 raise RuleBrokenError(f"request {request.id}: outside its window or group")
         self._check_budget(worker)
 
@@ -249,14 +249,19 @@
         settings = self.settings
         age = self.now - worker.entry.ready_at
         worker.received.append(self.now)
-        window_start = max(self.now - settings.fall, worker.entry.ready_at)  # an earlier process is gone
+        window_start = max(
+            self.now - settings.recovery_ramp_ms, worker.entry.ready_at
+        )  # an earlier process is gone
         while worker.received and worker.received[0] <= window_start:
             worker.received.popleft()
-        if worker.entry.ready_at == 0.0 or age >= settings.cold:
+        if worker.entry.ready_at == 0.0 or age >= settings.slow_start_window_ms:
             return
-        share = settings.cold_share + (1.0 - settings.cold_share) * age / settings.cold
+        share = (
+            settings.slow_start_share
+            + (1.0 - settings.slow_start_share) * age / settings.slow_start_window_ms
+        )
         rate = self.load.slots / self.load.run  # that a warm worker can bear at the most
-        allowed = settings.fall_multiple * share * rate * settings.fall
+        allowed = settings.recovery_ramp_multiple * share * rate * settings.recovery_ramp_ms
         slack = 2.0 * sqrt(allowed) + 2.0 if allowed >= 30.0 else 3.0 * sqrt(allowed) + 3.0
         if len(worker.received) > allowed + slack:
             raise RuleBrokenError(
@@ -286,15 +291,15 @@
             self.at(self.now + self.load.run, lambda attempt=attempt: self._complete(attempt))
 
     def _tell_start(self, attempt: ModelledAttempt) -> None:
-        if self.settings.tells_start:
+        if self.settings.workers_report_start:
             self.at(self.now + self.load.round_trip / 2.0, lambda: self._note(attempt, STARTED))
-        if self.settings.progress:
-            self.at(self.now + self.settings.progress, lambda: self._progress(attempt))
+        if self.settings.progress_interval:
+            self.at(self.now + self.settings.progress_interval, lambda: self._progress(attempt))
 
     def _progress(self, attempt: ModelledAttempt) -> None:
         if attempt.open and attempt.running and not attempt.worker.hung:
             self._note(attempt, PROGRESS)
-            self.at(self.now + self.settings.progress, lambda: self._progress(attempt))
+            self.at(self.now + self.settings.progress_interval, lambda: self._progress(attempt))
 
     def _note(self, attempt: ModelledAttempt, what: int) -> None:
         if attempt.open:
--- a/tests/support/extreme_settings.py
+++ b/tests/support/extreme_settings.py
@@ -14,14 +14,18 @@
 
 Course = Callable[[DrivenFleet], int]  # returns the number of the first request that is counted
 
-SHORT = replace(SAFE, aim=20.0, deadline=200.0, stretch=0.0, late_worth=0.0)
-USUAL = replace(SAFE, aim=500.0, deadline=5000.0, stretch=0.0, late_worth=0.0)
-LONG = replace(SAFE, aim=60_000.0, deadline=300_000.0, stretch=0.0, late_worth=0.0)
+SHORT = replace(SAFE, latency_objective_ms=20.0, deadline_ms=200.0, objective_stretch=0.0, late_weight=0.0)
+USUAL = replace(SAFE, latency_objective_ms=500.0, deadline_ms=5000.0, objective_stretch=0.0, late_weight=0.0)
+LONG = replace(
+    SAFE, latency_objective_ms=60_000.0, deadline_ms=300_000.0, objective_stretch=0.0, late_weight=0.0
+)
 
 
 def settings_of(*classes: RequestClass, **changes: object) -> Settings:
     """Settings without hedging for some classes."""
-    base = replace(BASE, classes=classes, may_copy=False, fall=1500.0, fall_multiple=2.5)
+    base = replace(
+        BASE, classes=classes, hedging_allowed=False, recovery_ramp_ms=1500.0, recovery_ramp_multiple=2.5
+    )
     return replace(base, **changes)
 
 
@@ -119,19 +123,19 @@
 
 
 def _fleet_of(aim: float, round_trip: float) -> Case:
-    cls = replace(SHORT, aim=aim, deadline=max(200.0, 5.0 * aim))
+    cls = replace(SHORT, latency_objective_ms=aim, deadline_ms=max(200.0, 5.0 * aim))
     load = Load(0.5, 5.0, workers=20, round_trip=round_trip)
-    return Case(settings_of(cls, balancers=16), load, steady(1500.0), 16)
+    return Case(settings_of(cls, dispatcher_count=16), load, steady(1500.0), 16)
 
 
 def _warming(cold: float, after: float) -> Case:
-    settings = settings_of(USUAL, cold=cold, cold_share=0.3)
+    settings = settings_of(USUAL, slow_start_window_ms=cold, slow_start_share=0.3)
     return Case(settings, Load(80.0, 250.0), restart(20_000.0, after, 1, 2, 3, 4))
 
 
 def _three_effects(aim: float, deadline: float, window: float) -> tuple[RequestClass, ...]:
-    times = {"aim": aim, "deadline": deadline, "stretch": 0.0}
-    keyed = replace(KEYED, window=window, scope=Scope.ZONE, **times)
+    times = {"latency_objective_ms": aim, "deadline_ms": deadline, "objective_stretch": 0.0}
+    keyed = replace(KEYED, repeat_window_ms=window, scope=Scope.ZONE, **times)
     return replace(SAFE, **times), keyed, replace(UNSAFE, **times)
 
 
@@ -143,26 +147,30 @@
     "steady, objective 60 s": Case(settings_of(LONG), Load(4200.0, 10_000.0), steady(600_000.0)),
     "burst of 12 s of work, objective 60 s": Case(settings_of(LONG), Load(5.0, 250.0), steady(1000.0)),
     "full workers, run 5 ms": Case(
-        settings_of(SHORT, tells_start=False), Load(1.04, 5.0, queue_size=1), steady(5000.0)
+        settings_of(SHORT, workers_report_start=False), Load(1.04, 5.0, queue_size=1), steady(5000.0)
     ),
     "full workers, run 250 ms": Case(
-        settings_of(replace(USUAL, aim=500.0), tells_start=False),
+        settings_of(replace(USUAL, latency_objective_ms=500.0), workers_report_start=False),
         Load(52.0, 250.0, queue_size=1),
         steady(250_000.0),
     ),
     "hung worker, deadline 200 ms, notes each 1 s": Case(
-        settings_of(SHORT, may_cancel=False, progress=1000.0), Load(40.0, 5.0), one_hangs(20_000.0)
+        settings_of(SHORT, cancellation_allowed=False, progress_interval=1000.0),
+        Load(40.0, 5.0),
+        one_hangs(20_000.0),
     ),
     "hung worker, deadline 200 ms, no notes": Case(
-        settings_of(SHORT, may_cancel=False), Load(40.0, 5.0), one_hangs(20_000.0)
+        settings_of(SHORT, cancellation_allowed=False), Load(40.0, 5.0), one_hangs(20_000.0)
     ),
     "hung worker, deadline 400 ms, objective 150 ms, no notes": Case(
-        settings_of(replace(USUAL, aim=150.0, deadline=400.0), may_cancel=False),
+        settings_of(
+            replace(USUAL, latency_objective_ms=150.0, deadline_ms=400.0), cancellation_allowed=False
+        ),
         Load(60.0, 50.0),
         one_hangs(20_000.0),
     ),
     "hung worker, deadline 300 s": Case(
-        settings_of(LONG, may_cancel=False), Load(1000.0, 2000.0), one_hangs(600_000.0)
+        settings_of(LONG, cancellation_allowed=False), Load(1000.0, 2000.0), one_hangs(600_000.0)
     ),
     "no worker for 3 s, objective 20 ms": Case(
         settings_of(SHORT), Load(4.0, 5.0), all_unreachable(3000.0, 5000.0)
@@ -172,22 +180,22 @@
     "all workers restart, warm-up 60 s": _warming(60_000.0, 60_000.0),
     "all workers restart, warm-up 600 s": _warming(600_000.0, 120_000.0),
     "the sole worker restarts, a request each 5 s, warm-up 600 s": Case(
-        settings_of(USUAL, cold=600_000.0, cold_share=0.3),
+        settings_of(USUAL, slow_start_window_ms=600_000.0, slow_start_share=0.3),
         Load(5000.0, 100.0, workers=1),
         restart(100_000.0, 600_000.0, 1),
     ),
     "one of two restarts, run 5 ms, warm-up 0.5 s": Case(
-        settings_of(SHORT, cold=500.0, cold_share=0.3),
+        settings_of(SHORT, slow_start_window_ms=500.0, slow_start_share=0.3),
         Load(0.8, 5.0, workers=2, slots=4, queue_size=50),
         restart(2000.0, 1500.0, 1),
     ),
     "one of two restarts, run 5 ms, warm-up 600 s": Case(
-        settings_of(SHORT, cold=600_000.0, cold_share=0.1),
+        settings_of(SHORT, slow_start_window_ms=600_000.0, slow_start_share=0.1),
         Load(1.5625, 5.0, workers=2, slots=4, queue_size=50),
         restart(3000.0, 3000.0, 1),
     ),
     "one of four restarts, run 10 s, warm-up 600 s": Case(
-        settings_of(LONG, cold=600_000.0, cold_share=0.3),
+        settings_of(LONG, slow_start_window_ms=600_000.0, slow_start_share=0.3),
         Load(3000.0, 10_000.0),
         restart(120_000.0, 300_000.0, 1),
     ),
@@ -195,21 +203,25 @@
     "16 dispatchers, objective 20 ms, round trip 5 ms": _fleet_of(20.0, 5.0),
     "16 dispatchers, objective 100 ms, round trip 5 ms": _fleet_of(100.0, 5.0),
     "faults, deadline 200 ms, window 100 ms": Case(
-        settings_of(*_SHORT_EFFECTS, cold=500.0), Load(4.0, 5.0), mixed_faults(500.0)
+        settings_of(*_SHORT_EFFECTS, slow_start_window_ms=500.0), Load(4.0, 5.0), mixed_faults(500.0)
     ),
     "faults, deadline 200 ms, warm-up 600 s": Case(
-        settings_of(*_SHORT_EFFECTS, cold=600_000.0, progress=50.0), Load(4.0, 5.0), mixed_faults(500.0)
+        settings_of(*_SHORT_EFFECTS, slow_start_window_ms=600_000.0, progress_interval=50.0),
+        Load(4.0, 5.0),
+        mixed_faults(500.0),
     ),
     "faults, deadline 300 s, window 120 s": Case(
-        settings_of(*_LONG_EFFECTS, cold=500.0), Load(1000.0, 2000.0), mixed_faults(60_000.0)
+        settings_of(*_LONG_EFFECTS, slow_start_window_ms=500.0), Load(1000.0, 2000.0), mixed_faults(60_000.0)
     ),
     "faults, deadline 300 s, hedging": Case(
-        settings_of(*_LONG_EFFECTS, may_copy=True, may_cancel=False, progress=1000.0),
+        settings_of(
+            *_LONG_EFFECTS, hedging_allowed=True, cancellation_allowed=False, progress_interval=1000.0
+        ),
         Load(1000.0, 2000.0),
         mixed_faults(60_000.0),
     ),
     "faults, 200 dispatchers": Case(
-        settings_of(*_SHORT_EFFECTS, balancers=200, cold=8000.0),
+        settings_of(*_SHORT_EFFECTS, dispatcher_count=200, slow_start_window_ms=8000.0),
         Load(2.0, 5.0, workers=100),
         mixed_faults(300.0),
         200,
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -18,7 +18,7 @@
 from eiderfield.net.worker_pool import WorkerPool
 from support.policy import BASE, KEYED, SAFE, UNSAFE
 
-SITE = replace(BASE, classes=(SAFE, UNSAFE, KEYED), may_copy=False)
+SITE = replace(BASE, classes=(SAFE, UNSAFE, KEYED), hedging_allowed=False)
 
 
 class Pipe(asyncio.Transport):
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -17,24 +17,32 @@
 )
 from eiderfield.policy.dispatcher import Dispatcher
 
-SAFE = RequestClass("safe", 1.0, aim=300.0, deadline=5000.0, effect=Effect.SAFE, late_worth=0.3, stretch=2.0)
-UNSAFE = replace(SAFE, name="unsafe", worth=10.0, effect=Effect.UNSAFE)
-KEYED = replace(SAFE, name="keyed", worth=5.0, effect=Effect.KEYED, window=2000.0)
+SAFE = RequestClass(
+    "safe",
+    1.0,
+    latency_objective_ms=300.0,
+    deadline_ms=5000.0,
+    effect=Effect.SAFE,
+    late_weight=0.3,
+    objective_stretch=2.0,
+)
+UNSAFE = replace(SAFE, name="unsafe", priority_weight=10.0, effect=Effect.UNSAFE)
+KEYED = replace(SAFE, name="keyed", priority_weight=5.0, effect=Effect.KEYED, repeat_window_ms=2000.0)
 BASE = Settings(
     classes=(SAFE, UNSAFE, KEYED),
-    tick=2.0,
-    may_cancel=True,
-    may_copy=True,
-    may_advise=True,
+    clock_resolution_ms=2.0,
+    cancellation_allowed=True,
+    hedging_allowed=True,
+    retry_advice_allowed=True,
     max_attempts=5,
-    max_retry_after=2000.0,
-    answer_slack=8.0,
-    drain_grace=500.0,
-    fall_multiple=3.0,
-    fall=2000.0,
-    cold=8000.0,
-    cold_share=0.3,
-    tells_start=True,
+    max_retry_after_ms=2000.0,
+    answer_slack_ms=8.0,
+    drain_grace_ms=500.0,
+    recovery_ramp_multiple=3.0,
+    recovery_ramp_ms=2000.0,
+    slow_start_window_ms=8000.0,
+    slow_start_share=0.3,
+    workers_report_start=True,
 )
 
 
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -40,23 +40,23 @@
 
 VARIANTS = {
     "plain": BASE,
-    "cells": replace(BASE, classes=(SAFE, replace(KEYED, scope=Scope.CELL), UNSAFE), balancers=3),
-    "zones": replace(BASE, classes=(replace(KEYED, scope=Scope.ZONE, window=800.0),), zones=3),
-    "all unsafe": replace(BASE, classes=(UNSAFE,), may_cancel=False),
+    "cells": replace(BASE, classes=(SAFE, replace(KEYED, scope=Scope.CELL), UNSAFE), dispatcher_count=3),
+    "zones": replace(BASE, classes=(replace(KEYED, scope=Scope.ZONE, repeat_window_ms=800.0),), zone_count=3),
+    "all unsafe": replace(BASE, classes=(UNSAFE,), cancellation_allowed=False),
     "nothing offered": replace(
         BASE,
         classes=(SAFE, UNSAFE, KEYED),
-        may_cancel=False,
-        may_copy=False,
-        may_advise=False,
-        tells_start=False,
+        cancellation_allowed=False,
+        hedging_allowed=False,
+        retry_advice_allowed=False,
+        workers_report_start=False,
         max_attempts=2,
-        balancers=4,
-        cold=3000.0,
-        cold_share=0.1,
+        dispatcher_count=4,
+        slow_start_window_ms=3000.0,
+        slow_start_share=0.1,
     ),
-    "no copies": replace(BASE, classes=(SAFE,), may_copy=False),
-    "tenants": replace(BASE, tenants=(Tenant("a", 5.0, 0.5), Tenant("b", 5.0, 0.5)), over_share_worth=0.1),
+    "no copies": replace(BASE, classes=(SAFE,), hedging_allowed=False),
+    "tenants": replace(BASE, tenants=(Tenant("a", 5.0, 0.5), Tenant("b", 5.0, 0.5)), over_quota_weight=0.1),
 }
 
 
@@ -87,7 +87,7 @@
             self.judge(action)
         for id_, job in self.jobs.items():
             waits = job["answered"] is None and not job["gone"]
-            late = self.settings.answer_slack + LATEST
+            late = self.settings.answer_slack_ms + LATEST
             if waits and self.now > job["due"] + late:
                 raise RuleBrokenError(f"rule 1: {id_} unanswered at {self.now}, due {job['due']}")
 
@@ -96,7 +96,9 @@
         if isinstance(action, SetTimer):
             self.timers.append((action.at, action.token))
         elif isinstance(action, CancelAttempt):
-            if not self.settings.may_cancel or action.attempt >= len(self.jobs[action.id]["attempts"]):
+            if not self.settings.cancellation_allowed or action.attempt >= len(
+                self.jobs[action.id]["attempts"]
+            ):
                 raise RuleBrokenError("cancel not allowed or of an attempt never sent")
         elif isinstance(action, RejectRequest | FailRequest):
             job = self.jobs[action.id]
@@ -118,7 +120,7 @@
         if job["answered"] is not None or job["gone"]:
             raise RuleBrokenError(f"rule 1: {action.id} sent after its end")
         ran = [a for a in job["attempts"] if a["may"]]
-        if any(a["out"] for a in job["attempts"]) and not self.settings.may_copy:
+        if any(a["out"] for a in job["attempts"]) and not self.settings.hedging_allowed:
             raise RuleBrokenError("two attempts at once")
         if ran and cls.effect == Effect.UNSAFE:
             raise RuleBrokenError(f"rule 2: unsafe {action.id} sent again")
@@ -126,16 +128,28 @@
             first = ran[0]
             zone, cell = entry.zone == first["zone"], entry.cell == first["cell"]
             same = {Scope.ALL: True, Scope.ZONE: zone, Scope.CELL: cell}[cls.scope]
-            if not same or self.now > first["sent"] + cls.window:
+            if not same or self.now > first["sent"] + cls.repeat_window_ms:
                 raise RuleBrokenError(f"rule 2: keyed {action.id} outside its group or window")
         if entry.state != EndpointState.READY:
             raise RuleBrokenError(f"rule 3: {action.id} to a worker that drains or is gone")
         age = self.now - entry.ready_at
-        if entry.ready_at > 0 and age < self.settings.cold:
+        if entry.ready_at > 0 and age < self.settings.slow_start_window_ms:
             self.sent_cold.append((self.now, action.worker))
-            recent = sum(w == action.worker and t > self.now - self.settings.fall for t, w in self.sent_cold)
-            share = self.settings.cold_share + (1 - self.settings.cold_share) * age / self.settings.cold
-            allowed = self.settings.fall_multiple * share * self.served / SERVED_RATE_MS * self.settings.fall
+            recent = sum(
+                w == action.worker and t > self.now - self.settings.recovery_ramp_ms
+                for t, w in self.sent_cold
+            )
+            share = (
+                self.settings.slow_start_share
+                + (1 - self.settings.slow_start_share) * age / self.settings.slow_start_window_ms
+            )
+            allowed = (
+                self.settings.recovery_ramp_multiple
+                * share
+                * self.served
+                / SERVED_RATE_MS
+                * self.settings.recovery_ramp_ms
+            )
             if (recent - 1 + self.lot(action.worker, age)) * WORK > allowed:
                 raise RuleBrokenError(f"rule 4: {recent} jobs to a cold worker")
         place = {"zone": entry.zone, "cell": entry.cell, "w": action.worker}
@@ -146,10 +160,10 @@
         """The share of a job that must be left of this node's part for a whole one: 1 where nodes are few. Of
         many each has less than a job, and whose lot is low enough sends a whole one: the sum over all nodes
         keeps the rule (`tests/test_simulated_fleet.py`), which one node's sends alone cannot show."""
-        if self.settings.balancers <= MANY:
+        if self.settings.dispatcher_count <= MANY:
             return 1.0
-        draw = mix(worker, int(age / self.settings.fall)) / 2.0**64
-        return (draw + self.settings.me / self.settings.balancers) % 1.0
+        draw = mix(worker, int(age / self.settings.recovery_ramp_ms)) / 2.0**64
+        return (draw + self.settings.dispatcher_index / self.settings.dispatcher_count) % 1.0
 
     def step(self):
         """A few events at one time, drawn among those that are legal."""
@@ -215,7 +229,7 @@
             if job["answered"] is None and not job["gone"]:
                 job["answered"] = self.now
         over = job["answered"] is not None or job["gone"]
-        load = tuple(self.rng.choice(FIGURES) for _ in self.settings.report_fields)
+        load = tuple(self.rng.choice(FIGURES) for _ in self.settings.load_report_fields)
         return AttemptEnded(id_, number, attempt["w"], how, self.now - attempt["sent"], over, load=load)
 
     def run(self, steps):
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -56,12 +56,34 @@
 SITE = replace(
     BASE,
     classes=(
-        replace(SAFE, name="status", worth=5.0, aim=250.0, deadline=5000.0, late_worth=0.0, stretch=2.5),
-        replace(KEYED, name="report", worth=3.0, aim=400.0, deadline=12000.0, late_worth=0.0, stretch=2.0,
-                scope=Scope.ZONE, window=20_000.0),
+        replace(
+            SAFE,
+            name="status",
+            priority_weight=5.0,
+            latency_objective_ms=250.0,
+            deadline_ms=5000.0,
+            late_weight=0.0,
+            objective_stretch=2.5,
+        ),
+        replace(
+            KEYED,
+            name="report",
+            priority_weight=3.0,
+            latency_objective_ms=400.0,
+            deadline_ms=12000.0,
+            late_weight=0.0,
+            objective_stretch=2.0,
+            scope=Scope.ZONE,
+            repeat_window_ms=20_000.0,
+        ),
     ),
-    zones=4, may_copy=False, cold=8600.0, cold_share=0.33, fall=1500.0, fall_multiple=2.5,
-)  # fmt: skip
+    zone_count=4,
+    hedging_allowed=False,
+    slow_start_window_ms=8600.0,
+    slow_start_share=0.33,
+    recovery_ramp_ms=1500.0,
+    recovery_ramp_multiple=2.5,
+)
 
 
 @dataclass(eq=False)
@@ -79,7 +101,9 @@
         if not self.entry.ready_at:
             return 1.0
         age = now - self.entry.ready_at
-        return min(1.0, SITE.cold_share + (1.0 - SITE.cold_share) * age / SITE.cold)
+        return min(
+            1.0, SITE.slow_start_share + (1.0 - SITE.slow_start_share) * age / SITE.slow_start_window_ms
+        )
 
 
 class SimulatedFleet:
@@ -87,7 +111,9 @@
 
     def __init__(self, nodes, workers, load, seed=1, traffic=uneven, costs=EQUAL):
         self.rng, self.now, self.events, self.order = random.Random(seed), 0.0, [], count()
-        self.nodes = [Dispatcher(replace(SITE, balancers=nodes, me=me), me) for me in range(nodes)]
+        self.nodes = [
+            Dispatcher(replace(SITE, dispatcher_count=nodes, dispatcher_index=me), me) for me in range(nodes)
+        ]
         self.simulated_workers = {
             w: SimulatedWorker(Endpoint(w, zone=w % 4, cell=w % 4)) for w in range(1, workers + 1)
         }
@@ -151,7 +177,7 @@
         cls, id_ = int(self.rng.random() < 0.4), next(self.ids)
         [cost] = self.rng.choices(list(self.costs), list(self.costs.values()))
         key = min(120, int(self.rng.paretovariate(0.9)))
-        due = self.now + SITE.classes[cls].deadline
+        due = self.now + SITE.classes[cls].deadline_ms
         self.jobs[me, id_] = {"cls": cls, "due": due, "legs": [], "done": None, "run": cost * RUN}
         self.handle(me, RequestReceived(id_, cls, due, key=key))
 
@@ -169,7 +195,7 @@
     def send(self, me, action):
         job, simulated = self.jobs[me, action.id], self.simulated_workers[action.worker]
         state, since = self.told[me][action.worker]
-        if state != EndpointState.READY and self.now > since + SITE.drain_grace:
+        if state != EndpointState.READY and self.now > since + SITE.drain_grace_ms:
             self.broken.append(f"3: node {me} to {action.worker}, told {self.now - since:.0f} ms before")
         if any(leg["out"] for leg in job["legs"]) or job["done"] is not None:
             self.broken.append(f"1, 2: job {action.id} of node {me} has a leg out or is over")
@@ -248,7 +274,7 @@
         job = self.jobs[me, id_]
         if job["done"] is not None:
             self.broken.append(f"1: job {id_} of node {me} answered twice")
-        if self.now > job["due"] + SITE.answer_slack:
+        if self.now > job["due"] + SITE.answer_slack_ms:
             self.broken.append(f"1: job {id_} of node {me} answered late")
         job["done"] = how
         self.answers[how] += 1
@@ -263,7 +289,7 @@
 
     def owed(self):
         """The jobs whose clients have gone without an answer."""
-        late = self.now - SITE.answer_slack
+        late = self.now - SITE.answer_slack_ms
         return [job for job in self.jobs.values() if job["done"] is None and job["due"] < late]
 
     def knows_start(self, me, simulated):
@@ -276,9 +302,13 @@
         simulated, most = self.simulated_workers[worker], 0.0
         sent = [(at, work) for at, work, _ in simulated.sent if at >= simulated.entry.ready_at]
         for end, _ in sent:
-            if end <= min(until, simulated.entry.ready_at + SITE.cold):
-                window = sum(work for at, work in sent if end - SITE.fall < at <= end)
-                most = max(most, window / (SITE.fall_multiple * SLOTS * simulated.share(end) * SITE.fall))
+            if end <= min(until, simulated.entry.ready_at + SITE.slow_start_window_ms):
+                window = sum(work for at, work in sent if end - SITE.recovery_ramp_ms < at <= end)
+                most = max(
+                    most,
+                    window
+                    / (SITE.recovery_ramp_multiple * SLOTS * simulated.share(end) * SITE.recovery_ramp_ms),
+                )
         return most
 
     def slow_start_use(self, worker, until):
@@ -289,8 +319,8 @@
         simulated, most = self.simulated_workers[worker], 0.0
         sent = [one for one in simulated.sent if one[0] >= simulated.entry.ready_at]
         for end, *_ in sent:
-            if end <= min(until, simulated.entry.ready_at + SITE.cold):
-                window = [one for one in sent if end - SITE.fall < one[0] <= end]
+            if end <= min(until, simulated.entry.ready_at + SITE.slow_start_window_ms):
+                window = [one for one in sent if end - SITE.recovery_ramp_ms < one[0] <= end]
                 calls = sum(work for _, work, _ in window) / RUN
                 told = sum(work for _, work, knew in window if knew) / RUN
                 if told > 2 / 3 * calls:
@@ -300,6 +330,6 @@
 
 def slow_start_budget(share):
     """The calls of mean work that a worker bears at this share of its capacity (STANDING.md of the bench)."""
-    allowed = SITE.fall_multiple * SLOTS * share * SITE.fall / RUN
+    allowed = SITE.recovery_ramp_multiple * SLOTS * share * SITE.recovery_ramp_ms / RUN
     slack = 3.0 * sqrt(allowed) + 3.0 if allowed < 30.0 else 2.0 * sqrt(allowed) + 2.0
     return allowed + slack
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -215,9 +215,9 @@
 
 MIXED = replace(
     SITE,
-    classes=(SAFE, UNSAFE, replace(KEYED, scope=Scope.ZONE, window=3000.0)),
+    classes=(SAFE, UNSAFE, replace(KEYED, scope=Scope.ZONE, repeat_window_ms=3000.0)),
     max_attempts=4,
-    zones=2,
+    zone_count=2,
 )
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -167,7 +167,13 @@
     assert tool.main(["check", str(file)]) == 0
     assert "2 classes, workers from static, batch on, console at 127.0.0.1:6" in capsys.readouterr().out
     get, put = load({}, str(file)).site.classes
-    assert (get.worth, get.aim, get.deadline, get.stretch, put.window) == (5.0, 250.0, 900.0, 2.0, 70.0)
+    assert (
+        get.priority_weight,
+        get.latency_objective_ms,
+        get.deadline_ms,
+        get.objective_stretch,
+        put.repeat_window_ms,
+    ) == (5.0, 250.0, 900.0, 2.0, 70.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -30,7 +30,7 @@
 
 def test_what_is_served_within_its_class_s_aim_counts_as_in_time_and_what_is_late_does_not():
     console = Console(workers=1)
-    dispatcher, aim = console.dispatcher, console.dispatcher.exchange.settings.classes[0].aim
+    dispatcher, aim = console.dispatcher, console.dispatcher.exchange.settings.classes[0].latency_objective_ms
     for wait, in_time in ((aim / 2.0, 1), (2.0 * aim, 1)):
         dispatcher.client(id_=f"r{wait}")
         end = dispatcher.dials[0].up() if dispatcher.dials else dispatcher.ends[-1]
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -45,7 +45,7 @@
 
 def slow_site(**more):
     return replace(
-        SITE, classes=tuple(replace(cls, deadline=5000.0) for cls in (SAFE, UNSAFE, KEYED)), **more
+        SITE, classes=tuple(replace(cls, deadline_ms=5000.0) for cls in (SAFE, UNSAFE, KEYED)), **more
     )
 
 
@@ -74,7 +74,7 @@
 
 
 def test_a_hedged_request_is_told_what_is_left_when_it_is_written():
-    dispatcher = InMemoryDispatcher(slow_site(may_copy=True, progress=100.0), workers=2)
+    dispatcher = InMemoryDispatcher(slow_site(hedging_allowed=True, progress=100.0), workers=2)
     delays = Delays(dispatcher)
     delays.client("/safe/a", "r1", 3000)
     first = dispatcher.dials[0].up()
@@ -103,7 +103,7 @@
 
 
 def keyed_site(scope=Scope.ALL):
-    cls = replace(KEYED, window=WINDOW, scope=scope)
+    cls = replace(KEYED, repeat_window_ms=WINDOW, scope=scope)
     return replace(SITE, classes=(SAFE, UNSAFE, cls))
 
 
@@ -171,7 +171,7 @@
         end = dial.up()
         if worker == "hands it back" and end.take():
             end.status(504, X_Not_Run="1")
-    dispatcher.advance(wait + SITE.answer_slack + SITE.tick)
+    dispatcher.advance(wait + SITE.answer_slack_ms + SITE.clock_resolution_ms)
     sent_unsafe = path == "/unsafe/a" and any(end.came for end in dispatcher.ends)
     statuses = [status for status, *_ in client.answers()]
     assert len(statuses) == 1
@@ -261,4 +261,4 @@
     harness.pass_time(3000.0)
     assert len(told_at) == 1
     assert sent_at == [told_at[0] + HELD_UP]
-    assert SITE.drain_grace > HELD_UP
+    assert SITE.drain_grace_ms > HELD_UP
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -132,10 +132,10 @@
 
 def test_a_tenant_over_its_share_does_not_push_out_one_within_it_in_the_same_burst():
     tenants = (Tenant("a", 50.0, 0.7), Tenant("b", 2.0, 0.3))
-    site = replace(DEPLOYMENTS["admissions"], balancers=1, tenants=tenants)
+    site = replace(DEPLOYMENTS["admissions"], dispatcher_count=1, tenants=tenants)
     node = Node(site, workers=1)
-    events = [RequestReceived(n, 0, 5000.0, tenant=1) for n in range(1, 41)]
-    events += [RequestReceived(n, 0, 5000.0, tenant=0) for n in range(41, 51)]
+    events = [RequestReceived(n, 0, 5000.0, tenant_index=1) for n in range(1, 41)]
+    events += [RequestReceived(n, 0, 5000.0, tenant_index=0) for n in range(41, 51)]
     refused = {action.id for action in told(node.play(*events), RejectRequest)}
     assert refused and refused <= set(range(1, 41)), "only of the one that is over its share"
 
@@ -190,7 +190,7 @@
 
 def test_two_dispatchers_that_see_the_same_free_slot_take_it_once_they_have_told():
     site = replace(DEPLOYMENTS["admissions"], tenants=())
-    nodes = [Node(replace(site, me=me), workers=1, seed=me) for me in (0, 1)]
+    nodes = [Node(replace(site, dispatcher_index=me), workers=1, seed=me) for me in (0, 1)]
     for node in nodes:
         node.dispatcher._reports.slots[0] = 2.0
     sent = [node.arrive(cls=0, slots=2.0)[1] for node in nodes]
@@ -198,7 +198,7 @@
     for node, actions in zip(nodes, reversed(sent), strict=True):
         node.play(
             *[
-                PeerReportReceived(1 - node.dispatcher._context.settings.me, tell.data)
+                PeerReportReceived(1 - node.dispatcher._context.settings.dispatcher_index, tell.data)
                 for tell in told(actions, SendPeerReport)
             ]
         )
@@ -206,7 +206,7 @@
 
 
 def test_an_older_report_than_the_slots_seen_does_not_shrink_a_worker():
-    node = Node(replace(DEPLOYMENTS["admissions"], tenants=(), balancers=1), workers=1)
+    node = Node(replace(DEPLOYMENTS["admissions"], tenants=(), dispatcher_count=1), workers=1)
     node.dispatcher._reports.slots[0] = 4.0
     id_, _ = node.arrive(cls=0)
     node.play(AttemptEnded(id_, 0, 1, Outcome.OK, 1.0, True, load=(9.0, 9.0, 0.0)))
--- a/tests/test_durable_requests_members.py
+++ b/tests/test_durable_requests_members.py
@@ -160,7 +160,7 @@
     a = Request("j", 0, 5000.0, "/r/x", "h", b"\x00body", "k", 7, False, 2, 3.0, 4.0)
     kept = record_of(a, "r", now=1000.0, accepted=50.0)
     again = request_of(kept, 0, now=91_000.0, monotonic=1050.0)
-    assert again == replace(a, due=91_000.0 + 3000.0, repeat=True)
+    assert again == replace(a, deadline=91_000.0 + 3000.0, is_client_retry=True)
 
 
 def test_a_leg_that_never_ran_is_taken_off_and_the_rest_are_numbered_anew_by_the_heir():
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -21,7 +21,7 @@
     pack_counts,
 )
 
-ONE = replace(BASE, balancers=1, report_fields=("inflight", "qps", "x0"))
+ONE = replace(BASE, dispatcher_count=1, load_report_fields=("inflight", "qps", "x0"))
 
 
 def sends(actions):
@@ -118,7 +118,7 @@
 
 
 def test_a_large_job_does_not_starve_it_waits_at_a_worker_once_it_would_be_late():
-    node = node_with_slots(replace(ONE, classes=(replace(SAFE, late_worth=0.0),)), slots=2.0, workers=1)
+    node = node_with_slots(replace(ONE, classes=(replace(SAFE, late_weight=0.0),)), slots=2.0, workers=1)
     first, _ = node.arrive(cls=0)
     node.play(AttemptProgressed(first, 0, 1, STARTED, 0.0))
     large, actions = node.arrive(cls=0, slots=2.0)
@@ -136,7 +136,7 @@
 
 
 def test_without_reports_one_may_wait_there_or_more_slots_would_never_be_found():
-    node = node_with_slots(replace(ONE, report_fields=()), slots=1.0, workers=1)
+    node = node_with_slots(replace(ONE, load_report_fields=()), slots=1.0, workers=1)
     for expected in (True, True, False):  # the third finds the second waiting, and so the slots are known
         assert bool(sends(node.arrive(cls=0)[1])) is expected
         if expected:
@@ -144,10 +144,10 @@
 
 
 def test_peers_are_told_slots_and_heed_them():
-    site = replace(BASE, balancers=2, may_tell=True)
+    site = replace(BASE, dispatcher_count=2, gossip_allowed=True)
     told = [a for a in Node(site, workers=2).arrive(cls=0, slots=3.0)[1] if isinstance(a, SendPeerReport)]
     assert told[0].data[-1] == 3
-    other = Node(replace(site, me=1), workers=1)
+    other = Node(replace(site, dispatcher_index=1), workers=1)
     other.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1),)))
     other.dispatcher._reports.slots[0] = 4.0
     other.play(PeerReportReceived(0, pack_counts([(1, 3)])))
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -30,23 +30,28 @@
 
 
 def with_times(aim, **changes):
-    classes = [replace(cls, aim=aim, stretch=0.0, **changes) for cls in (SAFE, KEYED, UNSAFE)]
+    classes = [
+        replace(cls, latency_objective_ms=aim, objective_stretch=0.0, **changes)
+        for cls in (SAFE, KEYED, UNSAFE)
+    ]
     return replace(BASE, classes=tuple(classes))
 
 
 VARIANTS = {
     "objective 20 ms": with_times(20.0),
     "objective 60 s": with_times(60_000.0),
-    "window below the time that a process may be held up": with_times(300.0, window=HELD_UP - 1.0),
-    "window 5 min": with_times(300.0, window=300_000.0),
-    "warm-up 0.5 s": replace(BASE, cold=500.0, cold_share=0.05),
-    "warm-up 600 s": replace(BASE, cold=600_000.0, cold_share=0.0),
-    "fall 50 ms": replace(BASE, fall=50.0),
-    "fall 60 s": replace(BASE, fall=60_000.0),
-    "200 dispatchers": replace(with_times(20.0), balancers=200, me=77),
-    "notes each 50 ms": replace(with_times(20.0), progress=50.0),
-    "notes each 10 s, no cancel": replace(with_times(60_000.0), progress=10_000.0, may_cancel=False),
-    "tick 20 ms": replace(BASE, tick=20.0, answer_slack=0.0),
+    "window below the time that a process may be held up": with_times(300.0, repeat_window_ms=HELD_UP - 1.0),
+    "window 5 min": with_times(300.0, repeat_window_ms=300_000.0),
+    "warm-up 0.5 s": replace(BASE, slow_start_window_ms=500.0, slow_start_share=0.05),
+    "warm-up 600 s": replace(BASE, slow_start_window_ms=600_000.0, slow_start_share=0.0),
+    "fall 50 ms": replace(BASE, recovery_ramp_ms=50.0),
+    "fall 60 s": replace(BASE, recovery_ramp_ms=60_000.0),
+    "200 dispatchers": replace(with_times(20.0), dispatcher_count=200, dispatcher_index=77),
+    "notes each 50 ms": replace(with_times(20.0), progress_interval=50.0),
+    "notes each 10 s, no cancel": replace(
+        with_times(60_000.0), progress_interval=10_000.0, cancellation_allowed=False
+    ),
+    "tick 20 ms": replace(BASE, clock_resolution_ms=20.0, answer_slack_ms=0.0),
 }
 
 
@@ -93,7 +98,13 @@
 def test_a_warming_worker_gets_nothing_beyond_the_attempts_that_are_remembered(monkeypatch):
     monkeypatch.setattr(endpoint, "RECENT_ATTEMPTS", 8)
     monkeypatch.setattr(slow_start, "RECENT_ATTEMPTS", 8)
-    settings = replace(BASE, cold=600_000.0, cold_share=0.5, fall=1500.0, tells_start=False)
+    settings = replace(
+        BASE,
+        slow_start_window_ms=600_000.0,
+        slow_start_share=0.5,
+        recovery_ramp_ms=1500.0,
+        workers_report_start=False,
+    )
     node = Node(settings, workers=1)
     for _ in range(200):
         id_, actions = node.arrive()
@@ -111,7 +122,9 @@
 
 
 def test_a_warming_worker_without_a_window_is_no_fault():
-    node = Node(replace(BASE, cold=1000.0, fall=0.0, balancers=200), workers=1)
+    node = Node(
+        replace(BASE, slow_start_window_ms=1000.0, recovery_ramp_ms=0.0, dispatcher_count=200), workers=1
+    )
     node.now = 10.0
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, cell=1, zone=1, ready_at=5.0),)))
     assert sends(node.arrive()[1])
@@ -121,7 +134,7 @@
 
 
 def test_an_objective_of_zero_is_no_fault():
-    node = Node(with_times(0.0, deadline=200.0))
+    node = Node(with_times(0.0, deadline_ms=200.0))
     id_, actions = node.arrive(due=200.0)
     worker = sends(actions)[0].worker
     node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=1.0)
@@ -132,7 +145,7 @@
 @pytest.mark.parametrize("window", [1.0, HELD_UP - 1.0, HELD_UP + 20.0, 300_000.0])
 def test_a_keyed_request_begins_no_attempt_near_the_end_of_its_window(window):
     for wait in (10.0, HELD_UP, 1000.0, 200_000.0):
-        node = Node(with_times(20.0, window=window, deadline=300_000.0), workers=4)
+        node = Node(with_times(20.0, repeat_window_ms=window, deadline_ms=300_000.0), workers=4)
         id_, actions = node.arrive(cls=1, due=300_000.0)
         first = sends(actions)[0]
         node.now = wait
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -38,8 +38,8 @@
 # guard of the exchange would answer before the policy's turn: a busy machine may take that long.
 PATIENT_SITE = replace(
     SITE,
-    classes=tuple(replace(cls, aim=float(DEADLINE_MS)) for cls in SITE.classes),
-    answer_slack=1000.0,
+    classes=tuple(replace(cls, latency_objective_ms=float(DEADLINE_MS)) for cls in SITE.classes),
+    answer_slack_ms=1000.0,
 )
 DIAL_TIMEOUT_MS = 1000.0
 CONNECTION_IDLE_MS = 10_000.0
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -95,7 +95,7 @@
 
 
 def test_an_id_stays_taken_while_a_leg_of_an_answered_job_is_out():
-    dispatcher = InMemoryDispatcher(site=replace(SITE, may_cancel=False), workers=1)
+    dispatcher = InMemoryDispatcher(site=replace(SITE, cancellation_allowed=False), workers=1)
     client = dispatcher.client(path="/unsafe/a", wait=100)
     dispatcher.dials[0].up().take()
     [job] = dispatcher.exchange._pending.values()
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -188,17 +188,17 @@
     from eiderfield.interface import Tenant
 
     tenants = (Tenant("a", 2.0, 1.0),)
-    node = Node(replace(BASE, classes=(SAFE, UNSAFE), tenants=tenants, over_share_worth=0.01), 0)
+    node = Node(replace(BASE, classes=(SAFE, UNSAFE), tenants=tenants, over_quota_weight=0.01), 0)
     worths = []
     for _ in range(4):
         id_, _ = node.arrive(cls=1)
         worths.append(node.dispatcher._requests[id_].class_queue.worth)
-    full, reduced = UNSAFE.worth, 0.01 * UNSAFE.worth
+    full, reduced = UNSAFE.priority_weight, 0.01 * UNSAFE.priority_weight
     assert worths == [full, full, reduced, reduced]  # a share of 2 a second, saved up for a second
 
 
 def test_the_grb_is_bounded_by_count_too():
-    node = Node(replace(BASE, classes=(replace(SAFE, aim=4000.0),)), workers=0)
+    node = Node(replace(BASE, classes=(replace(SAFE, latency_objective_ms=4000.0),)), workers=0)
     node.dispatcher._queues.pacers[0].learn(1.0, 0.0)  # jobs of 1 ms: no wait would fill it
     answers = [node.arrive()[1] for _ in range(GRB_PER_WORKER * 4 + 1)]
     refused = [any(isinstance(a, RejectRequest) for a in actions) for actions in answers]
@@ -278,7 +278,7 @@
 
 
 def late_site():
-    return replace(BASE, classes=(replace(SAFE, late_worth=0.0, stretch=0.0), UNSAFE))
+    return replace(BASE, classes=(replace(SAFE, late_weight=0.0, objective_stretch=0.0), UNSAFE))
 
 
 def test_a_job_that_can_be_in_time_no_more_lets_the_others_go_first():
@@ -316,20 +316,20 @@
 
 def test_a_cold_worker_is_a_home_again_after_the_first_part_of_its_warm_up_and_within_its_budget():
     """Passed by until it is warm, a worker that operators gave back stood idle for many seconds."""
-    node = Node(replace(BASE, may_copy=False), workers=1)
+    node = Node(replace(BASE, hedging_allowed=False), workers=1)
     for _ in range(40):  # what a worker serves is learnt from what it served
         node.now += 100.0
         [send] = sends(node.arrive(key=7)[1])
         node.end(send.id, 0, send.worker, Outcome.OK, final=True, elapsed=90.0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 2, (Endpoint(1, ready_at=node.now), Endpoint(2))))
     started, got = node.now, []
-    while not got and node.now < started + BASE.cold:
+    while not got and node.now < started + BASE.slow_start_window_ms:
         node.now += 50.0
         for send in sends(node.arrive(key=7)[1]):
             got += [node.now - started] if send.worker == 1 else []
             node.end(send.id, 0, send.worker, Outcome.OK, final=True, elapsed=40.0)
     assert got
-    assert COLD_REST * BASE.cold <= got[0] < (COLD_REST + 0.1) * BASE.cold
+    assert COLD_REST * BASE.slow_start_window_ms <= got[0] < (COLD_REST + 0.1) * BASE.slow_start_window_ms
     node.dispatcher._fleet.workers[1].recent.append((node.now, inf))
     assert [send.worker for send in sends(node.arrive(key=7)[1])] == [2], "its budget is spent"
 
@@ -337,7 +337,7 @@
 def test_cold_homes_whose_budgets_let_nothing_through_hold_up_no_key():
     node = Node(workers=4)
     node.now = 100_000.0
-    started = node.now - 0.5 * BASE.cold
+    started = node.now - 0.5 * BASE.slow_start_window_ms
     node.play(
         EndpointsUpdated(
             EndpointListKind.DELTA, 2, tuple(Endpoint(w, ready_at=started) for w in range(5, 30))
@@ -348,7 +348,7 @@
 
 def test_what_stands_beside_counts_in_the_pick_and_in_a_cold_workers_budget():
     """In an upgrade two processes are one node: both would fill the same worker, and push a cold one over."""
-    node = Node(replace(BASE, may_copy=False), workers=2)
+    node = Node(replace(BASE, hedging_allowed=False), workers=2)
     node.play(SiblingReportReceived(1, 2, 0.0))
     for _ in range(2):
         [send] = sends(node.arrive()[1])
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -71,7 +71,7 @@
             assert got[0].worker % 2 == first % 2
             assert got[0].worker != first
         else:  # its only group member is under suspicion: held; its window is over: failed
-            assert (FailRequest in kinds(actions)) is (later > keyed.window)
+            assert (FailRequest in kinds(actions)) is (later > keyed.repeat_window_ms)
 
 
 def test_nothing_goes_to_a_worker_that_drains(node):
@@ -116,6 +116,6 @@
 
 
 def test_a_start_in_the_future_at_a_site_without_cold_workers():
-    node = Node(replace(BASE, cold=0.0), workers=0)
+    node = Node(replace(BASE, slow_start_window_ms=0.0), workers=0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 2, (Endpoint(1, ready_at=500.0),)), at=2.0)
     assert sends(node.arrive()[1])
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -18,12 +18,21 @@
 from eiderfield.interface import StartAttempt
 from eiderfield.wire import encode
 
-PROBING = replace(BASE, tells_start=False, may_probe=True, report_fields=("x0",), balancers=40)
+PROBING = replace(
+    BASE, workers_report_start=False, probing_allowed=True, load_report_fields=("x0",), dispatcher_count=40
+)
 SITES = {
     **VARIANTS,
     "reports and probes": PROBING,
-    "peers": replace(BASE, may_tell=True, balancers=6, progress=40.0),
-    "many": replace(BASE, balancers=40, me=3, may_copy=False, progress=40.0, cross_zone_price=0.1),
+    "peers": replace(BASE, gossip_allowed=True, dispatcher_count=6, progress_interval=40.0),
+    "many": replace(
+        BASE,
+        dispatcher_count=40,
+        dispatcher_index=3,
+        hedging_allowed=False,
+        progress_interval=40.0,
+        cross_zone_cost=0.1,
+    ),
 }
 WORLDS = {
     "plain": "723a652a94ca8dc5",
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -99,7 +99,7 @@
 
 
 def test_a_report_without_the_free_slots_changes_nothing():
-    node = Node(replace(BASE, report_fields=FIELDS), workers=1)
+    node = Node(replace(BASE, load_report_fields=FIELDS), workers=1)
     id_, _ = node.arrive()
     ended(node, id_, 1, (3.0, 1.0, NAN))
     assert node.dispatcher._fleet.workers[1].reported == -math.inf
@@ -107,14 +107,14 @@
 
 
 def test_free_slots_are_not_believed_against_full():
-    node = Node(replace(BASE, report_fields=FIELDS), workers=1)
+    node = Node(replace(BASE, load_report_fields=FIELDS), workers=1)
     id_, _ = node.arrive()
     ended(node, id_, 1, (0.0, 0.0, 5.0), Outcome.FULL)
     assert not sends(node.arrive()[1]), "it said 'full' a moment ago"
 
 
 def test_a_restarted_worker_owes_nothing_to_its_old_reports_or_faults():
-    node = Node(replace(BASE, report_fields=FIELDS, cold=0.0), workers=1)
+    node = Node(replace(BASE, load_report_fields=FIELDS, slow_start_window_ms=0.0), workers=1)
     worker = node.dispatcher._fleet.workers[1]
     node.now = 100.0
     id_, _ = node.arrive()
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -28,7 +28,9 @@
 def test_new_numbers_count_for_what_comes_and_what_is_held_is_answered():
     dispatcher = InMemoryDispatcher(workers=1)
     first, end = dispatcher.client(), dispatcher.dials[0].up()
-    dispatcher.exchange.check_settings(site := replace(changed(SITE, worth=50.0, aim=9000.0), max_attempts=1))
+    dispatcher.exchange.check_settings(
+        site := replace(changed(SITE, priority_weight=50.0, latency_objective_ms=9000.0), max_attempts=1)
+    )
     dispatcher.exchange.apply_settings(site)
     end.finish()
     assert first.answers()[0][0] == 200
@@ -41,7 +43,7 @@
 def test_a_class_that_becomes_worth_more_is_sent_first():
     dispatcher = InMemoryDispatcher(workers=1)
     worths = zip(SITE.classes, (1.0, 1.0, 10.0), strict=True)
-    site = replace(SITE, classes=tuple(replace(cls, worth=worth) for cls, worth in worths))
+    site = replace(SITE, classes=tuple(replace(cls, priority_weight=worth) for cls, worth in worths))
     dispatcher.exchange.apply_settings(site)
     lanes = dispatcher.exchange._dispatcher._queues.by_worth
     assert [lane.cls.name for lane in lanes[:2]] == [SITE.classes[2].name] * 2
@@ -57,8 +59,11 @@
         (changed(SITE, name="other"), "settings.classes"),
         (replace(SITE, classes=SITE.classes[1:]), "settings.classes"),
         (replace(SITE, tenants=(Tenant("t", 1.0, 1.0),)), "settings.projects"),
-        (replace(SITE, report_fields=("x0",)), "settings.load_info.columns"),
-        (replace(SITE, tells_start=not SITE.tells_start), "settings.family_info.tells_start"),
+        (replace(SITE, load_report_fields=("x0",)), "settings.load_info.columns"),
+        (
+            replace(SITE, workers_report_start=not SITE.workers_report_start),
+            "settings.family_info.tells_start",
+        ),
     ],
 )
 def test_what_only_a_new_process_can_take_is_named_by_its_key(site, key):
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -32,12 +32,14 @@
 from eiderfield.policy.outlier_detection import STUCK_RUNS_OF_MANY
 
 FLEET = tuple(Endpoint(w, zone=w % 2, kind=w // 2 % 2) for w in range(1, 41))
-TALKING = replace(BASE, balancers=3, may_tell=True)
-SILENT = replace(BASE, tells_start=False, may_probe=True, report_fields=("x0",), balancers=8)
+TALKING = replace(BASE, dispatcher_count=3, gossip_allowed=True)
+SILENT = replace(
+    BASE, workers_report_start=False, probing_allowed=True, load_report_fields=("x0",), dispatcher_count=8
+)
 
 
 def part(me, balancers, fleet=FLEET, **more):
-    node = Node(replace(BASE, me=me, balancers=balancers, **more), workers=0)
+    node = Node(replace(BASE, dispatcher_index=me, dispatcher_count=balancers, **more), workers=0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 2, fleet))
     return node
 
@@ -100,7 +102,7 @@
 
 def test_nodes_stop_talking_when_the_fleet_shrinks_below_their_parts():
     """The list of peers outlived the part that it was made for."""
-    node = part(0, 40, may_tell=True)
+    node = part(0, 40, gossip_allowed=True)
     assert len(node.dispatcher._gossip.peers) == 9
     node.play(EndpointsUpdated(EndpointListKind.FULL, 3, FLEET[:4]))
     assert len(node.dispatcher._fleet.subset.workers) == 4
@@ -108,7 +110,7 @@
 
 
 def test_nothing_is_told_where_nodes_may_not_talk():
-    node = Node(replace(TALKING, may_tell=False), workers=1)
+    node = Node(replace(TALKING, gossip_allowed=False), workers=1)
     assert not [a for a in node.arrive()[1] if isinstance(a, SendPeerReport)]
 
 
@@ -170,7 +172,9 @@
     assert len(sends(node.play(TimerFired(0), at=22.0))) == 1
 
 
-@pytest.mark.parametrize("more", [{"tells_start": True}, {"may_probe": False}, {"balancers": 3}])
+@pytest.mark.parametrize(
+    "more", [{"workers_report_start": True}, {"probing_allowed": False}, {"dispatcher_count": 3}]
+)
 def test_no_probes_where_starts_are_told_probes_not_allowed_or_nodes_are_few(more):
     node, _ = silent(**more)
     _, actions = node.arrive()
@@ -199,8 +203,8 @@
     """Nodes that serve `rate` jobs a second all together on ten workers, of which one starts cold at 60 s.
 
     Returns the most that was sent to it in a window, and all that was, as shares of what rule 4 allows."""
-    settings = replace(BASE, classes=(SAFE,), balancers=nodes)
-    many = [Node(replace(settings, me=me), workers=10, seed=me) for me in range(nodes)]
+    settings = replace(BASE, classes=(SAFE,), dispatcher_count=nodes)
+    many = [Node(replace(settings, dispatcher_index=me), workers=10, seed=me) for me in range(nodes)]
     each = rate * work / 1000.0 / nodes  # what one node has served in a ms
     for node in many:
         node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = each, 60_000.0
@@ -218,10 +222,12 @@
         for send in sends(node.arrive(key=7)[1]):
             node.play(AttemptProgressed(send.id, 0, send.worker, 1, 0.0))
             sent += [age] * (send.worker == 1)
-        capacity = warm * (BASE.cold_share + (1.0 - BASE.cold_share) * age / BASE.cold)
-        most = BASE.fall_multiple * capacity * BASE.fall
-        worst = max(worst, work * sum(at > age - BASE.fall for at in sent) / most)
-        allowed += BASE.fall_multiple * capacity * 1000.0 / rate
+        capacity = warm * (
+            BASE.slow_start_share + (1.0 - BASE.slow_start_share) * age / BASE.slow_start_window_ms
+        )
+        most = BASE.recovery_ramp_multiple * capacity * BASE.recovery_ramp_ms
+        worst = max(worst, work * sum(at > age - BASE.recovery_ramp_ms for at in sent) / most)
+        allowed += BASE.recovery_ramp_multiple * capacity * 1000.0 / rate
     return worst, work * len(sent) / allowed
 
 
@@ -245,13 +251,13 @@
     drawn = module._fleet.workers[3].lot
     module._key_counts.by_key[7] = module._key_counts.total = 100  # a hot key: all workers are its homes
     assert [send.worker for send in sends(node.arrive(key=7)[1])] == [3], drawn
-    few = Node(replace(CROWD, balancers=MANY), workers=8)
+    few = Node(replace(CROWD, dispatcher_count=MANY), workers=8)
     few.dispatcher._slow_start.served_rate, few.dispatcher._slow_start.served_at = 100.0, 60_000.0
     few.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=56_000.0),)), at=60_000.0)
     assert {send.worker for _ in range(7) for send in sends(few.arrive(key=7)[1])} > {3}
 
 
-CROWD = replace(BASE, balancers=40, may_copy=False, zones=4)
+CROWD = replace(BASE, dispatcher_count=40, hedging_allowed=False, zone_count=4)
 
 
 def waiting(settings=CROWD, cls=0, workers=8, **more):
@@ -269,7 +275,7 @@
     """Forty nodes see a fortieth of a worker's queue each: up to 18 jobs waited at one worker, a second long,
     while slots were free at others."""
     node, id_, worker = waiting()
-    patience = STUCK_RUNS_OF_MANY * SAFE.aim
+    patience = STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms
     assert not cancels(node.play(TimerFired(0), at=patience - 2.0))
     assert cancels(node.play(TimerFired(0), at=patience + 2.0)) == [CancelAttempt(id_, 0)]
     again = sends(node.end(id_, 0, worker, Outcome.CANCELLED))
@@ -281,8 +287,8 @@
 
 
 def test_few_nodes_know_the_queue_that_they_made_and_leave_a_job_in_its_place():
-    node, _, _ = waiting(replace(CROWD, balancers=MANY))
-    assert not cancels(node.play(TimerFired(0), at=2.0 * SAFE.aim))
+    node, _, _ = waiting(replace(CROWD, dispatcher_count=MANY))
+    assert not cancels(node.play(TimerFired(0), at=2.0 * SAFE.latency_objective_ms))
 
 
 def test_where_all_queues_are_long_a_job_keeps_its_place():
@@ -299,7 +305,7 @@
         for send in sends(actions):
             node.play(AttemptProgressed(other, 0, send.worker, 1, 0.0), at=node.now + 10.0)
             node.end(other, 0, send.worker, Outcome.OK, final=True)
-    assert node.dispatcher._outliers.mean_wait < STUCK_RUNS_OF_MANY * SAFE.aim
+    assert node.dispatcher._outliers.mean_wait < STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms
 
 
 def test_a_wait_at_one_worker_does_not_keep_one_of_many_nodes_away_for_twenty_waits():
@@ -314,7 +320,7 @@
     """Called off where they wait, jobs need fewer homes to choose from, and find their data more often."""
     homes = []
     for balancers in (MANY, 40):
-        node = Node(replace(CROWD, balancers=balancers), workers=40)
+        node = Node(replace(CROWD, dispatcher_count=balancers), workers=40)
         node.dispatcher._key_counts.by_key.update({1: 800, 2: 200})
         node.dispatcher._key_counts.total = 1000
         id_, _ = node.arrive(key=2)
@@ -344,7 +350,7 @@
 def test_what_is_called_off_unstarted_is_no_repeat_of_what_may_have_run():
     node, id_, worker = waiting()
     node.dispatcher._retry_budget.tokens = 0.0
-    node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.aim + 2.0)
+    node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms + 2.0)
     assert sends(node.end(id_, 0, worker, Outcome.CANCELLED)), "it costs no work, and so no budget"
     node, id_, worker = waiting()
     node.dispatcher._retry_budget.tokens = 0.0
@@ -354,7 +360,7 @@
 
 def test_a_keyed_repeat_whose_homes_lie_outside_its_group_goes_to_another_of_the_group():
     """Jobs called off waited for homes in other zones until their clients gave up."""
-    zonal = replace(CROWD.classes[2], scope=Scope.ZONE, window=20_000.0)
+    zonal = replace(CROWD.classes[2], scope=Scope.ZONE, repeat_window_ms=20_000.0)
     node = Node(replace(CROWD, classes=(SAFE, zonal)), workers=30)
     node.dispatcher._key_counts.by_key[1] = node.dispatcher._key_counts.total = (
         1000  # beside which the others are rare
@@ -368,7 +374,7 @@
             for w in node.dispatcher._selector.homes(node.dispatcher._requests[id_], node.now)
         ):
             break
-    node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.aim + 2.0)
+    node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms + 2.0)
     [again] = [s for s in sends(node.end(id_, 0, first.worker, Outcome.CANCELLED)) if s.id == id_]
     assert again.worker % 3 == zone
     assert again.worker != first.worker
@@ -384,7 +390,7 @@
     assert sends(node.arrive()[1])
 
 
-FULL = replace(CROWD, balancers=200, classes=(replace(SAFE, late_worth=0.0),))
+FULL = replace(CROWD, dispatcher_count=200, classes=(replace(SAFE, late_weight=0.0),))
 
 
 def test_the_few_jobs_that_one_of_many_nodes_sees_do_not_make_rare_keys_hot():
@@ -405,7 +411,7 @@
     """A hot key keeps the homes that its share fills, summed over nodes that saw twenty jobs each."""
     guesses = []
     for me in range(200):
-        node = Node(replace(FULL, me=me), workers=2, seed=me)
+        node = Node(replace(FULL, dispatcher_index=me), workers=2, seed=me)
         for turn in range(20):
             key = 1 if mix(me, turn) % 10 < 2 else 1000 + turn  # a fifth of all
             node.dispatcher._key_counts.by_key[key] += 1
@@ -420,7 +426,7 @@
     """split+mass: 278 of 900 declined jobs had spent five attempts in under a second, four of them called off
     after 0.06 s each, so that one refused connection was the end."""
     node, id_, _ = waiting(FULL)
-    soon = STUCK_RUNS_OF_MANY * SAFE.aim
+    soon = STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms
     for number in range(3):
         node.dispatcher._key_counts.by_key[7] = node.dispatcher._key_counts.total = (
             100  # all workers are its homes
@@ -435,7 +441,7 @@
 def crowded(settings=FULL, **more):
     """A node that has learnt of long queues everywhere, and one job that waits unstarted."""
     node, id_, _ = waiting(settings, **more)
-    node.dispatcher._outliers.mean_wait = 2.0 * SAFE.aim
+    node.dispatcher._outliers.mean_wait = 2.0 * SAFE.latency_objective_ms
     return node, id_
 
 
@@ -453,7 +459,7 @@
 
 
 def test_a_late_job_stays_where_queues_are_short_where_nodes_are_few_and_where_late_answers_have_worth():
-    for settings, queued in ((FULL, 0.0), (replace(FULL, balancers=MANY), 600.0), (CROWD, 600.0)):
+    for settings, queued in ((FULL, 0.0), (replace(FULL, dispatcher_count=MANY), 600.0), (CROWD, 600.0)):
         node, id_, worker = waiting(settings)
         module = node.dispatcher
         module._outliers.mean_wait = queued
@@ -481,7 +487,7 @@
     """Without it, an overloaded day of four nodes fell from 0.84 to 0.77 in the simulator."""
     homes = []
     for balancers in (MANY, MANY + 1):
-        node = Node(replace(FULL, balancers=balancers), workers=12)
+        node = Node(replace(FULL, dispatcher_count=balancers), workers=12)
         id_, _ = node.arrive(key=7)
         job = node.dispatcher._requests[id_]
         job.attempts.clear()
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -100,7 +100,7 @@
     monkeypatch.setattr(wheel, "at", lambda when, call: waits.append(when) or call())
     loop.run_until_complete(program.discovery.first_list())
     loop.close()
-    assert config.site.drain_grace == LONG
+    assert config.site.drain_grace_ms == LONG
     assert waits == [1e6 + FIRST_LIST_TIMEOUT]
 
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -25,7 +25,7 @@
 from eiderfield.policy.slow_start import SlowStart
 from eiderfield.policy.subsetting import KEYED_SUBSET, SHARERS, SUBSET
 
-SITE = replace(BASE, may_copy=False, zones=4)
+SITE = replace(BASE, hedging_allowed=False, zone_count=4)
 
 
 def fleet(size):
@@ -34,7 +34,7 @@
 
 def node_of(size, me=0, dispatchers=None, keyed=True, entries=None):
     """A dispatcher that knows a fleet and, if it is keyed, has seen a request with a key."""
-    node = Node(replace(SITE, balancers=dispatchers or size, me=me), workers=0)
+    node = Node(replace(SITE, dispatcher_count=dispatchers or size, dispatcher_index=me), workers=0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 1, tuple(entries or fleet(size))))
     if keyed:
         serve(node, key=1)
@@ -314,9 +314,9 @@
 @pytest.mark.parametrize("keyed", [0, 5])
 def test_a_repeat_bound_to_workers_outside_the_subset_still_finds_one(keyed):
     """A cell may have no other worker in this dispatcher's subset."""
-    cellular = replace(KEYED, scope=Scope.CELL, window=20_000.0)
+    cellular = replace(KEYED, scope=Scope.CELL, repeat_window_ms=20_000.0)
     entries = [Endpoint(1 + n, zone=n % 4, cell=n // 2) for n in range(3200)]
-    node = Node(replace(SITE, classes=(SAFE, cellular), balancers=3200, me=3), workers=0)
+    node = Node(replace(SITE, classes=(SAFE, cellular), dispatcher_count=3200, dispatcher_index=3), workers=0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 1, tuple(entries)))
     for key in (5, 6, 7, 8):
         id_, actions = node.arrive(cls=1, key=key if keyed else 0)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -129,9 +129,13 @@
     settings = wire.parse_settings(GOOD)
     assert settings.classes[1].effect is Effect.KEYED
     assert settings.classes[1].scope is Scope.CELL
-    assert [c.stretch for c in settings.classes] == [2.0, 2.5]
+    assert [c.objective_stretch for c in settings.classes] == [2.0, 2.5]
     assert [c.kind for c in settings.classes] == [-1, 1]
-    assert (settings.balancers, settings.me, settings.may_cancel) == (3, 2, False)
+    assert (settings.dispatcher_count, settings.dispatcher_index, settings.cancellation_allowed) == (
+        3,
+        2,
+        False,
+    )
 
 
 @pytest.mark.parametrize(("old", "new", "key"), [
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -213,7 +213,7 @@
 
 @pytest.mark.parametrize("fault", ["refused", "reset", "500", "handed back"])
 def test_a_hedged_request_that_fails_at_once_leaves_the_first_attempt_its_answer(fault):
-    dispatcher = InMemoryDispatcher(replace(SITE, may_copy=True, progress=100.0), workers=2)
+    dispatcher = InMemoryDispatcher(replace(SITE, hedging_allowed=True, progress_interval=100.0), workers=2)
     client, first = may_hedge(dispatcher)
     if fault == "refused":
         dispatcher.dials[0].refuse()
@@ -236,7 +236,9 @@
 
 
 def test_a_hedged_request_and_the_first_attempt_that_fail_in_one_turn_end_in_one_answer():
-    dispatcher = InMemoryDispatcher(replace(SITE, may_copy=True, progress=100.0, max_attempts=2), workers=2)
+    dispatcher = InMemoryDispatcher(
+        replace(SITE, hedging_allowed=True, progress_interval=100.0, max_attempts=2), workers=2
+    )
     client, first = may_hedge(dispatcher)
     second = dispatcher.dials[0].up()
     second.take()
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -82,7 +82,7 @@
 
 
 def test_a_subscription_is_opened_where_needed_and_again_after_a_failure():
-    node = Dispatcher(replace(BASE, subscribe=True), 1)
+    node = Dispatcher(replace(BASE, subscribes_to_endpoints=True), 1)
     assert [a for a in node.handle(0.0, []) if isinstance(a, WatchEndpoints)] == [WatchEndpoints(True)]
     assert not [a for a in node.handle(1.0, []) if isinstance(a, WatchEndpoints)]
     node.handle(2.0, [EndpointsUpdated(EndpointListKind.FAILED, 0, ())])
@@ -137,7 +137,7 @@
         Dispatcher(Settings(classes=()), 1)
 
 
-NOTED = replace(BASE, may_copy=False, progress=1000.0)
+NOTED = replace(BASE, hedging_allowed=False, progress_interval=1000.0)
 
 
 def started(node, cls=0):
