--- a/eiderfield/cli/jobs.py
+++ b/eiderfield/cli/jobs.py
@@ -170,13 +170,25 @@
 
     rows = [known.row(unix_offset()) for known in _inspect(folder).jobs()]
     rows = [{**row, "legs": json.dumps(row["legs"])} for row in rows]
-    schema = pyarrow.schema([
-        ("id", pyarrow.string()), ("class", pyarrow.string()), ("state", pyarrow.string()),
-        ("owner", pyarrow.string()), ("taken_over", pyarrow.int32()), ("front", pyarrow.string()),
-        ("accepted_ms", pyarrow.float64()), ("due_ms", pyarrow.float64()), ("finished_ms", pyarrow.float64()),
-        ("may_have_run", pyarrow.bool_()), ("legs", pyarrow.string()), ("why", pyarrow.string()),
-        ("key", pyarrow.string()), ("target", pyarrow.string()), ("bytes", pyarrow.int64()),
-    ])  # fmt: skip
+    schema = pyarrow.schema(
+        [
+            ("id", pyarrow.string()),
+            ("class", pyarrow.string()),
+            ("state", pyarrow.string()),
+            ("owner", pyarrow.string()),
+            ("taken_over", pyarrow.int32()),
+            ("front", pyarrow.string()),
+            ("accepted_ms", pyarrow.float64()),
+            ("due_ms", pyarrow.float64()),
+            ("finished_ms", pyarrow.float64()),
+            ("may_have_run", pyarrow.bool_()),
+            ("legs", pyarrow.string()),
+            ("why", pyarrow.string()),
+            ("key", pyarrow.string()),
+            ("target", pyarrow.string()),
+            ("bytes", pyarrow.int64()),
+        ]
+    )
     parquet.write_table(pyarrow.Table.from_pylist(rows, schema), file)
     click.echo(f"{len(rows)} jobs")
 
--- a/eiderfield/cli/rollout.py
+++ b/eiderfield/cli/rollout.py
@@ -63,8 +63,12 @@
 
 @rollout.command()
 @click.argument("file", type=FILE)
-@click.option("--folder", required=True, type=click.Path(file_okay=False, path_type=Path),
-              help="where its journal, logs and the files of both sides lie; a new one")  # fmt: skip
+@click.option(
+    "--folder",
+    required=True,
+    type=click.Path(file_okay=False, path_type=Path),
+    help="where its journal, logs and the files of both sides lie; a new one",
+)
 def start(file: Path, folder: Path) -> None:
     """Begins the change that FILE plans, and leads it to its end.
 
@@ -199,10 +203,21 @@
 
 @rollout.command()
 @click.option("--rollouts", type=click.IntRange(1, 100_000), default=1000, show_default=True, help="how many")
-@click.option("--unlike", type=click.FloatRange(0.0, 0.2), default=0.01, show_default=True,
-              help="how much dispatchers differ by themselves, as a share")  # fmt: skip
-@click.option("--worse", type=click.FloatRange(0.0, 0.9), multiple=True, default=(0.0, 0.05),
-              show_default=True, help="by how much the change is worse")  # fmt: skip
+@click.option(
+    "--unlike",
+    type=click.FloatRange(0.0, 0.2),
+    default=0.01,
+    show_default=True,
+    help="how much dispatchers differ by themselves, as a share",
+)
+@click.option(
+    "--worse",
+    type=click.FloatRange(0.0, 0.9),
+    multiple=True,
+    default=(0.0, 0.05),
+    show_default=True,
+    help="by how much the change is worse",
+)
 def weigh(rollouts: int, unlike: float, worse: tuple[float, ...]) -> None:
     """Simulates rollouts and shows how often three tests undo, hold and let go on."""
     from rich.console import Console
--- a/eiderfield/durable.py
+++ b/eiderfield/durable.py
@@ -17,10 +17,18 @@
 from pathlib import Path
 
 # Errors that pass: the same call may succeed once the disk, or the machine, is well again.
-TRANSIENT = frozenset({
-    errno.EIO, errno.ENOSPC, errno.EDQUOT, errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EAGAIN,
-    errno.ESTALE,
-})  # fmt: skip
+TRANSIENT = frozenset(
+    {
+        errno.EIO,
+        errno.ENOSPC,
+        errno.EDQUOT,
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOMEM,
+        errno.EAGAIN,
+        errno.ESTALE,
+    }
+)
 
 DRAFT = "~"  # names that begin so are drafts; whoever lists a folder passes over them
 PRIVATE = 0o600  # mode of files that only their owner reads
--- a/eiderfield/durable_requests/coordinator.py
+++ b/eiderfield/durable_requests/coordinator.py
@@ -170,16 +170,25 @@
         """What the console says."""
         counters, member = self.member.counters, self.member
         return {
-            "life": member.incarnation, "members": member.member_count, "held": len(self._owned),
+            "life": member.incarnation,
+            "members": member.member_count,
+            "held": len(self._owned),
             "askers_elsewhere": sum(map(len, self._elsewhere.values())),
-            "awaiting": member.pending_takeovers, "unwritten": self.thread.waiting,
-            "accepted": counters.accepted, "joined": counters.joined, "refused": counters.refused,
-            "claims_refused": counters.claims_refused, "taken_over": counters.taken_over,
-            "expired": counters.expired, "fenced": counters.fenced, "fences": counters.fences,
-            "lost_answers": counters.lost_answers, "commits": counters.commits,
+            "awaiting": member.pending_takeovers,
+            "unwritten": self.thread.waiting,
+            "accepted": counters.accepted,
+            "joined": counters.joined,
+            "refused": counters.refused,
+            "claims_refused": counters.claims_refused,
+            "taken_over": counters.taken_over,
+            "expired": counters.expired,
+            "fenced": counters.fenced,
+            "fences": counters.fences,
+            "lost_answers": counters.lost_answers,
+            "commits": counters.commits,
             "commits_failed": counters.commits_failed,
             "slowest_commit_ms": round(counters.slowest_commit, 3),
-        }  # fmt: skip
+        }
 
     # Fronts.
 
--- a/eiderfield/durable_requests/incarnations.py
+++ b/eiderfield/durable_requests/incarnations.py
@@ -46,9 +46,12 @@
         try:
             told = json.loads(text)
             return cls(
-                str(told["name"]), int(told["pid"]), str(told["started"]), str(told["boot"]),
+                str(told["name"]),
+                int(told["pid"]),
+                str(told["started"]),
+                str(told["boot"]),
                 float(told["offset"]),
-            )  # fmt: skip
+            )
         except (LookupError, TypeError) as error:
             raise ValueError(f"not an incarnation: {error}") from None
 
--- a/eiderfield/durable_requests/inspection.py
+++ b/eiderfield/durable_requests/inspection.py
@@ -44,14 +44,22 @@
         record = self.record
         attempted = not record.verdict and bool(record.attempts)
         return {
-            "id": record.id, "class": record.cls, "state": self.state, "owner": self.owner,
-            "taken_over": record.takeovers, "front": record.front, "accepted_ms": record.accepted + offset,
+            "id": record.id,
+            "class": record.cls,
+            "state": self.state,
+            "owner": self.owner,
+            "taken_over": record.takeovers,
+            "front": record.front,
+            "accepted_ms": record.accepted + offset,
             "due_ms": record.due + offset,
             "finished_ms": record.finished + offset if record.finished else None,
             "may_have_run": record.may_have_run or attempted,
-            "legs": [attempt.encode() for attempt in record.attempts], "why": record.reason,
-            "key": record.key, "target": record.head.target, "bytes": record.size,
-        }  # fmt: skip
+            "legs": [attempt.encode() for attempt in record.attempts],
+            "why": record.reason,
+            "key": record.key,
+            "target": record.head.target,
+            "bytes": record.size,
+        }
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,10 +75,15 @@
     def row(self) -> dict[str, object]:
         """Plain values, for tables and JSON."""
         return {
-            "life": self.name, "state": self.state, "why": self.fence.reason,
-            "heirs": list(self.fence.successors), "open": self.counts.open, "answered": self.counts.final,
-            "bytes": self.counts.size, "pid": self.pid,
-        }  # fmt: skip
+            "life": self.name,
+            "state": self.state,
+            "why": self.fence.reason,
+            "heirs": list(self.fence.successors),
+            "open": self.counts.open,
+            "answered": self.counts.final,
+            "bytes": self.counts.size,
+            "pid": self.pid,
+        }
 
 
 class Inspection:
--- a/eiderfield/durable_requests/messages.py
+++ b/eiderfield/durable_requests/messages.py
@@ -124,6 +124,14 @@
 
 
 Outcome = (
-    Accepted | AlreadyAccepted | AlreadyFinal | Conflict | Claimed | EndRequested | Found | Written | NotOwned
+    Accepted
+    | AlreadyAccepted
+    | AlreadyFinal
+    | Conflict
+    | Claimed
+    | EndRequested
+    | Found
+    | Written
+    | NotOwned
     | NotWritten
-)  # fmt: skip
+)
--- a/eiderfield/durable_requests/store.py
+++ b/eiderfield/durable_requests/store.py
@@ -27,10 +27,15 @@
 STALE_AT_ONCE = 500  # final records that are forgotten at once, at most
 
 # What SQLite says where the system refused something that it may grant in a while.
-_TRANSIENT = frozenset({
-    sqlite3.SQLITE_FULL, sqlite3.SQLITE_IOERR, sqlite3.SQLITE_CANTOPEN, sqlite3.SQLITE_BUSY,
-    sqlite3.SQLITE_NOMEM,
-})  # fmt: skip
+_TRANSIENT = frozenset(
+    {
+        sqlite3.SQLITE_FULL,
+        sqlite3.SQLITE_IOERR,
+        sqlite3.SQLITE_CANTOPEN,
+        sqlite3.SQLITE_BUSY,
+        sqlite3.SQLITE_NOMEM,
+    }
+)
 _PRIMARY = 0xFF  # of an extended error code, the part that names the error
 
 # What brings a file from each version to the next; the first is a new file.
@@ -51,9 +56,25 @@
     """,
 )
 COLUMNS = (
-    "id", "cls", "stage", "due", "accepted", "finished", "head", "body", "legs", "verdict", "result",
-    "retry_after", "may_have_run", "legs_in_all", "why", "taken", "front", "number",
-)  # fmt: skip
+    "id",
+    "cls",
+    "stage",
+    "due",
+    "accepted",
+    "finished",
+    "head",
+    "body",
+    "legs",
+    "verdict",
+    "result",
+    "retry_after",
+    "may_have_run",
+    "legs_in_all",
+    "why",
+    "taken",
+    "front",
+    "number",
+)
 _ALL = ", ".join(COLUMNS)
 _ALL_OF_FIRST_SCHEMA = _ALL.replace("front, number", "'platform', 1")
 _MARKS = ",".join("?" * len(COLUMNS))
@@ -84,9 +105,12 @@
         mode = "rwc" if write else "rw"  # a reader recovers the journal of a file whose writer was killed
         with self._failures_named():
             self._database = sqlite3.connect(
-                f"file:{path}?mode={mode}", uri=True, isolation_level=None, check_same_thread=False,
+                f"file:{path}?mode={mode}",
+                uri=True,
+                isolation_level=None,
+                check_same_thread=False,
                 timeout=READ_WAIT / 1000.0,
-            )  # fmt: skip
+            )
         try:
             with self._failures_named():
                 self._open(write, flush, most_bytes)
@@ -269,11 +293,25 @@
     """A record as a row, in the order of `COLUMNS`."""
     attempts = json.dumps([attempt.encode() for attempt in record.attempts])
     return (
-        record.id, record.cls, int(record.stage), record.due, record.accepted, record.finished,
-        record.head.encode(), record.body, attempts, record.verdict, record.result, record.retry_after,
-        int(record.may_have_run), record.attempt_count, record.reason, record.takeovers, record.front,
+        record.id,
+        record.cls,
+        int(record.stage),
+        record.due,
+        record.accepted,
+        record.finished,
+        record.head.encode(),
+        record.body,
+        attempts,
+        record.verdict,
+        record.result,
+        record.retry_after,
+        int(record.may_have_run),
+        record.attempt_count,
+        record.reason,
+        record.takeovers,
+        record.front,
         record.generation,
-    )  # fmt: skip
+    )
 
 
 def decode(row: Sequence[object]) -> Record:
--- a/eiderfield/net/faults.py
+++ b/eiderfield/net/faults.py
@@ -40,18 +40,40 @@
 
 # Descriptors of this process or of the host, memory, buffers, watches of poll sets, descriptors on their way
 # through Unix sockets.
-RESOURCES = frozenset({
-    errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC, errno.ETOOMANYREFS,
-})  # fmt: skip
+RESOURCES = frozenset(
+    {
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.ENOSPC,
+        errno.ETOOMANYREFS,
+    }
+)
 _ROUTES = frozenset({errno.ENETUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM})
 _RESOLVER = frozenset({socket.EAI_AGAIN, socket.EAI_MEMORY, socket.EAI_SYSTEM})
 # What accept(2) passes on from the connection that it would have given: it is off the queue, and the next
 # call gives the next one. EPERM is a packet filter's word on that connection.
-_PENDING = frozenset({
-    errno.ECONNABORTED, errno.EINTR, errno.EPERM, errno.EPROTO, errno.ENETDOWN, errno.ENOPROTOOPT,
-    errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT,
-    errno.ECONNRESET, errno.ENOSR, errno.ESOCKTNOSUPPORT, errno.EPROTONOSUPPORT,
-})  # fmt: skip
+_PENDING = frozenset(
+    {
+        errno.ECONNABORTED,
+        errno.EINTR,
+        errno.EPERM,
+        errno.EPROTO,
+        errno.ENETDOWN,
+        errno.ENOPROTOOPT,
+        errno.EHOSTDOWN,
+        errno.ENONET,
+        errno.EHOSTUNREACH,
+        errno.EOPNOTSUPP,
+        errno.ENETUNREACH,
+        errno.ETIMEDOUT,
+        errno.ECONNRESET,
+        errno.ENOSR,
+        errno.ESOCKTNOSUPPORT,
+        errno.EPROTONOSUPPORT,
+    }
+)
 
 
 def is_shortage(error: OSError) -> bool:
--- a/eiderfield/net/http/head.py
+++ b/eiderfield/net/http/head.py
@@ -22,9 +22,16 @@
 _DIGITS = re.compile(r"[0-9]{1,15}\Z")
 _STATUS = re.compile(r"[1-5][0-9][0-9]\Z")
 _VERSIONS = ("HTTP/1.1", "HTTP/1.0")
-_SINGLE = frozenset({
-    "content-length", "transfer-encoding", "host", "x-request-id", "x-deadline-ms", "idempotency-key",
-})  # fmt: skip
+_SINGLE = frozenset(
+    {
+        "content-length",
+        "transfer-encoding",
+        "host",
+        "x-request-id",
+        "x-deadline-ms",
+        "idempotency-key",
+    }
+)
 _NO_CONTENT = 204
 _NOT_MODIFIED = 304
 
--- a/eiderfield/rollout/canary_analysis.py
+++ b/eiderfield/rollout/canary_analysis.py
@@ -225,15 +225,19 @@
     """One stage of a change."""
 
     def __init__(
-        self, watching: Watching, classes: Sequence[str], stages: int = 1,
+        self,
+        watching: Watching,
+        classes: Sequence[str],
+        stages: int = 1,
         offsets: Mapping[Test, tuple[float, float]] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._watching = watching
         sizes = {SHARE: watching.worse, WAITS: log(1.0 + watching.slower)}
         self._tests = {
             (name, measure): _Test(measure, size, *_believed(size, (offsets or {}).get((name, measure))))
-            for name in classes for measure, size in sizes.items()
-        }  # fmt: skip
+            for name in classes
+            for measure, size in sizes.items()
+        }
         chance = watching.false_stop / max(1, len(self._tests) * stages)
         self._worse_at = log((1.0 - watching.missed) / chance)
         self._cleared_at = log(watching.missed / (1.0 - chance))
--- a/eiderfield/rollout/controller.py
+++ b/eiderfield/rollout/controller.py
@@ -95,10 +95,11 @@
         self._log = structlog.wrap_logger(
             _LogFile(folder / "rollout.log"),
             processors=[
-                structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
+                structlog.processors.add_log_level,
+                structlog.processors.TimeStamper(fmt="iso"),
                 structlog.processors.JSONRenderer(),
             ],
-        )  # fmt: skip
+        )
         self._last = self._clock()
         self._log.info("leads", plan=self.plan.name, phase=self.course.state.phase)
 
@@ -130,10 +131,13 @@
         seen = self._windows.look(told, course.changed_members(found), course.ending)
         actions = course.look(now, span, found, seen)
         self._log.info(
-            "look", phase=course.state.phase, stage=course.state.stage, why=course.state.why,
+            "look",
+            phase=course.state.phase,
+            stage=course.state.stage,
+            why=course.state.why,
             evidence={name: round(value, 2) for name, value in course.evidence.items()},
             seen=[_brief(one) for one in seen],
-        )  # fmt: skip
+        )
         self._point("looked")
         processes = self._processes.known_processes
         if actions or (course.state.phase, course.state.stage, course.state.why) != before:
@@ -204,6 +208,12 @@
 
 def _brief(one: Any) -> dict[str, Any]:
     return {
-        "name": one.name, "new": one.new, "alive": one.alive, "ready": one.ready, "asked": dict(one.asked),
-        "in_time": dict(one.in_time), "descriptors": one.descriptors, "memory": round(one.memory, 1),
-    }  # fmt: skip
+        "name": one.name,
+        "new": one.new,
+        "alive": one.alive,
+        "ready": one.ready,
+        "asked": dict(one.asked),
+        "in_time": dict(one.in_time),
+        "descriptors": one.descriptors,
+        "memory": round(one.memory, 1),
+    }
--- a/eiderfield/rollout/journal.py
+++ b/eiderfield/rollout/journal.py
@@ -74,9 +74,13 @@
         if any(last.get(key) != entry[key] for key in ("phase", "stage", "why")):
             said = [*said, entry][-KEPT:]
         told = {
-            "form": FORM, "plan": self.plan, "id": self.id, "state": state.encode(), "said": said,
+            "form": FORM,
+            "plan": self.plan,
+            "id": self.id,
+            "state": state.encode(),
+            "said": said,
             "processes": self.processes,
-        }  # fmt: skip
+        }
         body = json.dumps(told, sort_keys=True)
         try:
             replace_file(self.path, json.dumps({"sum": f"{crc32(body.encode()):08x}", "body": body}), SHARED)
@@ -141,9 +145,14 @@
         if told["form"] != FORM:
             raise ValueError(f"it has form {told['form']!r}, this program reads {FORM}")
         found = Journal(
-            folder, str(told["plan"]), str(told["id"]), decode_state(told["state"]), list(told["said"]),
-            list(told["processes"]), body,
-        )  # fmt: skip
+            folder,
+            str(told["plan"]),
+            str(told["id"]),
+            decode_state(told["state"]),
+            list(told["said"]),
+            list(told["processes"]),
+            body,
+        )
     except (OSError, ValueError, LookupError, TypeError, AttributeError) as error:
         raise JournalError(f"{path}: {error}") from None
     if plan is not None and found.plan != plan.digest:
@@ -189,8 +198,9 @@
     def __enter__(self) -> Locks:
         return self
 
-    def __exit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                 trace: TracebackType | None) -> None:  # fmt: skip
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         self.close()
 
 
--- a/eiderfield/rollout/measurement.py
+++ b/eiderfield/rollout/measurement.py
@@ -73,8 +73,10 @@
                     self._before[name, one.found.pid] = one
         in_time = all(one.in_time is not None for one in self._before.values())
         self._waits = all(one.waits is not None for one in self._before.values())
-        return [self._observe(name, processes, name in new, before, in_time, ending)
-                for name, processes in told.items()]  # fmt: skip
+        return [
+            self._observe(name, processes, name in new, before, in_time, ending)
+            for name, processes in told.items()
+        ]
 
     def _observe(
         self,
@@ -101,9 +103,20 @@
         broken = self._restart_or_forgotten_ban(name, one, new, last is None) or work.broken
         since_start = one.age - self._back.get(key, 0.0)
         return Observation(
-            name, new, True, bool(one.found.ready), since_start, work.asked, work.good, one.descriptors,
-            one.memory, broken, work.waits, work.attempts, work.processor,
-        )  # fmt: skip
+            name,
+            new,
+            True,
+            bool(one.found.ready),
+            since_start,
+            work.asked,
+            work.good,
+            one.descriptors,
+            one.memory,
+            broken,
+            work.waits,
+            work.attempts,
+            work.processor,
+        )
 
     def _work_between(self, last: ProcessReport, one: ProcessReport, in_time: bool) -> _Work:
         """What a process did between two reports."""
--- a/eiderfield/rollout/plan.py
+++ b/eiderfield/rollout/plan.py
@@ -184,9 +184,14 @@
     for name, value in environment.items():
         _fills(value, f"{told.key('environment')}.{name}")
     found = Member(
-        told.text("name"), told.address("console"), told.text("zone", "-"), tuple(start), dict(environment),
-        told.address("spare") if told.has("spare") else None, told.text("config", ""),
-    )  # fmt: skip
+        told.text("name"),
+        told.address("console"),
+        told.text("zone", "-"),
+        tuple(start),
+        dict(environment),
+        told.address("spare") if told.has("spare") else None,
+        told.text("config", ""),
+    )
     told.nothing_else()
     return found
 
--- a/eiderfield/rollout/power_analysis.py
+++ b/eiderfield/rollout/power_analysis.py
@@ -51,12 +51,14 @@
         new = np.arange(world.dispatchers) < world.new
         share = np.clip(world.good + own - hurt - world.worse * new * (window >= 0), 0.0, 1.0)
         in_time = rng.binomial(asked, share)
-        found.append([
-            Observation(
-                f"n{n}", bool(new[n]), asked={"jobs": int(asked[n])}, in_time={"jobs": int(in_time[n])}
-            )
-            for n in range(world.dispatchers)
-        ])  # fmt: skip
+        found.append(
+            [
+                Observation(
+                    f"n{n}", bool(new[n]), asked={"jobs": int(asked[n])}, in_time={"jobs": int(in_time[n])}
+                )
+                for n in range(world.dispatchers)
+            ]
+        )
     return found[: world.before], found[world.before :]
 
 
--- a/eiderfield/rollout/processes.py
+++ b/eiderfield/rollout/processes.py
@@ -50,9 +50,14 @@
     """The processes of a plan's dispatchers."""
 
     def __init__(
-        self, plan: Plan, id_: str, base: Path, folder: Path, texts: Mapping[str, Texts],
+        self,
+        plan: Plan,
+        id_: str,
+        base: Path,
+        folder: Path,
+        texts: Mapping[str, Texts],
         known_processes: Iterable[Mapping[str, Any]] = (),
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.plan, self._id, self._base, self._folder, self._texts = plan, id_, base, folder, texts
         self._known: dict[int, _Known] = {}
         self._children: list[subprocess.Popen[bytes]] = []
@@ -69,10 +74,15 @@
     def known_processes(self) -> list[dict[str, Any]]:
         """The processes that are known, for the journal."""
         return [
-            {"member": known.member, "side": known.version.value, "console": list(known.console), "pid": pid,
-             "created": known.process.create_time()}
+            {
+                "member": known.member,
+                "side": known.version.value,
+                "console": list(known.console),
+                "pid": pid,
+                "created": known.process.create_time(),
+            }
             for pid, known in sorted(self._known.items())
-        ]  # fmt: skip
+        ]
 
     # Seeing.
 
@@ -115,12 +125,18 @@
                 refused = str(config["refused"]["why"])
         figures = answer["figures"]
         return ProcessReport(
-            ProcessStatus(side, pid, known.console, answer["ready"], refused, lies), age,
-            {name: figures[name] for name in ("success", "busy", "failure")}, figures.get("in_time"),
+            ProcessStatus(side, pid, known.console, answer["ready"], refused, lies),
+            age,
+            {name: figures[name] for name in ("success", "busy", "failure")},
+            figures.get("in_time"),
             figures.get("waits"),
-            process.num_fds(), process.memory_info().rss / 2**20, frozenset(figures.get("hosts_banned", ())),
-            figures.get("broken", {}), figures.get("backend_calls"), sum(process.cpu_times()[:2]),
-        )  # fmt: skip
+            process.num_fds(),
+            process.memory_info().rss / 2**20,
+            frozenset(figures.get("hosts_banned", ())),
+            figures.get("broken", {}),
+            figures.get("backend_calls"),
+            sum(process.cpu_times()[:2]),
+        )
 
     def _query(self, asked: tuple[str, Address]) -> dict[str, Any] | None:
         _, console = asked
@@ -205,17 +221,23 @@
         program = (self._base / (plan.program if move.version is Version.NEW else plan.before)).resolve()
         host, port = move.console
         words = {
-            "program": str(program), "config": str((self._base / member.config).resolve()),
+            "program": str(program),
+            "config": str((self._base / member.config).resolve()),
             "console": f"{host}:{port}",
-        }  # fmt: skip
+        }
         environ = {name: value.format(**words) for name, value in member.environment.items()}
         environ |= {"LB_CONSOLE": words["console"], MARK: f"{self._id} {move.member} {move.version.value}"}
         with ExitStack() as opened:
             log = _open_log(self._folder / f"{move.member}.log", opened)
             child = subprocess.Popen(
-                [word.format(**words) for word in member.start], cwd=program, env={**os.environ, **environ},
-                stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True,
-            )  # fmt: skip
+                [word.format(**words) for word in member.start],
+                cwd=program,
+                env={**os.environ, **environ},
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                start_new_session=True,
+            )
         self._children.append(child)
         with suppress(psutil.Error):
             self._known[child.pid] = _Known(
--- a/eiderfield/rollout/settings.py
+++ b/eiderfield/rollout/settings.py
@@ -111,9 +111,11 @@
 
 
 def _named(value: object) -> bool:
-    return isinstance(value, list) and bool(value) and all(
-        isinstance(table, Mapping) and "name" in table for table in value
-    )  # fmt: skip
+    return (
+        isinstance(value, list)
+        and bool(value)
+        and all(isinstance(table, Mapping) and "name" in table for table in value)
+    )
 
 
 def _check(text: str, path: Path, at: str, environ: Mapping[str, str]) -> None:
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -95,11 +95,13 @@
     lost.apply([Accept(record("keyed", key="key-1", body=b"\x00\xff"))])
     lost.apply([Claim("claimed", leg(0)), Claim("claimed-twice", leg(0)), Claim("keyed", leg(0))])
     lost.apply([Claim("claimed-twice", leg(1, "w1"))])
-    lost.apply([
-        Finish("served", Answer(Verdict.SERVED, b"result", may_have_run=True, legs=1)),
-        Finish("declined", Answer(Verdict.DECLINED, retry_after=250.0)),
-        Finish("failed", Answer(Verdict.FAILED, may_have_run=True, legs=2), "its time was over"),
-    ])  # fmt: skip
+    lost.apply(
+        [
+            Finish("served", Answer(Verdict.SERVED, b"result", may_have_run=True, legs=1)),
+            Finish("declined", Answer(Verdict.DECLINED, retry_after=250.0)),
+            Finish("failed", Answer(Verdict.FAILED, may_have_run=True, legs=2), "its time was over"),
+        ]
+    )
     other.apply([Accept(record("declined"))])  # taken anew after it was declined
     other.apply([Wish("accepted")])
     host.live(2.5 * LEASE, heir, other)
@@ -171,15 +173,22 @@
         fields["body"], fields["result"] = known.record.body.hex(), known.record.result.hex()
         fields["legs"] = [each.told() for each in known.record.legs]
         jobs[known.record.id] = {
-            "record": fields, "owner": known.owner, "chain": known.chain,
+            "record": fields,
+            "owner": known.owner,
+            "chain": known.chain,
             "holder": survey.folder.holder(known.record.id),
-        }  # fmt: skip
+        }
     lives = survey.folder.lives()
     return {
-        "jobs": dict(sorted(jobs.items())), "lives": lives, "fences": survey.fences,
-        "beats": survey.folder.beats(lives), "wishes": survey.folder.wishes(), "faults": survey.faults,
-        "orphan": survey.folder.holder("never-written"), "verify": survey.verify(),
-    }  # fmt: skip
+        "jobs": dict(sorted(jobs.items())),
+        "lives": lives,
+        "fences": survey.fences,
+        "beats": survey.folder.beats(lives),
+        "wishes": survey.folder.wishes(),
+        "faults": survey.faults,
+        "orphan": survey.folder.holder("never-written"),
+        "verify": survey.verify(),
+    }
 
 
 def bans(place: Path) -> None:
@@ -217,8 +226,13 @@
         journal.write(1_700_000_009.5)
         journal.note(t=1_700_000_001.0, about_to=True, move="start", member="n0", side="new")
         journal.note(t=1_700_000_002.0, came="pid 4242", move="start", member="n0", side="new")
-        expected = {"plan": journal.plan, "id": journal.id, "state": journal.state.told(),
-                    "said": journal.said, "processes": journal.processes}  # fmt: skip
+        expected = {
+            "plan": journal.plan,
+            "id": journal.id,
+            "state": journal.state.told(),
+            "said": journal.said,
+            "processes": journal.processes,
+        }
         (folder / "expected.json").write_text(json.dumps(expected, indent=1) + "\n")
     ask(place / "paused", "undo")
     torn = place / "torn"
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -65,13 +65,16 @@
         assert (code, node, sent) == (6, 0, id_)
 
 
-@pytest.mark.parametrize(("data", "word"), [
-    (b"abc", "cut short"),
-    (struct.pack("<IId", 0, 3, 0.0), "length 3"),
-    (struct.pack("<IId", 1, 40, 0.0) + b"12", "cut short"),
-    (frame(0.0, b"\x2a\x00\x00"), "unknown event code 42"),
-    (frame(0.0, create(0), LIST), "table 0 was never sent"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("data", "word"),
+    [
+        (b"abc", "cut short"),
+        (struct.pack("<IId", 0, 3, 0.0), "length 3"),
+        (struct.pack("<IId", 1, 40, 0.0) + b"12", "cut short"),
+        (frame(0.0, b"\x2a\x00\x00"), "unknown event code 42"),
+        (frame(0.0, create(0), LIST), "table 0 was never sent"),
+    ],
+)
 def test_malformed_input_ends_with_one_plain_line(data, word):
     done, _ = run(data)
     text = done.stderr.decode()
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -256,8 +256,17 @@
     drop()
 
 
-FAULTS = [refuses, hangs, says_nothing, ends_early, is_reset, answers_503, answers_garbage,
-          sends_half_a_line, dribbles]  # fmt: skip
+FAULTS = [
+    refuses,
+    hangs,
+    says_nothing,
+    ends_early,
+    is_reset,
+    answers_503,
+    answers_garbage,
+    sends_half_a_line,
+    dribbles,
+]
 
 
 @pytest.mark.parametrize(("sharers", "number"), [(1, 0), (40, 39), (200, 199)])
@@ -265,7 +274,7 @@
 @pytest.mark.parametrize("span", [400.0, 5_000.0, 31_700.0])
 def test_a_source_that_fails_for_a_while_has_told_its_list_6_s_after_it_can_be_reached(
     fault, span, sharers, number
-):  # fmt: skip
+):
     """At 200 sharers the first wait was drawn from 1.5 to 6 s and doubled up to 80 s, so that a drain was
     heard of more than 6 s after discovery could tell it; and any byte counted as a sign of life, so that a
     source that dribbled one was never left."""
@@ -311,8 +320,10 @@
     for at in range(0, len(stream), step):
         found += lines.feed(stream[at : at + step])
     assert [json.loads(text) for text in found if text.strip()] == [
-        json.loads(first), json.loads(odd), json.loads(first)
-    ]  # fmt: skip
+        json.loads(first),
+        json.loads(odd),
+        json.loads(first),
+    ]
     assert b"" in found
 
 
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -62,9 +62,12 @@
 def dispatcher(path, worker, limit):
     port = free_port()
     config = {
-        **CONFIG, "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{free_port()}",
-        "known": endpoint_list(*[worker.port] * 4), "connections": {"park_after_ms": 10},
-    }  # fmt: skip
+        **CONFIG,
+        "listen": f"127.0.0.1:{port}",
+        "discovery": f"127.0.0.1:{free_port()}",
+        "known": endpoint_list(*[worker.port] * 4),
+        "connections": {"park_after_ms": 10},
+    }
     (path / "config.json").write_text(json.dumps(config))
     command = [sys.executable, "-c", START.format(limit=limit)]
     with running_program(path / "config.json", command, wait=False) as process:
@@ -155,9 +158,16 @@
         client.close()
 
 
-@pytest.mark.parametrize(("allowed", "clients", "workers"), [
-    (inf, 591, 393), (1024, 591, 393), (540, 301, 199), (RESERVED + 2, 1, 1), (8, 1, 1),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("allowed", "clients", "workers"),
+    [
+        (inf, 591, 393),
+        (1024, 591, 393),
+        (540, 301, 199),
+        (RESERVED + 2, 1, 1),
+        (8, 1, 1),
+    ],
+)
 def test_both_kinds_of_connections_shrink_where_the_system_allows_less(allowed, clients, workers):
     config = read(CONFIG, {})
     assert ConnectionLimits.of(config, allowed) == ConnectionLimits(clients, workers)
--- a/tests/test_durable_requests_fleet.py
+++ b/tests/test_durable_requests_fleet.py
@@ -17,9 +17,18 @@
 pytestmark = pytest.mark.real_time
 
 SCENARIO = Scenario(
-    dispatchers=3, workers=6, slots=4, cell=3, jobs=90, rate=40.0, notice=0.3, retries=60, one_id=True,
-    custody={"lease_ms": 900}, job_classes=JOB_CLASSES,
-)  # fmt: skip
+    dispatchers=3,
+    workers=6,
+    slots=4,
+    cell=3,
+    jobs=90,
+    rate=40.0,
+    notice=0.3,
+    retries=60,
+    one_id=True,
+    custody={"lease_ms": 900},
+    job_classes=JOB_CLASSES,
+)
 
 
 def played(tmp_path, *faults, programs=None, **more):
@@ -59,18 +68,21 @@
 
 LOST = {
     "two in one second": (
-        Fault("kill", "n1", on="begun:30", lasts=2.0), Fault("kill", "n2", on="begun:40", lasts=2.0),
+        Fault("kill", "n1", on="begun:30", lasts=2.0),
+        Fault("kill", "n2", on="begun:40", lasts=2.0),
     ),
     "all but one": tuple(Fault("kill", f"n{n}", on="begun:30", lasts=2.0) for n in (1, 2, 3)),
     "all, and started again": tuple(Fault("kill", f"n{n}", on="begun:30", lasts=0.2) for n in range(4)),
     "one killed while another stands still": (
-        Fault("stop", "n1", on="begun:20", lasts=3.0), Fault("kill", "n2", on="begun:30", lasts=2.0),
+        Fault("stop", "n1", on="begun:20", lasts=3.0),
+        Fault("kill", "n2", on="begun:30", lasts=2.0),
     ),
     "one killed amid resets of every leg": (
-        Fault("kill", "n1", on="begun:30", lasts=2.0), Fault("reset", "n*>w*", on="begun:31"),
+        Fault("kill", "n1", on="begun:30", lasts=2.0),
+        Fault("reset", "n*>w*", on="begun:31"),
     ),
     "one told to end": (Fault("term", "n1", on="begun:30", lasts=1.0),),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("name", LOST)
@@ -99,9 +111,15 @@
 
 def test_without_custody_the_same_kill_begins_jobs_twice_or_loses_them(tmp_path):
     """What the checkers see when nothing is kept: they are no checks that cannot fail."""
-    scenario = validated(replace(
-        SCENARIO, custody={}, jobs=160, dispatchers=4, faults=(Fault("kill", "n1", on="begun:30", lasts=2.0),)
-    ))  # fmt: skip
+    scenario = validated(
+        replace(
+            SCENARIO,
+            custody={},
+            jobs=160,
+            dispatchers=4,
+            faults=(Fault("kill", "n1", on="begun:30", lasts=2.0),),
+        )
+    )
     found = play_durable(scenario, tmp_path / "run", {})
     assert any(finding.rule == "once" for finding in found.findings)
 
@@ -124,9 +142,19 @@
     classes = tuple(
         replace(each, run=(5000.0, 6000.0), deadline=20_000.0, goal=15_000.0) for each in JOB_CLASSES
     )
-    scenario = validated(replace(SCENARIO, job_classes=classes, jobs=18, rate=30.0, window=15_000.0, faults=(
-        Fault("term", "n1", on="begun:16"), Fault("kill", "n1", on="begun:16", after=4.0, lasts=1.0),
-    )))  # fmt: skip
+    scenario = validated(
+        replace(
+            SCENARIO,
+            job_classes=classes,
+            jobs=18,
+            rate=30.0,
+            window=15_000.0,
+            faults=(
+                Fault("term", "n1", on="begun:16"),
+                Fault("kill", "n1", on="begun:16", after=4.0, lasts=1.0),
+            ),
+        )
+    )
     found = play_durable(scenario, tmp_path / "run", {})
     assert found.findings == [] and found.unanswered == 0, (found.findings[:3], found.counts)
     assert found.custody["taken_over"] > 0
--- a/tests/test_durable_requests_jobs.py
+++ b/tests/test_durable_requests_jobs.py
@@ -56,8 +56,12 @@
     host, _, _ = kept
     listed = rows(run("list", host.settings.folder, "--json"))
     assert {id_: row["state"] for id_, row in listed.items()} == {
-        "open": "accepted", "out": "claimed", "served": "served", "failed": "failed", "declined": "declined"
-    }  # fmt: skip
+        "open": "accepted",
+        "out": "claimed",
+        "served": "served",
+        "failed": "failed",
+        "declined": "declined",
+    }
     assert {row["owner"] for row in listed.values()} == {"b.1"}
     assert listed["out"]["taken_over"] == 1
     assert listed["out"]["may_have_run"]
@@ -149,9 +153,14 @@
 # Several real dispatchers with a batch front.
 
 SCENARIO = Scenario(
-    dispatchers=3, workers=6, slots=3, cell=3, jobs=1, custody={"lease_ms": 900},
+    dispatchers=3,
+    workers=6,
+    slots=3,
+    cell=3,
+    jobs=1,
+    custody={"lease_ms": 900},
     job_classes=tuple(replace(each, deadline=60_000.0, goal=30_000.0) for each in JOB_CLASSES),
-)  # fmt: skip
+)
 
 
 @pytest.fixture
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -12,9 +12,15 @@
 )
 
 WORKER = {
-    "name": "s-5be2a07c", "address": "10.1.0.18:8080", "zone": "a", "type": "m2", "group": 3,
-    "status": "SERVING", "weight": 1.5, "since_ms": 12,
-}  # fmt: skip
+    "name": "s-5be2a07c",
+    "address": "10.1.0.18:8080",
+    "zone": "a",
+    "type": "m2",
+    "group": 3,
+    "status": "SERVING",
+    "weight": 1.5,
+    "since_ms": 12,
+}
 
 
 def document(**changes):
@@ -43,24 +49,34 @@
     assert endpoint.address is None
 
 
-@pytest.mark.parametrize(("changes", "text"), [
-    ({"name": ""}, "no name"),
-    ({"status": "RESTING"}, "unknown status 'RESTING'"),
-    ({"status": ["SERVING"]}, "unknown status"),
-    ({"address": "nowhere"}, "endpoint s-5be2a07c: address"),
-    ({"weight": "heavy"}, "weight is not a number"),
-    ({"since_ms": True}, "since_ms is not a number"),
-    ({"since_ms": float("inf")}, "since_ms is not a number"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("changes", "text"),
+    [
+        ({"name": ""}, "no name"),
+        ({"status": "RESTING"}, "unknown status 'RESTING'"),
+        ({"status": ["SERVING"]}, "unknown status"),
+        ({"address": "nowhere"}, "endpoint s-5be2a07c: address"),
+        ({"weight": "heavy"}, "weight is not a number"),
+        ({"since_ms": True}, "since_ms is not a number"),
+        ({"since_ms": float("inf")}, "since_ms is not a number"),
+    ],
+)
 def test_a_faulty_field_is_named(changes, text):
     with pytest.raises(EndpointListError, match=text):
         parse_endpoint_list(document(**changes))
 
 
-@pytest.mark.parametrize("faulty", [
-    None, [], {"endpoints": []}, {"index": True, "endpoints": []}, {"index": 1, "endpoints": {}},
-    {"index": 1, "endpoints": [5]},
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "faulty",
+    [
+        None,
+        [],
+        {"endpoints": []},
+        {"index": True, "endpoints": []},
+        {"index": 1, "endpoints": {}},
+        {"index": 1, "endpoints": [5]},
+    ],
+)
 def test_what_is_no_list_is_rejected(faulty):
     with pytest.raises(EndpointListError):
         parse_endpoint_list(faulty)
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -44,15 +44,37 @@
 DIAL_TIMEOUT_MS = 1000.0
 CONNECTION_IDLE_MS = 10_000.0
 LOCAL_DIAL = [
-    errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH,
-    errno.ENETDOWN, errno.EPERM, errno.EACCES, errno.EINTR,
-]  # fmt: skip
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EADDRNOTAVAIL,
+    errno.ENETUNREACH,
+    errno.ENETDOWN,
+    errno.EPERM,
+    errno.EACCES,
+    errno.EINTR,
+]
 PEER_DIAL = [errno.ECONNREFUSED, errno.ECONNRESET, errno.ECONNABORTED, errno.EHOSTUNREACH, errno.ETIMEDOUT]
 ACCEPT = [
-    errno.ECONNABORTED, errno.EINTR, errno.EAGAIN, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM,
-    errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET,
-    errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT,
-]  # fmt: skip
+    errno.ECONNABORTED,
+    errno.EINTR,
+    errno.EAGAIN,
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EPROTO,
+    errno.EPERM,
+    errno.ENETDOWN,
+    errno.ENOPROTOOPT,
+    errno.EHOSTDOWN,
+    errno.ENONET,
+    errno.EHOSTUNREACH,
+    errno.EOPNOTSUPP,
+    errno.ENETUNREACH,
+    errno.ETIMEDOUT,
+]
 BROKEN = [errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.EPIPE]
 PASSING = [errno.EINTR, errno.EAGAIN, SHORT]
 
@@ -187,9 +209,7 @@
             self.exchange, wheel, self.clock, self.driver.dial, DIAL_TIMEOUT_MS, CONNECTION_IDLE_MS, 64
         )
         ids = IdMap()
-        self.table = RoutingTable(
-            self.exchange, self.side, ids, Bans(None, self.logged.append), self.clock
-        )  # fmt: skip
+        self.table = RoutingTable(self.exchange, self.side, ids, Bans(None, self.logged.append), self.clock)
         self.indexes: queue.Queue[int | None] = queue.Queue()  # of each list that was taken in
         self.table.on_list = lambda: self.indexes.put(self.table.index)
         self.following = ActiveWatch()
@@ -337,9 +357,15 @@
     assert stage.outcomes.count(Outcome.CONNECT_FAILED) == 1
 
 
-@pytest.mark.parametrize("stage", [
-    *cases(Call.RECEIVE, range(1, 12), BROKEN), *cases(Call.SEND, range(1, 11), BROKEN),
-], indirect=True, ids=str)  # fmt: skip
+@pytest.mark.parametrize(
+    "stage",
+    [
+        *cases(Call.RECEIVE, range(1, 12), BROKEN),
+        *cases(Call.SEND, range(1, 11), BROKEN),
+    ],
+    indirect=True,
+    ids=str,
+)
 def test_a_connection_that_breaks_takes_along_only_what_it_carried(stage):
     answers = stage.play(stage.conversation)
     judge_always(stage)
@@ -357,9 +383,15 @@
         assert all(answer[0] == 502 for answer in failed.values())
 
 
-@pytest.mark.parametrize("stage", [
-    Failure(Call.CONNECT, 1, errno.ENETUNREACH, FOR_EVER), Failure(Call.SOCKET, 1, errno.EMFILE, FOR_EVER),
-], indirect=True, ids=str)  # fmt: skip
+@pytest.mark.parametrize(
+    "stage",
+    [
+        Failure(Call.CONNECT, 1, errno.ENETUNREACH, FOR_EVER),
+        Failure(Call.SOCKET, 1, errno.EMFILE, FOR_EVER),
+    ],
+    indirect=True,
+    ids=str,
+)
 def test_while_no_worker_can_be_dialled_requests_end_in_time_and_nobody_is_blamed(stage):
     """It recovers with the first dial that can be made. One whose dial is still being tried at its deadline
     ends as failed: the policy does not know that nothing of it has left."""
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -31,29 +31,40 @@
     return OSError(number, os.strerror(number))
 
 
-@pytest.mark.parametrize(("error", "cause"), [
-    (failed(errno.EMFILE), Cause.LOCAL),
-    (failed(errno.EADDRNOTAVAIL), Cause.LOCAL),
-    (failed(errno.ENOSPC), Cause.LOCAL),
-    (failed(errno.ENETUNREACH), Cause.ROUTE),
-    (failed(errno.EPERM), Cause.ROUTE),
-    (failed(errno.EHOSTUNREACH), Cause.CONNECTION),
-    (failed(errno.ECONNREFUSED), Cause.CONNECTION),
-    (failed(errno.ETIMEDOUT), Cause.CONNECTION),
-    (OSError("Multiple exceptions: several addresses"), Cause.CONNECTION),
-    (ValueError("no address"), Cause.CONNECTION),
-    (socket.gaierror(socket.EAI_AGAIN, "try again"), Cause.LOCAL),
-    (socket.gaierror(socket.EAI_NONAME, "unknown"), Cause.CONNECTION),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("error", "cause"),
+    [
+        (failed(errno.EMFILE), Cause.LOCAL),
+        (failed(errno.EADDRNOTAVAIL), Cause.LOCAL),
+        (failed(errno.ENOSPC), Cause.LOCAL),
+        (failed(errno.ENETUNREACH), Cause.ROUTE),
+        (failed(errno.EPERM), Cause.ROUTE),
+        (failed(errno.EHOSTUNREACH), Cause.CONNECTION),
+        (failed(errno.ECONNREFUSED), Cause.CONNECTION),
+        (failed(errno.ETIMEDOUT), Cause.CONNECTION),
+        (OSError("Multiple exceptions: several addresses"), Cause.CONNECTION),
+        (ValueError("no address"), Cause.CONNECTION),
+        (socket.gaierror(socket.EAI_AGAIN, "try again"), Cause.LOCAL),
+        (socket.gaierror(socket.EAI_NONAME, "unknown"), Cause.CONNECTION),
+    ],
+)
 def test_a_dial_speaks_of_this_host_of_its_routes_or_of_the_other_end(error, cause):
     assert cause_of_dial(error) is cause
 
 
-@pytest.mark.parametrize(("number", "cause"), [
-    (errno.ECONNABORTED, Cause.CONNECTION), (errno.EPERM, Cause.CONNECTION), (errno.EPROTO, Cause.CONNECTION),
-    (errno.ENETUNREACH, Cause.CONNECTION), (errno.EMFILE, Cause.LOCAL), (errno.ENFILE, Cause.LOCAL),
-    (errno.EBADF, Cause.LOCAL), (errno.ENOMEM, Cause.LOCAL),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("number", "cause"),
+    [
+        (errno.ECONNABORTED, Cause.CONNECTION),
+        (errno.EPERM, Cause.CONNECTION),
+        (errno.EPROTO, Cause.CONNECTION),
+        (errno.ENETUNREACH, Cause.CONNECTION),
+        (errno.EMFILE, Cause.LOCAL),
+        (errno.ENFILE, Cause.LOCAL),
+        (errno.EBADF, Cause.LOCAL),
+        (errno.ENOMEM, Cause.LOCAL),
+    ],
+)
 def test_an_accept_speaks_of_a_connection_or_of_this_host(number, cause):
     assert cause_of_accept(failed(number)) is cause
 
@@ -129,9 +140,13 @@
     assert dispatcher.exchange.snapshot(dispatcher.now).avoided == {first.connection.worker}
 
 
-@pytest.mark.parametrize(("stuck", "outcome", "status"), [
-    (True, Outcome.MOOT, None), (False, Outcome.CANCELLED, 502),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("stuck", "outcome", "status"),
+    [
+        (True, Outcome.MOOT, None),
+        (False, Outcome.CANCELLED, 502),
+    ],
+)
 def test_a_connection_lost_for_lack_of_buffers_is_not_the_workers_fault(dispatcher, stuck, outcome, status):
     client = dispatcher.client(path="/unsafe/a")
     end = dispatcher.dials[0].up(stuck)
--- a/tests/test_fleet_scenarios.py
+++ b/tests/test_fleet_scenarios.py
@@ -73,8 +73,17 @@
 
 
 def began(t, id_="a", kind="lookup", worker="w0", group=0):
-    return {"t": t, "what": "began", "id": id_, "job": "j", "kind": kind, "worker": worker, "by": "n0",
-            "group": group, "key": ""}  # fmt: skip
+    return {
+        "t": t,
+        "what": "began",
+        "id": id_,
+        "job": "j",
+        "kind": kind,
+        "worker": worker,
+        "by": "n0",
+        "group": group,
+        "key": "",
+    }
 
 
 def asked(t=1.0, id_="a", kind="lookup"):
@@ -82,8 +91,16 @@
 
 
 def answered(t=2.0, status=200, result="w0:1:j", kind="lookup"):
-    return {"t": t, "what": "answered", "id": "a", "job": "j", "kind": kind, "at": "n0", "status": status,
-            "result": result}  # fmt: skip
+    return {
+        "t": t,
+        "what": "answered",
+        "id": "a",
+        "job": "j",
+        "kind": kind,
+        "at": "n0",
+        "status": status,
+        "result": result,
+    }
 
 
 ENDED = {"t": 1.9, "what": "ended", "id": "a", "job": "j", "worker": "w0", "by": "n0", "result": "w0:1:j"}
@@ -187,24 +204,29 @@
     "killed at its fifth leg": (Fault("kill", "n0", on="begun:n0:5"),),
     "stopped with legs out": (Fault("stop", "n1", on="begun:10", lasts=1.5),),
     "cut off from half of the workers": (
-        Fault("cut", "n0>w0", at=0.3, lasts=1.0), Fault("cut", "n0>w1", at=0.3, lasts=1.0),
+        Fault("cut", "n0>w0", at=0.3, lasts=1.0),
+        Fault("cut", "n0>w1", at=0.3, lasts=1.0),
     ),
     "a worker restarts while one dispatcher is told to end": (
-        Fault("restart", "w1", on="begun:8", lasts=0.3), Fault("term", "n1", on="begun:15", lasts=0.5),
+        Fault("restart", "w1", on="begun:8", lasts=0.3),
+        Fault("term", "n1", on="begun:15", lasts=0.5),
     ),
     "every leg's connection broken at once, and discovery silent": (
-        Fault("reset", "n*>w*", on="begun:20"), Fault("silent", "source", at=0.1, lasts=1.0),
+        Fault("reset", "n*>w*", on="begun:20"),
+        Fault("silent", "source", at=0.1, lasts=1.0),
     ),
     "no line of a log can be written while two workers are silent": (
-        Fault("disk", "n0", on="begun:5", lasts=3.0), Fault("silent", "w0", on="begun:8", lasts=2.0),
+        Fault("disk", "n0", on="begun:5", lasts=3.0),
+        Fault("silent", "w0", on="begun:8", lasts=2.0),
         Fault("silent", "w1", on="begun:8", lasts=2.0),
     ),
     "memory used up": (Fault("memory", "n0", on="begun:5", lasts=1.5),),
     "a drain, a restart and silence told by consul": (
-        Fault("drain", "w1", on="begun:10", lasts=1.0), Fault("restart", "w2", on="begun:20", lasts=0.3),
+        Fault("drain", "w1", on="begun:10", lasts=1.0),
+        Fault("restart", "w2", on="begun:20", lasts=0.3),
         Fault("silent", "source", at=0.8, lasts=0.5),
     ),
-}  # fmt: skip
+}
 
 
 @pytest.mark.real_time
--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -79,8 +79,12 @@
     control = control_of(address=Quota(begun=2), prefix=Quota(begun=3))
     tickets = [control.admit(f"192.0.2.{last}", 0.0) for last in (1, 1, 1, 2, 2)]
     assert [reason(control.begin_message(t)) for t in tickets] == [
-        None, None, Reason.ADDRESS_BEGUN, None, Reason.PREFIX_BEGUN,
-    ]  # fmt: skip
+        None,
+        None,
+        Reason.ADDRESS_BEGUN,
+        None,
+        Reason.PREFIX_BEGUN,
+    ]
     control.end_message(tickets[0])
     assert control.begin_message(tickets[2]) is None
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -296,16 +296,36 @@
     ASK: ClassVar = {"is": "ask", "form": 1}
     TAKEN: ClassVar = {"is": "taken", "doors": [LISTEN]}
     STATE: ClassVar = {
-        "is": "state", "doors": [LISTEN], "ids": ["held"], "legs": [["w1", 2]],
+        "is": "state",
+        "doors": [LISTEN],
+        "ids": ["held"],
+        "legs": [["w1", 2]],
         "table": {
-            "index": 7, "snapshot": True, "cold": [],
-            "endpoints": [{"name": "w1", "address": "127.0.0.1:9", "status": "SERVING", "zone": "here",
-                           "type": "std", "group": 0, "weight": 1.0, "since_ms": 0.0}],
+            "index": 7,
+            "snapshot": True,
+            "cold": [],
+            "endpoints": [
+                {
+                    "name": "w1",
+                    "address": "127.0.0.1:9",
+                    "status": "SERVING",
+                    "zone": "here",
+                    "type": "std",
+                    "group": 0,
+                    "weight": 1.0,
+                    "since_ms": 0.0,
+                }
+            ],
         },
         "bans": {"banned": {"w2": 5.0}},
-        "memory": {"pacers": [[120.0, None, 0.0, 0.0]], "spent": [5.0, 0.1, 1.0], "cold": [],
-                   "keys": [[9, 3]], "slots": [[0, 4.0]]},
-    }  # fmt: skip
+        "memory": {
+            "pacers": [[120.0, None, 0.0, 0.0]],
+            "spent": [5.0, 0.1, 1.0],
+            "cold": [],
+            "keys": [[9, 3]],
+            "slots": [[0, 4.0]],
+        },
+    }
     YOURS: ClassVar = {"is": "yours", "open": {LISTEN: 3}}
 
 
@@ -392,9 +412,14 @@
 
     def launch(self):
         console = free_port()
-        told = {**CONFIG, "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{self.discovery}",
-                "console": f"127.0.0.1:{console}", "settings": {"classes": [PATIENT]},
-                **self.more}  # fmt: skip
+        told = {
+            **CONFIG,
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": f"127.0.0.1:{self.discovery}",
+            "console": f"127.0.0.1:{console}",
+            "settings": {"classes": [PATIENT]},
+            **self.more,
+        }
         path = self.folder / f"config-{console}.json"
         path.write_text(json.dumps(told))
         environ = {**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(self.folder)}
@@ -468,8 +493,9 @@
     policy = {"may_tell": True, "retry_after": True}
     releases.more = {
         "settings": {"classes": [PATIENT], "balancers": 2, "me": 0, "policy_limits": policy},
-        "peer_listen": ours, "peers": [ours, theirs],
-    }  # fmt: skip
+        "peer_listen": ours,
+        "peers": [ours, theirs],
+    }
     host, port = ours.split(":")
     numbers = iter(range(1, 1000))
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -37,22 +37,45 @@
 
 BROKEN = {
     "rule 1": ("plain", lambda m: m.setattr(Dispatcher, "_expire", lambda self, now: None)),
-    "rule 2: unsafe": ("all unsafe", lambda m: (
-        m.setattr(selection, "may_resend", lambda *a: True),
-        m.setattr(Dispatcher, "_give_up", lambda self, attempt, now: self._queues.add_first(attempt.request)
-                  if attempt.request.queue is None and not attempt.request.answered else None))),
+    "rule 2: unsafe": (
+        "all unsafe",
+        lambda m: (
+            m.setattr(selection, "may_resend", lambda *a: True),
+            m.setattr(
+                Dispatcher,
+                "_give_up",
+                lambda self, attempt, now: (
+                    self._queues.add_first(attempt.request)
+                    if attempt.request.queue is None and not attempt.request.answered
+                    else None
+                ),
+            ),
+        ),
+    ),
     "rule 2: keyed": ("zones", lambda m: m.setattr(selection, "may_resend", lambda *a: True)),
     "rule 2: .* refused": ("all unsafe", lambda m: m.setattr(dispatcher, "may_reject", lambda job: True)),
-    "rule 3": ("plain", lambda m: m.setattr(
-        Dispatcher, "_endpoints_updated", ignore_drains(Dispatcher._endpoints_updated))),
-    "rule 4": ("plain", lambda m: m.setattr(
-        SlowStart, "budget_left", lambda self, worker, now: inf)),
-    "two attempts at once": ("no copies", lambda m: (
-        m.setattr(outlier_detection, "STUCK_RUNS", 0.1),
-        m.setattr(selection, "may_resend", lambda *a: True),
-        m.setattr(Dispatcher, "_give_up", lambda self, attempt, now: self._queues.add_first(attempt.request)
-                  if attempt.request.queue is None and not attempt.request.answered else None))),
-}  # fmt: skip
+    "rule 3": (
+        "plain",
+        lambda m: m.setattr(Dispatcher, "_endpoints_updated", ignore_drains(Dispatcher._endpoints_updated)),
+    ),
+    "rule 4": ("plain", lambda m: m.setattr(SlowStart, "budget_left", lambda self, worker, now: inf)),
+    "two attempts at once": (
+        "no copies",
+        lambda m: (
+            m.setattr(outlier_detection, "STUCK_RUNS", 0.1),
+            m.setattr(selection, "may_resend", lambda *a: True),
+            m.setattr(
+                Dispatcher,
+                "_give_up",
+                lambda self, attempt, now: (
+                    self._queues.add_first(attempt.request)
+                    if attempt.request.queue is None and not attempt.request.answered
+                    else None
+                ),
+            ),
+        ),
+    ),
+}
 
 
 @pytest.mark.parametrize("fault", BROKEN)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -101,14 +101,25 @@
     found.record_value(1500)
     one = {"p50": 1.5, "p99": 2.0, "p99.9": 2.5, "max": 3.0}
     latency = {"calm": one, "crowded": one, "ratio": dict.fromkeys(one, 1.0)}
-    row = {"connections": 9000, "bytes each": 28.4, "kernel bytes each, both ends": 9000.0,
-           "processor at rest": {"calm": 0.0, "crowded": 0.01}, "latency": latency}  # fmt: skip
+    row = {
+        "connections": 9000,
+        "bytes each": 28.4,
+        "kernel bytes each, both ends": 9000.0,
+        "processor at rest": {"calm": 0.0, "crowded": 0.01},
+        "latency": latency,
+    }
     told = {
-        "rate": 300.0, "control": latency, "steps": [row],
-        "wake": {"woken": 9, "statuses": {"woken": {}, "stream": {}}, "latency": one,
-                 "latency of the stream": one},
+        "rate": 300.0,
+        "control": latency,
+        "steps": [row],
+        "wake": {
+            "woken": 9,
+            "statuses": {"woken": {}, "stream": {}},
+            "latency": one,
+            "latency of the stream": one,
+        },
         "expire": {"expired": 9, "rounds": 1, "seconds": 1.0, "statuses": {}, **latency},
-    }  # fmt: skip
+    }
     show_idle(json.loads(json.dumps(told)))
     text = capsys.readouterr().out
     assert "9,000" in text
--- a/tests/test_rollout_analysis.py
+++ b/tests/test_rollout_analysis.py
@@ -29,9 +29,10 @@
 
 @settings(derandomize=True, database=None, deadline=None)
 @given(
-    st.lists(st.sampled_from(["a", "b", "c"]), min_size=2, max_size=30), st.integers(1, 5),
+    st.lists(st.sampled_from(["a", "b", "c"]), min_size=2, max_size=30),
+    st.integers(1, 5),
     st.lists(st.floats(0.01, 0.99), max_size=4, unique=True).map(sorted),
-)  # fmt: skip
+)
 def test_every_dispatcher_changes_once_and_no_stage_spans_zones(zones, canary, shares):
     text = 'name = "x"\n[change]\nprogram = "p"\nbefore = "o"\n'
     text += f"[stages]\ncanary = {canary}\nshares = {shares}\n"
@@ -256,8 +257,10 @@
     late = [("a", "z0"), ("b", "z0"), ("c", "z1")]
     text = EXAMPLE.split("[[dispatcher]]")[0].replace("shares = [0.25, 0.5]", "shares = [0.5]")
     for number, (name, zone) in enumerate(late):
-        text += (f'[[dispatcher]]\nname = "{name}"\nzone = "{zone}"\nconsole = "127.0.0.1:{number + 1}"\n'
-                 f'spare = "127.0.0.1:{number + 9}"\nconfig = "c"\nstart = ["s"]\n')  # fmt: skip
+        text += (
+            f'[[dispatcher]]\nname = "{name}"\nzone = "{zone}"\nconsole = "127.0.0.1:{number + 1}"\n'
+            f'spare = "127.0.0.1:{number + 9}"\nconfig = "c"\nstart = ["s"]\n'
+        )
     path = tmp_path / "zones.toml"
     path.write_text(text)
     assert read(text).uncompared == ("z1",)
--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -108,13 +108,15 @@
 
 LOST = {
     "the canary cut off from half of its workers": (
-        during("watching", ("cut", "n0>w0"), ("cut", "n0>w1"), ("cut", "n0>w2")), (),
+        during("watching", ("cut", "n0>w0"), ("cut", "n0>w1"), ("cut", "n0>w2")),
+        (),
     ),
     "the canary cut off from discovery": (during("watching", ("cut", "n0>source")), ()),
     "an undo while a third of the workers is lost": (
-        during("undoing", ("silent", "w0"), ("silent", "w1")), (OperatorRequest(4.0, "undo"),),
+        during("undoing", ("silent", "w0"), ("silent", "w1")),
+        (OperatorRequest(4.0, "undo"),),
     ),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("name", LOST)
@@ -174,8 +176,10 @@
     assert told.exit_code == 1
     assert "holds no change" in told.output
     plan = tmp_path / "plan.toml"
-    plan.write_text('name = "x"\n[change]\nprogram = "p"\nbefore = "o"\n[[dispatcher]]\nname = "n0"\n'
-                    'console = "127.0.0.1:1"\nspare = "127.0.0.1:2"\nstart = ["s"]\n')  # fmt: skip
+    plan.write_text(
+        'name = "x"\n[change]\nprogram = "p"\nbefore = "o"\n[[dispatcher]]\nname = "n0"\n'
+        'console = "127.0.0.1:1"\nspare = "127.0.0.1:2"\nstart = ["s"]\n'
+    )
     told = run.invoke(main, ["rollout", "start", str(plan), "--folder", str(tmp_path / "c")])
     assert told.exit_code == 2
     assert "change.program" in told.output
--- a/tests/test_rollout_settings.py
+++ b/tests/test_rollout_settings.py
@@ -28,9 +28,7 @@
 
 
 def fleet(tmp_path, over, count=8):
-    members = tuple(
-        Member(f"n{n}", ("h", 1 + n), "z", ("s",), config=f"n{n}.toml") for n in range(count)
-    )  # fmt: skip
+    members = tuple(Member(f"n{n}", ("h", 1 + n), "z", ("s",), config=f"n{n}.toml") for n in range(count))
     for member in members:
         (tmp_path / member.config).write_text(FILE)
     (tmp_path / "over.toml").write_text(over)
--- a/tests/test_rollout_state_machine.py
+++ b/tests/test_rollout_state_machine.py
@@ -20,9 +20,7 @@
 
 NAMES = ("n0", "n1", "n2", "n3")
 WATCHING = Watching(seconds=60.0, before=3.0, settle=0.0, ready=8.0, trials=2)
-MEMBERS = tuple(
-    Member(name, ("h", 1 + n), "z", ("s",), spare=("h", 101 + n)) for n, name in enumerate(NAMES)
-)  # fmt: skip
+MEMBERS = tuple(Member(name, ("h", 1 + n), "z", ("s",), spare=("h", 101 + n)) for n, name in enumerate(NAMES))
 PLAN = Plan("p", "new", "", MEMBERS, (("n0",), ("n1", "n2"), ("n3",)), 1, WATCHING, "old")
 
 
@@ -216,8 +214,13 @@
     assert world.run() == "undone"
 
 
-@settings(derandomize=True, database=None, deadline=None, max_examples=150,
-          suppress_health_check=[HealthCheck.too_slow])  # fmt: skip
+@settings(
+    derandomize=True,
+    database=None,
+    deadline=None,
+    max_examples=150,
+    suppress_health_check=[HealthCheck.too_slow],
+)
 @given(st.data())
 def test_whatever_fails_and_whoever_leads_a_change_ends_and_no_member_has_two_moves_at_once(data):
     """Random losses of controllers and processes, and words, at random turns; each run ends old or new."""
@@ -354,8 +357,10 @@
 def test_a_new_process_that_somebody_else_started_again_is_a_fault():
     meter = WindowMeter()
     looks = [(1, Version.OLD), (2, Version.NEW), (2, Version.NEW), (3, Version.NEW)]
-    seen = [meter.look({"n0": [told(pid=pid, version=side)]}, ["n0"] if side is Version.NEW else [])[0]
-            for pid, side in looks]  # fmt: skip
+    seen = [
+        meter.look({"n0": [told(pid=pid, version=side)]}, ["n0"] if side is Version.NEW else [])[0]
+        for pid, side in looks
+    ]
     assert [bool(one.broken) for one in seen] == [False, False, False, True]
     assert "started again" in seen[-1].broken
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -623,9 +623,16 @@
     tier = Tier()
     tier.port.close()
     port = PeerPort(
-        tier.loop, tier.addresses[0], tier.addresses, None, 0, lambda: 5.0, None, tier.logged.append,
+        tier.loop,
+        tier.addresses[0],
+        tier.addresses,
+        None,
+        0,
+        lambda: 5.0,
+        None,
+        tier.logged.append,
         lambda: UNIX,
-    )  # fmt: skip
+    )
     port.open()
     port.tell(1, b"x")
     life = int.from_bytes(tier.ends[1].recv(256)[1:5], "little")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -43,22 +43,33 @@
 QUERY = "02 0300 c4917a5d757c0000 00 0000 {key} 0000000020e6c040 0000000000002840 00000040 0000c03f {flags}"
 
 
-@pytest.mark.parametrize(("text", "event"), [
-    (QUERY.format(key="640ad2557c3bf091", flags="01"),
-     RequestReceived(JOB, 0, 8652.25, 0, 0x91F03B7C55D20A64, 12.0, 2.0, 1.5, 1)),
-    (QUERY.format(key="0000000000000000", flags="00"),
-     RequestReceived(JOB, 0, 8652.25, 0, 0, 0.0, 2.0, 1.5, 0)),
-    ("03 0300 c4917a5d757c0000 0000 074a1203 0000000000802240", StreamStarted(JOB, 0, WORKER, 9.25)),
-    ("0b 0300 c4917a5d757c0000 0000 074a1203 01 0000003f", AttemptProgressed(JOB, 0, WORKER, 1, 0.5)),
-    ("04 0300 c4917a5d757c0000 074a1203 c800 00 0000000000803240 0000 01 02 0000003f 0000a03f",
-     AttemptEnded(JOB, 0, WORKER, 200, 18.5, True, 0, (0.5, 1.25))),
-    ("04 0300 c4917a5d757c0000 074a1203 9801 00 0000000000803240 0100 00 00",
-     AttemptEnded(JOB, 1, WORKER, 408, 18.5, False, 0, ())),
-    ("05 0300 c4917a5d757c0000", ClientDisconnected(JOB)),
-    ("06 0300 4d00000000000000", TimerFired(77)),
-    ("07 0300 074a1203 c800 0000000000803240 00", ProbeCompleted(WORKER, 200, 18.5, ())),
-    ("08 0300 0200 0400 68692037", PeerReportReceived(2, b"hi 7")),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("text", "event"),
+    [
+        (
+            QUERY.format(key="640ad2557c3bf091", flags="01"),
+            RequestReceived(JOB, 0, 8652.25, 0, 0x91F03B7C55D20A64, 12.0, 2.0, 1.5, 1),
+        ),
+        (
+            QUERY.format(key="0000000000000000", flags="00"),
+            RequestReceived(JOB, 0, 8652.25, 0, 0, 0.0, 2.0, 1.5, 0),
+        ),
+        ("03 0300 c4917a5d757c0000 0000 074a1203 0000000000802240", StreamStarted(JOB, 0, WORKER, 9.25)),
+        ("0b 0300 c4917a5d757c0000 0000 074a1203 01 0000003f", AttemptProgressed(JOB, 0, WORKER, 1, 0.5)),
+        (
+            "04 0300 c4917a5d757c0000 074a1203 c800 00 0000000000803240 0000 01 02 0000003f 0000a03f",
+            AttemptEnded(JOB, 0, WORKER, 200, 18.5, True, 0, (0.5, 1.25)),
+        ),
+        (
+            "04 0300 c4917a5d757c0000 074a1203 9801 00 0000000000803240 0100 00 00",
+            AttemptEnded(JOB, 1, WORKER, 408, 18.5, False, 0, ()),
+        ),
+        ("05 0300 c4917a5d757c0000", ClientDisconnected(JOB)),
+        ("06 0300 4d00000000000000", TimerFired(77)),
+        ("07 0300 074a1203 c800 0000000000803240 00", ProbeCompleted(WORKER, 200, 18.5, ())),
+        ("08 0300 0200 0400 68692037", PeerReportReceived(2, b"hi 7")),
+    ],
+)
 def test_events(text, event):
     assert events(text) == [(3, event)]
 
@@ -87,35 +98,41 @@
     assert isinstance(retire, wire.Retire)
 
 
-@pytest.mark.parametrize(("hexes", "message"), [
-    (["06 0300 4d"], "cut short"),
-    (["2a 0300"], "unknown event code 42"),
-    (["01 0300 00 2900000000000000 05000000"], "table 5 was never sent"),
-    (["01 0300 07 2900000000000000 05000000"], "unknown list kind 7"),
-    (["0a 00000000 02000000 074a1203"], "cut short"),
-    (["05 0300 0000000000000000 ff"], "left over"),
-    (["08 0300 0200 0400 6869"], "cut short"),
-    (["04 0300 c4917a5d757c0000 074a1203 c800 00 0000000000803240 0000 01 02 0000003f"], "cut short"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("hexes", "message"),
+    [
+        (["06 0300 4d"], "cut short"),
+        (["2a 0300"], "unknown event code 42"),
+        (["01 0300 00 2900000000000000 05000000"], "table 5 was never sent"),
+        (["01 0300 07 2900000000000000 05000000"], "unknown list kind 7"),
+        (["0a 00000000 02000000 074a1203"], "cut short"),
+        (["05 0300 0000000000000000 ff"], "left over"),
+        (["08 0300 0200 0400 6869"], "cut short"),
+        (["04 0300 c4917a5d757c0000 074a1203 c800 00 0000000000803240 0000 01 02 0000003f"], "cut short"),
+    ],
+)
 def test_malformed_frames_name_what_and_where(hexes, message):
     with pytest.raises(wire.WireError, match=f"{message}.*frame byte|{message}"):
         events(*hexes)
 
 
-@pytest.mark.parametrize(("action", "text"), [
-    (StartAttempt(JOB, WORKER, 80.0), "06 0300 c4917a5d757c0000 074a1203 0000000000005440"),
-    (SetTimer(8656.25, 77), "07 0300 0000000020e8c040 4d00000000000000"),
-    (CancelAttempt(JOB, 0), "01 0300 c4917a5d757c0000 0000"),
-    (RejectRequest(JOB, 251.0), "08 0300 c4917a5d757c0000 0000000000606f40"),
-    (FailRequest(JOB), "0b 0300 c4917a5d757c0000"),
-    (ProbeWorker(WORKER), "05 0300 074a1203"),
-    (CloseIdleConnections(WORKER), "00 0300 074a1203"),
-    (SendPeerReport(-1, b"hi 7"), "0a 0300 ffff 0400 68692037"),
-    (SendPeerReport(2, b""), "0a 0300 0200 0000"),
-    (WatchEndpoints(True), "04 0300 01"),
-    (FetchEndpoints(), "03 0300"),
-    (LogMessage("two servers known"), "02 0300 1100 74776f2073657276657273206b6e6f776e"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("action", "text"),
+    [
+        (StartAttempt(JOB, WORKER, 80.0), "06 0300 c4917a5d757c0000 074a1203 0000000000005440"),
+        (SetTimer(8656.25, 77), "07 0300 0000000020e8c040 4d00000000000000"),
+        (CancelAttempt(JOB, 0), "01 0300 c4917a5d757c0000 0000"),
+        (RejectRequest(JOB, 251.0), "08 0300 c4917a5d757c0000 0000000000606f40"),
+        (FailRequest(JOB), "0b 0300 c4917a5d757c0000"),
+        (ProbeWorker(WORKER), "05 0300 074a1203"),
+        (CloseIdleConnections(WORKER), "00 0300 074a1203"),
+        (SendPeerReport(-1, b"hi 7"), "0a 0300 ffff 0400 68692037"),
+        (SendPeerReport(2, b""), "0a 0300 0200 0000"),
+        (WatchEndpoints(True), "04 0300 01"),
+        (FetchEndpoints(), "03 0300"),
+        (LogMessage("two servers known"), "02 0300 1100 74776f2073657276657273206b6e6f776e"),
+    ],
+)
 def test_actions(action, text):
     assert wire.encode(3, action) == bytes.fromhex(text)
 
@@ -138,22 +155,25 @@
     )
 
 
-@pytest.mark.parametrize(("old", "new", "key"), [
-    ("classes.count=2", "", "classes.count"),
-    ("classes.count=2", "classes.count=0", "classes.count"),
-    ("classes.0.value=1.0", "", "classes.0.value"),
-    ("classes.0.value=1.0", "classes.0.value=-1", "classes.0.value"),
-    ("classes.0.value=1.0", "classes.0.value=nan", "classes.0.value"),
-    ("classes.0.value=1.0", "classes.0.value=much", "classes.0.value"),
-    ("classes.0.goal_time=300.0", "classes.0.goal_time=9000", "classes.0.goal_time"),
-    ("idempotency=dedup", "idempotency=perhaps", "classes.1.idempotency"),
-    ("me=2", "me=3", "me"),
-    ("me=2", "me=0.5", "me"),
-    ("balancers=3", "balancers=0", "balancers"),
-    ("me=2", "me=2\npolicy_limits.cancel=yes", "policy_limits.cancel"),
-    ("me=2", "me=2\nprojects.count=1", "projects.0.quota_per_s"),
-    ("class_stretch=2.0,2.5", "class_stretch=a,b", "class_stretch"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("old", "new", "key"),
+    [
+        ("classes.count=2", "", "classes.count"),
+        ("classes.count=2", "classes.count=0", "classes.count"),
+        ("classes.0.value=1.0", "", "classes.0.value"),
+        ("classes.0.value=1.0", "classes.0.value=-1", "classes.0.value"),
+        ("classes.0.value=1.0", "classes.0.value=nan", "classes.0.value"),
+        ("classes.0.value=1.0", "classes.0.value=much", "classes.0.value"),
+        ("classes.0.goal_time=300.0", "classes.0.goal_time=9000", "classes.0.goal_time"),
+        ("idempotency=dedup", "idempotency=perhaps", "classes.1.idempotency"),
+        ("me=2", "me=3", "me"),
+        ("me=2", "me=0.5", "me"),
+        ("balancers=3", "balancers=0", "balancers"),
+        ("me=2", "me=2\npolicy_limits.cancel=yes", "policy_limits.cancel"),
+        ("me=2", "me=2\nprojects.count=1", "projects.0.quota_per_s"),
+        ("class_stretch=2.0,2.5", "class_stretch=a,b", "class_stretch"),
+    ],
+)
 def test_wrong_settings_name_their_key(old, new, key):
     with pytest.raises(ValueError, match=key.replace(".", r"\.")):
         wire.parse_settings(GOOD.replace(old, new))
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -161,11 +161,14 @@
     assert "an answer cannot be used: " in dispatcher.logged[-1]
 
 
-@pytest.mark.parametrize(("faults", "failed"), [
-    ([errno.EMFILE, errno.ENFILE], []),
-    ([errno.ECONNREFUSED], ["refused"]),
-    ([errno.EMFILE, errno.EHOSTUNREACH], ["refused"]),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("faults", "failed"),
+    [
+        ([errno.EMFILE, errno.ENFILE], []),
+        ([errno.ECONNREFUSED], ["refused"]),
+        ([errno.EMFILE, errno.EHOSTUNREACH], ["refused"]),
+    ],
+)
 def test_a_dial_that_found_descriptors_short_is_tried_again_and_blames_nobody(faults, failed, monkeypatch):
     """It ended as if the worker had refused, and rested a worker that was well."""
     loop, calls, heard = asyncio.new_event_loop(), [], []
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -100,20 +100,24 @@
     assert all(a.retry_after == 0.0 for a in actions if isinstance(a, RejectRequest))
 
 
-@pytest.mark.parametrize("event", [
-    AttemptEnded(1, 0, 1, Outcome.OK, 5.0, True),
-    AttemptEnded(1, 7, 1, Outcome.RESET, 5.0, False),
-    AttemptEnded(99, 0, 5, Outcome.FULL, 5.0, False, 0, (0.5,)),
-    AttemptProgressed(99, 0, 1, 1, 0.0),
-    AttemptProgressed(1, 3, 1, 2, 0.5),
-    ClientDisconnected(1),
-    ClientDisconnected(99),
-    TimerFired(12345),
-    ProbeCompleted(77, Outcome.OK, 1.0, (0.1,)),
-    PeerReportReceived(2, b"hello"),
-    SiblingReportReceived(77, 3, 9.0),
-    EndpointsUpdated(EndpointListKind.DELTA, 9, (Endpoint(55, state=EndpointState.GONE),)),
-], ids=repr)  # fmt: skip
+@pytest.mark.parametrize(
+    "event",
+    [
+        AttemptEnded(1, 0, 1, Outcome.OK, 5.0, True),
+        AttemptEnded(1, 7, 1, Outcome.RESET, 5.0, False),
+        AttemptEnded(99, 0, 5, Outcome.FULL, 5.0, False, 0, (0.5,)),
+        AttemptProgressed(99, 0, 1, 1, 0.0),
+        AttemptProgressed(1, 3, 1, 2, 0.5),
+        ClientDisconnected(1),
+        ClientDisconnected(99),
+        TimerFired(12345),
+        ProbeCompleted(77, Outcome.OK, 1.0, (0.1,)),
+        PeerReportReceived(2, b"hello"),
+        SiblingReportReceived(77, 3, 9.0),
+        EndpointsUpdated(EndpointListKind.DELTA, 9, (Endpoint(55, state=EndpointState.GONE),)),
+    ],
+    ids=repr,
+)
 def test_odd_events_change_nothing(event):
     node = Node()
     _, actions = node.arrive()
