--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -86,7 +86,7 @@
             worker.silent = True
             worker.strike(now)
             self._fleet.resting[worker.entry.worker] = worker
-            text = f"worker {worker.entry.worker} silent, {len(worker.open)} requests out"
+            text = f"worker {worker.entry.worker} silent, {len(worker.open)} jobs out"
             self._context.actions.append(LogMessage(text))
         else:
             self.next_check = min(self.next_check, silent_from)
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -195,7 +195,7 @@
     node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = 6.0, 60_000.0
     cold = tuple(Endpoint(w, ready_at=60_000.0) for w in range(2, 7))
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, cold), at=60_000.0)
-    node.arrive(work=1.0)
+    node.arrive(expected_work=1.0)
     assert node.dispatcher._slow_start.served_by_each == pytest.approx(2.0)
 
 
