--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -125,7 +125,7 @@
         def may_write(self, leg):
             return True
 
-        def ended(self, leg):
+        def attempt_ended(self, attempt):
             pass
 
         def finish(self, job, answer):
