--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -1,4 +1,4 @@
-"""Stored state that 731b84e wrote is read by the present program with the same meaning (`tests/golden`)."""
+"""Stored data of earlier revisions (`tests/golden`) is read by the present program with the same meaning."""
 
 from __future__ import annotations
 
@@ -21,10 +21,16 @@
 
 GOLDEN = Path(__file__).parent / "golden"
 LEASE = 1200.0
-CUSTODY = ("lost_member", "killed_in_commit", "left_half")
+FOLDERS = ("lost_member", "killed_in_commit", "left_half")
 ROLLOUT = ("before", "watching", "paused", "stuck")
 
 
+@pytest.fixture(params=["731b84e", "456c0d9"])
+def golden(request):
+    """The recorded files of a revision."""
+    return GOLDEN if request.param == "731b84e" else GOLDEN / request.param
+
+
 def expected(path):
     return json.loads((path / "expected.json").read_text())
 
@@ -40,9 +46,9 @@
     ("name", "banned"),
     [("two.json", {"w1": 1_700_000_000_123.5, "w-\u00e9/2": 12.0}), ("none.json", {}), ("torn.json", {})],
 )
-def test_a_bans_file_keeps_its_meaning(name, banned, tmp_path):
+def test_a_bans_file_keeps_its_meaning(golden, name, banned, tmp_path):
     path = tmp_path / "bans.json"
-    shutil.copy(GOLDEN / "bans" / name, path)
+    shutil.copy(golden / "bans" / name, path)
     lines = []
     bans = Bans(path, lines.append)
     bans.read()
@@ -50,25 +56,25 @@
     assert bool(lines) == (name == "torn.json")
 
 
-def test_bans_are_written_byte_for_byte_as_before(tmp_path):
+def test_bans_are_written_byte_for_byte_as_before(golden, tmp_path):
     bans = Bans(tmp_path / "bans.json", print)
     bans.since = {"w1": 1_700_000_000_123.5, "w-\u00e9/2": 12.0}
     written = []
     bans.keep(written.append)
     assert written == [True]
-    assert (tmp_path / "bans.json").read_bytes() == (GOLDEN / "bans" / "two.json").read_bytes()
+    assert (tmp_path / "bans.json").read_bytes() == (golden / "bans" / "two.json").read_bytes()
 
 
-# Kept jobs.
+# The folder of durable requests.
 
 
-@pytest.fixture(params=CUSTODY)
-def golden_folder(request, tmp_path):
-    """A copy of a golden folder, and what 731b84e read in it."""
-    golden = GOLDEN / "custody" / request.param
+@pytest.fixture(params=FOLDERS)
+def golden_folder(golden, request, tmp_path):
+    """A copy of a recorded folder, and what its revision read in it."""
+    recorded = golden / "custody" / request.param
     folder = tmp_path / "folder"
-    shutil.copytree(golden / "folder", folder, symlinks=True)
-    return folder, expected(golden)
+    shutil.copytree(recorded / "folder", folder, symlinks=True)
+    return folder, expected(recorded)
 
 
 def fields_of(record):
@@ -122,10 +128,10 @@
         assert record.body.hex() == stored[id_]["body"]
 
 
-def test_a_store_of_the_first_schema_keeps_its_meaning(tmp_path):
+def test_a_store_of_the_first_schema_keeps_its_meaning(golden, tmp_path):
     path = tmp_path / "n0.1.db"
     with sqlite3.connect(path) as database:
-        database.executescript((GOLDEN / "custody" / "first_schema.sql").read_text())
+        database.executescript((golden / "custody" / "first_schema.sql").read_text())
     database.close()
     as_it_is = RecordStore(path, write=False).get("j")
     assert as_it_is.due == 9.0
@@ -140,8 +146,8 @@
 
 
 @pytest.mark.parametrize("name", ROLLOUT)
-def test_a_rollout_journal_keeps_its_meaning(name):
-    folder = GOLDEN / "rollout" / name
+def test_a_rollout_journal_keeps_its_meaning(golden, name):
+    folder = golden / "rollout" / name
     plan = read_plan((folder / "plan.toml").read_text())
     journal, told = read(folder, plan), expected(folder)
     assert (journal.plan, journal.id) == (told["plan"], told["id"])
@@ -154,14 +160,14 @@
 
 
 @pytest.mark.parametrize("name", ROLLOUT)
-def test_a_rollout_journal_is_written_byte_for_byte_as_before(name, tmp_path):
-    golden = GOLDEN / "rollout" / name
-    journal = read(golden)
+def test_a_rollout_journal_is_written_byte_for_byte_as_before(golden, name, tmp_path):
+    folder = golden / "rollout" / name
+    journal = read(folder)
     journal.folder = tmp_path
     journal.write(journal.said[-1]["t"])
-    assert (tmp_path / "journal.json").read_bytes() == (golden / "journal.json").read_bytes()
+    assert (tmp_path / "journal.json").read_bytes() == (folder / "journal.json").read_bytes()
 
 
-def test_a_torn_rollout_journal_is_refused_by_name():
+def test_a_torn_rollout_journal_is_refused_by_name(golden):
     with pytest.raises(JournalError, match=r"journal\.json"):
-        read(GOLDEN / "rollout" / "torn")
+        read(golden / "rollout" / "torn")
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -1,11 +1,12 @@
-"""The handover's messages against those that revision 731b84e wrote (`tests/golden/handover`)."""
+"""The handover's messages against those that two earlier revisions wrote."""
 
 import importlib.util
 import json
+from dataclasses import replace
 from functools import partial
-from pathlib import Path
 
 import pytest
+from support.golden_messages import FOLDERS, GOLDEN, recorded
 from support.handover import LISTEN, Side, Wire
 from support.memory_dispatcher import InMemoryDispatcher
 
@@ -16,18 +17,20 @@
 from eiderfield.net.handover.messages import MalformedMessageError
 from eiderfield.net.table_state import EndpointRecord, UnbannedWorker
 
-GOLDEN = Path(__file__).parent / "golden" / "handover"
 NAMES = sorted(path.stem for path in GOLDEN.glob("*.json"))
 START = 1_764_600_000_000.0  # of the recorded processes' clocks, which showed Unix time
 STATE_AT = START + 40.0  # when the recorded state was written
 LATER = START + 200.0
-ADDED = {"now", "started", "heard"}  # fields that came after 731b84e
+# Fields that were added after a revision.
+ADDED = {"731b84e": frozenset({"now", "started", "heard"}), "456c0d9": frozenset()}
+TIMED = ("state", "ban", "client", "parked")  # kinds of messages that hold times
 
+revisions = pytest.mark.parametrize("revision", FOLDERS)
 
-def recorded(name):
-    """A message as 731b84e wrote it, and how many descriptors came with it."""
-    told = json.loads((GOLDEN / f"{name}.json").read_text())
-    return told["message"], told["descriptors"]
+
+def read_at(revision, name):
+    """When a recorded message is read: a moment after it was written, or in that moment if it says it."""
+    return recorded(revision, name)[0].get("now", STATE_AT if name.startswith("state") else LATER)
 
 
 def codec(now, logged=None):
@@ -35,25 +38,27 @@
     return Codec(lambda: now, WallClock(lambda: now, lambda: now), ([] if logged is None else logged).append)
 
 
-def decode(name):
-    """A recorded message, read a moment after it was written."""
-    return codec(STATE_AT if name.startswith("state") else LATER).decode(recorded(name)[0])
+def decode(revision, name):
+    """A recorded message as the present program reads it."""
+    return codec(read_at(revision, name)).decode(recorded(revision, name)[0])
 
 
-def without_added(value):
-    """A message without the fields that 731b84e did not know."""
+def without(added, value):
+    """A message without some fields."""
     if isinstance(value, dict):
-        return {key: without_added(each) for key, each in value.items() if key not in ADDED}
+        return {key: without(added, each) for key, each in value.items() if key not in added}
     if isinstance(value, list):
-        return [without_added(each) for each in value]
+        return [without(added, each) for each in value]
     return value
 
 
-def test_each_kind_of_message_is_recorded():
-    kinds = {recorded(name)[0]["is"] for name in NAMES}
+@revisions
+def test_each_kind_of_message_is_recorded(revision):
+    kinds = {recorded(revision, name)[0]["is"] for name in NAMES}
     words = "ask state taken yours news ban client wait parked got departed"
     assert kinds == set(words.split())
     assert len(NAMES) == 17
+    assert sorted(path.stem for path in FOLDERS[revision].glob("*.json")) == NAMES
 
 
 SHORT = {
@@ -77,12 +82,21 @@
 
 @pytest.mark.parametrize("name", SHORT)
 def test_a_message_of_731b84e_is_read(name):
-    assert decode(name) == SHORT[name]
+    assert decode("731b84e", name) == SHORT[name]
+
+
+@pytest.mark.parametrize("name", SHORT)
+def test_a_message_of_456c0d9_is_read(name):
+    expected = SHORT[name]
+    if name == "parked-copies":  # keys are numbers of descriptors, which differ from run to run
+        expected = replace(expected, keys=tuple(recorded("456c0d9", name)[0]["keys"]))
+    assert decode("456c0d9", name) == expected
 
 
+@revisions
 @pytest.mark.parametrize("name", ["state", "state-peers"])
-def test_the_state_of_731b84e_is_read(name):
-    state = decode(name)
+def test_a_recorded_state_is_read(revision, name):
+    state = decode(revision, name)
     assert state.listeners == (LISTEN,)
     assert state.with_peers == (name == "state-peers")
     assert set(state.request_ids) == {"held1", "held2", "held3", "keyed"}
@@ -90,7 +104,8 @@
     assert state.bans == {"w2": START}
     assert state.table.index == 3
     assert state.table.unbanned == (UnbannedWorker("w6", START, STATE_AT),)
-    slow = EndpointRecord("w3", "127.0.0.1:3", "SERVING", "z1", "", 0, 1.0, START - 100.0, None)
+    started = None if revision == "731b84e" else START - 100.0
+    slow = EndpointRecord("w3", "127.0.0.1:3", "SERVING", "z1", "", 0, 1.0, START - 100.0, started)
     assert state.table.endpoints[2] == slow
     statuses = {endpoint.name: endpoint.status for endpoint in state.table.endpoints}
     assert statuses == {"w4": "DRAINING", "w5": "DELETED"} | dict.fromkeys(
@@ -106,12 +121,20 @@
     assert learnt.outliers == (m.OutlierState(797615265, 2.0, 1),)
 
 
+@revisions
+@pytest.mark.parametrize("name", NAMES)
+def test_a_message_that_was_read_is_written_as_before(revision, name):
+    message, _ = recorded(revision, name)
+    again = codec(read_at(revision, name)).encode(decode(revision, name))
+    assert without(ADDED[revision], again) == message
+    assert ("now" in again) == (message["is"] in TIMED)
+
+
 @pytest.mark.parametrize("name", NAMES)
-def test_a_message_that_was_read_is_written_as_731b84e_did(name):
-    now = STATE_AT if name.startswith("state") else LATER
-    again = codec(now).encode(decode(name))
-    assert without_added(again) == recorded(name)[0]
-    assert ("now" in again) == (recorded(name)[0]["is"] in ("state", "ban", "client", "parked"))
+def test_a_message_of_456c0d9_is_written_byte_for_byte_as_before(name):
+    message, _ = recorded("456c0d9", name)
+    again = codec(read_at("456c0d9", name)).encode(decode("456c0d9", name))
+    assert json.dumps(again) == json.dumps(message)
 
 
 def teach(dispatcher):
@@ -163,9 +186,9 @@
     return {path.stem: json.loads(path.read_text()) for path in folder.glob("*.json")}
 
 
-def comparable(told):
+def comparable(told, added):
     """A message without what differs from run to run: the order of ids and the numbers of descriptors."""
-    message = without_added(told["message"])
+    message = without(added, told["message"])
     if "ids" in message and isinstance(message["ids"], list):
         message["ids"] = sorted(message["ids"])
     if message.get("keys") and message["is"] == "parked":
@@ -173,21 +196,24 @@
     return told["descriptors"], message
 
 
+@revisions
 @pytest.mark.parametrize("name", NAMES)
-def test_the_same_scene_is_told_in_the_messages_that_731b84e_accepts(name, written):
-    """731b84e reads these fields and passes over others, so a process of it may follow, or be followed."""
-    message, descriptors = recorded(name)
-    assert comparable(written[name]) == comparable({"message": message, "descriptors": descriptors})
+def test_the_same_scene_is_told_in_the_messages_that_a_revision_accepts(revision, name, written):
+    """A revision reads these fields and ignores others, so a process of it may come before or after."""
+    message, descriptors = recorded(revision, name)
+    told = {"message": message, "descriptors": descriptors}
+    assert comparable(written[name], ADDED[revision]) == comparable(told, ADDED[revision])
 
 
 def test_the_recorded_scene_leaves_out_no_kind_of_message(written):
     assert sorted(written) == NAMES
 
 
+@revisions
 @pytest.mark.parametrize("name", [name for name in NAMES if not name.startswith(("wait", "ask"))])
-def test_a_message_without_one_of_its_fields_is_named_as_malformed(name):
-    message, _ = recorded(name)
-    optional = {"peers", "parks", "is"}
+def test_a_message_without_one_of_its_fields_is_named_as_malformed(revision, name):
+    message, _ = recorded(revision, name)
+    optional = {"peers", "parks", "is", "now"}
     for key in message.keys() - optional:
         cut = {field: value for field, value in message.items() if field != key}
         with pytest.raises(MalformedMessageError, match=key):
@@ -195,7 +221,7 @@
 
 
 def test_what_cannot_be_read_of_the_learnt_state_is_left_out_and_named():
-    message, _ = recorded("state")
+    message, _ = recorded("731b84e", "state")
     logged = []
     state = codec(STATE_AT, logged).decode({**message, "memory": {**message["memory"], "spent": [1.0]}})
     assert state.learnt is None
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,4 +1,7 @@
-"""The decisions of seeded event sequences, as they were before the decisions became a package.
+"""The decisions of seeded event sequences, as two earlier revisions made them.
+
+`BEFORE_THE_PACKAGE` are those from before the decisions became a package; those of 456c0d9 are in
+`tests/golden/456c0d9/decisions`.
 
 A digest covers every action in its order, in the simulator's wire form with the expected work of each
 attempt, so that it outlasts names. A change of behaviour that is meant changes digests: the commit says
@@ -6,9 +9,12 @@
 """
 
 import hashlib
+import json
 import random
 import struct
 from dataclasses import replace
+from functools import cache
+from pathlib import Path
 
 import pytest
 from support.policy import BASE
@@ -34,19 +40,26 @@
         cross_zone_cost=0.1,
     ),
 }
-WORLDS = {
-    "plain": "723a652a94ca8dc5",
-    "cells": "f3e3b60bbec901fd",
-    "zones": "bf21452e8946d67c",
-    "all unsafe": "ef0d67957a1c296d",
-    "nothing offered": "cdf86866df3f0a4a",
-    "no copies": "cb667098f9845649",
-    "tenants": "fe1aeca224391cc6",
-    "reports and probes": "886776793b4fce76",
-    "peers": "44c24b4554486262",
-    "many": "b299f776fc1711c4",
+BEFORE_THE_PACKAGE = {
+    "events": {
+        "plain": "723a652a94ca8dc5",
+        "cells": "f3e3b60bbec901fd",
+        "zones": "bf21452e8946d67c",
+        "all unsafe": "ef0d67957a1c296d",
+        "nothing offered": "cdf86866df3f0a4a",
+        "no copies": "cb667098f9845649",
+        "tenants": "fe1aeca224391cc6",
+        "reports and probes": "886776793b4fce76",
+        "peers": "44c24b4554486262",
+        "many": "b299f776fc1711c4",
+    },
+    "fleets": {"4x12": "a027f7bd3630faf5", "12x24": "fe1cd6a9f2887527"},
+}
+RECORDED = {
+    "before the package": BEFORE_THE_PACKAGE,
+    "456c0d9": json.loads((Path(__file__).parent / "golden/456c0d9/decisions/digests.json").read_text()),
 }
-FLEETS = {(4, 12): "a027f7bd3630faf5", (12, 24): "fe1cd6a9f2887527"}
+FLEETS = {"4x12": (4, 12), "12x24": (12, 24)}  # dispatchers, workers
 
 
 def record(digest, dispatcher, number=0):
@@ -63,19 +76,21 @@
     dispatcher.handle = handle
 
 
-@pytest.mark.parametrize("variant", WORLDS)
-def test_decisions_under_drawn_events_are_those_recorded(variant):
+@cache
+def digest_of_events(variant):
+    """The digest of the actions under drawn events."""
     digest = hashlib.sha256()
     for seed in range(6):
         player = EventPlayer(SITES[variant], random.Random(seed))
         record(digest, player.node)
         player.run(250)
-    assert digest.hexdigest()[:16] == WORLDS[variant]
+    return digest.hexdigest()[:16]
 
 
-@pytest.mark.parametrize("size", FLEETS, ids=str)
-def test_decisions_of_a_simulated_fleet_are_those_recorded(size):
-    nodes, workers = size
+@cache
+def digest_of_fleet(size):
+    """The digest of the actions of a simulated fleet, some workers of which fall silent for a while."""
+    nodes, workers = FLEETS[size]
     digest, fleet = hashlib.sha256(), SimulatedFleet(nodes, workers, load=0.9)
     for number, dispatcher in enumerate(fleet.nodes):
         record(digest, dispatcher, number)
@@ -84,4 +99,16 @@
     fleet.run(6000.0)
     fleet.wake([1, 2])
     fleet.run(8000.0)
-    assert digest.hexdigest()[:16] == FLEETS[size]
+    return digest.hexdigest()[:16]
+
+
+@pytest.mark.parametrize("revision", RECORDED)
+@pytest.mark.parametrize("variant", SITES)
+def test_decisions_under_drawn_events_are_those_recorded(revision, variant):
+    assert digest_of_events(variant) == RECORDED[revision]["events"][variant]
+
+
+@pytest.mark.parametrize("revision", RECORDED)
+@pytest.mark.parametrize("size", FLEETS)
+def test_decisions_of_a_simulated_fleet_are_those_recorded(revision, size):
+    assert digest_of_fleet(size) == RECORDED[revision]["fleets"][size]
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 import pytest
+from support.golden_messages import recorded
 from support.handover import LISTEN, Side, Wire
 from support.memory_dispatcher import Client, InMemoryDispatcher, Pipe
 from test_consul import Consul, instance
-from test_handover_messages import recorded
 from test_peers import Tier
 
 import eiderfield
@@ -509,7 +509,7 @@
     """The recorded state as a process has it that starts after a step, and its codec and clock."""
     now = 9e9
     process = Process(lambda: STATE_AT + elapsed + step, now)
-    return process.codec.decode(recorded("state")[0]), process
+    return process.codec.decode(recorded("731b84e", "state")[0]), process
 
 
 @steps
@@ -534,7 +534,7 @@
 def test_a_worker_in_slow_start_stays_so_over_a_step_before_the_handover_of_731b84e(step):
     """Its clock is that of its start: it would be taken for warm after a step forward."""
     process = Process(lambda: STATE_AT + step, 9e9)
-    table = process.codec.decode(recorded("state")[0]).table
+    table = process.codec.decode(recorded("731b84e", "state")[0]).table
     dispatcher = InMemoryDispatcher(workers=0, unix=lambda: STATE_AT + step, start=process.now)
     dispatcher.table.take_over(table, {})
     dispatcher.settle()
@@ -545,7 +545,7 @@
 @pytest.mark.parametrize("step", [-HOUR, -SECONDS])
 def test_a_worker_that_started_after_a_step_back_is_not_warm_by_the_clock_of_731b84e(step):
     unix = STATE_AT + step
-    message = recorded("state")[0]
+    message = recorded("731b84e", "state")[0]
     for endpoint in message["table"]["endpoints"]:
         endpoint["since_ms"] = unix - 100.0
     process = Process(lambda: unix, 9e9)
@@ -565,10 +565,10 @@
 @steps
 def test_clients_that_731b84e_passes_on_after_a_step_are_neither_closed_nor_kept(step):
     _, process = from_731b84e(step)
-    batch = process.codec.decode(recorded("parked")[0])
+    batch = process.codec.decode(recorded("731b84e", "parked")[0])
     idle = {HOUR: 0.0, SECONDS: 1500.0 + SECONDS}.get(step, 1500.0)
     assert process.now - batch.since[0] == idle
-    passed = process.codec.decode(recorded("client-begun")[0])
+    passed = process.codec.decode(recorded("731b84e", "client-begun")[0])
     assert 0.0 <= process.now - passed.since <= 2800.0
 
 
