--- a/eiderfield/cli/fleet.py
+++ b/eiderfield/cli/fleet.py
@@ -11,6 +11,8 @@
 
 import click
 
+from eiderfield.cli.aliases import add_hidden_alias
+
 if TYPE_CHECKING:
     from rich.console import Console
 
@@ -174,7 +176,7 @@
     path.write_text(json.dumps([asdict(row) for row in rows], indent=1))
 
 
-@fleet.command()
+@fleet.command("durable-requests")
 @click.option(
     "--kills",
     type=click.IntRange(1),
@@ -184,18 +186,18 @@
 )
 @click.option("--first", type=click.IntRange(0), default=0, show_default=True, help="the first seed")
 @_jobs_option
-@click.option("--off", is_flag=True, help="the same without custody, to see what it changes")
+@click.option("--off", is_flag=True, help="the same without durable requests, to compare")
 @_out_option("where the runs' folders go")
-def custody(kills: int, first: int, jobs: int, off: bool, out: Path | None) -> None:
-    """Plays jobs in custody under load, with dispatchers killed, stopped and cut off as seeds draw it.
+def durable_requests(kills: int, first: int, jobs: int, off: bool, out: Path | None) -> None:
+    """Runs durable requests under load, with dispatchers killed, stopped and cut off as seeds draw it.
 
-    Prints a row for each run, then what all showed. Exits with 1 if a rule was broken in any.
+    Prints a row for each run and a summary. Exits with 1 if any run broke a rule.
     """
     from concurrent.futures import ProcessPoolExecutor
 
     from eiderfield.lab.fleet.durable_draw import play_drawn, summary
 
-    folder, console = _folder(out, "custody"), _console()
+    folder, console = _folder(out, "durable-requests"), _console()
     rows: list[DrawnDurableRun] = []
     next_seed = first
     with ProcessPoolExecutor(jobs) as pool:
@@ -213,6 +215,9 @@
         raise SystemExit(1)
 
 
+add_hidden_alias(fleet, durable_requests, "custody")
+
+
 def _show_durable_run(console: Console, row: DrawnDurableRun) -> None:
     outcome = row.failed or (
         f"{row.served} of {row.jobs} served, {row.taken_over} taken over, "
--- a/eiderfield/cli/lab.py
+++ b/eiderfield/cli/lab.py
@@ -10,6 +10,7 @@
 
 import click
 
+from eiderfield.cli.aliases import add_hidden_alias
 from eiderfield.cli.fleet import fleet
 from eiderfield.cli.scale import scale
 
@@ -23,12 +24,15 @@
 lab.add_command(scale)
 
 
-@lab.group()
-def custody() -> None:
-    """What keeping work in hand costs."""
+@lab.group("durable-requests")
+def durable_requests() -> None:
+    """Measures what durable requests cost."""
 
 
-@custody.command()
+add_hidden_alias(lab, durable_requests, "custody")
+
+
+@durable_requests.command()
 @click.option("--dispatchers", type=click.IntRange(1, 32), default=4, show_default=True)
 @click.option(
     "--rate", type=click.FloatRange(1.0, 1000.0), default=150.0, show_default=True, help="jobs a second"
@@ -38,7 +42,7 @@
 )
 @click.option("--rounds", type=click.IntRange(1, 20), default=2, show_default=True)
 def cost(dispatchers: int, rate: float, seconds: float, rounds: int) -> None:
-    """Plays the same jobs off, on, off, on: half of them of a class that is kept where it is on."""
+    """Runs the same jobs off, on, off, on; half of them belong to a class that is durable where it is on."""
     from eiderfield.lab.durable_requests.comparison import compare
 
     folder = Path(tempfile.mkdtemp(prefix="eiderfield-cost-"))
@@ -52,21 +56,21 @@
         )
 
 
-@custody.command()
+@durable_requests.command()
 @click.option("--seconds", type=click.FloatRange(0.1, 600.0), default=3.0, show_default=True)
 def commits(seconds: float) -> None:
-    """Lets one member take, claim and answer jobs, each step in a commit of its own."""
+    """Lets one member accept, claim and answer requests, each step in a commit of its own."""
     from eiderfield.lab.durable_requests.throughput import commits as commits_
 
     rate = commits_(seconds, Path(tempfile.mkdtemp(prefix="eiderfield-commits-")))
     click.echo(f"{rate:.0f} jobs a second, three commits each")
 
 
-@custody.command()
+@durable_requests.command()
 @click.option("--processes", type=click.IntRange(2, 64), multiple=True, default=(4, 16), show_default=True)
 @click.option("--seconds", type=click.FloatRange(0.5, 60.0), default=3.0, show_default=True)
 def ways(processes: tuple[int, ...], seconds: float) -> None:
-    """Lets processes write records into stores of their own and into one, also with one of them stopped."""
+    """Lets processes write records into a store each and into one store, also with one process stopped."""
     from eiderfield.lab.durable_requests.store_writes import ways as ways_
 
     for row in ways_(processes, seconds, Path(tempfile.mkdtemp(prefix="eiderfield-ways-"))):
@@ -76,13 +80,13 @@
         )
 
 
-@custody.command()
+@durable_requests.command()
 @click.option(
     "--records", type=click.IntRange(1, 5_000_000), multiple=True, default=(10_000,), show_default=True
 )
 @click.option("--seconds", type=click.FloatRange(0.5, 600.0), default=5.0, show_default=True)
 def recovery(records: tuple[int, ...], seconds: float) -> None:
-    """Lets an heir take over a lost life's records, as fast as it can."""
+    """Lets a successor take over the records of a lost incarnation, as fast as it can."""
     from eiderfield.lab.durable_requests.throughput import recovery as recovery_
 
     for number in records:
@@ -101,7 +105,7 @@
 @click.option("--most", type=click.IntRange(1), default=3_000_000, show_default=True, help="states")
 @click.option("--slip", default="", help="plants a fault, to see that it is found")
 def explore_(members: int, jobs: int, faults: int, most: int, slip: str) -> None:
-    """Searches all interleavings of custody's protocol. Exits with 1 if one breaks a rule."""
+    """Searches all interleavings of the protocol of durable requests. Exits with 1 if one breaks a rule."""
     from eiderfield.lab.durable_requests.protocol_model import SLIPS, Machine, start
     from eiderfield.lab.explore import explore
 
--- a/eiderfield/durable_requests/store.py
+++ b/eiderfield/durable_requests/store.py
@@ -1,7 +1,7 @@
 """One incarnation's store: its records in an SQLite file that it alone writes and anybody may read.
 
 Writers of one file would wait for each other's locks, and a process that is stopped with the lock would stop
-them all (measured, docs/custody.md): so every incarnation has a file of its own. Readers see what was
+them all (measured in docs/durable-requests.md). So every incarnation has its own file. Readers see what was
 committed and wait for nobody. The file's schema has a version, which an older file is brought up to and a
 newer one is refused by; its size has a bound, and what is final is forgotten first, the oldest before the
 others.
--- a/tests/test_durable_requests_cost.py
+++ b/tests/test_durable_requests_cost.py
@@ -34,11 +34,13 @@
 
 def test_the_commands_print_a_line_for_each_part(tmp_path):
     words = ["--dispatchers", "2", "--rate", "30", "--seconds", "1", "--rounds", "1"]
-    told = CliRunner().invoke(main, ["lab", "custody", "cost", *words])
+    told = CliRunner().invoke(main, ["lab", "durable-requests", "cost", *words])
     assert told.exit_code == 0
     assert told.output.count("served") == 2
     assert "B a kept job" in told.output
-    told = CliRunner().invoke(main, ["lab", "custody", "recovery", "--records", "300", "--seconds", "1"])
+    told = CliRunner().invoke(
+        main, ["lab", "durable-requests", "recovery", "--records", "300", "--seconds", "1"]
+    )
     assert told.exit_code == 0
     assert "300 records" in told.output
 
@@ -53,7 +55,7 @@
 
 
 def test_the_example_keeps_the_class_that_must_not_be_lost():
-    config = read_text((ROOT / "deploy" / "custody-example.toml").read_text())
+    config = read_text((ROOT / "deploy" / "durable-requests-example.toml").read_text())
     assert config.custody is not None
     assert config.custody.classes == {1}
     assert config.custody.lease == 3000.0
