--- a/eiderfield/batch/durable.py
+++ b/eiderfield/batch/durable.py
@@ -61,7 +61,7 @@
 
 
 class DurableJobLookup(Protocol):
-    """The store, as it is asked about jobs, wherever they are (`durable_requests/coordinator.py`)."""
+    """The store, as it is asked about jobs, wherever they are (`durable_requests/answer_lookup.py`)."""
 
     def find(self, id_: str, then: Callable[[DurableJob | None], None]) -> None:
         """Looks a job up; `then` is called once, later."""
--- /dev/null
+++ b/eiderfield/durable_requests/answer_lookup.py
@@ -0,0 +1,57 @@
+"""Looks up durable requests by id, wherever they are recorded, for clients other than their own."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from eiderfield.durable_requests.cancellation import RequestCancellation
+from eiderfield.durable_requests.loop_context import LoopContext
+from eiderfield.durable_requests.messages import Find, Found, Outcome, RequestEnd, Written
+from eiderfield.durable_requests.owned_requests import UNKNOWN_CLASS
+from eiderfield.durable_requests.record import Record
+from eiderfield.durable_requests.remote_waiters import RemoteWaiters
+from eiderfield.durable_requests.waiters import Answered, Waiter
+from eiderfield.exchange import Request
+
+
+class AnswerLookup:
+    """Finds, awaits and cancels requests by id (implements `batch.durable.DurableJobLookup`)."""
+
+    def __init__(
+        self, context: LoopContext, remote_waiters: RemoteWaiters, cancellation: RequestCancellation
+    ) -> None:
+        """Look up nothing yet."""
+        self._context = context
+        self._remote_waiters = remote_waiters
+        self._cancellation = cancellation
+
+    def find(self, id_: str, then: Callable[[Record | None], None]) -> None:
+        """Look up the record of a request. `then` is called once, later."""
+        self._context.commit_thread.write(Find(id_), lambda outcome: then(_record_found(outcome)))
+
+    def wait(self, id_: str, until: float, answered: Answered) -> Callable[[], None]:
+        """Wait for the answer of a request; `answered` gets a failure if there is none at `until` (ms).
+
+        Returns what to call when nobody waits any more.
+        """
+        waiter = Waiter(Request(id_, UNKNOWN_CLASS, until, ""), answered)
+        waiter.timer = self._context.services.timers.at(until, waiter.expire)
+        self._remote_waiters.add(id_, waiter)
+        return partial(self._cancellation.client_left, waiter)
+
+    def cancel(self, id_: str, then: Callable[[bool], None]) -> None:
+        """Request the end of a request, wherever it is; `then` is told whether that is recorded.
+
+        The answer says whether the request ended so, or as it would have without it.
+        """
+        self._context.commit_thread.write(RequestEnd(id_), lambda outcome: then(isinstance(outcome, Written)))
+        self._cancellation.cancel([id_])
+
+    def clock_of(self, at: float) -> float:
+        """Convert a monotonic time, in ms, to the process's clock."""
+        return self._context.from_monotonic(at)
+
+
+def _record_found(outcome: Outcome) -> Record | None:
+    return outcome.record if isinstance(outcome, Found) else None
--- a/eiderfield/durable_requests/claims.py
+++ b/eiderfield/durable_requests/claims.py
@@ -1,11 +1,14 @@
-"""Claims of attempts: each is recorded before its first byte leaves.
+"""Claims of attempts: each attempt is recorded before its first byte is sent.
 
-States of an attempt's claim: requested -> held (recorded by the current incarnation) -> ended, or requested
--> refused (`go(False)`). While the disk refuses, it is requested again, as long as the attempt's time
-allows.
+States of a claim:
 
-What must never happen: an attempt begins under the claim of an incarnation that is over, or of one that the
-others may take for lost.
+    requested -> held (recorded by the current incarnation) -> ended
+    requested -> refused
+
+While the system refuses the write, the claim is requested again, as long as the attempt is open.
+
+Invariant: no attempt starts under the claim of an incarnation that is over, or that other members may take
+for lost.
 """
 
 from __future__ import annotations
@@ -13,7 +16,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from eiderfield.durable_requests.commit_thread import CommitThread
+from eiderfield.durable_requests.cancellation import RequestCancellation
+from eiderfield.durable_requests.loop_context import LoopContext
 from eiderfield.durable_requests.messages import (
     Claim,
     Claimed,
@@ -23,70 +27,69 @@
     ReleaseClaim,
 )
 from eiderfield.durable_requests.record import AttemptRecord
-from eiderfield.exchange import Attempt, Timers
+from eiderfield.durable_requests.timing import MAX_RETRY_INTERVAL_MS, RETRY_INTERVAL_MS
+from eiderfield.exchange import Attempt
 from eiderfield.machine import steady_ms
 
-RETRY_INTERVAL = 30.0  # ms from a write that was refused to the next try
-RETRY_INTERVAL_MOST = 1000.0  # ms to which that grows while the disk refuses
-
-Go = Callable[[bool], None]
+MayStart = Callable[[bool], None]  # called with whether an attempt may start
 
 
 class AttemptClaims:
     """The claims of one process."""
 
-    def __init__(
-        self,
-        thread: CommitThread,
-        timers: Timers,
-        clock: Callable[[], float],
-        end: Callable[[str], None],
-    ) -> None:
-        """`end` is called with the id of a request whose end somebody has requested."""
-        self._thread = thread
-        self._timers = timers
-        self._clock = clock
-        self._end = end
-        self._held: dict[Attempt, str] = {}  # the incarnation that claimed an attempt which is out
+    def __init__(self, context: LoopContext, cancellation: RequestCancellation) -> None:
+        """Cancel a request with `cancellation` when its claim finds that its end has been requested."""
+        self._context = context
+        self._cancellation = cancellation
+        self._incarnations: dict[Attempt, str] = {}  # which incarnation claimed an open attempt
 
     @property
     def open_attempts(self) -> list[Attempt]:
-        """The claimed attempts that are out."""
-        return [attempt for attempt in self._held if attempt.open]
+        """The claimed attempts that are open."""
+        return [attempt for attempt in self._incarnations if attempt.open]
 
-    def request(self, attempt: Attempt, note: AttemptRecord, go: Go, pause: float = RETRY_INTERVAL) -> None:
-        """Records an attempt; `go` hears whether it may begin."""
-        if attempt.open:  # else its time was over while the disk refused it
-            claim = Claim(attempt.pending.request.id, note)
-            self._thread.write(claim, partial(self._on_outcome, attempt, note, go, pause))
+    def request(
+        self, attempt: Attempt, record: AttemptRecord, go: MayStart, interval: float = RETRY_INTERVAL_MS
+    ) -> None:
+        """Record an attempt; `go` is called with whether it may start.
+
+        Retry after `interval` ms if the system refuses the write. An attempt that has ended meanwhile is not
+        recorded.
+        """
+        if attempt.open:
+            claim = Claim(attempt.pending.request.id, record)
+            self._context.commit_thread.write(claim, partial(self._on_outcome, attempt, record, go, interval))
 
     def _on_outcome(
-        self, attempt: Attempt, note: AttemptRecord, go: Go, pause: float, outcome: Outcome
+        self, attempt: Attempt, record: AttemptRecord, go: MayStart, interval: float, outcome: Outcome
     ) -> None:
         if isinstance(outcome, NotWritten):
-            longer = min(2.0 * pause, RETRY_INTERVAL_MOST)
-            again = partial(self.request, attempt, note, go, longer)
-            self._timers.at(self._clock() + pause, again)
+            next_interval = min(2.0 * interval, MAX_RETRY_INTERVAL_MS)
+            self._context.call_after(interval, partial(self.request, attempt, record, go, next_interval))
             return
         if isinstance(outcome, EndRequested):
-            self._end(attempt.pending.request.id)
+            self._cancellation.cancel([attempt.pending.request.id])
         if isinstance(outcome, Claimed) and attempt.open:
-            self._held[attempt] = outcome.incarnation
+            self._incarnations[attempt] = outcome.incarnation
         go(isinstance(outcome, Claimed))
 
     def allows(self, attempt: Attempt) -> bool:
-        """Whether a claim still holds: its incarnation is not over, nor can it be taken for lost."""
-        member = self._thread.member
-        incarnation = self._held.get(attempt)
+        """Return whether the claim of an attempt holds: by the current incarnation, within its lease."""
+        member = self._context.member
+        incarnation = self._incarnations.get(attempt)
         return bool(incarnation) and incarnation == member.incarnation and member.holds_lease(steady_ms())
 
     def end(self, attempt: Attempt) -> None:
-        """An attempt is over; one that never ran is taken off the record."""
-        self._held.pop(attempt, None)
+        """Drop the claim of an attempt that is over, and the record of one that never ran."""
+        self._incarnations.pop(attempt, None)
         if not attempt.may_have_run:
             release = ReleaseClaim(attempt.pending.request.id, attempt.number)
-            self._thread.write(release, lambda outcome: None)
+            self._context.commit_thread.write(release, _ignore_outcome)
 
     def drop_all(self) -> None:
-        """The incarnation is over."""
-        self._held.clear()
+        """Drop all claims: the incarnation is over."""
+        self._incarnations.clear()
+
+
+def _ignore_outcome(_outcome: Outcome) -> None:
+    """Do nothing: a release that is not written leaves an attempt that counts as one that may have run."""
--- a/eiderfield/durable_requests/commit_thread.py
+++ b/eiderfield/durable_requests/commit_thread.py
@@ -1,9 +1,12 @@
-"""The thread that writes for the loop: groups of changes, ticks, answers that are waited for.
+"""The thread that performs the I/O of durable requests for the event loop.
 
-The loop hands operations in and never waits for the disk; what came of them is called back in the loop, in
-the order in which they were handed in. Claims and answers are always taken in, new requests not while too
-many operations wait. One group is written at a time, with all that came in meanwhile in the next: under load
-a commit serves many.
+The loop hands operations in and never waits for the disk. Outcomes are called back in the loop, in the order
+in which the operations were handed in. Claims and answers are always taken in; new requests only while the
+queue is not full. One group of operations is written in one commit, and all that is handed in meanwhile forms
+the next group: under load one commit serves many operations.
+
+Between groups the thread ticks its member, takes over requests of lost incarnations, and polls for the
+answers of requests that other processes own.
 """
 
 from __future__ import annotations
@@ -12,6 +15,7 @@
 from collections import deque
 from collections.abc import Callable
 from contextlib import suppress
+from types import TracebackType
 from typing import Protocol
 
 from eiderfield.durable_requests.member import Member
@@ -19,93 +23,101 @@
 from eiderfield.durable_requests.record import Record
 from eiderfield.machine import steady_ms
 
-GROUP = 256  # operations of one commit
-TAKEOVER_INTERVAL = 20.0  # ms between two groups of requests that are taken over
-POLL_INTERVAL = 25.0  # ms between two looks for answers that are waited for
-MOST_POLLED = 200  # ids looked for in one of them
+MAX_GROUP_SIZE = 256  # operations of one commit
+TAKEOVER_INTERVAL_MS = 20.0  # between two groups of requests that are taken over
+POLL_INTERVAL_MS = 25.0  # between two polls for answers
+MAX_POLLED_IDS = 200  # of one poll
+MIN_WAIT_MS = 1.0  # for an operation, before the next step that is due
 
 CallInLoop = Callable[[Callable[[], None]], object]  # from any thread
-Callback = Callable[[Outcome], None]
-Group = list[tuple[Operation, Callback]]
+OutcomeCallback = Callable[[Outcome], None]
+LeaveCallback = Callable[[bool], None]
+Group = list[tuple[Operation, OutcomeCallback]]
 
 
-class Listener(Protocol):
-    """Who is told in the loop of what the thread found."""
+class ThreadListener(Protocol):
+    """Handles, in the event loop, what the thread reports."""
 
     def on_taken_over(self, records: list[Record]) -> None:
-        """Requests of lost incarnations are this one's from now on."""
+        """Handle requests of lost incarnations that this incarnation owns from now on."""
 
     def on_answer(self, id_: str, record: Record | None) -> None:
-        """A watched request has its answer, or nothing is known of it any more."""
+        """Handle the answer of a watched request; `record` is None if nothing is known of it any more."""
 
     def on_incarnation_over(self) -> None:
-        """The incarnation is over: what it had is its successors'."""
+        """Handle the end of the incarnation: its successors own its requests."""
 
     def on_end_requested(self, ids: list[str]) -> None:
-        """Somebody requests the end of some requests of this incarnation."""
+        """Handle requests of this incarnation whose end has been requested."""
 
 
 class CommitThread:
-    """The thread of one member."""
+    """The thread of one member. `attach_listener` is called once, before `start`."""
+
+    _listener: ThreadListener
 
-    def __init__(self, member: Member, listener: Listener, call_in_loop: CallInLoop, most: int) -> None:
-        """`most` operations may wait before new requests are not taken in."""
+    def __init__(self, member: Member, call_in_loop: CallInLoop, max_waiting: int) -> None:
+        """Count as full while `max_waiting` operations wait."""
         self.member = member
-        self._listener = listener
         self._call_in_loop = call_in_loop
-        self._most = most
-        self._queue: deque[tuple[Operation, Callback]] = deque()
+        self._max_waiting = max_waiting
+        self._queue: deque[tuple[Operation, OutcomeCallback]] = deque()
         self._wakeup = threading.Condition()
-        self._watched: dict[str, None] = {}
-        self._ending = False
-        self._leaving: Callable[[bool], None] | None = None
+        self._watched: dict[str, None] = {}  # request ids, the one that was polled last at the end
+        self._is_ending = False
+        self._on_left: LeaveCallback | None = None  # set once the member is to leave
         self._next_tick = self._next_poll = 0.0
+        self._report_errors = _ErrorReporter(member)
         self._thread = threading.Thread(target=self._run, name="durable-requests", daemon=True)
 
+    def attach_listener(self, listener: ThreadListener) -> None:
+        """Report to `listener` from now on."""
+        self._listener = listener
+
     def start(self) -> None:
-        """Begins to write."""
+        """Tick the member once and start the thread."""
         self.member.tick()
         self._thread.start()
 
     def close(self) -> None:
-        """Ends the thread once all that was handed in is written."""
+        """End the thread once all operations are written."""
         with self._wakeup:
-            self._ending = True
+            self._is_ending = True
             self._wakeup.notify()
         if self._thread.is_alive():
             self._thread.join()
 
     @property
     def waiting(self) -> int:
-        """Operations that are not written yet."""
+        """The number of operations that are not written yet."""
         return len(self._queue)
 
     @property
     def full(self) -> bool:
-        """Whether no new request is to be handed in."""
-        return len(self._queue) >= self._most
+        """Whether no new request may be handed in."""
+        return len(self._queue) >= self._max_waiting
 
-    def write(self, operation: Operation, then: Callback) -> None:
-        """Hands an operation in."""
+    def write(self, operation: Operation, then: OutcomeCallback) -> None:
+        """Hand an operation in; `then` is called in the loop with its outcome."""
         with self._wakeup:
             self._queue.append((operation, then))
             self._wakeup.notify()
 
     def watch(self, id_: str) -> None:
-        """Looks for a request's answer, wherever it is."""
+        """Poll for the answer of a request that another process owns."""
         with self._wakeup:
             self._watched[id_] = None
             self._wakeup.notify()
 
     def unwatch(self, id_: str) -> None:
-        """Looks for it no longer."""
+        """Stop polling for the answer of a request."""
         with self._wakeup:
             self._watched.pop(id_, None)
 
-    def leave(self, then: Callable[[bool], None]) -> None:
-        """Gives what is left to the others, after all that was handed in."""
+    def leave(self, then: LeaveCallback) -> None:
+        """Leave the members once all operations are written; `then` is called in the loop."""
         with self._wakeup:
-            self._leaving = then
+            self._on_left = then
             self._wakeup.notify()
 
     # In the thread.
@@ -113,60 +125,60 @@
     def _run(self) -> None:
         while True:
             with self._wakeup:
-                if not (self._queue or self._ending or self._leaving):
-                    self._wakeup.wait(self._patience() / 1000.0)
+                if not (self._queue or self._is_ending or self._on_left):
+                    self._wakeup.wait(self._time_to_next_step() / 1000.0)
                 group = self.next_group()
-                over = self._ending and not group
-                leaving = self._leaving if not self._queue and not group else None
-            if over:
-                self._guarded(self.member.close)
+                is_over = self._is_ending and not group
+                on_left = self._on_left if not self._queue and not group else None
+            if is_over:
+                with self._report_errors:
+                    self.member.close()
                 return
-            self.run_turn(group, leaving)
+            self.run_turn(group, on_left)
 
     def next_group(self) -> Group:
-        """What is to be written next, taken from the queue."""
-        return [self._queue.popleft() for _ in range(min(GROUP, len(self._queue)))]
-
-    def _patience(self) -> float:
-        at = min(self._next_tick, self._next_poll) if self._watched else self._next_tick
-        return max(1.0, min(at - steady_ms(), TAKEOVER_INTERVAL if self.member.pending_takeovers else at))
-
-    def run_turn(self, group: Group, leaving: Callable[[bool], None] | None = None) -> None:
-        """Writes a group of operations, and does what is due. What fails in one step hinders no other."""
-        before = self.member.incarnation
+        """Remove and return the operations of the next commit."""
+        return [self._queue.popleft() for _ in range(min(MAX_GROUP_SIZE, len(self._queue)))]
+
+    def _time_to_next_step(self) -> float:
+        due = min(self._next_tick, self._next_poll) if self._watched else self._next_tick
+        delay = due - steady_ms()
+        if self.member.pending_takeovers:
+            delay = min(delay, TAKEOVER_INTERVAL_MS)
+        return max(MIN_WAIT_MS, delay)
+
+    def run_turn(self, group: Group, on_left: LeaveCallback | None = None) -> None:
+        """Write a group of operations, then do what is due. An error in one step does not stop the others."""
+        incarnation_before = self.member.incarnation
         self._write(group)
-        if leaving is not None:
-            self._leaving = None
-            self._guarded(lambda: self._leave(leaving))
-        self._guarded(self._tick_if_due)
-        if before and self.member.incarnation != before:
+        if on_left is not None:
+            self._on_left = None
+            with self._report_errors:
+                self._leave(on_left)
+        with self._report_errors:
+            self._tick_if_due()
+        if incarnation_before and self.member.incarnation != incarnation_before:
             self._call(self._listener.on_incarnation_over)
             if not self.member.incarnation and not self.member.has_left:
-                self._next_tick = 0.0  # a new incarnation is begun as soon as may be
-        self._guarded(self._take_over)
-        self._guarded(self._poll_if_due)
-
-    def _guarded(self, step: Callable[[], None]) -> None:
-        try:
-            step()
-        except Exception as error:  # nothing would be written any more
-            self.member.report(f"durable requests: {error!r}")
+                self._next_tick = 0.0  # the next tick begins a new incarnation
+        with self._report_errors:
+            self._take_over()
+        with self._report_errors:
+            self._poll_if_due()
 
     def _write(self, group: Group) -> None:
-        """Each of a group hears once what came of it."""
+        """Write a group. Each callback is called once, also after an error."""
         if not group:
             return
         outcomes: list[Outcome] = [NotOwned()] * len(group)
-        try:
+        with self._report_errors:
             outcomes = self.member.apply([operation for operation, _ in group])
-        except Exception as error:
-            self.member.report(f"durable requests: {error!r}")
-        callbacks = [then for _, then in group]
+        callbacks = [callback for _, callback in group]
         self._call(lambda: _call_each(callbacks, outcomes))
 
-    def _leave(self, leaving: Callable[[bool], None]) -> None:
-        left = self.member.leave()
-        self._call(lambda: leaving(left))
+    def _leave(self, on_left: LeaveCallback) -> None:
+        has_left = self.member.leave()
+        self._call(lambda: on_left(has_left))
 
     def _tick_if_due(self) -> None:
         now, member = steady_ms(), self.member
@@ -184,13 +196,13 @@
     def _poll_if_due(self) -> None:
         now = steady_ms()
         if self._watched and now >= self._next_poll:
-            self._next_poll = now + POLL_INTERVAL
+            self._next_poll = now + POLL_INTERVAL_MS
             self._poll()
 
     def _poll(self) -> None:
         with self._wakeup:
-            ids = list(self._watched)[:MOST_POLLED]
-            for id_ in ids:  # the others' turn next time
+            ids = list(self._watched)[:MAX_POLLED_IDS]
+            for id_ in ids:  # move to the end: the others are polled next
                 del self._watched[id_]
                 self._watched[id_] = None
         for id_, record in self.member.poll_answers(ids):
@@ -205,6 +217,25 @@
             self._call_in_loop(call)
 
 
-def _call_each(callbacks: list[Callback], outcomes: list[Outcome]) -> None:
-    for then, outcome in zip(callbacks, outcomes, strict=True):
-        then(outcome)
+class _ErrorReporter:
+    """A context that reports an error of the step within it and goes on: the thread must not end."""
+
+    def __init__(self, member: Member) -> None:
+        self._member = member
+
+    def __enter__(self) -> None:
+        """Enter the context."""
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> bool:
+        """Report an `Exception` and suppress it."""
+        if not isinstance(error, Exception):
+            return False
+        self._member.report(f"durable requests: {error!r}")
+        return True
+
+
+def _call_each(callbacks: list[OutcomeCallback], outcomes: list[Outcome]) -> None:
+    for callback, outcome in zip(callbacks, outcomes, strict=True):
+        callback(outcome)
--- /dev/null
+++ b/eiderfield/durable_requests/exchange_hooks.py
@@ -0,0 +1,54 @@
+"""What the exchange calls for durable requests (implements `exchange.DurableRequests`)."""
+
+from __future__ import annotations
+
+from eiderfield.durable_requests.answer_recorder import AnswerRecorder
+from eiderfield.durable_requests.cancellation import RequestCancellation
+from eiderfield.durable_requests.claims import AttemptClaims, MayStart
+from eiderfield.durable_requests.loop_context import LoopContext
+from eiderfield.durable_requests.record import AttemptRecord
+from eiderfield.exchange import Answer, Attempt, PendingRequest
+from eiderfield.machine import steady_ms
+
+
+class ExchangeHooks:
+    """Claims attempts before they start, and records answers before they are passed on."""
+
+    def __init__(
+        self,
+        context: LoopContext,
+        claims: AttemptClaims,
+        recorder: AnswerRecorder,
+        cancellation: RequestCancellation,
+    ) -> None:
+        """Serve the exchange of `context`."""
+        self._context = context
+        self._claims = claims
+        self._recorder = recorder
+        self._cancellation = cancellation
+
+    def claim(self, attempt: Attempt, go: MayStart) -> None:
+        """Record an attempt; `go` is called with whether it may start."""
+        ids = self._context.services.ids
+        endpoint = self._context.exchange.endpoint(attempt.worker)
+        worker, zone = ids.name(attempt.worker), ids.zone_name(endpoint.zone)
+        record = AttemptRecord(attempt.number, worker, zone, endpoint.cell, steady_ms())
+        self._claims.request(attempt, record, go)
+
+    def may_write(self, attempt: Attempt) -> bool:
+        """Return whether a claimed attempt may still start: its claim holds and a client waits for it."""
+        owned = self._context.owned_requests.get(attempt.pending.request.id)
+        is_waited_for = owned is None or owned.is_waited_for
+        return is_waited_for and self._claims.allows(attempt)
+
+    def attempt_ended(self, attempt: Attempt) -> None:
+        """Release the claim of an attempt that is over."""
+        self._claims.end(attempt)
+        self._cancellation.abandon_unless_waited_for(attempt.pending.request.id)
+
+    def finish(self, pending: PendingRequest, answer: Answer) -> None:
+        """Record the answer of a request, then pass it to the waiters."""
+        id_ = pending.request.id
+        owned = self._context.owned_requests.get(id_)
+        if owned is not None and owned.exchange_id == pending.id:
+            self._recorder.record(id_, owned, answer)
--- /dev/null
+++ b/eiderfield/durable_requests/intake.py
@@ -0,0 +1,152 @@
+"""Accepts durable requests from the fronts.
+
+States of a request, as this process sees it:
+
+    accepting   it is being recorded; waiters join once its owner is known
+    owned       recorded here: the exchange has it and its answer is recorded before any waiter gets it
+    remote      another process owns it: its waiters wait until its answer is found
+
+The outcome of the commit thread leads from accepting to owned or remote. A takeover leads from remote to
+owned, the end of this process's incarnation from owned to remote (`thread_events.py`).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from eiderfield.durable_requests.cancellation import RequestCancellation
+from eiderfield.durable_requests.loop_context import LoopContext
+from eiderfield.durable_requests.messages import (
+    Accept,
+    Accepted,
+    AlreadyAccepted,
+    AlreadyFinal,
+    Conflict,
+    NotWritten,
+    Outcome,
+)
+from eiderfield.durable_requests.owned_requests import OwnedRequest
+from eiderfield.durable_requests.record import record_of
+from eiderfield.durable_requests.remote_waiters import RemoteWaiters
+from eiderfield.durable_requests.submission import RequestSubmission
+from eiderfield.durable_requests.timing import RECORDING_TIME_MS, REJECTION_RETRY_AFTER_MS
+from eiderfield.durable_requests.waiters import PLATFORM_FRONT, Answered, Waiter
+from eiderfield.exchange import Answer, Request, Verdict
+from eiderfield.machine import steady_ms
+
+EXPIRY_MARGIN_MS = RECORDING_TIME_MS / 4.0  # before its deadline a waiter without an answer is answered
+
+ClientLeft = Callable[[], None]  # what a front calls when its client has left
+
+
+def _ignore() -> None:
+    """Do nothing."""
+
+
+class RequestIntake:
+    """The durable requests of one process, as its fronts see them."""
+
+    def __init__(
+        self,
+        context: LoopContext,
+        remote_waiters: RemoteWaiters,
+        submission: RequestSubmission,
+        cancellation: RequestCancellation,
+    ) -> None:
+        """Accept nothing yet."""
+        self._context = context
+        self._remote_waiters = remote_waiters
+        self._submission = submission
+        self._cancellation = cancellation
+
+    def keeps(self, class_index: int) -> bool:
+        """Return whether requests of a class are durable."""
+        return class_index in self._context.member.settings.classes
+
+    @property
+    def full(self) -> bool:
+        """Whether no new request is accepted now."""
+        return self._context.commit_thread.full or self._context.member.has_left
+
+    def take(
+        self,
+        request: Request,
+        answered: Answered,
+        front: str = PLATFORM_FRONT,
+        accepted: Callable[[], None] = _ignore,
+    ) -> ClientLeft:
+        """Accept a request, or join its client to the request that has its id already.
+
+        `answered` is called once with the answer, `accepted` once the request is recorded, here or elsewhere.
+        Returns what to call when the client has left.
+        """
+        waiter = Waiter(request, answered, front, accepted)
+        is_here = request.id in self._context.owned_requests
+        if not is_here and self.full and not self._is_known(request.id):
+            self._reject(waiter)
+            return _ignore
+        waiter.timer = self._context.services.timers.at(request.deadline - EXPIRY_MARGIN_MS, waiter.expire)
+        if not is_here and self.full:
+            self._remote_waiters.add(request.id, waiter)
+        else:
+            self.accept(waiter)
+        return partial(self._cancellation.client_left, waiter)
+
+    def _is_known(self, id_: str) -> bool:
+        """Return whether some process has taken an id. One that cannot be looked up may be known."""
+        try:
+            return self._context.member.folder.ids.holder(id_) is not None
+        except OSError:
+            return True
+
+    def _reject(self, waiter: Waiter) -> None:
+        self._context.member.counters.refused += 1
+        waiter.answer(Answer(Verdict.DECLINED, retry_after=REJECTION_RETRY_AFTER_MS))
+
+    def accept(self, waiter: Waiter) -> None:
+        """Have a waiter's request recorded, and join the waiter to it."""
+        request = waiter.request
+        class_name = self._context.class_names[request.class_index]
+        record = record_of(request, class_name, self._context.now(), steady_ms(), waiter.front)
+        owned = self._context.owned_requests.setdefault(request.id, OwnedRequest(request.class_index))
+        self._context.commit_thread.write(Accept(record), partial(self._on_outcome, waiter, owned))
+
+    def _on_outcome(self, waiter: Waiter, owned: OwnedRequest, outcome: Outcome) -> None:
+        id_ = waiter.request.id
+        is_mine = self._context.owned_requests.get(id_) is owned
+        if isinstance(outcome, Accepted) and is_mine:
+            owned.waiters.append(waiter)
+            owned.is_accepting = False
+            waiter.accepted()
+            self._submission.submit(waiter.request, owned)
+            return
+        joins_mine = isinstance(outcome, AlreadyAccepted) and outcome.id == id_ and is_mine
+        if joins_mine and not owned.is_accepting:
+            owned.waiters.append(waiter)
+            self._count_joined(waiter)
+            return
+        if is_mine and owned.is_accepting:
+            del self._context.owned_requests[id_]
+        self._on_remote_outcome(waiter, outcome)
+
+    def _on_remote_outcome(self, waiter: Waiter, outcome: Outcome) -> None:
+        """Answer a waiter whose request this process does not own, or let it wait for the answer."""
+        match outcome:
+            case AlreadyFinal(record):
+                waiter.accepted()
+                waiter.answer(record.answer)
+            case Conflict():
+                waiter.answer(Answer(Verdict.CONFLICT))
+            case NotWritten(reason):
+                self._context.services.log(f"durable requests: {waiter.request.id} is not accepted: {reason}")
+                self._reject(waiter)
+            case AlreadyAccepted(id_):
+                self._count_joined(waiter)
+                self._remote_waiters.add(id_, waiter)
+            case _:  # accepted by an incarnation that is over: its successors own the request
+                self._remote_waiters.add(waiter.request.id, waiter)
+
+    def _count_joined(self, waiter: Waiter) -> None:
+        self._context.member.counters.joined += 1
+        waiter.accepted()
--- /dev/null
+++ b/eiderfield/durable_requests/loop_context.py
@@ -0,0 +1,57 @@
+"""What the parts of the coordinator share. All of them run in the event loop."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from eiderfield.durable_requests.commit_thread import CallInLoop, CommitThread
+from eiderfield.durable_requests.member import Member
+from eiderfield.durable_requests.owned_requests import OwnedRequest
+from eiderfield.exchange import Exchange, Timers
+from eiderfield.idmap import IdMap
+from eiderfield.machine import steady_ms
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessServices:
+    """What the process provides. `clock` returns ms on the clock of request deadlines."""
+
+    exchange: Exchange
+    ids: IdMap
+    timers: Timers
+    clock: Callable[[], float]
+    call_in_loop: CallInLoop
+    log: Callable[[str], None]
+
+
+@dataclass(slots=True)
+class LoopContext:
+    """Shared by the parts of one coordinator."""
+
+    services: ProcessServices
+    commit_thread: CommitThread
+    class_names: tuple[str, ...]  # by class index
+    owned_requests: dict[str, OwnedRequest] = field(default_factory=dict)  # by request id
+
+    @property
+    def exchange(self) -> Exchange:
+        """The exchange that serves the requests."""
+        return self.services.exchange
+
+    @property
+    def member(self) -> Member:
+        """This process's member of the shared folder."""
+        return self.commit_thread.member
+
+    def now(self) -> float:
+        """Return the time of the process's clock, in ms."""
+        return self.services.clock()
+
+    def call_after(self, delay: float, callback: Callable[[], object]) -> None:
+        """Call `callback` in `delay` ms."""
+        self.services.timers.at(self.now() + delay, callback)
+
+    def from_monotonic(self, at: float) -> float:
+        """Convert a time of the machine's monotonic clock to the process's clock."""
+        return at - steady_ms() + self.now()
--- /dev/null
+++ b/eiderfield/durable_requests/remote_waiters.py
@@ -0,0 +1,41 @@
+"""Waiters for the answers of requests that other processes own."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from eiderfield.durable_requests.loop_context import LoopContext
+from eiderfield.durable_requests.waiters import Waiter
+
+
+class RemoteWaiters:
+    """The waiters, by request id. The commit thread polls for the answers that they wait for."""
+
+    def __init__(self, context: LoopContext) -> None:
+        """Start without waiters."""
+        self._context = context
+        self._waiters: dict[str, list[Waiter]] = {}
+
+    def __len__(self) -> int:
+        """Return the number of waiters."""
+        return sum(map(len, self._waiters.values()))
+
+    def add(self, id_: str, waiter: Waiter) -> None:
+        """Let a waiter wait until the answer of the request is found."""
+        if not waiter.is_done:
+            self._waiters.setdefault(id_, []).append(waiter)
+            self._context.commit_thread.watch(id_)
+
+    def add_all(self, id_: str, waiters: Iterable[Waiter]) -> None:
+        """Let several waiters wait for one request."""
+        for waiter in waiters:
+            self.add(id_, waiter)
+
+    def remove(self, id_: str) -> list[Waiter]:
+        """Remove and return the waiters of a request for whose answer nobody polls any more."""
+        return self._waiters.pop(id_, [])
+
+    def take_back(self, id_: str) -> list[Waiter]:
+        """Remove and return the waiters of a request that this process owns from now on."""
+        self._context.commit_thread.unwatch(id_)
+        return self.remove(id_)
--- /dev/null
+++ b/eiderfield/durable_requests/submission.py
@@ -0,0 +1,58 @@
+"""Submits owned requests to the exchange."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from functools import partial
+
+from eiderfield.durable_requests.answer_recorder import AnswerRecorder
+from eiderfield.durable_requests.cancellation import RequestCancellation
+from eiderfield.durable_requests.loop_context import LoopContext
+from eiderfield.durable_requests.owned_requests import OwnedRequest
+from eiderfield.durable_requests.timing import RECORDING_TIME_MS, RETRY_INTERVAL_MS
+from eiderfield.exchange import Answer, Request, Verdict
+from eiderfield.interface import Endpoint
+
+EarlierAttempts = tuple[tuple[Endpoint, float], ...]  # endpoints, and when each attempt was sent
+
+DEADLINE_EXPIRED = "its time was over"  # the reason of an answer, for operators
+
+
+class RequestSubmission:
+    """Hands requests to the exchange, with a deadline that leaves time to record the answer."""
+
+    def __init__(
+        self, context: LoopContext, recorder: AnswerRecorder, cancellation: RequestCancellation
+    ) -> None:
+        """Record with `recorder` what expires before it can be submitted."""
+        self._context = context
+        self._recorder = recorder
+        self._cancellation = cancellation
+
+    def submit(self, request: Request, owned: OwnedRequest, earlier: EarlierAttempts = ()) -> None:
+        """Submit a request, with the attempts of it that may have run before.
+
+        While an attempt of an earlier submission is still open here, submit again later.
+        """
+        decided_by = replace(request, deadline=request.deadline - RECORDING_TIME_MS)
+        try:
+            owned.exchange_id = self._context.exchange.submit(
+                decided_by, _ignore_answer, durable=True, before=earlier
+            )
+        except ValueError:
+            self._context.call_after(RETRY_INTERVAL_MS, partial(self._submit_again, request, owned, earlier))
+        else:  # its clients may have left meanwhile
+            self._cancellation.abandon_unless_waited_for(request.id)
+
+    def _submit_again(self, request: Request, owned: OwnedRequest, earlier: EarlierAttempts) -> None:
+        if self._context.owned_requests.get(request.id) is not owned:
+            return
+        if self._context.now() >= request.deadline - RECORDING_TIME_MS:
+            answer = Answer(Verdict.FAILED, may_have_run=bool(earlier), attempts=len(earlier))
+            self._recorder.record(request.id, owned, answer, DEADLINE_EXPIRED)
+        else:
+            self.submit(request, owned, earlier)
+
+
+def _ignore_answer(_answer: Answer) -> None:
+    """Do nothing: the exchange reports the answer of a durable request to `ExchangeHooks.finish`."""
--- a/eiderfield/durable_requests/waiters.py
+++ b/eiderfield/durable_requests/waiters.py
@@ -1,34 +1,47 @@
-"""Those who wait for a request's answer: clients of the fronts, each of whom hears it once."""
+"""Waiters for the answers of durable requests: clients of the fronts, each answered once."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from eiderfield.exchange import Answer, Request, Timer
+from eiderfield.exchange import Answer, Request, Timer, Verdict
 
 Answered = Callable[[Answer], None]
+PLATFORM_FRONT = "platform"  # the front whose clients wait on a connection
+
+
+def _ignore() -> None:
+    """Do nothing: the default of `Waiter.accepted`."""
 
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """One who waits. `accepted` is called once the request is recorded, here or elsewhere."""
+    """A client that waits for an answer.
+
+    `accepted` is called once the request is recorded, by this process or by another one; `answered` is called
+    once with the answer.
+    """
 
     request: Request
     answered: Answered
-    front: str = "platform"
-    accepted: Callable[[], None] = lambda: None
+    front: str = PLATFORM_FRONT
+    accepted: Callable[[], None] = _ignore
     timer: Timer | None = None
     is_done: bool = False
 
     def answer(self, answer: Answer) -> None:
-        """Passes the answer on, once."""
+        """Pass the answer on, unless the waiter is done."""
         if not self.is_done:
             self.stop()
             self.answered(answer)
 
+    def expire(self) -> None:
+        """Answer that the request failed and may have run: its time is over and no answer is recorded."""
+        self.answer(Answer(Verdict.FAILED, may_have_run=True))
+
     def stop(self) -> None:
-        """Nobody waits any more."""
+        """Stop waiting. Nothing is called after that."""
         self.is_done = True
         if self.timer is not None:
             self.timer.cancel()
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -23,7 +23,7 @@
 
 
 class DurableIntake(Protocol):
-    """Who records requests of some classes before they are answered (`durable_requests/coordinator.py`)."""
+    """Who records requests of some classes before they are answered (`durable_requests/intake.py`)."""
 
     def keeps(self, cls: int) -> bool:
         """Whether requests of a class are written down."""
--- a/eiderfield/program/durable_requests.py
+++ b/eiderfield/program/durable_requests.py
@@ -1,4 +1,4 @@
-"""Durable requests, where the configuration has a table `custody`. What they need is imported only there."""
+"""The program's part for durable requests. Their package is imported only if the table `custody` is set."""
 
 from __future__ import annotations
 
@@ -15,55 +15,58 @@
 
 
 class DurableRequests(Part):
-    """Keeps the requests of some classes in a folder."""
+    """Starts and ends the coordinator of durable requests."""
 
     def __init__(self, coordinator: DurableRequestCoordinator, core: Core) -> None:
-        """`coordinator` has begun."""
+        """Run a coordinator that has begun."""
         self.coordinator = coordinator
         self._core = core
 
     async def start(self) -> None:
-        """Takes up what is owed."""
+        """Start the commit thread."""
         self.coordinator.start()
 
     def drain(self, times: DrainTimes) -> None:
-        """Leaves the others once all that came here is answered."""
+        """Leave the other members once all clients of this process are answered."""
         self._core.driver.wheel.at(times.answered_by, self.coordinator.leave)
 
     @property
     def busy(self) -> bool:
-        """Whether something is being written, or not handed on."""
+        """Whether requests are unanswered or operations unwritten."""
         return not self.coordinator.idle
 
     def stop(self) -> None:
-        """Closes the folder."""
+        """End the commit thread and close the folder."""
         self.coordinator.close()
 
     def figures(self) -> Figures:
-        """The coordinator's figures."""
-        return {"custody": self.coordinator.figures()}
+        """Return the figures of durable requests."""
+        return {"custody": self.coordinator.figures().encode()}
 
 
 def make_durable_requests(
     config: Config, core: Core, loop: asyncio.AbstractEventLoop
 ) -> DurableRequests | None:
-    """The part, if the configuration asks for it; a `ConfigError` if its folder cannot be used."""
+    """Return the part, or None if the configuration has no table `custody`.
+
+    Raises `ConfigError` if the folder cannot be used.
+    """
     if config.custody is None:
         return None
     from eiderfield.durable_requests.coordinator import DurableRequestCoordinator
     from eiderfield.durable_requests.errors import DurableRequestsError
+    from eiderfield.durable_requests.loop_context import ProcessServices
 
+    services = ProcessServices(
+        exchange=core.exchange,
+        ids=core.ids,
+        timers=core.driver.wheel,
+        clock=core.clock,
+        call_in_loop=loop.call_soon_threadsafe,
+        log=log,
+    )
     try:
-        coordinator = DurableRequestCoordinator(
-            config.custody,
-            config.name,
-            core.exchange,
-            core.ids,
-            core.driver.wheel,
-            core.clock,
-            loop.call_soon_threadsafe,
-            log,
-        )
+        coordinator = DurableRequestCoordinator(config.custody, config.name, services)
         coordinator.begin()
     except DurableRequestsError as error:
         raise ConfigError(str(error)) from None
--- a/eiderfield/program/program.py
+++ b/eiderfield/program/program.py
@@ -136,16 +136,17 @@
     config: Config, core: Core, durable: DurableRequests | None, limits: ConnectionLimits
 ) -> list[BoundListener]:
     """The listeners for clients, which share the connections that clients may have."""
-    coordinator = None if durable is None else durable.coordinator
+    intake = None if durable is None else durable.coordinator.intake
+    lookup = None if durable is None else durable.coordinator.lookup
     share = limits.clients if config.batch is None else max(1, limits.clients // 2)
-    front = RequestFront(core.exchange, core.ids, core.clock, coordinator)
+    front = RequestFront(core.exchange, core.ids, core.clock, intake)
     bound = [BoundListener("listen", make_client_listener(config, core, front, share), config.listen)]
     if (batch := config.batch) is not None:
         registry_limits = RegistryLimits(
             batch.jobs_most, batch.finished_most, batch.finished_age, batch.bytes_most
         )
-        registry = JobRegistry(core.exchange, core.clock, config.name, registry_limits, coordinator)
-        batch_front = BatchFront(registry, coordinator, core.wall.to_unix)
+        registry = JobRegistry(core.exchange, core.clock, config.name, registry_limits, intake)
+        batch_front = BatchFront(registry, lookup, core.wall.to_unix)
         listener = make_client_listener(config, core, batch_front, share)
         bound.append(BoundListener("batch.listen", listener, batch.listen))
     return bound
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -6,6 +6,7 @@
 from support.memory_dispatcher import InMemoryDispatcher
 
 from eiderfield.durable_requests.coordinator import DurableRequestCoordinator
+from eiderfield.durable_requests.loop_context import ProcessServices
 from eiderfield.durable_requests.settings import DurableRequestSettings
 from eiderfield.exchange import Request, Verdict
 
@@ -46,25 +47,24 @@
         self.dispatcher = InMemoryDispatcher(workers=1)
         self.answers = []
         settings = DurableRequestSettings(path / "custody", frozenset({0}), lease=LEASE)
-        self.coordinator = DurableRequestCoordinator(
-            settings,
-            "a",
-            self.dispatcher.exchange,
-            self.dispatcher.ids,
-            self.dispatcher.wheel,
-            self.dispatcher.clock,
-            lambda call: call(),
-            self.dispatcher.logged.append,
+        services = ProcessServices(
+            exchange=self.dispatcher.exchange,
+            ids=self.dispatcher.ids,
+            timers=self.dispatcher.wheel,
+            clock=self.dispatcher.clock,
+            call_in_loop=lambda call: call(),
+            log=self.dispatcher.logged.append,
         )
+        self.coordinator = DurableRequestCoordinator(settings, "a", services)
         self.coordinator.begin()
         self.coordinator.member.tick()
         self.writer = DirectWriter(self.coordinator.member)
-        self.coordinator.thread = self.coordinator._claims._thread = self.writer
+        self.coordinator.context.commit_thread = self.writer
 
     def ask(self, front="platform"):
         """An asker for the job; gives what to call when it leaves."""
         request = Request("j", 0, 1_005_000.0, "/safe/x", body=b"b")
-        return self.coordinator.take(request, self.answers.append, front)
+        return self.coordinator.intake.take(request, self.answers.append, front)
 
     def take(self, front="platform"):
         """The job is asked for and written down."""
@@ -105,7 +105,7 @@
     kept.run()
     [dial] = kept.dispatcher.dials
     told = []
-    kept.coordinator.cancel("j", told.append)
+    kept.coordinator.lookup.cancel("j", told.append)
     assert dial.cancelled
     kept.dispatcher.dials.append(dial)  # it came up in the moment in which it was called off
     assert not dial.up().pipe.written
@@ -126,11 +126,11 @@
 def test_no_attempt_is_claimed_after_a_takeover_of_a_job_that_was_cancelled(kept):
     kept.take()
     [record] = kept.coordinator.member.open_records.values()
-    kept.coordinator.on_incarnation_over()  # this process gives its jobs up, and the next life has them
+    kept.coordinator.thread_events.on_incarnation_over()  # the next incarnation has its jobs
     kept.writer.queue.clear()
     kept.dispatcher.settle()
     kept.coordinator.member.folder.end_requests.add("j")
-    kept.coordinator.on_taken_over([record])
+    kept.coordinator.thread_events.on_taken_over([record])
     kept.run()
     kept.dispatcher.advance(1000.0)
     assert not kept.dispatcher.dials
@@ -224,12 +224,12 @@
 def test_a_job_that_was_taken_over_goes_on_without_a_client(kept):
     kept.take()
     [record] = kept.coordinator.member.open_records.values()
-    kept.coordinator._owned.clear()
+    kept.coordinator.context.owned_requests.clear()
     kept.dispatcher.exchange.cancel_request(1)
     kept.writer.queue.clear()
     kept.dispatcher.settle()
     kept.writer.queue.clear()
-    kept.coordinator.on_taken_over([record])
+    kept.coordinator.thread_events.on_taken_over([record])
     kept.dispatcher.settle()
     kept.run()
     kept.dispatcher.dials[0].up().finish()
--- a/tests/test_durable_requests_on_failing_disk.py
+++ b/tests/test_durable_requests_on_failing_disk.py
@@ -17,6 +17,7 @@
 from eiderfield.durable_requests.coordinator import DurableRequestCoordinator
 from eiderfield.durable_requests.errors import FolderError, StoreError
 from eiderfield.durable_requests.inspection import Inspection
+from eiderfield.durable_requests.loop_context import ProcessServices
 from eiderfield.durable_requests.member import Member
 from eiderfield.durable_requests.messages import (
     Accept,
@@ -389,21 +390,25 @@
         settings = DurableRequestSettings(folder, frozenset({cls}), lease=600_000.0)
         self.calls, self.answers = [], []
         dispatcher = self.dispatcher
-        call, log = self.calls.append, dispatcher.logged.append
-        self.coordinator = DurableRequestCoordinator(
-            settings, "a", dispatcher.exchange, dispatcher.ids, dispatcher.wheel, dispatcher.clock, call, log
+        services = ProcessServices(
+            exchange=dispatcher.exchange,
+            ids=dispatcher.ids,
+            timers=dispatcher.wheel,
+            clock=dispatcher.clock,
+            call_in_loop=self.calls.append,
+            log=dispatcher.logged.append,
         )
+        self.coordinator = DurableRequestCoordinator(settings, "a", services)
         self.coordinator.begin()
         self.coordinator.member.tick()
         request = Request("j", cls, dispatcher.now + 4000.0, "/safe/x")
-        self.coordinator.take(request, self.answers.append)
+        self.coordinator.intake.take(request, self.answers.append)
 
     def play(self, span=200.0):
         """Lets time pass in small steps, with the writer's turns between."""
-        writer = self.coordinator.thread
+        writer = self.coordinator.context.commit_thread
         for _ in range(int(span / 10.0)):
-            group = [writer._queue.popleft() for _ in range(len(writer._queue))]
-            writer.run_turn(group)
+            writer.run_turn(writer.next_group())
             while self.calls:
                 self.calls.pop(0)()
             self.dispatcher.settle()
@@ -439,7 +444,8 @@
 
 def test_an_attempt_waits_for_the_disk_and_the_job_is_served_after_that(loop, tmp_path, monkeypatch):
     with failing_files(tmp_path, monkeypatch) as faults:
-        monkeypatch.setattr(loop.coordinator, "claim", fails_from_here(faults, loop.coordinator.claim))
+        hooks = loop.coordinator.hooks
+        monkeypatch.setattr(hooks, "claim", fails_from_here(faults, hooks.claim))
         loop.play(600.0)
         assert faults.failed
         assert loop.stage == Stage.ACCEPTED
@@ -468,8 +474,8 @@
     monkeypatch.setattr(loop.coordinator.member, "take_over", broken)
     monkeypatch.setattr(loop.coordinator.member, "poll_answers", broken)
     heard = []
-    loop.coordinator.thread.watch("other")
-    loop.coordinator.thread.run_turn([(Accept(record("k")), heard.append)])
+    loop.coordinator.context.commit_thread.watch("other")
+    loop.coordinator.context.commit_thread.run_turn([(Accept(record("k")), heard.append)])
     for call in loop.calls:
         call()
     assert heard == [Accepted()]
@@ -508,7 +514,9 @@
         faults.heal()
     assert loop.coordinator.member.incarnation == ""
     loop.coordinator.member.begin()
-    loop.coordinator.take(Request("k", 0, loop.dispatcher.now + 4000.0, "/safe/x"), loop.answers.append)
+    loop.coordinator.intake.take(
+        Request("k", 0, loop.dispatcher.now + 4000.0, "/safe/x"), loop.answers.append
+    )
     loop.play(30.0)
     assert loop.dispatcher.dials
     assert loop.coordinator.member.find("k") is not None
