--- a/eiderfield/cli/rollout.py
+++ b/eiderfield/cli/rollout.py
@@ -33,31 +33,32 @@
 def plan(file: Path, as_json: bool) -> None:
     """Checks the plan in FILE and shows what each stage will do. Exits with 2 and one line on a fault."""
     from eiderfield.config import ConfigError
-    from eiderfield.rollout.plan import read
+    from eiderfield.rollout.plan_file import parse_plan
 
     try:
-        found = read(file.read_text())
+        found = parse_plan(file.read_text())
     except ConfigError as error:
         raise click.UsageError(f"{file}: {error}") from None
     if as_json:
-        click.echo(json.dumps({"name": found.name, "out": found.out, "stages": found.stages}))
+        click.echo(json.dumps({"name": found.name, "out": found.max_concurrent, "stages": found.stages}))
         return
     zones = {member.name: member.zone for member in found.members}
     what = [found.program or "the same program", found.settings or "the same settings"]
     click.echo(f"{found.name}: {', '.join(what)}")
     for number, stage in enumerate(found.stages, 1):
         title = "canary" if number == 1 else f"stage {number}"
-        many = min(found.out, len(stage))
+        many = min(found.max_concurrent, len(stage))
         click.echo(f"{title}, zone {zones[stage[0]]}, {many} at once: {', '.join(stage)}")
-    for zone in found.uncompared:
+    for zone in found.uncompared_zones:
         click.echo(
             f"zone {zone} changes in the last stage alone: what is worse only there is not compared with old "
             "ones; a further share in stages.shares would leave it some"
         )
-    w = found.watching
+    watch = found.watch
     click.echo(
-        f"each watched for {w.seconds:g} s at the most; undone where {w.worse:.0%} less is served in time "
-        f"(false stops {w.false_stop:.1%} of changes, missed {w.missed:.0%})"
+        f"each watched for {watch.max_duration:g} s at the most; "
+        f"undone where {watch.in_time_drop:.0%} less is served in time "
+        f"(false stops {watch.false_positive_rate:.1%} of changes, missed {watch.false_negative_rate:.0%})"
     )
 
 
--- a/eiderfield/rollout/canary_analysis.py
+++ b/eiderfield/rollout/canary_analysis.py
@@ -28,7 +28,7 @@
 from functools import reduce
 from math import log
 
-from eiderfield.rollout.plan import Watching
+from eiderfield.rollout.plan import WatchSettings
 
 LEAST_LEGS_JOBS = 100  # on either group, for legs a job to be compared: with 100, a third more is no chance
 LEAST_JOBS = 5  # of a class on either group, for a window to say anything of it; windows are made that long
@@ -204,7 +204,7 @@
         self.spread = max(1.0, FADE * self.spread + (1.0 - FADE) * seen)
 
 
-def find_fault(watching: Watching, seen: Sequence[Observation]) -> str | None:
+def find_fault(settings: WatchSettings, seen: Sequence[Observation]) -> str | None:
     """What a new dispatcher shows that no chance explains, None where there is nothing of the kind."""
     old = [one for one in seen if not one.new and one.alive]
     for one in [one for one in seen if one.new]:
@@ -212,11 +212,12 @@
             return f"{one.name} broke a rule: {one.broken}"
         if one.alive is False:
             return f"{one.name} is gone"
-        if one.alive and not one.ready and one.since_start > watching.ready:
+        if one.alive and not one.ready and one.since_start > settings.ready_timeout:
             return f"{one.name} is not ready after {one.since_start:.0f} s"
-        for what in ("descriptors", "memory"):
+        ratios = {"descriptors": settings.max_descriptor_ratio, "memory": settings.max_memory_ratio}
+        for what, ratio in ratios.items():
             most = max((getattr(other, what) for other in old), default=0)
-            if most and getattr(one, what) > getattr(watching, what) * most:
+            if most and getattr(one, what) > ratio * most:
                 return f"{one.name} holds {getattr(one, what):g} of {what}, no old one more than {most:g}"
     return None
 
@@ -226,21 +227,21 @@
 
     def __init__(
         self,
-        watching: Watching,
+        settings: WatchSettings,
         classes: Sequence[str],
         stages: int = 1,
         offsets: Mapping[Test, tuple[float, float]] | None = None,
     ) -> None:
-        self._watching = watching
-        sizes = {SHARE: watching.worse, WAITS: log(1.0 + watching.slower)}
+        self._settings = settings
+        sizes = {SHARE: settings.in_time_drop, WAITS: log(1.0 + settings.latency_increase)}
         self._tests = {
             (name, measure): _Test(measure, size, *_believed(size, (offsets or {}).get((name, measure))))
             for name in classes
             for measure, size in sizes.items()
         }
-        chance = watching.false_stop / max(1, len(self._tests) * stages)
-        self._worse_at = log((1.0 - watching.missed) / chance)
-        self._cleared_at = log(watching.missed / (1.0 - chance))
+        chance = settings.false_positive_rate / max(1, len(self._tests) * stages)
+        self._worse_at = log((1.0 - settings.false_negative_rate) / chance)
+        self._cleared_at = log(settings.false_negative_rate / (1.0 - chance))
         self._watched = 0.0
         # By group: jobs over, legs, and s of processor.
         self._legs: dict[bool, list[float]] = {True: [0, 0, 0.0], False: [0, 0, 0.0]}
@@ -255,12 +256,12 @@
 
     def look(self, span: float, seen: Sequence[Observation]) -> Judgement:
         """A further window of `span` s."""
-        if (fault := find_fault(self._watching, seen)) is not None:
+        if (fault := find_fault(self._settings, seen)) is not None:
             return Judgement(Decision.UNDO, fault)
         self._watched += span
-        over = self._watched >= self._watching.seconds
+        over = self._watched >= self._settings.max_duration
         if seen and all(one.new for one in seen):
-            unseen = [one.name for one in seen if not one.watched(self._watching.settle)]
+            unseen = [one.name for one in seen if not one.watched(self._settings.warm_up)]
             if not unseen:
                 return Judgement(Decision.GO, "all have changed, and none shows a fault")
             return Judgement(
@@ -271,14 +272,14 @@
             if not group or 2 * sum(one.alive is True for one in group) < len(group):
                 why = f"fewer than half of the {'new' if new else 'old'} ones can be seen"
                 return Judgement(Decision.HOLD if over else Decision.WAIT, why)
-        counted = [one for one in seen if one.watched(self._watching.settle)]
+        counted = [one for one in seen if one.watched(self._settings.warm_up)]
         if (many := self._by_job(counted)) is not None:
             return Judgement(Decision.UNDO, many)
         for (name, measure), test in self._tests.items():
             test.weigh(name, counted)
             if test.evidence >= self._worse_at:
-                less = f"served in time less by about {self._watching.worse:.0%}"
-                slow = f"slower by about {self._watching.slower:.0%}"
+                less = f"served in time less by about {self._settings.in_time_drop:.0%}"
+                slow = f"slower by about {self._settings.latency_increase:.0%}"
                 return Judgement(Decision.UNDO, f"class {name}: {less if measure == SHARE else slow}")
             test.cleared = test.cleared or test.evidence <= self._cleared_at
         return self._standing(over)
@@ -293,9 +294,9 @@
         (n, new, used), (m, old, used_before) = self._legs[True], self._legs[False]
         if min(n, m) < LEAST_LEGS_JOBS:
             return None
-        if new / n > self._watching.legs * max(1.0, old / m):
+        if new / n > self._settings.max_attempt_ratio * max(1.0, old / m):
             return f"new ones send {new / n:.2f} legs a job, old ones {old / m:.2f}"
-        if used / n > self._watching.processor * used_before / m > 0.0:
+        if used / n > self._settings.max_cpu_ratio * used_before / m > 0.0:
             each, before = 1000.0 * used / n, 1000.0 * used_before / m
             return f"new ones use {each:.1f} ms of processor a job, old ones {before:.1f}"
         return None
--- a/eiderfield/rollout/controller.py
+++ b/eiderfield/rollout/controller.py
@@ -23,7 +23,7 @@
 from eiderfield.rollout.journal import Journal, JournalError, JournalWriteError, Locks, read
 from eiderfield.rollout.measurement import WindowMeter
 from eiderfield.rollout.plan import Plan
-from eiderfield.rollout.plan import read as read_plan
+from eiderfield.rollout.plan_file import parse_plan
 from eiderfield.rollout.processes import ProcessError, ProcessManager
 from eiderfield.rollout.reconciler import Action
 from eiderfield.rollout.settings import prepare
@@ -44,9 +44,9 @@
 
 
 def _begin(plan_file: Path, folder: Path) -> None:
-    plan = read_plan(plan_file.read_text(encoding="utf-8"))
+    plan = parse_plan(plan_file.read_text(encoding="utf-8"))
     base = plan_file.resolve().parent
-    for what, program in (("program", plan.program), ("before", plan.before)):
+    for what, program in (("program", plan.program), ("before", plan.previous_program)):
         if program and not (base / program / "eiderfield").is_dir():
             raise ConfigError(f"change.{what}: no package eiderfield in {base / program}")
     if (folder / "journal.json").exists():
@@ -65,7 +65,7 @@
         base = Path((folder / BASE).read_text(encoding="utf-8"))
     except OSError as error:
         raise JournalError(f"{folder} holds no change: {error}") from None
-    return read_plan(text), base
+    return parse_plan(text), base
 
 
 class Controller:
@@ -115,7 +115,7 @@
             told(self.course)
             if self.course.over and not self.journal.wish():
                 return self.course.state.phase
-            time.sleep(max(0.0, self._last + self.plan.watching.look - self._clock()))
+            time.sleep(max(0.0, self._last + self.plan.watch.poll_interval - self._clock()))
 
     def turn(self) -> None:
         """One look, and what follows from it."""
--- a/eiderfield/rollout/power_analysis.py
+++ b/eiderfield/rollout/power_analysis.py
@@ -17,7 +17,7 @@
 import numpy as np
 
 from eiderfield.rollout.canary_analysis import Baseline, CanaryAnalysis, Decision, Observation
-from eiderfield.rollout.plan import Watching
+from eiderfield.rollout.plan import WatchSettings
 
 Window = list[Observation]
 Z = 2.33  # one-sided at 1%
@@ -62,18 +62,18 @@
     return found[: world.before], found[world.before :]
 
 
-def sequential(watching: Watching, before: list[Window], seen: list[Window]) -> Decision:
+def sequential(settings: WatchSettings, before: list[Window], seen: list[Window]) -> Decision:
     """The judge's test, with the difference before the change taken off."""
     baseline = Baseline(["jobs"])
     for window in before:
         baseline.look(window)
     changing = {one.name for one in seen[0] if one.new}
-    return _sequential(CanaryAnalysis(watching, ["jobs"], offsets=baseline.offsets(changing)), seen)
+    return _sequential(CanaryAnalysis(settings, ["jobs"], offsets=baseline.offsets(changing)), seen)
 
 
-def without_baseline(watching: Watching, before: list[Window], seen: list[Window]) -> Decision:
+def without_baseline(settings: WatchSettings, before: list[Window], seen: list[Window]) -> Decision:
     """The same without what was seen before the change."""
-    return _sequential(CanaryAnalysis(watching, ["jobs"]), seen)
+    return _sequential(CanaryAnalysis(settings, ["jobs"]), seen)
 
 
 def _sequential(judge: CanaryAnalysis, seen: list[Window]) -> Decision:
@@ -84,7 +84,7 @@
     return Decision.HOLD
 
 
-def z_test(watching: Watching, before: list[Window], seen: list[Window]) -> Decision:
+def z_test(settings: WatchSettings, before: list[Window], seen: list[Window]) -> Decision:
     """A z test on all that has come, at every window; it goes on when the time to watch is over."""
     totals = {True: [0, 0], False: [0, 0]}
     for window in seen:
@@ -99,7 +99,7 @@
     return Decision.GO
 
 
-TESTS: dict[str, Callable[[Watching, list[Window], list[Window]], Decision]] = {
+TESTS: dict[str, Callable[[WatchSettings, list[Window], list[Window]], Decision]] = {
     "sequential, with the baseline": sequential,
     "sequential, without": without_baseline,
     "z test at every window": z_test,
@@ -107,14 +107,14 @@
 
 
 def weigh(
-    rollouts: int, worse: float, unlike: float, watching: Watching | None = None
+    rollouts: int, worse: float, unlike: float, settings: WatchSettings | None = None
 ) -> dict[str, dict[str, float]]:
     """Shares of rollouts that each test undid, held and let go on, by test."""
-    watching = watching or Watching()
+    settings = settings or WatchSettings()
     world = World(worse=worse, unlike=unlike)
     counts = {name: dict.fromkeys(("undo", "hold", "go on"), 0) for name in TESTS}
     for seed in range(rollouts):
         before, seen = windows(world, seed)
         for name, test in TESTS.items():
-            counts[name][test(watching, before, seen).value] += 1
+            counts[name][test(settings, before, seen).value] += 1
     return {name: {word: count / rollouts for word, count in found.items()} for name, found in counts.items()}
--- a/eiderfield/rollout/processes.py
+++ b/eiderfield/rollout/processes.py
@@ -218,11 +218,13 @@
         plan, member = self.plan, self.plan.member(move.member)
         if move.member in self._texts:
             self._texts[move.member].put(move.version)
-        program = (self._base / (plan.program if move.version is Version.NEW else plan.before)).resolve()
+        program = (
+            self._base / (plan.program if move.version is Version.NEW else plan.previous_program)
+        ).resolve()
         host, port = move.console
         words = {
             "program": str(program),
-            "config": str((self._base / member.config).resolve()),
+            "config": str((self._base / member.config_file).resolve()),
             "console": f"{host}:{port}",
         }
         environ = {name: value.format(**words) for name, value in member.environment.items()}
@@ -230,7 +232,7 @@
         with ExitStack() as opened:
             log = _open_log(self._folder / f"{move.member}.log", opened)
             child = subprocess.Popen(
-                [word.format(**words) for word in member.start],
+                [word.format(**words) for word in member.start_command],
                 cwd=program,
                 env={**os.environ, **environ},
                 stdin=subprocess.DEVNULL,
--- a/eiderfield/rollout/reconciler.py
+++ b/eiderfield/rollout/reconciler.py
@@ -161,7 +161,7 @@
 
     def _may_begin(self, transition: _Transition, there: Sequence[ProcessStatus]) -> bool:
         changing = sum(transition.changing for transition in self._transitions.values())
-        return transition.changing or not there or changing < self._plan.out
+        return transition.changing or not there or changing < self._plan.max_concurrent
 
     def _next_actions(
         self, name: str, transition: _Transition, there: Sequence[ProcessStatus], now: float, most_trials: int
@@ -203,7 +203,7 @@
             return next(one.refused for one in there if one.refused)
         if not usable and waited > SHOW and not self._by_settings:
             return "its process ended at once"
-        return f"not ready after {waited:.0f} s" if waited > self._plan.watching.ready else ""
+        return f"not ready after {waited:.0f} s" if waited > self._plan.watch.ready_timeout else ""
 
     def _begin(
         self, name: str, transition: _Transition, there: Sequence[ProcessStatus], now: float
--- a/eiderfield/rollout/settings.py
+++ b/eiderfield/rollout/settings.py
@@ -64,7 +64,7 @@
     found = {}
     for number, member in enumerate(plan.members):
         at = f"dispatcher.{number}.config"
-        target = (base / member.config).resolve()
+        target = (base / member.config_file).resolve()
         kept = {side: place / f"{member.name}.{side.value}" for side in Version}
         if not all(file.exists() for file in kept.values()):
             try:
--- a/eiderfield/rollout/state_machine.py
+++ b/eiderfield/rollout/state_machine.py
@@ -155,7 +155,7 @@
         if state.phase == "before":
             self._look_before(now, found, seen)
         elif state.phase in ("moving", "watching", "held"):
-            fault = find_fault(self.plan.watching, [one for one in seen if one.new])
+            fault = find_fault(self.plan.watch, [one for one in seen if one.new])
             fault = fault or next((f"{n}: {why}" for n, why in self._reconciler.given_up.items()), None)
             if fault:
                 self._to("undoing", fault)
@@ -163,7 +163,7 @@
                 self._look_watching(span, seen)
         if state.paused and state.phase != "undoing":
             return []
-        trials = self.plan.watching.trials if state.phase == "undoing" else 1
+        trials = self.plan.watch.max_start_attempts if state.phase == "undoing" else 1
         actions = self._reconciler.step(now, found, trials)
         if state.phase == "moving":
             waited = [name for name in self.changed if not self._reconciler.arrived(name)]
@@ -176,13 +176,13 @@
     def _look_before(
         self, now: float, found: Mapping[str, Sequence[ProcessStatus]], seen: Sequence[Observation]
     ) -> None:
-        state, watching = self.state, self.plan.watching
+        state, watching = self.state, self.plan.watch
         names = [member.name for member in self.plan.members]
         ill = [name for name in names if not _well(found.get(name, ()))]
         if ill:
             self._ill_since = now if self._ill_since is None else self._ill_since
             self._well_since = None
-            if now - self._ill_since > watching.ready:
+            if now - self._ill_since > watching.ready_timeout:
                 self._to("refused", f"ill before the start: {', '.join(ill)}")
             return
         self._ill_since = None
@@ -192,7 +192,7 @@
             self._baseline = Baseline(classes)
         self._baseline.look(seen)
         state.before = self._baseline.counts
-        if now - self._well_since >= watching.before and not state.paused:
+        if now - self._well_since >= watching.baseline_duration and not state.paused:
             self._to("moving", "all are well")
 
     def _look_watching(self, span: float, seen: Sequence[Observation]) -> None:
@@ -200,7 +200,7 @@
         if self._analysis is None:
             stages = len(self.plan.stages)
             offsets = self._baseline.offsets(self.changed)
-            self._analysis = CanaryAnalysis(self.plan.watching, state.classes, stages, offsets)
+            self._analysis = CanaryAnalysis(self.plan.watch, state.classes, stages, offsets)
         said: Judgement = self._analysis.look(span, seen)
         state.watched += span
         if said.decision is Decision.UNDO:
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -16,7 +16,7 @@
 from eiderfield.durable_requests.store import COLUMNS, SCHEMA, RecordStore, encode
 from eiderfield.net.bans import Bans
 from eiderfield.rollout.journal import JournalError, read
-from eiderfield.rollout.plan import read as read_plan
+from eiderfield.rollout.plan_file import parse_plan
 from eiderfield.rollout.state_machine import RolloutStateMachine
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -148,7 +148,7 @@
 @pytest.mark.parametrize("name", ROLLOUT)
 def test_a_rollout_journal_keeps_its_meaning(golden, name):
     folder = golden / "rollout" / name
-    plan = read_plan((folder / "plan.toml").read_text())
+    plan = parse_plan((folder / "plan.toml").read_text())
     journal, told = read(folder, plan), expected(folder)
     assert (journal.plan, journal.id) == (told["plan"], told["id"])
     assert plain(journal.state.encode()) == told["state"]
--- a/tests/test_rollout_analysis.py
+++ b/tests/test_rollout_analysis.py
@@ -14,19 +14,39 @@
 from eiderfield.cli import main
 from eiderfield.config import ConfigError
 from eiderfield.rollout.canary_analysis import Baseline, CanaryAnalysis, Decision, Observation
-from eiderfield.rollout.plan import Watching, read
+from eiderfield.rollout.plan import WatchSettings
+from eiderfield.rollout.plan_file import parse_plan
 from eiderfield.rollout.power_analysis import weigh
 
 EXAMPLE = (ROOT / "deploy" / "rollout-example.toml").read_text()
 
 
 def test_the_example_changes_a_canary_then_shares_and_never_two_zones_at_once():
-    plan = read(EXAMPLE)
+    plan = parse_plan(EXAMPLE)
     assert plan.stages == (("n0",), ("n1",), ("n2", "n3"), ("n4", "n5", "n6", "n7"))
     zones = {member.name: member.zone for member in plan.members}
     assert all(len({zones[name] for name in stage}) == 1 for stage in plan.stages)
 
 
+ONE_DISPATCHER = """name = "c"
+[change]
+settings = "s"
+[[dispatcher]]
+name = "n0"
+config = "n0.toml"
+console = "127.0.0.1:8070"
+start = ["run"]
+[dispatcher.environment]
+A = "it's"
+"""
+
+
+@pytest.mark.parametrize(("text", "digest"), [(EXAMPLE, "d265e08f"), (ONE_DISPATCHER, "02df0a42")])
+def test_plan_digest_stays_that_of_program_456c0d9(text, digest):
+    """Journals hold the digest: a plan whose digest changes could not be resumed."""
+    assert parse_plan(text).digest == digest
+
+
 @settings(derandomize=True, database=None, deadline=None)
 @given(
     st.lists(st.sampled_from(["a", "b", "c"]), min_size=2, max_size=30),
@@ -39,7 +59,7 @@
     for number, zone in enumerate(zones):
         text += f'[[dispatcher]]\nname = "n{number}"\nconsole = "h:{number + 1}"\nzone = "{zone}"\n'
         text += f'start = ["s"]\nspare = "h:{1000 + number}"\n'
-    plan = read(text)
+    plan = parse_plan(text)
     names = [name for stage in plan.stages for name in stage]
     assert sorted(names) == sorted(f"n{n}" for n in range(len(zones)))
     zone_of = {member.name: member.zone for member in plan.members}
@@ -87,11 +107,11 @@
 def test_a_faulty_plan_is_refused_by_the_name_of_its_key(old, new, key):
     assert old in EXAMPLE
     with pytest.raises(ConfigError) as error:
-        read(EXAMPLE.replace(old, new))
+        parse_plan(EXAMPLE.replace(old, new))
     assert str(error.value).startswith(key)
 
 
-WATCHING = Watching(seconds=60.0)
+WATCH = WatchSettings(max_duration=60.0)
 
 
 def window(new=0.95, old=0.95, asked=200, **more):
@@ -114,8 +134,8 @@
 
 
 def test_a_change_that_is_no_worse_goes_on_and_a_worse_one_is_undone_by_class():
-    assert decide(CanaryAnalysis(WATCHING, ["a"]), window()).decision == Decision.GO
-    said = decide(CanaryAnalysis(WATCHING, ["a"]), window(new=0.85))
+    assert decide(CanaryAnalysis(WATCH, ["a"]), window()).decision == Decision.GO
+    said = decide(CanaryAnalysis(WATCH, ["a"]), window(new=0.85))
     assert said.decision == Decision.UNDO
     assert "class a" in said.why
 
@@ -131,27 +151,27 @@
 
 
 def test_one_that_serves_in_time_but_slower_is_undone_and_one_as_fast_goes_on():
-    assert decide(CanaryAnalysis(WATCHING, ["a"]), waiting(200.0, 200.0)).decision == Decision.GO
-    said = decide(CanaryAnalysis(WATCHING, ["a"]), waiting(260.0, 200.0))
+    assert decide(CanaryAnalysis(WATCH, ["a"]), waiting(200.0, 200.0)).decision == Decision.GO
+    said = decide(CanaryAnalysis(WATCH, ["a"]), waiting(260.0, 200.0))
     assert said.decision == Decision.UNDO
     assert "slower" in said.why
-    assert decide(CanaryAnalysis(WATCHING, ["a"]), waiting(160.0, 200.0)).decision == Decision.GO
+    assert decide(CanaryAnalysis(WATCH, ["a"]), waiting(160.0, 200.0)).decision == Decision.GO
 
 
 def test_a_flood_that_hurts_both_stops_nothing():
-    judge = CanaryAnalysis(WATCHING, ["a"])
+    judge = CanaryAnalysis(WATCH, ["a"])
     judge.look(1.0, window(asked=20))
     assert decide(judge, window(new=0.4, old=0.4)).decision == Decision.GO
 
 
 def test_a_canary_with_little_traffic_is_held_and_not_passed():
-    said = decide(CanaryAnalysis(replace(WATCHING, seconds=20.0), ["a"]), window(asked=1))
+    said = decide(CanaryAnalysis(replace(WATCH, max_duration=20.0), ["a"]), window(asked=1))
     assert said.decision == Decision.HOLD
     assert "a" in said.why
 
 
 def test_a_class_that_nobody_asks_for_holds_nothing_up():
-    said = decide(CanaryAnalysis(WATCHING, ["a", "b"]), window())
+    said = decide(CanaryAnalysis(WATCH, ["a", "b"]), window())
     assert said.decision == Decision.GO
     assert "b" in said.why
 
@@ -161,7 +181,7 @@
         replace(one, asked={"a": 200, "b": 200}, in_time={"a": 190, "b": 150 if one.new else 190})
         for one in window()
     ]
-    assert "class b" in decide(CanaryAnalysis(WATCHING, ["a", "b"]), seen).why
+    assert "class b" in decide(CanaryAnalysis(WATCH, ["a", "b"]), seen).why
 
 
 @pytest.mark.parametrize(
@@ -175,13 +195,13 @@
     ],
 )
 def test_what_no_chance_explains_undoes_at_once(more, why):
-    said = CanaryAnalysis(WATCHING, ["a"]).look(1.0, window(**more))
+    said = CanaryAnalysis(WATCH, ["a"]).look(1.0, window(**more))
     assert said.decision == Decision.UNDO
     assert why in said.why
 
 
 def test_one_that_is_not_ready_yet_or_cold_is_waited_for():
-    judge = CanaryAnalysis(WATCHING, ["a"])
+    judge = CanaryAnalysis(WATCH, ["a"])
     slow = [replace(one, ready=False, since_start=5.0) if one.new else one for one in window(new=0.2)]
     assert judge.look(1.0, slow).decision == Decision.WAIT
     cold = [replace(one, since_start=5.0) if one.new else one for one in window(new=0.2)]
@@ -191,7 +211,7 @@
 
 def test_unreachable_is_not_gone_it_waits_and_then_holds():
     seen = [replace(one, alive=None) if one.new else one for one in window()]
-    judge = CanaryAnalysis(WATCHING, ["a"])
+    judge = CanaryAnalysis(WATCH, ["a"])
     assert judge.look(1.0, seen).decision == Decision.WAIT
     assert decide(judge, seen).decision == Decision.HOLD
 
@@ -201,9 +221,9 @@
     baseline = Baseline(["a"])
     for _ in range(60):
         baseline.look(seen)
-    assert decide(CanaryAnalysis(WATCHING, ["a"]), seen).decision == Decision.UNDO
+    assert decide(CanaryAnalysis(WATCH, ["a"]), seen).decision == Decision.UNDO
     assert (
-        decide(CanaryAnalysis(WATCHING, ["a"], offsets=baseline.offsets({"n0", "n1"})), seen).decision
+        decide(CanaryAnalysis(WATCH, ["a"], offsets=baseline.offsets({"n0", "n1"})), seen).decision
         == Decision.GO
     )
 
@@ -217,7 +237,7 @@
 
 @pytest.mark.parametrize(("new", "word"), [(1.05, Decision.GO), (1.6, Decision.UNDO)])
 def test_a_change_that_sends_jobs_far_more_often_is_undone_before_any_is_late(new, word):
-    judge = CanaryAnalysis(Watching(), ["a"], 1)
+    judge = CanaryAnalysis(WatchSettings(), ["a"], 1)
     said = None
     for _ in range(400):
         seen = [
@@ -235,7 +255,7 @@
 
 @pytest.mark.parametrize(("new", "word"), [(1.5, Decision.GO), (2.5, Decision.UNDO)])
 def test_a_change_that_uses_far_more_processor_a_job_is_undone(new, word):
-    judge, said = CanaryAnalysis(Watching(), ["a"], 1), None
+    judge, said = CanaryAnalysis(WatchSettings(), ["a"], 1), None
     for _ in range(400):
         seen = [
             Observation(f"n{n}", n < 2, asked={"a": 20}, in_time={"a": 20}, legs=20, processor=0.1 * times)
@@ -263,7 +283,7 @@
         )
     path = tmp_path / "zones.toml"
     path.write_text(text)
-    assert read(text).uncompared == ("z1",)
+    assert parse_plan(text).uncompared_zones == ("z1",)
     told = CliRunner().invoke(main, ["rollout", "plan", str(path)])
     assert "zone z1 changes in the last stage alone" in told.output
     path = tmp_path / "p.toml"
--- a/tests/test_rollout_on_failing_disk.py
+++ b/tests/test_rollout_on_failing_disk.py
@@ -14,7 +14,7 @@
 from eiderfield.rollout.controller import Controller, begin, plan_of
 from eiderfield.rollout.journal import Journal, JournalError, JournalWriteError, ask, read
 from eiderfield.rollout.measurement import ProcessReport
-from eiderfield.rollout.plan import read as read_plan
+from eiderfield.rollout.plan_file import parse_plan
 from eiderfield.rollout.processes import ProcessManager
 from eiderfield.rollout.reconciler import End, ProcessStatus, Start, Version
 from eiderfield.rollout.settings import prepare
@@ -286,6 +286,6 @@
     """A plan of one dispatcher, whose console is this process's, and what a journal says of it."""
     address = console.getsockname()
     text = 'name = "c"\n[change]\nsettings = "s"\n[[dispatcher]]\nname = "n0"\nconfig = "n0.toml"\n'
-    plan = read_plan(f'{text}console = "127.0.0.1:{address[1]}"\nstart = ["run"]\n')
+    plan = parse_plan(f'{text}console = "127.0.0.1:{address[1]}"\nstart = ["run"]\n')
     kept = {"member": "n0", "side": "old", "console": list(address), "pid": os.getpid(), "created": created}
     return plan, kept
--- a/tests/test_rollout_settings.py
+++ b/tests/test_rollout_settings.py
@@ -28,12 +28,16 @@
 
 
 def fleet(tmp_path, over, count=8):
-    members = tuple(Member(f"n{n}", ("h", 1 + n), "z", ("s",), config=f"n{n}.toml") for n in range(count))
+    members = tuple(
+        Member(f"n{n}", ("h", 1 + n), "z", ("s",), config_file=f"n{n}.toml") for n in range(count)
+    )
     for member in members:
-        (tmp_path / member.config).write_text(FILE)
+        (tmp_path / member.config_file).write_text(FILE)
     (tmp_path / "over.toml").write_text(over)
     stages = tuple((member.name,) for member in members)
-    return replace(PLAN, program="", before="", settings="over.toml", members=members, stages=stages)
+    return replace(
+        PLAN, program="", previous_program="", settings="over.toml", members=members, stages=stages
+    )
 
 
 def test_a_class_is_laid_over_by_name_and_comments_stay():
--- a/tests/test_rollout_state_machine.py
+++ b/tests/test_rollout_state_machine.py
@@ -14,14 +14,18 @@
 from eiderfield.rollout.canary_analysis import Observation
 from eiderfield.rollout.journal import Journal, JournalError, Locks, ask, read
 from eiderfield.rollout.measurement import ProcessReport, WindowMeter
-from eiderfield.rollout.plan import Member, Plan, Watching
+from eiderfield.rollout.plan import Member, Plan, WatchSettings
 from eiderfield.rollout.reconciler import ENDING, Configure, End, ProcessStatus, Reconciler, Start, Version
 from eiderfield.rollout.state_machine import ENDS, RolloutState, RolloutStateMachine, decode_state
 
 NAMES = ("n0", "n1", "n2", "n3")
-WATCHING = Watching(seconds=60.0, before=3.0, settle=0.0, ready=8.0, trials=2)
-MEMBERS = tuple(Member(name, ("h", 1 + n), "z", ("s",), spare=("h", 101 + n)) for n, name in enumerate(NAMES))
-PLAN = Plan("p", "new", "", MEMBERS, (("n0",), ("n1", "n2"), ("n3",)), 1, WATCHING, "old")
+WATCH = WatchSettings(
+    max_duration=60.0, baseline_duration=3.0, warm_up=0.0, ready_timeout=8.0, max_start_attempts=2
+)
+MEMBERS = tuple(
+    Member(name, ("h", 1 + n), "z", ("s",), spare_console=("h", 101 + n)) for n, name in enumerate(NAMES)
+)
+PLAN = Plan("p", "new", "", MEMBERS, (("n0",), ("n1", "n2"), ("n3",)), 1, WATCH, "old")
 
 
 class World:
@@ -205,7 +209,7 @@
 
 
 def test_a_held_stage_waits_for_a_word():
-    world = World(replace(PLAN, watching=replace(WATCHING, seconds=3.0)))
+    world = World(replace(PLAN, watch=replace(WATCH, max_duration=3.0)))
     world.share = {Version.OLD: 0.95, Version.NEW: 0.92}
     assert world.run(60, until=lambda course: course.state.phase == "held") == "held"
     world.run(50, until=lambda course: False)
@@ -224,7 +228,7 @@
 @given(st.data())
 def test_whatever_fails_and_whoever_leads_a_change_ends_and_no_member_has_two_moves_at_once(data):
     """Random losses of controllers and processes, and words, at random turns; each run ends old or new."""
-    world = World(replace(PLAN, out=data.draw(st.integers(1, 2))))
+    world = World(replace(PLAN, max_concurrent=data.draw(st.integers(1, 2))))
     world.lose_allowed = True  # a kill may take the one that was to serve on
     world.share[Version.NEW] = data.draw(st.sampled_from([0.95, 0.6]))
     for _ in range(data.draw(st.integers(0, 6))):
@@ -320,9 +324,9 @@
         code = (
             "import sys; from pathlib import Path\n"
             "from eiderfield.rollout.journal import Locks, JournalError\n"
-            "from eiderfield.rollout.plan import Member, Plan, Watching\n"
+            "from eiderfield.rollout.plan import Member, Plan, WatchSettings\n"
             "m = (Member('x', ('h', 101), 'z', ('s',)),)\n"
-            "try: Locks(Plan('q', 'n', '', m, (('x',),), 1, Watching(), 'o'), Path(sys.argv[1]))\n"
+            "try: Locks(Plan('q', 'n', '', m, (('x',),), 1, WatchSettings(), 'o'), Path(sys.argv[1]))\n"
             "except JournalError as error: print(error)"
         )
         words = [sys.executable, "-c", code, str(tmp_path)]
