--- a/eiderfield/rollout/reconciler.py
+++ b/eiderfield/rollout/reconciler.py
@@ -86,6 +86,7 @@
 
     wanted: Version
     arrived: bool = False  # from then on it is left alone, whatever becomes of it
+    arrival_restored: bool = False  # it arrived under an earlier controller, whose word may be out of date
     begun: float | None = None  # since when a process, or new settings, are waited for
     started: bool = False  # whether a process of the wanted version was started here
     trials: int = 0
@@ -108,7 +109,13 @@
         transition = self._transitions.setdefault(member, _Transition(version))
         if transition.wanted is not version or member in self.given_up:
             self._transitions[member] = replace(
-                transition, wanted=version, arrived=False, begun=None, started=False, trials=0
+                transition,
+                wanted=version,
+                arrived=False,
+                arrival_restored=False,
+                begun=None,
+                started=False,
+                trials=0,
             )
             self.given_up.pop(member, None)
 
@@ -122,9 +129,13 @@
             pids = {one.pid for one in there}
             transition.ending = {pid: at for pid, at in transition.ending.items() if pid in pids}
             transition.hard &= pids
+            if not self.has_current_arrival(name, there):
+                transition.arrived = transition.arrival_restored = False
             transition.arrived = transition.arrived or self._settled(transition, there)
             if transition.arrived or name in self.given_up:
                 transition.changing = False
+            elif len(there) > 1:  # begun by an earlier controller, or here
+                transition.changing = True
         for name, transition in self._transitions.items():
             there = found.get(name, ())
             if not transition.arrived and name not in self.given_up:
@@ -144,13 +155,25 @@
         return {pid for transition in self._transitions.values() for pid in transition.ending}
 
     def has_arrived(self, name: str) -> None:
-        """A member was seen to be what is wanted by the controller before this one."""
+        """Restore that an earlier controller saw the member arrive.
+
+        It holds until a process of the other version shows that the change was undone since then.
+        """
         self._transitions[name].arrived = True
+        self._transitions[name].arrival_restored = True
 
     def arrived(self, name: str) -> bool:
         """Whether a member became what is wanted, with nothing else of it left."""
         return name in self._transitions and self._transitions[name].arrived
 
+    def has_current_arrival(self, name: str, there: Sequence[ProcessStatus]) -> bool:
+        """Whether a member arrived and, if only an earlier controller saw that, no process contradicts it."""
+        if not self.arrived(name):
+            return False
+        transition = self._transitions[name]
+        is_contradicted = any(process.version is not transition.wanted for process in there)
+        return not (transition.arrival_restored and is_contradicted)
+
     def _settled(self, transition: _Transition, there: Sequence[ProcessStatus]) -> bool:
         if len(there) != 1 or there[0].lies not in (None, transition.wanted):
             return False
--- a/eiderfield/rollout/state_machine.py
+++ b/eiderfield/rollout/state_machine.py
@@ -113,7 +113,12 @@
         now_ready = {
             name for name, there in told.items() if any(x.version is Version.NEW and x.ready for x in there)
         }
-        return {name for name in self.changed if self._reconciler.arrived(name) or name in now_ready}
+        reconciler = self._reconciler
+        return {
+            name
+            for name in self.changed
+            if name in now_ready or reconciler.has_current_arrival(name, told.get(name, ()))
+        }
 
     # What operators say.
 
--- a/tests/test_rollout_state_machine.py
+++ b/tests/test_rollout_state_machine.py
@@ -208,6 +208,29 @@
     assert world.sides() == {name: ["new"] for name in NAMES}
 
 
+def test_another_controller_counts_members_that_the_lost_one_was_changing():
+    world = World(replace(PLAN, max_concurrent=2))
+    world.run(until=lambda course: course.state.stage == 2 and course.state.phase == "moving")
+    world.course.obey("undo")
+    world.turn()
+    changing = [name for name, there in world.processes.items() if len(there) > 1]
+    assert len(changing) == 2
+    world.another_controller()
+    assert world.run() == "undone"
+    assert world.changing_most == 2
+
+
+def test_another_controller_brings_forward_again_what_an_undo_had_brought_back():
+    world = World()
+    world.run(until=lambda course: course.state.stage == 1 and course.state.phase == "watching")
+    world.course.obey("undo")
+    world.run(until=lambda course: world.sides()["n0"] == ["old"])
+    world.course.obey("resume")
+    world.another_controller()
+    assert world.run() == "done"
+    assert world.sides() == {name: ["new"] for name in NAMES}
+
+
 def test_a_held_stage_waits_for_a_word():
     world = World(replace(PLAN, watch=replace(WATCH, max_duration=3.0)))
     world.share = {Version.OLD: 0.95, Version.NEW: 0.92}
