--- /dev/null
+++ b/eiderfield/policy/attempt_outcomes.py
@@ -0,0 +1,105 @@
+"""What the start and the end of an attempt tell of its worker, and of its class.
+
+An answer in time ends all suspicion; a failed connection, a second reset in a row or too many errors rest the
+worker; 'full' holds back further requests for a while, and lowers the rate of the class if no other worker is
+free. Times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from eiderfield.interface import AttemptEnded, Effect, EndpointState, Outcome
+from eiderfield.policy.context import Context
+from eiderfield.policy.endpoint import FAULTY
+from eiderfield.policy.fleet import Fleet
+from eiderfield.policy.load_reports import LoadReports
+from eiderfield.policy.outlier_detection import SILENT_RUNS, OutlierDetector
+from eiderfield.policy.request import AttemptRecord
+from eiderfield.policy.selection import EndpointSelector
+from eiderfield.policy.slow_start import SlowStart
+
+FULL_PAUSE_MS = 200.0  # without sends to a worker that is full: a place in its queue frees in about that
+MAX_FULL_PAUSES = 2  # pauses after which a worker that says 'full' again and again is sent a request
+MAX_WAIT_PAUSES = (
+    5.0  # waits for which a worker is left to others, at most: one of many never sees all its slots
+)
+
+
+class AttemptOutcomes:
+    """Updates workers and rate control from what becomes of attempts."""
+
+    def __init__(
+        self,
+        context: Context,
+        fleet: Fleet,
+        slow_start: SlowStart,
+        reports: LoadReports,
+        outliers: OutlierDetector,
+        selector: EndpointSelector,
+    ) -> None:
+        self._context = context
+        self._fleet = fleet
+        self._slow_start = slow_start
+        self._reports = reports
+        self._outliers = outliers
+        self._selector = selector
+
+    def record_start(self, attempt: AttemptRecord, now: float) -> None:
+        """Record that an attempt, which had waited at its worker, has started to run."""
+        worker, waited = attempt.worker, now - attempt.sent
+        attempt.started = now
+        worker.fulls = 0
+        worker.unstarted -= 1
+        self._outliers.count_wait(waited)
+        self._reports.started(worker)
+        # One waiting request of each dispatcher is a long queue (i1da742): after a wait others come first.
+        others = self._fleet.subset.sharers / self._reports.slots_of(worker) - 1.0
+        worker.full_until = max(worker.full_until, now + waited * min(MAX_WAIT_PAUSES, others))
+        self._fleet.resting[worker.entry.worker] = worker
+
+    def record_end(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
+        """Update the worker's health, and its class's rate control, from the outcome of an attempt."""
+        worker, outcome = attempt.worker, event.outcome
+        if outcome == Outcome.OK:
+            self._record_answer(attempt, event, now)
+        elif outcome == Outcome.FULL:
+            self._record_full(attempt, now)
+        elif outcome == Outcome.CONNECT_FAILED:
+            worker.strike(now)
+        elif outcome == Outcome.RESET:
+            worker.resets += 1
+            worker.full_until = now + FULL_PAUSE_MS
+            # A single connection can break under a worker that is well.
+            if worker.resets > 1 and now >= worker.suspect_until:
+                worker.strike(now)
+        elif outcome == Outcome.ERROR:
+            worker.alive(now)
+            # A worker that fails fast has the fewest requests in flight and would attract even more.
+            if worker.faults > FAULTY:
+                worker.strike(now, erring=self._context.trial_effect != Effect.UNSAFE)
+        elif outcome == Outcome.CANCELLED and attempt.started is None:
+            self._record_unstarted_cancel(attempt, now)
+
+    def _record_answer(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
+        request, pacer = attempt.request, attempt.request.class_queue.pacer
+        late = event.elapsed >= SILENT_RUNS * max(
+            pacer.run_of(request.hint), request.cls.latency_objective_ms
+        )
+        attempt.worker.alive(now, not late)
+        pacer.learn(event.elapsed if attempt.started is None else now - attempt.started, request.hint)
+        self._slow_start.count_served(request.cost, now)
+
+    def _record_full(self, attempt: AttemptRecord, now: float) -> None:
+        worker = attempt.worker
+        worker.alive(now)
+        worker.fulls += 1
+        worker.full_until = now + FULL_PAUSE_MS * min(worker.fulls, MAX_FULL_PAUSES)
+        # Neither a draining worker's refusal nor one worker's, while others are free, is a sign of overload.
+        if worker.entry.state == EndpointState.READY and not self._selector.is_any_free(now):
+            attempt.request.class_queue.pacer.accepted -= 1
+
+    def _record_unstarted_cancel(self, attempt: AttemptRecord, now: float) -> None:
+        waited = now - attempt.sent
+        if waited >= self._outliers.short_wait(attempt.request):
+            self._outliers.count_wait(waited)
+            # Where one request has waited too long, the next one would too.
+            attempt.worker.full_until = now + 2.0 * FULL_PAUSE_MS
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -32,7 +32,6 @@
     CancelAttempt,
     ClientDisconnected,
     CloseIdleConnections,
-    Effect,
     EndpointListKind,
     EndpointState,
     EndpointsUpdated,
@@ -43,7 +42,6 @@
     ProbeCompleted,
     RejectRequest,
     RequestReceived,
-    SetTimer,
     Settings,
     SiblingReportReceived,
     Snapshot,
@@ -54,22 +52,22 @@
 )
 from eiderfield.policy.admission import TenantQuotas, expected_wait, is_full
 from eiderfield.policy.affinity import KeyCounts
+from eiderfield.policy.attempt_outcomes import AttemptOutcomes
 from eiderfield.policy.context import Context
-from eiderfield.policy.endpoint import FAULTY, Worker
+from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.fleet import Fleet
 from eiderfield.policy.gossip import Gossip
 from eiderfield.policy.load_reports import LoadReports
-from eiderfield.policy.outlier_detection import SILENT_RUNS, OutlierDetector
+from eiderfield.policy.outlier_detection import OutlierDetector
 from eiderfield.policy.queues import ClassQueue, ClassQueues
 from eiderfield.policy.rate_control import WINDOW_MS
 from eiderfield.policy.request import AttemptRecord, QueuedRequest
 from eiderfield.policy.retry_rules import RetryBudget, may_reject, retry_cost
 from eiderfield.policy.selection import EndpointSelector
 from eiderfield.policy.slow_start import SlowStart
+from eiderfield.policy.timer import Timer
 
-LOOK_AGAIN_MS = 200.0  # after which what was full is looked at again: a queue place frees in about that
-PAUSES = 5.0  # waits for which a worker is left to others, at most: one of many never sees all its slots
-MOST_FULL_PAUSES = 2  # pauses after which a worker that says 'full' again and again is asked
+LOOK_AGAIN_MS = 200.0  # after which held requests are looked at again, whatever has come in
 DEADLINE_TICKS = 2.0  # clock ticks before a client's time ends at which its request is answered
 
 
@@ -93,14 +91,16 @@
         self._selector = EndpointSelector(
             self._context, self._fleet, self._slow_start, self._reports, self._gossip, self._key_counts
         )
+        self._outcomes = AttemptOutcomes(
+            self._context, self._fleet, self._slow_start, self._reports, self._outliers, self._selector
+        )
         self._requests: dict[int, QueuedRequest] = {}
         self._late_attempts: dict[
             tuple[int, int], AttemptRecord
         ] = {}  # of answered requests: still out at a worker
         self._out = 0  # own attempts out
         self._deadlines: list[tuple[float, int]] = []  # a heap of times and requests
-        self._timer_at = 0.0  # when the pending timer fires, 0 for none
-        self._timer_token = 0
+        self._timer = Timer(self._context)
         self._watching = False
         self._split_anew()
         self._handlers: dict[type, Callable[[Any, float], None]] = {
@@ -186,8 +186,7 @@
     # Events.
 
     def _timer_fired(self, event: TimerFired, now: float) -> None:
-        if event.token == self._timer_token:  # only the latest timer counts
-            self._timer_at = 0.0
+        self._timer.fired(event)
 
     def _client_disconnected(self, event: ClientDisconnected, now: float) -> None:
         request = self._requests.get(event.id)
@@ -300,7 +299,7 @@
             worker.count_end(outcome == Outcome.ERROR)
         if attempt.started is not None:
             worker.learn(now, (now - attempt.started) / attempt.request.run, outcome == Outcome.OK)
-        self._judge_worker(attempt, event, now)
+        self._outcomes.record_end(attempt, event, now)
         if request is None:
             del self._late_attempts[event.id, event.attempt]
         elif event.final:
@@ -308,52 +307,6 @@
         elif not request.out() and request.queue is None:
             self._go_on(request, now, outcome == Outcome.ERROR)
 
-    def _judge_worker(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
-        """Takes in what an attempt's end says of its worker."""
-        worker, outcome = attempt.worker, event.outcome
-        if outcome == Outcome.OK:
-            self._served(attempt, event, now)
-        elif outcome == Outcome.FULL:
-            self._worker_is_full(attempt, now)
-        elif outcome == Outcome.CONNECT_FAILED:
-            worker.strike(now)
-        elif outcome == Outcome.RESET:
-            worker.resets += 1
-            worker.full_until = now + LOOK_AGAIN_MS
-            if worker.resets > 1 and now >= worker.suspect_until:  # one can break under a worker that is well
-                worker.strike(now)
-        elif outcome == Outcome.ERROR:
-            worker.alive(now)
-            if worker.faults > FAULTY:  # who fails its requests at once holds fewest and would draw others in
-                worker.strike(now, erring=self._context.trial_effect != Effect.UNSAFE)
-        elif outcome == Outcome.CANCELLED and attempt.started is None:
-            self._called_off_unstarted(attempt, now)
-
-    def _served(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
-        request, pacer = attempt.request, attempt.request.class_queue.pacer
-        late = event.elapsed >= SILENT_RUNS * max(
-            pacer.run_of(request.hint), request.cls.latency_objective_ms
-        )
-        attempt.worker.alive(now, not late)
-        pacer.learn(event.elapsed if attempt.started is None else now - attempt.started, request.hint)
-        self._slow_start.count_served(request.cost, now)
-
-    def _worker_is_full(self, attempt: AttemptRecord, now: float) -> None:
-        worker = attempt.worker
-        worker.alive(now)
-        worker.fulls += 1
-        worker.full_until = now + LOOK_AGAIN_MS * min(worker.fulls, MOST_FULL_PAUSES)
-        # No sign: a draining worker's hand-backs, nor one worker's word while others are free.
-        if worker.entry.state == EndpointState.READY and not self._selector.is_any_free(now):
-            attempt.request.class_queue.pacer.accepted -= 1
-
-    def _called_off_unstarted(self, attempt: AttemptRecord, now: float) -> None:
-        waited = now - attempt.sent
-        if waited >= self._outliers.short_wait(attempt.request):
-            self._outliers.count_wait(waited)
-            # Where one has waited too long the next would too.
-            attempt.worker.full_until = now + 2.0 * LOOK_AGAIN_MS
-
     def _attempt_progressed(self, event: AttemptProgressed, now: float) -> None:
         _, attempt = self._find(event.id, event.attempt)
         if attempt is None or not attempt.open:
@@ -361,19 +314,7 @@
         attempt.heard = now
         attempt.worker.alive(now)
         if attempt.started is None and event.what == STARTED:
-            self._started(attempt, now)
-
-    def _started(self, attempt: AttemptRecord, now: float) -> None:
-        worker, waited = attempt.worker, now - attempt.sent
-        attempt.started = now
-        worker.fulls = 0
-        worker.unstarted -= 1
-        self._outliers.count_wait(waited)
-        self._reports.started(worker)
-        # One waiting request of each dispatcher is a long queue (i1da742): after a wait others come first.
-        others = self._fleet.subset.sharers / self._reports.slots_of(worker) - 1.0
-        worker.full_until = max(worker.full_until, now + waited * min(PAUSES, others))
-        self._fleet.resting[worker.entry.worker] = worker
+            self._outcomes.record_start(attempt, now)
 
     # Ends and retries.
 
@@ -563,10 +504,7 @@
             times += [pacer.next_at for pacer in self._queues.pacers if pacer.rate is not None]
             at = min([at, now + LOOK_AGAIN_MS, *[time for time in times if time > now]])
         at = max(at, now + self._context.settings.clock_resolution_ms)
-        if at < inf and (not self._timer_at or at < self._timer_at):
-            self._timer_at = at
-            self._timer_token += 1
-            self._context.actions.append(SetTimer(at, self._timer_token))
+        self._timer.schedule(at)
 
 
 def opens_something(events: list[Event]) -> bool:
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -27,8 +27,8 @@
     unpack_counts,
 )
 from eiderfield.policy.affinity import HOMES
+from eiderfield.policy.attempt_outcomes import MAX_WAIT_PAUSES
 from eiderfield.policy.context import MANY
-from eiderfield.policy.dispatcher import PAUSES
 from eiderfield.policy.outlier_detection import STUCK_RUNS_OF_MANY
 
 FLEET = tuple(Endpoint(w, zone=w % 2, kind=w // 2 % 2) for w in range(1, 41))
@@ -313,7 +313,7 @@
     that jobs went where their data was not."""
     node, id_, worker = waiting()
     node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=50.0)
-    assert node.dispatcher._fleet.workers[worker].full_until == 50.0 + PAUSES * 50.0
+    assert node.dispatcher._fleet.workers[worker].full_until == 50.0 + MAX_WAIT_PAUSES * 50.0
 
 
 def test_among_many_nodes_a_key_keeps_closer_to_its_homes():
