--- a/eiderfield/batch/durable.py
+++ b/eiderfield/batch/durable.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from eiderfield.exchange import Answer, Request
+from eiderfield.exchange.request import Answer, Request
 
 
 class DurableJobs(Protocol):
--- a/eiderfield/batch/messages.py
+++ b/eiderfield/batch/messages.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from eiderfield.batch.drmaa import InvalidArgumentError, JobState
-from eiderfield.exchange import Answer, Verdict
+from eiderfield.exchange.request import Answer, Verdict
 
 TEMPLATE_KEYS = frozenset({"jobClass", "subject", "body", "deadlineMs", "idempotencyKey"})
 TEMPLATE_TEXTS = ("jobClass", "subject", "body", "idempotencyKey")
--- a/eiderfield/batch/registry.py
+++ b/eiderfield/batch/registry.py
@@ -27,7 +27,8 @@
 )
 from eiderfield.batch.durable import DurableJobs
 from eiderfield.batch.messages import JobEnd, JobStatus, JobTemplate
-from eiderfield.exchange import Answer, Exchange, Request, RequestState, Verdict
+from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.request import Answer, Request, RequestState, Verdict
 from eiderfield.idmap import IdMap
 from eiderfield.interface import Effect
 
--- a/eiderfield/batch/remote.py
+++ b/eiderfield/batch/remote.py
@@ -9,7 +9,7 @@
 from eiderfield.batch.durable import DurableJob, DurableJobLookup
 from eiderfield.batch.messages import SHOWN_CHARACTERS, JobEnd, JobStatus, ToUnix
 from eiderfield.batch.replies import send_error, send_status
-from eiderfield.exchange import Verdict
+from eiderfield.exchange.request import Verdict
 from eiderfield.net.clients import ClientConnection
 
 RETRY_AFTER = 1000.0  # ms that a client is advised to wait where the store accepts nothing
--- a/eiderfield/durable_requests/answer_lookup.py
+++ b/eiderfield/durable_requests/answer_lookup.py
@@ -12,7 +12,7 @@
 from eiderfield.durable_requests.record import Record
 from eiderfield.durable_requests.remote_waiters import RemoteWaiters
 from eiderfield.durable_requests.waiters import Answered, Waiter
-from eiderfield.exchange import Request
+from eiderfield.exchange.request import Request
 
 
 class AnswerLookup:
--- a/eiderfield/durable_requests/answer_recorder.py
+++ b/eiderfield/durable_requests/answer_recorder.py
@@ -15,7 +15,7 @@
 from eiderfield.durable_requests.owned_requests import OwnedRequest
 from eiderfield.durable_requests.remote_waiters import RemoteWaiters
 from eiderfield.durable_requests.timing import MAX_RETRY_INTERVAL_MS, RETRY_INTERVAL_MS
-from eiderfield.exchange import Answer, Verdict
+from eiderfield.exchange.request import Answer, Verdict
 
 MAX_RECORDING_TRIES = 3  # of an answer whose write is refused, before it is passed on unrecorded
 
--- a/eiderfield/durable_requests/cancellation.py
+++ b/eiderfield/durable_requests/cancellation.py
@@ -8,7 +8,7 @@
 from eiderfield.durable_requests.loop_context import LoopContext
 from eiderfield.durable_requests.timing import REJECTION_RETRY_AFTER_MS
 from eiderfield.durable_requests.waiters import Waiter
-from eiderfield.exchange import Answer, RequestState, Verdict
+from eiderfield.exchange.request import Answer, RequestState, Verdict
 
 
 class RequestCancellation:
--- a/eiderfield/durable_requests/claims.py
+++ b/eiderfield/durable_requests/claims.py
@@ -28,7 +28,7 @@
 )
 from eiderfield.durable_requests.record import AttemptRecord
 from eiderfield.durable_requests.timing import MAX_RETRY_INTERVAL_MS, RETRY_INTERVAL_MS
-from eiderfield.exchange import Attempt
+from eiderfield.exchange.request import Attempt
 from eiderfield.machine import steady_ms
 
 MayStart = Callable[[bool], None]  # called with whether an attempt may start
--- a/eiderfield/durable_requests/exchange_hooks.py
+++ b/eiderfield/durable_requests/exchange_hooks.py
@@ -7,7 +7,7 @@
 from eiderfield.durable_requests.claims import AttemptClaims, MayStart
 from eiderfield.durable_requests.loop_context import LoopContext
 from eiderfield.durable_requests.record import AttemptRecord
-from eiderfield.exchange import Answer, Attempt, PendingRequest
+from eiderfield.exchange.request import Answer, Attempt, PendingRequest
 from eiderfield.machine import steady_ms
 
 
--- a/eiderfield/durable_requests/inspection.py
+++ b/eiderfield/durable_requests/inspection.py
@@ -16,7 +16,7 @@
 from eiderfield.durable_requests.folder import SharedFolder
 from eiderfield.durable_requests.record import Record, Stage
 from eiderfield.durable_requests.store import Counts, RecordStore
-from eiderfield.exchange import Verdict
+from eiderfield.exchange.request import Verdict
 
 NO_FENCE = Fence((), "", "")
 
--- a/eiderfield/durable_requests/intake.py
+++ b/eiderfield/durable_requests/intake.py
@@ -32,7 +32,7 @@
 from eiderfield.durable_requests.submission import RequestSubmission
 from eiderfield.durable_requests.timing import RECORDING_TIME_MS, REJECTION_RETRY_AFTER_MS
 from eiderfield.durable_requests.waiters import PLATFORM_FRONT, Answered, Waiter
-from eiderfield.exchange import Answer, Request, Verdict
+from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.machine import steady_ms
 
 EXPIRY_MARGIN_MS = RECORDING_TIME_MS / 4.0  # before its deadline a waiter without an answer is answered
--- a/eiderfield/durable_requests/loop_context.py
+++ b/eiderfield/durable_requests/loop_context.py
@@ -8,7 +8,8 @@
 from eiderfield.durable_requests.commit_thread import CallInLoop, CommitThread
 from eiderfield.durable_requests.member import Member
 from eiderfield.durable_requests.owned_requests import OwnedRequest
-from eiderfield.exchange import Exchange, Timers
+from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.timers import Timers
 from eiderfield.idmap import IdMap
 from eiderfield.machine import steady_ms
 
--- a/eiderfield/durable_requests/messages.py
+++ b/eiderfield/durable_requests/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from eiderfield.durable_requests.record import AttemptRecord, Record
-from eiderfield.exchange import Answer
+from eiderfield.exchange.request import Answer
 
 # Operations.
 
--- a/eiderfield/durable_requests/record.py
+++ b/eiderfield/durable_requests/record.py
@@ -21,7 +21,7 @@
 from enum import IntEnum
 from zlib import crc32
 
-from eiderfield.exchange import Answer, Request, Verdict
+from eiderfield.exchange.request import Answer, Request, Verdict
 
 
 class Stage(IntEnum):
--- a/eiderfield/durable_requests/submission.py
+++ b/eiderfield/durable_requests/submission.py
@@ -10,7 +10,7 @@
 from eiderfield.durable_requests.loop_context import LoopContext
 from eiderfield.durable_requests.owned_requests import OwnedRequest
 from eiderfield.durable_requests.timing import RECORDING_TIME_MS, RETRY_INTERVAL_MS
-from eiderfield.exchange import Answer, Request, Verdict
+from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.interface import Endpoint
 
 EarlierAttempts = tuple[tuple[Endpoint, float], ...]  # endpoints, and when each attempt was sent
--- a/eiderfield/durable_requests/thread_events.py
+++ b/eiderfield/durable_requests/thread_events.py
@@ -12,7 +12,7 @@
 from eiderfield.durable_requests.remote_waiters import RemoteWaiters
 from eiderfield.durable_requests.submission import DEADLINE_EXPIRED, RequestSubmission
 from eiderfield.durable_requests.timing import RECORDING_TIME_MS
-from eiderfield.exchange import Answer, Verdict
+from eiderfield.exchange.request import Answer, Verdict
 from eiderfield.interface import Endpoint
 from eiderfield.machine import steady_ms
 
--- a/eiderfield/durable_requests/waiters.py
+++ b/eiderfield/durable_requests/waiters.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from eiderfield.exchange import Answer, Request, Timer, Verdict
+from eiderfield.exchange.request import Answer, Request, Verdict
+from eiderfield.exchange.timers import Timer
 
 Answered = Callable[[Answer], None]
 PLATFORM_FRONT = "platform"  # the front whose clients wait on a connection
--- a/eiderfield/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -8,12 +8,21 @@
 
 from collections import Counter
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-from enum import Enum
 from functools import partial
 from math import log
-from typing import Any, Protocol
-
+from typing import Any
+
+from eiderfield.exchange.protocols import DurableRequests, OtherProcess, PeerChannel, WorkerSide
+from eiderfield.exchange.request import (
+    Answer,
+    Attempt,
+    PendingRequest,
+    Request,
+    RequestState,
+    Verdict,
+    may_have_run,
+)
+from eiderfield.exchange.timers import Timers
 from eiderfield.interface import (
     AWAY,
     HELD_UP,
@@ -55,153 +64,6 @@
 NAMED = 1000.0  # ms that this process stood still, from which on the log says so
 
 
-@dataclass(slots=True, frozen=True)
-class Request:
-    """One request as a front took it. `deadline` is when nobody waits for its answer any more."""
-
-    id: str
-    class_index: int
-    deadline: float
-    target: str
-    host: str = "backend.local"
-    body: bytes = b""
-    idempotency_key: str = ""
-    subject: int = 0
-    is_client_retry: bool = False
-    tenant_index: int = 0  # its place in the settings; beyond them where it is not one of these
-    slots: float = 1.0
-    memory: float = 0.0
-
-
-class Verdict(Enum):
-    """What a final answer says."""
-
-    SERVED = "served"
-    DECLINED = "declined"
-    FAILED = "failed"
-    REJECTED = "rejected"  # a worker cannot use the request
-    TERMINATED = "terminated"
-    CONFLICT = "conflict"  # the id, or the key, is that of another request, which is kept
-
-
-@dataclass(slots=True, frozen=True)
-class Answer:
-    """The one final answer to a request. `retry_after` is in milliseconds, 0 for no advice."""
-
-    verdict: Verdict
-    result: bytes = b""
-    retry_after: float = 0.0
-    may_have_run: bool = False
-    attempts: int = 0
-
-
-class RequestState(Enum):
-    """Where a request without a final answer stands."""
-
-    HELD = "held"
-    OUT = "out"
-    RUNNING = "running"
-
-
-class Timer(Protocol):
-    """A time that was asked for and can be called off."""
-
-    def cancel(self) -> None:
-        """Its call is not made."""
-
-
-class Timers(Protocol):
-    """Calls at times of the caller's clock."""
-
-    def at(self, when: float, call: Callable[[], object], patient: bool = False) -> Timer:
-        """Calls once at a time. Many `patient` calls due at one time may be made a little later."""
-
-
-class WorkerSide(Protocol):
-    """The worker side, as the exchange uses it."""
-
-    def start(self, attempt: Attempt) -> None:
-        """Start an attempt; its end is reported by `Exchange.attempt_ended` or `Exchange.record_result`."""
-
-    def stop(self, attempt: Attempt) -> None:
-        """Gives an attempt up by closing its connection; nothing is reported after that."""
-
-    def probe(self, worker: int) -> None:
-        """Asks a worker for a sign of life; answered with `Exchange.probe_completed`."""
-
-    def close_idle(self, worker: int) -> None:
-        """Closes what connections to a worker carry nothing."""
-
-
-class PeerChannel(Protocol):
-    """Who carries words to the other dispatchers, where the settings allow it."""
-
-    def tell(self, peer: int, data: bytes) -> None:
-        """Sends bytes to one peer, or to all of them (-1); they may be lost."""
-
-
-class OtherProcess(Protocol):
-    """Who is told of what another process of the same dispatcher must know to keep the rules."""
-
-    def request_taken(self, id_: str) -> None:
-        """A request of this id has been taken."""
-
-    def id_released(self, id_: str) -> None:
-        """The id is free again."""
-
-    def attempts_changed(self, worker: int, out: int, work: float) -> None:
-        """How many attempts are out at a worker now, and the work that was just sent there."""
-
-
-class DurableRequests(Protocol):
-    """Who writes down the work in hand of some requests, so that it outlives this process."""
-
-    def claim(self, attempt: Attempt, go: Callable[[bool], None]) -> None:
-        """An attempt of a kept request is to begin.
-
-        `go(True)` is called once that is written down, `go(False)` if it may not begin.
-        """
-
-    def may_write(self, attempt: Attempt) -> bool:
-        """Whether a claimed attempt may still begin: another dispatcher may take this one for lost."""
-
-    def attempt_ended(self, attempt: Attempt) -> None:
-        """An attempt of a kept request is over, and what it proves is known."""
-
-    def finish(self, pending: PendingRequest, answer: Answer) -> None:
-        """Persist the final answer of a durable request, then pass it to `pending.answer`."""
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    """One attempt. It may have run from the moment its last byte left, unless its end proves otherwise."""
-
-    pending: PendingRequest
-    number: int
-    worker: int
-    sent: float
-    open: bool = True
-    may_have_run: bool = False
-    timer: Timer | None = None
-
-
-@dataclass(slots=True, eq=False)
-class PendingRequest:
-    """A request that has been taken, until its final answer."""
-
-    id: int
-    request: Request
-    answer: Callable[[Answer], None]
-    attempts: list[Attempt] = field(default_factory=list)
-    answered: bool = False
-    durable: bool = False  # whether durable requests persist it
-    client_waits: Callable[[], bool] | None = None  # asked before each attempt begins; None: always
-    running: bool = False
-    received_at: float = 0.0  # at the turn in which the module heard of it
-    started_at: float = 0.0  # at the turn in which a worker's word of its start was heard, 0 if none was
-    timer: Timer | None = None
-
-
 class Exchange:
     """Where the client side and the worker side meet."""
 
@@ -708,8 +570,3 @@
             for attempt in pending.attempts:
                 self._stop(attempt, "timed out")
             self._post(ClientDisconnected(pending.id))
-
-
-def may_have_run(pending: PendingRequest) -> bool:
-    """Whether any attempt of a request may have run or may still do so."""
-    return any(attempt.may_have_run for attempt in pending.attempts)
--- /dev/null
+++ b/eiderfield/exchange/request.py
@@ -0,0 +1,95 @@
+"""The types that the client side and the worker side share: requests, attempts and final answers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import Enum
+
+from eiderfield.exchange.timers import Timer
+
+
+@dataclass(slots=True, frozen=True)
+class Request:
+    """One request as a client sent it. After `deadline` (ms) no client waits for its answer."""
+
+    id: str
+    class_index: int
+    deadline: float
+    target: str
+    host: str = "backend.local"
+    body: bytes = b""
+    idempotency_key: str = ""
+    subject: int = 0
+    is_client_retry: bool = False
+    tenant_index: int = 0  # index in the settings; their number for a tenant that they do not name
+    slots: float = 1.0
+    memory: float = 0.0
+
+
+class Verdict(Enum):
+    """The kind of a final answer."""
+
+    SERVED = "served"
+    DECLINED = "declined"
+    FAILED = "failed"
+    REJECTED = "rejected"  # a worker found the request invalid
+    TERMINATED = "terminated"
+    CONFLICT = "conflict"  # another durable request already uses the id or the key
+
+
+@dataclass(slots=True, frozen=True)
+class Answer:
+    """The final answer to a request. `retry_after` is in milliseconds, 0 for no advice."""
+
+    verdict: Verdict
+    result: bytes = b""
+    retry_after: float = 0.0
+    may_have_run: bool = False
+    attempts: int = 0
+
+
+class RequestState(Enum):
+    """The state of a request without a final answer."""
+
+    HELD = "held"
+    OUT = "out"
+    RUNNING = "running"
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One attempt of a request at a worker.
+
+    `may_have_run` is set once its last byte is sent, and cleared if its outcome proves that it never ran.
+    """
+
+    pending: PendingRequest
+    number: int
+    worker: int
+    sent: float
+    open: bool = True
+    may_have_run: bool = False
+    timer: Timer | None = None
+
+
+@dataclass(slots=True, eq=False)
+class PendingRequest:
+    """An accepted request, until its final answer and the end of its last attempt."""
+
+    id: int
+    request: Request
+    answer: Callable[[Answer], None]
+    attempts: list[Attempt] = field(default_factory=list)
+    answered: bool = False
+    durable: bool = False  # whether `DurableRequests` persists it
+    client_waits: Callable[[], bool] | None = None  # checked before each attempt starts; None: always
+    running: bool = False
+    received_at: float = 0.0  # ms, the turn that passed it to the policy
+    started_at: float = 0.0  # ms, the turn in which its start at a worker was reported; 0: not reported
+    timer: Timer | None = None
+
+
+def may_have_run(pending: PendingRequest) -> bool:
+    """Return whether any attempt of a request may have run or may still run."""
+    return any(attempt.may_have_run for attempt in pending.attempts)
--- a/eiderfield/lab/durable_requests/throughput.py
+++ b/eiderfield/lab/durable_requests/throughput.py
@@ -9,7 +9,7 @@
 from eiderfield.durable_requests.member import Member
 from eiderfield.durable_requests.messages import Accept, Claim, Finish
 from eiderfield.durable_requests.settings import DurableRequestSettings
-from eiderfield.exchange import Answer, Verdict
+from eiderfield.exchange.request import Answer, Verdict
 from eiderfield.lab.durable_requests.samples import CLASSES, sample_attempt, sample_record
 
 LINKED = 50_000  # ids that have their links in a measurement of recovery: more than it takes over
--- a/eiderfield/lab/fleet/failpoints.py
+++ b/eiderfield/lab/fleet/failpoints.py
@@ -21,7 +21,7 @@
 
 from eiderfield.__main__ import main
 from eiderfield.durable_requests.member import Member
-from eiderfield.exchange import Exchange
+from eiderfield.exchange.exchange import Exchange
 
 VARIABLE = "EIDERFIELD_POINT"
 MARKER = "point.json"  # the file that a process leaves in its $TMPDIR just before it fails
--- a/eiderfield/lab/fleet/faulty_programs.py
+++ b/eiderfield/lab/fleet/faulty_programs.py
@@ -25,7 +25,7 @@
 from pathlib import Path
 from typing import Any
 
-from eiderfield.exchange import Exchange
+from eiderfield.exchange.exchange import Exchange
 from eiderfield.interface import EndpointState, RejectRequest
 from eiderfield.net.discovery.routing_table import RoutingTable
 
--- a/eiderfield/net/bans.py
+++ b/eiderfield/net/bans.py
@@ -30,7 +30,7 @@
 from pathlib import Path
 
 from eiderfield.durable import TRANSIENT, replace_file
-from eiderfield.exchange import Timers
+from eiderfield.exchange.timers import Timers
 from eiderfield.net.clock import WallClock
 
 READ_LIMIT = 1 << 20  # bytes of the file: thousands of names
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -30,7 +30,7 @@
 
 from eiderfield.connections.admission import Limit, Rejection
 from eiderfield.connections.idle_connections import unread_bytes, unsent_bytes
-from eiderfield.exchange import Timer
+from eiderfield.exchange.timers import Timer
 from eiderfield.net.clients.arrivals import Arrivals
 from eiderfield.net.departures import has_left
 from eiderfield.net.http import Head, MalformedMessageError, Parser, answer_bytes
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -27,7 +27,7 @@
 
 from eiderfield.connections.admission import EVICTION_ORDER, AdmissionControl, ConnectionKind, Rejection
 from eiderfield.connections.settings import WHOLE, Admission, Idling
-from eiderfield.exchange import Timers
+from eiderfield.exchange.timers import Timers
 from eiderfield.net.clients.connection import ClientConnection, ConnectionHandover, Detach, Phase
 from eiderfield.net.clients.front import Front
 from eiderfield.net.clients.parking import ConnectionParking
--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -21,7 +21,7 @@
 from typing import TYPE_CHECKING
 
 from eiderfield.connections.idle_connections import IdleConnections, WokenConnection
-from eiderfield.exchange import Timer
+from eiderfield.exchange.timers import Timer
 from eiderfield.net.clients.connection import ClientConnection, ConnectionHandover, Detach
 
 if TYPE_CHECKING:
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -8,7 +8,8 @@
 from math import isfinite
 from typing import Protocol
 
-from eiderfield.exchange import Answer, Exchange, Request, Verdict
+from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.idmap import IdMap, plain
 from eiderfield.interface import Effect, RequestClass
 from eiderfield.net.clients.connection import ClientConnection
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -18,7 +18,8 @@
 from typing import Any
 from urllib.parse import unquote
 
-from eiderfield.exchange import Exchange, Verdict
+from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.request import Verdict
 from eiderfield.net.clients import ClientConnection, Listener
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.http import Head
--- a/eiderfield/net/discovery/consul.py
+++ b/eiderfield/net/discovery/consul.py
@@ -14,7 +14,7 @@
 from urllib.parse import quote
 
 from eiderfield.config import Discovery
-from eiderfield.exchange import Timers
+from eiderfield.exchange.timers import Timers
 from eiderfield.net.dialing import Dial
 from eiderfield.net.discovery.consul_instances import endpoint_of_catalog, endpoint_of_health
 from eiderfield.net.discovery.endpoint_list import EndpointList, EndpointListError, ListedEndpoint
--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import replace
 
-from eiderfield.exchange import Exchange
+from eiderfield.exchange.exchange import Exchange
 from eiderfield.idmap import IdMap
 from eiderfield.interface import Endpoint, EndpointListKind, EndpointState
 from eiderfield.net.bans import Bans
--- a/eiderfield/net/discovery/watch.py
+++ b/eiderfield/net/discovery/watch.py
@@ -20,7 +20,7 @@
 from functools import partial
 
 from eiderfield.config import Address
-from eiderfield.exchange import Timer, Timers
+from eiderfield.exchange.timers import Timer, Timers
 from eiderfield.net.backoff import DIAL_TIMEOUT, Backoff
 from eiderfield.net.dialing import Dial, PendingDial
 from eiderfield.net.discovery.routing_table import RoutingTable
--- a/eiderfield/net/handover/load_updates.py
+++ b/eiderfield/net/handover/load_updates.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from eiderfield.exchange import Timers
+from eiderfield.exchange.timers import Timers
 from eiderfield.idmap import IdMap
 from eiderfield.net.handover.messages import AttemptsOut, LoadChanged
 
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Mapping
 from functools import partial
 
-from eiderfield.exchange import Timer
+from eiderfield.exchange.timers import Timer
 from eiderfield.net.clients import ConnectionHandover
 from eiderfield.net.handover.channel import Channel
 from eiderfield.net.handover.learnt import to_policy
--- a/eiderfield/net/handover/parts.py
+++ b/eiderfield/net/handover/parts.py
@@ -6,7 +6,8 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from eiderfield.exchange import Exchange, Timers
+from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.timers import Timers
 from eiderfield.net.clients import Listener
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.peers import PeerPort
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -16,7 +16,8 @@
 from functools import partial
 from typing import Any
 
-from eiderfield.exchange import Exchange, Timers
+from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.timers import Timers
 from eiderfield.net.clients import Listener
 from eiderfield.net.clock import WallClock
 from eiderfield.net.discovery.routing_table import RoutingTable
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -22,7 +22,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from eiderfield.exchange import Attempt, Timer
+from eiderfield.exchange.request import Attempt
+from eiderfield.exchange.timers import Timer
 from eiderfield.interface import AWAY, STARTED, Outcome
 from eiderfield.net.dialing import PendingDial
 from eiderfield.net.faults import Cause, cause_of_loss
--- a/eiderfield/net/worker_messages.py
+++ b/eiderfield/net/worker_messages.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from eiderfield.exchange import Request
+from eiderfield.exchange.request import Request
 from eiderfield.interface import Outcome
 from eiderfield.net.http import Head, MalformedMessageError, request_bytes
 
--- a/eiderfield/net/worker_pool.py
+++ b/eiderfield/net/worker_pool.py
@@ -13,7 +13,9 @@
 from collections.abc import Callable
 
 from eiderfield.config import Address
-from eiderfield.exchange import Attempt, Exchange, Timers
+from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.request import Attempt
+from eiderfield.exchange.timers import Timers
 from eiderfield.interface import Outcome
 from eiderfield.net.dialing import Dial
 from eiderfield.net.reports import from_body
--- a/eiderfield/program/core.py
+++ b/eiderfield/program/core.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from eiderfield.config import Config, ConfigError
-from eiderfield.exchange import Exchange
+from eiderfield.exchange.exchange import Exchange
 from eiderfield.idmap import IdMap
 from eiderfield.net.bans import Bans, Runner
 from eiderfield.net.clock import WallClock
--- a/eiderfield/program/settings.py
+++ b/eiderfield/program/settings.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from eiderfield.config import Config, ConfigError, digest_of, shown
-from eiderfield.exchange import Exchange
+from eiderfield.exchange.exchange import Exchange
 from eiderfield.program.log import log
 
 # What only a new process takes up, with the keys that name it in the log.
--- a/eiderfield/program/shutdown.py
+++ b/eiderfield/program/shutdown.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Sequence
 from functools import partial
 
-from eiderfield.exchange import Exchange
+from eiderfield.exchange.exchange import Exchange
 from eiderfield.net.clients import Listener
 from eiderfield.net.handover import Handover
 from eiderfield.net.loop import Driver
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -7,7 +7,7 @@
 from collections import deque
 from dataclasses import replace
 
-from eiderfield.exchange import Exchange
+from eiderfield.exchange.exchange import Exchange
 from eiderfield.idmap import IdMap
 from eiderfield.net.bans import Bans
 from eiderfield.net.clients import ClientConnection, Listener, RequestFront
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -12,7 +12,7 @@
 
 from eiderfield.batch.front import BatchFront
 from eiderfield.batch.registry import JobRegistry, RegistryLimits
-from eiderfield.exchange import Exchange
+from eiderfield.exchange.exchange import Exchange
 from eiderfield.interface import Scope
 from eiderfield.net.clients import Listener
 from eiderfield.net.worker_pool import WorkerPool
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 from support.memory_dispatcher import Client, InMemoryDispatcher
 
-from eiderfield.exchange import Exchange
+from eiderfield.exchange.exchange import Exchange
 from eiderfield.interface import Outcome
 from eiderfield.net.clients import ClientConnection
 from eiderfield.net.worker_connection import WorkerConnection
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -15,7 +15,7 @@
 from support.policy import Node
 from support.random_events import EventPlayer, RuleBrokenError
 
-from eiderfield import exchange as core
+from eiderfield.exchange import exchange as core
 from eiderfield.interface import (
     Action,
     AttemptEnded,
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -8,7 +8,7 @@
 from eiderfield.durable_requests.coordinator import DurableRequestCoordinator
 from eiderfield.durable_requests.loop_context import ProcessServices
 from eiderfield.durable_requests.settings import DurableRequestSettings
-from eiderfield.exchange import Request, Verdict
+from eiderfield.exchange.request import Request, Verdict
 
 LEASE = 60_000.0  # ms: it holds for the whole of a test
 
--- a/tests/test_durable_requests_jobs.py
+++ b/tests/test_durable_requests_jobs.py
@@ -17,7 +17,7 @@
 from eiderfield.cli import main
 from eiderfield.durable_requests.folder import SharedFolder
 from eiderfield.durable_requests.messages import Accept, Claim, Finish, RequestEnd, Written
-from eiderfield.exchange import Answer, Verdict
+from eiderfield.exchange.request import Answer, Verdict
 from eiderfield.lab.fleet.durable_draw import JOB_CLASSES
 from eiderfield.lab.fleet.fleet import Fleet
 from eiderfield.lab.fleet.scenario import Scenario
--- a/tests/test_durable_requests_members.py
+++ b/tests/test_durable_requests_members.py
@@ -38,7 +38,7 @@
 from eiderfield.durable_requests.settings import DurableRequestSettings
 from eiderfield.durable_requests.settings import read as read_settings
 from eiderfield.durable_requests.store import MAGIC, SCHEMA, RecordStore
-from eiderfield.exchange import Answer, Request, Verdict
+from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.interface import Effect, RequestClass, Settings
 
 SERVED = Answer(Verdict.SERVED, b"r", may_have_run=True, attempts=1)
--- a/tests/test_durable_requests_on_failing_disk.py
+++ b/tests/test_durable_requests_on_failing_disk.py
@@ -35,7 +35,7 @@
 from eiderfield.durable_requests.record import Stage
 from eiderfield.durable_requests.settings import DurableRequestSettings
 from eiderfield.durable_requests.store import RecordStore
-from eiderfield.exchange import Request, Verdict
+from eiderfield.exchange.request import Request, Verdict
 from eiderfield.machine import unix_offset
 
 SHORT, LONG = 0.3 * LEASE, 2.5 * LEASE  # for which the disk fails
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -9,7 +9,7 @@
 from support.policy import BASE, KEYED, SAFE, UNSAFE, Node, sends
 from support.random_events import EventPlayer, RuleBrokenError
 
-from eiderfield.exchange import Request
+from eiderfield.exchange.request import Request
 from eiderfield.interface import (
     HELD_UP,
     AttemptEnded,
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -21,7 +21,7 @@
 from support.failing_calls import SHORT, Call, Failure, failing_calls
 from support.memory_dispatcher import SITE
 
-from eiderfield.exchange import Exchange
+from eiderfield.exchange.exchange import Exchange
 from eiderfield.idmap import IdMap
 from eiderfield.interface import Outcome
 from eiderfield.net.bans import Bans
