--- a/eiderfield/net/http/head.py
+++ b/eiderfield/net/http/head.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from eiderfield.net.http.message import CONTENT_TOO_LARGE, Head, MalformedMessageError
+from eiderfield.net.http.message import Head, MalformedMessageError
+from eiderfield.net.http.status import CONTENT_TOO_LARGE, FIRST_FINAL, NO_CONTENT, NOT_MODIFIED
 
 MAX_HEAD = 16384  # bytes
 MAX_HEADERS = 100
@@ -22,7 +23,7 @@
 _DIGITS = re.compile(r"[0-9]{1,15}\Z")
 _STATUS = re.compile(r"[1-5][0-9][0-9]\Z")
 _VERSIONS = ("HTTP/1.1", "HTTP/1.0")
-_SINGLE = frozenset(
+_SINGLETON_HEADERS = frozenset(
     {
         "content-length",
         "transfer-encoding",
@@ -32,8 +33,6 @@
         "idempotency-key",
     }
 )
-_NO_CONTENT = 204
-_NOT_MODIFIED = 304
 
 
 def parse_head(text: str, is_answer: bool) -> Head:
@@ -47,19 +46,21 @@
 
 
 def _parse_status_line(line: str) -> Head:
-    parts = line.split(" ", 2)
-    if len(parts) < 2 or parts[0] not in _VERSIONS or not _STATUS.match(parts[1]):
+    version, _, status_and_reason = line.partition(" ")
+    status, _, _ = status_and_reason.partition(" ")
+    if version not in _VERSIONS or not _STATUS.match(status):
         raise MalformedMessageError("the status line is malformed")
-    return Head(status=int(parts[1]), version=int(parts[0][-1]))
+    return Head(status=int(status), version=int(version[-1]))
 
 
 def _parse_request_line(line: str) -> Head:
-    parts = line.split(" ", 2)
-    if len(parts) != 3 or not _TOKEN.match(parts[0]) or not _TARGET.match(parts[1]):
+    method, _, target_and_version = line.partition(" ")
+    target, separator, version = target_and_version.partition(" ")
+    if not separator or not _TOKEN.match(method) or not _TARGET.match(target):
         raise MalformedMessageError("the request line is malformed")
-    if parts[2] not in _VERSIONS:
+    if version not in _VERSIONS:
         raise MalformedMessageError("this version is not spoken here")
-    return Head(parts[0], parts[1], version=int(parts[2][-1]))
+    return Head(method, target, version=int(version[-1]))
 
 
 def _parse_headers(head: Head, lines: Iterable[str]) -> None:
@@ -71,7 +72,7 @@
             raise MalformedMessageError("a header is malformed")
         name = name.lower()
         if name in headers:
-            if name in _SINGLE:  # two lengths, or two ids, could be read in two ways
+            if name in _SINGLETON_HEADERS:  # two lengths, or two ids, could be read in two ways
                 raise MalformedMessageError(f"{name} stands there twice")
             value = f"{headers[name]}, {value}"
         headers[name] = value
@@ -101,7 +102,7 @@
 
 def framing_of(head: Head, is_answer: bool) -> Framing:
     """The framing that a head tells."""
-    if is_answer and (head.status < 200 or head.status in (_NO_CONTENT, _NOT_MODIFIED)):
+    if is_answer and (head.status < FIRST_FINAL or head.status in (NO_CONTENT, NOT_MODIFIED)):
         return _NO_BODY
     if head.get("transfer-encoding"):
         return _coded_framing(head)
--- a/eiderfield/net/http/message.py
+++ b/eiderfield/net/http/message.py
@@ -4,8 +4,7 @@
 
 from dataclasses import dataclass, field
 
-BAD_REQUEST = 400
-CONTENT_TOO_LARGE = 413
+from eiderfield.net.http.status import BAD_REQUEST
 
 
 class MalformedMessageError(ValueError):
--- a/eiderfield/net/http/parser.py
+++ b/eiderfield/net/http/parser.py
@@ -15,7 +15,8 @@
 from enum import Enum
 
 from eiderfield.net.http.head import MAX_HEAD, BodyEnd, framing_of, parse_head
-from eiderfield.net.http.message import CONTENT_TOO_LARGE, END, End, Head, MalformedMessageError
+from eiderfield.net.http.message import END, End, Head, MalformedMessageError
+from eiderfield.net.http.status import CONTENT_TOO_LARGE
 
 MAX_BODY = 65536  # bytes of a request's body
 MAX_CHUNK_LINE = 256  # bytes of the line that tells a chunk's size
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -1,333 +1,360 @@
-"""One connection to a worker: its states, the request that it carries and the answer to that.
+"""A connection to a worker: its states, the load it carries, and what a response means for that load.
 
-A connection carries one attempt or health check at a time.
+A connection carries one load at a time: an attempt of a request, or a health check.
 
-    DIALLING ──(up, and the attempt may still begin)──> BUSY ──(its outcome is known)──> TAIL
-       │                                                  └──(it breaks, or cannot be read)──> CLOSED
-       └──(refused, too late, or its worker is elsewhere by now)──> CLOSED
-    TAIL ──(the answer's end)──> IDLE ──(the next attempt)──> BUSY
+    DIALLING ──(established, and the load may still be written)──> BUSY
+       └──(refused, too late, or the worker's address has changed)──> CLOSED
+    BUSY ──(the outcome of an attempt is known)──> FINISHING ──(the response ends)──> IDLE
+       ├──(the response to a health check ends)──> IDLE
+       └──(connection lost, or malformed response)──> CLOSED
+    IDLE ──(the next load)──> BUSY
 
-The pool moves it to BUSY and CLOSED, the worker's bytes to TAIL and IDLE. Whatever is given up is closed.
+A load that is given up closes its connection. Invariants:
 
-What must never happen: a first byte for an attempt that may not begin any more (`Exchange.may_write` is asked
-then); an answer that is not about the request served as its own; an attempt reported to have never run of
-which the last byte had left.
+- The first byte of an attempt is written only if `Exchange.may_write` allows it at that moment.
+- A response that is not about the request in flight is never used as its result.
+- An attempt whose last byte has left is never reported as one that did not run, unless the worker says so.
 """
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from contextlib import suppress
-from dataclasses import dataclass, field
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import Protocol
 
+from eiderfield.config import Address
+from eiderfield.exchange.exchange import Exchange
 from eiderfield.exchange.request import Attempt
-from eiderfield.exchange.timers import Timer
+from eiderfield.exchange.timers import Timer, Timers
 from eiderfield.interface import AWAY, STARTED, Outcome
-from eiderfield.net.dialing import PendingDial
+from eiderfield.net.dialing import Dial, PendingDial
 from eiderfield.net.faults import Cause, cause_of_loss
-from eiderfield.net.http import Head, MalformedMessageError, Parser
+from eiderfield.net.http import End, Head
 from eiderfield.net.reports import from_object, from_text
 from eiderfield.net.worker_messages import (
-    MAX_LINE,
+    AttemptStatus,
     Failure,
+    HealthCheck,
+    Load,
     Progress,
     Result,
     Started,
     Update,
-    Verdict,
-    parse_update,
-    verdict_of,
+    attempt_status,
 )
+from eiderfield.net.worker_response import ResponseEvent, ResponseReader
 
-if TYPE_CHECKING:
-    from eiderfield.net.worker_pool import WorkerPool
+PROGRESS = 2  # AttemptProgressed.what: the worker reports a share of the work done
+RESPONSE_END_TIMEOUT_MS = 1000.0  # for the end of a response whose outcome is known
 
-PROGRESS = 2  # the kind of note that tells a share of the work done
-TAIL_TIMEOUT = 1000.0  # ms that a worker may take to end an answer whose last line has come
+_READ_BUFFER = memoryview(bytearray(65536))  # shared by all connections: emptied as soon as it is filled
 
-_READ_BUFFER = memoryview(bytearray(65536))  # shared: it is read out as soon as it is filled
 
-
-class Phase(Enum):
-    """What a connection to a worker is doing."""
+class ConnectionState(Enum):
+    """State of a connection to a worker."""
 
     DIALLING = 0
     BUSY = 1
-    TAIL = 2  # the outcome is known, the answer's end has not come yet
+    FINISHING = 2  # the outcome is known, the end of the response is outstanding
     IDLE = 3
     CLOSED = 4
 
 
-@dataclass(slots=True, eq=False)
-class HealthCheck:
-    """A health check that is out."""
+_READING = (ConnectionState.BUSY, ConnectionState.FINISHING)
+
+
+class ConnectionOwner(Protocol):
+    """What a connection requires of the pool that opens it.
+
+    Attributes:
+        exchange: receives the events of attempts.
+        timers: schedules the time limits of the connection.
+        clock: returns the current time, in ms.
+        reads: the number of times that any connection has received bytes.
+    """
+
+    exchange: Exchange
+    timers: Timers
+    clock: Callable[[], float]
+    reads: int
+
+    def may_write(self, attempt: Attempt) -> bool:
+        """Return whether an attempt may still be written."""
 
-    worker: int
-    sent: float
-    wants_report: bool
-    body: bytearray = field(default_factory=bytearray)
+    def request_for(self, load: Load) -> bytes:
+        """Return the HTTP request of a load."""
 
+    def received_from_others(self, worker: int, since: int) -> bool:
+        """Return whether another worker's connection received bytes after `reads` was `since`."""
 
-Load = Attempt | HealthCheck  # what a connection carries
+    def report_failure(self, load: Load | None, outcome: Outcome) -> None:
+        """Record that a load ended without a response."""
+
+    def report_health(self, check: HealthCheck, status: int, body: bytes) -> None:
+        """Record the response to a health check."""
+
+    def add_idle(self, connection: WorkerConnection) -> None:
+        """Take back a connection that carries nothing."""
+
+    def distrust_idle(self, worker: int) -> None:
+        """Record that a reused connection to the worker failed before any response."""
+
+    def remove(self, connection: WorkerConnection) -> None:
+        """Forget a closed connection."""
 
 
 class WorkerConnection(asyncio.BufferedProtocol):
     """A connection to a worker."""
 
-    def __init__(self, pool: WorkerPool, worker: int, load: Load) -> None:
-        """It is to carry `load` once it is up."""
-        self.pool = pool
+    def __init__(self, owner: ConnectionOwner, worker: int, load: Load) -> None:
+        """Create a connection that writes `load` once it is established."""
         self.worker = worker
-        self.phase = Phase.DIALLING
+        self.state = ConnectionState.DIALLING
         self.load: Load | None = load
-        self.pending_dial: PendingDial | None = None
-        self.timer: Timer | None = None
-        self.last_read = 0  # the pool's count of reads when bytes came here last
-        self._head: Head | None = None
+        self.last_read = 0  # the owner's count of reads when this connection last received bytes
+        self._owner = owner
+        self._exchange = owner.exchange
+        self._reader = ResponseReader()
         self._transport: asyncio.Transport | None = None
-        self._parser = Parser(answers=True, max_body=0)
-        self._line = bytearray()  # of an attempt's answer, as far as it has come
-        self._flushed = True  # whether all that was written has left
-        self._reused = False  # whether it carried something before
-        self._delayed = False  # whether a fault of this host held the connection up
-        self._reads_before = pool.reads
+        self._pending_dial: PendingDial | None = None
+        self._timer: Timer | None = None
+        self._flushed = True  # whether every written byte has left the process
+        self._reused = False  # whether it has carried another load before
+        self._delayed_locally = False  # whether a fault of this host delays the dial
+        self._reads_at_dial = owner.reads
 
-    # What asyncio calls.
+    # Calls by asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up, unless it was given up meanwhile."""
+        """Write the load, unless the connection was given up meanwhile."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if self.phase == Phase.CLOSED:
+        if self.state == ConnectionState.CLOSED:
             transport.abort()
             return
         transport.set_write_buffer_limits(0)
-        self.pool.cancel_timer(self)
-        self.send_load()
+        assert self.load is not None
+        self.carry(self.load)
 
-    def get_buffer(self, sizehint: int) -> memoryview:
-        """Where the next bytes are read to."""
+    def get_buffer(self, _sizehint: int) -> memoryview:
+        """Return the buffer for the next received bytes."""
         return _READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Bytes have come."""
-        if self.phase == Phase.CLOSED:
+        """Process received bytes."""
+        if self.state == ConnectionState.CLOSED:
             return
-        self.last_read = self.pool.count_read()
-        if self.phase == Phase.IDLE:  # nothing was asked: what comes now would pass for the next answer
+        self._owner.reads += 1
+        self.last_read = self._owner.reads
+        if self.state == ConnectionState.IDLE:  # unsolicited bytes would be taken for the next response
             self.close()
             return
-        self._parser.feed(_READ_BUFFER[:nbytes])
-        self._read_answer()
+        self._reader.feed(_READ_BUFFER[:nbytes])
+        self._read_response()
 
     def eof_received(self) -> bool:
-        """The worker has ended its sending. The transport is lost only at the loop's next turn: until then no
-        attempt must be put on it, for its failed write would count against a healthy worker."""
-        if self.phase == Phase.IDLE:
+        """Close an idle connection whose worker has ended its sending.
+
+        asyncio reports the loss only in the loop's next iteration. An attempt written until then would fail
+        and count against a healthy worker.
+        """
+        if self.state == ConnectionState.IDLE:
             self.close()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It has ended, which may be the answer's end as well."""
-        if self.phase == Phase.BUSY:
+        """Report the loss, which may also be the regular end of the response."""
+        if self.state == ConnectionState.BUSY:
             with suppress(ValueError, RecursionError):
-                if self._parser.finish() is not None:
-                    self._end_of_answer()
+                for event in self._reader.finish():
+                    self._handle(event)
             self._break_off(cause_of_loss(exc))
         self.close()
 
     def pause_writing(self) -> None:
-        """Not all that was written has left."""
+        """Record that written bytes are still buffered."""
         self._flushed = False
 
     def resume_writing(self) -> None:
-        """All that was written has left."""
+        """Record that every written byte has left."""
         self._flushed = True
-        if isinstance(self.load, Attempt) and self.phase == Phase.BUSY:
-            self.pool.exchange.request_written(self.load)
-
-    # What the pool calls.
-
-    def send_load(self) -> None:
-        """Writes the request that it is to carry; it is up."""
-        load, transport = self.load, self._transport
-        assert load is not None and transport is not None
-        if isinstance(load, Attempt) and not self.pool.may_write(load):
-            # While the connection came up a drain may have been told, the request ended or its client left.
+        if isinstance(self.load, Attempt) and self.state == ConnectionState.BUSY:
+            self._exchange.request_written(self.load)
+
+    # Calls by the owner.
+
+    def open(self, dial: Dial, address: Address, timeout: float) -> None:
+        """Dial the worker; the dial fails after `timeout` ms."""
+        self._start_timer(timeout, self._dial_failed)
+        self._pending_dial = dial(self, address, self._dial_failed, self._dial_delayed)
+
+    def carry(self, load: Load) -> None:
+        """Write the request of `load`; the connection is established and carries nothing else."""
+        transport = self._transport
+        assert transport is not None
+        self._cancel_timer()
+        self.load = load
+        if isinstance(load, Attempt) and not self._owner.may_write(load):
+            # During the dial the worker may have begun to drain, or the request have ended.
             self.load = None
-            self.pool.put_back(self)
-            self.pool.exchange.attempt_ended(load, Outcome.MOOT)
+            self._owner.add_idle(self)
+            self._exchange.attempt_ended(load, Outcome.MOOT)
             return
-        self.phase = Phase.BUSY
-        self._head = None
-        self._line.clear()
+        self.state = ConnectionState.BUSY
+        self._reader.start(load.pending.request.id if isinstance(load, Attempt) else None)
         self._flushed = True
-        transport.write(self.pool.request_for(load))
-        if transport.is_closing():  # the write itself failed: nothing has left whole
+        transport.write(self._owner.request_for(load))
+        if transport.is_closing():  # the write failed: the request has not left completely
             self._flushed = False
         elif self._flushed and isinstance(load, Attempt):
-            self.pool.exchange.request_written(load)
+            self._exchange.request_written(load)
+
+    def become_idle(self, timeout: float) -> None:
+        """Wait for the next load; the connection closes after `timeout` ms."""
+        self.state = ConnectionState.IDLE
+        self._start_timer(timeout, self.close)
 
     def close(self) -> None:
-        """Closes the connection; nothing more is reported of what it carried."""
-        if self.phase == Phase.CLOSED:
+        """Close the connection; nothing more is reported about its load."""
+        if self.state == ConnectionState.CLOSED:
             return
-        self.phase = Phase.CLOSED
+        self.state = ConnectionState.CLOSED
         self.load = None
-        self.pool.cancel_timer(self)
-        self.pool.forget(self)
+        self._cancel_timer()
+        self._owner.remove(self)
         if self._transport is not None:
             self._transport.abort()
-        elif self.pending_dial is not None:
-            self.pending_dial.cancel()
+        elif self._pending_dial is not None:
+            self._pending_dial.cancel()
+
+    # Time limits.
+
+    def _start_timer(self, delay: float, callback: Callable[[], None]) -> None:
+        """Replace the connection's only timer."""
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = self._owner.timers.at(self._owner.clock() + delay, callback)
+
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    # Dialling.
 
-    def on_dial_failed(self) -> None:
-        """The connection was refused or did not come up in time. A worker that this host kept from having the
-        whole time has not failed."""
-        if self.phase == Phase.DIALLING:
+    def _dial_failed(self) -> None:
+        """Report that the dial was refused or timed out, a fault of this host if that delayed it."""
+        if self.state == ConnectionState.DIALLING:
             load = self.load
             self.close()
-            self.pool.report_failure(load, Outcome.MOOT if self._delayed else Outcome.CONNECT_FAILED)
+            outcome = Outcome.MOOT if self._delayed_locally else Outcome.CONNECT_FAILED
+            self._owner.report_failure(load, outcome)
 
-    def on_dial_delayed(self, cause: Cause) -> None:
-        """A fault of this host held the connection up; it is tried again until the dial's time is over."""
-        if self.phase != Phase.DIALLING:
+    def _dial_delayed(self, cause: Cause) -> None:
+        """Record that a fault of this host delays the dial, which is retried until its timeout."""
+        if self.state != ConnectionState.DIALLING:
             return
-        if cause is Cause.ROUTE and self.pool.heard_others(self.worker, self._reads_before):
-            self._delayed = False  # the same host reaches the others: the fault is this address's
-            self.on_dial_failed()
+        if cause is Cause.ROUTE and self._owner.received_from_others(self.worker, self._reads_at_dial):
+            self._delayed_locally = False  # this host reaches other workers: the address is at fault
+            self._dial_failed()
             return
-        self._delayed = True
-        if isinstance(self.load, Attempt):  # the worker's silence tells nothing meanwhile
-            self.pool.exchange.record_progress(self.load, AWAY)
+        self._delayed_locally = True
+        if isinstance(self.load, Attempt):  # silence of the worker proves nothing meanwhile
+            self._exchange.record_progress(self.load, AWAY)
 
-    # Answers.
+    # Responses.
 
-    def _read_answer(self) -> None:
+    def _read_response(self) -> None:
         try:
-            while self.phase in (Phase.BUSY, Phase.TAIL):
-                part = self._parser.poll()
-                if part is None:
+            for event in self._reader.events():
+                self._handle(event)
+                if self.state not in _READING:
                     return
-                self._read_part(part)
-        except (ValueError, RecursionError) as error:  # an answer that cannot be read is none
+        except (ValueError, RecursionError) as error:
             if self.load is not None:
-                self.pool.exchange.record_malformed_response(self.worker, str(error))
+                self._exchange.record_malformed_response(self.worker, str(error))
             self._break_off()
 
-    def _read_part(self, part: object) -> None:
-        if isinstance(part, Head):
-            if part.status >= 200:
-                self._read_head(part)
-        elif isinstance(part, bytes):
-            self._read_body(part)
-        elif self._head is not None:
-            self._end_of_answer()
-
-    def _read_head(self, head: Head) -> None:
-        self._head = head
-        attempt = self.load
-        if not isinstance(attempt, Attempt):
-            return
-        verdict = verdict_of(head)
-        if verdict is Verdict.REJECTED:
+    def _handle(self, event: ResponseEvent) -> None:
+        if isinstance(event, End):
+            self._response_ended()
+        elif isinstance(self.load, Attempt):
+            if isinstance(event, Head):
+                self._apply_status(self.load, event)
+            else:
+                self._apply_update(self.load, event)
+
+    def _apply_status(self, attempt: Attempt, head: Head) -> None:
+        status = attempt_status(head)
+        if status is AttemptStatus.REJECTED:
             self._await_end()
-            self.pool.exchange.record_rejection(attempt)
-        elif verdict is not Verdict.ACCEPTED:
-            outcome = Outcome.FULL if verdict is Verdict.NOT_RUN else Outcome.ERROR
+            self._exchange.record_rejection(attempt)
+        elif status is not AttemptStatus.ACCEPTED:
+            outcome = Outcome.FULL if status is AttemptStatus.NOT_RUN else Outcome.ERROR
             self._end_attempt(attempt, outcome, self._load_report(None))
 
-    def _read_body(self, data: bytes) -> None:
-        if isinstance(self.load, HealthCheck):
-            self.load.body += data
-            if len(self.load.body) > MAX_LINE:
-                raise MalformedMessageError("a load report is too long")
-        elif self.load is not None:  # else the rest of an answer whose outcome is known
-            self._read_lines(data)
-
-    def _read_lines(self, data: bytes) -> None:
-        self._line += data
-        while (end := self._line.find(b"\n")) >= 0:
-            line = bytes(self._line[:end])
-            del self._line[: end + 1]
-            self._read_line(line)
-        if len(self._line) > MAX_LINE:
-            raise MalformedMessageError("a line is too long")
-
-    def _read_line(self, line: bytes) -> None:
-        attempt = self.load
-        if not isinstance(attempt, Attempt) or not line.strip():
-            return
-        update = parse_update(line, attempt.pending.request.id)
-        if update is not None:
-            self._apply_update(attempt, update)
-
     def _apply_update(self, attempt: Attempt, update: Update) -> None:
         match update:
             case Started():
-                self.pool.exchange.record_progress(attempt, STARTED)
+                self._exchange.record_progress(attempt, STARTED)
             case Progress(share):
-                self.pool.exchange.record_progress(attempt, PROGRESS, share)
+                self._exchange.record_progress(attempt, PROGRESS, share)
             case Result(body, report):
                 self._await_end()
-                self.pool.exchange.record_result(attempt, body, self._load_report(report))
+                self._exchange.record_result(attempt, body, self._load_report(report))
             case Failure(outcome, report):
                 self._end_attempt(attempt, outcome, self._load_report(report))
 
     def _load_report(self, report: object) -> tuple[float, ...]:
-        """The load report in an attempt's last object, or else in its answer's head."""
-        fields = self.pool.exchange.settings.load_report_fields
-        if not fields or self._head is None:
+        """Return the load report of an attempt's last update, or else that of the response's head."""
+        fields = self._exchange.settings.load_report_fields
+        head = self._reader.head
+        if not fields or head is None:
             return ()
-        return from_object(report, fields) or from_text(self._head.get("x-load"), fields)
+        return from_object(report, fields) or from_text(head.get("x-load"), fields)
 
     def _end_attempt(self, attempt: Attempt, outcome: Outcome, load_report: tuple[float, ...]) -> None:
         self._await_end()
-        self.pool.exchange.attempt_ended(attempt, outcome, load_report)
+        self._exchange.attempt_ended(attempt, outcome, load_report)
 
     def _await_end(self) -> None:
-        """The outcome is known; the answer's end makes the connection usable again."""
+        """Wait for the end of a response whose outcome is known; the connection is usable again after it."""
         self.load = None
-        self.phase = Phase.TAIL
-        self.pool.set_timer(self, TAIL_TIMEOUT, self.close)
+        self.state = ConnectionState.FINISHING
+        self._reader.ignore_updates()
+        self._start_timer(RESPONSE_END_TIMEOUT_MS, self.close)
 
-    def _end_of_answer(self) -> None:
-        if self._line.strip():
-            self._read_line(bytes(self._line))  # a last line may lack its line feed
-            self._line.clear()
+    def _response_ended(self) -> None:
         load = self.load
         if isinstance(load, Attempt):
-            self.pool.exchange.record_malformed_response(self.worker, "it ended before its last line")
+            self._exchange.record_malformed_response(self.worker, "it ended before its last line")
             self._break_off()
             return
         self.load = None
         self._reused = True
-        self.pool.cancel_timer(self)
-        if self._reusable:
-            self.pool.put_back(self)
+        self._cancel_timer()
+        if self._reader.can_be_reused:
+            self._owner.add_idle(self)
         else:
             self.close()
-        if load is not None and self._head is not None:
-            self.pool.report_health(load, self._head.status)
-
-    @property
-    def _reusable(self) -> bool:
-        """Whether the worker keeps the connection, and nothing more has come on it."""
-        keeps = self._head is not None and self._head.keeps
-        return keeps and not self._parser.buffered and self._parser.between
+        head = self._reader.head
+        if load is not None and head is not None:
+            self._owner.report_health(load, head.status, bytes(self._reader.body))
 
     def _break_off(self, cause: Cause = Cause.CONNECTION) -> None:
-        """The answer broke off or cannot be read. Only a request whose last byte never left is sure not to
-        have run."""
+        """Close a connection that was lost or whose response is malformed, and report its load as failed.
+
+        A request is known not to have run only if its last byte has not left.
+        """
         load, flushed = self.load, self._flushed
-        if self._reused and self._head is None and not self._parser.buffered:
-            self.pool.distrust_idle(self.worker)
+        if self._reused and self._reader.received_nothing:
+            self._owner.distrust_idle(self.worker)
         self.close()
         if load is None:
             return
         if cause is Cause.LOCAL:
-            self.pool.report_failure(load, Outcome.CANCELLED if flushed else Outcome.MOOT)
+            self._owner.report_failure(load, Outcome.CANCELLED if flushed else Outcome.MOOT)
         else:
-            self.pool.report_failure(load, Outcome.RESET if flushed else Outcome.CONNECT_FAILED)
+            self._owner.report_failure(load, Outcome.RESET if flushed else Outcome.CONNECT_FAILED)
--- a/eiderfield/net/worker_messages.py
+++ b/eiderfield/net/worker_messages.py
@@ -1,7 +1,7 @@
-"""What is said on a connection to a worker: requests as bytes, and the lines of answers as typed updates.
+"""Messages on a connection to a worker: requests as bytes, and response lines as typed updates.
 
-An attempt's answer is a stream of JSON objects, one a line, each with the request's id and a `state`. What
-cannot be read, or is about another request, is `MalformedMessageError`.
+The response to an attempt is a stream of JSON objects, one per line, each with the request's id and a
+`state`. A line that cannot be parsed, or that names another request, raises `MalformedMessageError`.
 """
 
 from __future__ import annotations
@@ -10,37 +10,65 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from eiderfield.exchange.request import Request
+from eiderfield.exchange.request import Attempt, Request
 from eiderfield.interface import Outcome
 from eiderfield.net.http import Head, MalformedMessageError, request_bytes
+from eiderfield.net.http.status import (
+    BAD_REQUEST,
+    GATEWAY_TIMEOUT,
+    INTERNAL_SERVER_ERROR,
+    OK,
+    REQUEST_TIMEOUT,
+    SERVICE_UNAVAILABLE,
+    TOO_EARLY,
+    TOO_MANY_REQUESTS,
+)
+
+MAX_LINE_BYTES = 4 * 65536  # a result of 64 KiB with every character escaped
+# Subtracted from the time left that a worker is told. The process may be delayed by up to 150 ms before the
+# write, which the protocol tolerates; it allows another 50 ms for reading the client's request.
+DEADLINE_MARGIN_MS = 50.0
+MIN_DEADLINE_MS = 1
+HEALTH_CHECK_HOST = "backend.local"
+
+# Client error statuses that report timing or load and say nothing about the request.
+_RETRYABLE_CLIENT_ERRORS = (REQUEST_TIMEOUT, TOO_EARLY, TOO_MANY_REQUESTS)
+_FAILURE_OUTCOMES = {"failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
 
-MAX_LINE = 4 * 65536  # bytes: a result of 64 KiB, with every character escaped
-# What a worker is told is left of the client's time may be 150 ms too much, all of which being held up before
-# the write may take. Reading the request took time too, for which sockets are allowed 50 ms (protocol page).
-DEADLINE_MARGIN = 50.0  # ms
-LEAST_DEADLINE = 1  # ms
-PROBE_HOST = "backend.local"
 
-# Statuses from 400 to 499 that speak of time or of load, not of the request.
-_NOT_ABOUT_THE_REQUEST = (408, 425, 429)
-_FINAL_OUTCOMES = {"failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
+@dataclass(slots=True, frozen=True)
+class HealthCheck:
+    """A health check in flight.
+
+    Attributes:
+        worker: the worker's number.
+        sent_at: when the check was sent, in ms.
+        wants_report: whether the response is to carry a load report.
+    """
+
+    worker: int
+    sent_at: float
+    wants_report: bool
+
+
+Load = Attempt | HealthCheck  # what a connection carries
 
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """The worker has started on the request."""
+    """The worker has started the request."""
 
 
 @dataclass(slots=True, frozen=True)
 class Progress:
-    """A share of the work is done."""
+    """The worker has completed `share` (0 to 1) of the request."""
 
     share: float
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """The request is served. `load_report` is as it came, if there was one."""
+    """The worker has served the request. `load_report` is the decoded JSON value, None if absent."""
 
     body: bytes
     load_report: object = None
@@ -48,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Failure:
-    """The attempt ended without a result."""
+    """The attempt has ended without a result. `load_report` is the decoded JSON value, None if absent."""
 
     outcome: Outcome
     load_report: object = None
@@ -58,9 +86,12 @@
 
 
 def parse_update(line: bytes, request_id: str) -> Update | None:
-    """What a line says; None for a state that means nothing here."""
+    """Parse a response line; return None for an unknown state.
+
+    Raises `ValueError` if the line is not JSON and `MalformedMessageError` if it is not a valid update of the
+    request `request_id`.
+    """
     fields = json.loads(line)
-    # Another request's line must never be served as this one's answer.
     if not isinstance(fields, dict) or fields.get("id") != request_id:
         raise MalformedMessageError("a line is not about this request")
     state = fields.get("state")
@@ -70,8 +101,8 @@
         return Progress(_parse_share(fields.get("share", 0.0)))
     if state == "done":
         return Result(_parse_result(fields.get("result")), fields.get("load"))
-    if state in _FINAL_OUTCOMES:
-        return Failure(_FINAL_OUTCOMES[state], fields.get("load"))
+    if state in _FAILURE_OUTCOMES:
+        return Failure(_FAILURE_OUTCOMES[state], fields.get("load"))
     return None
 
 
@@ -87,35 +118,35 @@
     return value.encode()
 
 
-class Verdict(Enum):
-    """What the head of an attempt's answer says."""
+class AttemptStatus(Enum):
+    """The meaning of a response's status code for the attempt."""
 
-    ACCEPTED = "the lines tell"
-    REJECTED = "the request is faulty, for any worker"
-    NOT_RUN = "the worker has not run it"
-    FAILED = "it may have run"
+    ACCEPTED = "the body reports the outcome"
+    REJECTED = "the request is invalid for every worker"
+    NOT_RUN = "the worker has not run the request"
+    FAILED = "the request may have run"
 
 
-def verdict_of(head: Head) -> Verdict:
-    """The verdict of a final head."""
-    if head.status == 200:
-        return Verdict.ACCEPTED
-    if 400 <= head.status < 500 and head.status not in _NOT_ABOUT_THE_REQUEST:
-        return Verdict.REJECTED
-    if head.status in (503, 504) and head.get("x-not-run") == "1":
-        return Verdict.NOT_RUN
-    return Verdict.FAILED
+def attempt_status(head: Head) -> AttemptStatus:
+    """Classify the head of a final response (status 200 and above) to an attempt."""
+    if head.status == OK:
+        return AttemptStatus.ACCEPTED
+    if BAD_REQUEST <= head.status < INTERNAL_SERVER_ERROR and head.status not in _RETRYABLE_CLIENT_ERRORS:
+        return AttemptStatus.REJECTED
+    if head.status in (SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT) and head.get("x-not-run") == "1":
+        return AttemptStatus.NOT_RUN
+    return AttemptStatus.FAILED
 
 
 def attempt_request(request: Request, now: float) -> bytes:
-    """The request of an attempt, with what is left of the client's time."""
-    left = int(request.deadline - now - DEADLINE_MARGIN)
-    headers = {"X-Request-Id": request.id, "X-Deadline-Ms": str(max(LEAST_DEADLINE, left))}
+    """Encode the HTTP request of an attempt, with the time left until the client's deadline."""
+    time_left = int(request.deadline - now - DEADLINE_MARGIN_MS)
+    headers = {"X-Request-Id": request.id, "X-Deadline-Ms": str(max(MIN_DEADLINE_MS, time_left))}
     if request.idempotency_key:
         headers["Idempotency-Key"] = request.idempotency_key
     return request_bytes("POST", request.target, request.host, request.body, **headers)
 
 
-def probe_request(wants_report: bool) -> bytes:
-    """The request of a health check, which may ask for a load report."""
-    return request_bytes("GET", "/status/load" if wants_report else "/health", PROBE_HOST)
+def health_check_request(wants_report: bool) -> bytes:
+    """Encode the HTTP request of a health check, which asks for a load report if `wants_report`."""
+    return request_bytes("GET", "/status/load" if wants_report else "/health", HEALTH_CHECK_HOST)
--- a/eiderfield/net/worker_pool.py
+++ b/eiderfield/net/worker_pool.py
@@ -1,16 +1,16 @@
-"""The pool of connections to workers, within the descriptors that they may take.
+"""The pool of connections to workers, within a limit on their number.
 
-An attempt or a health check goes out on an idle connection to its worker, or on a new one. Where the pool is
-full the connection that has been idle for longest gives way; where none is idle, the attempt ends unsent.
+An attempt or a health check is sent on an idle connection to its worker, or else on a new one. At the limit
+the connection that has been idle for longest is closed first; if none is idle, the load ends unsent.
 
-What must never happen: an attempt dialled at an address that the list has left, or carried on a connection
-that the worker may be closing just then.
+Invariants: no attempt is dialled at an address that the routing table has dropped, and none is written to a
+connection that the worker may be closing.
 """
 
 from __future__ import annotations
 
-from collections import OrderedDict
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from types import MappingProxyType
 
 from eiderfield.config import Address
 from eiderfield.exchange.exchange import Exchange
@@ -18,17 +18,15 @@
 from eiderfield.exchange.timers import Timers
 from eiderfield.interface import Outcome
 from eiderfield.net.dialing import Dial
+from eiderfield.net.http.status import OK
 from eiderfield.net.reports import from_body
-from eiderfield.net.worker_connection import HealthCheck, Load, Phase, WorkerConnection
-from eiderfield.net.worker_messages import attempt_request, probe_request
-
-IDLE_MARGIN = 1000.0  # ms before workers close an idle connection: none is used nearer to that
-IDLE_SHARE = 0.5  # of that time, used at least, where it is short
-DISTRUST = 10_000.0  # ms for which a worker's idle connections are not used after one proved dead
+from eiderfield.net.worker_connection import ConnectionState, WorkerConnection
+from eiderfield.net.worker_idle import IdleWorkerConnections
+from eiderfield.net.worker_messages import HealthCheck, Load, attempt_request, health_check_request
 
 
 class WorkerPool:
-    """All connections to workers."""
+    """Connections to all workers. Implements `WorkerSide` and `ConnectionOwner`. Times are in ms."""
 
     def __init__(
         self,
@@ -40,200 +38,192 @@
         idle_timeout: float,
         max_connections: int,
     ) -> None:
-        """`idle_timeout` is after how long workers close an idle connection."""
+        """Attach an empty pool to `exchange`; workers close connections that are idle for `idle_timeout`."""
         self.exchange = exchange
-        self._timers = timers
-        self._clock = clock
+        self.timers = timers
+        self.clock = clock
+        self.reads = 0  # how often any connection has received bytes
         self._dial = dial
-        self.set_timeouts(dial_timeout, idle_timeout)
-        self._max_connections = self._configured_connections = max_connections
-        self.reads = 0  # how often bytes came on any connection
+        self._dial_timeout = dial_timeout
+        self._configured_limit = max_connections
+        self._connection_limit = max_connections
         self._addresses: dict[int, Address] = {}
-        self._distrusted_until: dict[int, float] = {}  # until when a worker's connections are used once
         self._connections: set[WorkerConnection] = set()
-        # Those that carry nothing, with when each fell idle, oldest first.
-        self._idle: OrderedDict[WorkerConnection, float] = OrderedDict()
+        self._idle = IdleWorkerConnections(idle_timeout)
         exchange.attach_worker_side(self)
 
+    # Limits.
+
+    @property
+    def connection_count(self) -> int:
+        """The number of connections, including those that are being established."""
+        return len(self._connections)
+
+    @property
+    def connection_limit(self) -> int:
+        """The number of connections allowed now."""
+        return self._connection_limit
+
+    @property
+    def configured_limit(self) -> int:
+        """The number of connections allowed to the dispatcher, which two processes share in a handover."""
+        return self._configured_limit
+
     def set_timeouts(self, dial_timeout: float, idle_timeout: float) -> None:
-        """How long a connection may take to come up, and stand idle, in ms; for what is begun from now on."""
+        """Set the limits for dials and for idle connections that begin from now on."""
         self._dial_timeout = dial_timeout
-        self._usable_for = max(idle_timeout - IDLE_MARGIN, IDLE_SHARE * idle_timeout)
+        self._idle.set_idle_timeout(idle_timeout)
+
+    def share_connections(self, shared: bool) -> None:
+        """Halve the connection limit while another process of this dispatcher uses the other half."""
+        self._connection_limit = self._configured_limit // 2 if shared else self._configured_limit
+        while len(self._connections) > self._connection_limit and self._idle:
+            self._idle.longest_idle().close()
+
+    def close(self) -> None:
+        """Close every connection."""
+        for connection in list(self._connections):
+            connection.close()
+
+    # Addresses.
 
     @property
-    def connections(self) -> int:
-        """How many connections there are."""
-        return len(self._connections)
+    def addresses(self) -> Mapping[int, Address]:
+        """Where each worker listens, by its number."""
+        return MappingProxyType(self._addresses)
 
     def address(self, worker: int) -> Address | None:
-        """Where a worker listens."""
+        """Return where a worker listens, None if unknown."""
         return self._addresses.get(worker)
 
     def set_address(self, worker: int, address: Address | None) -> None:
-        """Where a worker listens, None once it is gone. Connections to another place that are idle or coming
-        up are closed: whoever listens there by now is somebody else."""
+        """Set where a worker listens, None once it is removed.
+
+        Idle connections and dials to its former address end, since another process may listen there by now.
+        """
         if self._addresses.get(worker) == address:
             return
         self.close_idle(worker)
-        self._give_up_dials(worker)
+        self._abort_dials(worker)
         if address is None:
             self._addresses.pop(worker, None)
-            self._distrusted_until.pop(worker, None)
+            self._idle.forget_worker(worker)
         else:
             self._addresses[worker] = address
 
-    def _give_up_dials(self, worker: int) -> None:
-        to_it = [connection for connection in self._connections if connection.worker == worker]
-        for connection in [connection for connection in to_it if connection.phase == Phase.DIALLING]:
-            load = connection.load
-            connection.close()
-            self.report_failure(load, Outcome.MOOT)
-
     def keep_only(self, workers: set[int]) -> None:
-        """A whole list has come: whoever it does not name is gone."""
+        """Remove the addresses of all workers that are not in `workers`."""
         for worker in self._addresses.keys() - workers:
             self.set_address(worker, None)
 
-    def share_connections(self, shared: bool) -> None:
-        """Lives on half of the connections while another process of this dispatcher has the other half."""
-        configured = self._configured_connections
-        self._max_connections = configured // 2 if shared else configured
-        while len(self._connections) > self._max_connections and self._idle:
-            self._close_longest_idle()
-
-    def close(self) -> None:
-        """Closes every connection."""
-        for connection in list(self._connections):
+    def _abort_dials(self, worker: int) -> None:
+        dialling = [
+            connection
+            for connection in self._connections
+            if connection.worker == worker and connection.state == ConnectionState.DIALLING
+        ]
+        for connection in dialling:
+            load = connection.load
             connection.close()
+            self.report_failure(load, Outcome.MOOT)
 
-    # What the exchange calls.
+    # Calls by the exchange.
 
     def start(self, attempt: Attempt) -> None:
-        """Carries an attempt on an idle connection, or on a new one."""
+        """Send an attempt on an idle connection, or on a new one."""
         self._send(attempt.worker, attempt)
 
     def stop(self, attempt: Attempt) -> None:
-        """Gives an attempt up by closing what carries it."""
+        """Give an attempt up by closing its connection."""
         for connection in [connection for connection in self._connections if connection.load is attempt]:
             connection.close()
 
     def probe(self, worker: int) -> None:
-        """Checks a worker's health, and asks for its load where the deployment has reports."""
+        """Check a worker's health, and request a load report if the settings name its fields."""
         wants_report = bool(self.exchange.settings.load_report_fields)
-        self._send(worker, HealthCheck(worker, self._clock(), wants_report))
+        self._send(worker, HealthCheck(worker, self.clock(), wants_report))
 
     def close_idle(self, worker: int) -> None:
-        """Closes the connections to a worker that carry nothing."""
-        for connection in [connection for connection in self._idle if connection.worker == worker]:
+        """Close the idle connections to a worker."""
+        for connection in self._idle.of_worker(worker):
             connection.close()
 
-    # What connections call.
-
-    def count_read(self) -> int:
-        """Bytes have come on a connection; how often that was so far."""
-        self.reads += 1
-        return self.reads
+    # Calls by connections.
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Whether an attempt whose connection is up may still begin."""
-        return self.exchange.may_write(attempt, self._clock())
+        """Return whether an attempt may still be written."""
+        return self.exchange.may_write(attempt, self.clock())
 
     def request_for(self, load: Load) -> bytes:
-        """The request of an attempt or a health check."""
+        """Return the HTTP request of an attempt or a health check."""
         if isinstance(load, HealthCheck):
-            return probe_request(load.wants_report)
-        return attempt_request(load.pending.request, self._clock())
+            return health_check_request(load.wants_report)
+        return attempt_request(load.pending.request, self.clock())
 
-    def heard_others(self, worker: int, since: int) -> bool:
-        """Whether bytes have come from any other worker since the pool's count of reads was `since`."""
+    def received_from_others(self, worker: int, since: int) -> bool:
+        """Return whether another worker's connection received bytes after `reads` was `since`."""
         others = (connection for connection in self._connections if connection.worker != worker)
         return any(connection.last_read > since for connection in others)
 
     def report_failure(self, load: Load | None, outcome: Outcome) -> None:
-        """An attempt or a health check ended without an answer."""
+        """Record that an attempt or a health check ended without a response."""
         if isinstance(load, Attempt):
             self.exchange.attempt_ended(load, outcome)
         elif load is not None:
-            self.exchange.probe_completed(load.worker, outcome, self._clock() - load.sent)
+            self.exchange.probe_completed(load.worker, outcome, self.clock() - load.sent_at)
 
-    def report_health(self, check: HealthCheck, status: int) -> None:
-        """A health check was answered."""
+    def report_health(self, check: HealthCheck, status: int, body: bytes) -> None:
+        """Record the response to a health check."""
         report: tuple[float, ...] = ()
-        if check.wants_report and status == 200:
-            report = from_body(bytes(check.body), self.exchange.settings.load_report_fields)
-        outcome = Outcome.OK if status == 200 else Outcome.ERROR
-        self.exchange.probe_completed(check.worker, outcome, self._clock() - check.sent, report)
-
-    def put_back(self, connection: WorkerConnection) -> None:
-        """A connection carries nothing any more and may be used again."""
-        if self._clock() < self._distrusted_until.get(connection.worker, 0.0):
+        if check.wants_report and status == OK:
+            report = from_body(body, self.exchange.settings.load_report_fields)
+        outcome = Outcome.OK if status == OK else Outcome.ERROR
+        self.exchange.probe_completed(check.worker, outcome, self.clock() - check.sent_at, report)
+
+    def add_idle(self, connection: WorkerConnection) -> None:
+        """Keep a connection that carries nothing for reuse, unless its worker is distrusted."""
+        if self._idle.add(connection, self.clock()):
+            connection.become_idle(self._idle.reusable_for)
+        else:
             connection.close()
-            return
-        connection.phase = Phase.IDLE
-        self._idle[connection] = self._clock()
-        self.set_timer(connection, self._usable_for, connection.close)
 
     def distrust_idle(self, worker: int) -> None:
-        """A reused connection broke before any answer. Where one is dead the others often are, and an attempt
-        on each would be lost, which costs far more than new connections."""
-        self._distrusted_until[worker] = self._clock() + DISTRUST
-        self.close_idle(worker)
+        """Close a worker's idle connections after a reused one failed before any response.
 
-    def set_timer(self, connection: WorkerConnection, wait: float, call: Callable[[], None]) -> None:
-        """Sets the one timer of a connection."""
-        self.cancel_timer(connection)
-        connection.timer = self._timers.at(self._clock() + wait, call)
+        Its other idle connections have probably failed as well, and an attempt lost on each costs far more
+        than new connections.
+        """
+        self._idle.distrust(worker, self.clock())
+        self.close_idle(worker)
 
-    def cancel_timer(self, connection: WorkerConnection) -> None:
-        """Calls the timer of a connection off."""
-        if connection.timer is not None:
-            connection.timer.cancel()
-            connection.timer = None
+    def distrusts_idle(self, worker: int) -> bool:
+        """Return whether the connections to a worker are closed after use."""
+        return self._idle.distrusts(worker, self.clock())
 
-    def forget(self, connection: WorkerConnection) -> None:
-        """A connection is closed."""
+    def remove(self, connection: WorkerConnection) -> None:
+        """Forget a closed connection."""
         self._connections.discard(connection)
-        self._idle.pop(connection, None)
+        self._idle.discard(connection)
 
-    # Which connection carries what.
+    # Choice of a connection.
 
     def _send(self, worker: int, load: Load) -> None:
         address = self._addresses.get(worker)
-        if address is None:  # gone from the routing table: nothing was sent
+        if address is None:
             self.report_failure(load, Outcome.MOOT)
             return
-        connection = self._take_idle(worker)
+        connection = self._idle.take(worker, self.clock())
         if connection is not None:
-            self.cancel_timer(connection)
-            connection.load = load
-            connection.send_load()
+            connection.carry(load)
         elif self._make_room():
-            self._open(worker, address, load)
+            connection = WorkerConnection(self, worker, load)
+            self._connections.add(connection)
+            connection.open(self._dial, address, self._dial_timeout)
         else:
             self.report_failure(load, Outcome.MOOT)
 
-    def _take_idle(self, worker: int) -> WorkerConnection | None:
-        """The connection idle for longest: turns keep all open, and each new one costs a handshake."""
-        oldest = self._clock() - self._usable_for
-        to_it = ((one, since) for one, since in self._idle.items() if one.worker == worker)
-        connection = next((one for one, since in to_it if since > oldest), None)
-        if connection is not None:
-            del self._idle[connection]
-        return connection
-
     def _make_room(self) -> bool:
-        """Whether one more connection may be opened; an idle one gives way if it must."""
-        if len(self._connections) >= self._max_connections and self._idle:
-            self._close_longest_idle()
-        return len(self._connections) < self._max_connections
-
-    def _close_longest_idle(self) -> None:
-        next(iter(self._idle)).close()
-
-    def _open(self, worker: int, address: Address, load: Load) -> None:
-        connection = WorkerConnection(self, worker, load)
-        self._connections.add(connection)
-        self.set_timer(connection, self._dial_timeout, connection.on_dial_failed)
-        connection.pending_dial = self._dial(
-            connection, address, connection.on_dial_failed, connection.on_dial_delayed
-        )
+        """Return whether another connection may be opened, after closing an idle one at the limit."""
+        if len(self._connections) >= self._connection_limit and self._idle:
+            self._idle.longest_idle().close()
+        return len(self._connections) < self._connection_limit
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -10,8 +10,9 @@
 
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.interface import Outcome
+from eiderfield.net import worker_response
 from eiderfield.net.clients import ClientConnection
-from eiderfield.net.worker_connection import WorkerConnection
+from eiderfield.net.worker_messages import Result
 from eiderfield.net.worker_pool import WorkerPool
 
 PATHS = ["/unsafe/b", "/safe/a", "/unsafe/b", "/keyed/c", "/safe"]
@@ -160,7 +161,7 @@
 
     @invariant()
     def bounded(self):
-        assert self.dispatcher.side.connections <= 50
+        assert self.dispatcher.side.connection_count <= 50
 
     def teardown(self):
         if not self.sound:  # a rule has been broken already; what follows would hide which
@@ -194,7 +195,7 @@
 
 FAULTS = {
     "begun after a drain": lambda m: m.setattr(Exchange, "may_write", lambda self, leg, now: True),
-    "served what no worker made": lambda m: m.setattr(WorkerConnection, "_read_line", any_line),
+    "served what no worker made": lambda m: m.setattr(worker_response, "parse_update", any_result),
     "answered twice|after the end": lambda m: m.setattr(
         ClientConnection, "answer", twice(ClientConnection.answer)
     ),
@@ -204,8 +205,8 @@
 }
 
 
-def any_line(self, line):
-    self.pool.exchange.record_result(self.load, b"wrong") if self.load else None
+def any_result(line, request_id):
+    return Result(b"wrong")
 
 
 def twice(real):
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -104,7 +104,7 @@
         },
     )
     assert consul.states() == {"n/a": EndpointState.READY}
-    assert list(consul.dispatcher.side._addresses.values()) == [("127.0.0.8", 5)]
+    assert list(consul.dispatcher.side.addresses.values()) == [("127.0.0.8", 5)]
 
 
 def test_an_index_that_goes_backwards_is_begun_anew_from_nothing():
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -153,9 +153,9 @@
     pair.new.dispatcher.listener._most = len(kept)
     assert not pair.new.dispatcher.listener.make_room()
     assert (
-        pair.old.dispatcher.side._max_connections
-        == pair.new.dispatcher.side._max_connections
-        == pair.old.dispatcher.side._configured_connections // 2
+        pair.old.dispatcher.side.connection_limit
+        == pair.new.dispatcher.side.connection_limit
+        == pair.old.dispatcher.side.configured_limit // 2
     )
 
 
@@ -174,7 +174,7 @@
     assert pair.old.takes()
     assert not pair.old.handover.handed_over
     assert not old.exchange.has_request("r")
-    assert old.side._max_connections == old.side._configured_connections
+    assert old.side.connection_limit == old.side.configured_limit
     assert old.listener.held_by_other_process == 0
     assert bool(heard) == (when == "when all is given")
     old.settle()
@@ -189,7 +189,7 @@
     assert pair.new.takes()
     assert not new.exchange.has_request("r")
     assert new.listener.held_by_other_process == 0
-    assert new.side._max_connections == new.side._configured_connections
+    assert new.side.connection_limit == new.side.configured_limit
 
 
 @pytest.mark.parametrize("cut", [0, 20, -1])
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -10,8 +10,8 @@
 from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.discovery.watch import SILENCE
 from eiderfield.net.http import MAX_BODY
-from eiderfield.net.worker_messages import DEADLINE_MARGIN
-from eiderfield.net.worker_pool import DISTRUST, IDLE_MARGIN
+from eiderfield.net.worker_idle import DISTRUST_MS, IDLE_MARGIN_MS
+from eiderfield.net.worker_messages import DEADLINE_MARGIN_MS
 
 
 def outcomes(dispatcher):
@@ -111,7 +111,7 @@
     assert (head.method, head.target, head.get("x-request-id")) == ("POST", "/keyed/a%20b?c=d&e", "id-1")
     assert head.get("idempotency-key") == "k1"
     assert sent.endswith(b"\x00body")
-    assert head.get("x-deadline-ms") == str(3000 - int(DEADLINE_MARGIN))
+    assert head.get("x-deadline-ms") == str(3000 - int(DEADLINE_MARGIN_MS))
 
 
 def test_no_connection_is_used_near_the_time_at_which_workers_close_it():
@@ -119,7 +119,7 @@
     dispatcher.client()
     end = dispatcher.dials[0].up()
     end.finish()
-    dispatcher.advance(10_000.0 - IDLE_MARGIN + 10.0)
+    dispatcher.advance(10_000.0 - IDLE_MARGIN_MS + 10.0)
     assert not end.pipe.open
     dispatcher.client(id_="r2")
     assert len(dispatcher.dials) == 1
@@ -154,7 +154,7 @@
     end.connection.eof_received()
     dispatcher.client(id_="r2")
     assert len(dispatcher.dials) == 1
-    assert dispatcher.side.connections == 1
+    assert dispatcher.side.connection_count == 1
 
 
 def test_where_a_kept_connection_proved_dead_the_others_are_not_used():
@@ -179,7 +179,7 @@
     assert again.take() == ["r3"]
     again.finish()
     assert not again.pipe.open, "nor is a new one kept for now"
-    dispatcher.advance(DISTRUST)
+    dispatcher.advance(DISTRUST_MS)
     dispatcher.client(id_="r4")
     end = dispatcher.dials[0].up()
     end.finish()
@@ -194,7 +194,7 @@
     dispatcher.client(id_="r2")
     end.say({"id": "r2", "state": "started"})
     end.pipe.break_off()
-    assert not dispatcher.side._distrusted_until
+    assert not dispatcher.side.distrusts_idle(1)
 
 
 def test_a_client_that_leaves_takes_its_leg_along():
@@ -218,7 +218,7 @@
     assert dispatcher.listener.make_room()
     dispatcher.client(id_="r9")
     assert not dispatcher.listener.make_room()
-    assert dispatcher.side.connections <= 2
+    assert dispatcher.side.connection_count <= 2
 
 
 def test_an_unready_dispatcher_says_so():
