--- a/eiderfield/batch/front.py
+++ b/eiderfield/batch/front.py
@@ -22,7 +22,7 @@
 from eiderfield.batch.registry import RETRY_AFTER, BatchJob, JobRegistry
 from eiderfield.batch.remote import RemoteWait, send_found
 from eiderfield.batch.replies import CREATED, send_error, send_json, send_status
-from eiderfield.net.clients import ClientConnection, Listener
+from eiderfield.net.clients import ListenerStatus, Responder
 from eiderfield.net.http import Head
 
 CANCEL_TIMEOUT = 5000.0  # ms for which the end of another dispatcher's job is waited for
@@ -41,8 +41,8 @@
         self._registry = registry
         self._lookup = lookup
 
-    def message(
-        self, listener: Listener, connection: ClientConnection, head: Head, body: bytes
+    def handle_message(
+        self, listener: ListenerStatus, connection: Responder, head: Head, body: bytes
     ) -> Abandon | None:
         """Answers everything at once but a wait, which it answers when the job is final."""
         try:
@@ -53,7 +53,7 @@
             return None
 
     def _route(
-        self, listener: Listener, connection: ClientConnection, head: Head, body: bytes
+        self, listener: ListenerStatus, connection: Responder, head: Head, body: bytes
     ) -> Abandon | None:
         path, _, query = head.target.partition("?")
         match head.method, path.split("/")[1:]:
@@ -71,25 +71,25 @@
                 connection.answer(404, b"no such path\n")
         return None
 
-    def _run_job(self, listener: Listener, connection: ClientConnection, body: bytes) -> None:
+    def _run_job(self, listener: ListenerStatus, connection: Responder, body: bytes) -> None:
         require_open(listener)
         job = self._registry.run_job(JobTemplate.from_json(parse_object(body)))
         self._send_once_accepted(connection, [job], {"jobId": job.job_id})
 
-    def _run_bulk_jobs(self, listener: Listener, connection: ClientConnection, body: bytes) -> None:
+    def _run_bulk_jobs(self, listener: ListenerStatus, connection: Responder, body: bytes) -> None:
         require_open(listener)
         jobs = self._registry.run_bulk_jobs(bulk_from_json(parse_object(body)))
         self._send_once_accepted(connection, jobs, {"jobIds": [job.job_id for job in jobs]})
 
     def _send_once_accepted(
-        self, connection: ClientConnection, jobs: Sequence[BatchJob], message: dict[str, object]
+        self, connection: Responder, jobs: Sequence[BatchJob], message: dict[str, object]
     ) -> None:
         self._registry.when_accepted(jobs, partial(send_accepted, connection, message))
 
     def _route_job(
         self,
-        listener: Listener,
-        connection: ClientConnection,
+        listener: ListenerStatus,
+        connection: Responder,
         method: str,
         job_id: str,
         rest: Sequence[str],
@@ -122,8 +122,8 @@
 
     def _route_remote(
         self,
-        listener: Listener,
-        connection: ClientConnection,
+        listener: ListenerStatus,
+        connection: Responder,
         method: str,
         job_id: str,
         rest: Sequence[str],
@@ -154,7 +154,7 @@
                 return None
 
     def _wait(
-        self, listener: Listener, connection: ClientConnection, job_id: str, query: str
+        self, listener: ListenerStatus, connection: Responder, job_id: str, query: str
     ) -> Abandon | None:
         timeout = wait_of(query)
         if self._registry.job_status(job_id).state.final:
@@ -162,7 +162,7 @@
             return None
         return LocalWait(self._registry, listener, connection, job_id, timeout, self._to_unix).abandon
 
-    def _send_status(self, connection: ClientConnection, job_id: str) -> None:
+    def _send_status(self, connection: Responder, job_id: str) -> None:
         send_status(connection, self._registry.job_status(job_id), self._to_unix)
 
 
@@ -172,8 +172,8 @@
     def __init__(
         self,
         registry: JobRegistry,
-        listener: Listener,
-        connection: ClientConnection,
+        listener: ListenerStatus,
+        connection: Responder,
         job_id: str,
         timeout: float,
         to_unix: ToUnix,
@@ -208,13 +208,13 @@
         send_error(self._connection, ExitTimeoutError(f"job {self._job_id} is not final yet"))
 
 
-def require_open(listener: Listener) -> None:
+def require_open(listener: ListenerStatus) -> None:
     """Raises `TryLaterError` where the listener is draining."""
     if listener.draining:
         raise TryLaterError("this dispatcher is about to end", RETRY_AFTER)
 
 
-def send_accepted(connection: ClientConnection, message: dict[str, object], accepted: bool) -> None:
+def send_accepted(connection: Responder, message: dict[str, object], accepted: bool) -> None:
     """Answers a submission."""
     if accepted:
         send_json(connection, CREATED, message)
@@ -222,6 +222,6 @@
         send_error(connection, TryLaterError("the jobs cannot be written down now", RETRY_AFTER))
 
 
-def send_not_allowed(connection: ClientConnection) -> None:
+def send_not_allowed(connection: Responder) -> None:
     """Answers a request whose method its path does not have."""
     connection.answer(405, b"not a method of this path\n")
--- a/eiderfield/batch/remote.py
+++ b/eiderfield/batch/remote.py
@@ -10,7 +10,7 @@
 from eiderfield.batch.messages import SHOWN_CHARACTERS, JobEnd, JobStatus, ToUnix
 from eiderfield.batch.replies import send_error, send_status
 from eiderfield.exchange.request import Verdict
-from eiderfield.net.clients import ClientConnection
+from eiderfield.net.clients import Responder
 
 RETRY_AFTER = 1000.0  # ms that a client is advised to wait where the store accepts nothing
 
@@ -21,7 +21,7 @@
     def __init__(
         self,
         lookup: DurableJobLookup,
-        connection: ClientConnection,
+        connection: Responder,
         job_id: str,
         until: float,
         to_unix: ToUnix,
@@ -82,7 +82,7 @@
 
 
 def send_found(
-    connection: ClientConnection,
+    connection: Responder,
     lookup: DurableJobLookup,
     job_id: str,
     to_unix: ToUnix,
--- a/eiderfield/batch/replies.py
+++ b/eiderfield/batch/replies.py
@@ -6,23 +6,23 @@
 
 from eiderfield.batch.drmaa import DrmaaError
 from eiderfield.batch.messages import JobStatus, ToUnix
-from eiderfield.net.clients import ClientConnection
+from eiderfield.net.clients import Responder
 
 OK = 200
 CREATED = 201
 
 
-def send_json(connection: ClientConnection, status: int, message: dict[str, object], **headers: str) -> None:
+def send_json(connection: Responder, status: int, message: dict[str, object], **headers: str) -> None:
     """Answers with a JSON object."""
     connection.answer(status, json.dumps(message).encode(), Content_Type="application/json", **headers)
 
 
-def send_status(connection: ClientConnection, status: JobStatus, to_unix: ToUnix) -> None:
+def send_status(connection: Responder, status: JobStatus, to_unix: ToUnix) -> None:
     """Answers with where a job stands."""
     send_json(connection, OK, status.to_json(to_unix))
 
 
-def send_error(connection: ClientConnection, error: DrmaaError) -> None:
+def send_error(connection: Responder, error: DrmaaError) -> None:
     """Answers with an error, by DRMAA's name for it."""
     message: dict[str, object] = {"error": error.name, "message": str(error)}
     if error.retry_after:
--- a/eiderfield/net/clients/__init__.py
+++ b/eiderfield/net/clients/__init__.py
@@ -2,25 +2,34 @@
 
 | module | what it holds |
 | --- | --- |
+| `front` | the interface between a listener and the protocol that it serves |
+| `request_front` | the front of the platform's protocol |
+| `detached` | connections that are given away between two requests |
+| `arrivals` | the times at which bytes arrived |
 | `connection` | one client's connection, and its states |
-| `listener` | a listening socket, its capacity and its evictions |
 | `parking` | the idle connections of a listener, also on their way to the next process |
-| `front` | what a listener passes whole messages to |
-| `request_front` | the front of the platform's protocol |
+| `listener` | a listening socket, its capacity and its evictions |
+
+Each module imports only modules above it in this table.
 """
 
-from eiderfield.net.clients.connection import ClientConnection, ConnectionHandover, Detach, Phase
-from eiderfield.net.clients.front import Front
+from eiderfield.net.clients.connection import ClientConnection, Phase
+from eiderfield.net.clients.detached import ConnectionHandover, Detach, DetachedConnection
+from eiderfield.net.clients.front import ClientDeparted, Front, ListenerStatus, Responder
 from eiderfield.net.clients.listener import Listener
 from eiderfield.net.clients.request_front import DurableIntake, RequestFront
 
 __all__ = [
     "ClientConnection",
+    "ClientDeparted",
     "ConnectionHandover",
     "Detach",
+    "DetachedConnection",
     "DurableIntake",
     "Front",
     "Listener",
+    "ListenerStatus",
     "Phase",
     "RequestFront",
+    "Responder",
 ]
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -23,21 +23,20 @@
 import socket
 from collections.abc import Callable
 from contextlib import suppress
-from dataclasses import dataclass
 from enum import Enum
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import Protocol
 
-from eiderfield.connections.admission import Limit, Rejection
+from eiderfield.connections.admission import AdmissionControl, Limit, Rejection
 from eiderfield.connections.idle_connections import unread_bytes, unsent_bytes
+from eiderfield.connections.settings import Idling
 from eiderfield.exchange.timers import Timer
 from eiderfield.net.clients.arrivals import Arrivals
-from eiderfield.net.departures import has_left
+from eiderfield.net.clients.detached import ConnectionHandover, Detach, DetachedConnection
+from eiderfield.net.clients.front import ClientDeparted, Front, ListenerStatus
+from eiderfield.net.departures import DepartureWatch, has_left
 from eiderfield.net.http import Head, MalformedMessageError, Parser, answer_bytes
 
-if TYPE_CHECKING:
-    from eiderfield.net.clients.listener import Listener
-
 LINGER_TIME = 1000.0  # ms for which input is discarded after a last answer, so that it gets through
 LINGER_BYTES = 262_144  # input discarded meanwhile; more stays unread, for 60 MB of it cost a core
 PIPELINED_BYTES = 16384  # bytes that may come in while an answer is awaited
@@ -47,18 +46,6 @@
 _SCRATCH = memoryview(bytearray(65536))
 
 
-@dataclass(slots=True, frozen=True)
-class ConnectionHandover:
-    """The state of a client's connection that is parked, or handed over to the next process."""
-
-    proven: bool
-    since: float  # when it was last answered, or when the message that has begun began
-    begun: bytes = b""  # of the next message, read already
-
-
-Detach = Callable[[], tuple[int, ConnectionHandover] | None]  # gives a connection's descriptor away if it can
-
-
 class Phase(Enum):
     """What a client's connection is doing."""
 
@@ -68,12 +55,71 @@
     CLOSED = 3
 
 
+class ConnectionOwner(ListenerStatus, Protocol):
+    """The listener of a connection: its settings, and what the connection reports to it."""
+
+    @property
+    def front(self) -> Front:
+        """Handles the messages."""
+
+    @property
+    def idling(self) -> Idling:
+        """How long a connection may idle between requests."""
+
+    @property
+    def message_timeout(self) -> float:
+        """Ms for a message from its first byte, where there is no admission control."""
+
+    @property
+    def admission(self) -> AdmissionControl | None:
+        """Limits messages that have begun, None if nothing does."""
+
+    @property
+    def departures(self) -> DepartureWatch | None:
+        """Watches connections that are not read; None before the listener is open."""
+
+    @property
+    def keep_alive_disabled(self) -> bool:
+        """Whether each response closes its connection."""
+
+    @property
+    def successor(self) -> Callable[[Detach], bool] | None:
+        """Takes connections over between requests while the process hands over, else None."""
+
+    def mark_active(self, connection: ClientConnection) -> None:
+        """Record that more of a message has come."""
+
+    def mark_busy(self, connection: ClientConnection) -> None:
+        """Record that a message waits for its response."""
+
+    def mark_idle(self, connection: ClientConnection) -> None:
+        """Record that a response was written."""
+
+    def remove(self, connection: ClientConnection) -> None:
+        """Release what a closed connection holds."""
+
+    def park(self, connection: ClientConnection) -> bool:
+        """Park an idle connection; return whether it was possible."""
+
+    def hand_over(self, connection: ClientConnection) -> bool:
+        """Pass a connection to the next process; return whether it was possible."""
+
+    def count_departure(self) -> None:
+        """Count a client that disconnected before its response."""
+
+    def count_discarded_input(self) -> None:
+        """Count a connection of whose input some was discarded after its last response."""
+
+    def report_fault(self, error: Exception) -> None:
+        """Log an error that a front raised."""
+
+
 class ClientConnection(asyncio.BufferedProtocol):
     """A client's connection. It takes one message at a time."""
 
     def __init__(
         self,
-        listener: Listener,
+        listener: ConnectionOwner,
         sock: socket.socket | None = None,
         handover: ConnectionHandover | None = None,
         ticket: int | None = None,
@@ -95,7 +141,7 @@
         self._parser = Parser()
         self._head: Head | None = None
         self._body = bytearray()
-        self._on_departure: Callable[[], None] | None = None
+        self._on_departure: ClientDeparted | None = None
         self._timer: Timer | None = None
         self._message_begun = (
             False  # whether the timer is that of a message, which further bytes do not extend
@@ -133,7 +179,8 @@
     def buffer_updated(self, nbytes: int) -> None:
         """Takes bytes that have come."""
         if self.phase == Phase.LINGERING:
-            self.listener.discarded += not self._discarded_bytes
+            if not self._discarded_bytes:
+                self.listener.count_discarded_input()
             self._discarded_bytes += nbytes
             if self._discarded_bytes > LINGER_BYTES and self._transport is not None:
                 self._transport.pause_reading()
@@ -171,7 +218,7 @@
         self.listener.remove(self)
         on_departure, self._on_departure = self._on_departure, None
         if on_departure is not None:
-            self.listener.departed += 1
+            self.listener.count_departure()
             on_departure()
 
     def pause_writing(self) -> None:
@@ -201,7 +248,9 @@
             return
         self._on_departure = None
         # During a shutdown each answer asks the client to connect elsewhere, unless more has come meanwhile.
-        keep = keep and self._head.keeps and (not self.listener.sending_away or self._parser.buffered > 0)
+        keep = (
+            keep and self._head.keeps and (not self.listener.keep_alive_disabled or self._parser.buffered > 0)
+        )
         self._transport.write(answer_bytes(status, body, keep, **headers))
         self._head = None
         self._answered = True
@@ -220,8 +269,8 @@
             self._read_messages()
 
     @property
-    def client_waits(self) -> bool:
-        """Whether the client is connected, as its socket says: its close may not have been read yet."""
+    def client_connected(self) -> bool:
+        """Whether the client is connected, asked of its socket: a close that is not read yet counts."""
         if self.phase == Phase.CLOSED:
             return False
         return self._sock is None or not has_left(self._sock.fileno())
@@ -249,11 +298,12 @@
         late = self.listener.clock() >= self._limited_since + EVICTION_GRACE
         return late or not self._answered or self._sock is None or not unsent_bytes(self._sock.fileno())
 
-    def detach(self) -> tuple[int, ConnectionHandover] | None:
-        """Gives the connection away between two requests.
+    def detach(self) -> DetachedConnection | None:
+        """Give the connection away between two requests; return None if that is not possible now.
 
-        Its descriptor stays open and goes along, with what lies unread in the socket and what of the next
-        message was read already."""
+        The descriptor stays open, with what lies unread in the socket. The state includes the part of the
+        next message that was read already.
+        """
         if self.phase != Phase.READING or self._reading or self._throttled or self._head is not None:
             return None
         begun = self._parser.begun
@@ -263,7 +313,7 @@
             return None
         handover = ConnectionHandover(self.proven, self._limited_since if begun else self.since, begun)
         self.abort()  # the loop forgets the descriptor now and would close it in its next turn
-        return self._sock.detach(), handover
+        return DetachedConnection(self._sock.detach(), handover)
 
     def close(self) -> None:
         """Ends a connection on which nothing is owed.
@@ -333,7 +383,7 @@
         """Until when what has begun, or has yet to begin on a new connection, may take."""
         admission = self.listener.admission
         if admission is None:
-            return Limit(self._limited_since + self.listener.message_time)
+            return Limit(self._limited_since + self.listener.message_timeout)
         if self._head is None:
             return admission.head_limit(self._limited_since)
         return admission.body_limit(self._limited_since, self._head_at, len(self._body))
@@ -375,7 +425,7 @@
         elif self.is_idle:
             if not self.proven or self.listener.clock() >= self.since + self.listener.idling.keep:
                 self.close()
-            elif not self.listener.parking.park(self):
+            elif not self.listener.park(self):
                 self._set_time_limit()
         elif self.phase == Phase.READING:  # something came at this very moment
             self._set_time_limit()
@@ -431,7 +481,7 @@
         self._count_message_over()
         self.phase = Phase.WAITING
         try:
-            on_departure = self.listener.front.message(self.listener, self, head, bytes(self._body))
+            on_departure = self.listener.front.handle_message(self.listener, self, head, bytes(self._body))
         except MalformedMessageError:
             raise
         except Exception as error:  # raised on, it would close the connection, and the request had no answer
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -28,7 +28,8 @@
 from eiderfield.connections.admission import EVICTION_ORDER, AdmissionControl, ConnectionKind, Rejection
 from eiderfield.connections.settings import WHOLE, Admission, Idling
 from eiderfield.exchange.timers import Timers
-from eiderfield.net.clients.connection import ClientConnection, ConnectionHandover, Detach, Phase
+from eiderfield.net.clients.connection import ClientConnection, Phase
+from eiderfield.net.clients.detached import ConnectionHandover, Detach
 from eiderfield.net.clients.front import Front
 from eiderfield.net.clients.parking import ConnectionParking
 from eiderfield.net.departures import DepartureWatch
@@ -53,19 +54,19 @@
         timers: Timers,
         clock: Callable[[], float],
         most: int,
-        message_time: float = WHOLE,
+        message_timeout: float = WHOLE,
         idling: Idling | None = None,
         admission: AdmissionControl | None = None,
         memory: Callable[[], float] = lambda: 0.0,
     ) -> None:
         """At most `most` connections; `memory` gives the share of the process's memory that is in use."""
-        self.message_time = message_time  # ms for a message, from its first byte or from connecting
+        self.message_timeout = message_timeout  # ms for a message, from its first byte or from connecting
         self.front = front
         self.timers = timers
         self.clock = clock
         self.draining = False  # whether the process is about to end
-        self.sending_away = False  # whether answers ask clients to connect elsewhere
-        self.answer_by = inf  # when what arrives from now on must have its answer
+        self.keep_alive_disabled = False  # whether answers ask clients to connect elsewhere
+        self.response_deadline = inf  # when what arrives from now on must have its answer
         self.idling = idling or Idling()
         self.admission = admission
         self.parking = ConnectionParking(self)
@@ -206,6 +207,22 @@
             return self.idling.keep
         return self.admission.idle_limit(self.idling.keep)
 
+    # Parked connections.
+
+    @property
+    def may_park(self) -> bool:
+        """Whether idle connections are to be parked, rather than closed or handed over."""
+        return self.successor is None and not self.keep_alive_disabled and self.idling.park_after < inf
+
+    def park(self, connection: ClientConnection) -> bool:
+        """Park an idle connection; return whether it was possible."""
+        return self.parking.park(connection)
+
+    def release_ticket(self, ticket: int) -> None:
+        """Return the admission ticket of a parked connection that is closed."""
+        if self.admission is not None:
+            self.admission.release(ticket)
+
     # Handover to the next process, and from the one before.
 
     def hand_over(self, connection: ClientConnection) -> bool:
@@ -252,6 +269,14 @@
         if self._loop is not None:
             self._loop.call_exception_handler({"message": "a front failed", "exception": error})
 
+    def count_departure(self) -> None:
+        """Count a client that disconnected before its response."""
+        self.departed += 1
+
+    def count_discarded_input(self) -> None:
+        """Count a connection of whose input some was discarded after its last response."""
+        self.discarded += 1
+
     def add(self, connection: ClientConnection) -> None:
         """Counts a new connection."""
         self._connections.add(connection)
--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -18,14 +18,12 @@
 from collections.abc import Callable
 from functools import partial
 from math import inf
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from eiderfield.connections.idle_connections import IdleConnections, WokenConnection
-from eiderfield.exchange.timers import Timer
-from eiderfield.net.clients.connection import ClientConnection, ConnectionHandover, Detach
-
-if TYPE_CHECKING:
-    from eiderfield.net.clients.listener import Listener
+from eiderfield.exchange.timers import Timer, Timers
+from eiderfield.net.clients.connection import ClientConnection
+from eiderfield.net.clients.detached import ConnectionHandover, Detach, DetachedConnection
 
 CLOSED_PER_PASS = 1024  # parked connections closed or taken back in one pass, some 10 ms
 
@@ -39,10 +37,47 @@
     return mark - 1 if mark else None
 
 
+class ParkingOwner(Protocol):
+    """The listener whose idle connections are parked."""
+
+    @property
+    def timers(self) -> Timers:
+        """Timers on the listener's clock."""
+
+    @property
+    def may_park(self) -> bool:
+        """Whether idle connections are to be parked."""
+
+    @property
+    def has_capacity(self) -> bool:
+        """Whether one more connection is within the listener's limit."""
+
+    def clock(self) -> float:
+        """Return the current time in ms."""
+
+    def idle_limit(self) -> float:
+        """Return for how many ms a connection may idle now."""
+
+    def register(self, sock: socket.socket) -> int | None:
+        """Return admission's ticket for a connection that is open already, None without admission control."""
+
+    def release_ticket(self, ticket: int) -> None:
+        """Return the ticket of a parked connection that is closed."""
+
+    def resume(self, sock: socket.socket, handover: ConnectionHandover, ticket: int | None) -> None:
+        """Read a connection that was parked."""
+
+    def adopt_connection(self, sock: socket.socket, handover: ConnectionHandover) -> None:
+        """Admit and read a connection of another process."""
+
+    def resume_accepting(self) -> None:
+        """Accept again if accepting was paused: a connection may have closed."""
+
+
 class ConnectionParking:
     """The parked connections of one listener, if the settings and the system allow any."""
 
-    def __init__(self, listener: Listener) -> None:
+    def __init__(self, listener: ParkingOwner) -> None:
         """Parks nothing until it is opened."""
         self._listener = listener
         self._loop: asyncio.AbstractEventLoop | None = None
@@ -97,19 +132,16 @@
     def park(self, connection: ClientConnection) -> bool:
         """Parks an idle connection, if that is possible now."""
         listener = self._listener
-        if self._idle is None or listener.successor is not None or listener.sending_away:
-            return False
-        if listener.idling.park_after == inf:
+        if self._idle is None or not listener.may_park:
             return False
         ticket, connection.ticket = connection.ticket, None  # it keeps its place in admission's counts
         if (detached := connection.detach()) is None:
             connection.ticket = ticket
             return False
-        fd, handover = detached
         try:
-            self._idle.park(fd, handover.since, _mark_of(ticket))
+            self._idle.park(detached.descriptor, detached.state.since, _mark_of(ticket))
         except OSError:  # the kernel has no room for it in a poll set
-            listener.resume(socket.socket(fileno=fd), handover, ticket)
+            listener.resume(socket.socket(fileno=detached.descriptor), detached.state, ticket)
         self._arm_if_unarmed()
         self.on_park()
         return True
@@ -168,8 +200,8 @@
     def _release(self, mark: int) -> None:
         """A parked connection is closed."""
         ticket = _ticket_of(mark)
-        if ticket is not None and self._listener.admission is not None:
-            self._listener.admission.release(ticket)
+        if ticket is not None:
+            self._listener.release_ticket(ticket)
 
     # The next process, and the one before.
 
@@ -179,14 +211,14 @@
             return []
         return [partial(self._detach, fd) for fd in self._idle.longest_idle(most)]
 
-    def _detach(self, fd: int) -> tuple[int, ConnectionHandover] | None:
+    def _detach(self, fd: int) -> DetachedConnection | None:
         """Gives a parked connection away, if it is still parked."""
         if self._idle is None or fd not in self._idle:
             return None
         woken = self._idle.detach(fd)
         self._report_departures()
         self._release(woken.mark)
-        return fd, ConnectionHandover(True, woken.since)
+        return DetachedConnection(fd, ConnectionHandover(True, woken.since))
 
     def lend(self, most: int) -> list[tuple[int, float]]:
         """At most `most` parked connections for the next process. Copies stay until it reports otherwise."""
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -12,8 +12,7 @@
 from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.idmap import IdMap, plain
 from eiderfield.interface import Effect, RequestClass
-from eiderfield.net.clients.connection import ClientConnection
-from eiderfield.net.clients.listener import Listener
+from eiderfield.net.clients.front import ClientDeparted, ListenerStatus, Responder
 from eiderfield.net.http import Head, MalformedMessageError
 
 MOST_NEEDED = 100_000.0  # slots or units of memory that a request may need
@@ -51,9 +50,9 @@
         self._classes = {cls.name: number for number, cls in enumerate(exchange.settings.classes)}
         self._tenants = {tenant.name: number for number, tenant in enumerate(exchange.settings.tenants)}
 
-    def message(
-        self, listener: Listener, connection: ClientConnection, head: Head, body: bytes
-    ) -> Callable[[], None] | None:
+    def handle_message(
+        self, listener: ListenerStatus, connection: Responder, head: Head, body: bytes
+    ) -> ClientDeparted | None:
         """Takes a request, or says whether this dispatcher is ready."""
         path = head.target.partition("?")[0]
         if path == "/ready":
@@ -68,20 +67,20 @@
             connection.reject(405, "jobs arrive by POST", Allow="POST")
             return None
         try:
-            request = self._read_request(number, parts[2:], head, body, listener.answer_by)
+            request = self._read_request(number, parts[2:], head, body, listener.response_deadline)
         except MalformedMessageError as error:
             connection.reject(error.status, str(error))
             return None
         return self._take(connection, request)
 
-    def _answer_readiness(self, listener: Listener, connection: ClientConnection) -> None:
+    def _answer_readiness(self, listener: ListenerStatus, connection: Responder) -> None:
         ready = self._exchange.knows_workers and listener.listening and not listener.draining
         if listener.draining:
             connection.reject(503, "not ready")
         else:
             connection.answer(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
 
-    def _take(self, connection: ClientConnection, request: Request) -> Callable[[], None] | None:
+    def _take(self, connection: Responder, request: Request) -> ClientDeparted | None:
         if self._durable is not None and self._durable.keeps(request.class_index):
             connection.proven = True
             return self._durable.take(request, partial(write_answer, connection, durable=True))
@@ -90,7 +89,7 @@
             return None
         connection.proven = True
         id_ = self._exchange.submit(
-            request, partial(write_answer, connection), client_waits=lambda: connection.client_waits
+            request, partial(write_answer, connection), client_waits=lambda: connection.client_connected
         )
         return partial(self._withdraw, id_)
 
@@ -155,7 +154,7 @@
     return figures
 
 
-def write_answer(connection: ClientConnection, answer: Answer, durable: bool = False) -> None:
+def write_answer(connection: Responder, answer: Answer, durable: bool = False) -> None:
     """Writes a final answer in the platform's protocol.
 
     Only a rejection of the policy's becomes a 503. The answer to a durable request that failed says whether
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -20,7 +20,7 @@
 
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.exchange.request import Verdict
-from eiderfield.net.clients import ClientConnection, Listener
+from eiderfield.net.clients import ListenerStatus, Responder
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.http import Head
 
@@ -92,8 +92,8 @@
         self._figures_of_parts = figures_of_parts
         self._config = config
 
-    def message(
-        self, listener: Listener, connection: ClientConnection, head: Head, body: bytes
+    def handle_message(
+        self, listener: ListenerStatus, connection: Responder, head: Head, body: bytes
     ) -> Callable[[], None] | None:
         """Answers a call at once and closes its connection."""
         path = head.target.partition("?")[0]
@@ -114,14 +114,14 @@
                 connection.reject(404, "no such call")
         return None
 
-    def _answer_readiness(self, connection: ClientConnection) -> None:
+    def _answer_readiness(self, connection: Responder) -> None:
         ready = self._ready()
         connection.reject(200 if ready else 503, "ready" if ready else "not ready")
 
     def _figures(self) -> dict[str, Any]:
         return figures(self._exchange, self._table, self._figures_of_parts(), self._clock())
 
-    def _maintain(self, listener: Listener, connection: ClientConnection, name: str, disable: bool) -> None:
+    def _maintain(self, listener: ListenerStatus, connection: Responder, name: str, disable: bool) -> None:
         """Disables a worker or enables it again; answers once that is on the disk, or cannot be for now."""
         answer = _MaintenanceAnswer(connection, name, disable)
         change = self._table.ban if disable else self._table.unban
@@ -134,7 +134,7 @@
 class _MaintenanceAnswer:
     """The one answer to a call that disables or enables a worker."""
 
-    def __init__(self, connection: ClientConnection, name: str, disable: bool) -> None:
+    def __init__(self, connection: Responder, name: str, disable: bool) -> None:
         self._connection = connection
         self._name = name
         self._disable = disable
@@ -155,11 +155,11 @@
         self.write_ended(False)
 
 
-def _allowed(connection: ClientConnection, head: Head, method: str) -> bool:
+def _allowed(connection: Responder, head: Head, method: str) -> bool:
     if head.method != method:
         connection.reject(405, f"this call is a {method}", Allow=method)
     return head.method == method
 
 
-def _write_json(connection: ClientConnection, answer: Mapping[str, Any]) -> None:
+def _write_json(connection: Responder, answer: Mapping[str, Any]) -> None:
     connection.finish(200, json.dumps(answer).encode() + b"\n", Content_Type="application/json")
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -149,12 +149,12 @@
 
     def _pass_connection(self, name: str, detach: Detach) -> bool:
         # Sent to a process that stands still, it would wait with nobody reading it; there is a next time.
-        if not self.flushed or (gift := detach()) is None:
+        if not self.flushed or (detached := detach()) is None:
             return False
-        descriptor, given = gift
-        message = ConnectionPassed(name, given.proven, given.since, given.begun, self._connections())
-        self._channel.send(message, [descriptor])
-        os.close(descriptor)
+        state = detached.state
+        message = ConnectionPassed(name, state.proven, state.since, state.begun, self._connections())
+        self._channel.send(message, [detached.descriptor])
+        os.close(detached.descriptor)
         return True
 
     def _connections(self) -> dict[str, int]:
--- a/eiderfield/program/shutdown.py
+++ b/eiderfield/program/shutdown.py
@@ -73,7 +73,7 @@
         """Closes the listeners, but not while somebody waits whom a full one cannot accept yet: closing would
         reset them. Once clients are sent away there is room."""
         for listener in self._listeners:
-            listener.answer_by = answered_by
+            listener.response_deadline = answered_by
         if not self._ending and any(listener.has_waiting_clients for listener in self._listeners):
             self._again(partial(self.close_listeners, answered_by))
             return
@@ -84,7 +84,7 @@
 
     def _send_clients_away(self) -> None:
         for listener in self._listeners:
-            listener.sending_away = listener.successor is None
+            listener.keep_alive_disabled = listener.successor is None
         if not self._ending:
             self._end_when_idle()
 
@@ -92,7 +92,7 @@
         self._ending = True
         self._handover.pass_idle_clients()
         for listener in self._listeners:
-            if listener.sending_away:
+            if listener.keep_alive_disabled:
                 listener.close_idle()
         if any(part.busy for part in self._parts):
             self._again(self._end_when_idle)
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -50,7 +50,7 @@
     reset, which took the last answer along where the client had not read it yet."""
     client = served(harness)
     if why == "the program ends":
-        harness.listener.sending_away = True
+        harness.listener.keep_alive_disabled = True
         harness.listener.close_idle()
     elif why == "new settings let it idle no more":
         harness.dispatcher.now += 5000.0
@@ -84,7 +84,7 @@
     elif why == "make room":
         assert not harness.listener.make_room()
     elif why == "end":
-        harness.listener.sending_away = True
+        harness.listener.keep_alive_disabled = True
         harness.listener.close_idle()
     else:
         harness.dispatcher.now += 10_000.0
@@ -176,7 +176,7 @@
 def test_parked_connections_are_closed_as_others_are():
     harness = ListenerHarness(IDLING)
     [client] = harness.parked()
-    harness.listener.sending_away = True
+    harness.listener.keep_alive_disabled = True
     harness.listener.close_idle()
     client.sock.settimeout(0)
     harness.turn()
@@ -202,7 +202,7 @@
     """A listener of which somebody waits for room."""
 
     def __init__(self):
-        self.has_waiting_clients, self.closed, self.connections, self.answer_by = True, False, 1, None
+        self.has_waiting_clients, self.closed, self.connections, self.response_deadline = True, False, 1, None
 
     def stop_listening(self):
         self.closed = True
@@ -221,7 +221,9 @@
     shutdown._listeners = [full, other]
     shutdown._ending = ending
     shutdown.close_listeners(5.0)
-    assert full.answer_by == other.answer_by == 5.0, "what comes from now on is answered by then"
+    assert full.response_deadline == other.response_deadline == 5.0, (
+        "what comes from now on is answered by then"
+    )
     assert full.closed == other.closed == ending
     full.has_waiting_clients = False
     shutdown.close_listeners(5.0)
@@ -246,7 +248,7 @@
 class FailingFront:
     """A front that fails for one kind of message and answers the others."""
 
-    def message(self, listener, connection, head, body):
+    def handle_message(self, listener, connection, head, body):
         if head.method == "POST":
             raise OSError("no")
         connection.answer(200, b"well\n")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -206,14 +206,14 @@
         if cut == -1:
             assert client.connection.detach() is None, "its head is whole: this process takes the job"
             return
-        fd, given_away = client.connection.detach()
-        with socket.socket(fileno=fd) as copy:
+        detached = client.connection.detach()
+        with socket.socket(fileno=detached.descriptor) as copy:
             assert not client.pipe.open
             assert not old.listener.connections
-            assert given_away.begun == message[:cut]
+            assert detached.state.begun == message[:cut]
             there.sendall(b"x")
             assert copy.recv(1) == b"x", "the connection itself is open"
-        heir = Client(new, handover=given_away)
+        heir = Client(new, handover=detached.state)
         heir.send(message[cut:])
         assert heir.connection.proven and heir.answers()[0][0] == 404, "it is one message"
 
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -10,7 +10,7 @@
 from support.handover import LISTEN, Side, Wire
 from support.memory_dispatcher import InMemoryDispatcher
 
-from eiderfield.net.clients import ConnectionHandover
+from eiderfield.net.clients import ConnectionHandover, DetachedConnection
 from eiderfield.net.clock import WallClock
 from eiderfield.net.handover import messages as m
 from eiderfield.net.handover.codec import Codec
@@ -149,6 +149,11 @@
     erring.strike(dispatcher.now, erring=True)
 
 
+def pass_connection(handover, detach):
+    """Passes a connection on; the recorder's `detach` gives a descriptor and a state."""
+    handover._old._pass_connection(LISTEN, lambda: DetachedConnection(*detach()))
+
+
 def recorder_module():
     """The recorder, with the names that its few calls have now."""
     spec = importlib.util.spec_from_file_location("record", GOLDEN / "record.py")
@@ -156,7 +161,7 @@
     spec.loader.exec_module(module)
     module.accept = lambda handover, link: handover.accept(link)
     module.take_over = lambda handover, link, finished: handover.take_over(link, finished)
-    module.pass_connection = lambda handover, let_go: handover._old._pass_connection(LISTEN, let_go)
+    module.pass_connection = pass_connection
     module.teach = teach
     module.tell_departed = lambda handover, keys: handover._new._tell_departed(LISTEN, keys)
     accept_all, park = module.accept_all, module.park
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -293,7 +293,7 @@
 def test_at_the_end_the_quiet_are_closed_and_who_speaks_is_answered(harness):
     quiet, speaks = harness.parked(2)
     speaks.send(message("last"))
-    harness.listener.sending_away = True
+    harness.listener.keep_alive_disabled = True
     harness.listener.close_idle()
     assert not quiet.open
     assert harness.listener.connections == 1
@@ -309,10 +309,10 @@
     quiet, speaks = harness.parked(2)
     speaks.send(message("m"))
 
-    def take(let_go):
-        if (let := let_go()) is None:
+    def take(detach):
+        if (detached := detach()) is None:
             return False
-        heir.listener.adopt_connection(socket.socket(fileno=let[0]), let[1])
+        heir.listener.adopt_connection(socket.socket(fileno=detached.descriptor), detached.state)
         return True
 
     harness.listener.successor = take
@@ -338,10 +338,10 @@
     [connection] = harness.listener._connections
     harness.dispatcher.now += 30_000.0  # a dispatcher that stood still
     connection._limited_since = harness.dispatcher.now - 100.0
-    fd, handover = connection.detach()
+    detached = connection.detach()
     heir = ListenerHarness(loop=harness.loop)
     heir.dispatcher.now = harness.dispatcher.now
-    heir.listener.adopt_connection(socket.socket(fileno=fd), handover)
+    heir.listener.adopt_connection(socket.socket(fileno=detached.descriptor), detached.state)
     heir.turn()
     heir.pass_time(WHOLE - 200.0)
     assert client.open
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -279,7 +279,7 @@
     dispatcher = InMemoryDispatcher()
     idle, busy, begun = Client(dispatcher), dispatcher.client(), Client(dispatcher)
     begun.send(b"POST /safe")
-    dispatcher.listener.draining = dispatcher.listener.sending_away = True
+    dispatcher.listener.draining = dispatcher.listener.keep_alive_disabled = True
     dispatcher.listener.close_idle()
     assert (idle.pipe.open, busy.pipe.open, begun.pipe.open) == (False, True, True)
     dispatcher.dials[0].up().finish()
@@ -299,7 +299,7 @@
     [(status, head, _)] = client.answers()
     assert status == 200
     assert not head.get("connection")
-    dispatcher.listener.answer_by = dispatcher.now + 500.0
+    dispatcher.listener.response_deadline = dispatcher.now + 500.0
     client.post(id_="r2", wait=5000)
     end.take()
     assert not client.answers()
