--- a/eiderfield/batch/durable.py
+++ b/eiderfield/batch/durable.py
@@ -36,15 +36,15 @@
         """Its id."""
 
     @property
-    def cls(self) -> str:
+    def class_name(self) -> str:
         """The name of its class."""
 
     @property
-    def accepted(self) -> float:
+    def accepted_at(self) -> float:
         """When it was accepted, on the monotonic clock."""
 
     @property
-    def finished(self) -> float:
+    def finished_at(self) -> float:
         """When it had its answer, on the monotonic clock."""
 
     @property
--- a/eiderfield/batch/remote.py
+++ b/eiderfield/batch/remote.py
@@ -101,7 +101,7 @@
     state, end = JobState.QUEUED_ACTIVE, None
     if job.verdict:
         state = JobState.DONE if job.verdict == Verdict.SERVED.value else JobState.FAILED
-        end = JobEnd(job.answer, clock_of(job.finished))
+        end = JobEnd(job.answer, clock_of(job.finished_at))
     elif job.attempts:
         state = JobState.RUNNING
-    return JobStatus(job.id, job.cls, state, clock_of(job.accepted), end)
+    return JobStatus(job.id, job.class_name, state, clock_of(job.accepted_at), end)
--- a/eiderfield/cli/jobs.py
+++ b/eiderfield/cli/jobs.py
@@ -65,7 +65,7 @@
     rows = []
     for known in inspection.jobs():
         fits = state in ("", known.state) or (state == "open" and not known.record.verdict)
-        if fits and cls in ("", known.record.cls):
+        if fits and cls in ("", known.record.class_name):
             rows.append(known.row(unix_offset()))
     _print(rows, as_json, _COLUMNS)
     for fault in inspection.faults:
--- a/eiderfield/durable_requests/changes.py
+++ b/eiderfield/durable_requests/changes.py
@@ -74,7 +74,7 @@
         counters, began, group = self._context.counters, self._context.now(), _Group()
         self._at_points(changes, "")
         try:
-            with own.store.group():
+            with own.store.transaction():
                 for change in changes:
                     group.outcomes.append(self._draft(own, change, group))
                 for record in group.drafts.values():
@@ -158,7 +158,7 @@
     def _hold_key(self, record: Record) -> str:
         """The id that holds a record's key now: its own, unless another request that counts has it."""
         ids = self._context.folder.ids
-        while (holder := ids.hold_key(record.cls, record.key, record.id)) != record.id:
+        while (holder := ids.hold_key(record.class_name, record.key, record.id)) != record.id:
             located = self._lookup.locate(holder)
             if located.record is not None:
                 counts = located.is_open or located.record.is_repeatable
@@ -166,7 +166,7 @@
                 counts = located.generation > 0 and not self._lookup.is_abandoned(located)
             if counts:
                 return holder
-            ids.free_key(record.cls, record.key, holder)
+            ids.free_key(record.class_name, record.key, holder)
         return holder
 
     def _joined_by_key(self, record: Record, holder: str, group: _Group) -> Outcome:
@@ -212,7 +212,7 @@
     def _release(self, record: Record) -> None:
         """Releases an id; later, if the system refuses it now."""
         try:
-            self._context.folder.ids.release(record.id, record.generation, record.cls, record.key)
+            self._context.folder.ids.release(record.id, record.generation, record.class_name, record.key)
         except OSError:
             self._unreleased.append(record)
 
--- a/eiderfield/durable_requests/folder.py
+++ b/eiderfield/durable_requests/folder.py
@@ -23,7 +23,7 @@
 
 from eiderfield.durable import TRANSIENT
 from eiderfield.durable_requests.end_requests import END_REQUESTS, EndRequests
-from eiderfield.durable_requests.errors import FolderError
+from eiderfield.durable_requests.errors import FOLDER_KEY, FolderError
 from eiderfield.durable_requests.fences import FENCES, VOTES, Fences
 from eiderfield.durable_requests.files import FolderFiles
 from eiderfield.durable_requests.ids import IDS, KEYS, Ids
@@ -67,13 +67,14 @@
             owner = os.stat(self.path).st_uid
         except OSError as error:
             if make:
-                text = f"custody.folder: {self.path}: {error.strerror}"
-                raise FolderError(text, error.errno in TRANSIENT) from None
-            raise FolderError(f"{self.path} holds no work in hand") from None
+                raise FolderError(
+                    self.path, str(error.strerror), FOLDER_KEY, error.errno in TRANSIENT
+                ) from None
+            raise FolderError(self.path, "not a folder of durable requests") from None
         if form != FORM:
-            raise FolderError(f"custody.folder: {self.path} is of form {form[:20]!r}, not {FORM!r}")
+            raise FolderError(self.path, f"is of form {form[:20]!r}, not {FORM!r}", FOLDER_KEY)
         if owner != os.getuid():
-            raise FolderError(f"custody.folder: {self.path} belongs to another user")
+            raise FolderError(self.path, "belongs to another user", FOLDER_KEY)
         self._usable = True
 
     def _make(self) -> None:
--- a/eiderfield/durable_requests/incarnations.py
+++ b/eiderfield/durable_requests/incarnations.py
@@ -16,7 +16,7 @@
 from contextlib import suppress
 from dataclasses import asdict, dataclass
 
-from eiderfield.durable_requests.errors import FolderError
+from eiderfield.durable_requests.errors import DispatcherNameError
 from eiderfield.durable_requests.files import FolderFiles
 from eiderfield.machine import boot_id, process_started, unix_offset
 
@@ -73,7 +73,7 @@
     def begin(self, name: str) -> str:
         """Begins an incarnation of a dispatcher: a name that was never there before."""
         if not _PLAIN_NAME.match(name):
-            raise FolderError(f"name is not a plain word, as [custody] needs it: {name[:40]!r}")
+            raise DispatcherNameError(name)
         self.offset = unix_offset()
         used = [*self._files.names(MEMBERS, f"{name}."), *self._files.names("fences", f"{name}.")]
         number = 1 + max(map(number_of, used), default=0)
--- a/eiderfield/durable_requests/inspection.py
+++ b/eiderfield/durable_requests/inspection.py
@@ -15,6 +15,7 @@
 from eiderfield.durable_requests.fences import LEFT, Fence
 from eiderfield.durable_requests.folder import SharedFolder
 from eiderfield.durable_requests.record import Record, Stage
+from eiderfield.durable_requests.record_codec import encode_attempt
 from eiderfield.durable_requests.store import Counts, RecordStore
 from eiderfield.exchange.request import Verdict
 
@@ -45,16 +46,16 @@
         attempted = not record.verdict and bool(record.attempts)
         return {
             "id": record.id,
-            "class": record.cls,
+            "class": record.class_name,
             "state": self.state,
             "owner": self.owner,
             "taken_over": record.takeovers,
             "front": record.front,
-            "accepted_ms": record.accepted + offset,
-            "due_ms": record.due + offset,
-            "finished_ms": record.finished + offset if record.finished else None,
+            "accepted_ms": record.accepted_at + offset,
+            "due_ms": record.deadline + offset,
+            "finished_ms": record.finished_at + offset if record.finished_at else None,
             "may_have_run": record.may_have_run or attempted,
-            "legs": [attempt.encode() for attempt in record.attempts],
+            "legs": [encode_attempt(attempt) for attempt in record.attempts],
             "why": record.reason,
             "key": record.key,
             "target": record.head.target,
@@ -149,8 +150,8 @@
         """An incarnation's store, to be read and closed."""
         path = self.folder.store_path(incarnation)
         if not path.exists():
-            raise StoreError(f"{path}: not there")
-        return RecordStore(path, write=False)
+            raise StoreError(path, "not there")
+        return RecordStore(path, read_only=True)
 
     def verify(self) -> list[str]:
         """What is wrong, a line each; nothing for a folder in order."""
@@ -165,7 +166,7 @@
         for name in self.folder.stored_incarnations():
             path = self.folder.store_path(name)
             try:
-                with closing(RecordStore(path, write=False)) as store:
+                with closing(RecordStore(path, read_only=True)) as store:
                     if fault := store.verify():
                         yield f"{path.name}: {fault}"
             except EmptyStoreError:
--- a/eiderfield/durable_requests/intake.py
+++ b/eiderfield/durable_requests/intake.py
@@ -27,11 +27,11 @@
     Outcome,
 )
 from eiderfield.durable_requests.owned_requests import OwnedRequest
-from eiderfield.durable_requests.record import record_of
+from eiderfield.durable_requests.record import DEFAULT_FRONT, record_of
 from eiderfield.durable_requests.remote_waiters import RemoteWaiters
 from eiderfield.durable_requests.submission import RequestSubmission
 from eiderfield.durable_requests.timing import RECORDING_TIME_MS, REJECTION_RETRY_AFTER_MS
-from eiderfield.durable_requests.waiters import PLATFORM_FRONT, Answered, Waiter
+from eiderfield.durable_requests.waiters import Answered, Waiter
 from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.machine import steady_ms
 
@@ -73,7 +73,7 @@
         self,
         request: Request,
         answered: Answered,
-        front: str = PLATFORM_FRONT,
+        front: str = DEFAULT_FRONT,
         accepted: Callable[[], None] = _ignore,
     ) -> ClientLeft:
         """Accept a request, or join its client to the request that has its id already.
--- a/eiderfield/durable_requests/member.py
+++ b/eiderfield/durable_requests/member.py
@@ -19,7 +19,7 @@
 from eiderfield.durable import TRANSIENT
 from eiderfield.durable_requests.changes import ChangeWriter
 from eiderfield.durable_requests.context import Context, Counters, Incarnation
-from eiderfield.durable_requests.errors import DurableRequestsError, FolderError, StoreError
+from eiderfield.durable_requests.errors import FOLDER_KEY, DurableRequestsError, FolderError, StoreError
 from eiderfield.durable_requests.failure_detector import FailureDetector
 from eiderfield.durable_requests.folder import SharedFolder
 from eiderfield.durable_requests.lease import Lease
@@ -118,8 +118,9 @@
             self.folder.ensure_usable()
             name, store = self._open_store()
         except OSError as error:
-            text = f"custody.folder: {self.folder.path}: {error.strerror}"
-            raise FolderError(text, error.errno in TRANSIENT) from None
+            raise FolderError(
+                self.folder.path, str(error.strerror), FOLDER_KEY, error.errno in TRANSIENT
+            ) from None
         settings = self.settings
         lease = Lease(settings.lease, settings.margin)
         self._begun = ""
@@ -133,12 +134,14 @@
         if not self._begun or fences.exists(self._begun):
             self._begun = self.folder.incarnations.begin(self.name)
         name = self._begun
-        most_bytes = 2 * self.settings.most_bytes
-        store = RecordStore(self.folder.store_path(name), flush=self.settings.flush, most_bytes=most_bytes)
+        max_bytes = 2 * self.settings.most_bytes
+        store = RecordStore(self.folder.store_path(name), flush=self.settings.flush, max_bytes=max_bytes)
         if fences.exists(name):
             store.close()
             self._begun = ""
-            raise FolderError(f"custody.folder: {name} was fenced before it began", transient=True)
+            raise FolderError(
+                self.folder.path, f"{name} was fenced before it began", FOLDER_KEY, transient=True
+            )
         return name, store
 
     def end_incarnation(self) -> None:
--- a/eiderfield/durable_requests/readers.py
+++ b/eiderfield/durable_requests/readers.py
@@ -39,7 +39,7 @@
         if not path.exists():
             return None
         try:
-            store = RecordStore(path, write=False)
+            store = RecordStore(path, read_only=True)
         except EmptyStoreError:
             self._empty.add(incarnation)
             return None
@@ -65,8 +65,9 @@
         store = self.open(incarnation)
         if store is not None:
             return store.get(id_)
-        if not self.is_empty(incarnation) and self._folder.store_path(incarnation).exists():
-            raise StoreError(f"what {incarnation} wrote cannot be read", transient=True)
+        path = self._folder.store_path(incarnation)
+        if not self.is_empty(incarnation) and path.exists():
+            raise StoreError(path, "cannot be read", transient=True)
         return None
 
     def close(self, incarnation: str) -> None:
--- a/eiderfield/durable_requests/record.py
+++ b/eiderfield/durable_requests/record.py
@@ -1,31 +1,33 @@
-"""The record of a durable request, and how it becomes a request again. No I/O, no clock.
+"""The record of a durable request. Performs no I/O and reads no clock.
 
-States of a record, which one incarnation owns at a time and moves forward only:
+Stages of a record. One incarnation owns it at a time:
 
-    ACCEPTED   accepted; no attempt that may have run is known
-    CLAIMED    an attempt may be out, or may have run: written before its first byte leaves
-    FINAL      its one answer is recorded, and is given to whoever asks again
+    ACCEPTED   accepted; no attempt is known that may have run
+    CLAIMED    an attempt may be open or may have run; written before its first byte is sent
+    FINAL      the one answer is recorded and is given to every client that asks again
 
-An attempt that is proven never to have run is taken off, and a record without attempts is ACCEPTED again.
-Whoever takes a request over goes on from its record: an ACCEPTED one as if it had just arrived, with its
-first deadline; a CLAIMED one with its earlier attempts, from which the policy decides what the class allows.
+An attempt that is proven never to have run is removed, and a record without attempts is ACCEPTED again. A
+successor goes on from the record: with an ACCEPTED one as if it had just arrived, with its first deadline;
+with a CLAIMED one from its earlier attempts, for which the policy decides what the class allows.
 
-What must never happen: a FINAL record changes; a record loses an attempt that may have run. Times are those
-of the machine's monotonic clock, in ms. The stored names (`cls`, `due`, `legs`, ...) are older than these.
+Invariants: a FINAL record never changes; a record never loses an attempt that may have run.
+
+All times are those of the machine's monotonic clock, in ms. `record_codec.py` has the stored names.
 """
 
 from __future__ import annotations
 
-import json
 from dataclasses import dataclass, replace
 from enum import IntEnum
 from zlib import crc32
 
 from eiderfield.exchange.request import Answer, Request, Verdict
 
+DEFAULT_FRONT = "platform"  # the front whose clients wait on a connection
+
 
 class Stage(IntEnum):
-    """How far a request is."""
+    """The stage of a record. The values are stored."""
 
     ACCEPTED = 0
     CLAIMED = 1
@@ -34,22 +36,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptRecord:
-    """An attempt that may have run: the worker's name and place, and when it was sent."""
+    """An attempt that may have run: the worker's name, zone and cell, and when it was sent."""
 
     number: int
     worker: str
     zone: str
     cell: int
-    sent: float
-
-    def encode(self) -> list[object]:
-        """Its stored form."""
-        return [self.number, self.worker, self.zone, self.cell, self.sent]
+    sent_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """All of a request but its body, class and times."""
+    """All of a request except its body, class and times."""
 
     target: str = ""
     host: str = ""
@@ -59,91 +57,75 @@
     slots: float = 1.0
     memory: float = 0.0
 
-    def encode(self) -> str:
-        """Its stored form."""
-        return json.dumps(
-            {
-                "target": self.target,
-                "host": self.host,
-                "key": self.key,
-                "subject": self.subject,
-                "tenant": self.tenant,
-                "slots": self.slots,
-                "memory": self.memory,
-            }
-        )
-
-    @classmethod
-    def decode(cls, text: str) -> RequestHead:
-        """Out of the stored form; `ValueError` or `TypeError` if it is none."""
-        return cls(**json.loads(text))
-
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A durable request. `due` and `accepted` are monotonic times."""
+    """A durable request."""
 
     id: str
-    cls: str  # the name of its class
-    due: float
-    accepted: float
+    class_name: str
+    deadline: float
+    accepted_at: float
     head: RequestHead
     body: bytes
     stage: Stage = Stage.ACCEPTED
     attempts: tuple[AttemptRecord, ...] = ()
     takeovers: int = 0  # how many incarnations have taken it over
     generation: int = 1  # how often its id had been taken when it was accepted
-    front: str = "platform"  # or batch, whose clients do not wait on a connection
-    finished: float = 0.0
-    verdict: str = ""
+    front: str = DEFAULT_FRONT
+    finished_at: float = 0.0  # 0 without an answer
+    verdict: str = ""  # of the answer, '' without one
     result: bytes = b""
     retry_after: float = 0.0
     may_have_run: bool = False
-    attempt_count: int = 0  # of its answer
-    reason: str = ""  # for its answer, for operators
+    attempt_count: int = 0  # of the answer
+    reason: str = ""  # of the answer, for operators
 
     @property
     def size(self) -> int:
-        """Bytes that its body and result take."""
+        """The size of body and result, in bytes."""
         return len(self.body) + len(self.result)
 
     @property
     def key(self) -> str:
-        """Its idempotency key, '' for none."""
+        """The idempotency key, '' for none."""
         return self.head.key
 
     @property
     def digest(self) -> int:
-        """Of what is requested: the same id with another digest is another request."""
-        return crc32(self.body, crc32(f"{self.cls} {self.head.target} {self.key}".encode()))
+        """A checksum of what is requested. A request with the same id and another digest is another one."""
+        return crc32(self.body, crc32(f"{self.class_name} {self.head.target} {self.key}".encode()))
 
     @property
     def answer(self) -> Answer:
-        """Its final answer."""
+        """The answer of a FINAL record."""
         return Answer(
             Verdict(self.verdict), self.result, self.retry_after, self.may_have_run, self.attempt_count
         )
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether its answer is given again to who asks again: after a rejection asking anew is harmless."""
+        """Whether the answer is given to a client that asks again.
+
+        A rejection is not: the client may submit the request again without harm.
+        """
         return self.stage == Stage.FINAL and self.verdict != Verdict.DECLINED.value
 
     def with_attempt(self, attempt: AttemptRecord) -> Record:
-        """With an attempt that is about to begin."""
+        """Return the record with an attempt that is about to start."""
         return replace(self, stage=Stage.CLAIMED, attempts=(*self.attempts, attempt))
 
     def without_attempt(self, number: int) -> Record:
-        """Without an attempt that is proven never to have run."""
+        """Return the record without an attempt that is proven never to have run."""
         attempts = tuple(attempt for attempt in self.attempts if attempt.number != number)
         return replace(self, attempts=attempts, stage=Stage.CLAIMED if attempts else Stage.ACCEPTED)
 
     def finished_with(self, answer: Answer, now: float, reason: str = "") -> Record:
-        """With its final answer."""
+        """Return the record with its final answer, given at `now`."""
         return replace(
             self,
             stage=Stage.FINAL,
-            finished=now,
+            finished_at=now,
             verdict=answer.verdict.value,
             result=answer.result,
             retry_after=answer.retry_after,
@@ -153,44 +135,58 @@
         )
 
     def taken_over(self) -> Record:
-        """As its next owner writes it, who numbers attempts from those that there were."""
+        """Return the record as its next owner writes it, with the attempts numbered from 0."""
         attempts = tuple(replace(attempt, number=number) for number, attempt in enumerate(self.attempts))
         return replace(self, takeovers=self.takeovers + 1, attempts=attempts)
 
-    def shifted(self, span: float, now: float) -> Record:
-        """With its times on a clock that is `span` ahead, on which it is `now`. All that was written lies in
-        the past, and no more time is left than there was at first."""
-        accepted = min(self.accepted + span, now)
-        attempts = tuple(replace(attempt, sent=min(attempt.sent + span, now)) for attempt in self.attempts)
-        due = min(self.due + span, now + self.due - self.accepted)
-        finished = min(self.finished + span, now) if self.finished else 0.0
-        return replace(self, due=due, accepted=accepted, attempts=attempts, finished=finished)
+    def shifted(self, offset: float, now: float) -> Record:
+        """Return the record on a clock that is `offset` ms ahead and shows `now`.
 
+        Whatever was recorded lies in the past of `now`, and no more time is left than the request had at
+        first.
+        """
+        accepted_at = min(self.accepted_at + offset, now)
+        attempts = tuple(
+            replace(attempt, sent_at=min(attempt.sent_at + offset, now)) for attempt in self.attempts
+        )
+        deadline = min(self.deadline + offset, now + self.deadline - self.accepted_at)
+        finished_at = min(self.finished_at + offset, now) if self.finished_at else 0.0
+        return replace(
+            self, deadline=deadline, accepted_at=accepted_at, attempts=attempts, finished_at=finished_at
+        )
 
-def record_of(request: Request, cls: str, now: float, accepted: float, front: str = "platform") -> Record:
-    """The record of a request. `now` is the time of the clock that its `due` is told in, `accepted` the same
-    moment on the monotonic one."""
+
+def record_of(
+    request: Request, class_name: str, now: float, accepted_at: float, front: str = DEFAULT_FRONT
+) -> Record:
+    """Return the record of a request that is accepted now.
+
+    `now` is the time of the process's clock, on which the request has its deadline; `accepted_at` is the same
+    moment on the monotonic clock.
+    """
     head = RequestHead(
-        request.target,
-        request.host,
-        request.idempotency_key,
-        request.subject,
-        request.tenant_index,
-        request.slots,
-        request.memory,
+        target=request.target,
+        host=request.host,
+        key=request.idempotency_key,
+        subject=request.subject,
+        tenant=request.tenant_index,
+        slots=request.slots,
+        memory=request.memory,
     )
-    due = request.deadline - now + accepted
-    return Record(request.id, cls, due, accepted, head, request.body, front=front)
+    deadline = request.deadline - now + accepted_at
+    return Record(request.id, class_name, deadline, accepted_at, head, request.body, front=front)
+
 
+def request_of(record: Record, class_index: int, now: float, monotonic: float) -> Request:
+    """Return the request of a record, with its deadline on the process's clock.
 
-def request_of(record: Record, cls: int, now: float, monotonic: float) -> Request:
-    """The request of a record, with `due` on the clock that says `now` where the monotonic one says
-    `monotonic`."""
+    `now` on the process's clock and `monotonic` on the monotonic clock are the same moment.
+    """
     head = record.head
     return Request(
         id=record.id,
-        class_index=cls,
-        deadline=record.due - monotonic + now,
+        class_index=class_index,
+        deadline=record.deadline - monotonic + now,
         target=head.target,
         host=head.host,
         body=record.body,
--- a/eiderfield/durable_requests/retention.py
+++ b/eiderfield/durable_requests/retention.py
@@ -38,7 +38,7 @@
             return
         self._cleaned = now
         before = now - settings.keep
-        self.forget(own, own.store.stale(before, settings.most_final, settings.most_bytes))
+        self.forget(own, own.store.expired(before, settings.most_final, settings.most_bytes))
         if now >= self._looked_at_lost + LOST_EVERY:
             self._looked_at_lost = now
             for name in self._in_care(own):
@@ -50,8 +50,8 @@
         try:
             for record in records:
                 self._release(record, own.name)
-            with own.store.group():
-                own.store.forget([record.id for record in records])
+            with own.store.transaction():
+                own.store.delete([record.id for record in records])
         except (StoreError, OSError) as error:
             self._context.count_failure(error)
 
@@ -59,7 +59,7 @@
         folder = self._context.folder
         holder = folder.ids.holder(record.id)
         if holder is not None and incarnation in folder.fences.chain(record.id, holder.incarnation):
-            folder.ids.release(record.id, record.generation, record.cls, record.key)
+            folder.ids.release(record.id, record.generation, record.class_name, record.key)
 
     def _in_care(self, own: Incarnation) -> list[str]:
         """The lost incarnations whose store this one is to remove."""
@@ -79,7 +79,7 @@
         if any(self._is_owed_by(name, record.id) for record in store.open_records()):
             return
         final = list(store.records((Stage.FINAL,)))
-        if any(self._on_own_clock(record, name).finished >= before for record in final):
+        if any(self._on_own_clock(record, name).finished_at >= before for record in final):
             return
         for record in final:
             self._release(record, name)
--- a/eiderfield/durable_requests/snapshot.py
+++ b/eiderfield/durable_requests/snapshot.py
@@ -19,13 +19,13 @@
     dispatchers take over all that had no answer when its store was copied. `FolderError` if something is
     there."""
     if target.exists() and any(target.iterdir()):
-        raise FolderError(f"{target} is not empty")
+        raise FolderError(target, "is not empty")
     inspection, copy = Inspection(source), SharedFolder(target)
     for part in (MEMBERS, FENCES):
         _copy_files(source / part, target / part)
     for name in inspection.folder.stored_incarnations():
         with closing(inspection.open_store(name)) as store:
-            store.snapshot(copy.store_path(name))
+            store.copy_to(copy.store_path(name))
     return sum(_copy_ids(job, inspection.folder, copy) for job in Inspection(source).jobs())
 
 
@@ -44,5 +44,5 @@
     for generation in range(1, holder.generation + 1):
         copy.ids.take(record.id, holder.incarnation, generation)
     if record.key:
-        copy.ids.hold_key(record.cls, record.key, record.id)
+        copy.ids.hold_key(record.class_name, record.key, record.id)
     return True
--- a/eiderfield/durable_requests/takeover.py
+++ b/eiderfield/durable_requests/takeover.py
@@ -111,8 +111,8 @@
             owner = fences.chain(record.id, name)[-1]
             ownerless = ownerless or owner in fences.known
             if owner == own.name and record.id not in own.open_records:
-                priority = self._context.priorities.get(record.cls, 0.0)
-                pending.append(_Pending(priority, -record.accepted, record.id, name))
+                priority = self._context.priorities.get(record.class_name, 0.0)
+                pending.append(_Pending(priority, -record.accepted_at, record.id, name))
         return ownerless
 
     # Taking over.
@@ -125,7 +125,7 @@
             return []
         self._context.point("adopt")
         try:
-            with own.store.group():
+            with own.store.transaction():
                 for record in records.values():
                     own.store.put(record)
         except StoreError as error:
--- a/eiderfield/durable_requests/thread_events.py
+++ b/eiderfield/durable_requests/thread_events.py
@@ -45,14 +45,14 @@
         """Go on with requests of lost incarnations, which this process owns from now on."""
         now, monotonic = self._context.now(), steady_ms()
         for record in records:
-            class_index = self._class_index(record.cls)
+            class_index = self._class_index(record.class_name)
             owned = OwnedRequest(
                 class_index, waiters=self._remote_waiters.take_back(record.id), is_accepting=False
             )
             self._context.owned_requests[record.id] = owned
             if class_index == UNKNOWN_CLASS:
                 self._expire(record, owned, CLASS_UNKNOWN)
-            elif record.due <= monotonic + RECORDING_TIME_MS:
+            elif record.deadline <= monotonic + RECORDING_TIME_MS:
                 self._expire(record, owned, DEADLINE_EXPIRED)
             else:
                 offset = now - monotonic
@@ -78,7 +78,7 @@
         worker = ids.worker(attempt.worker)
         known = self._context.exchange.endpoint(worker)
         endpoint = Endpoint(worker, ids.zone(attempt.zone), known.kind, attempt.cell, known.state)
-        return endpoint, attempt.sent + offset
+        return endpoint, attempt.sent_at + offset
 
     def on_answer(self, id_: str, record: Record | None) -> None:
         """Answer the waiters of a remote request. Without a record, accept the request again."""
--- a/eiderfield/durable_requests/waiters.py
+++ b/eiderfield/durable_requests/waiters.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from eiderfield.durable_requests.record import DEFAULT_FRONT
 from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.exchange.timers import Timer
 
 Answered = Callable[[Answer], None]
-PLATFORM_FRONT = "platform"  # the front whose clients wait on a connection
 
 
 def _ignore() -> None:
@@ -26,7 +26,7 @@
 
     request: Request
     answered: Answered
-    front: str = PLATFORM_FRONT
+    front: str = DEFAULT_FRONT
     accepted: Callable[[], None] = _ignore
     timer: Timer | None = None
     is_done: bool = False
--- a/eiderfield/lab/durable_requests/throughput.py
+++ b/eiderfield/lab/durable_requests/throughput.py
@@ -73,7 +73,7 @@
     store.begin()
     for number in range(records):
         record = sample_record(f"j{number}")
-        store.put(record if number % 2 else record.with_attempt(sample_attempt(record.accepted)))
+        store.put(record if number % 2 else record.with_attempt(sample_attempt(record.accepted_at)))
     store.commit()
     for number in range(min(records, LINKED)):  # the oldest, which are taken over first
         member.folder.ids.take(f"j{number}", member.incarnation)
--- a/tests/test_durable_requests_jobs.py
+++ b/tests/test_durable_requests_jobs.py
@@ -90,7 +90,7 @@
     assert "b.1.db: job open is final without a verdict" in run("verify", host.settings.folder, code=1)
     (host.settings.folder / "lives" / "c.1.db").write_bytes(b"x" * 5000)
     assert "c.1.db" in run("verify", host.settings.folder, code=1)
-    assert "holds no work in hand" in run("list", host.settings.folder.parent, code=2)
+    assert "not a folder of durable requests" in run("list", host.settings.folder.parent, code=2)
 
 
 def test_a_snapshot_holds_every_job_and_what_starts_on_it_takes_over_what_is_open(kept, tmp_path):
--- a/tests/test_durable_requests_members.py
+++ b/tests/test_durable_requests_members.py
@@ -6,6 +6,7 @@
 import sqlite3
 from dataclasses import replace
 from itertools import pairwise
+from pathlib import Path
 
 import pytest
 from hypothesis import given, settings
@@ -35,9 +36,10 @@
 )
 from eiderfield.durable_requests.ownership import ownership_chain
 from eiderfield.durable_requests.record import AttemptRecord, Stage, record_of, request_of
+from eiderfield.durable_requests.schema import APPLICATION_ID, SCHEMA_VERSION
 from eiderfield.durable_requests.settings import DurableRequestSettings
 from eiderfield.durable_requests.settings import read as read_settings
-from eiderfield.durable_requests.store import MAGIC, SCHEMA, RecordStore
+from eiderfield.durable_requests.store import RecordStore
 from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.interface import Effect, RequestClass, Settings
 
@@ -46,8 +48,8 @@
 LEASE = 1200.0
 
 
-def record(id_="j", key="", body=b"b", due=1e9, at=0.0, **more):
-    a = Request(id_, 0, due, "/report/x", body=body, idempotency_key=key)
+def record(id_="j", key="", body=b"b", deadline=1e9, at=0.0, **more):
+    a = Request(id_, 0, deadline, "/report/x", body=body, idempotency_key=key)
     return replace(record_of(a, "report", at, at), **more)
 
 
@@ -158,7 +160,7 @@
 
 def test_a_record_becomes_the_same_authorisation_with_its_first_deadline():
     a = Request("j", 0, 5000.0, "/r/x", "h", b"\x00body", "k", 7, False, 2, 3.0, 4.0)
-    kept = record_of(a, "r", now=1000.0, accepted=50.0)
+    kept = record_of(a, "r", now=1000.0, accepted_at=50.0)
     again = request_of(kept, 0, now=91_000.0, monotonic=1050.0)
     assert again == replace(a, deadline=91_000.0 + 3000.0, is_client_retry=True)
 
@@ -172,7 +174,7 @@
 
 def test_a_store_keeps_what_was_committed_and_shows_it_to_readers(tmp_path):
     store = RecordStore(tmp_path / "a.db")
-    reader = RecordStore(tmp_path / "a.db", write=False)
+    reader = RecordStore(tmp_path / "a.db", read_only=True)
     store.begin()
     store.put(record(key="k").with_attempt(leg()))
     assert reader.get("j") is None
@@ -184,8 +186,8 @@
     with pytest.raises(StoreError):
         reader.begin()
         reader.put(record())
-    store.snapshot(tmp_path / "copy.db")
-    assert RecordStore(tmp_path / "copy.db", write=False).get("j") == store.get("j")
+    store.copy_to(tmp_path / "copy.db")
+    assert RecordStore(tmp_path / "copy.db", read_only=True).get("j") == store.get("j")
 
 
 OLD = """CREATE TABLE jobs (
@@ -205,19 +207,24 @@
     with sqlite3.connect(path) as db:
         db.executescript(OLD)
     db.close()
-    before = RecordStore(path, write=False).get("j")
+    before = RecordStore(path, read_only=True).get("j")
     assert before.attempts == (leg(at=2.0),)
     assert before.front == "platform"
     assert before.generation == 1
     store = RecordStore(path)
-    assert store.version == SCHEMA
+    assert store.version == SCHEMA_VERSION
     assert store.get("j") == before
 
 
 @pytest.mark.parametrize(
     ("make", "why"),
     [
-        (lambda db: db.executescript(f"PRAGMA application_id = {MAGIC}; PRAGMA user_version = 99"), "newer"),
+        (
+            lambda db: db.executescript(
+                f"PRAGMA application_id = {APPLICATION_ID}; PRAGMA user_version = 99"
+            ),
+            "newer",
+        ),
         (lambda db: db.execute("CREATE TABLE mine (x)"), "not a store"),
         (None, "not a database"),
         ("torn", "malformed|disk image|not a database|integrity|file is"),
@@ -238,7 +245,7 @@
         data = bytearray(path.read_bytes())
         data[4096:] = b"\xff" * (len(data) - 4096)
         path.write_bytes(bytes(data))
-        assert RecordStore(path, write=False).verify() != ""
+        assert RecordStore(path, read_only=True).verify() != ""
         return
     else:
         with sqlite3.connect(path) as db:
@@ -445,7 +452,7 @@
     one(a, Accept(record("kept")))
 
     def full():
-        raise StoreError("a.1.db: database or disk is full", transient=True)
+        raise StoreError(Path("a.1.db"), "database or disk is full", transient=True)
 
     monkeypatch.setattr(a.current.store, "commit", full)
     refused = a.apply([Accept(record("more")), Claim("kept", leg()), Finish("kept", SERVED)])
@@ -519,19 +526,19 @@
 
 def test_steady_times_of_an_earlier_run_of_the_machine_are_told_on_this_ones(host):
     a, b = host.member("a"), host.member("b")
-    one(a, Accept(record(due=50_000.0, at=host.now)))
+    one(a, Accept(record(deadline=50_000.0, at=host.now)))
     one(a, Claim("j", leg(at=host.now)))
     about = host.settings.folder / "members" / "a.1"
     told = json.loads(about.read_text())
     about.write_text(json.dumps({**told, "boot": "another", "offset": told["offset"] + 2000.0}))
     host.outlive(b)
     [found] = b.take_over()
-    assert found.due == pytest.approx(52_000.0, abs=1.0)
-    assert found.attempts[0].sent == pytest.approx(3000.0, abs=1.0)
+    assert found.deadline == pytest.approx(52_000.0, abs=1.0)
+    assert found.attempts[0].sent_at == pytest.approx(3000.0, abs=1.0)
 
 
 def test_a_folder_of_another_form_or_none_is_refused_by_name(tmp_path):
-    with pytest.raises(FolderError, match="holds no work in hand"):
+    with pytest.raises(FolderError, match="not a folder of durable requests"):
         SharedFolder(tmp_path, make=False)
     SharedFolder(tmp_path / "x")
     (tmp_path / "x" / "form").write_text("9")
@@ -575,7 +582,6 @@
 
     @initialize()
     def begin(self):
-        from pathlib import Path
         from tempfile import mkdtemp
 
         self.host = Host(Path(mkdtemp()))
--- a/tests/test_durable_requests_on_failing_disk.py
+++ b/tests/test_durable_requests_on_failing_disk.py
@@ -296,9 +296,9 @@
     host, a, b = host_with_two
     one(a, Accept(record("j")))
     one(a, Finish("j", SERVED))
-    [over] = a.current.store.stale(host.now + 1.0, 0, 0)
+    [over] = a.current.store.expired(host.now + 1.0, 0, 0)
     with monkeypatch.context() as refused:
-        refused.setattr(a.current.store, "forget", broken)
+        refused.setattr(a.current.store, "delete", broken)
         a.retention.forget(a.current, [over])
     assert one(b, Accept(record("j"))) == Accepted()
     a.retention.forget(a.current, [over])
@@ -318,19 +318,19 @@
 def test_a_member_file_that_cannot_be_read_ends_no_job(host_with_two, tmp_path, monkeypatch):
     """Accepted for one of another boot, its times would lie in the past."""
     host, a, b = host_with_two
-    one(a, Accept(record("j", due=host.now + 60_000.0)))
+    one(a, Accept(record("j", deadline=host.now + 60_000.0)))
     host.outlive(b)
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("open", BROKEN)
         assert b.take_over() == []
         assert faults.failed == 1
     host.live(1500.0, b)
-    assert [(each.id, each.due) for each in b.take_over()] == [("j", 61_000.0)]
+    assert [(each.id, each.deadline) for each in b.take_over()] == [("j", 61_000.0)]
 
 
 def test_a_store_cut_at_any_byte_of_its_last_record_keeps_all_that_was_told_before(tmp_path, monkeypatch):
     """A kill leaves half a record: what was written down before is owed, and the rest was never told."""
-    monkeypatch.setattr(store_module, "PAGE", 512)  # fewer bytes to cut at
+    monkeypatch.setattr(store_module, "PAGE_SIZE", 512)  # fewer bytes to cut at
     host = Host(tmp_path / "whole")
     member = host.member("a")
     assert one(member, Accept(record("kept"))) == Accepted()
@@ -347,7 +347,7 @@
             path.with_name(f"cut.db{end}").unlink(missing_ok=True)
         path.write_bytes(base)
         path.with_name("cut.db-wal").write_bytes(whole[:size])
-        store = RecordStore(path, write=False)
+        store = RecordStore(path, read_only=True)
         found = {each.id: each.stage for each in store.records()}
         store.close()
         assert found.pop("kept") == Stage.CLAIMED
@@ -537,21 +537,21 @@
 @pytest.mark.parametrize("step", [5.0, 3600.0, -5.0, -3600.0])
 def test_a_step_of_the_wall_clock_changes_no_lease_and_no_deadline(step, host_with_two, monkeypatch):
     host, a, b = host_with_two
-    one(a, Accept(record("j", due=host.now + 60_000.0)))
+    one(a, Accept(record("j", deadline=host.now + 60_000.0)))
     real = time.time
     monkeypatch.setattr(time, "time", lambda: real() + step)
     host.live(2.0 * LEASE, a, b)
     assert (a.incarnation, b.incarnation) == ("a.1", "b.1")
     assert a.holds_lease(host.now)
     host.outlive(b)
-    assert [(each.id, each.due) for each in b.take_over()] == [("j", 61_000.0)]
+    assert [(each.id, each.deadline) for each in b.take_over()] == [("j", 61_000.0)]
 
 
 @pytest.mark.parametrize("step", [5.0, 3600.0, -5.0, -3600.0])
 def test_a_step_before_a_reboot_is_followed_and_deadlines_come_through(step, host_with_two, monkeypatch):
     """After the reboot the wall clock, as it was stepped, alone joins the two steady clocks."""
     host, a, b = host_with_two
-    one(a, Accept(record("j", at=host.now, due=host.now + 60_000.0)))
+    one(a, Accept(record("j", at=host.now, deadline=host.now + 60_000.0)))
     real = time.time
     monkeypatch.setattr(time, "time", lambda: real() + step)
     host.live(2.0 * host.settings.tick, a, b)
@@ -561,19 +561,19 @@
     b.folder.incarnations.offset = unix_offset()
     host.outlive(b)
     [found] = b.take_over()
-    assert found.due == pytest.approx(61_000.0, abs=50.0)
-    assert found.accepted == pytest.approx(1000.0, abs=50.0)
+    assert found.deadline == pytest.approx(61_000.0, abs=50.0)
+    assert found.accepted_at == pytest.approx(1000.0, abs=50.0)
 
 
 def test_a_step_while_the_machine_was_down_gives_no_job_more_time_than_it_had(host_with_two):
     host, a, b = host_with_two
-    one(a, Accept(record("j", at=host.now, due=host.now + 60_000.0)))
+    one(a, Accept(record("j", at=host.now, deadline=host.now + 60_000.0)))
     one(a, Claim("j", leg(at=host.now)))
     about = host.settings.folder / "members" / "a.1"
     told = json.loads(about.read_text())
     about.write_text(json.dumps({**told, "boot": "before", "offset": told["offset"] + 3_600_000.0}))
     host.outlive(b)
     [found] = b.take_over()
-    assert found.due <= host.now + 60_000.0
-    assert found.accepted <= host.now
-    assert found.attempts[0].sent <= host.now
+    assert found.deadline <= host.now + 60_000.0
+    assert found.accepted_at <= host.now
+    assert found.attempts[0].sent_at <= host.now
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -12,8 +12,10 @@
 from eiderfield.durable_requests.inspection import Inspection
 from eiderfield.durable_requests.member import Member
 from eiderfield.durable_requests.record import Stage
+from eiderfield.durable_requests.record_codec import COLUMNS, encode
+from eiderfield.durable_requests.schema import SCHEMA_VERSION
 from eiderfield.durable_requests.settings import DurableRequestSettings
-from eiderfield.durable_requests.store import COLUMNS, SCHEMA, RecordStore, encode
+from eiderfield.durable_requests.store import RecordStore
 from eiderfield.net.bans import Bans
 from eiderfield.rollout.journal import JournalError, read
 from eiderfield.rollout.plan_file import parse_plan
@@ -133,12 +135,12 @@
     with sqlite3.connect(path) as database:
         database.executescript((golden / "custody" / "first_schema.sql").read_text())
     database.close()
-    as_it_is = RecordStore(path, write=False).get("j")
-    assert as_it_is.due == 9.0
+    as_it_is = RecordStore(path, read_only=True).get("j")
+    assert as_it_is.deadline == 9.0
     assert as_it_is.stage == Stage.CLAIMED
     assert as_it_is.attempts[0].worker == "w0"
     brought_up = RecordStore(path)
-    assert brought_up.version == SCHEMA
+    assert brought_up.version == SCHEMA_VERSION
     assert brought_up.get("j") == as_it_is
 
 
