--- a/tests/golden/456c0d9/record.py
+++ b/tests/golden/456c0d9/record_456c0d9.py
@@ -2,7 +2,7 @@
 
 Run it with that revision's package and tests on the import path, TREE being a worktree of it:
 
-    PYTHONPATH=TREE:TREE/tests python tests/golden/456c0d9/record.py tests/golden/456c0d9
+    PYTHONPATH=TREE:TREE/tests python tests/golden/456c0d9/record_456c0d9.py tests/golden/456c0d9
 
 The scenes are those of 731b84e's recorders (`tests/golden/generate.py`, `tests/golden/handover/record.py`).
 Process ids, start times, the boot id and clock offsets differ from run to run; fixed values replace them.
