--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -59,8 +59,8 @@
         self.watches_reopened: Counter[str] = Counter()  # watches lost and opened anew so far, by why
         self.unconfirmed_removals = 0  # workers that a list left out and that stay until it is confirmed
         self.on_list: Callable[[], None] = lambda: None  # a source has told a list
-        # A ban has begun, with its time, or has ended, with None.
-        self.on_ban: Callable[[str, float | None], None] = lambda name, since: None
+        # Called when a ban begins, with its time, or ends, with None.
+        self.on_ban: Callable[[str, float | None], None] | None = None
         self._entries: dict[int, Endpoint] = {}  # as discovery listed each worker last
         self._unbanned: dict[int, UnbannedWorker] = {}
 
@@ -108,7 +108,8 @@
         self._unbanned.pop(worker, None)
         self._publish(worker)
         self._workers.close_idle(worker)  # its process is about to end
-        self.on_ban(name, since)
+        if self.on_ban is not None:
+            self.on_ban(name, since)
 
     def _end_ban(self, name: str) -> None:
         since = self.bans.remove(name)
@@ -119,7 +120,8 @@
         if entry is not None and entry.ready_at < since:
             self._unbanned[worker] = UnbannedWorker(name, since, self._clock())
         self._publish(worker)
-        self.on_ban(name, None)
+        if self.on_ban is not None:
+            self.on_ban(name, None)
 
     def _was_listed(self, name: str) -> bool:
         return name in self.bans.since or self.ids.known(name) in self._entries
@@ -172,10 +174,10 @@
         unbanned = self._unbanned.get(worker)
         if unbanned is None:
             return entry
-        if entry.ready_at >= unbanned.banned:
+        if entry.ready_at >= unbanned.banned_at:
             del self._unbanned[worker]  # discovery has told of the restart by now
             return entry
-        return replace(entry, ready_at=max(entry.ready_at, unbanned.unbanned))
+        return replace(entry, ready_at=max(entry.ready_at, unbanned.unbanned_at))
 
     def _publish(self, worker: int) -> None:
         """Tells the exchange of a worker whose ban has begun or ended."""
@@ -196,19 +198,19 @@
         self.bans.since = dict(bans)
         if not self.bans.written:  # the process before may not have been able to write them
             self.bans.keep()
-        for unbanned in state.unbanned:
+        for unbanned in state.unbanned_workers:
             self._unbanned[self.ids.worker(unbanned.name)] = unbanned
         for worker in self._entries:
             self._publish(worker)
         for endpoint in state.endpoints:
-            if endpoint.started is not None:
-                self.starts.take_over(self.ids.worker(endpoint.name), endpoint.since_ms, endpoint.started)
+            if endpoint.started_at is not None:
+                self.starts.take_over(self.ids.worker(endpoint.name), endpoint.since_ms, endpoint.started_at)
         if state.announced_offset is not None:
             self.starts.take_over_offset(state.announced_offset)
         if state.endpoints:
-            endpoints = [endpoint.listed() for endpoint in state.endpoints]
+            endpoints = [endpoint.to_platform_form() for endpoint in state.endpoints]
             self.load({"index": state.index, "snapshot": True, "endpoints": endpoints}, cached=True)
-        self.starts.heard = state.source_heard
+        self.starts.heard = state.source_heard_at
 
     def _endpoint_state(self, entry: Endpoint) -> EndpointRecord:
         host, port = self._workers.address(entry.worker) or ("", 0)
@@ -221,5 +223,5 @@
             group=entry.cell,
             weight=entry.weight,
             since_ms=self.starts.since_ms(entry.worker, entry.ready_at),
-            started=entry.ready_at,
+            started_at=entry.ready_at,
         )
--- a/eiderfield/net/handover/__init__.py
+++ b/eiderfield/net/handover/__init__.py
@@ -1,9 +1,10 @@
-"""How one process of a dispatcher hands over to the next.
+"""Handover from one process of a dispatcher to the next.
 
-`messages` are what the two tell each other, `codec` writes and reads them, `old_process` and `new_process`
-are the two roles, and `process` joins them to the parts of a dispatcher.
+`messages` are the messages between the two, `codec` converts them to and from the wire form,
+`old_process` and `new_process` are the two roles, and `process` holds one process's end in either role.
 """
 
+from eiderfield.net.handover.context import HandoverContext
 from eiderfield.net.handover.process import Handover
 
-__all__ = ["Handover"]
+__all__ = ["Handover", "HandoverContext"]
--- a/eiderfield/net/handover/channel.py
+++ b/eiderfield/net/handover/channel.py
@@ -1,4 +1,4 @@
-"""Typed messages over the link to the other process."""
+"""The channel of typed messages to the other process."""
 
 from __future__ import annotations
 
@@ -11,14 +11,18 @@
 
 
 class Channel:
-    """The link to the other process, if there is one.
+    """Sends and receives messages over a link, while there is one.
 
-    Descriptors that come with a message and are still in its list when `receive` returns are closed."""
+    Attributes:
+        receive: Called with each message and its descriptors. Descriptors that are still in the list when it
+            returns are closed.
+        on_lost: Called when the link is lost, or closed because of a message that is not understood.
+    """
 
     def __init__(self, new_codec: Callable[[], Codec], log: Callable[[str], None]) -> None:
-        """`new_codec` makes the codec of each new link."""
-        self.receive: Callable[[Message, list[int]], None] = lambda message, descriptors: None
-        self.lost: Callable[[], None] = lambda: None  # the link is gone, or of no use
+        """Creates a channel without a link; `new_codec` creates the codec of each link."""
+        self.receive: Callable[[Message, list[int]], None] = _ignore_message
+        self.on_lost: Callable[[], None] = lambda: None
         self._new_codec = new_codec
         self._codec = new_codec()
         self._log = log
@@ -31,39 +35,43 @@
 
     @property
     def flushed(self) -> bool:
-        """Whether all that was sent has left."""
+        """Whether no message waits to be sent."""
         return self._link is None or self._link.flushed
 
     def attach(self, link: Link) -> None:
-        """Talks over a link from now on."""
+        """Use a link from now on."""
         self._codec = self._new_codec()
         self._link = link
         link.receive = self.receive_fields
         link.lost = self.end
 
     def send(self, message: Message, descriptors: Sequence[int] = ()) -> None:
-        """Sends a message with copies of descriptors; raises `OSError` if there is no room for these."""
+        """Send a message with copies of descriptors; raises `OSError` if they cannot be copied."""
         if self._link is not None:
             self._link.send(self._codec.encode(message), descriptors)
 
     def receive_fields(self, fields: dict[str, Any], descriptors: list[int]) -> None:
-        """Takes a message as the link brings it. Who cannot be understood is no peer."""
+        """Decode and deliver a message; end the link if that fails."""
         try:
             self.receive(self._codec.decode(fields), descriptors)
         except (KeyError, TypeError, ValueError, AttributeError, OSError) as error:
-            self._log(f"what the other process says cannot be read: {error!r}")
+            self._log(f"handover: message rejected, link closed (error={error!r})")
             self.end()
         finally:
             close_all(descriptors)
 
     def close(self) -> None:
-        """Ends the link; nothing is reported after that."""
+        """Close the link without a call of `on_lost`."""
         if self._link is not None:
             self._link.close()
             self._link = None
 
     def end(self) -> None:
-        """Ends a link that is of no use any more."""
+        """Close the link and report it as lost."""
         if self._link is not None:
             self.close()
-            self.lost()
+            self.on_lost()
+
+
+def _ignore_message(_message: Message, _descriptors: list[int]) -> None:
+    """Drop a message that comes before a receiver is set."""
--- a/eiderfield/net/handover/codec.py
+++ b/eiderfield/net/handover/codec.py
@@ -1,4 +1,4 @@
-"""Writes and reads the messages of one link."""
+"""Codec of the messages of one link."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class Codec:
-    """Converts between messages, whose times are of this process's clock, and what the link carries."""
+    """Converts messages, whose times are of this process's clock, to and from the wire form."""
 
     def __init__(self, clock: Callable[[], float], wall: WallClock, log: Callable[[str], None]) -> None:
-        """`clock` is this process's, `wall` its relation to Unix time."""
+        """Creates a codec for the process with this clock; `wall` relates the clock to Unix time."""
         self._clock = clock
         self._wall = wall
         self._decoder = Decoder(clock, wall, log)
 
     def encode(self, message: Message) -> WireMessage:
-        """The message as it is sent."""
+        """Return the wire form of a message."""
         return encode(message, self._clock(), self._wall.offset())
 
     def decode(self, fields: Mapping[str, object]) -> Message:
-        """Reads a message; raises `MalformedMessageError`."""
+        """Decode a message; raises `MalformedMessageError`."""
         return self._decoder.decode(fields)
--- a/eiderfield/net/handover/parts.py
+++ b/eiderfield/net/handover/context.py
@@ -15,15 +15,15 @@
 
 
 @dataclass(slots=True)
-class Parts:
-    """What both roles work with."""
+class HandoverContext:
+    """What both roles of a handover work with."""
 
     loop: asyncio.AbstractEventLoop
     exchange: Exchange
     table: RoutingTable
     workers: WorkerPool
-    listeners: Mapping[str, Listener]  # by name, the same in both processes
+    listeners: Mapping[str, Listener]  # those that are passed on, by names that both processes know
     timers: Timers
     clock: Callable[[], float]
     log: Callable[[str], None]
-    peers: PeerPort | None = None  # the port to other dispatchers, if there is one
+    peers: PeerPort | None = None  # the socket for other dispatchers, if there is one
--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -1,4 +1,4 @@
-"""Reads the handover's messages, in the form that `encoder` documents."""
+"""Decoder of the handover's messages. `encoder` documents the wire form."""
 
 from __future__ import annotations
 
@@ -6,30 +6,19 @@
 
 from eiderfield.connections.settings import KEEP, WHOLE
 from eiderfield.net.clock import WallClock
-from eiderfield.net.handover.fields import (
-    counts,
-    field,
-    integer,
-    integers,
-    mapping,
-    number,
-    optional_number,
-    row,
-    sequence,
-    text,
-    texts,
-)
-from eiderfield.net.handover.learnt import decode_learnt, times_of_learnt
+from eiderfield.net.handover.errors import MalformedMessageError
+from eiderfield.net.handover.fields import Fields, integer, number, text
+from eiderfield.net.handover.learned_state import decode_learned_state, past_events
+from eiderfield.net.handover.message_kinds import MessageKind
 from eiderfield.net.handover.messages import (
-    AttemptsOut,
     BanChanged,
     ConnectionPassed,
     DispatcherState,
-    LearntState,
+    LearnedState,
     ListenersReleased,
     LoadChanged,
-    MalformedMessageError,
     Message,
+    OpenAttempts,
     ParkedBatch,
     ParkedBatchTaken,
     ParkedDeparted,
@@ -40,187 +29,185 @@
 from eiderfield.net.handover.sender_clock import SenderClock, estimated_clock, exact_clock
 from eiderfield.net.table_state import EndpointRecord, RoutingTableState, UnbannedWorker
 
-Fields = Mapping[str, object]
+MAX_KIND_IN_ERROR = 20  # characters of an unknown kind of message that an error quotes
 
 
 class Decoder:
-    """Reads the messages that come over one link."""
+    """Decodes the messages that come over one link."""
 
     def __init__(self, clock: Callable[[], float], wall: WallClock, log: Callable[[str], None]) -> None:
-        """`clock` is the clock that the messages' times are converted to."""
+        """Creates a decoder that converts the messages' times to those of `clock`."""
         self._clock = clock
         self._wall = wall
         self._log = log
-        self._estimated: SenderClock | None = None  # of a sender that does not say what its clock shows
+        self._estimated: SenderClock | None = None  # of a sender that does not include its clock's reading
 
-    def decode(self, fields: Fields) -> Message:
-        """Reads a message; raises `MalformedMessageError`."""
-        kind = text(field(fields, "is"), "is")
+    def decode(self, values: Mapping[str, object]) -> Message:
+        """Decode a message; raises `MalformedMessageError`."""
+        fields = Fields(values)
+        kind = fields.text("is")
         if kind not in self._DECODERS:
-            raise MalformedMessageError(f"{kind[:20]!r} is no message")
+            raise MalformedMessageError("is", f"names no message: {kind[:MAX_KIND_IN_ERROR]!r}")
         return self._DECODERS[kind](self, fields)
 
-    def _sender_clock(self, fields: Fields, past: Callable[[], list[float]] = list) -> SenderClock:
-        """The sender's clock; `past` gives times in the message at which something has happened."""
+    def _sender_clock(self, fields: Fields, past_times: Callable[[], list[float]] = list) -> SenderClock:
+        """Return the sender's clock; `past_times` returns the times of past events in the message."""
         now = self._clock()
         if "now" in fields:
-            return exact_clock(now, number(fields["now"], "now"))
+            return exact_clock(now, fields.number("now"))
         if self._estimated is None:
-            self._estimated = estimated_clock(now, self._wall.offset(), past())
+            self._estimated = estimated_clock(now, self._wall.offset(), past_times())
         known = self._estimated
-        return SenderClock(now, known.ahead, known.ahead_at_least, known.exact)
+        return SenderClock(now, known.offset, known.min_offset, known.exact)
 
-    def _request(self, fields: Fields) -> TakeoverRequest:
-        return TakeoverRequest(integer(field(fields, "form"), "form"), fields.get("peers") is True)
+    def _decode_takeover_request(self, fields: Fields) -> TakeoverRequest:
+        return TakeoverRequest(fields.integer("form"), fields.flag("peers"))
 
-    def _delayed(self, fields: Fields) -> TakeoverDelayed:
+    def _decode_takeover_delayed(self, _fields: Fields) -> TakeoverDelayed:
         return TakeoverDelayed()
 
-    def _state(self, fields: Fields) -> DispatcherState:
-        table = mapping(field(fields, "table"), "table")
-        bans = mapping(mapping(field(fields, "bans"), "bans").get("banned"), "banned")
-        banned = {name: number(since, "banned") for name, since in bans.items()}
-        learnt = field(fields, "memory")
+    def _decode_dispatcher_state(self, fields: Fields) -> DispatcherState:
+        table = fields.nested("table")
+        bans = {
+            worker: number(since, "banned") for worker, since in fields.nested("bans").items("banned").items()
+        }
+        learned = fields.required("memory")
 
-        def past() -> list[float]:
-            unbanned = [at for each in _unbanned(table) for at in (each.banned, each.unbanned)]
-            return [*banned.values(), *unbanned, *_times_of_learnt(learnt)]
+        def past_times() -> list[float]:
+            unbanned = [at for worker in _unbanned(table) for at in (worker.banned_at, worker.unbanned_at)]
+            return [*bans.values(), *unbanned, *past_events(learned)]
 
-        sender = self._sender_clock(fields, past)
+        sender = self._sender_clock(fields, past_times)
         return DispatcherState(
-            listeners=texts(field(fields, "doors"), "doors"),
+            listeners=fields.texts("doors"),
             table=_decode_table(table, sender),
-            bans={name: sender.past(since) for name, since in banned.items()},
-            request_ids=texts(field(fields, "ids"), "ids"),
-            attempts=tuple(_attempts(each, 2) for each in sequence(field(fields, "legs"), "legs")),
-            learnt=self._learnt(learnt, sender),
-            with_peers=fields.get("peers") is True,
+            bans={worker: sender.past(since) for worker, since in bans.items()},
+            request_ids=fields.texts("ids"),
+            attempts=tuple(
+                OpenAttempts(text(worker, "legs"), integer(count, "legs"))
+                for worker, count in fields.rows("legs", 2)
+            ),
+            learned=self._decode_learned_state(learned, sender),
+            with_peers=fields.flag("peers"),
         )
 
-    def _learnt(self, value: object, sender: SenderClock) -> LearntState | None:
+    def _decode_learned_state(self, value: object, sender: SenderClock) -> LearnedState | None:
+        """Return None if the state is malformed: the new process can start without it."""
         try:
-            return decode_learnt(value, sender)
-        except MalformedMessageError as error:  # it helps, and nothing depends on it
-            self._log(f"what the process before had learnt is not taken: {error}")
+            return decode_learned_state(value, sender)
+        except MalformedMessageError as error:
+            self._log(f"handover: learned state of the old process ignored (error={error})")
             return None
 
-    def _accepted(self, fields: Fields) -> TakeoverAccepted:
-        return TakeoverAccepted(texts(field(fields, "doors"), "doors"), fields.get("parks") is True)
+    def _decode_takeover_accepted(self, fields: Fields) -> TakeoverAccepted:
+        return TakeoverAccepted(fields.texts("doors"), fields.flag("parks"))
 
-    def _released(self, fields: Fields) -> ListenersReleased:
-        return ListenersReleased(counts(field(fields, "open"), "open"))
+    def _decode_listeners_released(self, fields: Fields) -> ListenersReleased:
+        return ListenersReleased(fields.counts("open"))
 
-    def _load(self, fields: Fields) -> LoadChanged:
-        request_ids = {id_: bool(taken) for id_, taken in mapping(field(fields, "ids"), "ids").items()}
-        attempts = tuple(_attempts(each, 3) for each in sequence(field(fields, "legs"), "legs"))
-        return LoadChanged(request_ids, attempts)
+    def _decode_load_changed(self, fields: Fields) -> LoadChanged:
+        return LoadChanged(
+            request_ids={id_: bool(taken) for id_, taken in fields.items("ids").items()},
+            attempts=tuple(
+                OpenAttempts(text(worker, "legs"), integer(count, "legs"), number(work, "legs"))
+                for worker, count, work in fields.rows("legs", 3)
+            ),
+        )
 
-    def _ban(self, fields: Fields) -> BanChanged:
-        since = optional_number(field(fields, "since"), "since")
+    def _decode_ban_changed(self, fields: Fields) -> BanChanged:
+        fields.required("since")
+        since = fields.optional_number("since")
         if since is not None:
             since = self._sender_clock(fields).past(since)
-        return BanChanged(text(field(fields, "worker"), "worker"), since)
+        return BanChanged(fields.text("worker"), since)
 
-    def _passed(self, fields: Fields) -> ConnectionPassed:
-        begun = text(field(fields, "begun"), "begun")
-        if not begun.isascii() and max(map(ord, begun)) > 255:
-            raise MalformedMessageError("begun holds more than bytes")
-        since = number(field(fields, "since"), "since")
+    def _decode_connection_passed(self, fields: Fields) -> ConnectionPassed:
+        buffered = _decode_bytes(fields.text("begun"), "begun")
+        max_age = WHOLE if buffered else KEEP
         return ConnectionPassed(
-            listener=text(field(fields, "door"), "door"),
-            proven=bool(field(fields, "proven")),
-            since=self._sender_clock(fields).within(since, WHOLE if begun else KEEP),
-            begun=begun.encode("latin-1"),
-            connections=counts(field(fields, "open"), "open"),
+            listener=fields.text("door"),
+            proven=bool(fields.required("proven")),
+            since=self._sender_clock(fields).recent(fields.number("since"), max_age),
+            buffered=buffered,
+            connection_counts=fields.counts("open"),
         )
 
-    def _parked(self, fields: Fields) -> ParkedBatch:
+    def _decode_parked_batch(self, fields: Fields) -> ParkedBatch:
         sender = self._sender_clock(fields)
-        since = [number(each, "since") for each in sequence(field(fields, "since"), "since")]
-        keys = integers(field(fields, "keys"), "keys")
+        since = fields.numbers("since")
+        keys = fields.integers("keys")
         if keys and len(keys) != len(since):
-            raise MalformedMessageError("keys are not as many as connections")
+            raise MalformedMessageError("keys", f"has {len(keys)} values for {len(since)} connections")
         return ParkedBatch(
-            listener=text(field(fields, "door"), "door"),
-            since=tuple(sender.within(each, KEEP) for each in since),
+            listener=fields.text("door"),
+            since=tuple(sender.recent(at, KEEP) for at in since),
             keys=keys,
-            connections=counts(field(fields, "open"), "open"),
+            connection_counts=fields.counts("open"),
         )
 
-    def _batch_taken(self, fields: Fields) -> ParkedBatchTaken:
-        listener = text(field(fields, "door"), "door")
-        return ParkedBatchTaken(listener, integers(field(fields, "refused"), "refused"))
+    def _decode_parked_batch_taken(self, fields: Fields) -> ParkedBatchTaken:
+        return ParkedBatchTaken(fields.text("door"), fields.integers("refused"))
 
-    def _departed(self, fields: Fields) -> ParkedDeparted:
-        return ParkedDeparted(text(field(fields, "door"), "door"), integers(field(fields, "keys"), "keys"))
+    def _decode_parked_departed(self, fields: Fields) -> ParkedDeparted:
+        return ParkedDeparted(fields.text("door"), fields.integers("keys"))
 
     _DECODERS: Mapping[str, Callable[[Decoder, Fields], Message]] = {
-        "ask": _request,
-        "wait": _delayed,
-        "state": _state,
-        "taken": _accepted,
-        "yours": _released,
-        "news": _load,
-        "ban": _ban,
-        "client": _passed,
-        "parked": _parked,
-        "got": _batch_taken,
-        "departed": _departed,
+        MessageKind.TAKEOVER_REQUEST: _decode_takeover_request,
+        MessageKind.TAKEOVER_DELAYED: _decode_takeover_delayed,
+        MessageKind.DISPATCHER_STATE: _decode_dispatcher_state,
+        MessageKind.TAKEOVER_ACCEPTED: _decode_takeover_accepted,
+        MessageKind.LISTENERS_RELEASED: _decode_listeners_released,
+        MessageKind.LOAD_CHANGED: _decode_load_changed,
+        MessageKind.BAN_CHANGED: _decode_ban_changed,
+        MessageKind.CONNECTION_PASSED: _decode_connection_passed,
+        MessageKind.PARKED_BATCH: _decode_parked_batch,
+        MessageKind.PARKED_BATCH_TAKEN: _decode_parked_batch_taken,
+        MessageKind.PARKED_DEPARTED: _decode_parked_departed,
     }
 
 
-def _times_of_learnt(value: object) -> list[float]:
+def _decode_bytes(value: str, name: str) -> bytes:
+    """Return the bytes that are sent as a text, one character each."""
     try:
-        return times_of_learnt(value)
-    except MalformedMessageError:  # which is named when it is read
-        return []
+        return value.encode("latin-1")
+    except UnicodeEncodeError:
+        raise MalformedMessageError(name, "holds characters that are not bytes") from None
 
 
 def _decode_table(fields: Fields, sender: SenderClock) -> RoutingTableState:
-    heard = optional_number(fields.get("heard"), "heard")
+    heard_at = fields.optional_number("heard")
     unbanned = [
-        UnbannedWorker(each.name, sender.past(each.banned), sender.past(each.unbanned))
-        for each in _unbanned(fields)
+        UnbannedWorker(worker.name, sender.past(worker.banned_at), sender.past(worker.unbanned_at))
+        for worker in _unbanned(fields)
     ]
     return RoutingTableState(
-        index=integer(field(fields, "index"), "index"),
-        endpoints=tuple(
-            _decode_endpoint(mapping(each, "endpoint"), sender)
-            for each in sequence(field(fields, "endpoints"), "endpoints")
-        ),
-        unbanned=tuple(unbanned),
-        source_heard=None if heard is None else sender.past(heard),
-        announced_offset=None if sender.exact else sender.ahead_at_least,
+        index=fields.integer("index"),
+        endpoints=tuple(_decode_endpoint(endpoint, sender) for endpoint in fields.objects("endpoints")),
+        unbanned_workers=tuple(unbanned),
+        source_heard_at=None if heard_at is None else sender.past(heard_at),
+        announced_offset=None if sender.exact else sender.min_offset,
     )
 
 
 def _decode_endpoint(fields: Fields, sender: SenderClock) -> EndpointRecord:
-    started = optional_number(fields.get("started"), "started")
-    group = field(fields, "group")
+    started = fields.optional_number("started")
+    group = fields.required("group")
     return EndpointRecord(
-        name=text(field(fields, "name"), "name"),
-        address=text(field(fields, "address"), "address"),
-        status=text(field(fields, "status"), "status"),
-        zone=text(field(fields, "zone"), "zone"),
-        kind=text(field(fields, "type"), "type"),
+        name=fields.text("name"),
+        address=fields.text("address"),
+        status=fields.text("status"),
+        zone=fields.text("zone"),
+        kind=fields.text("type"),
         group=integer(group, "group") if isinstance(group, int) else text(group, "group"),
-        weight=number(field(fields, "weight"), "weight"),
-        since_ms=number(field(fields, "since_ms"), "since_ms"),
-        started=None if started is None else sender.past(started),
+        weight=fields.number("weight"),
+        since_ms=fields.number("since_ms"),
+        started_at=None if started is None else sender.past(started),
     )
 
 
 def _unbanned(table: Fields) -> list[UnbannedWorker]:
-    """The workers given back, with times as the sender wrote them."""
-    found = []
-    for each in sequence(field(table, "cold"), "cold"):
-        name, banned, unbanned = row(each, 3, "cold")
-        worker = UnbannedWorker(text(name, "cold"), number(banned, "cold"), number(unbanned, "cold"))
-        found.append(worker)
-    return found
-
-
-def _attempts(value: object, length: int) -> AttemptsOut:
-    values = row(value, length, "legs")
-    work = number(values[2], "legs") if length > 2 else 0.0
-    return AttemptsOut(text(values[0], "legs"), integer(values[1], "legs"), work)
+    """Return the workers whose bans were lifted, with times by the sender's clock."""
+    return [
+        UnbannedWorker(text(name, "cold"), number(banned_at, "cold"), number(unbanned_at, "cold"))
+        for name, banned_at, unbanned_at in table.rows("cold", 3)
+    ]
--- a/eiderfield/net/handover/encoder.py
+++ b/eiderfield/net/handover/encoder.py
@@ -1,8 +1,8 @@
-"""Writes the handover's messages.
+"""Encoder of the handover's messages.
 
-The form is that of revision 731b84e, recorded in `tests/golden/handover`. What has been added since is passed
-over by an older process and not missed by a newer one: `now` with every message that holds times, `started`
-of an endpoint and `heard` of the table.
+The wire form is that of revision 731b84e, recorded in `tests/golden/handover`. Fields were added since:
+`now` in every message with times, `started` of an endpoint and `heard` of the table. Older processes
+ignore them, and messages of older processes lack them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from eiderfield.net.handover.learnt import encode_learnt
+from eiderfield.net.handover.learned_state import encode_learned_state
+from eiderfield.net.handover.message_kinds import MessageKind
 from eiderfield.net.handover.messages import (
     BanChanged,
     ConnectionPassed,
@@ -25,116 +26,126 @@
     TakeoverDelayed,
     TakeoverRequest,
 )
-from eiderfield.net.table_state import RoutingTableState
+from eiderfield.net.table_state import EndpointRecord, RoutingTableState
 
 WireMessage = dict[str, Any]  # what `Link` carries
 
-TIMED = (BanChanged, ConnectionPassed, DispatcherState, ParkedBatch)  # messages that hold times
 
+def encode(message: Message, now: float, unix_offset: float) -> WireMessage:
+    """Return the wire form of a message.
 
-def encode(message: Message, now: float, ahead: float) -> WireMessage:
-    """The message as it is sent, with its times `ahead` ms of this process's clock, which shows `now`."""
-    kind, encoder = _ENCODERS[type(message)]
-    fields: WireMessage = {"is": kind, **encoder(message, ahead)}
-    if isinstance(message, TIMED):
-        fields["now"] = now + ahead
-    return fields
+    Args:
+        message: The message, with times of this process's clock.
+        now: The time on this process's clock.
+        unix_offset: Unix time minus this process's clock, in ms; added to all times.
+    """
+    if type(message) in _TIMED_ENCODERS:
+        kind, encode_timed = _TIMED_ENCODERS[type(message)]
+        return {"is": kind, **encode_timed(message, unix_offset), "now": now + unix_offset}
+    kind, encode_untimed = _ENCODERS[type(message)]
+    return {"is": kind, **encode_untimed(message)}
 
 
-def _request(message: TakeoverRequest, ahead: float) -> WireMessage:
-    return {"form": message.form, "peers": message.with_peers}
+def _encode_takeover_request(message: TakeoverRequest) -> WireMessage:
+    return {"form": message.version, "peers": message.with_peers}
 
 
-def _delayed(message: TakeoverDelayed, ahead: float) -> WireMessage:
+def _encode_takeover_delayed(_message: TakeoverDelayed) -> WireMessage:
     return {}
 
 
-def _accepted(message: TakeoverAccepted, ahead: float) -> WireMessage:
+def _encode_takeover_accepted(message: TakeoverAccepted) -> WireMessage:
     return {"doors": list(message.listeners), "parks": message.takes_parked}
 
 
-def _released(message: ListenersReleased, ahead: float) -> WireMessage:
-    return {"open": dict(message.connections)}
+def _encode_listeners_released(message: ListenersReleased) -> WireMessage:
+    return {"open": dict(message.connection_counts)}
 
 
-def _load(message: LoadChanged, ahead: float) -> WireMessage:
-    attempts = [[each.worker, each.out, each.work] for each in message.attempts]
+def _encode_load_changed(message: LoadChanged) -> WireMessage:
+    attempts = [[attempts.worker, attempts.count, attempts.work] for attempts in message.attempts]
     return {"ids": dict(message.request_ids), "legs": attempts}
 
 
-def _ban(message: BanChanged, ahead: float) -> WireMessage:
-    since = None if message.since is None else message.since + ahead
+def _encode_parked_batch_taken(message: ParkedBatchTaken) -> WireMessage:
+    return {"door": message.listener, "refused": list(message.refused)}
+
+
+def _encode_parked_departed(message: ParkedDeparted) -> WireMessage:
+    return {"door": message.listener, "keys": list(message.keys)}
+
+
+def _encode_ban_changed(message: BanChanged, offset: float) -> WireMessage:
+    since = None if message.since is None else message.since + offset
     return {"worker": message.worker, "since": since}
 
 
-def _passed(message: ConnectionPassed, ahead: float) -> WireMessage:
+def _encode_connection_passed(message: ConnectionPassed, offset: float) -> WireMessage:
     return {
         "door": message.listener,
         "proven": message.proven,
-        "since": message.since + ahead,
-        "begun": message.begun.decode("latin-1"),
-        "open": dict(message.connections),
+        "since": message.since + offset,
+        "begun": message.buffered.decode("latin-1"),
+        "open": dict(message.connection_counts),
     }
 
 
-def _parked(message: ParkedBatch, ahead: float) -> WireMessage:
+def _encode_parked_batch(message: ParkedBatch, offset: float) -> WireMessage:
     return {
         "door": message.listener,
-        "since": [since + ahead for since in message.since],
-        "open": dict(message.connections),
+        "since": [since + offset for since in message.since],
+        "open": dict(message.connection_counts),
         "keys": list(message.keys),
     }
 
 
-def _batch_taken(message: ParkedBatchTaken, ahead: float) -> WireMessage:
-    return {"door": message.listener, "refused": list(message.refused)}
-
-
-def _departed(message: ParkedDeparted, ahead: float) -> WireMessage:
-    return {"door": message.listener, "keys": list(message.keys)}
-
-
-def _state(state: DispatcherState, ahead: float) -> WireMessage:
+def _encode_dispatcher_state(state: DispatcherState, offset: float) -> WireMessage:
+    learned = None if state.learned is None else encode_learned_state(state.learned, offset)
     fields: WireMessage = {
         "doors": list(state.listeners),
-        "table": _table(state.table, ahead),
-        "bans": {"banned": {name: since + ahead for name, since in state.bans.items()}},
+        "table": _encode_table(state.table, offset),
+        "bans": {"banned": {worker: since + offset for worker, since in state.bans.items()}},
         "ids": list(state.request_ids),
-        "memory": None if state.learnt is None else encode_learnt(state.learnt, ahead),
-        "legs": [[each.worker, each.out] for each in state.attempts],
+        "memory": learned,
+        "legs": [[attempts.worker, attempts.count] for attempts in state.attempts],
     }
     if state.with_peers:
         fields["peers"] = True
     return fields
 
 
-def _table(table: RoutingTableState, ahead: float) -> WireMessage:
-    endpoints = [
-        {**each.listed(), "started": None if each.started is None else each.started + ahead}
-        for each in table.endpoints
-    ]
-    unbanned = [[each.name, each.banned + ahead, each.unbanned + ahead] for each in table.unbanned]
+def _encode_table(table: RoutingTableState, offset: float) -> WireMessage:
     fields: WireMessage = {
         "index": table.index,
         "snapshot": True,
-        "endpoints": endpoints,
-        "cold": unbanned,
+        "endpoints": [_encode_endpoint(endpoint, offset) for endpoint in table.endpoints],
+        "cold": [
+            [worker.name, worker.banned_at + offset, worker.unbanned_at + offset]
+            for worker in table.unbanned_workers
+        ],
     }
-    if table.source_heard is not None:
-        fields["heard"] = table.source_heard + ahead
+    if table.source_heard_at is not None:
+        fields["heard"] = table.source_heard_at + offset
     return fields
 
 
-_ENCODERS: dict[type, tuple[str, Callable[[Any, float], WireMessage]]] = {
-    TakeoverRequest: ("ask", _request),
-    TakeoverDelayed: ("wait", _delayed),
-    DispatcherState: ("state", _state),
-    TakeoverAccepted: ("taken", _accepted),
-    ListenersReleased: ("yours", _released),
-    LoadChanged: ("news", _load),
-    BanChanged: ("ban", _ban),
-    ConnectionPassed: ("client", _passed),
-    ParkedBatch: ("parked", _parked),
-    ParkedBatchTaken: ("got", _batch_taken),
-    ParkedDeparted: ("departed", _departed),
+def _encode_endpoint(endpoint: EndpointRecord, offset: float) -> WireMessage:
+    started = None if endpoint.started_at is None else endpoint.started_at + offset
+    return {**endpoint.to_platform_form(), "started": started}
+
+
+_ENCODERS: dict[type, tuple[MessageKind, Callable[[Any], WireMessage]]] = {
+    TakeoverRequest: (MessageKind.TAKEOVER_REQUEST, _encode_takeover_request),
+    TakeoverDelayed: (MessageKind.TAKEOVER_DELAYED, _encode_takeover_delayed),
+    TakeoverAccepted: (MessageKind.TAKEOVER_ACCEPTED, _encode_takeover_accepted),
+    ListenersReleased: (MessageKind.LISTENERS_RELEASED, _encode_listeners_released),
+    LoadChanged: (MessageKind.LOAD_CHANGED, _encode_load_changed),
+    ParkedBatchTaken: (MessageKind.PARKED_BATCH_TAKEN, _encode_parked_batch_taken),
+    ParkedDeparted: (MessageKind.PARKED_DEPARTED, _encode_parked_departed),
+}
+_TIMED_ENCODERS: dict[type, tuple[MessageKind, Callable[[Any, float], WireMessage]]] = {
+    DispatcherState: (MessageKind.DISPATCHER_STATE, _encode_dispatcher_state),
+    BanChanged: (MessageKind.BAN_CHANGED, _encode_ban_changed),
+    ConnectionPassed: (MessageKind.CONNECTION_PASSED, _encode_connection_passed),
+    ParkedBatch: (MessageKind.PARKED_BATCH, _encode_parked_batch),
 }
--- a/eiderfield/net/handover/fields.py
+++ b/eiderfield/net/handover/fields.py
@@ -1,80 +1,138 @@
-"""Reads fields of a message that came as JSON.
+"""Typed access to the fields of a message that was decoded from JSON.
 
-What is missing or of another type is a `MalformedMessageError`."""
+Every function and method raises `MalformedMessageError` with the name of the field if the value is
+missing or has another type.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
 from math import isfinite
 
-from eiderfield.net.handover.messages import MalformedMessageError
+from eiderfield.net.handover.errors import MalformedMessageError
 
 
-def field(fields: Mapping[str, object], name: str) -> object:
-    """A field that has to be there."""
-    if name not in fields:
-        raise MalformedMessageError(f"{name} is missing")
-    return fields[name]
+class Fields:
+    """The fields of a JSON object."""
+
+    def __init__(self, values: Mapping[str, object]) -> None:
+        """Wraps a decoded object."""
+        self._values = values
+
+    def __contains__(self, name: str) -> bool:
+        """Return whether a field is present."""
+        return name in self._values
+
+    def required(self, name: str) -> object:
+        """Return the value of a field, of whatever type."""
+        if name not in self._values:
+            raise MalformedMessageError(name, "is missing")
+        return self._values[name]
+
+    def flag(self, name: str) -> bool:
+        """Return whether a field is present and true."""
+        return self._values.get(name) is True
+
+    def text(self, name: str) -> str:
+        """Return a text."""
+        return text(self.required(name), name)
+
+    def number(self, name: str) -> float:
+        """Return a finite number."""
+        return number(self.required(name), name)
+
+    def optional_number(self, name: str) -> float | None:
+        """Return a finite number, or None if the field is missing or null."""
+        return optional_number(self._values.get(name), name)
+
+    def integer(self, name: str) -> int:
+        """Return a whole number."""
+        return integer(self.required(name), name)
+
+    def nested(self, name: str) -> Fields:
+        """Return the fields of a nested object."""
+        return Fields(mapping(self.required(name), name))
+
+    def items(self, name: str) -> Mapping[str, object]:
+        """Return a nested object as a mapping."""
+        return mapping(self.required(name), name)
+
+    def objects(self, name: str) -> list[Fields]:
+        """Return the objects of an array."""
+        return [Fields(mapping(value, name)) for value in self.sequence(name)]
+
+    def sequence(self, name: str) -> Sequence[object]:
+        """Return an array."""
+        return sequence(self.required(name), name)
+
+    def rows(self, name: str, length: int) -> list[Sequence[object]]:
+        """Return an array of arrays of `length` values each."""
+        return [row(value, length, name) for value in self.sequence(name)]
+
+    def optional_rows(self, name: str, length: int) -> list[Sequence[object]]:
+        """Return an array of arrays, or nothing if the field is missing."""
+        return self.rows(name, length) if name in self else []
+
+    def texts(self, name: str) -> tuple[str, ...]:
+        """Return an array of texts."""
+        return tuple(text(value, name) for value in self.sequence(name))
+
+    def numbers(self, name: str) -> tuple[float, ...]:
+        """Return an array of finite numbers."""
+        return tuple(number(value, name) for value in self.sequence(name))
+
+    def integers(self, name: str) -> tuple[int, ...]:
+        """Return an array of whole numbers."""
+        return tuple(integer(value, name) for value in self.sequence(name))
+
+    def counts(self, name: str) -> dict[str, int]:
+        """Return an object of whole numbers."""
+        return {key: integer(count, f"{name}.{key}") for key, count in self.items(name).items()}
 
 
 def mapping(value: object, name: str) -> Mapping[str, object]:
-    """A JSON object."""
+    """Return `value` if it is a JSON object."""
     if not isinstance(value, Mapping):
-        raise MalformedMessageError(f"{name} is not an object")
+        raise MalformedMessageError(name, "is not an object")
     return value
 
 
 def sequence(value: object, name: str) -> Sequence[object]:
-    """A JSON array."""
+    """Return `value` if it is a JSON array."""
     if not isinstance(value, list):
-        raise MalformedMessageError(f"{name} is not an array")
+        raise MalformedMessageError(name, "is not an array")
     return value
 
 
 def row(value: object, length: int, name: str) -> Sequence[object]:
-    """A JSON array of a certain length."""
+    """Return `value` if it is a JSON array of `length` values."""
     values = sequence(value, name)
     if len(values) != length:
-        raise MalformedMessageError(f"{name} has {len(values)} values, not {length}")
+        raise MalformedMessageError(name, f"has {len(values)} values, not {length}")
     return values
 
 
 def text(value: object, name: str) -> str:
-    """A text."""
+    """Return `value` if it is a text."""
     if not isinstance(value, str):
-        raise MalformedMessageError(f"{name} is not a text")
+        raise MalformedMessageError(name, "is not a text")
     return value
 
 
 def number(value: object, name: str) -> float:
-    """A finite number."""
+    """Return `value` if it is a finite number."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value):
-        raise MalformedMessageError(f"{name} is not a number")
+        raise MalformedMessageError(name, "is not a number")
     return float(value)
 
 
 def optional_number(value: object, name: str) -> float | None:
-    """A finite number or null."""
+    """Return `value` if it is a finite number or None."""
     return None if value is None else number(value, name)
 
 
 def integer(value: object, name: str) -> int:
-    """A whole number."""
+    """Return `value` if it is a whole number."""
     if isinstance(value, bool) or not isinstance(value, int):
-        raise MalformedMessageError(f"{name} is not a whole number")
+        raise MalformedMessageError(name, "is not a whole number")
     return value
-
-
-def texts(value: object, name: str) -> tuple[str, ...]:
-    """An array of texts."""
-    return tuple(text(each, name) for each in sequence(value, name))
-
-
-def integers(value: object, name: str) -> tuple[int, ...]:
-    """An array of whole numbers."""
-    return tuple(integer(each, name) for each in sequence(value, name))
-
-
-def counts(value: object, name: str) -> dict[str, int]:
-    """An object of whole numbers."""
-    return {key: integer(count, f"{name}.{key}") for key, count in mapping(value, name).items()}
--- /dev/null
+++ b/eiderfield/net/handover/learned_state.py
@@ -0,0 +1,142 @@
+"""Conversion of the policy's learned state: the policy's own values, messages, wire form.
+
+The wire form, which is also the form of the policy's own values:
+
+    pacers    by class: [mean run time, rate, uncut rate, next release]
+    spent     [retry tokens, served rate, its time]
+    cold      [worker, [[time, work], ...]] of each worker in slow start
+    keys      [key, count]
+    slots     [machine kind, slots]
+    erring    [worker, faults, strikes]; missing before revision 731b84e
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from typing import Any
+
+from eiderfield.net.handover.errors import MalformedMessageError
+from eiderfield.net.handover.fields import (
+    Fields,
+    integer,
+    mapping,
+    number,
+    optional_number,
+    row,
+    sequence,
+)
+from eiderfield.net.handover.messages import (
+    KeyCount,
+    KindSlots,
+    LearnedState,
+    OutlierState,
+    PacerState,
+    RecentWork,
+    SentWork,
+)
+from eiderfield.net.handover.sender_clock import SenderClock
+
+MS_PER_SECOND = 1000.0
+
+
+def from_policy(memory: Mapping[str, Any]) -> LearnedState:
+    """Return what `Exchange.memory` returns in typed form."""
+    retry_tokens, served_rate, served_at = memory["spent"]
+    return LearnedState(
+        pacers=tuple(PacerState(*pacer) for pacer in memory["pacers"]),
+        retry_tokens=retry_tokens,
+        served_rate=served_rate,
+        served_at=served_at,
+        recent_work=tuple(
+            RecentWork(worker, tuple(SentWork(*sent) for sent in work)) for worker, work in memory["cold"]
+        ),
+        key_counts=tuple(KeyCount(*entry) for entry in memory["keys"]),
+        slots=tuple(KindSlots(*entry) for entry in memory["slots"]),
+        outliers=tuple(OutlierState(*outlier) for outlier in memory["erring"]),
+    )
+
+
+def to_policy(learned: LearnedState) -> dict[str, Any]:
+    """Return the form that `Exchange.resume` takes."""
+    return encode_learned_state(learned, offset=0.0)
+
+
+def encode_learned_state(learned: LearnedState, offset: float) -> dict[str, Any]:
+    """Return the wire form, with `offset` ms added to all times."""
+    return {
+        "pacers": [_encode_pacer(pacer, offset) for pacer in learned.pacers],
+        "spent": [learned.retry_tokens, learned.served_rate, learned.served_at + offset],
+        "cold": [_encode_recent_work(recent, offset) for recent in learned.recent_work],
+        "keys": [[entry.key, entry.requests] for entry in learned.key_counts],
+        "slots": [[entry.kind, entry.slots] for entry in learned.slots],
+        "erring": [[outlier.worker, outlier.faults, outlier.strikes] for outlier in learned.outliers],
+    }
+
+
+def _encode_pacer(pacer: PacerState, offset: float) -> list[object]:
+    return [pacer.mean_run_time, pacer.rate, pacer.uncut_rate, pacer.next_release_at + offset]
+
+
+def _encode_recent_work(recent: RecentWork, offset: float) -> list[object]:
+    return [recent.worker, [[sent.at + offset, sent.work] for sent in recent.sent]]
+
+
+def decode_learned_state(value: object, sender: SenderClock) -> LearnedState:
+    """Decode the wire form; raises `MalformedMessageError`."""
+    fields = Fields(mapping(value, "memory"))
+    retry_tokens, served_rate, served_at = row(fields.required("spent"), 3, "spent")
+    return LearnedState(
+        pacers=tuple(_decode_pacer(pacer, sender) for pacer in fields.rows("pacers", 4)),
+        retry_tokens=number(retry_tokens, "spent"),
+        served_rate=number(served_rate, "spent"),
+        served_at=sender.past(number(served_at, "spent")),
+        recent_work=tuple(
+            RecentWork(integer(worker, "cold"), _decode_sent_work(work, sender))
+            for worker, work in fields.rows("cold", 2)
+        ),
+        key_counts=tuple(
+            KeyCount(integer(key, "keys"), integer(requests, "keys"))
+            for key, requests in fields.rows("keys", 2)
+        ),
+        slots=tuple(
+            KindSlots(integer(kind, "slots"), number(slots, "slots"))
+            for kind, slots in fields.rows("slots", 2)
+        ),
+        outliers=tuple(
+            OutlierState(integer(worker, "erring"), number(faults, "erring"), integer(strikes, "erring"))
+            for worker, faults, strikes in fields.optional_rows("erring", 3)
+        ),
+    )
+
+
+def _decode_pacer(values: Sequence[object], sender: SenderClock) -> PacerState:
+    mean_run_time, rate, uncut_rate, next_release_at = values
+    limit = optional_number(rate, "pacers")
+    interval = MS_PER_SECOND / limit if limit else 0.0  # from one release to the next
+    return PacerState(
+        mean_run_time=number(mean_run_time, "pacers"),
+        rate=limit,
+        uncut_rate=number(uncut_rate, "pacers"),
+        next_release_at=sender.upcoming(number(next_release_at, "pacers"), interval),
+    )
+
+
+def _decode_sent_work(value: object, sender: SenderClock) -> tuple[SentWork, ...]:
+    rows = [row(values, 2, "cold") for values in sequence(value, "cold")]
+    return tuple(SentWork(sender.latest(number(at, "cold")), number(work, "cold")) for at, work in rows)
+
+
+def past_events(value: object) -> list[float]:
+    """Return the times of past events in the wire form, by the sender's clock.
+
+    A malformed value has none: decoding it reports the error.
+    """
+    try:
+        fields = Fields(mapping(value, "memory"))
+        _, _, served_at = row(fields.required("spent"), 3, "spent")
+        times = [number(served_at, "spent")]
+        for _, work in fields.rows("cold", 2):
+            times += [number(row(sent, 2, "cold")[0], "cold") for sent in sequence(work, "cold")]
+    except MalformedMessageError:
+        return []
+    return [at for at in times if at > 0.0]  # 0 means never
--- a/eiderfield/net/handover/load_updates.py
+++ b/eiderfield/net/handover/load_updates.py
@@ -1,4 +1,4 @@
-"""Tells the other process which request ids are taken here, and how many attempts are out at each worker."""
+"""Updates to the other process on request ids in use and open attempts."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 
 from eiderfield.exchange.timers import Timers
 from eiderfield.idmap import IdMap
-from eiderfield.net.handover.messages import AttemptsOut, LoadChanged
+from eiderfield.net.handover.messages import LoadChanged, OpenAttempts
 
 
 class LoadUpdates:
-    """Collects what the exchange reports until the next tick. It is the exchange's witness."""
+    """Collects changes that the exchange reports and sends them once a tick.
+
+    Implements `exchange.OtherProcess`.
+    """
 
     def __init__(
         self,
@@ -19,38 +22,38 @@
         clock: Callable[[], float],
         send: Callable[[LoadChanged], None],
     ) -> None:
-        """`send` is called with what has changed."""
+        """Creates an empty collection; `send` is called with the changes of a tick."""
         self._ids = ids
         self._timers = timers
         self._clock = clock
         self._send = send
-        self._request_ids: dict[str, bool] = {}  # taken, or free again
-        self._attempts: dict[int, AttemptsOut] = {}
-        self._scheduled = False
+        self._request_ids: dict[str, bool] = {}  # whether each was taken, or released
+        self._attempts: dict[int, OpenAttempts] = {}  # by worker
+        self._flush_scheduled = False
 
     def request_taken(self, id_: str) -> None:
-        """A request with this id has been taken."""
+        """Record that a request with this id was accepted."""
         self._request_ids[id_] = True
-        self._schedule()
+        self._schedule_flush()
 
     def id_released(self, id_: str) -> None:
-        """The id is free again."""
+        """Record that the id can be used again."""
         self._request_ids[id_] = False
-        self._schedule()
+        self._schedule_flush()
 
     def attempts_changed(self, worker: int, out: int, work: float) -> None:
-        """How many attempts are out at a worker now, and the work that was just sent there."""
-        before = self._attempts[worker].work if worker in self._attempts else 0.0
-        self._attempts[worker] = AttemptsOut(self._ids.name(worker), out, before + work)
-        self._schedule()
-
-    def _schedule(self) -> None:
-        if not self._scheduled:
-            self._scheduled = True
+        """Record the open attempts at a worker, and the work that was just sent there."""
+        work_before = self._attempts[worker].work if worker in self._attempts else 0.0
+        self._attempts[worker] = OpenAttempts(self._ids.name(worker), out, work_before + work)
+        self._schedule_flush()
+
+    def _schedule_flush(self) -> None:
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             self._timers.at(self._clock(), self._flush)
 
     def _flush(self) -> None:
-        self._scheduled = False
+        self._flush_scheduled = False
         request_ids, self._request_ids = self._request_ids, {}
         attempts, self._attempts = self._attempts, {}
         self._send(LoadChanged(request_ids, tuple(attempts.values())))
--- /dev/null
+++ b/eiderfield/net/handover/message_kinds.py
@@ -0,0 +1,21 @@
+"""The words by which the wire form names the kinds of messages."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+
+class MessageKind(StrEnum):
+    """The field `is` of a message. The words are those of revision 731b84e."""
+
+    TAKEOVER_REQUEST = "ask"
+    TAKEOVER_DELAYED = "wait"
+    DISPATCHER_STATE = "state"
+    TAKEOVER_ACCEPTED = "taken"
+    LISTENERS_RELEASED = "yours"
+    LOAD_CHANGED = "news"
+    BAN_CHANGED = "ban"
+    CONNECTION_PASSED = "client"
+    PARKED_BATCH = "parked"
+    PARKED_BATCH_TAKEN = "got"
+    PARKED_DEPARTED = "departed"
--- a/eiderfield/net/handover/messages.py
+++ b/eiderfield/net/handover/messages.py
@@ -1,43 +1,56 @@
-"""The messages between two processes of one dispatcher.
+"""Messages between the two processes of a handover.
 
-All times are of the clock of the process that holds the message."""
+All times are in ms of the clock of the process that holds the message; `codec` converts them.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from eiderfield.net.table_state import RoutingTableState
 
+PROTOCOL_VERSION = 1
 
-class HandoverError(ValueError):
-    """The other process cannot be understood, or speaks another form: each goes on by itself."""
 
+class SentWork(NamedTuple):
+    """Work that was sent to a worker."""
 
-class MalformedMessageError(HandoverError):
-    """A message lacks a field, or holds something else there than the form says."""
+    at: float
+    work: float
 
 
-class UnsupportedFormError(HandoverError):
-    """The other process speaks another form of the messages."""
+class KeyCount(NamedTuple):
+    """How many requests of a routing key were received."""
+
+    key: int
+    requests: int
+
+
+class KindSlots(NamedTuple):
+    """The most slots that were seen at a worker of a machine kind."""
+
+    kind: int
+    slots: float
 
 
 @dataclass(slots=True, frozen=True)
 class PacerState:
-    """What a class's release was at."""
+    """The release rate of a request class."""
 
-    run: float  # mean running time
-    rate: float | None  # requests a second, None while nothing limits it
-    uncut_rate: float  # the rate before it was cut
-    next_at: float  # when the next request may be released
+    mean_run_time: float  # ms
+    rate: float | None  # requests a second, None for no limit
+    uncut_rate: float  # requests a second, before the rate was cut
+    next_release_at: float
 
 
 @dataclass(slots=True, frozen=True)
 class RecentWork:
-    """The work that a worker in slow start was sent, each piece with its time."""
+    """The work that was sent to a worker in slow start."""
 
     worker: int
-    sent: tuple[tuple[float, float], ...]
+    sent: tuple[SentWork, ...]
 
 
 @dataclass(slots=True, frozen=True)
@@ -50,57 +63,60 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LearntState:
-    """What the policy has learnt and spent."""
+class LearnedState:
+    """What the policy of a process has learned and spent."""
 
-    pacers: tuple[PacerState, ...]
+    pacers: tuple[PacerState, ...]  # by class
     retry_tokens: float
     served_rate: float  # work served in a ms, averaged
-    served_at: float  # until when
+    served_at: float  # the end of the time that the average covers
     recent_work: tuple[RecentWork, ...]
-    keys: tuple[tuple[int, int], ...]  # requests by key
-    slots: tuple[tuple[int, float], ...]  # most slots seen by kind of worker
+    key_counts: tuple[KeyCount, ...]
+    slots: tuple[KindSlots, ...]
     outliers: tuple[OutlierState, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class TakeoverRequest:
-    """The new process asks the old one to hand over."""
+    """The new process asks the old process to hand over."""
 
-    form: int
-    with_peers: bool  # whether it wants the port to other dispatchers
+    version: int  # of the protocol
+    with_peers: bool  # whether the new process wants the socket for other dispatchers
 
 
 @dataclass(slots=True, frozen=True)
 class TakeoverDelayed:
-    """The old process is itself in the midst of a handover."""
+    """The old process first has to finish the handover from its own predecessor."""
 
 
 @dataclass(slots=True, frozen=True)
-class AttemptsOut:
-    """How many attempts a process has out at a worker, and the work it has sent there since it last told."""
+class OpenAttempts:
+    """The open attempts of a process at one worker."""
 
     worker: str
-    out: int
-    work: float = 0.0
+    count: int
+    work: float = 0.0  # sent there since the last message
 
 
 @dataclass(slots=True, frozen=True)
 class DispatcherState:
-    """The old process's state. The descriptors of its listeners come along, then that of the peers' port."""
+    """The state of the old process.
+
+    Carries the descriptors of the listeners, in their order, then that of the peers' socket.
+    """
 
     listeners: tuple[str, ...]
     table: RoutingTableState
-    bans: Mapping[str, float]
+    bans: Mapping[str, float]  # by worker: when the ban began
     request_ids: tuple[str, ...]
-    attempts: tuple[AttemptsOut, ...]
-    learnt: LearntState | None  # None if it cannot be read
+    attempts: tuple[OpenAttempts, ...]
+    learned: LearnedState | None  # None if it is malformed
     with_peers: bool
 
 
 @dataclass(slots=True, frozen=True)
 class TakeoverAccepted:
-    """The new process has taken these listeners."""
+    """The new process has adopted these listeners."""
 
     listeners: tuple[str, ...]
     takes_parked: bool  # whether it takes parked connections in batches
@@ -108,59 +124,59 @@
 
 @dataclass(slots=True, frozen=True)
 class ListenersReleased:
-    """The old process accepts no more. It has so many connections at each listener."""
+    """The old process has stopped accepting."""
 
-    connections: Mapping[str, int]
+    connection_counts: Mapping[str, int]  # by listener: the connections of the old process
 
 
 @dataclass(slots=True, frozen=True)
 class LoadChanged:
-    """What changed at a process: ids taken (True) or free again, and attempts out."""
+    """Request ids were taken (True) or released (False), or open attempts changed."""
 
     request_ids: Mapping[str, bool]
-    attempts: tuple[AttemptsOut, ...]
+    attempts: tuple[OpenAttempts, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class BanChanged:
-    """An operator has banned a worker, or lifted the ban (None)."""
+    """An operator has banned a worker or lifted its ban."""
 
     worker: str
-    since: float | None
+    since: float | None  # when the ban began, None if it was lifted
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionPassed:
-    """A client's connection, whose descriptor comes along, belongs to the new process."""
+    """A client connection belongs to the new process. Carries its descriptor."""
 
     listener: str
-    proven: bool  # whether it has brought a request
-    since: float  # when it was last answered, or when the message that has begun began
-    begun: bytes  # of that message, read already
-    connections: Mapping[str, int]  # that the old process still has
+    proven: bool  # whether a request has come on it
+    since: float  # when the last response was sent, or when the first of `buffered` was read
+    buffered: bytes  # the part of the next request that was read
+    connection_counts: Mapping[str, int]  # by listener: the connections that the old process keeps
 
 
 @dataclass(slots=True, frozen=True)
 class ParkedBatch:
-    """Parked connections, whose descriptors come along."""
+    """Parked connections for the new process. Carries their descriptors."""
 
     listener: str
-    since: tuple[float, ...]  # when each was last answered
-    keys: tuple[int, ...]  # their names at the old process, if that keeps copies
-    connections: Mapping[str, int]
+    since: tuple[float, ...]  # when the last response was sent on each
+    keys: tuple[int, ...]  # of each connection at the old process, empty if that keeps no copies
+    connection_counts: Mapping[str, int]  # by listener: the connections that the old process keeps
 
 
 @dataclass(slots=True, frozen=True)
 class ParkedBatchTaken:
-    """The new process has taken a batch but for some, by their names."""
+    """The new process has taken a batch of parked connections."""
 
     listener: str
-    refused: tuple[int, ...]
+    refused: tuple[int, ...]  # keys of the connections that it did not take
 
 
 @dataclass(slots=True, frozen=True)
 class ParkedDeparted:
-    """Parked connections, by their names, that only the new process has from now on."""
+    """The old process has to close its copies of some parked connections."""
 
     listener: str
     keys: tuple[int, ...]
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -1,10 +1,10 @@
-"""The new process's side of a handover: it asks, takes the state and the listeners, and takes clients over.
+"""The new process's role in a handover: it asks, takes the state and the listeners, then the connections.
 
-    idle ──(ask)──> asking ──(state taken)──> accepting nothing yet ──(listeners released)──> serving
-                      └──(no answer in time, or the link is lost)──> serving by itself
+    idle ──(ask)──> asking ──(state taken)──> not accepting yet ──(listeners released)──> serving
+                      └──(no answer in time, or link lost)──> serving on its own
 
-What must never happen: a start that waits longer than `PATIENCE`; two processes that accept at one listener;
-a descriptor that is neither served nor closed.
+Invariants: no start waits longer than the timeouts below, no two processes accept at one listener, and each
+descriptor is served or closed.
 """
 
 from __future__ import annotations
@@ -16,8 +16,10 @@
 from eiderfield.exchange.timers import Timer
 from eiderfield.net.clients import ConnectionHandover
 from eiderfield.net.handover.channel import Channel
-from eiderfield.net.handover.learnt import to_policy
+from eiderfield.net.handover.context import HandoverContext
+from eiderfield.net.handover.learned_state import to_policy
 from eiderfield.net.handover.messages import (
+    PROTOCOL_VERSION,
     ConnectionPassed,
     DispatcherState,
     ListenersReleased,
@@ -28,128 +30,126 @@
     TakeoverDelayed,
     TakeoverRequest,
 )
-from eiderfield.net.handover.parts import Parts
 
-FORM = 1  # of the messages; a process that speaks another is no peer
-PATIENCE = 1500.0  # ms for which the new process waits for the old one before it starts by itself
-PATIENCE_DELAYED = 5000.0  # the same where the old one says that the one before it is still ending
+ANSWER_TIMEOUT_MS = 1500.0  # after which the new process starts on its own
+DELAYED_ANSWER_TIMEOUT_MS = 5000.0  # the same after a `TakeoverDelayed`
+_TAKEN = -1  # in a list of descriptors: one that is not to be closed
 
 
 class NewProcess:
     """Takes over from the process at the other end of a channel."""
 
-    def __init__(self, parts: Parts, channel: Channel, share_updates: Callable[[], None]) -> None:
-        """`share_updates` is called when what changes here has to be told from then on."""
-        self._parts = parts
+    def __init__(self, context: HandoverContext, channel: Channel, share_updates: Callable[[], None]) -> None:
+        """Creates the role; `share_updates` starts the updates on this process's load and bans."""
+        self._context = context
         self._channel = channel
         self._share_updates = share_updates
-        self._finished: Callable[[], None] | None = None
+        self._on_finished: Callable[[], None] | None = None
         self._timer: Timer | None = None
-        self._adopted: list[str] = []  # the listeners that came along
+        self._adopted: list[str] = []  # names of the listeners of the old process
 
-    def ask(self, finished: Callable[[], None]) -> None:
-        """Asks for the handover; `finished` is called once it is over, well or not."""
-        self._finished = finished
-        self._wait(PATIENCE)
-        self._channel.send(TakeoverRequest(FORM, with_peers=self._parts.peers is not None))
+    def ask(self, on_finished: Callable[[], None]) -> None:
+        """Ask the old process to hand over; `on_finished` is called after success or failure."""
+        self._on_finished = on_finished
+        self._start_timer(ANSWER_TIMEOUT_MS)
+        self._channel.send(TakeoverRequest(PROTOCOL_VERSION, with_peers=self._context.peers is not None))
 
-    def delayed(self, message: TakeoverDelayed, descriptors: list[int]) -> None:
-        """The old process has to end another handover first."""
+    def extend_timeout(self, _message: TakeoverDelayed) -> None:
+        """Wait longer: the old process first has to finish another handover."""
         if self._timer is not None:
-            self._wait(PATIENCE_DELAYED)
+            self._start_timer(DELAYED_ANSWER_TIMEOUT_MS)
 
-    def take_state(self, message: DispatcherState, descriptors: list[int]) -> None:
-        """Takes the old process's state and listeners, which rest until the old one accepts no more."""
-        if message.with_peers:
+    def take_state(self, state: DispatcherState, descriptors: list[int]) -> None:
+        """Take the old process's state and listeners, without accepting yet."""
+        if state.with_peers:
             self._adopt_peers(socket.socket(fileno=descriptors.pop()))
-        self._adopt_listeners(message.listeners, descriptors)
-        parts = self._parts
-        parts.table.take_over(message.table, message.bans)
-        parts.exchange.update_other_process_ids(message.request_ids, ())
-        for attempts in message.attempts:
-            parts.exchange.update_other_process_attempts(
-                parts.table.ids.worker(attempts.worker), attempts.out, 0.0
-            )
-        if message.learnt is not None:
-            parts.exchange.resume(to_policy(message.learnt), parts.clock())
+        self._adopt_listeners(state.listeners, descriptors)
+        context = self._context
+        context.table.take_over(state.table, state.bans)
+        context.exchange.update_other_process_ids(state.request_ids, ())
+        for attempts in state.attempts:
+            worker = context.table.ids.worker(attempts.worker)
+            context.exchange.update_other_process_attempts(worker, attempts.count, 0.0)
+        if state.learned is not None:
+            context.exchange.resume(to_policy(state.learned), context.clock())
         self._share_updates()
         for name in self._adopted:
-            parts.listeners[name].parking.on_departure = partial(self._tell_departed, name)
+            context.listeners[name].parking.on_departure = partial(self._report_departed, name)
         self._channel.send(TakeoverAccepted(tuple(self._adopted), takes_parked=True))
 
-    def take_listeners(self, message: ListenersReleased, descriptors: list[int]) -> None:
-        """Begins to accept: the old process accepts no more."""
-        self._count(message.connections)
-        self._parts.workers.share_connections(True)
-        if self._parts.peers is not None:
-            self._parts.peers.resume()
+    def start_accepting(self, message: ListenersReleased) -> None:
+        """Accept at the adopted listeners: the old process has stopped."""
+        self._update_counts(message.connection_counts)
+        self._context.workers.share_connections(True)
+        if self._context.peers is not None:
+            self._context.peers.resume()
         for name in self._adopted:
-            self._parts.listeners[name].set_passive(False)
+            self._context.listeners[name].set_passive(False)
         self.finish()
 
     def take_parked(self, message: ParkedBatch, descriptors: list[int]) -> None:
-        """Takes a batch of parked connections. Those for which there is no room go back."""
-        self._count(message.connections)
-        listener = self._parts.listeners[message.listener]
+        """Take a batch of parked connections and return those for which there is no room."""
+        self._update_counts(message.connection_counts)
+        parking = self._context.listeners[message.listener].parking
         refused = []
-        for place, since in enumerate(message.since):
-            key = message.keys[place] if message.keys else None
-            if listener.parking.borrow(descriptors[place], since, key):
-                descriptors[place] = -1
+        for index, since in enumerate(message.since):
+            key = message.keys[index] if message.keys else None
+            if parking.borrow(descriptors[index], since, key):
+                descriptors[index] = _TAKEN
             elif key is not None:
                 refused.append(key)
         self._channel.send(ParkedBatchTaken(message.listener, tuple(refused)))
 
     def take_connection(self, message: ConnectionPassed, descriptors: list[int]) -> None:
-        """Serves a client's connection from now on."""
-        self._count(message.connections)
+        """Serve a client connection from now on."""
+        self._update_counts(message.connection_counts)
         [descriptor] = descriptors
         descriptors.clear()
-        state = ConnectionHandover(message.proven, message.since, message.begun)
-        self._parts.listeners[message.listener].adopt_connection(socket.socket(fileno=descriptor), state)
+        state = ConnectionHandover(message.proven, message.since, message.buffered)
+        self._context.listeners[message.listener].adopt_connection(socket.socket(fileno=descriptor), state)
 
     def finish(self) -> None:
-        """The handover is over, well or not."""
+        """End the wait for the old process and call `on_finished`, once."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        finished, self._finished = self._finished, None
-        if finished is not None:
-            finished()
+        on_finished, self._on_finished = self._on_finished, None
+        if on_finished is not None:
+            on_finished()
 
-    def _wait(self, patience: float) -> None:
+    def _start_timer(self, timeout: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._parts.timers.at(self._parts.clock() + patience, self._give_up)
+        self._timer = self._context.timers.at(self._context.clock() + timeout, self._answer_timed_out)
 
-    def _give_up(self) -> None:
-        self._parts.log("the process before says nothing: this one starts beside it")
+    def _answer_timed_out(self) -> None:
+        self._context.log("handover: no answer from the old process, starting beside it")
         self._channel.end()
 
     def _adopt_peers(self, sock: socket.socket) -> None:
-        if self._parts.peers is None:
+        if self._context.peers is None:
             sock.close()
             return
-        self._parts.peers.open(sock)
-        self._parts.peers.pause()  # until the old one has let go of it
+        self._context.peers.open(sock)
+        self._context.peers.pause()  # until the old process has stopped using it
 
     def _adopt_listeners(self, names: tuple[str, ...], descriptors: list[int]) -> None:
         for name, descriptor in zip(names, descriptors, strict=True):
             sock = socket.socket(fileno=descriptor)
-            listener = self._parts.listeners.get(name)
+            listener = self._context.listeners.get(name)
             if listener is not None and not listener.listening:
-                listener.adopt(self._parts.loop, sock)
-                listener.set_passive(True)  # until the old one has let go of it
+                listener.adopt(self._context.loop, sock)
+                listener.set_passive(True)  # until the old process has stopped accepting
                 self._adopted.append(name)
             else:
                 sock.close()
         descriptors.clear()
 
-    def _tell_departed(self, name: str, keys: list[int]) -> None:
+    def _report_departed(self, name: str, keys: list[int]) -> None:
         self._channel.send(ParkedDeparted(name, tuple(keys)))
 
-    def _count(self, connections: Mapping[str, int]) -> None:
-        """How many connections the old process still has counts within what this one may have."""
-        for name, count in connections.items():
-            if name in self._parts.listeners:
-                self._parts.listeners[name].held_by_other_process = count
+    def _update_counts(self, connection_counts: Mapping[str, int]) -> None:
+        """Count the old process's connections within the limits of this process's listeners."""
+        for name, count in connection_counts.items():
+            if name in self._context.listeners:
+                self._context.listeners[name].held_by_other_process = count
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -1,12 +1,13 @@
-"""The old process's side of a handover: it gives state and listeners away, then clients' connections.
+"""The old process's role in a handover: it sends its state and listeners, then the client connections.
 
-    serving ──(asked)──> state sent ──(taken)──> handed over ──(all clients passed on or gone)──> ended
-                             └──(the link is lost)──> serving
+    serving ──(takeover request)──> state sent ──(takeover accepted)──> handed over ──(no clients)──> ended
+                                        └──(link lost)──> serving
 
-Parked connections follow in batches, each when the one before has been taken; the old process may keep copies
-of them until it ends. At its end it passes on the connections that it still has.
+Parked connections follow in batches, the next one once the last one was taken; the old process may keep
+copies of their descriptors until it ends. When it shuts down it passes the remaining connections.
 
-What must never happen: a connection that both processes read; one that is passed on while an answer is owed.
+Invariants: no two processes read one connection, and no connection is passed while a response on it is
+pending.
 """
 
 from __future__ import annotations
@@ -17,151 +18,159 @@
 
 from eiderfield.net.clients import Detach, Listener
 from eiderfield.net.handover.channel import Channel
-from eiderfield.net.handover.learnt import from_policy
+from eiderfield.net.handover.context import HandoverContext
+from eiderfield.net.handover.errors import UnsupportedVersionError
+from eiderfield.net.handover.learned_state import from_policy
 from eiderfield.net.handover.messages import (
-    AttemptsOut,
+    PROTOCOL_VERSION,
     ConnectionPassed,
     DispatcherState,
     ListenersReleased,
+    OpenAttempts,
     ParkedBatch,
     ParkedBatchTaken,
     ParkedDeparted,
     TakeoverAccepted,
     TakeoverRequest,
-    UnsupportedFormError,
 )
-from eiderfield.net.handover.new_process import FORM
-from eiderfield.net.handover.parts import Parts
 
-BATCH = 100  # parked connections in a message: about 1 ms of work on either side
+MAX_PARKED_BATCH = 100  # connections of a message: about 1 ms of work in either process
 
 
 class OldProcess:
     """Hands over to the process at the other end of a channel."""
 
-    def __init__(self, parts: Parts, channel: Channel, share_updates: Callable[[], None]) -> None:
-        """`share_updates` is called when what changes here has to be told from then on."""
+    def __init__(self, context: HandoverContext, channel: Channel, share_updates: Callable[[], None]) -> None:
+        """Creates the role; `share_updates` starts the updates on this process's load and bans."""
         self.handed_over = False
-        self._parts = parts
+        self._context = context
         self._channel = channel
         self._share_updates = share_updates
-        self._shared: list[str] = []  # the listeners that both processes have
-        self._lends = False  # whether the new process takes batches of parked connections
-        self._lending = False  # whether a batch is on its way
+        self._shared: list[str] = []  # names of the listeners that the new process has too
+        self._sends_batches = False  # whether the new process takes parked connections in batches
+        self._batch_pending = False  # whether a batch was sent and not taken yet
 
     @property
     def flushed(self) -> bool:
-        """Whether the new process has all that was sent to it."""
-        return not self._channel.connected or (self._channel.flushed and not self._lending)
-
-    def send_state(self, message: TakeoverRequest, descriptors: list[int]) -> None:
-        """Answers a request for the handover."""
-        if message.form != FORM:
-            raise UnsupportedFormError(f"the other process speaks form {message.form}, not {FORM}")
-        parts = self._parts
-        sockets = {name: each.fd for name, each in parts.listeners.items() if each.fd is not None}
-        passed = list(sockets.values())
-        with_peers = message.with_peers and parts.peers is not None and parts.peers.sock is not None
-        if with_peers and parts.peers is not None and parts.peers.sock is not None:
-            passed.append(parts.peers.sock.fileno())
-        state = self._state(tuple(sockets), with_peers)
+        """Whether the new process has received everything that was sent."""
+        return not self._channel.connected or (self._channel.flushed and not self._batch_pending)
+
+    def send_state(self, request: TakeoverRequest) -> None:
+        """Answer a takeover request; raises `UnsupportedVersionError`."""
+        if request.version != PROTOCOL_VERSION:
+            raise UnsupportedVersionError(request.version, PROTOCOL_VERSION)
+        context = self._context
+        sockets = {
+            name: listener.fd for name, listener in context.listeners.items() if listener.fd is not None
+        }
+        descriptors = list(sockets.values())
+        peers_socket = context.peers.sock if context.peers is not None and request.with_peers else None
+        if peers_socket is not None:
+            descriptors.append(peers_socket.fileno())
+        state = self._state(tuple(sockets), with_peers=peers_socket is not None)
         self._share_updates()
-        self._channel.send(state, passed)
+        self._channel.send(state, descriptors)
 
     def _state(self, listeners: tuple[str, ...], with_peers: bool) -> DispatcherState:
-        exchange, table = self._parts.exchange, self._parts.table
-        out_at = exchange.open_attempts_per_worker.items()
+        exchange, table = self._context.exchange, self._context.table
+        open_attempts = exchange.open_attempts_per_worker.items()
         return DispatcherState(
             listeners=listeners,
             table=table.state(),
             bans=table.bans.since,
             request_ids=tuple(exchange.request_ids),
-            attempts=tuple(AttemptsOut(table.ids.name(worker), out) for worker, out in out_at),
-            learnt=from_policy(exchange.memory()),
+            attempts=tuple(OpenAttempts(table.ids.name(worker), count) for worker, count in open_attempts),
+            learned=from_policy(exchange.memory()),
             with_peers=with_peers,
         )
 
-    def release_listeners(self, message: TakeoverAccepted, descriptors: list[int]) -> None:
-        """Accepts no more: the new process has taken the listeners."""
-        parts = self._parts
+    def release_listeners(self, message: TakeoverAccepted) -> None:
+        """Stop accepting: the new process has adopted the listeners."""
+        context = self._context
         self.handed_over = True
-        self._shared = [name for name in message.listeners if name in parts.listeners]
+        self._shared = [name for name in message.listeners if name in context.listeners]
         for name in self._shared:
-            parts.listeners[name].set_passive(True)
-        if parts.peers is not None:  # the next one speaks for both
-            parts.peers.pause()
-        parts.workers.share_connections(True)
-        parts.log("another process has taken over; this one serves the clients that it has")
-        self._channel.send(ListenersReleased(self._connections()))
-        self._lends = message.takes_parked
+            context.listeners[name].set_passive(True)
+        if context.peers is not None:  # the new process exchanges messages with peers for both
+            context.peers.pause()
+        context.workers.share_connections(True)
+        context.log(f"handover: taken over, serving remaining clients (listeners={len(self._shared)})")
+        self._channel.send(ListenersReleased(self._connection_counts()))
+        self._sends_batches = message.takes_parked
         for name in self._shared:
-            parts.listeners[name].parking.on_park = self._lend_batch
-        self._lend_batch()
+            context.listeners[name].parking.on_park = self._send_next_batch
+        self._send_next_batch()
 
-    def _lend_batch(self) -> None:
-        """Sends the next batch of parked connections, unless one is on its way."""
-        if not self._lends or self._lending or not self._channel.connected:
+    def _send_next_batch(self) -> None:
+        """Send the next batch of parked connections, unless one is pending."""
+        if not self._sends_batches or self._batch_pending or not self._channel.connected:
             return
         for name in self._shared:
-            listener = self._parts.listeners[name]
-            if batch := listener.parking.lend(BATCH):
-                self._lending = True
+            listener = self._context.listeners[name]
+            if batch := listener.parking.lend(MAX_PARKED_BATCH):
+                self._batch_pending = True
                 self._send_batch(name, listener, batch)
                 return
 
     def _send_batch(self, name: str, listener: Listener, batch: list[tuple[int, float]]) -> None:
-        keys = [descriptor for descriptor, _ in batch]
-        copies = listener.idling.copies
+        descriptors = [descriptor for descriptor, _ in batch]
+        keeps_copies = listener.idling.copies
         message = ParkedBatch(
             listener=name,
             since=tuple(since for _, since in batch),
-            keys=tuple(keys) if copies else (),
-            connections=self._connections(),
+            keys=tuple(descriptors) if keeps_copies else (),
+            connection_counts=self._connection_counts(),
         )
         try:
-            self._channel.send(message, keys)
-        except OSError as error:  # descriptors are short: they go one by one at the end
-            self._parts.log(f"parked connections cannot be passed on in batches: {error}")
-            self._lends = self._lending = False
-            listener.parking.take_back(keys)
+            self._channel.send(message, descriptors)
+        except OSError as error:  # too few descriptors: the connections are passed one by one at the end
+            self._context.log(f"handover: parked connections not passed in batches (error={error})")
+            self._sends_batches = self._batch_pending = False
+            listener.parking.take_back(descriptors)
             return
-        if not copies:
-            listener.parking.close_lent(keys)
-
-    def batch_taken(self, message: ParkedBatchTaken, descriptors: list[int]) -> None:
-        """A batch has come to the new process."""
-        self._lending = False
-        self._parts.listeners[message.listener].parking.take_back(list(message.refused))
-        if message.refused:  # asked again and again, a full listener would have no time for anything else
-            self._lends = False
+        if not keeps_copies:
+            listener.parking.close_lent(descriptors)
+
+    def batch_taken(self, message: ParkedBatchTaken) -> None:
+        """Take back the refused connections of a batch, or send the next one."""
+        self._batch_pending = False
+        self._context.listeners[message.listener].parking.take_back(list(message.refused))
+        if message.refused:  # the new process's listener is full: further batches would only come back
+            self._sends_batches = False
         else:
-            self._lend_batch()
+            self._send_next_batch()
 
-    def parked_departed(self, message: ParkedDeparted, descriptors: list[int]) -> None:
-        """Parked connections of which there are copies here are the new process's alone."""
-        self._parts.listeners[message.listener].parking.close_lent(list(message.keys))
+    def parked_departed(self, message: ParkedDeparted) -> None:
+        """Close the copies of parked connections that are the new process's alone."""
+        self._context.listeners[message.listener].parking.close_lent(list(message.keys))
 
     def pass_clients(self, listeners: list[str]) -> None:
-        """Passes clients' connections on from now on, as soon as nothing is owed on them."""
+        """Pass client connections from now on, each once no response on it is pending."""
         for name in listeners:
             if self.handed_over and name in self._shared:
-                self._parts.listeners[name].successor = partial(self._pass_connection, name)
+                self._context.listeners[name].successor = partial(self._pass_connection, name)
 
     def _pass_connection(self, name: str, detach: Detach) -> bool:
-        # Sent to a process that stands still, it would wait with nobody reading it; there is a next time.
+        # A stalled process would leave a connection that it was sent unread: it is tried again later.
         if not self.flushed or (detached := detach()) is None:
             return False
         state = detached.state
-        message = ConnectionPassed(name, state.proven, state.since, state.begun, self._connections())
+        message = ConnectionPassed(
+            listener=name,
+            proven=state.proven,
+            since=state.since,
+            buffered=state.begun,
+            connection_counts=self._connection_counts(),
+        )
         self._channel.send(message, [detached.descriptor])
         os.close(detached.descriptor)
         return True
 
-    def _connections(self) -> dict[str, int]:
-        return {name: self._parts.listeners[name].connections for name in self._shared}
+    def _connection_counts(self) -> dict[str, int]:
+        return {name: self._context.listeners[name].connections for name in self._shared}
 
     def take_back(self) -> bool:
-        """The new process is gone; gives whether it had taken over."""
+        """Serve alone again after the new process is gone; return whether it had taken over."""
         was_handed_over, self.handed_over = self.handed_over, False
-        self._lends = self._lending = False
+        self._sends_batches = self._batch_pending = False
         return was_handed_over
--- a/eiderfield/net/table_state.py
+++ b/eiderfield/net/table_state.py
@@ -1,6 +1,7 @@
-"""What one process of a dispatcher tells the next of its routing table.
+"""State of the routing table that one process of a dispatcher passes to the next.
 
-All times are of the clock of the process that holds it."""
+All times are in ms of the clock of the process that holds the state.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointRecord:
-    """A worker as discovery last listed it."""
+    """A worker as discovery listed it last."""
 
     name: str
     address: str
@@ -18,11 +19,11 @@
     kind: str
     group: int | str
     weight: float
-    since_ms: float  # Unix time of its start, as announced
-    started: float | None  # its start on this process's clock, if the other process told it
+    since_ms: float  # Unix time of the worker's start, as announced
+    started_at: float | None  # the start on this process's clock, None if the other process did not send it
 
-    def listed(self) -> dict[str, object]:
-        """The worker in the form of discovery's lists."""
+    def to_platform_form(self) -> dict[str, object]:
+        """Return the worker in the JSON form of the platform's lists."""
         return {
             "name": self.name,
             "address": self.address,
@@ -37,21 +38,29 @@
 
 @dataclass(slots=True, frozen=True)
 class UnbannedWorker:
-    """A worker that is taken to have been restarted while it was banned."""
+    """A worker that may have been restarted during its ban."""
 
     name: str
-    banned: float
-    unbanned: float
+    banned_at: float
+    unbanned_at: float
 
 
 @dataclass(slots=True, frozen=True)
 class RoutingTableState:
-    """A routing table with all workers that were ever listed."""
+    """A routing table with all workers that were ever listed.
+
+    Attributes:
+        index: The version of the last list.
+        endpoints: The workers as they were listed last.
+        unbanned_workers: Workers that count as started when their ban ended.
+        source_heard_at: When discovery last sent a list or a heartbeat.
+        announced_offset: Unix time minus this process's clock, in ms, when the starts were announced, as
+        far as the
+            other process's clock shows it; None if the state holds the starts themselves.
+    """
 
     index: int
     endpoints: tuple[EndpointRecord, ...]
-    unbanned: tuple[UnbannedWorker, ...]
-    source_heard: float | None  # when discovery was last heard
-    # By how much Unix time was ahead of this process's clock when starts were announced, as far as the other
-    # process's clock shows that; None if it told the starts themselves.
+    unbanned_workers: tuple[UnbannedWorker, ...]
+    source_heard_at: float | None
     announced_offset: float | None = None
--- a/eiderfield/program/program.py
+++ b/eiderfield/program/program.py
@@ -16,7 +16,7 @@
 from eiderfield.net.bans import thread_runner
 from eiderfield.net.clients import RequestFront
 from eiderfield.net.descriptors import ConnectionLimits, allowed_descriptors
-from eiderfield.net.handover import Handover
+from eiderfield.net.handover import Handover, HandoverContext
 from eiderfield.net.loop import Driver
 from eiderfield.program.core import Core, CorePart, make_core
 from eiderfield.program.discovery import DiscoveryPart
@@ -153,14 +153,14 @@
 
 
 def _make_handover(core: Core, loop: asyncio.AbstractEventLoop, bound: list[BoundListener]) -> Handover:
-    return Handover(
-        loop,
-        core.exchange,
-        core.table,
-        core.workers,
-        {each.name: each.listener for each in bound},
-        core.driver.wheel,
-        core.clock,
-        log,
-        core.wall,
+    context = HandoverContext(
+        loop=loop,
+        exchange=core.exchange,
+        table=core.table,
+        workers=core.workers,
+        listeners={each.name: each.listener for each in bound},
+        timers=core.driver.wheel,
+        clock=core.clock,
+        log=log,
     )
+    return Handover(context, core.wall)
--- a/eiderfield/program/takeover.py
+++ b/eiderfield/program/takeover.py
@@ -45,7 +45,7 @@
         self._socket_path = socket_path
         self._peers = peers
         self._link_listener = LinkListener(loop, socket_path, handover.accept)
-        handover.successor_lost = self.listen
+        handover.on_successor_lost = self.listen
 
     async def start(self) -> None:
         """Lets the next process find this one."""
--- a/tests/support/handover.py
+++ b/tests/support/handover.py
@@ -4,7 +4,7 @@
 import os
 import socket
 
-from eiderfield.net.handover import Handover
+from eiderfield.net.handover import Handover, HandoverContext
 from support.memory_dispatcher import InMemoryDispatcher
 
 LISTEN = "listen 127.0.0.1:1"
@@ -57,17 +57,17 @@
         self.dispatcher = InMemoryDispatcher(**more)
         self.loop = Loop()
         d = self.dispatcher
-        self.handover = Handover(
-            self.loop,
-            d.exchange,
-            d.table,
-            d.side,
-            {LISTEN: d.listener},
-            d.wheel,
-            d.clock,
-            d.logged.append,
-            d.wall,
+        context = HandoverContext(
+            loop=self.loop,
+            exchange=d.exchange,
+            table=d.table,
+            workers=d.side,
+            listeners={LISTEN: d.listener},
+            timers=d.wheel,
+            clock=d.clock,
+            log=d.logged.append,
         )
+        self.handover = Handover(context, d.wall)
         self.done = False
 
     def settle(self):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,7 +21,7 @@
 from eiderfield.interface import EndpointState, pack_counts, unpack_counts
 from eiderfield.lab.ports import free_port
 from eiderfield.net.clients.listener import ACCEPTED_PER_TURN
-from eiderfield.net.handover.new_process import PATIENCE, PATIENCE_DELAYED
+from eiderfield.net.handover.new_process import ANSWER_TIMEOUT_MS, DELAYED_ANSWER_TIMEOUT_MS
 from eiderfield.net.link_socket import LinkListener, connect_link
 
 ENVELOPE = Struct("<BIH")  # of messages between dispatchers
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize("when", ["after the question", "after the state", "when all is given"])
 def test_the_old_process_serves_on_if_the_new_one_dies(pair, when):
     heard = []
-    pair.old.handover.successor_lost = lambda: heard.append(True)
+    pair.old.handover.on_successor_lost = lambda: heard.append(True)
     if when == "after the state":
         pair.wires[1].deliver()
     elif when == "when all is given":
@@ -226,7 +226,7 @@
 
 
 def test_a_process_that_says_nothing_is_not_waited_for(pair):
-    pair.new.dispatcher.advance(PATIENCE + 8.0)
+    pair.new.dispatcher.advance(ANSWER_TIMEOUT_MS + 8.0)
     assert pair.new.done
     assert not pair.wires[1].open
 
@@ -243,7 +243,7 @@
     assert not other.open, "one may wait"
     there.deliver()
     here.deliver()
-    third.dispatcher.advance(PATIENCE + 8.0)
+    third.dispatcher.advance(ANSWER_TIMEOUT_MS + 8.0)
     assert here.open
     assert not third.done
     pair.part(0)
@@ -258,7 +258,7 @@
 
 def test_a_process_that_waits_waits_no_longer_than_its_patience(pair):
     pair.wires[1].receive({"is": "wait"}, [])
-    pair.new.dispatcher.advance(PATIENCE_DELAYED + 8.0)
+    pair.new.dispatcher.advance(DELAYED_ANSWER_TIMEOUT_MS + 8.0)
     assert pair.new.done
 
 
@@ -347,7 +347,7 @@
     assert new.done
     assert new.takes()
     assert wire.open
-    assert not [line for line in new.dispatcher.logged if "read" in line]
+    assert [line for line in new.dispatcher.logged if line.startswith("handover:")] == []
     assert new.dispatcher.listener.held_by_other_process == 3
     assert new.dispatcher.exchange.has_request("held")
     assert state(new, 1) == EndpointState.READY
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -13,8 +13,8 @@
 from support.real_sockets import IDLING, ListenerHarness, SocketClient, message, play
 
 from eiderfield.net.clients import ConnectionHandover
-from eiderfield.net.handover import Handover
-from eiderfield.net.handover.old_process import BATCH
+from eiderfield.net.handover import Handover, HandoverContext
+from eiderfield.net.handover.old_process import MAX_PARKED_BATCH
 
 COPIES = replace(IDLING, copies=True)
 
@@ -43,18 +43,17 @@
         here.peer, there.peer = there, here
         for harness in self.harnesses:
             d = harness.dispatcher
-            self.ends.append(
-                Handover(
-                    self.loop,
-                    d.exchange,
-                    d.table,
-                    d.side,
-                    {LISTEN: d.listener},
-                    d.wheel,
-                    d.clock,
-                    d.logged.append,
-                )
+            context = HandoverContext(
+                loop=self.loop,
+                exchange=d.exchange,
+                table=d.table,
+                workers=d.side,
+                listeners={LISTEN: d.listener},
+                timers=d.wheel,
+                clock=d.clock,
+                log=d.logged.append,
             )
+            self.ends.append(Handover(context))
         self.ends[0].accept(here)
         self.ends[1].take_over(there, lambda: None)
 
@@ -102,7 +101,7 @@
 
 @pytest.fixture
 def removal():
-    removal = Removal(3 * BATCH + 7)
+    removal = Removal(3 * MAX_PARKED_BATCH + 7)
     yield removal
     removal.close()
 
@@ -132,10 +131,10 @@
     for _ in range(100):
         on_its_way = sum(len(fds) for wire in removal.wires for _, fds in wire.sent)
         seen = max(seen, on_its_way)
-        assert on_its_way <= BATCH
+        assert on_its_way <= MAX_PARKED_BATCH
         if not removal.step():
             break
-    assert seen == BATCH
+    assert seen == MAX_PARKED_BATCH
 
 
 @pytest.mark.parametrize("steps", [3, 4, 5, 6, 8, 50])
@@ -158,10 +157,10 @@
 
 
 def test_without_copies_nothing_counts_twice_and_nothing_is_lost_in_a_usual_upgrade():
-    removal = Removal(BATCH + 5, IDLING)
+    removal = Removal(MAX_PARKED_BATCH + 5, IDLING)
     removal.go()
     assert removal.old.listener.figures()["lent"] == 0
-    assert removal.new.listener.parked == BATCH + 5
+    assert removal.new.listener.parked == MAX_PARKED_BATCH + 5
     removal.kill(0)
     assert asked(removal, removal.clients[0], "r") == [200]
     removal.close()
@@ -187,10 +186,10 @@
 
 
 def test_what_the_new_process_has_no_room_for_stays_until_the_old_one_ends():
-    removal = Removal(BATCH + 50, room=BATCH)
+    removal = Removal(MAX_PARKED_BATCH + 50, room=MAX_PARKED_BATCH)
     removal.go()
     assert removal.new.listener.parked == 50, "both are one dispatcher"
-    assert removal.old.listener.parked == BATCH
+    assert removal.old.listener.parked == MAX_PARKED_BATCH
     assert asked(removal, removal.clients[0], "r") == [200], "at the old process"
     removal.ends[0].pass_clients([LISTEN])
     for _ in range(40):
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -14,7 +14,7 @@
 from eiderfield.net.clock import WallClock
 from eiderfield.net.handover import messages as m
 from eiderfield.net.handover.codec import Codec
-from eiderfield.net.handover.messages import MalformedMessageError
+from eiderfield.net.handover.errors import MalformedMessageError
 from eiderfield.net.table_state import EndpointRecord, UnbannedWorker
 
 NAMES = sorted(path.stem for path in GOLDEN.glob("*.json"))
@@ -68,7 +68,7 @@
     "taken": m.TakeoverAccepted((LISTEN,), True),
     "yours": m.ListenersReleased({LISTEN: 5}),
     "news": m.LoadChanged({"new": True}, ()),
-    "news-attempts": m.LoadChanged({}, (m.AttemptsOut("w1", 1, 120.0),)),
+    "news-attempts": m.LoadChanged({}, (m.OpenAttempts("w1", 1, 120.0),)),
     "ban": m.BanChanged("w1", START + 120.0),
     "ban-end": m.BanChanged("w1", None),
     "client": m.ConnectionPassed(LISTEN, True, START - 828.0, b"", {LISTEN: 5}),
@@ -100,10 +100,10 @@
     assert state.listeners == (LISTEN,)
     assert state.with_peers == (name == "state-peers")
     assert set(state.request_ids) == {"held1", "held2", "held3", "keyed"}
-    assert state.attempts == (m.AttemptsOut("w1", 1),)
+    assert state.attempts == (m.OpenAttempts("w1", 1),)
     assert state.bans == {"w2": START}
     assert state.table.index == 3
-    assert state.table.unbanned == (UnbannedWorker("w6", START, STATE_AT),)
+    assert state.table.unbanned_workers == (UnbannedWorker("w6", START, STATE_AT),)
     started = None if revision == "731b84e" else START - 100.0
     slow = EndpointRecord("w3", "127.0.0.1:3", "SERVING", "z1", "", 0, 1.0, START - 100.0, started)
     assert state.table.endpoints[2] == slow
@@ -111,14 +111,14 @@
     assert statuses == {"w4": "DRAINING", "w5": "DELETED"} | dict.fromkeys(
         ("w1", "w2", "w3", "w6"), "SERVING"
     )
-    learnt = state.learnt
-    assert learnt.pacers[0] == m.PacerState(120.0, 4.0, 20.0, START + 290.0)
-    assert learnt.pacers[1] == learnt.pacers[2] == m.PacerState(0.0, None, 0.0, 0.0)
-    assert (learnt.retry_tokens, learnt.served_rate, learnt.served_at) == (5.0, 0.75, STATE_AT)
-    assert learnt.recent_work == (m.RecentWork(964320697, ((START + 10.0, 80.0),)),)
-    assert learnt.keys == ((11087761916137914656, 4), (11534753796086380509, 1))
-    assert learnt.slots == ((0, 2.0),)
-    assert learnt.outliers == (m.OutlierState(797615265, 2.0, 1),)
+    learned = state.learned
+    assert learned.pacers[0] == m.PacerState(120.0, 4.0, 20.0, START + 290.0)
+    assert learned.pacers[1] == learned.pacers[2] == m.PacerState(0.0, None, 0.0, 0.0)
+    assert (learned.retry_tokens, learned.served_rate, learned.served_at) == (5.0, 0.75, STATE_AT)
+    assert learned.recent_work == (m.RecentWork(964320697, ((START + 10.0, 80.0),)),)
+    assert learned.key_counts == ((11087761916137914656, 4), (11534753796086380509, 1))
+    assert learned.slots == ((0, 2.0),)
+    assert learned.outliers == (m.OutlierState(797615265, 2.0, 1),)
 
 
 @revisions
@@ -163,7 +163,7 @@
     module.take_over = lambda handover, link, finished: handover.take_over(link, finished)
     module.pass_connection = pass_connection
     module.teach = teach
-    module.tell_departed = lambda handover, keys: handover._new._tell_departed(LISTEN, keys)
+    module.tell_departed = lambda handover, keys: handover._new._report_departed(LISTEN, keys)
     accept_all, park = module.accept_all, module.park
 
     def accept_by_present_names(side, room):
@@ -225,11 +225,11 @@
             codec(LATER).decode(cut)
 
 
-def test_what_cannot_be_read_of_the_learnt_state_is_left_out_and_named():
+def test_what_cannot_be_read_of_the_learned_state_is_left_out_and_named():
     message, _ = recorded("731b84e", "state")
     logged = []
     state = codec(STATE_AT, logged).decode({**message, "memory": {**message["memory"], "spent": [1.0]}})
-    assert state.learnt is None
+    assert state.learned is None
     assert state.listeners
     assert "spent" in logged[0]
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -516,17 +516,19 @@
 def test_a_step_before_the_handover_of_731b84e_makes_nothing_wait(step):
     """It would have held the first class back for an hour."""
     state, process = from_731b84e(step)
-    pacer = state.learnt.pacers[0]
-    assert process.now <= pacer.next_at <= process.now + 1000.0 / pacer.rate
-    assert state.learnt.served_at <= process.now
+    pacer = state.learned.pacers[0]
+    assert process.now <= pacer.next_release_at <= process.now + 1000.0 / pacer.rate
+    assert state.learned.served_at <= process.now
     assert all(since <= process.now for since in state.bans.values())
-    assert all(each.banned <= each.unbanned <= process.now for each in state.table.unbanned)
+    assert all(
+        worker.banned_at <= worker.unbanned_at <= process.now for worker in state.table.unbanned_workers
+    )
 
 
 @steps
 def test_work_that_731b84e_has_just_sent_to_a_worker_in_slow_start_is_not_sent_again(step):
     state, process = from_731b84e(step)
-    [(at, _)] = state.learnt.recent_work[0].sent
+    [(at, _)] = state.learned.recent_work[0].sent
     assert process.now - at == 30.0
 
 
@@ -558,8 +560,8 @@
 
 def test_the_state_of_731b84e_is_exact_where_no_step_was():
     state, process = from_731b84e(0.0, elapsed=50.0)
-    assert state.learnt.served_at == process.now - 50.0
-    assert state.table.unbanned[0].unbanned == process.now - 50.0
+    assert state.learned.served_at == process.now - 50.0
+    assert state.table.unbanned_workers[0].unbanned_at == process.now - 50.0
 
 
 @steps
