--- a/eiderfield/__main__.py
+++ b/eiderfield/__main__.py
@@ -14,7 +14,8 @@
 from collections.abc import Callable, Sequence
 from functools import partial
 
-from eiderfield.config import Config, ConfigError, load
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.loader import Config, load
 from eiderfield.net.clock import MonotonicClock
 from eiderfield.net.selector import new_event_loop
 from eiderfield.program.log import log
@@ -51,7 +52,7 @@
     try:
         read = partial(load, os.environ, options.config)
         with asyncio.Runner(loop_factory=new_event_loop) as runner:
-            runner.run(serve(read(), partial(read, again=True), hung_up))
+            runner.run(serve(read(), partial(read, reload=True), hung_up))
     except ConfigError as error:
         log(str(error))
         return EXIT_FAULTY_CONFIGURATION
--- a/eiderfield/cli/jobs.py
+++ b/eiderfield/cli/jobs.py
@@ -132,7 +132,8 @@
     """
     import http.client
 
-    from eiderfield.config import ConfigError, address_of
+    from eiderfield.config.address import parse_address
+    from eiderfield.config.errors import ConfigError
 
     known = _inspect(folder).job(id_)
     if known is None or not known.is_dead:
@@ -142,7 +143,7 @@
     if record.may_have_run and not anyway:
         raise click.ClickException(f"job {id_!r} may have run: --anyway asks for it all the same")
     try:
-        host, port = address_of(address, "--to")
+        host, port = parse_address(address, "--to")
     except ConfigError as error:
         raise click.UsageError(str(error)) from None
     again = f"{id_}~{record.generation}.{int(time.time())}"
--- a/eiderfield/cli/rollout.py
+++ b/eiderfield/cli/rollout.py
@@ -32,7 +32,7 @@
 @click.option("--json", "as_json", is_flag=True, help="for other tools")
 def plan(file: Path, as_json: bool) -> None:
     """Checks the plan in FILE and shows what each stage will do. Exits with 2 and one line on a fault."""
-    from eiderfield.config import ConfigError
+    from eiderfield.config.errors import ConfigError
     from eiderfield.rollout.plan_file import parse_plan
 
     try:
@@ -75,7 +75,7 @@
 
     An interrupted one stays where it is; `resume` and `undo` go on from there.
     """
-    from eiderfield.config import ConfigError
+    from eiderfield.config.errors import ConfigError
     from eiderfield.rollout.controller import begin
     from eiderfield.rollout.journal import JournalError
 
--- /dev/null
+++ b/eiderfield/config/errors.py
@@ -0,0 +1,18 @@
+"""Error of a faulty configuration."""
+
+from __future__ import annotations
+
+
+class ConfigError(ValueError):
+    """A setting is missing or wrong.
+
+    Attributes:
+        key: Full name of the faulty setting, empty if the fault is not that of one setting.
+        source: What the file holds, None if it could not be parsed.
+    """
+
+    def __init__(self, message: str, *, key: str = "") -> None:
+        """`message` names the key where there is one."""
+        super().__init__(message)
+        self.key = key
+        self.source: object = None
--- a/eiderfield/durable_requests/settings.py
+++ b/eiderfield/durable_requests/settings.py
@@ -5,8 +5,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.reader import TableReader
 from eiderfield.interface import Settings
-from eiderfield.settings_table import ConfigError, Tree
 
 TICKS = 12.0  # ticks of a member within a lease
 DRIFT = 0.05  # share of a lease by which two monotonic clocks may drift within it, and a tick may come late
@@ -38,7 +39,7 @@
         return self.lease * DRIFT + self.tick
 
 
-def read(table: Tree, site: Settings) -> DurableRequestSettings:
+def read(table: TableReader, site: Settings) -> DurableRequestSettings:
     """The settings out of the table; `ConfigError` begins with the faulty key."""
     usual = DurableRequestSettings(Path(), frozenset())
     found = DurableRequestSettings(
@@ -46,9 +47,9 @@
         classes=_classes(table, site),
         lease=table.number("lease_ms", usual.lease, 300.0, 600_000.0),
         keep=table.number("keep_ms", usual.keep, 0.0, 30 * 86_400_000.0),
-        most_final=table.whole("finished_most", usual.most_final, 0, 10_000_000),
-        most_bytes=table.whole("memory_mb", usual.most_bytes // MEBIBYTE, 1, 1_000_000) * MEBIBYTE,
-        most_waiting=table.whole("queue_most", usual.most_waiting, 1, 1_000_000),
+        most_final=table.integer("finished_most", usual.most_final, 0, 10_000_000),
+        most_bytes=table.integer("memory_mb", usual.most_bytes // MEBIBYTE, 1, 1_000_000) * MEBIBYTE,
+        most_waiting=table.integer("queue_most", usual.most_waiting, 1, 1_000_000),
         takeover_rate=table.number("takeover_per_s", usual.takeover_rate, 1.0, 1_000_000.0),
         flush=table.flag("flush", usual.flush),
     )
@@ -58,18 +59,18 @@
             f"{table.key('lease_ms')} is not below the shortest give-up time of a kept class, {shortest:g}: "
             "what a lost dispatcher had could never be answered in time"
         )
-    table.nothing_else()
+    table.reject_unknown_keys()
     return found
 
 
-def _folder(table: Tree) -> Path:
+def _folder(table: TableReader) -> Path:
     folder = Path(table.text("folder"))
     if not folder.is_absolute():
         raise ConfigError(f"{table.key('folder')} is not an absolute path: {str(folder)!r}")
     return folder
 
 
-def _classes(table: Tree, site: Settings) -> frozenset[int]:
+def _classes(table: TableReader, site: Settings) -> frozenset[int]:
     numbers = {cls.name: number for number, cls in enumerate(site.classes)}
     names = table.raw("classes")
     if not isinstance(names, list) or not names:
--- a/eiderfield/lab/fleet/backends.py
+++ b/eiderfield/lab/fleet/backends.py
@@ -11,7 +11,7 @@
 from functools import partial
 from pathlib import Path
 
-from eiderfield.config import address_of
+from eiderfield.config.address import parse_address
 from eiderfield.lab.fleet.commands import (
     OPEN,
     READY,
@@ -69,11 +69,11 @@
         loop = asyncio.get_running_loop()
         for dispatcher, ports in command.ports.items():
             for name, address in ports.items():
-                host, port = address_of(address, name)
+                host, port = parse_address(address, name)
                 make = partial(WorkerConnection, self._workers[name], dispatcher)
                 await loop.create_server(make, host, port, backlog=BACKLOG)
         for dispatcher, address in command.discovery_ports.items():
-            host, port = address_of(address, dispatcher)
+            host, port = parse_address(address, dispatcher)
             await asyncio.start_server(partial(self._discovery.serve, dispatcher), host, port)
         announce(OPEN)
 
--- a/eiderfield/lab/fleet/consul.py
+++ b/eiderfield/lab/fleet/consul.py
@@ -12,7 +12,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from eiderfield.config import address_of
+from eiderfield.config.address import parse_address
 from eiderfield.lab.fleet.discovery import Addresses, Discovery
 from eiderfield.lab.fleet.event_log import EventLogWriter
 from eiderfield.lab.fleet.workers import DELETED, SERVING, Worker
@@ -77,7 +77,7 @@
 
 def instance_of(entry: dict[str, Any]) -> dict[str, Any]:
     """An entry of the endpoint list as Consul's health API names it."""
-    host, port = address_of(entry["address"], entry["name"])
+    host, port = parse_address(entry["address"], entry["name"])
     status = "passing" if entry["status"] == SERVING else "critical"
     meta = {"zone": entry["zone"], "type": entry["type"], "group": str(entry["group"])}
     if entry["since_ms"]:
--- a/eiderfield/lab/fleet/controller_process.py
+++ b/eiderfield/lab/fleet/controller_process.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 from eiderfield.rollout.controller import Controller
 from eiderfield.rollout.journal import JournalError
 from eiderfield.rollout.processes import ProcessManager
--- a/eiderfield/lab/fleet/dispatcher.py
+++ b/eiderfield/lab/fleet/dispatcher.py
@@ -15,7 +15,7 @@
 import psutil
 import tomlkit
 
-from eiderfield.config import address_of
+from eiderfield.config.address import parse_address
 from eiderfield.lab.fleet.child import ROOT
 from eiderfield.lab.processes import LabError, call_console, wait_for
 
@@ -47,7 +47,7 @@
         self.name = name
         self.program = program
         self.folder = folder
-        self.consoles = [address_of(text, name) for text in (config["console"], spare_console) if text]
+        self.consoles = [parse_address(text, name) for text in (config["console"], spare_console) if text]
         self.console = self.consoles[0]
         self.config = config
         self.config_path = folder / f"{name}.toml"
@@ -113,7 +113,7 @@
             self._child.poll()
         if found and (self._child is None or found[-1].pid != self._child.pid):
             self._adopted = found[-1]
-            self.console = address_of(self._adopted.environ().get("LB_CONSOLE", ""), self.name)
+            self.console = parse_address(self._adopted.environ().get("LB_CONSOLE", ""), self.name)
         elif found:
             self._adopted, self.console = None, self.consoles[0]
 
--- a/eiderfield/lab/fleet/fleet.py
+++ b/eiderfield/lab/fleet/fleet.py
@@ -20,7 +20,7 @@
 
 import structlog
 
-from eiderfield.config import Address, address_of
+from eiderfield.config.address import Address, parse_address
 from eiderfield.lab.fleet.addresses import AddressPool
 from eiderfield.lab.fleet.child import ANNOUNCEMENT_TIMEOUT_S, StandInProcess
 from eiderfield.lab.fleet.commands import (
@@ -214,7 +214,7 @@
 
     def _batch_config(self, name: str) -> dict[str, Any]:
         address = self._pool.take()
-        self.batch_addresses[name] = address_of(address, name)
+        self.batch_addresses[name] = parse_address(address, name)
         return {"enabled": True, "listen": address}
 
     def _start_dispatchers(self) -> None:
--- a/eiderfield/lab/fleet/proxy.py
+++ b/eiderfield/lab/fleet/proxy.py
@@ -17,7 +17,7 @@
 import struct
 from contextlib import suppress
 
-from eiderfield.config import address_of
+from eiderfield.config.address import parse_address
 from eiderfield.lab.fleet.commands import (
     LISTENING,
     READY,
@@ -159,8 +159,8 @@
 
     async def _open(self, command: OpenLinks) -> None:
         for name, (listen_address, target) in command.links.items():
-            link = self._links[name] = Link(name, address_of(target, name))
-            host, port = address_of(listen_address, name)
+            link = self._links[name] = Link(name, parse_address(target, name))
+            host, port = parse_address(listen_address, name)
             await asyncio.start_server(link.accept, host, port, backlog=BACKLOG)
         announce(LISTENING)
 
--- a/eiderfield/lab/fleet/rollout_change.py
+++ b/eiderfield/lab/fleet/rollout_change.py
@@ -10,7 +10,7 @@
 
 import tomlkit
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 from eiderfield.lab.fleet.child import ROOT
 from eiderfield.lab.fleet.dispatcher import START_ARGUMENTS, Dispatcher
 from eiderfield.lab.fleet.faulty_programs import NO_FAULT
--- a/eiderfield/lab/fleet/rollout_supervisor.py
+++ b/eiderfield/lab/fleet/rollout_supervisor.py
@@ -20,7 +20,7 @@
 
 import psutil
 
-from eiderfield.config import digest_of
+from eiderfield.config.source import source_digest
 from eiderfield.lab.fleet.child import ROOT
 from eiderfield.lab.fleet.dispatcher import Dispatcher
 from eiderfield.lab.fleet.fleet import Fleet
@@ -192,7 +192,7 @@
         digest = json.loads(call_console(dispatcher.console, "/-/config")[1])["digest"]
         for version in VERSIONS:
             text = (self._folder / "settings" / f"{dispatcher.name}.{version}").read_text()
-            if digest == digest_of(tomllib.loads(text)):
+            if digest == source_digest(tomllib.loads(text)):
                 return version
         return "none"
 
--- a/eiderfield/lab/fleet/topology.py
+++ b/eiderfield/lab/fleet/topology.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from eiderfield.config import Address, address_of
+from eiderfield.config.address import Address, parse_address
 from eiderfield.lab.fleet.addresses import AddressPool
 from eiderfield.lab.fleet.scenario import Scenario
 
@@ -42,4 +42,4 @@
 
     def client_addresses(self) -> dict[str, Address]:
         """Where clients reach the dispatchers."""
-        return {name: address_of(self.links[f"c>{name}"][0], name) for name in self.listen}
+        return {name: parse_address(self.links[f"c>{name}"][0], name) for name in self.listen}
--- a/eiderfield/lab/idle_clients.py
+++ b/eiderfield/lab/idle_clients.py
@@ -24,7 +24,7 @@
 import click
 from hdrh.histogram import HdrHistogram
 
-from eiderfield.config import address_of
+from eiderfield.config.address import parse_address
 from eiderfield.lab.idle_commands import (
     Command,
     Connect,
@@ -326,7 +326,7 @@
 @click.option("--seed", default=1)
 def main(target: str, base: str, addresses: int, cls: str, name: str, seed: int) -> None:
     """Opens and holds connections as it is told on standard input."""
-    clients = IdleClients(address_of(target, "--target"), sources(base, addresses), cls, name, seed)
+    clients = IdleClients(parse_address(target, "--target"), sources(base, addresses), cls, name, seed)
     for line in sys.stdin:
         click.echo(encode_report(clients.carry_out(decode_command(line))))
         sys.stdout.flush()
--- a/eiderfield/lab/stream.py
+++ b/eiderfield/lab/stream.py
@@ -21,7 +21,7 @@
 import click
 from hdrh.histogram import HdrHistogram
 
-from eiderfield.config import address_of
+from eiderfield.config.address import parse_address
 from eiderfield.lab.wire import Reader, job_bytes
 from eiderfield.net.http import MalformedMessageError
 
@@ -172,7 +172,7 @@
 @click.option("--name", default="stream", help="the beginning of each job's id")
 def main(target: str, rate: float, seconds: float, cls: str, source: str, name: str) -> None:
     """Sends a stream of jobs and reports their latencies as JSON."""
-    stream = Stream(address_of(target, "--target"), rate, cls, source, name)
+    stream = Stream(parse_address(target, "--target"), rate, cls, source, name)
     stream.run(seconds)
     click.echo(stream.report().to_line())
 
--- a/eiderfield/lab/worker.py
+++ b/eiderfield/lab/worker.py
@@ -9,7 +9,7 @@
 
 import click
 
-from eiderfield.config import address_of
+from eiderfield.config.address import parse_address
 from eiderfield.lab.wire import Reader, result_bytes
 
 BACKLOG = 1024  # connections that wait at a listener
@@ -56,7 +56,7 @@
 @click.option("--delay", default=0.0, help="ms from a job's last byte to its answer")
 def main(addresses: tuple[str, ...], delay: float) -> None:
     """Runs a stand-in worker."""
-    asyncio.run(serve([address_of(text, "address") for text in addresses], delay))
+    asyncio.run(serve([parse_address(text, "address") for text in addresses], delay))
 
 
 if __name__ == "__main__":
--- a/eiderfield/net/descriptors.py
+++ b/eiderfield/net/descriptors.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass
 from math import inf
 
-from eiderfield.config import CONSOLE, CUSTODY, RESERVED, Config
+from eiderfield.config.limits import reserved_descriptors
+from eiderfield.config.loader import Config
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,9 +27,7 @@
     def of(cls, config: Config, allowed: float) -> ConnectionLimits:
         """The limits of a configuration where the system allows `allowed` descriptors."""
         wanted = config.client_connections + config.worker_connections
-        reserved = RESERVED
-        reserved += CONSOLE if config.console is not None else 0
-        reserved += CUSTODY if config.custody is not None else 0
+        reserved = reserved_descriptors(config.console is not None, config.durable_requests is not None)
         free = int(max(2, min(wanted, allowed - reserved)))
         workers = max(1, config.worker_connections * free // wanted)
         return cls(free - workers, workers)
--- a/eiderfield/net/dialer.py
+++ b/eiderfield/net/dialer.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 from eiderfield.net.faults import RETRY_MS, Cause, cause_of_dial
 
 _RETRY_S = RETRY_MS / 1000.0
--- a/eiderfield/net/dialing.py
+++ b/eiderfield/net/dialing.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 from eiderfield.net.faults import Cause
 
 
--- a/eiderfield/net/discovery/consul.py
+++ b/eiderfield/net/discovery/consul.py
@@ -13,12 +13,12 @@
 from dataclasses import replace
 from urllib.parse import quote
 
-from eiderfield.config import Discovery
 from eiderfield.exchange.timers import Timers
 from eiderfield.net.dialing import Dial
 from eiderfield.net.discovery.consul_instances import endpoint_of_catalog, endpoint_of_health
 from eiderfield.net.discovery.endpoint_list import EndpointList, EndpointListError, ListedEndpoint
 from eiderfield.net.discovery.routing_table import RoutingTable
+from eiderfield.net.discovery.settings import DiscoverySettings
 from eiderfield.net.discovery.watch import Watch
 from eiderfield.net.http import Head, MalformedMessageError, request_bytes
 
@@ -38,14 +38,14 @@
         timers: Timers,
         clock: Callable[[], float],
         dial: Dial,
-        discovery: Discovery,
+        discovery: DiscoverySettings,
         log: Callable[[str], None],
     ) -> None:
         """`discovery` is the source's part of the configuration."""
         assert discovery.address is not None
         super().__init__(table, timers, clock, dial, discovery.address, log)
         self._discovery = discovery
-        self.silence = discovery.wait * (1.0 + 1.0 / 16.0) + ANSWER_SLACK
+        self.silence = discovery.wait_ms * (1.0 + 1.0 / 16.0) + ANSWER_SLACK
         self._index = 0  # that the next query waits beyond; 0: answer at once
         self._answer_index = 0  # of the answer that is coming in
         self._confirmed = False  # whether this connection has brought a list that is beyond doubt
@@ -62,7 +62,7 @@
     def next_request(self) -> bytes:
         """A blocking query, or a plain one where there is no index yet."""
         source = self._discovery
-        wait_s = max(1, round(source.wait / 1000.0))
+        wait_s = max(1, round(source.wait_ms / 1000.0))
         query = f"?index={self._index}&wait={wait_s}s" if self._index else ""
         path = "/v1/health/service/" if source.api == "health" else "/v1/catalog/service/"
         headers = {"X-Consul-Token": source.token} if source.token else {}
--- a/eiderfield/net/discovery/endpoint_list.py
+++ b/eiderfield/net/discovery/endpoint_list.py
@@ -10,7 +10,8 @@
 from enum import Enum
 from math import isfinite
 
-from eiderfield.config import Address, ConfigError, address_of
+from eiderfield.config.address import Address, parse_address
+from eiderfield.config.errors import ConfigError
 
 
 class EndpointListError(ValueError):
@@ -89,7 +90,7 @@
 
 def _parse_address(value: object, name: str) -> Address:
     try:
-        return address_of(str(value), f"endpoint {name}: address")
+        return parse_address(str(value), f"endpoint {name}: address")
     except ConfigError as error:
         raise EndpointListError(str(error)) from None
 
--- a/eiderfield/net/discovery/watch.py
+++ b/eiderfield/net/discovery/watch.py
@@ -19,7 +19,7 @@
 from enum import Enum
 from functools import partial
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 from eiderfield.exchange.timers import Timer, Timers
 from eiderfield.net.backoff import DIAL_TIMEOUT, Backoff
 from eiderfield.net.dialing import Dial, PendingDial
--- a/eiderfield/net/peers.py
+++ b/eiderfield/net/peers.py
@@ -19,7 +19,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 from eiderfield.net.faults import Cause, cause_of_loss
 from eiderfield.net.peer_filter import MAX_MESSAGE, PeerFilter, Reception, first_envelope, fits
 
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -24,7 +24,7 @@
 from enum import Enum
 from typing import Protocol
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.exchange.request import Attempt
 from eiderfield.exchange.timers import Timer, Timers
--- a/eiderfield/net/worker_pool.py
+++ b/eiderfield/net/worker_pool.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Mapping
 from types import MappingProxyType
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.exchange.request import Attempt
 from eiderfield.exchange.timers import Timers
--- a/eiderfield/program/core.py
+++ b/eiderfield/program/core.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from eiderfield.config import Config, ConfigError
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.loader import Config
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.idmap import IdMap
 from eiderfield.net.bans import Bans, Runner
@@ -40,7 +41,7 @@
     """Joins exchange, workers and endpoint list; a `ConfigError` if the static endpoints are faulty."""
     wall = WallClock(driver.clock)
     ids = IdMap(config.zones, config.kinds)
-    exchange = Exchange(config.site, config.seed, driver.wheel, driver.wake, log)
+    exchange = Exchange(config.policy_settings, config.seed, driver.wheel, driver.wake, log)
     driver.turn = exchange.turn
     driver.on_pause = exchange.process_resumed
     workers = WorkerPool(
@@ -48,8 +49,8 @@
         driver.wheel,
         driver.clock,
         driver.dial,
-        config.dial_timeout,
-        config.conn_idle,
+        config.dial_timeout_ms,
+        config.worker_idle_timeout_ms,
         limits.workers,
     )
     path = state_path(config.listen, "bans.json")
@@ -61,10 +62,10 @@
 
 
 def _load_known(config: Config, table: RoutingTable) -> None:
-    if config.known is None:
+    if config.known_endpoints is None:
         return
     try:
-        table.load(config.known, cached=True)
+        table.load(config.known_endpoints, cached=True)
     except ValueError as error:
         if config.discovery.kind == "static":
             raise ConfigError(f"known: {error}") from None
@@ -80,9 +81,9 @@
 
     def reload(self, old: Config, new: Config) -> None:
         """Gives the policy its settings and the worker side its timeouts."""
-        if new.site != old.site:
-            self._core.exchange.apply_settings(new.site)
-        self._core.workers.set_timeouts(new.dial_timeout, new.conn_idle)
+        if new.policy_settings != old.policy_settings:
+            self._core.exchange.apply_settings(new.policy_settings)
+        self._core.workers.set_timeouts(new.dial_timeout_ms, new.worker_idle_timeout_ms)
 
     @property
     def busy(self) -> bool:
--- a/eiderfield/program/discovery.py
+++ b/eiderfield/program/discovery.py
@@ -6,11 +6,12 @@
 from collections.abc import Callable
 from random import Random
 
-from eiderfield.config import Config, Discovery
+from eiderfield.config.loader import Config
 from eiderfield.net.backoff import Backoff
 from eiderfield.net.discovery.active_watch import ActiveWatch
 from eiderfield.net.discovery.consul import ConsulWatch
 from eiderfield.net.discovery.platform import PlatformWatch
+from eiderfield.net.discovery.settings import DiscoverySettings
 from eiderfield.net.discovery.watch import Watch
 from eiderfield.program.core import Core
 from eiderfield.program.log import log
@@ -46,7 +47,7 @@
             return
         listed = asyncio.Event()
         self._core.table.on_list = listed.set
-        wait = min(self._config.site.drain_grace_ms, FIRST_LIST_TIMEOUT)
+        wait = min(self._config.policy_settings.drain_grace_ms, FIRST_LIST_TIMEOUT)
         self._core.driver.wheel.at(self._core.clock() + wait, listed.set)
         await listed.wait()
 
@@ -66,17 +67,17 @@
         if source.address is None:
             return None
         watch = self._consul(source) if source.kind == "consul" else self._platform(source, needs_snapshot)
-        site = config.site
+        settings = config.policy_settings
         watch.backoff = Backoff(
-            site.dispatcher_count, site.dispatcher_index, Random(config.seed), site.drain_grace_ms
+            settings.dispatcher_count, settings.dispatcher_index, Random(config.seed), settings.drain_grace_ms
         )
         return watch
 
-    def _consul(self, source: Discovery) -> Watch:
+    def _consul(self, source: DiscoverySettings) -> Watch:
         core = self._core
         return ConsulWatch(core.table, core.driver.wheel, core.clock, core.driver.dial, source, log)
 
-    def _platform(self, source: Discovery, needs_snapshot: bool) -> Watch:
+    def _platform(self, source: DiscoverySettings, needs_snapshot: bool) -> Watch:
         assert source.address is not None
         core = self._core
         watch = PlatformWatch(
--- a/eiderfield/program/durable_requests.py
+++ b/eiderfield/program/durable_requests.py
@@ -5,7 +5,8 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from eiderfield.config import Config, ConfigError
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.loader import Config
 from eiderfield.program.core import Core
 from eiderfield.program.log import log
 from eiderfield.program.part import DrainTimes, Figures, Part
@@ -51,7 +52,7 @@
 
     Raises `ConfigError` if the folder cannot be used.
     """
-    if config.custody is None:
+    if config.durable_requests is None:
         return None
     from eiderfield.durable_requests.coordinator import DurableRequestCoordinator
     from eiderfield.durable_requests.errors import DurableRequestsError
@@ -66,7 +67,7 @@
         log=log,
     )
     try:
-        coordinator = DurableRequestCoordinator(config.custody, config.name, services)
+        coordinator = DurableRequestCoordinator(config.durable_requests, config.name, services)
         coordinator.begin()
     except DurableRequestsError as error:
         raise ConfigError(str(error)) from None
--- a/eiderfield/program/listeners.py
+++ b/eiderfield/program/listeners.py
@@ -8,7 +8,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from eiderfield.config import CONSOLE, Address, Config, ConfigError
+from eiderfield.config.address import Address
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.limits import CONSOLE_DESCRIPTORS
+from eiderfield.config.loader import Config
 from eiderfield.connections.admission import AdmissionControl
 from eiderfield.net.clients import Front, Listener
 from eiderfield.net.console import WAIT, ConsoleFront
@@ -147,7 +150,7 @@
         """`ready`, `figures` and `settings` give what the calls of the console answer."""
         front = ConsoleFront(core.exchange, core.table, core.clock, ready, figures, settings)
         self._opener = opener
-        self._listener = Listener(front, core.driver.wheel, core.clock, CONSOLE, WAIT)
+        self._listener = Listener(front, core.driver.wheel, core.clock, CONSOLE_DESCRIPTORS, WAIT)
         self.bound: BoundListener | None = None
         if config.console is not None:
             self.bound = BoundListener("console", self._listener, config.console)
--- a/eiderfield/program/part.py
+++ b/eiderfield/program/part.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from eiderfield.config import Config
+from eiderfield.config.loader import Config
 
 Figures = Mapping[str, Mapping[str, object]]  # by section of the console's metrics
 
--- a/eiderfield/program/paths.py
+++ b/eiderfield/program/paths.py
@@ -5,7 +5,7 @@
 import tempfile
 from pathlib import Path
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 
 
 def state_path(listen: Address, suffix: str) -> Path:
--- a/eiderfield/program/peers.py
+++ b/eiderfield/program/peers.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from eiderfield.config import Config
+from eiderfield.config.loader import Config
 from eiderfield.machine import unix_ms
 from eiderfield.net.peers import PeerPort
 from eiderfield.program.core import Core
@@ -42,8 +42,8 @@
         loop,
         settings.listen,
         settings.peers,
-        settings.everyone,
-        config.site.dispatcher_index,
+        settings.broadcast,
+        config.policy_settings.dispatcher_index,
         core.clock,
         core.exchange.peer_report_received,
         log,
--- a/eiderfield/program/program.py
+++ b/eiderfield/program/program.py
@@ -12,7 +12,7 @@
 
 from eiderfield.batch.front import BatchFront
 from eiderfield.batch.registry import JobRegistry, RegistryLimits
-from eiderfield.config import Config
+from eiderfield.config.loader import Config
 from eiderfield.net.bans import thread_runner
 from eiderfield.net.clients import RequestFront
 from eiderfield.net.descriptors import ConnectionLimits, allowed_descriptors
@@ -102,12 +102,12 @@
 
     def stop(self) -> None:
         """Begins the end: taken requests are answered, and clients are asked to go elsewhere."""
-        classes = self.settings.current.site.classes
+        classes = self.settings.current.policy_settings.classes
         self.shutdown.begin(max(each.deadline_ms for each in classes))
 
     def _apply_static_endpoints(self, config: Config) -> None:
-        if config.discovery.kind == "static" and config.known is not None:
-            self.core.table.load(config.known)
+        if config.discovery.kind == "static" and config.known_endpoints is not None:
+            self.core.table.load(config.known_endpoints)
 
     def _ready(self) -> bool:
         """Whether this process takes clients."""
@@ -143,7 +143,7 @@
     bound = [BoundListener("listen", make_client_listener(config, core, front, share), config.listen)]
     if (batch := config.batch) is not None:
         registry_limits = RegistryLimits(
-            batch.jobs_most, batch.finished_most, batch.finished_age, batch.bytes_most
+            batch.max_jobs, batch.max_finished_jobs, batch.max_finished_age_ms, batch.max_bytes
         )
         registry = JobRegistry(core.exchange, core.clock, config.name, registry_limits, intake)
         batch_front = BatchFront(registry, lookup, core.wall.to_unix)
--- a/eiderfield/program/settings.py
+++ b/eiderfield/program/settings.py
@@ -6,7 +6,9 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from eiderfield.config import Config, ConfigError, digest_of, shown
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.loader import Config
+from eiderfield.config.source import redact, source_digest
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.program.log import log
 
@@ -22,7 +24,7 @@
     "kinds": "settings.kinds",
     "batch": "batch",
     "peers": "peers",
-    "custody": "custody",
+    "durable_requests": "custody",
 }
 
 
@@ -46,11 +48,11 @@
         source: object = None
         try:
             config = load()
-            source = config.told
+            source = config.source
             config = self._fitting(config)
             apply_known(config)
         except (ConfigError, ValueError) as error:  # a slip in the file must not end what runs well
-            self._refuse(error, getattr(error, "told", source) or source)
+            self._refuse(error, getattr(error, "source", source) or source)
             return False
         self.current = config
         self._generation += 1
@@ -59,18 +61,18 @@
 
     def report(self) -> dict[str, object]:
         """What the console's `/-/config` says."""
-        source = self.current.told
+        source = self.current.source
         return {
             "name": self.current.name,
             "pid": os.getpid(),
             "generation": self._generation,
-            "digest": digest_of(source),
-            "settings": shown(source),
+            "digest": source_digest(source),
+            "settings": redact(source),
             "refused": self._refused,
         }
 
     def _refuse(self, error: Exception, source: object) -> None:
-        self._refused = {"why": str(error), "digest": digest_of(source), "settings": shown(source)}
+        self._refused = {"why": str(error), "digest": source_digest(source), "settings": redact(source)}
         log(f"the new configuration is not taken: {error}")
 
     def _fitting(self, config: Config) -> Config:
@@ -80,10 +82,10 @@
         why = ", ".join(sorted({FIXED[name] for name in kept}))
         why = why and f"{why}: a new value takes effect at the next start alone"
         try:
-            self._exchange.check_settings(config.site)
+            self._exchange.check_settings(config.policy_settings)
         except ValueError as error:
-            why, kept = why or str(error), {**kept, "site": old.site}
-        if why and config.strict:
+            why, kept = why or str(error), {**kept, "policy_settings": old.policy_settings}
+        if why and config.is_operator_file:
             raise ConfigError(why)
         if why:
             log(why)
--- a/eiderfield/rollout/controller.py
+++ b/eiderfield/rollout/controller.py
@@ -18,7 +18,7 @@
 
 import structlog
 
-from eiderfield.config import ConfigError
+from eiderfield.config.errors import ConfigError
 from eiderfield.durable import SHARED, append_line, replace_file
 from eiderfield.rollout.journal import Journal, JournalError, JournalWriteError, Locks, read
 from eiderfield.rollout.measurement import WindowMeter
--- a/eiderfield/rollout/journal.py
+++ b/eiderfield/rollout/journal.py
@@ -26,7 +26,7 @@
 from typing import Any
 from zlib import crc32
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 from eiderfield.durable import SHARED, append_line, replace_file
 from eiderfield.rollout.plan import Plan
 from eiderfield.rollout.state_machine import COMMANDS, RolloutState, decode_state
--- a/eiderfield/rollout/plan.py
+++ b/eiderfield/rollout/plan.py
@@ -11,7 +11,7 @@
 from math import ceil
 from zlib import crc32
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 
 
 @dataclass(frozen=True, slots=True)
--- a/eiderfield/rollout/plan_file.py
+++ b/eiderfield/rollout/plan_file.py
@@ -31,7 +31,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from eiderfield.config import Address, ConfigError, Tree
+from eiderfield.config.address import Address
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.reader import TableReader
 from eiderfield.rollout.plan import Member, Plan, WatchSettings, plan_stages
 
 MAX_DISPATCHERS = 1000
@@ -82,7 +84,7 @@
         ConfigError: the text is not TOML, or a key is missing, unknown or wrong.
     """
     try:
-        table = Tree(tomllib.loads(text))
+        table = TableReader(tomllib.loads(text))
     except ValueError as error:
         raise ConfigError(f"not TOML: {error}") from None
     name = table.text("name")
@@ -90,15 +92,15 @@
     watch = _parse_watch(table.table("watch"))
     members = _parse_members(table, change)
     stages_table = table.table("stages")
-    max_concurrent = stages_table.whole("out", 1, 1, MAX_DISPATCHERS)
+    max_concurrent = stages_table.integer("out", 1, 1, MAX_DISPATCHERS)
     if max_concurrent >= len(members) > 1:
         raise ConfigError(
             f"stages.out is not below the {len(members)} dispatchers: none would be left to serve"
         )
-    canaries = stages_table.whole("canary", 1, 1, MAX_DISPATCHERS)
+    canaries = stages_table.integer("canary", 1, 1, MAX_DISPATCHERS)
     stages = plan_stages(members, canaries, _parse_shares(stages_table))
-    stages_table.nothing_else()
-    table.nothing_else()
+    stages_table.reject_unknown_keys()
+    table.reject_unknown_keys()
     return Plan(
         name=name,
         program=change.program,
@@ -111,7 +113,7 @@
     )
 
 
-def _parse_change(table: Tree) -> _ChangeTable:
+def _parse_change(table: TableReader) -> _ChangeTable:
     change = _ChangeTable(
         program=table.text("program", ""),
         settings=table.text("settings", ""),
@@ -123,18 +125,18 @@
         raise ConfigError("change.before is missing: an undo needs the folder of the running program")
     if change.previous_program and not change.program:
         raise ConfigError("change.before has no effect without change.program")
-    table.nothing_else()
+    table.reject_unknown_keys()
     return change
 
 
-def _parse_members(table: Tree, change: _ChangeTable) -> tuple[Member, ...]:
+def _parse_members(table: TableReader, change: _ChangeTable) -> tuple[Member, ...]:
     entries = table.raw("dispatcher")
     if not isinstance(entries, list) or not entries:
         raise ConfigError("dispatcher is missing: a change needs at least one dispatcher")
     if len(entries) > MAX_DISPATCHERS:
         raise ConfigError(f"dispatcher has more than {MAX_DISPATCHERS} entries")
     members = tuple(
-        _parse_member(Tree(entry, f"dispatcher.{number}")) for number, entry in enumerate(entries)
+        _parse_member(TableReader(entry, f"dispatcher.{number}")) for number, entry in enumerate(entries)
     )
     _check_distinct_names(members)
     _check_distinct_consoles(members)
@@ -165,7 +167,7 @@
             consoles.add(address)
 
 
-def _parse_member(table: Tree) -> Member:
+def _parse_member(table: TableReader) -> Member:
     member = Member(
         name=table.text("name"),
         console=table.address("console"),
@@ -175,11 +177,11 @@
         spare_console=table.address("spare") if table.has("spare") else None,
         config_file=table.text("config", ""),
     )
-    table.nothing_else()
+    table.reject_unknown_keys()
     return member
 
 
-def _parse_start_command(table: Tree) -> tuple[str, ...]:
+def _parse_start_command(table: TableReader) -> tuple[str, ...]:
     words = table.raw("start")
     key = table.key("start")
     if not isinstance(words, list) or not words or not all(isinstance(word, str) and word for word in words):
@@ -189,7 +191,7 @@
     return tuple(words)
 
 
-def _parse_environment(table: Tree) -> dict[str, str]:
+def _parse_environment(table: TableReader) -> dict[str, str]:
     environment = table.raw("environment") or {}
     key = table.key("environment")
     if not isinstance(environment, Mapping) or not all(isinstance(v, str) for v in environment.values()):
@@ -208,21 +210,21 @@
         raise ConfigError(f"{key} has a placeholder other than {allowed}: {text!r}") from None
 
 
-def _parse_watch(table: Tree) -> WatchSettings:
+def _parse_watch(table: TableReader) -> WatchSettings:
     defaults = WatchSettings()
     numbers = {
         row.field: table.number(row.key, getattr(defaults, row.field), row.minimum, row.maximum)
         for row in _WATCH_NUMBERS
     }
-    max_start_attempts = table.whole("trials", defaults.max_start_attempts, 1, 100)
+    max_start_attempts = table.integer("trials", defaults.max_start_attempts, 1, 100)
     watch = WatchSettings(**numbers, max_start_attempts=max_start_attempts)
     if watch.warm_up >= watch.max_duration:
         raise ConfigError(f"{table.key('settle')} is not below seconds: nothing would be watched")
-    table.nothing_else()
+    table.reject_unknown_keys()
     return watch
 
 
-def _parse_shares(table: Tree) -> tuple[float, ...]:
+def _parse_shares(table: TableReader) -> tuple[float, ...]:
     values = table.raw("shares")
     if values is None:
         return DEFAULT_SHARES
--- a/eiderfield/rollout/processes.py
+++ b/eiderfield/rollout/processes.py
@@ -21,7 +21,7 @@
 
 import psutil
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 from eiderfield.machine import process_age
 from eiderfield.rollout.measurement import ProcessReport
 from eiderfield.rollout.plan import Member, Plan
--- a/eiderfield/rollout/reconciler.py
+++ b/eiderfield/rollout/reconciler.py
@@ -24,7 +24,7 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from eiderfield.config import Address
+from eiderfield.config.address import Address
 from eiderfield.rollout.plan import Plan
 
 ENDING = 20.0  # s in which a process that was told to end has to be gone
--- a/eiderfield/rollout/settings.py
+++ b/eiderfield/rollout/settings.py
@@ -18,7 +18,9 @@
 
 import tomlkit
 
-from eiderfield.config import ConfigError, digest_of, read, read_text
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.loader import read, read_text
+from eiderfield.config.source import source_digest
 from eiderfield.durable import SHARED, replace_file
 from eiderfield.rollout.plan import Plan
 from eiderfield.rollout.reconciler import Version
@@ -77,7 +79,7 @@
             replace_file(kept[Version.NEW], new, SHARED)
         texts = {side: file.read_text(encoding="utf-8") for side, file in kept.items()}
         data = {side: _plain(text, target) for side, text in texts.items()}
-        found[member.name] = Texts(target, texts, {side: digest_of(told) for side, told in data.items()})
+        found[member.name] = Texts(target, texts, {side: source_digest(told) for side, told in data.items()})
     return found
 
 
--- a/eiderfield/tool.py
+++ b/eiderfield/tool.py
@@ -12,7 +12,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from eiderfield.config import Address, ConfigError, load, read_text
+from eiderfield.config.address import Address
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.loader import load, read_text
 
 CLASS_HELP = """a class of jobs: NAME:EFFECT[:KEY=VALUE...]. EFFECT is safe (may be repeated freely), keyed
 (workers drop a repeat) or unsafe (never repeated once it may have run). Keys: worth, aim and deadline in ms,
@@ -199,7 +201,7 @@
     config = load({}, file)
     return (
         f"{file}: {config.name} listens on {config.listen[0]}:{config.listen[1]}, "
-        f"{len(config.site.classes)} classes, workers from {config.discovery.kind}, "
+        f"{len(config.policy_settings.classes)} classes, workers from {config.discovery.kind}, "
         f"batch {'on' if config.batch else 'off'}, console {_console_place(config.console)}"
     )
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -7,7 +7,8 @@
 import pytest
 
 from eiderfield import tool
-from eiderfield.config import ConfigError, load, read, read_text
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.loader import load, read, read_text
 
 ROOT = Path(__file__).parent.parent
 CLASS = {"name": "a", "value": 1.0, "goal_time": 5.0, "give_up": 9.0, "idempotency": "retryable"}
@@ -30,7 +31,7 @@
         ("127.0.0.2", 1),
         ("127.0.0.1", 8500),
     )
-    assert config.conn_idle == 700.0
+    assert config.worker_idle_timeout_ms == 700.0
     assert config.zones == ("a", "b")
     assert config.batch is None
     assert config.client_connections + config.worker_connections < 1024
@@ -166,7 +167,7 @@
     file.write_text(capsys.readouterr().out)
     assert tool.main(["check", str(file)]) == 0
     assert "2 classes, workers from static, batch on, console at 127.0.0.1:6" in capsys.readouterr().out
-    get, put = load({}, str(file)).site.classes
+    get, put = load({}, str(file)).policy_settings.classes
     assert (
         get.priority_weight,
         get.latency_objective_ms,
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -6,7 +6,7 @@
 from support.processes import endpoint_list, program_config
 from support.real_sockets import IDLING, ListenerHarness, SocketClient, message
 
-from eiderfield.config import read
+from eiderfield.config.loader import read
 from eiderfield.connections.settings import Idling
 from eiderfield.lab.ports import free_port
 from eiderfield.net.clients import Phase
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -5,9 +5,9 @@
 import pytest
 from support.memory_dispatcher import InMemoryDispatcher, Pipe
 
-from eiderfield.config import Discovery
 from eiderfield.interface import EndpointState
 from eiderfield.net.discovery.consul import ANSWER_SLACK, ConsulWatch
+from eiderfield.net.discovery.settings import DiscoverySettings
 from eiderfield.net.http import END, Head, Parser
 
 
@@ -30,7 +30,7 @@
 
     def __init__(self, api="health"):
         self.dispatcher = InMemoryDispatcher(workers=0)
-        place = Discovery("consul", ("127.0.0.1", 8500), "claim workers", api, "secret", 30_000.0)
+        place = DiscoverySettings("consul", ("127.0.0.1", 8500), "claim workers", api, "secret", 30_000.0)
         dispatcher = self.dispatcher
         self.follower = ConsulWatch(
             dispatcher.table,
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -25,12 +25,13 @@
     running_program,
 )
 
-from eiderfield.config import RESERVED, read
+from eiderfield.config.limits import BASE_DESCRIPTORS
+from eiderfield.config.loader import read
 from eiderfield.lab.ports import free_port
 from eiderfield.lab.processes import wait_for
 from eiderfield.net.descriptors import ConnectionLimits
 
-LIMIT = RESERVED + 24
+LIMIT = BASE_DESCRIPTORS + 24
 ROOM = ConnectionLimits.of(read(CONFIG, {}), LIMIT)
 START = """
 import os, resource, sys
@@ -164,7 +165,7 @@
         (inf, 591, 393),
         (1024, 591, 393),
         (540, 301, 199),
-        (RESERVED + 2, 1, 1),
+        (BASE_DESCRIPTORS + 2, 1, 1),
         (8, 1, 1),
     ],
 )
--- a/tests/test_durable_requests_cost.py
+++ b/tests/test_durable_requests_cost.py
@@ -10,7 +10,7 @@
 from support.processes import ROOT
 
 from eiderfield.cli import main
-from eiderfield.config import read_text
+from eiderfield.config.loader import read_text
 from eiderfield.lab.durable_requests.store_writes import ways
 from eiderfield.lab.durable_requests.throughput import commits, recovery
 
@@ -56,7 +56,7 @@
 
 def test_the_example_keeps_the_class_that_must_not_be_lost():
     config = read_text((ROOT / "deploy" / "durable-requests-example.toml").read_text())
-    assert config.custody is not None
-    assert config.custody.classes == {1}
-    assert config.custody.lease == 3000.0
+    assert config.durable_requests is not None
+    assert config.durable_requests.classes == {1}
+    assert config.durable_requests.lease == 3000.0
     assert config.client_connections + config.worker_connections == 1024 - 40 - 16 - 32
--- a/tests/test_durable_requests_members.py
+++ b/tests/test_durable_requests_members.py
@@ -13,7 +13,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from eiderfield.config import ConfigError, Tree
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.reader import TableReader
 from eiderfield.durable_requests.errors import FolderError, StoreError
 from eiderfield.durable_requests.failure_detector import FailureDetector, is_lost
 from eiderfield.durable_requests.files import hashed
@@ -573,7 +574,7 @@
 )
 def test_a_faulty_table_is_refused_by_its_key(told, key):
     with pytest.raises(ConfigError) as error:
-        read_settings(Tree(told, "custody"), SITE)
+        read_settings(TableReader(told, "custody"), SITE)
     assert str(error.value).startswith(key)
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,7 +14,7 @@
 from support.failing_calls import Call, Failure, failing_calls
 from support.memory_dispatcher import InMemoryDispatcher
 
-from eiderfield.config import ConfigError
+from eiderfield.config.errors import ConfigError
 from eiderfield.interface import Outcome
 from eiderfield.net.clients.listener import ACCEPTED_PER_TURN
 from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept, cause_of_dial, cause_of_loss
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from eiderfield.config import ConfigError, read
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.loader import read
 from eiderfield.net.peer_filter import FORM, MAX_MESSAGE, RATE
 from eiderfield.net.peers import PeerPort
 
--- a/tests/test_program_parts.py
+++ b/tests/test_program_parts.py
@@ -6,7 +6,8 @@
 import pytest
 from support.processes import endpoint_list, program_config
 
-from eiderfield.config import ConfigError, read
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.loader import read
 from eiderfield.lab.ports import free_port
 from eiderfield.net.shutdown_times import ShutdownTimes
 from eiderfield.program.part import DrainTimes, Part
@@ -28,7 +29,7 @@
         self.calls.append((self.name, "start"))
 
     def reload(self, old, new):
-        self.calls.append((self.name, "reload", old.dial_timeout, new.dial_timeout))
+        self.calls.append((self.name, "reload", old.dial_timeout_ms, new.dial_timeout_ms))
 
     def drain(self, times):
         self.calls.append((self.name, "drain", times))
@@ -95,11 +96,11 @@
 
 
 def test_a_new_configuration_comes_to_each_part_with_the_old_one(joined):
-    other = replace(joined.config, dial_timeout=77.0)
+    other = replace(joined.config, dial_timeout_ms=77.0)
     joined.program.reload(lambda: other)
-    before = joined.config.dial_timeout
+    before = joined.config.dial_timeout_ms
     assert joined.calls == [("first", "reload", before, 77.0), ("last", "reload", before, 77.0)]
-    assert joined.program.settings.current.dial_timeout == 77.0
+    assert joined.program.settings.current.dial_timeout_ms == 77.0
     assert joined.program.settings.report()["generation"] == 2
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -8,7 +8,8 @@
 from support.memory_dispatcher import InMemoryDispatcher
 from support.processes import CONFIG, DiscoveryServer, HoldingWorker, ask, running_program
 
-from eiderfield.config import ConfigError, load
+from eiderfield.config.errors import ConfigError
+from eiderfield.config.loader import load
 from eiderfield.interface import EndpointState
 from eiderfield.lab.ports import free_port
 from eiderfield.net.backoff import DIAL_TIMEOUT, MAX_WAIT_OF_FEW
@@ -168,10 +169,10 @@
     environ = {"LB_CONFIG": str(path), "LB_DISCOVERY": "127.0.0.1:3"}
     path.write_text(json.dumps(CONFIG))
     assert load(environ).discovery.address == ("127.0.0.1", 3)
-    assert load(environ, again=True).discovery.address == ("127.0.0.1", 2)
+    assert load(environ, reload=True).discovery.address == ("127.0.0.1", 2)
     path.write_text(json.dumps({**CONFIG, "discovery": "nowhere"}))
     with pytest.raises(ConfigError, match=r"^discovery "):
-        load(environ, again=True)
+        load(environ, reload=True)
 
 
 def test_the_program_moves_on_sighup_and_keeps_the_job_that_is_out(tmp_path):
--- a/tests/test_rollout_analysis.py
+++ b/tests/test_rollout_analysis.py
@@ -12,7 +12,7 @@
 from support.processes import ROOT
 
 from eiderfield.cli import main
-from eiderfield.config import ConfigError
+from eiderfield.config.errors import ConfigError
 from eiderfield.rollout.canary_analysis import Baseline, CanaryAnalysis, Decision, Observation
 from eiderfield.rollout.plan import WatchSettings
 from eiderfield.rollout.plan_file import parse_plan
--- a/tests/test_rollout_settings.py
+++ b/tests/test_rollout_settings.py
@@ -8,7 +8,7 @@
 import pytest
 from test_rollout_state_machine import PLAN
 
-from eiderfield.config import ConfigError
+from eiderfield.config.errors import ConfigError
 from eiderfield.rollout.plan import Member
 from eiderfield.rollout.reconciler import Version
 from eiderfield.rollout.settings import merged, prepare
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -10,7 +10,7 @@
 from support.real_sockets import message
 
 from eiderfield.__main__ import Program
-from eiderfield.config import read
+from eiderfield.config.loader import read
 from eiderfield.lab.ports import free_port
 from eiderfield.net.http import END, Head, Parser
 from eiderfield.net.shutdown_times import ACCEPTING, LONGEST, TO_KILL
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -21,7 +21,7 @@
     running_program,
 )
 
-from eiderfield.config import read
+from eiderfield.config.loader import read
 from eiderfield.lab.ports import free_port
 from eiderfield.program.discovery import FIRST_LIST_TIMEOUT
 from eiderfield.program.program import Program
@@ -100,7 +100,7 @@
     monkeypatch.setattr(wheel, "at", lambda when, call: waits.append(when) or call())
     loop.run_until_complete(program.discovery.first_list())
     loop.close()
-    assert config.site.drain_grace_ms == LONG
+    assert config.policy_settings.drain_grace_ms == LONG
     assert waits == [1e6 + FIRST_LIST_TIMEOUT]
 
 
