--- a/eiderfield/policy/attempt_outcomes.py
+++ b/eiderfield/policy/attempt_outcomes.py
@@ -9,7 +9,7 @@
 
 from eiderfield.interface import AttemptEnded, Effect, EndpointState, Outcome
 from eiderfield.policy.context import Context
-from eiderfield.policy.endpoint import FAULTY
+from eiderfield.policy.endpoint import FAULTY, Worker
 from eiderfield.policy.fleet import Fleet
 from eiderfield.policy.load_reports import LoadReports
 from eiderfield.policy.outlier_detection import SILENT_RUNS, OutlierDetector
@@ -45,7 +45,8 @@
 
     def record_start(self, attempt: AttemptRecord, now: float) -> None:
         """Record that an attempt, which had waited at its worker, has started to run."""
-        worker, waited = attempt.worker, now - attempt.sent
+        worker = self._fleet.workers[attempt.entry.worker]
+        waited = now - attempt.sent
         attempt.started = now
         worker.fulls = 0
         worker.unstarted -= 1
@@ -58,11 +59,11 @@
 
     def record_end(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
         """Update the worker's health, and its class's rate control, from the outcome of an attempt."""
-        worker, outcome = attempt.worker, event.outcome
+        worker, outcome = self._fleet.workers[attempt.entry.worker], event.outcome
         if outcome == Outcome.OK:
-            self._record_answer(attempt, event, now)
+            self._record_answer(attempt, worker, event, now)
         elif outcome == Outcome.FULL:
-            self._record_full(attempt, now)
+            self._record_full(attempt, worker, now)
         elif outcome == Outcome.CONNECT_FAILED:
             worker.strike(now)
         elif outcome == Outcome.RESET:
@@ -77,29 +78,28 @@
             if worker.faults > FAULTY:
                 worker.strike(now, erring=self._context.trial_effect != Effect.UNSAFE)
         elif outcome == Outcome.CANCELLED and attempt.started is None:
-            self._record_unstarted_cancel(attempt, now)
+            self._record_unstarted_cancel(attempt, worker, now)
 
-    def _record_answer(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
-        request, pacer = attempt.request, attempt.request.class_queue.pacer
+    def _record_answer(self, attempt: AttemptRecord, worker: Worker, event: AttemptEnded, now: float) -> None:
+        request, pacer = attempt.request, attempt.request.pacer
         late = event.elapsed >= SILENT_RUNS * max(
             pacer.run_of(request.hint), request.cls.latency_objective_ms
         )
-        attempt.worker.alive(now, not late)
+        worker.alive(now, not late)
         pacer.learn(event.elapsed if attempt.started is None else now - attempt.started, request.hint)
         self._slow_start.count_served(request.cost, now)
 
-    def _record_full(self, attempt: AttemptRecord, now: float) -> None:
-        worker = attempt.worker
+    def _record_full(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
         worker.alive(now)
         worker.fulls += 1
         worker.full_until = now + FULL_PAUSE_MS * min(worker.fulls, MAX_FULL_PAUSES)
         # Neither a draining worker's refusal nor one worker's, while others are free, is a sign of overload.
         if worker.entry.state == EndpointState.READY and not self._selector.is_any_free(now):
-            attempt.request.class_queue.pacer.accepted -= 1
+            attempt.request.pacer.accepted -= 1
 
-    def _record_unstarted_cancel(self, attempt: AttemptRecord, now: float) -> None:
+    def _record_unstarted_cancel(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
         waited = now - attempt.sent
         if waited >= self._outliers.short_wait(attempt.request):
             self._outliers.count_wait(waited)
             # Where one request has waited too long, the next one would too.
-            attempt.worker.full_until = now + 2.0 * FULL_PAUSE_MS
+            worker.full_until = now + 2.0 * FULL_PAUSE_MS
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -61,7 +61,7 @@
 from eiderfield.policy.outlier_detection import OutlierDetector
 from eiderfield.policy.queues import ClassQueue, ClassQueues
 from eiderfield.policy.rate_control import WINDOW_MS
-from eiderfield.policy.request import AttemptRecord, QueuedRequest
+from eiderfield.policy.request import AttemptRecord, QueuedRequest, QueueId
 from eiderfield.policy.retry_rules import RetryBudget, may_reject, retry_cost
 from eiderfield.policy.selection import EndpointSelector
 from eiderfield.policy.slow_start import SlowStart
@@ -226,17 +226,13 @@
         if request.key:
             self._count_key(request.key)
         self._requests[request.id] = request
-        for (
-            entry,
-            sent,
-        ) in event.earlier_attempts:  # of a dispatcher that is lost: they may have run or still do so
-            worker = self._fleet.known(entry)
-            request.attempts.append(
-                AttemptRecord(request, len(request.attempts), worker, entry, sent, sent, open=False)
-            )
+        for entry, sent in event.earlier_attempts:  # of a lost dispatcher: they may have run or still run
+            self._fleet.known(entry)  # listed or not: its attempt refers to it
+            attempt = AttemptRecord(request, len(request.attempts), entry, sent, sent, open=False)
+            request.attempts.append(attempt)
         deadline = request.due - DEADLINE_TICKS * self._context.settings.clock_resolution_ms
         heapq.heappush(self._deadlines, (deadline, request.id))
-        self._queues.add(request, request.class_queue.grb)
+        self._queues.add(request, self._queues.by_id[request.queue_id].grb)
         if (
             event.earlier_attempts
             and self._fleet.ready.by_number
@@ -250,7 +246,8 @@
     def _queue_request(self, event: RequestReceived, now: float) -> tuple[QueuedRequest, float]:
         """The request of a request, and how long it may wait and still be in time."""
         client_retry = bool(event.flags & REPEAT)
-        queue = self._queue_of(event, client_retry, now)
+        queue_id = self._queue_id(event, client_retry, now)
+        queue = self._queues.by_id[queue_id]
         pacer = queue.pacer
         run, left = pacer.run_of(event.expected_work), event.deadline - now
         pacer.patience = max(pacer.patience, left)
@@ -265,7 +262,8 @@
             key=event.key,
             due=event.deadline,
             hint=event.expected_work,
-            class_queue=queue,
+            queue_id=queue_id,
+            pacer=pacer,
             cls=queue.cls,
             cost=event.expected_work or run,
             run=run,
@@ -274,10 +272,10 @@
         )
         return request, slack
 
-    def _queue_of(self, event: RequestReceived, client_retry: bool, now: float) -> ClassQueue:
+    def _queue_id(self, event: RequestReceived, client_retry: bool, now: float) -> QueueId:
         over_quota = self._quotas.is_over(event.tenant_index, client_retry, now)
         tenant = event.tenant_index if event.tenant_index < len(self._quotas) else 0
-        return self._queues.by_id[event.class_index, tenant, over_quota]
+        return QueueId(event.class_index, tenant, over_quota)
 
     def _count_key(self, key: int) -> None:
         forgot = self._key_counts.count(key)
@@ -291,7 +289,7 @@
         if attempt is None or not attempt.open:
             return  # an attempt from before this dispatcher's present life
         self._close(attempt)
-        outcome, worker = event.outcome, attempt.worker
+        outcome, worker = event.outcome, self._fleet.workers[attempt.entry.worker]
         self._reports.report(worker, event.load, now)
         attempt.may_have_run = outcome not in NEVER_RAN
         self._fleet.resting[worker.entry.worker] = worker
@@ -312,7 +310,7 @@
         if attempt is None or not attempt.open:
             return
         attempt.heard = now
-        attempt.worker.alive(now)
+        self._fleet.workers[attempt.entry.worker].alive(now)
         if attempt.started is None and event.what == STARTED:
             self._outcomes.record_start(attempt, now)
 
@@ -327,7 +325,7 @@
 
     def _close(self, attempt: AttemptRecord) -> None:
         """Takes in that an attempt is over."""
-        worker = attempt.worker
+        worker = self._fleet.workers[attempt.entry.worker]
         attempt.open = False
         self._out -= 1
         worker.own_slots -= attempt.request.slots
@@ -390,8 +388,9 @@
         """Cancels an attempt; its end, when that is told, sends the request on."""
         attempt.given_up = True
         self._context.actions.append(CancelAttempt(attempt.request.id, attempt.number))
-        if attempt.worker.silent:  # a trial on a connection open already would fall silent too
-            self._context.actions.append(CloseIdleConnections(attempt.worker.entry.worker))
+        # A trial on a connection that is open already would fall silent too.
+        if self._fleet.workers[attempt.entry.worker].silent:
+            self._context.actions.append(CloseIdleConnections(attempt.entry.worker))
 
     def _expire(self, now: float) -> None:
         """Rule 1: whatever is left when a client's time ends gets its answer just before."""
@@ -461,18 +460,18 @@
         ):
             return
         self._queues.remove(request)
-        attempt = AttemptRecord(request, len(request.attempts), worker, worker.entry, now, now)
+        attempt = AttemptRecord(request, len(request.attempts), worker.entry, now, now)
         request.attempts.append(attempt)
         self._out += 1
-        self._add_to_worker(attempt, now)
-        self._outliers.attempt_sent(attempt)
-        request.class_queue.pacer.count_send(now)
+        self._add_to_worker(attempt, worker, now)
+        self._outliers.attempt_sent(attempt, worker)
+        request.pacer.count_send(now)
         self._retry_budget.count_attempt()
         self._context.actions.append(StartAttempt(request.id, worker.entry.worker, work=request.cost))
 
-    def _add_to_worker(self, attempt: AttemptRecord, now: float) -> None:
+    def _add_to_worker(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
         """Takes in at its worker that an attempt is out."""
-        request, worker = attempt.request, attempt.worker
+        request = attempt.request
         worker.open[request.id, attempt.number] = attempt
         worker.unstarted += 1
         worker.own_slots += request.slots
--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -15,12 +15,9 @@
 from collections import deque
 from dataclasses import dataclass, field
 from math import inf
-from typing import TYPE_CHECKING
 
 from eiderfield.interface import Endpoint
-
-if TYPE_CHECKING:
-    from eiderfield.policy.request import AttemptRecord
+from eiderfield.policy.request import AttemptRecord
 
 STRIKE_PAUSE_MS = 500.0  # without sends after a first strike, doubled with each further one
 LONGEST_STRIKE_PAUSE_MS = 4000.0
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -44,9 +44,9 @@
         self._fleet = fleet
         self._give_up = give_up
 
-    def attempt_sent(self, attempt: AttemptRecord) -> None:
+    def attempt_sent(self, attempt: AttemptRecord, worker: Worker) -> None:
         """An attempt is out, and may fall silent."""
-        silence, stuck = self._silent_from(attempt.worker), self._stuck_from(attempt)
+        silence, stuck = self._silent_from(worker), self._stuck_from(attempt, worker)
         self.next_check = min(self.next_check, silence, stuck)
 
     def count_wait(self, wait: float) -> None:
@@ -61,7 +61,7 @@
         for worker in list(self._fleet.busy.values()):
             self._check_worker(worker, now)
             for attempt in worker.open.values():
-                stuck_from = self._stuck_from(attempt)
+                stuck_from = self._stuck_from(attempt, worker)
                 if now >= stuck_from or worker.silent:
                     self._give_up(attempt, now)
                 else:
@@ -98,13 +98,13 @@
         notes = SILENT_NOTES * self._context.settings.progress_interval
         return max(worker.heard, oldest.sent) + (notes or runs)
 
-    def _stuck_from(self, attempt: AttemptRecord) -> float:
+    def _stuck_from(self, attempt: AttemptRecord, worker: Worker) -> float:
         """When an attempt is stuck: no note came in time or, if not started, its wait is too long."""
         settings = self._context.settings
         if attempt.given_up or attempt.request.streaming:
             return inf
         if attempt.started is not None:
-            notes = SILENT_NOTES if attempt.worker.silent else STUCK_NOTES
+            notes = SILENT_NOTES if worker.silent else STUCK_NOTES
             return attempt.heard + notes * settings.progress_interval if settings.progress_interval else inf
         if not settings.workers_report_start:
             return inf
@@ -122,4 +122,4 @@
         return min(patient_until, max(attempt.request.timely, attempt.sent + short))
 
     def _usual_run(self, request: QueuedRequest) -> float:
-        return max(request.class_queue.pacer.run_of(request.hint), request.cls.latency_objective_ms)
+        return max(request.pacer.run_of(request.hint), request.cls.latency_objective_ms)
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -15,13 +15,10 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 from itertools import islice
-from typing import TYPE_CHECKING
 
 from eiderfield.interface import RequestClass, Settings
 from eiderfield.policy.rate_control import FLOOR_REST, FLOOR_TOP, Pacer
-
-if TYPE_CHECKING:
-    from eiderfield.policy.request import QueuedRequest
+from eiderfield.policy.request import QueuedRequest, QueueId
 
 LEAST_RUN_MS = 1.0  # that a request of a class is taken to run before any has: an objective may be 0
 SLB_SIZE = 8  # requests in a second-level buffer: enough to keep every worker fed between two events
@@ -64,9 +61,6 @@
             self.slb[request.id] = request
 
 
-QueueId = tuple[int, int, bool]  # class, tenant, and whether the tenant is above its quota
-
-
 class ClassQueues:
     """All queues of a dispatcher, highest worth first, and what is held in them."""
 
@@ -80,7 +74,7 @@
             for tenant in range(max(1, len(settings.tenants))):
                 for over_quota in (False, True):
                     worth = cls.priority_weight * (settings.over_quota_weight if over_quota else 1.0)
-                    self.by_id[number, tenant, over_quota] = ClassQueue(cls, pacer, worth)
+                    self.by_id[QueueId(number, tenant, over_quota)] = ClassQueue(cls, pacer, worth)
         self.by_worth: list[ClassQueue] = []
         self._sort()
         self.held = 0  # requests that wait here
@@ -113,8 +107,9 @@
 
     def add_first(self, request: QueuedRequest) -> None:
         """Holds a request that goes on before the others of its class: it has waited longest."""
-        self.add(request, request.class_queue.slb)
-        request.class_queue.slb.move_to_end(request.id, last=False)
+        slb = self.by_id[request.queue_id].slb
+        self.add(request, slb)
+        slb.move_to_end(request.id, last=False)
 
     def remove(self, request: QueuedRequest) -> None:
         """Takes a request out of its queue, if it is in one."""
--- a/eiderfield/policy/request.py
+++ b/eiderfield/policy/request.py
@@ -9,13 +9,18 @@
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import NamedTuple
 
 from eiderfield.interface import Endpoint, RequestClass
+from eiderfield.policy.rate_control import Pacer
 
-if TYPE_CHECKING:
-    from eiderfield.policy.endpoint import Worker
-    from eiderfield.policy.queues import ClassQueue
+
+class QueueId(NamedTuple):
+    """The queue of a request: its class, its tenant, and whether the tenant was above its quota."""
+
+    class_index: int
+    tenant_index: int
+    over_quota: bool
 
 
 @dataclass(slots=True, eq=False)
@@ -24,8 +29,7 @@
 
     request: QueuedRequest
     number: int
-    worker: Worker
-    entry: Endpoint  # the worker's as it was at the send: a number may come back in another zone or cell
+    entry: Endpoint  # as it was listed at the send: a worker may come back in another zone or cell
     sent: float
     heard: float  # its own last sign of life, for a connection can fall silent under a worker that is well
     started: float | None = None
@@ -42,7 +46,8 @@
     key: int
     due: float
     hint: float  # work that the client named, 0 if none
-    class_queue: ClassQueue
+    queue_id: QueueId
+    pacer: Pacer  # the rate control of its class
     cls: RequestClass
     cost: float  # expected work, for the slow start budget
     run: float  # expected running time, in ms
--- a/eiderfield/policy/selection.py
+++ b/eiderfield/policy/selection.py
@@ -157,8 +157,8 @@
         group = retry_group(request, self._fleet.ready)
         if group is self._fleet.ready.by_number or self._fleet.subset.groups == 1:
             return False
-        tried = [attempt.worker for attempt in request.attempts]
-        return all(worker in tried for worker in homes)
+        tried = {attempt.entry.worker for attempt in request.attempts}
+        return all(worker.entry.worker in tried for worker in homes)
 
     def _free_in_group(self, request: QueuedRequest, now: float) -> list[Worker]:
         """The free ones of all workers to which a request may go (again), in this subset or not."""
@@ -201,7 +201,7 @@
         must_fit = request.slots > 1.0 or self._context.sees_all
         if must_fit and worker.total(now) and not self._fits(worker, request, now):
             return False
-        if any(attempt.worker is worker and attempt.open for attempt in request.attempts):
+        if any(attempt.open and attempt.entry.worker == worker.entry.worker for attempt in request.attempts):
             return False
         return self._slow_start.covers(worker, request.cost) and self.is_legal(request, worker, now)
 
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -21,7 +21,7 @@
 from eiderfield.policy.admission import GRB_PER_WORKER
 from eiderfield.policy.queues import ClassQueue
 from eiderfield.policy.rate_control import Pacer
-from eiderfield.policy.request import QueuedRequest
+from eiderfield.policy.request import QueuedRequest, QueueId
 from eiderfield.policy.selection import COLD_REST
 
 
@@ -192,7 +192,8 @@
     worths = []
     for _ in range(4):
         id_, _ = node.arrive(cls=1)
-        worths.append(node.dispatcher._requests[id_].class_queue.worth)
+        queue_id = node.dispatcher._requests[id_].queue_id
+        worths.append(node.dispatcher._queues.by_id[queue_id].worth)
     full, reduced = UNSAFE.priority_weight, 0.01 * UNSAFE.priority_weight
     assert worths == [full, full, reduced, reduced]  # a share of 2 a second, saved up for a second
 
@@ -219,7 +220,8 @@
 
 def keyed(key):
     pacer = Pacer(0.3, 100.0)
-    return QueuedRequest(0, key, 5000.0, 0.0, ClassQueue(UNSAFE, pacer, 1.0), UNSAFE, 100.0, 100.0, 5000.0)
+    queue_id = QueueId(class_index=1, tenant_index=0, over_quota=False)
+    return QueuedRequest(0, key, 5000.0, 0.0, queue_id, pacer, UNSAFE, 100.0, 100.0, 5000.0)
 
 
 def test_a_home_that_takes_nothing_or_only_trials_gives_way_to_the_keys_next():
