--- a/eiderfield/config/loader.py
+++ b/eiderfield/config/loader.py
@@ -25,7 +25,7 @@
 from eiderfield.config.peers import read_peers
 from eiderfield.config.policy import read_policy_settings
 from eiderfield.config.reader import TableReader
-from eiderfield.connections.settings import Admission, Idling
+from eiderfield.connections.settings import AdmissionSettings, IdleSettings
 from eiderfield.idmap import number_of
 from eiderfield.interface import Settings
 from eiderfield.net.discovery.settings import DiscoverySettings
@@ -64,8 +64,8 @@
     worker_idle_timeout_ms: float  # after which an idle connection to a worker is closed
     batch: BatchSettings | None
     peers: PeerSettings | None
-    idling: Idling
-    admission: Admission
+    idling: IdleSettings
+    admission: AdmissionSettings
     durable_requests: DurableRequestSettings | None = None
     source: object = None
     is_operator_file: bool = False
--- a/eiderfield/connections/settings.py
+++ b/eiderfield/connections/settings.py
@@ -1,70 +1,100 @@
-"""What an operator sets about client connections. Times are in ms, shares from 0 to 1."""
+"""Settings of client connections. Times are in ms, shares from 0 to 1; infinity sets no limit."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from math import inf
 
-KEEP = 300_000.0  # for which a connection may idle that has brought a request
-PARK_AFTER = 5000.0  # of silence after which it is parked
-WHOLE = 2800.0  # that a client's message may take to come in: what never comes is owed an end within 3 s
+IDLE_TIMEOUT_MS = 300_000.0  # for a connection that has sent a request
+PARK_AFTER_MS = 5000.0  # idle time after which a connection is parked
+MESSAGE_TIMEOUT_MS = 2800.0  # for a complete message: a client that stops is disconnected within 3 s
 
 
 @dataclass(slots=True, frozen=True)
-class Idling:
-    """For connections that have brought a request: how long they may idle, when they park."""
+class IdleSettings:
+    """Limits of connections that have sent a request.
 
-    keep: float = KEEP
-    park_after: float = inf  # never
-    copies: bool = False  # whether a process keeps copies of what it gives to the next, until it ends
+    Attributes:
+        idle_timeout: after which an idle connection is closed.
+        park_after: idle time after which a connection is parked; infinity for never.
+        keep_copies: whether a process keeps copies of the descriptors that it hands over, until it ends.
+    """
+
+    idle_timeout: float = IDLE_TIMEOUT_MS
+    park_after: float = inf
+    keep_copies: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Quota:
-    """What one address, or one prefix of addresses, may have. Infinity sets no limit."""
+    """Limits of one source: an address, or a prefix of addresses.
 
-    held: float = inf  # connections
-    begun: float = inf  # messages that have begun and are not whole
-    rate: float = inf  # new connections a second, in the long run
-    burst: float = 1.0  # new connections at once
+    Attributes:
+        max_connections: open at one time.
+        max_incomplete_messages: of which the first byte has been received, but not the last.
+        connections_per_s: rate of new connections in the long run.
+        burst: new connections at once.
+    """
 
-    @property
-    def limits(self) -> bool:
-        """Whether it limits anything."""
-        return min(self.held, self.begun, self.rate) < inf
+    max_connections: float = inf
+    max_incomplete_messages: float = inf
+    connections_per_s: float = inf
+    burst: float = 1.0
 
 
 @dataclass(slots=True, frozen=True)
-class Pace:
-    """How a message that has begun must come in."""
+class MessageTimeouts:
+    """Time limits of a message, from its first byte on.
+
+    Attributes:
+        message: for the complete message, whatever the other limits allow.
+        head: for its head.
+        min_body_rate: bytes per second that a body must reach.
+        body_grace: after the head, before that rate is required.
+        overloaded_head: for the head while the listener is overloaded.
+    """
 
-    whole: float = WHOLE  # until it must be whole, whatever else is allowed
-    head: float = WHOLE  # until its head must be whole
-    body_rate: float = 0.0  # least bytes a second of a body
-    body_grace: float = 1000.0  # before that rate is asked for
-    head_crowded: float = WHOLE  # the time for a head while the listener is overloaded
+    message: float = MESSAGE_TIMEOUT_MS
+    head: float = MESSAGE_TIMEOUT_MS
+    min_body_rate: float = 0.0
+    body_grace: float = 1000.0
+    overloaded_head: float = MESSAGE_TIMEOUT_MS
 
 
 @dataclass(slots=True, frozen=True)
-class Marks:
-    """Watermarks: the share of a resource from which it is short, and below which it is short no more."""
+class Watermarks:
+    """Shares of a resource in use: it becomes scarce at `high` and stays so until below `low`."""
 
     high: float
     low: float
 
 
 @dataclass(slots=True, frozen=True)
-class Admission:
-    """Who is admitted, and how many of the connections one source may have."""
-
-    address: Quota = field(default_factory=Quota)
-    prefix: Quota = field(default_factory=Quota)
-    prefix_v4: int = 24  # bits
+class AdmissionSettings:
+    """Which connections are admitted, and how many of them one source may have.
+
+    Attributes:
+        address_quota: limits of each address.
+        prefix_quota: limits of each prefix of addresses.
+        prefix_v4: length of a prefix of IPv4 addresses, in bits.
+        prefix_v6: length of a prefix of IPv6 addresses, in bits.
+        descriptors: watermarks of the connections in use.
+        memory: watermarks of the memory in use.
+        overloaded_address_share: of the capacity, for one address while the listener is overloaded.
+        overloaded_idle_timeout: of parked connections while the listener is overloaded.
+        min_overload_time: for which a listener stays overloaded, so that the state does not oscillate.
+        retry_after: delay that a rejection advises.
+        timeouts: time limits of a message.
+    """
+
+    address_quota: Quota = field(default_factory=Quota)
+    prefix_quota: Quota = field(default_factory=Quota)
+    prefix_v4: int = 24
     prefix_v6: int = 48
-    descriptors: Marks = Marks(0.95, 0.85)
-    memory: Marks = Marks(0.95, 0.85)
-    crowded_share: float = 1.0  # of the capacity that one address may have while the listener is overloaded
-    keep_crowded: float = inf  # for which a parked connection may idle meanwhile
-    hold: float = 2000.0  # for which a listener stays overloaded at least: it must not flap
-    retry_after: float = 1000.0  # that a rejection advises
-    pace: Pace = field(default_factory=Pace)
+    descriptors: Watermarks = Watermarks(0.95, 0.85)
+    memory: Watermarks = Watermarks(0.95, 0.85)
+    overloaded_address_share: float = 1.0
+    overloaded_idle_timeout: float = inf
+    min_overload_time: float = 2000.0
+    retry_after: float = 1000.0
+    timeouts: MessageTimeouts = field(default_factory=MessageTimeouts)
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -29,7 +29,7 @@
 
 from eiderfield.connections.admission import AdmissionControl, Limit, Rejection
 from eiderfield.connections.idle_connections import unread_bytes, unsent_bytes
-from eiderfield.connections.settings import Idling
+from eiderfield.connections.settings import IdleSettings
 from eiderfield.exchange.timers import Timer
 from eiderfield.net.clients.arrivals import Arrivals
 from eiderfield.net.clients.detached import ConnectionHandover, Detach, DetachedConnection
@@ -63,7 +63,7 @@
         """Handles the messages."""
 
     @property
-    def idling(self) -> Idling:
+    def idling(self) -> IdleSettings:
         """How long a connection may idle between requests."""
 
     @property
@@ -370,7 +370,7 @@
         self._limited_since = self.listener.clock() if start is None else start
         if self.proven and not self._message_begun:
             idling = self.listener.idling
-            at = min(self.since + idling.keep, self.listener.clock() + idling.park_after)
+            at = min(self.since + idling.idle_timeout, self.listener.clock() + idling.park_after)
             self._timer = self.listener.timers.at(at, self._time_is_up, patient=True)
         else:
             self._timer = self.listener.timers.at(self._time_limit().at, self._time_is_up)
@@ -423,7 +423,7 @@
                 self.listener.admission.count_slow_message(limit)
             self._reject_message(MalformedMessageError("the message took too long", 408))
         elif self.is_idle:
-            if not self.proven or self.listener.clock() >= self.since + self.listener.idling.keep:
+            if not self.proven or self.listener.clock() >= self.since + self.listener.idling.idle_timeout:
                 self.close()
             elif not self.listener.park(self):
                 self._set_time_limit()
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -26,7 +26,7 @@
 from math import inf
 
 from eiderfield.connections.admission import EVICTION_ORDER, AdmissionControl, ConnectionKind, Rejection
-from eiderfield.connections.settings import WHOLE, Admission, Idling
+from eiderfield.connections.settings import MESSAGE_TIMEOUT_MS, AdmissionSettings, IdleSettings
 from eiderfield.exchange.timers import Timers
 from eiderfield.net.clients.connection import ClientConnection, Phase
 from eiderfield.net.clients.detached import ConnectionHandover, Detach
@@ -54,8 +54,8 @@
         timers: Timers,
         clock: Callable[[], float],
         most: int,
-        message_timeout: float = WHOLE,
-        idling: Idling | None = None,
+        message_timeout: float = MESSAGE_TIMEOUT_MS,
+        idling: IdleSettings | None = None,
         admission: AdmissionControl | None = None,
         memory: Callable[[], float] = lambda: 0.0,
     ) -> None:
@@ -67,7 +67,7 @@
         self.draining = False  # whether the process is about to end
         self.keep_alive_disabled = False  # whether answers ask clients to connect elsewhere
         self.response_deadline = inf  # when what arrives from now on must have its answer
-        self.idling = idling or Idling()
+        self.idling = idling or IdleSettings()
         self.admission = admission
         self.parking = ConnectionParking(self)
         # In an upgrade: who takes connections over, and how many the other process has within our limit.
@@ -183,7 +183,7 @@
 
     # Settings.
 
-    def set_admission(self, admission: Admission) -> None:
+    def set_admission(self, admission: AdmissionSettings) -> None:
         """Takes new limits, which count for open connections as well."""
         if self.admission is not None:
             self.admission.reconfigure(admission)
@@ -191,7 +191,7 @@
             connection.apply_limits()
         self.parking.arm()
 
-    def set_idle_limits(self, idling: Idling) -> None:
+    def set_idle_limits(self, idling: IdleSettings) -> None:
         """Sets how long connections may idle, those that are parked already too."""
         self.idling = idling
         if self._loop is not None:
@@ -204,8 +204,8 @@
     def idle_limit(self) -> float:
         """How long a connection may idle now, in ms."""
         if self.admission is None:
-            return self.idling.keep
-        return self.admission.idle_limit(self.idling.keep)
+            return self.idling.idle_timeout
+        return self.admission.idle_limit(self.idling.idle_timeout)
 
     # Parked connections.
 
--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping
 
-from eiderfield.connections.settings import KEEP, WHOLE
+from eiderfield.connections.settings import IDLE_TIMEOUT_MS, MESSAGE_TIMEOUT_MS
 from eiderfield.net.clock import WallClock
 from eiderfield.net.handover.errors import MalformedMessageError
 from eiderfield.net.handover.fields import Fields, integer, number, text
@@ -123,7 +123,7 @@
 
     def _decode_connection_passed(self, fields: Fields) -> ConnectionPassed:
         buffered = _decode_bytes(fields.text("begun"), "begun")
-        max_age = WHOLE if buffered else KEEP
+        max_age = MESSAGE_TIMEOUT_MS if buffered else IDLE_TIMEOUT_MS
         return ConnectionPassed(
             listener=fields.text("door"),
             proven=bool(fields.required("proven")),
@@ -140,7 +140,7 @@
             raise MalformedMessageError("keys", f"has {len(keys)} values for {len(since)} connections")
         return ParkedBatch(
             listener=fields.text("door"),
-            since=tuple(sender.recent(at, KEEP) for at in since),
+            since=tuple(sender.recent(at, IDLE_TIMEOUT_MS) for at in since),
             keys=keys,
             connection_counts=fields.counts("open"),
         )
--- a/eiderfield/program/listeners.py
+++ b/eiderfield/program/listeners.py
@@ -45,7 +45,7 @@
         core.driver.wheel,
         core.clock,
         connections,
-        config.admission.pace.whole,
+        config.admission.timeouts.message,
         config.idling,
         AdmissionControl(config.admission, connections),
         share_of(config.memory_mb),
--- a/tests/support/real_sockets.py
+++ b/tests/support/real_sockets.py
@@ -8,12 +8,12 @@
 from hypothesis.stateful import run_state_machine_as_test
 
 from eiderfield.connections.admission import AdmissionControl
-from eiderfield.connections.settings import Admission, Idling
+from eiderfield.connections.settings import AdmissionSettings, IdleSettings
 from eiderfield.net.http import END, Head, Parser
 from eiderfield.net.wheel import TICK
 from support.memory_dispatcher import SITE, InMemoryDispatcher
 
-IDLING = Idling(keep=60_000.0, park_after=1000.0)
+IDLING = IdleSettings(idle_timeout=60_000.0, park_after=1000.0)
 LEAST_KEEP = 2000.0
 
 
@@ -95,7 +95,7 @@
         self.dispatcher = InMemoryDispatcher(site, workers=workers, most=most)
         self.listener = self.dispatcher.listener
         self.memory = 0.0
-        self.admission = self.listener.admission = AdmissionControl(Admission(**admission), most)
+        self.admission = self.listener.admission = AdmissionControl(AdmissionSettings(**admission), most)
         self.listener._memory = lambda: self.memory
         self.listener._loop = self.loop
         self.listener._socket = ListeningSocket()
@@ -142,8 +142,8 @@
     def close(self):
         self.listener.close()
         self.turn()
-        assert not any(self.admission._addresses.held)
-        assert not any(self.admission._addresses.begun)
+        assert not any(self.admission.addresses.connections)
+        assert not any(self.admission.addresses.incomplete_messages)
         self.loop.close()
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,7 +5,13 @@
 import pytest
 from support.real_sockets import IDLING, ListenerHarness, SocketClient, message
 
-from eiderfield.connections.settings import WHOLE, Admission, Marks, Pace, Quota
+from eiderfield.connections.settings import (
+    MESSAGE_TIMEOUT_MS,
+    AdmissionSettings,
+    MessageTimeouts,
+    Quota,
+    Watermarks,
+)
 from eiderfield.net.clients import ConnectionHandover
 from eiderfield.net.clients.connection import LINGER_TIME
 from eiderfield.net.clients.listener import REJECTIONS_AT_ONCE
@@ -13,7 +19,7 @@
 
 
 def test_one_address_with_many_is_told_to_come_later_and_the_others_are_served():
-    harness = ListenerHarness(address=Quota(held=3), retry_after=1500.0)
+    harness = ListenerHarness(address_quota=Quota(max_connections=3), retry_after=1500.0)
     greedy = [SocketClient(harness) for _ in range(5)]
     assert [client.statuses() for client in greedy] == [[], [], [], [503], [503]]
     assert greedy[4].advice == "1.500"
@@ -26,7 +32,7 @@
 
 def test_a_refusal_reaches_a_client_that_has_sent_its_message_already():
     """Closing on unread input would take the answer back."""
-    harness = ListenerHarness(address=Quota(held=1))
+    harness = ListenerHarness(address_quota=Quota(max_connections=1))
     first = SocketClient(harness)
     late = SocketClient.__new__(SocketClient)
     ours, theirs = socket.socketpair()
@@ -44,14 +50,14 @@
 
 
 def test_a_flood_is_closed_without_a_word_and_few_at_a_time_are_told():
-    harness = ListenerHarness(most=1000, address=Quota(held=1))
+    harness = ListenerHarness(most=1000, address_quota=Quota(max_connections=1))
     flood = [SocketClient(harness)]
     flood += [SocketClient(harness) for _ in range(REJECTIONS_AT_ONCE + 10)]
     told = [client.statuses() for client in flood]
     assert told.count([503]) == REJECTIONS_AT_ONCE
     assert told.count([]) == 11
     harness.close()
-    harness = ListenerHarness(most=1000, address=Quota(rate=1.0, burst=2.0))
+    harness = ListenerHarness(most=1000, address_quota=Quota(connections_per_s=1.0, burst=2.0))
     assert [client.open for client in [SocketClient(harness) for _ in range(5)]] == [
         True,
         True,
@@ -63,7 +69,7 @@
 
 
 def test_parked_connections_count_for_their_address_until_they_end():
-    harness = ListenerHarness(address=Quota(held=2))
+    harness = ListenerHarness(address_quota=Quota(max_connections=2))
     clients = harness.parked(2)
     assert SocketClient(harness).statuses() == [503]
     clients[0].sock.close()
@@ -73,14 +79,14 @@
     assert clients[1].ask("woken") == [200]
     harness.pass_time(LINGER_TIME + TICK)
     assert SocketClient(harness).statuses() == [503]
-    harness.pass_time(IDLING.keep + 2000.0)
+    harness.pass_time(IDLING.idle_timeout + 2000.0)
     assert not harness.listener.connections
     assert SocketClient(harness).ask("later") == [200]
     harness.close()
 
 
 def test_half_sent_messages_beyond_the_limit_are_refused_and_whole_ones_are_not():
-    harness = ListenerHarness(address=Quota(begun=2))
+    harness = ListenerHarness(address_quota=Quota(max_incomplete_messages=2))
     slow = [SocketClient(harness).send(b"POST /safe") for _ in range(3)]
     harness.turn()
     assert [client.statuses() for client in slow] == [[], [], [503]]
@@ -97,7 +103,7 @@
 
 
 def test_hundreds_that_drip_just_inside_the_limits_are_all_ended_at_the_same_time():
-    harness = ListenerHarness(most=1000, pace=Pace(head=2000.0))
+    harness = ListenerHarness(most=1000, timeouts=MessageTimeouts(head=2000.0))
     drips = [SocketClient(harness) for _ in range(200)]
     for step in range(19):
         for client in drips:
@@ -115,7 +121,7 @@
 
 @pytest.mark.parametrize(("gap", "answer"), [(10.0, 200), (200.0, 408)])
 def test_a_body_must_flow_at_its_least_rate(gap, answer):
-    harness = ListenerHarness(pace=Pace(body_rate=50.0, body_grace=500.0))
+    harness = ListenerHarness(timeouts=MessageTimeouts(min_body_rate=50.0, body_grace=500.0))
     client = SocketClient(harness)
     head = message("r1").replace(b"Length: 1", b"Length: 100").removesuffix(b"b")
     client.send(head)
@@ -128,7 +134,7 @@
                 break
         harness.turn(2)
         harness.pass_time(gap)
-        if harness.listener.clock() > 1_000_000.0 + WHOLE:
+        if harness.listener.clock() > 1_000_000.0 + MESSAGE_TIMEOUT_MS:
             break
     harness.work()
     assert client.statuses() == [answer]
@@ -141,7 +147,7 @@
     client = SocketClient(harness).send(b"POST /safe")
     harness.turn()
     harness.pass_time(1000.0)
-    harness.listener.set_admission(Admission(pace=Pace(head=1500.0)))
+    harness.listener.set_admission(AdmissionSettings(timeouts=MessageTimeouts(head=1500.0)))
     harness.pass_time(490.0)
     assert not client.statuses()
     harness.pass_time(20.0)
@@ -150,7 +156,9 @@
 
 
 def test_a_crowded_house_lets_parked_ones_idle_for_less_time():
-    harness = ListenerHarness(most=10, descriptors=Marks(0.5, 0.3), keep_crowded=5000.0, hold=100.0)
+    harness = ListenerHarness(
+        most=10, descriptors=Watermarks(0.5, 0.3), overloaded_idle_timeout=5000.0, min_overload_time=100.0
+    )
     parked = harness.parked(2)
     more = [SocketClient(harness) for _ in range(4)]
     harness.pass_time(200.0)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -133,7 +133,7 @@
 def test_an_operators_file_says_how_connections_idle(key, lines):
     text = (ROOT / "deploy" / "claims-batch.toml").read_text()
     idling = read_text(text + "\n[connections]\nkeep_ms = 3600000\npark_after_ms = 2000\n").idling
-    assert (idling.keep, idling.park_after) == (3_600_000.0, 2000.0)
+    assert (idling.idle_timeout, idling.park_after) == (3_600_000.0, 2000.0)
     assert read_text(text + "\n[connections]\npark = false\n").idling.park_after == inf
     with pytest.raises(ConfigError, match=f"^{key} "):
         read_text(f"{text}\n[connections]\n{lines}\n")
@@ -142,9 +142,14 @@
 def test_the_file_for_phones_says_what_it_means():
     config = read_text((ROOT / "deploy" / "field-phones.toml").read_text())
     a = config.admission
-    assert (a.address.held, a.prefix.burst, a.pace.body_rate, a.memory.high) == (4000.0, 3000.0, 2000.0, 0.9)
+    assert (
+        a.address_quota.max_connections,
+        a.prefix_quota.burst,
+        a.timeouts.min_body_rate,
+        a.memory.high,
+    ) == (4000.0, 3000.0, 2000.0, 0.9)
     assert config.client_connections > 19_000
-    assert config.idling.keep == 1_800_000.0
+    assert config.idling.idle_timeout == 1_800_000.0
 
 
 def test_the_tool_writes_what_the_program_reads(tmp_path, capsys):
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -7,7 +7,7 @@
 from support.real_sockets import IDLING, ListenerHarness, SocketClient, message
 
 from eiderfield.config.loader import read
-from eiderfield.connections.settings import Idling
+from eiderfield.connections.settings import IdleSettings
 from eiderfield.lab.ports import free_port
 from eiderfield.net.clients import Phase
 from eiderfield.net.clients.connection import EVICTION_GRACE, LINGER_TIME
@@ -15,7 +15,7 @@
 from eiderfield.net.wheel import TICK
 from eiderfield.program.program import Program
 
-KEPT = Idling(keep=60_000.0)  # nobody is parked
+KEPT = IdleSettings(idle_timeout=60_000.0)  # nobody is parked
 
 
 @pytest.fixture
@@ -54,12 +54,12 @@
         harness.listener.close_idle()
     elif why == "new settings let it idle no more":
         harness.dispatcher.now += 5000.0
-        harness.listener.set_idle_limits(Idling(keep=1000.0))
-        harness.listener.set_admission(harness.admission.admission)
+        harness.listener.set_idle_limits(IdleSettings(idle_timeout=1000.0))
+        harness.listener.set_admission(harness.admission.settings)
         harness.dispatcher.wheel.advance(harness.dispatcher.now)
     else:
         [connection] = harness.listener._connections
-        harness.dispatcher.now += KEPT.keep
+        harness.dispatcher.now += KEPT.idle_timeout
         connection._time_is_up()
     client.send(message("r1"))  # after the look, before the loop's next turn
     harness.turn()
@@ -79,7 +79,7 @@
     [client] = harness.parked()
     client.send(message("late"))
     if why == "idle":
-        harness.dispatcher.now += IDLING.keep + 2000.0
+        harness.dispatcher.now += IDLING.idle_timeout + 2000.0
         harness.listener.parking.expire()
     elif why == "make room":
         assert not harness.listener.make_room()
@@ -88,7 +88,7 @@
         harness.listener.close_idle()
     else:
         harness.dispatcher.now += 10_000.0
-        harness.listener.set_idle_limits(Idling(keep=1000.0, park_after=IDLING.park_after))
+        harness.listener.set_idle_limits(IdleSettings(idle_timeout=1000.0, park_after=IDLING.park_after))
         harness.listener.parking.expire()
     harness.turn()
     harness.work()
--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -9,21 +9,20 @@
 from hypothesis import strategies as st
 
 from eiderfield.connections.admission import (
-    FORGET_THRESHOLD,
-    LEAST_CAPACITY,
+    MIN_CAPACITY,
     AdmissionControl,
     Limit,
     Reason,
     Rejection,
-    key_of,
 )
-from eiderfield.connections.settings import Admission, Marks, Pace, Quota
+from eiderfield.connections.settings import AdmissionSettings, MessageTimeouts, Quota, Watermarks
+from eiderfield.connections.sources import FORGET_THRESHOLD, source_keys
 
 CAPACITY = 100
 
 
 def control_of(most=CAPACITY, **more):
-    return AdmissionControl(Admission(**more), most)
+    return AdmissionControl(AdmissionSettings(**more), most)
 
 
 def reason(come):
@@ -31,33 +30,37 @@
 
 
 def test_an_address_and_a_prefix_are_what_the_field_takes_them_for():
-    assert key_of("192.0.2.7", 24, 48)[1] == key_of("192.0.2.200", 24, 48)[1]
-    assert key_of("192.0.2.7", 24, 48)[1] != key_of("192.0.3.7", 24, 48)[1]
-    assert key_of("::ffff:192.0.2.7", 24, 48) == key_of("192.0.2.7", 24, 48)
+    assert source_keys("192.0.2.7", 24, 48)[1] == source_keys("192.0.2.200", 24, 48)[1]
+    assert source_keys("192.0.2.7", 24, 48)[1] != source_keys("192.0.3.7", 24, 48)[1]
+    assert source_keys("::ffff:192.0.2.7", 24, 48) == source_keys("192.0.2.7", 24, 48)
     one, two, other = "2001:db8:1:2::1", "2001:db8:1:2:ffff::9", "2001:db8:1:3::1"
-    assert key_of(one, 24, 48)[0] == key_of(two, 24, 48)[0] != key_of(other, 24, 48)[0]
-    assert key_of(one, 24, 48)[1] == key_of(other, 24, 48)[1] != key_of("2001:db8:2::1", 24, 48)[1]
-    assert key_of("fe80::1%eth0", 24, 48) == key_of("fe80::1", 24, 48)
-    everybody = [key_of(a, 32, 64) for a in ("0.0.0.0", "::", "0.0.0.1", "::1:0:0:0:0")]
+    assert source_keys(one, 24, 48)[0] == source_keys(two, 24, 48)[0] != source_keys(other, 24, 48)[0]
+    assert (
+        source_keys(one, 24, 48)[1]
+        == source_keys(other, 24, 48)[1]
+        != source_keys("2001:db8:2::1", 24, 48)[1]
+    )
+    assert source_keys("fe80::1%eth0", 24, 48) == source_keys("fe80::1", 24, 48)
+    everybody = [source_keys(a, 32, 64) for a in ("0.0.0.0", "::", "0.0.0.1", "::1:0:0:0:0")]
     assert len(set(everybody)) == 4
     for text in ("", "phone", "1.2.3", "1::2::3"):
         with pytest.raises(ValueError, match="not an address"):
-            key_of(text, 24, 48)
+            source_keys(text, 24, 48)
 
 
 def test_one_address_with_thousands_leaves_the_others_their_room():
-    control = control_of(address=Quota(held=10), prefix=Quota(held=25))
+    control = control_of(address_quota=Quota(max_connections=10), prefix_quota=Quota(max_connections=25))
     taken = [control.admit("192.0.2.1", 0.0) for _ in range(10_000)]
     assert sum(isinstance(come, int) for come in taken) == 10
-    assert {reason(come) for come in taken[10:]} == {Reason.ADDRESS_HELD}
+    assert {reason(come) for come in taken[10:]} == {Reason.ADDRESS_CONNECTIONS}
     neighbours = [control.admit(f"192.0.2.{n}", 0.0) for n in range(2, 30)]
-    assert Counter(map(reason, neighbours)) == {None: 15, Reason.PREFIX_HELD: 13}
+    assert Counter(map(reason, neighbours)) == {None: 15, Reason.PREFIX_CONNECTIONS: 13}
     assert isinstance(control.admit("198.51.100.1", 0.0), int)
     assert control.figures()["address_held"] == 9990
 
 
 def test_who_comes_too_fast_is_closed_without_a_word_and_may_come_later():
-    control = control_of(address=Quota(rate=2.0, burst=3.0))
+    control = control_of(address_quota=Quota(connections_per_s=2.0, burst=3.0))
     come = [control.admit("192.0.2.1", 0.0) for _ in range(5)]
     assert [reason(c) for c in come] == [None, None, None, Reason.ADDRESS_RATE, Reason.ADDRESS_RATE]
     assert not come[-1].answer
@@ -69,29 +72,33 @@
 
 
 def test_a_clock_that_runs_backwards_fills_no_bucket_and_empties_none():
-    control = control_of(address=Quota(rate=1.0, burst=1.0))
+    control = control_of(address_quota=Quota(connections_per_s=1.0, burst=1.0))
     assert reason(control.admit("192.0.2.1", 10_000.0)) is None
     assert reason(control.admit("192.0.2.1", 5000.0)) == Reason.ADDRESS_RATE
     assert reason(control.admit("192.0.2.1", 11_000.0)) is None
 
 
 def test_half_sent_messages_are_counted_by_source_and_given_back():
-    control = control_of(address=Quota(begun=2), prefix=Quota(begun=3))
+    control = control_of(
+        address_quota=Quota(max_incomplete_messages=2), prefix_quota=Quota(max_incomplete_messages=3)
+    )
     tickets = [control.admit(f"192.0.2.{last}", 0.0) for last in (1, 1, 1, 2, 2)]
     assert [reason(control.begin_message(t)) for t in tickets] == [
         None,
         None,
-        Reason.ADDRESS_BEGUN,
+        Reason.ADDRESS_MESSAGES,
         None,
-        Reason.PREFIX_BEGUN,
+        Reason.PREFIX_MESSAGES,
     ]
     control.end_message(tickets[0])
     assert control.begin_message(tickets[2]) is None
 
 
 def test_a_drip_extends_nothing_and_a_body_that_flows_gets_the_time_of_the_whole():
-    pace = Pace(whole=2800.0, head=1000.0, body_rate=1000.0, body_grace=200.0, head_crowded=300.0)
-    control = control_of(pace=pace)
+    timeouts = MessageTimeouts(
+        message=2800.0, head=1000.0, min_body_rate=1000.0, body_grace=200.0, overloaded_head=300.0
+    )
+    control = control_of(timeouts=timeouts)
     assert control.head_limit(50.0) == Limit(1050.0, Reason.SLOW_HEAD)
     assert control.body_limit(0.0, 500.0, 0) == Limit(700.0, Reason.SLOW_BODY)
     assert control.body_limit(0.0, 500.0, 1000).at == 1700.0
@@ -103,7 +110,9 @@
 
 
 def test_a_crowd_at_the_marks_does_not_make_the_house_flap():
-    control = control_of(descriptors=Marks(0.9, 0.7), hold=1000.0, keep_crowded=5000.0)
+    control = control_of(
+        descriptors=Watermarks(0.9, 0.7), min_overload_time=1000.0, overloaded_idle_timeout=5000.0
+    )
     told = []
     for step in range(200):  # a crowd that swings between 85 and 95 every 50 ms
         control.update_usage(step * 50.0, 95 if step % 2 else 85, 0.0)
@@ -119,17 +128,17 @@
 
 
 def test_in_a_crowded_house_one_address_has_a_share_and_no_more():
-    control = control_of(crowded_share=0.1)
+    control = control_of(overloaded_address_share=0.1)
     for _ in range(40):
         assert isinstance(control.admit("192.0.2.1", 0.0), int)
     control.update_usage(0.0, 96, 0.0)
-    assert reason(control.admit("192.0.2.1", 0.0)) == Reason.CROWDED_SHARE
+    assert reason(control.admit("192.0.2.1", 0.0)) == Reason.ADDRESS_SHARE
     assert isinstance(control.admit("192.0.2.2", 0.0), int)
 
 
 def test_short_memory_makes_the_house_as_large_as_what_it_holds_and_no_smaller_later():
     """Refusing all until memory came back would refuse them for ever: what was taken may stay taken."""
-    control = control_of(hold=0.0)
+    control = control_of(min_overload_time=0.0)
     control.update_usage(0.0, 60, 0.96)
     assert control.capacity == 60
     assert control.overloaded
@@ -140,14 +149,14 @@
     control.update_usage(3.0, 20, 0.84)
     assert control.capacity == CAPACITY
     control.update_usage(4.0, 3, 0.99)
-    assert control.capacity == LEAST_CAPACITY
+    assert control.capacity == MIN_CAPACITY
     small = control_of(most=4)
     small.update_usage(0.0, 1, 0.99)
     assert small.capacity == 4
 
 
 def test_entries_that_hold_nothing_are_forgotten_and_those_that_owe_are_not():
-    control = control_of(address=Quota(rate=0.001, burst=1.0))
+    control = control_of(address_quota=Quota(connections_per_s=0.001, burst=1.0))
     assert reason(control.admit("192.0.2.1", 0.0)) is None
     for number in range(5 * FORGET_THRESHOLD):
         control.release(control.register(f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 0.0))
@@ -156,17 +165,17 @@
 
 
 def test_prefixes_of_another_length_are_counted_anew():
-    control = control_of(prefix=Quota(held=3))
+    control = control_of(prefix_quota=Quota(max_connections=3))
     for last in (1, 2, 3):
         assert isinstance(control.admit(f"192.0.2.{last}", 0.0), int)
     for last in (1, 2):
         assert isinstance(control.admit(f"2001:db8:{last}::1", 0.0), int)
-    assert reason(control.admit("192.0.2.4", 0.0)) == Reason.PREFIX_HELD
-    control.reconfigure(replace(control.admission, prefix_v4=30, prefix_v6=32))
+    assert reason(control.admit("192.0.2.4", 0.0)) == Reason.PREFIX_CONNECTIONS
+    control.reconfigure(replace(control.settings, prefix_v4=30, prefix_v6=32))
     assert reason(control.admit("192.0.2.4", 0.0)) is None
-    assert reason(control.admit("192.0.2.2", 0.0)) == Reason.PREFIX_HELD
+    assert reason(control.admit("192.0.2.2", 0.0)) == Reason.PREFIX_CONNECTIONS
     assert reason(control.admit("2001:db8:9::1", 0.0)) is None
-    assert reason(control.admit("2001:db8:8::1", 0.0)) == Reason.PREFIX_HELD
+    assert reason(control.admit("2001:db8:8::1", 0.0)) == Reason.PREFIX_CONNECTIONS
 
 
 ADDRESSES = ["192.0.2.1", "192.0.2.2", "192.0.3.1", "2001:db8::1", "2001:db8:0:1::1", "2001:db9::1"]
@@ -182,23 +191,27 @@
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
 @given(st.lists(STEP, max_size=80))
 def test_its_counts_are_those_of_what_is_there(steps):
-    quota = Admission(Quota(3, 2, 5.0, 4.0), Quota(5, 3, 50.0, 20.0))
+    quota = AdmissionSettings(Quota(3, 2, 5.0, 4.0), Quota(5, 3, 50.0, 20.0))
     control, now, there, begun = AdmissionControl(quota, CAPACITY), 0.0, [], []
     prefixes = (24, 48)
 
     def count(those, which, key):
-        return sum(key_of(address, *prefixes)[which] == key for _, address in those)
+        return sum(source_keys(address, *prefixes)[which] == key for _, address in those)
 
     for what, value in steps:
         if what in ("admit", "register"):
-            keys = key_of(value, *prefixes)
+            keys = source_keys(value, *prefixes)
             come = getattr(control, what)(value, now)
-            if reason(come) in (Reason.ADDRESS_HELD, Reason.PREFIX_HELD):
-                which = reason(come) == Reason.PREFIX_HELD
-                assert count(there, which, keys[which]) >= (quota.address, quota.prefix)[which].held
+            if reason(come) in (Reason.ADDRESS_CONNECTIONS, Reason.PREFIX_CONNECTIONS):
+                which = reason(come) == Reason.PREFIX_CONNECTIONS
+                assert (
+                    count(there, which, keys[which])
+                    >= (quota.address_quota, quota.prefix_quota)[which].max_connections
+                )
             elif isinstance(come, int):
                 assert what == "register" or all(
-                    count(there, which, keys[which]) < (quota.address, quota.prefix)[which].held
+                    count(there, which, keys[which])
+                    < (quota.address_quota, quota.prefix_quota)[which].max_connections
                     for which in (0, 1)
                 )
                 there.append((come, value))
@@ -213,8 +226,9 @@
             if begun.count(one) >= there.count(one):
                 continue
             refused = [
-                count(begun, which, key) >= (quota.address, quota.prefix)[which].begun
-                for which, key in enumerate(key_of(one[1], *prefixes))
+                count(begun, which, key)
+                >= (quota.address_quota, quota.prefix_quota)[which].max_incomplete_messages
+                for which, key in enumerate(source_keys(one[1], *prefixes))
             ]
             refusal = control.begin_message(one[0])
             assert (refusal is not None) == any(refused)
@@ -227,10 +241,14 @@
             control.reconfigure(replace(quota, prefix_v4=value[0], prefix_v6=value[1]))
         elif what == "wait":
             now += value
-        assert sum(control._addresses.held) == sum(control._prefixes.held) == len(there)
-        assert sum(control._addresses.begun) == sum(control._prefixes.begun) == len(begun)
-        assert control._addresses.empty == sum(
-            not control._addresses.held[e] for e in control._addresses.keys
+        assert sum(control.addresses.connections) == sum(control.prefixes.connections) == len(there)
+        assert (
+            sum(control.addresses.incomplete_messages)
+            == sum(control.prefixes.incomplete_messages)
+            == len(begun)
+        )
+        assert control.addresses.unused == sum(
+            not control.addresses.connections[e] for e in control.addresses.keys
         )
 
 
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -16,7 +16,7 @@
 from eiderfield.net.handover import Handover, HandoverContext
 from eiderfield.net.handover.old_process import MAX_PARKED_BATCH
 
-COPIES = replace(IDLING, copies=True)
+COPIES = replace(IDLING, keep_copies=True)
 
 
 class Removal:
@@ -177,7 +177,7 @@
 
 def test_what_the_new_process_closes_is_over_for_its_client_though_there_was_a_copy(removal):
     removal.go()
-    removal.new.pass_time(IDLING.keep + 2000.0)
+    removal.new.pass_time(IDLING.idle_timeout + 2000.0)
     assert removal.new.listener.parked == 0
     assert any(client.open for client in removal.clients)
     removal.go()
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -165,6 +165,7 @@
     module.teach = teach
     module.tell_departed = lambda handover, keys: handover._new._report_departed(LISTEN, keys)
     accept_all, park = module.accept_all, module.park
+    module.replace = lambda idling, copies: replace(idling, keep_copies=copies)
 
     def accept_by_present_names(side, room):
         accept_all(side, room)
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -6,7 +6,7 @@
 import pytest
 from support.memory_dispatcher import SITE, Client, InMemoryDispatcher, Pipe
 
-from eiderfield.connections.settings import KEEP, WHOLE
+from eiderfield.connections.settings import IDLE_TIMEOUT_MS, MESSAGE_TIMEOUT_MS
 from eiderfield.net.clients import ClientConnection, Phase
 from eiderfield.net.clients.connection import EVICTION_GRACE, LINGER_BYTES, LINGER_TIME
 from eiderfield.net.clients.listener import ACCEPT_RETRY, ACCEPTED_PER_TURN
@@ -30,7 +30,7 @@
     assert not silent.pipe.open
     assert not silent.answers()
     assert usual.pipe.open
-    dispatcher.advance(KEEP)
+    dispatcher.advance(IDLE_TIMEOUT_MS)
     assert not usual.pipe.open
 
 
@@ -48,10 +48,10 @@
     client = served(dispatcher, Client(dispatcher))
     dispatcher.advance(60_000.0)
     client.send(b"POST /safe/a HTTP/1.1\r\n")
-    dispatcher.advance(WHOLE / 2)
+    dispatcher.advance(MESSAGE_TIMEOUT_MS / 2)
     client.send(b"X-Request-Id: r1\r\n")
     assert not client.answers()
-    dispatcher.advance(WHOLE / 2 + 2 * TICK)
+    dispatcher.advance(MESSAGE_TIMEOUT_MS / 2 + 2 * TICK)
     assert client.answers()[0][0] == 408
 
 
@@ -308,7 +308,7 @@
     assert not dispatcher.listener.make_room(), "what has just come in is not given up for want of room"
     assert slow.pipe.open
     assert other.pipe.open
-    dispatcher.advance(WHOLE - EVICTION_GRACE - 100.0)
+    dispatcher.advance(MESSAGE_TIMEOUT_MS - EVICTION_GRACE - 100.0)
     slow.send(b"X-Request-Id: r1\r\n\r\n")
     assert dispatcher.dials, "a job may take that long to come in"
 
@@ -356,7 +356,7 @@
     dispatcher.advance(500.0)
     end.finish()
     assert [status for status, *_ in client.answers()] == [200, 503], "it is not ready, for no port is open"
-    dispatcher.advance(WHOLE - 600.0)
+    dispatcher.advance(MESSAGE_TIMEOUT_MS - 600.0)
     assert not client.answers(), "its first byte came 2 s after those of the one before"
     client.send(b"X-Request-Id: r3\r\nContent-Length: 0\r\n\r\n")
     assert dispatcher.exchange.has_request("r3")
@@ -374,6 +374,6 @@
     end.finish()
     assert [status for status, *_ in client.answers()] == [200]
     assert not client.pipe.paused
-    dispatcher.advance(WHOLE / 2)
+    dispatcher.advance(MESSAGE_TIMEOUT_MS / 2)
     client.send(b"x" * 3000)
     assert dispatcher.exchange.has_request("r2")
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -17,7 +17,7 @@
 from support.real_sockets import IDLING, LEAST_KEEP, ListenerHarness, SocketClient, message, play
 
 from eiderfield.connections.idle_connections import EXPIRED_PER_PASS, WOKEN_PER_POLL, IdleConnections
-from eiderfield.connections.settings import WHOLE, Idling
+from eiderfield.connections.settings import MESSAGE_TIMEOUT_MS, IdleSettings
 from eiderfield.net.clients import ClientConnection, ConnectionHandover
 from eiderfield.net.wheel import TICK
 
@@ -41,7 +41,7 @@
 
 
 def test_two_messages_at_once_after_an_hour_are_both_answered():
-    harness = ListenerHarness(replace(IDLING, keep=7_200_000.0))
+    harness = ListenerHarness(replace(IDLING, idle_timeout=7_200_000.0))
     [client] = harness.parked()
     harness.pass_time(3_600_000.0)
     client.send(message("a") + message("b"))
@@ -57,7 +57,7 @@
     assert half.ask("r1") == [200]
     half.send(b"POST /safe")
     harness.turn()
-    harness.pass_time(WHOLE - 1.0)
+    harness.pass_time(MESSAGE_TIMEOUT_MS - 1.0)
     assert not harness.listener.parked
     harness.pass_time(100.0)
     assert half.statuses() == [408]
@@ -86,7 +86,7 @@
 def test_a_message_that_begins_at_the_moment_of_expiry_is_answered(harness):
     [client] = harness.parked()
     client.send(message("r2"))
-    harness.dispatcher.now += IDLING.keep + 2000.0
+    harness.dispatcher.now += IDLING.idle_timeout + 2000.0
     harness.dispatcher.wheel.advance(
         harness.dispatcher.now
     )  # the timer before the loop could tell of the bytes
@@ -102,7 +102,7 @@
     client.send(b"POST /safe")
     harness.turn()
     for _ in range(10):
-        harness.pass_time(WHOLE / 10 - 1.0)
+        harness.pass_time(MESSAGE_TIMEOUT_MS / 10 - 1.0)
         client.send(b"x")
         harness.turn()
     assert not client.statuses()
@@ -113,7 +113,7 @@
 
 def test_an_idle_connection_ends_after_its_time_parked_or_not(harness):
     [client] = harness.parked()
-    harness.pass_time(IDLING.keep - IDLING.park_after - 100.0)
+    harness.pass_time(IDLING.idle_timeout - IDLING.park_after - 100.0)
     assert client.open
     harness.pass_time(1200.0)
     assert not client.open
@@ -197,12 +197,12 @@
 
 def test_a_new_idle_time_counts_for_those_that_are_parked(harness):
     [client] = harness.parked()
-    harness.listener.set_idle_limits(replace(IDLING, keep=3000.0))
+    harness.listener.set_idle_limits(replace(IDLING, idle_timeout=3000.0))
     harness.pass_time(3100.0)
     assert not client.open
-    harness.listener.set_idle_limits(replace(IDLING, keep=600_000.0))
+    harness.listener.set_idle_limits(replace(IDLING, idle_timeout=600_000.0))
     [client] = harness.parked()
-    harness.pass_time(IDLING.keep * 2)
+    harness.pass_time(IDLING.idle_timeout * 2)
     assert client.open
 
 
@@ -210,7 +210,7 @@
     [client] = harness.parked()
     harness.listener.set_idle_limits(replace(IDLING, park_after=inf))
     assert client.ask("r2") == [200]
-    harness.pass_time(IDLING.keep / 2)
+    harness.pass_time(IDLING.idle_timeout / 2)
     assert not harness.listener.parked
     assert client.open
 
@@ -235,7 +235,7 @@
     clients = harness.parked(3)
     assert clients[0].ask("r") == [200]
     assert harness.listener.parked == 2
-    harness.dispatcher.now += IDLING.keep / 2
+    harness.dispatcher.now += IDLING.idle_timeout / 2
     harness.dispatcher.wheel.advance(harness.dispatcher.now)
     harness.turn()
     assert clients[1].open
@@ -343,7 +343,7 @@
     heir.dispatcher.now = harness.dispatcher.now
     heir.listener.adopt_connection(socket.socket(fileno=detached.descriptor), detached.state)
     heir.turn()
-    heir.pass_time(WHOLE - 200.0)
+    heir.pass_time(MESSAGE_TIMEOUT_MS - 200.0)
     assert client.open
     assert not client.statuses()
     client.send(message("r2")[20:])
@@ -410,7 +410,7 @@
 
     @rule(keep=st.sampled_from([LEAST_KEEP, 60_000.0, 600_000.0]), after=st.sampled_from([10.0, 1000.0, inf]))
     def reload(self, keep, after):
-        self.harness.listener.set_idle_limits(Idling(keep, after))
+        self.harness.listener.set_idle_limits(IdleSettings(keep, after))
 
     @rule()
     def answered(self):
@@ -426,7 +426,7 @@
         statuses = client.statuses()
         if statuses and statuses[-1] == 408:
             assert begun
-            assert self.harness.dispatcher.now >= since + WHOLE
+            assert self.harness.dispatcher.now >= since + MESSAGE_TIMEOUT_MS
             assert statuses == [200] * owed + [408]
             del self.clients[number]
         elif client.open:
@@ -442,8 +442,8 @@
     def counted(self):
         listener = self.harness.listener
         assert listener.connections == len(listener._connections) + listener.parked
-        assert sum(self.harness.admission._addresses.held) == listener.connections
-        assert sum(self.harness.admission._addresses.begun) == sum(
+        assert sum(self.harness.admission.addresses.connections) == listener.connections
+        assert sum(self.harness.admission.addresses.incomplete_messages) == sum(
             a._message_counted for a in listener._connections
         )
 
