--- a/eiderfield/net/bans.py
+++ b/eiderfield/net/bans.py
@@ -1,67 +1,48 @@
-"""The workers that operators have banned, kept in a file so that bans outlive the process.
+"""Workers that operators have banned, persisted in a file so that bans outlive the process.
 
 States of the file, as this process knows it:
 
-    UNREAD    it is there and the system refused to read it; it is not replaced before it was read
-    WRITTEN   it holds what is in memory
-    WRITING   a snapshot of the memory is being written, away from the loop: a disk may stall for seconds
-    WAITING   the last attempt failed, or a ban came while one was under way; the next attempt has its time
+    UNREAD    the system refused to read it; it is not replaced before it was read
+    WRITTEN   it holds the bans in memory
+    WRITING   a snapshot of the bans is being written, outside the event loop: a disk may stall for seconds
+    WAITING   the last attempt failed, or a ban came during one; the next attempt is scheduled
 
-`read` leads to UNREAD or WRITTEN. An attempt in UNREAD reads first, and what it finds is banned unless an
-operator gave it back meanwhile. `keep` leads from any other state to WRITING; the attempt's end leads to
-WRITTEN, to WRITING again where the memory has changed meanwhile, or to WAITING where the system refused it.
-WAITING ends by a timer.
+`load` leads to UNREAD or WRITTEN. An attempt in UNREAD reads first; the bans on file come into force unless
+they were lifted meanwhile. `save` leads from any other state to WRITING. A successful attempt leads to
+WRITTEN, or to WRITING again if the bans changed meanwhile, and a failed one to WAITING, which ends by a
+timer.
 
-What must never happen: a caller is told that a ban is written down which the file does not hold; a ban in
-memory, or on file, is lost or no longer to be written because one attempt failed.
-
-The file holds Unix times, the process times of its own clock. After a step of the wall clock a ban that was
-read may seem to lie ahead: it then counts as later than any start of its worker, which is taken to be in slow
-start once the ban is lifted.
+Invariants: a caller is told that a ban is saved only if the file holds it, and no failed attempt loses a
+ban in memory or on file, or the retry.
 """
 
 from __future__ import annotations
 
-import json
-import os
-import threading
 from collections.abc import Callable
-from math import isfinite
+from functools import partial
 from pathlib import Path
 
-from eiderfield.durable import TRANSIENT, replace_file
 from eiderfield.exchange.timers import Timers
+from eiderfield.net.ban_file import BanFile, BanTimes
 from eiderfield.net.clock import WallClock
+from eiderfield.net.file_operations import OperationRunner, run_inline
 
-READ_LIMIT = 1 << 20  # bytes of the file: thousands of names
-RETRY_INTERVAL = 1000.0  # ms from a failed attempt to the next: a full disk is mended by hand, not at once
-
-Found = dict[str, float]
-Work = Callable[[], Found]  # what is on file after it; raises `OSError`
-Done = Callable[[Found | OSError], None]
-Runner = Callable[[Work, Done], None]
-
-
-def run_inline(work: Work, done: Done) -> None:
-    """Does some work at once."""
-    done(result_of(work))
-
+RETRY_INTERVAL_MS = 1000.0  # from a failed attempt to the next: a full disk takes an operator to free it
 
-def thread_runner(call_in_loop: Callable[[Callable[[], None]], object]) -> Runner:
-    """Does work in a thread of its own; `done` is called through `call_in_loop`."""
+SavedCallback = Callable[[bool], None]  # called with whether the bans are in the file
 
-    def run(work: Work, done: Done) -> None:
-        def target() -> None:
-            result = result_of(work)
-            call_in_loop(lambda: done(result))
 
-        threading.Thread(target=target, name="bans", daemon=True).start()
-
-    return run
+def _ignore_result(_saved: bool) -> None:
+    """Wait for no result of a save."""
 
 
 class Bans:
-    """Names of banned workers, with when each was banned. Without a path they live in memory alone."""
+    """The bans of one dispatcher. Without a path they live in memory alone.
+
+    Attributes:
+        since: By worker name, when the ban began.
+        on_late_ban: Called with the name and time of each ban that was read after the start.
+    """
 
     def __init__(
         self,
@@ -69,164 +50,137 @@
         log: Callable[[str], None],
         timers: Timers | None = None,
         clock: Callable[[], float] = lambda: 0.0,
-        run: Runner = run_inline,
+        run: OperationRunner = run_inline,
         wall: WallClock | None = None,
     ) -> None:
-        """Holds no bans yet: `read` takes in those on file. Without `timers` nothing is tried again.
-
-        `wall` relates `clock` to the Unix times of the file; without it they are the same."""
-        self.since: Found = {}
-        self.found_late: Callable[[str, float], None] = lambda name, since: None  # a ban that was read late
-        self._path = path
+        """Creates an empty set of bans; `load` reads those on file.
+
+        Args:
+            path: The file.
+            log: Called with a line for operators.
+            timers: Schedules retries; without it there are none.
+            clock: The process's clock, in ms.
+            run: Runs file operations.
+            wall: Relates `clock` to the Unix times of the file; without it they are the same.
+        """
+        self.since: BanTimes = {}
+        self.on_late_ban: Callable[[str, float], None] | None = None
+        self._file = None if path is None else BanFile(path, log, wall)
         self._log = log
         self._timers = timers
         self._clock = clock
         self._run = run
-        self._wall = wall
-        self._on_file: Found | None = {}  # None while it is not known
+        self._on_file: BanTimes | None = {}  # None while unknown
         self._unread = False
-        self._given_back: set[str] = set()  # names whose bans ended while the file was not read
-        self._writing = False
-        self._retry_set = False
-        self._callers: list[Callable[[bool], None]] = []  # who waits for the next attempt
+        self._lifted_while_unread: set[str] = set()
+        self._operation_running = False
+        self._retry_scheduled = False
+        self._callbacks: list[SavedCallback] = []  # for the next attempt
         self._last_error = ""
 
     @property
-    def written(self) -> bool:
-        """Whether the file holds what is in memory."""
-        return self._path is None or self.since == self._on_file
+    def saved(self) -> bool:
+        """Whether the file holds the bans in memory."""
+        return self._file is None or self.since == self._on_file
 
-    def read(self) -> None:
-        """Takes in what an earlier process kept. A file that is torn or not ours must not stop the start."""
-        if self._path is None:
+    def load(self) -> None:
+        """Read the bans that an earlier process saved. A malformed file counts as empty."""
+        if self._file is None:
             return
         try:
-            self.since = self._on_file = self._read_file(self._path)
+            self.since = self._on_file = self._file.read()
         except OSError as error:
-            self._log(f"bans: {self._path} cannot be read yet: {error}")
+            self._log(f"bans: file not readable yet, retrying (path={self._file.path} error={error})")
             self._unread = True
-            self._retry_later()
+            self._schedule_retry()
         self.since = dict(self.since)
 
-    def _read_file(self, path: Path) -> Found:
-        """The bans on file, none where it cannot be used; raises an `OSError` that may pass."""
-        try:
-            descriptor = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
-            with os.fdopen(descriptor, "rb") as file:
-                if os.fstat(descriptor).st_uid != os.getuid():
-                    raise ValueError("it belongs to another user")
-                stored = parse(json.loads(file.read(READ_LIMIT)))
-                return _shifted(stored, -self._unix_ahead())
-        except FileNotFoundError:
-            return {}
-        except (OSError, ValueError, RecursionError) as error:
-            if isinstance(error, OSError) and error.errno in TRANSIENT:
-                raise
-            self._log(f"bans: {path} is not taken: {error}")
-            return {}
-
     def remove(self, name: str) -> float | None:
-        """Ends a ban; when it began, None if there was none."""
+        """Remove a ban; return when it began, or None if there is none."""
         if self._unread:
-            self._given_back.add(name)
+            self._lifted_while_unread.add(name)
         return self.since.pop(name, None)
 
-    def _unix_ahead(self) -> float:
-        """What Unix time is ahead of the process's clock."""
-        return 0.0 if self._wall is None else self._wall.offset()
+    def save(self, on_saved: SavedCallback = _ignore_result) -> None:
+        """Write the bans to the file; `on_saved` is called after the attempt that includes them."""
+        if self._file is None:
+            on_saved(True)
+            return
+        self._callbacks.append(on_saved)
+        if not self._operation_running:
+            self._start_attempt(self._file)
+
+    def save_later(self) -> None:
+        """Write the bans after the retry interval.
+
+        The dispatcher's other process writes the same change now, and may end before it succeeds.
+        """
+        if self._file is not None:
+            self._schedule_retry()
+
+    def _start_attempt(self, file: BanFile) -> None:
+        """Write the bans, or read the file if it was not read yet."""
+        self._operation_running = True
+        callbacks, self._callbacks = self._callbacks, []
+        if self._unread:
+            self._run(file.read, partial(self._read_ended, file, callbacks))
+        else:
+            snapshot = dict(self.since)
+            self._run(partial(_write, file, snapshot), partial(self._attempt_ended, file, callbacks))
 
-    def keep(self, then: Callable[[bool], None] = lambda written: None) -> None:
-        """Writes the bans down. `then` hears whether all that is in memory now is in the file."""
-        if self._path is None:
-            then(True)
+    def _read_ended(self, file: BanFile, callbacks: list[SavedCallback], result: BanTimes | OSError) -> None:
+        if isinstance(result, OSError):
+            self._attempt_ended(file, callbacks, result)
             return
-        self._callers.append(then)
-        if not self._writing:
-            self._attempt(self._path)
-
-    def keep_later(self) -> None:
-        """Writes the bans down in a while: another process of this dispatcher was told of the change, and may
-        end before it could write it."""
-        if self._path is not None:
-            self._retry_later()
-
-    def _attempt(self, path: Path) -> None:
-        """Begins a write of what is in memory, or first a read of what could not be read before."""
-        self._writing = True
-        callers, self._callers = self._callers, []
-        snapshot = dict(self.since)
-
-        def write() -> Found:
-            replace_file(path, json.dumps({"banned": _shifted(snapshot, self._unix_ahead())}))
-            return snapshot
-
-        def read() -> Found:
-            return self._read_file(path)
-
-        def done(result: Found | OSError) -> None:
-            self._writing = False
-            if unread and not isinstance(result, OSError):
-                self._callers = callers + self._callers
-                self._read_late(result)
-                self._attempt(path)
-                return
-            self._ended(result)
-            for then in callers:
-                then(not isinstance(result, OSError))
-            if self._callers and not self._writing:
-                self._attempt(path)
-
-        unread = self._unread
-        self._run(read if unread else write, done)
-
-    def _read_late(self, found: Found) -> None:
+        self._callbacks = callbacks + self._callbacks
+        self._apply_late_bans(result)
+        self._start_attempt(file)
+
+    def _apply_late_bans(self, bans: BanTimes) -> None:
         self._unread = False
-        for name in found.keys() - self.since.keys() - self._given_back:
-            self.found_late(name, found[name])
-        self._given_back.clear()
+        for name in bans.keys() - self.since.keys() - self._lifted_while_unread:
+            if self.on_late_ban is not None:
+                self.on_late_ban(name, bans[name])
+        self._lifted_while_unread.clear()
 
-    def _ended(self, result: Found | OSError) -> None:
+    def _attempt_ended(
+        self, file: BanFile, callbacks: list[SavedCallback], result: BanTimes | OSError
+    ) -> None:
+        self._operation_running = False
         if isinstance(result, OSError):
-            self._on_file = None
-            if str(result) != self._last_error:
-                self._last_error = str(result)
-                self._log(f"bans: {self._path} cannot be written: {result}")
-            self._retry_later()
-            return
-        self._on_file = result
+            self._record_failure(file, result)
+        else:
+            self._record_success(file, result)
+        for on_saved in callbacks:
+            on_saved(not isinstance(result, OSError))
+        if self._callbacks and not self._operation_running:
+            self._start_attempt(file)
+
+    def _record_failure(self, file: BanFile, error: OSError) -> None:
+        self._on_file = None
+        if str(error) != self._last_error:
+            self._last_error = str(error)
+            self._log(f"bans: file not written, retrying (path={file.path} error={error})")
+        self._schedule_retry()
+
+    def _record_success(self, file: BanFile, written: BanTimes) -> None:
+        self._on_file = written
         if self._last_error:
-            self._log(f"bans: {self._path} is written again")
+            self._log(f"bans: file written again (path={file.path})")
         self._last_error = ""
 
-    def _retry_later(self) -> None:
-        if self._timers is not None and not self._retry_set:
-            self._retry_set = True
-            self._timers.at(self._clock() + RETRY_INTERVAL, self._retry)
+    def _schedule_retry(self) -> None:
+        if self._timers is not None and not self._retry_scheduled:
+            self._retry_scheduled = True
+            self._timers.at(self._clock() + RETRY_INTERVAL_MS, self._retry)
 
     def _retry(self) -> None:
-        self._retry_set = False
-        if not self._writing and self._path is not None:
-            self._attempt(self._path)
-
-
-def result_of(work: Work) -> Found | OSError:
-    """What some work returns, or the error that it raises."""
-    try:
-        return work()
-    except OSError as error:
-        return error
-
-
-def _shifted(times: Found, by: float) -> Found:
-    return {name: at + by for name, at in times.items()}
+        self._retry_scheduled = False
+        if not self._operation_running and self._file is not None:
+            self._start_attempt(self._file)
 
 
-def parse(told: object) -> dict[str, float]:
-    """Bans in the file's form; raises `ValueError` if it is not that."""
-    banned = told.get("banned") if isinstance(told, dict) else None
-    if not isinstance(banned, dict):
-        raise ValueError("no table of bans")
-    for since in banned.values():
-        if isinstance(since, bool) or not isinstance(since, int | float) or not isfinite(since):
-            raise ValueError("a ban's time is not a number")
-    return {str(name): float(since) for name, since in banned.items()}
+def _write(file: BanFile, bans: BanTimes) -> BanTimes:
+    """Write bans and return them."""
+    file.write(bans)
+    return bans
--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -53,7 +53,7 @@
         self._clock = clock
         self.ids = ids
         self.bans = bans
-        bans.found_late = self._begin_ban
+        bans.on_late_ban = self._begin_ban
         self.starts = StartTimes(clock, wall or WallClock(clock, clock))
         self.index: int | None = None  # the version of the last list
         self.watches_reopened: Counter[str] = Counter()  # watches lost and opened anew so far, by why
@@ -83,7 +83,7 @@
             return None
         if name not in self.bans.since:  # a ban that is called again began when it was first called
             self._begin_ban(name, self._clock())
-        self.bans.keep(then)
+        self.bans.save(then)
         return True
 
     def unban(self, name: str, then: Callable[[bool], None] = lambda written: None) -> bool | None:
@@ -91,7 +91,7 @@
         if not self._was_listed(name):
             return None
         self._end_ban(name)
-        self.bans.keep(then)
+        self.bans.save(then)
         return True
 
     def apply_ban(self, name: str, since: float | None) -> None:
@@ -100,7 +100,7 @@
             self._end_ban(name)
         elif since is not None and name not in self.bans.since:
             self._begin_ban(name, since)
-        self.bans.keep_later()
+        self.bans.save_later()
 
     def _begin_ban(self, name: str, since: float) -> None:
         self.bans.since[name] = since
@@ -196,8 +196,8 @@
     def take_over(self, state: RoutingTableState, bans: Mapping[str, float]) -> None:
         """Goes on from the table and the bans of another process."""
         self.bans.since = dict(bans)
-        if not self.bans.written:  # the process before may not have been able to write them
-            self.bans.keep()
+        if not self.bans.saved:  # the process before may not have been able to write them
+            self.bans.save()
         for unbanned in state.unbanned_workers:
             self._unbanned[self.ids.worker(unbanned.name)] = unbanned
         for worker in self._entries:
--- a/eiderfield/net/handover/load_updates.py
+++ b/eiderfield/net/handover/load_updates.py
@@ -12,7 +12,7 @@
 class LoadUpdates:
     """Collects changes that the exchange reports and sends them once a tick.
 
-    Implements `exchange.OtherProcess`.
+    Implements `exchange.protocols.OtherProcess`.
     """
 
     def __init__(
--- a/eiderfield/program/core.py
+++ b/eiderfield/program/core.py
@@ -9,10 +9,11 @@
 from eiderfield.config.loader import Config
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.idmap import IdMap
-from eiderfield.net.bans import Bans, Runner
+from eiderfield.net.bans import Bans
 from eiderfield.net.clock import WallClock
 from eiderfield.net.descriptors import ConnectionLimits
 from eiderfield.net.discovery.routing_table import RoutingTable
+from eiderfield.net.file_operations import OperationRunner
 from eiderfield.net.loop import Driver
 from eiderfield.net.worker_pool import WorkerPool
 from eiderfield.program.log import log
@@ -37,7 +38,9 @@
         return self.driver.clock
 
 
-def make_core(config: Config, driver: Driver, limits: ConnectionLimits, run_in_thread: Runner) -> Core:
+def make_core(
+    config: Config, driver: Driver, limits: ConnectionLimits, run_in_thread: OperationRunner
+) -> Core:
     """Joins exchange, workers and endpoint list; a `ConfigError` if the static endpoints are faulty."""
     wall = WallClock(driver.clock)
     ids = IdMap(config.zones, config.kinds)
@@ -55,7 +58,7 @@
     )
     path = state_path(config.listen, "bans.json")
     bans = Bans(path, log, driver.wheel, driver.clock, run_in_thread, wall)
-    bans.read()
+    bans.load()
     table = RoutingTable(exchange, workers, ids, bans, driver.clock, wall)
     _load_known(config, table)
     return Core(driver, ids, exchange, workers, table, wall)
--- a/eiderfield/program/program.py
+++ b/eiderfield/program/program.py
@@ -13,9 +13,9 @@
 from eiderfield.batch.front import BatchFront
 from eiderfield.batch.registry import JobRegistry, RegistryLimits
 from eiderfield.config.loader import Config
-from eiderfield.net.bans import thread_runner
 from eiderfield.net.clients import RequestFront
 from eiderfield.net.descriptors import ConnectionLimits, allowed_descriptors
+from eiderfield.net.file_operations import thread_runner
 from eiderfield.net.handover import Handover, HandoverContext
 from eiderfield.net.loop import Driver
 from eiderfield.program.core import Core, CorePart, make_core
@@ -48,7 +48,7 @@
         self._settled = False  # whether all parts have started
         limits = _connection_limits(config)
         driver = Driver(loop, clock)
-        self.core = make_core(config, driver, limits, thread_runner(loop.call_soon_threadsafe))
+        self.core = make_core(config, driver, limits, thread_runner(loop.call_soon_threadsafe, "bans"))
         self.settings = RunningSettings(config, self.core.exchange)
         socket_path = state_path(config.listen, "sock")
         opener = Opener(loop, socket_path)
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -223,7 +223,7 @@
         )
         self.wall = None if unix is None else WallClock(self.clock, unix)
         bans = Bans(bans, self.logged.append, self.wheel, self.clock, wall=self.wall)
-        bans.read()
+        bans.load()
         self.table = RoutingTable(self.exchange, self.side, self.ids, bans, self.clock, self.wall)
         front = RequestFront(self.exchange, self.ids, self.clock)
         self.listener = Listener(front, self.wheel, self.clock, most)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -132,7 +132,7 @@
 def test_a_torn_file_stops_nothing(tmp_path, text):
     (tmp_path / "bans").write_text(text)
     console = Console(bans=tmp_path / "bans")
-    assert "not taken" in console.dispatcher.logged[0]
+    assert "file ignored" in console.dispatcher.logged[0]
     assert state(console.dispatcher, 1) == EndpointState.READY
     assert ask(console, "disable") == 200
     assert json.loads((tmp_path / "bans").read_text())["banned"].keys() == {"w1"}
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -10,8 +10,9 @@
 from test_bans import ask, state
 
 from eiderfield.interface import EndpointState
-from eiderfield.net.bans import RETRY_INTERVAL, Bans, result_of, thread_runner
+from eiderfield.net.bans import RETRY_INTERVAL_MS, Bans
 from eiderfield.net.console import WAIT
+from eiderfield.net.file_operations import result_of, thread_runner
 from eiderfield.net.table_state import RoutingTableState
 
 # What a write of the file does, with how many calls of the kind it makes.
@@ -23,7 +24,7 @@
     """What a process that starts now takes in; None if the file cannot be used."""
     logged = []
     bans = Bans(path, logged.append)
-    bans.read()
+    bans.load()
     return None if logged else set(bans.since)
 
 
@@ -48,9 +49,9 @@
                 assert banned_on_file(path) is not None, "a torn file"
         assert faults.failed or first > len(CALLS), "the kind is not part of a write"
         faults.heal()
-        console.dispatcher.advance(2.0 * RETRY_INTERVAL)
+        console.dispatcher.advance(2.0 * RETRY_INTERVAL_MS)
         assert banned_on_file(path) == in_force, "not written after the disk was well again"
-    assert not [line for line in console.dispatcher.logged if "not taken" in line]
+    assert not [line for line in console.dispatcher.logged if "file ignored" in line]
 
 
 def test_a_yes_comes_after_the_file_and_its_folder_are_synced(tmp_path, monkeypatch):
@@ -97,11 +98,11 @@
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("sync", ERRORS[0])
         ask(console, "disable", "w1")
-        console.dispatcher.advance(10.0 * RETRY_INTERVAL)
+        console.dispatcher.advance(10.0 * RETRY_INTERVAL_MS)
         assert faults.failed > 5, "it is tried again and again"
-        assert len([line for line in console.dispatcher.logged if "cannot be written" in line]) == 1
+        assert len([line for line in console.dispatcher.logged if "file not written" in line]) == 1
         faults.heal()
-        console.dispatcher.advance(2.0 * RETRY_INTERVAL)
+        console.dispatcher.advance(2.0 * RETRY_INTERVAL_MS)
     assert len([line for line in console.dispatcher.logged if "written again" in line]) == 1
 
 
@@ -114,7 +115,7 @@
 def test_a_ban_that_another_process_was_told_of_is_written_here_too(tmp_path):
     console = Console(workers=2, bans=tmp_path / "bans")
     console.dispatcher.table.apply_ban("w2", 5.0)
-    console.dispatcher.advance(2.0 * RETRY_INTERVAL)
+    console.dispatcher.advance(2.0 * RETRY_INTERVAL_MS)
     assert banned_on_file(tmp_path / "bans") == {"w2"}
 
 
@@ -132,9 +133,9 @@
         assert state(console.dispatcher, 1) == EndpointState.READY, "the start is not stopped"
         assert ask(console, "enable", "w2") == 500
         assert ask(console, "disable", "w3") == 500
-        console.dispatcher.advance(5.0 * RETRY_INTERVAL)
+        console.dispatcher.advance(5.0 * RETRY_INTERVAL_MS)
         faults.heal()
-        console.dispatcher.advance(2.0 * RETRY_INTERVAL)
+        console.dispatcher.advance(2.0 * RETRY_INTERVAL_MS)
     assert state(console.dispatcher, 1) == EndpointState.DRAINING
     assert state(console.dispatcher, 2) == EndpointState.READY
     assert banned_on_file(path) == {"w1", "w3"}
@@ -159,7 +160,7 @@
     bans = Bans(tmp_path / "bans", print, run=disk.run)
     for worker in ("w1", "w2", "w3"):
         bans.since[worker] = 1.0
-        bans.keep(lambda written, worker=worker: answers.append((worker, written)))
+        bans.save(lambda written, worker=worker: answers.append((worker, written)))
     assert len(disk.attempts) == 1
     assert answers == []
     disk.end_next()
@@ -199,9 +200,9 @@
         called.set()
 
     answers = []
-    bans = Bans(tmp_path / "bans", print, run=thread_runner(call_in_loop))
+    bans = Bans(tmp_path / "bans", print, run=thread_runner(call_in_loop, "bans"))
     bans.since["w1"] = 1.0
-    bans.keep(answers.append)
+    bans.save(answers.append)
     assert called.wait(30.0)
     assert answers == []
     calls.pop()()
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -53,7 +53,7 @@
     shutil.copy(golden / "bans" / name, path)
     lines = []
     bans = Bans(path, lines.append)
-    bans.read()
+    bans.load()
     assert bans.since == banned
     assert bool(lines) == (name == "torn.json")
 
@@ -62,7 +62,7 @@
     bans = Bans(tmp_path / "bans.json", print)
     bans.since = {"w1": 1_700_000_000_123.5, "w-\u00e9/2": 12.0}
     written = []
-    bans.keep(written.append)
+    bans.save(written.append)
     assert written == [True]
     assert (tmp_path / "bans.json").read_bytes() == (golden / "bans" / "two.json").read_bytes()
 
