--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,11 +1,11 @@
-"""The README and the architecture page name only what there is."""
+"""The README, the contributing guide and the architecture page name only what there is."""
 
 import re
 
 import pytest
 from support.processes import ROOT
 
-PAGES = [ROOT / "README.md", ROOT / "docs" / "architecture.md"]
+PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", ROOT / "docs" / "architecture.md"]
 PACKAGE = ROOT / "eiderfield"
 
 
