--- a/eiderfield/durable_requests/coordinator.py
+++ b/eiderfield/durable_requests/coordinator.py
@@ -67,7 +67,7 @@
             cancellation,
         )
         thread.attach_listener(self.thread_events)
-        services.exchange.durable_requests = self.hooks
+        services.exchange.attach_durable_requests(self.hooks)
 
     @property
     def member(self) -> Member:
--- /dev/null
+++ b/eiderfield/exchange/actions.py
@@ -0,0 +1,160 @@
+"""Carries out the actions that the policy decides."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from functools import partial
+from typing import assert_never
+
+from eiderfield.exchange.attempt_table import AttemptTable, StopReason
+from eiderfield.exchange.context import Context
+from eiderfield.exchange.endpoint_table import EndpointTable
+from eiderfield.exchange.event_queue import EventQueue
+from eiderfield.exchange.metrics import Metrics
+from eiderfield.exchange.request import Answer, Attempt, Verdict, may_have_run
+from eiderfield.exchange.request_table import RequestTable
+from eiderfield.interface import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    LogMessage,
+    Outcome,
+    ProbeWorker,
+    RejectRequest,
+    SendPeerReport,
+    SetTimer,
+    StartAttempt,
+    TimerFired,
+    WatchEndpoints,
+)
+
+
+class ActionExecutor:
+    """Carries out actions in order; one that fails is logged and does not stop the others."""
+
+    def __init__(
+        self,
+        context: Context,
+        events: EventQueue,
+        endpoints: EndpointTable,
+        requests: RequestTable,
+        attempts: AttemptTable,
+        metrics: Metrics,
+    ) -> None:
+        self.context = context
+        self.endpoints = endpoints
+        self.requests = requests
+        self.attempts = attempts
+        self.metrics = metrics
+        self._events = events
+
+    def execute(self, actions: Iterable[Action], now: float) -> None:
+        """Carry out the actions of a turn at time `now` (ms)."""
+        for action in actions:
+            try:
+                match action:
+                    case StartAttempt():
+                        self.start_attempt(action, now)
+                    case CancelAttempt():
+                        self.cancel_attempt(action)
+                    case RejectRequest():
+                        self.reject_request(action)
+                    case FailRequest():
+                        self.fail_request(action)
+                    case _:
+                        self._execute_for_dispatcher(action)
+            except Exception as error:  # an adapter that fails must not lose the turn's other actions
+                self.context.log(f"exchange: action failed (action={type(action).__name__} error={error!r})")
+
+    def start_attempt(self, action: StartAttempt, now: float) -> None:
+        """Start an attempt, unless its request has ended or it exceeds the limits on attempts."""
+        context = self.context
+        pending = self.requests.pending.get(action.id)
+        if pending is None or context.worker_side is None:
+            context.log(f"exchange: attempt not started, its request has ended (request={action.id})")
+            return
+        attempt = Attempt(pending, len(pending.attempts), action.worker, now)
+        any_open = any(other.open for other in pending.attempts)
+        pending.attempts.append(attempt)
+        pending.started_at = 0.0  # that of an earlier attempt, if any
+        settings = context.settings
+        # Guards against a fault of the policy, which is notified that the attempt was never sent.
+        if len(pending.attempts) > settings.max_attempts or (any_open and not settings.hedging_allowed):
+            self.metrics.prevented_violations["attempts"] += 1
+            self.attempts.end(attempt, Outcome.MOOT)
+            return
+        deadline = pending.request.deadline
+        stop_at = min(deadline, now + action.timeout) if action.timeout > 0.0 else deadline
+        self.attempts.add(attempt, action.work)
+        attempt.timer = context.timers.at(
+            stop_at, lambda: self.attempts.stop(attempt, StopReason.TIMEOUT, Outcome.TIMEOUT)
+        )
+        if pending.durable and context.durable_requests is not None:
+            context.durable_requests.claim(attempt, partial(self._claim_ended, attempt))
+        else:
+            context.worker_side.start(attempt)
+
+    def _claim_ended(self, attempt: Attempt, may_start: bool) -> None:
+        """Start an attempt of a durable request once it is stored, or end it if it must not start."""
+        if attempt.open and self.context.worker_side is not None:
+            if may_start:
+                self.context.worker_side.start(attempt)
+            else:
+                self.attempts.end(attempt, Outcome.MOOT)
+
+    def cancel_attempt(self, action: CancelAttempt) -> None:
+        """Stop an attempt if it is still open."""
+        if (attempt := self.attempts.open.get((action.id, action.attempt))) is not None:
+            self.attempts.stop(attempt, StopReason.POLICY)
+
+    def reject_request(self, action: RejectRequest) -> None:
+        """Answer a request that is still pending: not served, the client may retry."""
+        if (pending := self.requests.pending.get(action.id)) is not None:
+            answer = Answer(
+                Verdict.DECLINED,
+                retry_after=action.retry_after,
+                may_have_run=may_have_run(pending),
+                attempts=len(pending.attempts),
+            )
+            self.requests.finish(pending, answer)
+
+    def fail_request(self, action: FailRequest) -> None:
+        """Answer a request that is still pending: failed."""
+        if (pending := self.requests.pending.get(action.id)) is not None:
+            answer = Answer(
+                Verdict.FAILED, may_have_run=may_have_run(pending), attempts=len(pending.attempts)
+            )
+            self.requests.finish(pending, answer)
+
+    def _execute_for_dispatcher(
+        self,
+        action: SetTimer
+        | ProbeWorker
+        | CloseIdleConnections
+        | SendPeerReport
+        | LogMessage
+        | WatchEndpoints
+        | FetchEndpoints,
+    ) -> None:
+        """Carry out an action that concerns no single request."""
+        context = self.context
+        match action:
+            case SetTimer(at, token):
+                context.timers.at(at, lambda: self._events.post(TimerFired(token)))
+            case ProbeWorker(worker):
+                if context.worker_side is not None:
+                    context.worker_side.probe(worker)
+            case CloseIdleConnections(worker):
+                if context.worker_side is not None:
+                    context.worker_side.close_idle(worker)
+            case SendPeerReport(peer, data):
+                if context.peer_channel is not None:
+                    context.peer_channel.tell(peer, data)
+            case LogMessage(text):
+                context.log(text)
+            case WatchEndpoints() | FetchEndpoints():
+                pass  # the endpoint list is always watched
+            case _:
+                assert_never(action)
--- /dev/null
+++ b/eiderfield/exchange/attempt_table.py
@@ -0,0 +1,121 @@
+"""Holds the open attempts, and stops and ends them."""
+
+from __future__ import annotations
+
+from collections import Counter
+from enum import StrEnum
+
+from eiderfield.exchange.context import Context
+from eiderfield.exchange.event_queue import EventQueue
+from eiderfield.exchange.metrics import Metrics
+from eiderfield.exchange.request import Attempt, PendingRequest
+from eiderfield.exchange.request_table import RequestTable
+from eiderfield.interface import (
+    HELD_UP,
+    NEVER_RAN,
+    AttemptEnded,
+    Effect,
+    Outcome,
+    RequestClass,
+)
+
+
+class StopReason(StrEnum):
+    """Why the exchange stopped an attempt; the console shows these words."""
+
+    CLIENT_GONE = "nobody waits"
+    POLICY = "decided"
+    TIMEOUT = "timed out"
+    TAKEN_OVER = "taken over"
+
+
+class AttemptTable:
+    """Open attempts by request and number, also those of answered requests, and their number per worker."""
+
+    def __init__(
+        self, context: Context, events: EventQueue, requests: RequestTable, metrics: Metrics
+    ) -> None:
+        self.open: dict[tuple[int, int], Attempt] = {}
+        self._context = context
+        self._events = events
+        self._requests = requests
+        self._metrics = metrics
+        self._open_per_worker: Counter[int] = Counter()
+
+    @property
+    def open_per_worker(self) -> dict[int, int]:
+        """The number of open attempts of each worker that has any."""
+        return {worker: count for worker, count in self._open_per_worker.items() if count}
+
+    def add(self, attempt: Attempt, work: float) -> None:
+        """Add an attempt that is about to start; `work` is its expected work."""
+        self.open[attempt.pending.id, attempt.number] = attempt
+        self._open_per_worker[attempt.worker] += 1
+        self._notify_other_process(attempt.worker, work)
+
+    def stop(self, attempt: Attempt, reason: str, outcome: Outcome = Outcome.CANCELLED) -> None:
+        """Abort an open attempt. If its last byte was not sent, it is known never to have run."""
+        if attempt.open and self._context.worker_side is not None:
+            self._metrics.cancelled_attempts[reason] += 1
+            self._context.worker_side.stop(attempt)
+            self.end(attempt, outcome if attempt.may_have_run else Outcome.MOOT)
+
+    def stop_all(self, pending: PendingRequest, reason: str) -> None:
+        """Abort the open attempts of a request."""
+        for attempt in pending.attempts:
+            self.stop(attempt, reason)
+
+    def end(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
+        """Record the end of an attempt and notify the policy; does nothing if it has ended before."""
+        if not attempt.open:
+            return
+        pending = attempt.pending
+        attempt.open = False
+        self._requests.release_id(pending)
+        if self.open.pop((pending.id, attempt.number), None) is not None:
+            self._open_per_worker[attempt.worker] -= 1
+            self._notify_other_process(attempt.worker)
+        attempt.may_have_run = attempt.may_have_run and outcome not in NEVER_RAN
+        pending.running = False
+        if pending.durable and self._context.durable_requests is not None:
+            self._context.durable_requests.attempt_ended(attempt)
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        # Until the turn, which knows the time, `elapsed` holds when the attempt was sent.
+        self._events.post(
+            AttemptEnded(
+                pending.id,
+                attempt.number,
+                attempt.worker,
+                outcome,
+                attempt.sent,
+                pending.answered,
+                load=load,
+            )
+        )
+
+    def _notify_other_process(self, worker: int, work: float = 0.0) -> None:
+        if self._context.other_process is not None:
+            self._context.other_process.attempts_changed(worker, self._open_per_worker[worker], work)
+
+
+def latest_start(attempt: Attempt, cls: RequestClass) -> float:
+    """Return the time (ms) at which an attempt must have started.
+
+    That is the client's deadline and, if an earlier attempt of a keyed request may have run, the end of the
+    window in which workers discard a repeat.
+    """
+    deadline = attempt.pending.request.deadline
+    if cls.effect != Effect.KEYED:
+        return deadline
+    window = cls.repeat_window_ms - HELD_UP
+    return min(
+        [
+            deadline,
+            *[
+                other.sent + window
+                for other in attempt.pending.attempts
+                if other is not attempt and other.may_have_run
+            ],
+        ]
+    )
--- /dev/null
+++ b/eiderfield/exchange/request_table.py
@@ -0,0 +1,82 @@
+"""Holds the requests that have no final answer yet, and the request ids in use."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from eiderfield.exchange.context import Context
+from eiderfield.exchange.metrics import Metrics
+from eiderfield.exchange.other_process import OtherProcessState
+from eiderfield.exchange.request import Answer, PendingRequest, Request, Verdict
+
+
+class RequestTable:
+    """Pending requests by number, and the ids that no other request may use."""
+
+    def __init__(self, context: Context, metrics: Metrics, other_process: OtherProcessState) -> None:
+        self.pending: dict[int, PendingRequest] = {}
+        self.ids: set[str] = set()  # of requests without a final answer or with an open attempt
+        self._context = context
+        self._metrics = metrics
+        self._other_process = other_process
+        self._last_number = 0
+        self._new: list[PendingRequest] = []  # since the last turn
+        self._served: list[PendingRequest] = []  # since the last turn
+
+    def has_id(self, id_: str) -> bool:
+        """Return whether a request of this dispatcher's processes uses the id."""
+        return id_ in self.ids or id_ in self._other_process.request_ids
+
+    def add(
+        self,
+        request: Request,
+        answer: Callable[[Answer], None],
+        durable: bool,
+        client_waits: Callable[[], bool] | None,
+    ) -> PendingRequest:
+        """Add a request; raises `ValueError` if its id is in use."""
+        id_ = request.id
+        if id_ in self.ids or id_ in self._other_process.request_ids:
+            raise ValueError(f"request {id_} is there already")
+        self._last_number += 1
+        pending = PendingRequest(
+            self._last_number, request, answer, durable=durable, client_waits=client_waits
+        )
+        self.pending[pending.id] = pending
+        self.ids.add(id_)
+        self._new.append(pending)
+        if self._context.other_process is not None:
+            self._context.other_process.request_taken(id_)
+        return pending
+
+    def timestamp(self, now: float) -> None:
+        """Set the arrival time of new requests, and record the response times of those just served."""
+        for pending in self._new:
+            pending.received_at = now
+        self._new.clear()
+        self._metrics.record_served(self._served, self._context.settings.classes, now)
+        self._served.clear()
+
+    def finish(self, pending: PendingRequest, answer: Answer | None = None) -> None:
+        """Remove a request and give its final answer; None ends it without one."""
+        pending.answered = True
+        del self.pending[pending.id]
+        self.release_id(pending)
+        if pending.timer is not None:
+            pending.timer.cancel()
+        if answer is None:
+            return
+        self._metrics.final_answers[pending.request.class_index, answer.verdict] += 1
+        if answer.verdict is Verdict.SERVED:
+            self._served.append(pending)
+        if pending.durable and self._context.durable_requests is not None:
+            self._context.durable_requests.finish(pending, answer)
+        else:
+            pending.answer(answer)
+
+    def release_id(self, pending: PendingRequest) -> None:
+        """Release the request's id if it is answered and its last attempt has ended."""
+        if pending.answered and not any(attempt.open for attempt in pending.attempts):
+            self.ids.discard(pending.request.id)
+            if self._context.other_process is not None:
+                self._context.other_process.id_released(pending.request.id)
--- /dev/null
+++ b/eiderfield/exchange/settings_check.py
@@ -0,0 +1,28 @@
+"""Checks which settings of the policy a running process can take."""
+
+from __future__ import annotations
+
+from eiderfield.interface import Settings
+
+# Keys of the settings, each with the field of `Settings` that holds it. Requests refer to classes and tenants
+# by index, so their names and order stay; their numbers may change.
+_NAMED_LISTS = {"classes": "classes", "projects": "tenants"}
+_FIXED = {
+    "load_info.columns": "load_report_fields",
+    "zones": "zone_count",
+    "discovery": "subscribes_to_endpoints",
+    "family_info.tells_start": "workers_report_start",
+    "policy_limits.may_tell": "gossip_allowed",
+}
+
+
+def check_settings(current: Settings, new: Settings) -> None:
+    """Raise `ValueError`, which names the key, for a change that only a new process can take."""
+    for key, field in _NAMED_LISTS.items():
+        old_names = [item.name for item in getattr(current, field)]
+        new_names = [item.name for item in getattr(new, field)]
+        if old_names != new_names:
+            raise ValueError(f"settings.{key} names others than at the start: {new_names}, not {old_names}")
+    for key, field in _FIXED.items():
+        if getattr(new, field) != getattr(current, field):
+            raise ValueError(f"settings.{key} takes effect at the next start alone")
--- a/eiderfield/lab/fleet/faulty_programs.py
+++ b/eiderfield/lab/fleet/faulty_programs.py
@@ -25,8 +25,9 @@
 from pathlib import Path
 from typing import Any
 
+from eiderfield.exchange.actions import ActionExecutor
 from eiderfield.exchange.exchange import Exchange
-from eiderfield.interface import EndpointState, RejectRequest
+from eiderfield.interface import EndpointState, FailRequest, RejectRequest, StartAttempt
 from eiderfield.net.discovery.routing_table import RoutingTable
 
 ROOT = Path(__file__).resolve().parents[3]
@@ -45,6 +46,8 @@
 )
 ALL = (*DRAWN, "one-zone")
 
+FaultyStart = Callable[[ActionExecutor, StartAttempt, float], None]
+
 ENTRY = 'if __name__ == "__main__":'  # of the main module, where the fault is planted
 EVERY_DECLINED = 10
 EVERY_CANCELLED = 3
@@ -55,7 +58,7 @@
 PLANTED = "planted"  # why an attempt is cancelled
 CRASH_CODE = 70
 
-send: Callable[..., None] = Exchange._send
+start_attempt = ActionExecutor.start_attempt
 submit: Callable[..., int] = Exchange.submit
 take_over: Callable[..., None] = RoutingTable.take_over
 number = count(1)
@@ -85,10 +88,11 @@
 
 def plant(kind: str) -> None:
     """Makes this process a faulty program."""
+    executor: Any = ActionExecutor
     exchange: Any = Exchange
     table: Any = RoutingTable
-    if kind in FAULTY_SENDS:
-        exchange._send = FAULTY_SENDS[kind]
+    if kind in FAULTY_STARTS:
+        executor.start_attempt = FAULTY_STARTS[kind]
     elif kind in FAULTY_SUBMITS:
         exchange.submit = FAULTY_SUBMITS[kind]
     elif kind == "forgets":
@@ -98,75 +102,73 @@
         program.Program._ready = lambda self: False
 
 
-def end_early(exchange: Any, action: Any, now: float, rejected: bool) -> None:
-    """Sends a job on, and ends it at once."""
-    send(exchange, action, now)
-    job = exchange._pending.get(action.id)
-    if job is None or len(job.attempts) != 1:
+def end_early(executor: ActionExecutor, action: StartAttempt, now: float, rejected: bool) -> None:
+    """Start an attempt, and end its request at once."""
+    start_attempt(executor, action, now)
+    pending = executor.requests.pending.get(action.id)
+    if pending is None or len(pending.attempts) != 1:
         return
     if rejected:
-        exchange._refuse(RejectRequest(action.id), now)
+        executor.reject_request(RejectRequest(action.id))
     else:
-        exchange._fail(action, now)
-    for leg in job.attempts:
-        exchange._stop(leg, PLANTED)
+        executor.fail_request(FailRequest(action.id))
+    executor.attempts.stop_all(pending, PLANTED)
 
 
-def send_or_end_early(
-    is_faulty: Callable[[Any, Any], bool], rejected: bool = True
-) -> Callable[[Any, Any, float], None]:
-    """A `send` that ends some jobs early."""
+def start_or_end_early(
+    is_faulty: Callable[[ActionExecutor, StartAttempt], bool], rejected: bool = True
+) -> FaultyStart:
+    """Return a `start_attempt` that ends some requests early."""
 
-    def faulty_send(exchange: Any, action: Any, now: float) -> None:
-        if is_faulty(exchange, action):
-            end_early(exchange, action, now, rejected)
+    def faulty_start(executor: ActionExecutor, action: StartAttempt, now: float) -> None:
+        if is_faulty(executor, action):
+            end_early(executor, action, now, rejected)
         else:
-            send(exchange, action, now)
+            start_attempt(executor, action, now)
 
-    return faulty_send
+    return faulty_start
 
 
-def one_in_ten(exchange: Any, action: Any) -> bool:
-    """Whether it is a tenth job's turn."""
+def one_in_ten(executor: ActionExecutor, action: StartAttempt) -> bool:
+    """Return True for every tenth attempt."""
     return next(number) % EVERY_DECLINED == 0
 
 
-def half_of_last_class(exchange: Any, action: Any) -> bool:
-    """Whether the job is of the last class, and every second of them."""
-    job = exchange._pending.get(action.id)
-    is_last = job is not None and job.request.class_index == len(exchange.settings.classes) - 1
-    return is_last and next(number) % 2 == 1
+def half_of_last_class(executor: ActionExecutor, action: StartAttempt) -> bool:
+    """Return True for every second attempt of a request of the last class."""
+    pending = executor.requests.pending.get(action.id)
+    last_class = len(executor.context.settings.classes) - 1
+    return pending is not None and pending.request.class_index == last_class and next(number) % 2 == 1
 
 
-def half_while_draining(exchange: Any, action: Any) -> bool:
-    """Whether any worker drains, and every second job then."""
-    return EndpointState.DRAINING in exchange._table.values() and next(number) % 2 == 1
+def half_while_draining(executor: ActionExecutor, action: StartAttempt) -> bool:
+    """Return True for every second attempt while any worker drains."""
+    return EndpointState.DRAINING in executor.endpoints.states.values() and next(number) % 2 == 1
 
 
-def half_in_second_zone(exchange: Any, action: Any) -> bool:
-    """Whether the dispatcher is in the second zone, and every second job there."""
-    return exchange.settings.zone_index == 1 and next(number) % 2 == 1
+def half_in_second_zone(executor: ActionExecutor, action: StartAttempt) -> bool:
+    """Return True for every second attempt of a dispatcher in the second zone."""
+    return executor.context.settings.zone_index == 1 and next(number) % 2 == 1
 
 
-def send_late(exchange: Any, action: Any, now: float) -> None:
-    """Forwards a job after a wait."""
-    job = exchange._pending.get(action.id)
-    wait = (
-        WAIT_SHARE * exchange.settings.classes[job.request.class_index].latency_objective_ms
-        if job is not None
-        else 0.0
-    )
-    exchange._timers.at(now + wait, lambda: send(exchange, action, now + wait))
+def start_late(executor: ActionExecutor, action: StartAttempt, now: float) -> None:
+    """Start an attempt after a share of its class's latency objective."""
+    pending = executor.requests.pending.get(action.id)
+    wait = 0.0
+    if pending is not None:
+        cls = executor.context.settings.classes[pending.request.class_index]
+        wait = WAIT_SHARE * cls.latency_objective_ms
+    executor.context.timers.at(now + wait, lambda: start_attempt(executor, action, now + wait))
 
 
-def send_twice(exchange: Any, action: Any, now: float) -> None:
-    """Forwards a job, and cancels the first attempt of one in three."""
-    send(exchange, action, now)
-    job = exchange._pending.get(action.id)
-    if job is None or len(job.attempts) != 1 or next(number) % EVERY_CANCELLED != 0:
+def start_twice(executor: ActionExecutor, action: StartAttempt, now: float) -> None:
+    """Start an attempt, and stop the first attempt of one request in three."""
+    start_attempt(executor, action, now)
+    pending = executor.requests.pending.get(action.id)
+    if pending is None or len(pending.attempts) != 1 or next(number) % EVERY_CANCELLED != 0:
         return
-    first = job.attempts[0]
-    exchange._timers.at(now + CANCEL_AFTER_MS, lambda: exchange._stop(first, PLANTED) if first.open else None)
+    first = pending.attempts[0]
+    executor.context.timers.at(now + CANCEL_AFTER_MS, lambda: executor.attempts.stop(first, PLANTED))
 
 
 def submit_and_leak(exchange: Any, *arguments: Any, **options: Any) -> int:
@@ -188,12 +190,12 @@
     take_over(table, state, {})
 
 
-FAULTY_SENDS: dict[str, Callable[[Any, Any, float], None]] = {
-    "declines": send_or_end_early(one_in_ten),
-    "slower": send_late,
-    "one-class": send_or_end_early(half_of_last_class, rejected=False),
-    "drains": send_or_end_early(half_while_draining),
-    "attempts": send_twice,
-    "one-zone": send_or_end_early(half_in_second_zone),
+FAULTY_STARTS: dict[str, FaultyStart] = {
+    "declines": start_or_end_early(one_in_ten),
+    "slower": start_late,
+    "one-class": start_or_end_early(half_of_last_class, rejected=False),
+    "drains": start_or_end_early(half_while_draining),
+    "attempts": start_twice,
+    "one-zone": start_or_end_early(half_in_second_zone),
 }
 FAULTY_SUBMITS: dict[str, Callable[..., int]] = {"leaks": submit_and_leak, "crashes": submit_or_crash}
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -44,19 +44,20 @@
 
 
 def _request_figures(exchange: Exchange) -> dict[str, Any]:
+    metrics = exchange.metrics
     names = [cls.name for cls in exchange.settings.classes]
     answered = {
-        figure: {name: sum([exchange.final_answers[n, v] for v in verdicts]) for n, name in enumerate(names)}
+        figure: {name: sum([metrics.final_answers[n, v] for v in verdicts]) for n, name in enumerate(names)}
         for figure, verdicts in _BY_CLASS.items()
     }
     return {
         **answered,
-        "in_time": {name: exchange.served_within_objective[n] for n, name in enumerate(names)},
-        "waits": {name: exchange.response_time_sums.get(n, [0, 0.0, 0.0]) for n, name in enumerate(names)},
-        "broken": dict(exchange.prevented_violations),
-        "backend_calls": exchange.attempts_written,
-        "called_off": dict(exchange.cancelled_attempts),
-        "spoilt_answers": exchange.malformed_responses,
+        "in_time": {name: metrics.served_within_objective[n] for n, name in enumerate(names)},
+        "waits": {name: metrics.response_time_sums(n) for n, name in enumerate(names)},
+        "broken": dict(metrics.prevented_violations),
+        "backend_calls": metrics.attempts_written,
+        "called_off": dict(metrics.cancelled_attempts),
+        "spoilt_answers": metrics.malformed_responses,
         "inflight": exchange.unanswered,
     }
 
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -168,7 +168,7 @@
             self._channel.receive_fields(fields, [])
 
     def _share_updates(self) -> None:
-        self._context.exchange.other_process = self._updates
+        self._context.exchange.attach_other_process(self._updates)
         self._context.table.on_ban = self._send_ban
 
     def _send_ban(self, worker: str, since: float | None) -> None:
--- a/eiderfield/program/peers.py
+++ b/eiderfield/program/peers.py
@@ -49,5 +49,5 @@
         log,
         unix_ms,
     )
-    core.exchange.peer_channel = peers
+    core.exchange.attach_peer_channel(peers)
     return PeersPart(peers)
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -217,7 +217,7 @@
         self.dials = []
         self.ends = []
         self.ids = IdMap()
-        self.exchange = Exchange(site, seed, self.wheel, self._wake, self.logged.append)
+        self.exchange = Exchange(site, seed, self.wheel, lambda: self.wake(), self.logged.append)
         self.side = WorkerPool(
             self.exchange, self.wheel, self.clock, self.dial, 100.0, 10_000.0, worker_connections
         )
@@ -233,7 +233,7 @@
     def clock(self):
         return self.now
 
-    def _wake(self):
+    def wake(self):
         self.woken = True
 
     def dial(self, connection, address, failed, delayed=None):
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -12,7 +12,7 @@
 
 from eiderfield.batch.front import BatchFront
 from eiderfield.batch.registry import JobRegistry, RegistryLimits
-from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.request_table import RequestTable
 from eiderfield.interface import Scope
 from eiderfield.net.clients import Listener
 from eiderfield.net.worker_pool import WorkerPool
@@ -113,7 +113,7 @@
         return
     end = dial.up()
     end.status(503, X_Not_Run="1")
-    [worker] = dispatcher.exchange._dispatcher._fleet.workers.values()
+    [worker] = dispatcher.exchange.dispatcher._fleet.workers.values()
     while dispatcher.now < worker.full_until:
         dispatcher.settle()
         dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_at())
@@ -304,14 +304,14 @@
 
 
 def test_the_scheduler_would_see_a_second_answer_and_a_leg_too_many(monkeypatch):
-    real = Exchange._finish
+    real = RequestTable.finish
 
     def twice(self, job, answer=None):
         real(self, job, answer)
         if answer is not None:
             job.answer(answer)
 
-    monkeypatch.setattr(Exchange, "_finish", twice)
+    monkeypatch.setattr(RequestTable, "finish", twice)
     assert set(play_scheduler(100)[2].values()) != {1}
     monkeypatch.undo()
     start = WorkerPool.start
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -22,7 +22,7 @@
 def driven(harness):
     """The harness's exchange is given its turns by the driver, on the harness's loop."""
     driver = Driver(harness.loop, harness.dispatcher.clock)
-    harness.dispatcher.exchange._wake = driver.wake
+    harness.dispatcher.wake = driver.wake
     driver.turn = harness.dispatcher.exchange.turn
     return driver
 
@@ -140,7 +140,7 @@
 
 def leaves_in_the_turn(harness, client, call):
     """The client closes between the module's decision and the write; its close has not been read."""
-    handle = harness.dispatcher.exchange._dispatcher.handle
+    handle = harness.dispatcher.exchange.dispatcher.handle
 
     def decide(now, events):
         actions = handle(now, events)
@@ -148,7 +148,7 @@
             client.sock.close()
         return actions
 
-    harness.dispatcher.exchange._dispatcher.handle = decide
+    harness.dispatcher.exchange.dispatcher.handle = decide
 
 
 def test_a_client_that_leaves_while_a_turn_is_held_up_is_sent_nothing_on_an_idle_connection(harness):
@@ -164,7 +164,7 @@
     assert end.came == ["r0"]
     assert not harness.dispatcher.exchange.unanswered
     assert end.pipe.open, "the connection is as good as before"
-    del harness.dispatcher.exchange._dispatcher.handle  # from now on the class's own decides
+    del harness.dispatcher.exchange.dispatcher.handle  # from now on the class's own decides
     assert first.ask("r2") == [200]
     assert end.came == ["r0", "r2"]
 
@@ -200,12 +200,12 @@
     dispatcher = harness.dispatcher
     end = dispatcher.dials[0].up()
     end.status(503, X_Not_Run="1")
-    [worker] = dispatcher.exchange._dispatcher._fleet.workers.values()
+    [worker] = dispatcher.exchange.dispatcher._fleet.workers.values()
     while True:
         dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_at())
         dispatcher.wheel.advance(dispatcher.now)
         if dispatcher.now >= worker.full_until and any(
-            isinstance(event, TimerFired) for event in dispatcher.exchange._events
+            isinstance(event, TimerFired) for event in dispatcher.exchange.pending_events
         ):
             break
         dispatcher.settle()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -105,7 +105,7 @@
     assert console.figures()["hosts_down"] == 1
     dispatcher.tell((1, "SERVING"), (3, "SERVING"), snapshot=True)
     assert console.figures()["hosts_listed"] == 2
-    assert EndpointState.READY in dispatcher.exchange._table.values()
+    assert EndpointState.READY in dispatcher.exchange.endpoint_states.values()
 
 
 def test_a_rest_that_is_over_counts_no_more_though_nothing_happened_since():
@@ -149,7 +149,7 @@
     end.take()
     end.say({"id": "another", "state": "done", "result": "x"})
     assert console.figures()["spoilt_answers"] == 1
-    assert any("an answer cannot be used: a line is not about this" in line for line in dispatcher.logged)
+    assert any("reason=a line is not about this" in line for line in dispatcher.logged)
 
 
 def test_watches_that_were_lost_are_counted_by_why():
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -69,7 +69,9 @@
     def states(self):
         names = self.dispatcher.ids
         return {
-            names.name(w): s for w, s in self.dispatcher.exchange._table.items() if s != EndpointState.GONE
+            names.name(w): s
+            for w, s in self.dispatcher.exchange.endpoint_states.items()
+            if s != EndpointState.GONE
         }
 
 
@@ -160,7 +162,7 @@
     consul.answer(8, instance("a", 1), instance("b", 2), instance("c", 3, since_ms="12"))
     since = {
         consul.dispatcher.ids.name(w.entry.worker): w.entry.ready_at
-        for w in consul.dispatcher.exchange._dispatcher._fleet.workers.values()
+        for w in consul.dispatcher.exchange.dispatcher._fleet.workers.values()
     }
     assert since == {"n/a": 0.0, "n/b": consul.dispatcher.now, "n/c": 12.0}
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -207,7 +207,7 @@
     harness = ListenerHarness()
     harness.discovery = Discovery(harness)
     driver = Driver(harness.loop, harness.dispatcher.clock)
-    harness.dispatcher.exchange._wake = driver.wake
+    harness.dispatcher.wake = driver.wake
     driver.turn = harness.dispatcher.exchange.turn
     yield harness
     harness.discovery.close()
@@ -241,7 +241,7 @@
     harness.dispatcher.dials[0].up().finish()
     harness.turn(12)
     dispatcher, told_at, sent_at = harness.dispatcher, [], []
-    handle = dispatcher.exchange._dispatcher.handle
+    handle = dispatcher.exchange.dispatcher.handle
 
     def held_up(now, events):
         actions = handle(now, events)
@@ -251,7 +251,7 @@
             dispatcher.now += HELD_UP
         return actions
 
-    dispatcher.exchange._dispatcher.handle = held_up
+    dispatcher.exchange.dispatcher.handle = held_up
     [end] = dispatcher.ends
     write, end.pipe.write = end.pipe.write, lambda data: (sent_at.append(dispatcher.now), write(data))
     clients = [SocketClient(harness) for _ in range(3)]
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -19,14 +19,22 @@
 from eiderfield.interface import (
     Action,
     AttemptEnded,
+    CancelAttempt,
+    CloseIdleConnections,
     Effect,
+    FailRequest,
+    FetchEndpoints,
+    LogMessage,
     Outcome,
     PeerReportReceived,
+    ProbeWorker,
     RejectRequest,
     RequestReceived,
     SendPeerReport,
+    SetTimer,
     StartAttempt,
     Tenant,
+    WatchEndpoints,
     pack_counts,
 )
 from eiderfield.policy.slow_start import SlowStart
@@ -126,8 +134,41 @@
 REAL = core.RequestReceived
 
 
-def test_every_action_of_the_module_has_a_taker(dispatcher):
-    assert set(Action.__args__) == set(dispatcher.exchange._takers)
+ACTIONS = [
+    StartAttempt(1, 1, 0.0, 0.0),
+    CancelAttempt(1, 0),
+    RejectRequest(1),
+    FailRequest(1),
+    SetTimer(InMemoryDispatcher.START + 10.0, 1),
+    ProbeWorker(1),
+    CloseIdleConnections(1),
+    SendPeerReport(-1, b""),
+    WatchEndpoints(True),
+    FetchEndpoints(),
+    LogMessage("policy: test"),
+]
+
+
+def test_the_examples_hold_every_type_of_action():
+    assert {type(action) for action in ACTIONS} == set(Action.__args__)
+
+
+def execute(dispatcher, action):
+    """Lets the policy decide an action in one turn."""
+    dispatcher.exchange.dispatcher.handle = lambda now, events: [action]
+    dispatcher.exchange.turn(dispatcher.now)
+    del dispatcher.exchange.dispatcher.handle
+    return [line for line in dispatcher.logged if "action failed" in line]
+
+
+@pytest.mark.parametrize("action", ACTIONS, ids=lambda action: type(action).__name__)
+def test_every_action_of_the_policy_is_carried_out(dispatcher, action):
+    assert execute(dispatcher, action) == []
+
+
+def test_an_unknown_action_is_logged(dispatcher):
+    [line] = execute(dispatcher, object())
+    assert line.startswith("exchange: action failed (action=object ")
 
 
 def told(actions, kind):
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -304,7 +304,7 @@
     """What holds whatever fails."""
     assert stage.failing.failed, "the call was never made"
     assert not stage.errors
-    assert not stage.exchange.prevented_violations
+    assert not stage.exchange.metrics.prevented_violations
     assert not [line for line in stage.logged if " failed: " in line]
     unsafe = [id_ for id_ in stage.ids_at_workers() if id_.startswith("unsafe")]
     assert len(unsafe) == len(set(unsafe)), "a request that must not be repeated came twice"
--- a/tests/test_fleet_scenarios.py
+++ b/tests/test_fleet_scenarios.py
@@ -239,7 +239,9 @@
     assert result.counts["jobs"] == SMALL.jobs
     assert len(result.faults) >= sum(fault.what != "disk" for fault in RUNS[name])
     log = (tmp_path / "run" / "n0.log").read_text()
-    assert "had no answer" not in log, "a turn's actions were lost with a line of its log"
+    assert "request unanswered at its deadline" not in log, (
+        "a turn's actions were lost with a line of its log"
+    )
     if "stopped" in name:
         assert result.counts["begun_twice"] == 0, "it judged by its own absence"
 
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -139,7 +139,7 @@
 
 def teach(dispatcher):
     """What the recorder's function of this name does, by the present names."""
-    module = dispatcher.exchange._dispatcher
+    module = dispatcher.exchange.dispatcher
     module._slow_start.served_rate = 0.75
     pacer = module._queues.pacers[0]
     pacer.run, pacer.rate, pacer.uncut, pacer.next_at = 120.0, 4.0, 20.0, dispatcher.now + 250.0
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -98,7 +98,7 @@
     dispatcher = InMemoryDispatcher(site=replace(SITE, cancellation_allowed=False), workers=1)
     client = dispatcher.client(path="/unsafe/a", wait=100)
     dispatcher.dials[0].up().take()
-    [job] = dispatcher.exchange._pending.values()
+    [job] = dispatcher.exchange.pending_requests.values()
     job.attempts[0].timer.cancel()  # its leg outlives the job
     dispatcher.advance(110.0)
     assert client.answers()[0][0] == 502
@@ -118,7 +118,7 @@
     assert client.answers()[0][0] == 400
     assert not dispatcher.dials
     assert not dispatcher.exchange.unanswered
-    assert all(not w.strikes for w in dispatcher.exchange._dispatcher._fleet.workers.values())
+    assert all(not w.strikes for w in dispatcher.exchange.dispatcher._fleet.workers.values())
 
 
 @pytest.mark.parametrize("status", [408, 429])
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -104,7 +104,7 @@
     dispatcher.settle()
     assert end.pipe.open
     assert not dispatcher.exchange.snapshot(dispatcher.now).avoided
-    assert any("stood still for 4000 ms" in line for line in dispatcher.logged)
+    assert any("exchange: event loop stalled (ms=4000)" in line for line in dispatcher.logged)
     end.say({"id": "r1", "from": "w", "state": "done", "result": "ok"}, head=False, end=True)
     assert client.answers()
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -46,7 +46,7 @@
 
     @property
     def states(self):
-        return list(self.dispatcher.exchange._table.values())
+        return list(self.dispatcher.exchange.endpoint_states.values())
 
 
 def news(status="SERVING", index=7, snapshot=True):
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -16,13 +16,13 @@
 
 def outcomes(dispatcher):
     """The outcomes that the module hears from now on."""
-    heard, real = [], dispatcher.exchange._dispatcher.handle
+    heard, real = [], dispatcher.exchange.dispatcher.handle
 
     def handle(now, events):
         heard.extend(event.outcome for event in events if hasattr(event, "outcome"))
         return real(now, events)
 
-    dispatcher.exchange._dispatcher.handle = handle
+    dispatcher.exchange.dispatcher.handle = handle
     return heard
 
 
@@ -309,7 +309,7 @@
 
 def test_a_module_that_forgets_a_job_is_made_good():
     dispatcher = InMemoryDispatcher(workers=0)
-    dispatcher.exchange._dispatcher._expire = lambda now: None
+    dispatcher.exchange.dispatcher._expire = lambda now: None
     client = dispatcher.client(wait=400)
     dispatcher.advance(430.0)
     assert client.answers()[0][0] == 502
@@ -353,14 +353,14 @@
         "endpoints": [{"name": "w1", "address": "127.0.0.1:1", "status": "DRAINING", "since_ms": 3}],
     }
     end.say(line)
-    assert list(dispatcher.exchange._table.values()) == [EndpointState.DRAINING]
+    assert list(dispatcher.exchange.endpoint_states.values()) == [EndpointState.DRAINING]
     for _ in range(3):  # empty lines are signs of life
         dispatcher.advance(2000.0)
         end.pipe.send(b"1\r\n\n\r\n")
     assert end.pipe.open
     dispatcher.advance(SILENCE + 500.0)
     assert not end.pipe.open
-    assert list(dispatcher.exchange._table.values()) == [EndpointState.DRAINING]
+    assert list(dispatcher.exchange.endpoint_states.values()) == [EndpointState.DRAINING]
     again = dispatcher.dials[-1].up()
     assert b"after=5 " in again.pipe.written
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -103,7 +103,7 @@
     def started(self, name):
         """How long ago a worker started, as the policy knows it; None for long ago."""
         self.dispatcher.settle()
-        worker = self.dispatcher.exchange._dispatcher._fleet.workers[self.dispatcher.ids.worker(name)]
+        worker = self.dispatcher.exchange.dispatcher._fleet.workers[self.dispatcher.ids.worker(name)]
         return self.dispatcher.now - worker.entry.ready_at if worker.entry.ready_at > 0.0 else None
 
 
@@ -255,7 +255,7 @@
     dispatcher.advance(1000.0)
     wall.step(step)
     consul.answer(9, instance("a", 1), instance("b", 2, since_ms=since), instance("c", 3))
-    workers = dispatcher.exchange._dispatcher._fleet.workers.values()
+    workers = dispatcher.exchange.dispatcher._fleet.workers.values()
     ages = {dispatcher.ids.name(w.entry.worker): dispatcher.now - w.entry.ready_at for w in workers}
     assert ages["n/b"] == pytest.approx(1000.0)
     assert ages["n/c"] == pytest.approx(1000.0)
@@ -270,7 +270,7 @@
     consul.answer(7, instance("a", 1))
     dispatcher.advance(100.0)
     consul.answer(8, instance("a", 1), instance("b", 2, since_ms=str(wall() + off)))
-    worker = dispatcher.exchange._dispatcher._fleet.workers[dispatcher.ids.worker("n/b")]
+    worker = dispatcher.exchange.dispatcher._fleet.workers[dispatcher.ids.worker("n/b")]
     assert worker.entry.ready_at == dispatcher.now
 
 
@@ -305,7 +305,7 @@
     second = Machine(bans=tmp_path / "bans.json", start=77e9)
     second.wall.step(step)
     second.tell(("w", started), snapshot=True)
-    entry = second.dispatcher.exchange._table[second.dispatcher.ids.worker("w")]
+    entry = second.dispatcher.exchange.endpoint_states[second.dispatcher.ids.worker("w")]
     assert entry == EndpointState.DRAINING
     second.dispatcher.table.unban("w")
     assert second.started("w") == 0.0
@@ -379,7 +379,7 @@
             self.new.dispatcher.settle()
 
     def module(self):
-        return self.new.dispatcher.exchange._dispatcher
+        return self.new.dispatcher.exchange.dispatcher
 
     def age(self, at):
         """How long ago a time of the new process is."""
@@ -395,7 +395,7 @@
     """A pacer would have waited an hour, or a worker in slow start have been sent its work twice."""
     old = takeover.old.dispatcher
     old.advance(500.0)
-    module = old.exchange._dispatcher
+    module = old.exchange.dispatcher
     module._queues.pacers[0].rate, module._queues.pacers[0].next_at = 4.0, old.now + 250.0
     module._slow_start.served_rate, module._slow_start.served_at = 0.5, old.now - 100.0
     module._fleet.workers[old.ids.worker("slow")].recent.append((old.now - 30.0, 80.0))
@@ -540,7 +540,7 @@
     dispatcher = InMemoryDispatcher(workers=0, unix=lambda: STATE_AT + step, start=process.now)
     dispatcher.table.take_over(table, {})
     dispatcher.settle()
-    worker = dispatcher.exchange._dispatcher._fleet.workers[dispatcher.ids.worker("w3")]
+    worker = dispatcher.exchange.dispatcher._fleet.workers[dispatcher.ids.worker("w3")]
     assert process.now - worker.entry.ready_at == 140.0
 
 
@@ -554,7 +554,7 @@
     dispatcher = InMemoryDispatcher(workers=0, unix=lambda: unix, start=process.now)
     dispatcher.table.take_over(process.codec.decode(message).table, {})
     dispatcher.settle()
-    worker = dispatcher.exchange._dispatcher._fleet.workers[dispatcher.ids.worker("w3")]
+    worker = dispatcher.exchange.dispatcher._fleet.workers[dispatcher.ids.worker("w3")]
     assert process.now - worker.entry.ready_at == 100.0
 
 
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -98,7 +98,7 @@
     dispatcher.settle()
     assert not end.pipe.open
     assert not second.answers()
-    assert any("cannot be used: a line is not about" in text for text in dispatcher.logged)
+    assert any("reason=a line is not about" in text for text in dispatcher.logged)
 
 
 @pytest.mark.parametrize("endless", [b"x" * 4000, line("r1", state="running", share=0.5), b"1\r\n\n\r\n"])
@@ -134,7 +134,8 @@
             job.answer(answer)
 
     dispatcher = InMemoryDispatcher(workers=1)
-    dispatcher.exchange.durable_requests = claiming = Claiming()
+    claiming = Claiming()
+    dispatcher.exchange.attach_durable_requests(claiming)
     front = dispatcher.listener.front
     submit = dispatcher.exchange.submit
     dispatcher.exchange.submit = lambda request, answer, **more: submit(request, answer, durable=True, **more)
@@ -159,8 +160,8 @@
     dispatcher.settle()
     assert client.answers()[0][0] == 502
     assert not end.pipe.open
-    assert dispatcher.exchange.malformed_responses == 1
-    assert "an answer cannot be used: " in dispatcher.logged[-1]
+    assert dispatcher.exchange.metrics.malformed_responses == 1
+    assert "exchange: malformed response " in dispatcher.logged[-1]
 
 
 @pytest.mark.parametrize(
