--- a/eiderfield/durable_requests/ownership.py
+++ b/eiderfield/durable_requests/ownership.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping, Sequence
 from zlib import crc32
 
-from eiderfield.interface import mix
+from eiderfield.interface import stable_hash
 
 
 def ownership_chain(
@@ -34,5 +34,5 @@
         while not (candidates := sorted(set(successors) - set(chain))):
             if (successors := next(further, None)) is None:
                 return chain
-        chain.append(max(candidates, key=lambda candidate: mix(number, crc32(candidate.encode()))))
+        chain.append(max(candidates, key=lambda candidate: stable_hash(number, crc32(candidate.encode()))))
     return chain
--- a/eiderfield/exchange/attempt_table.py
+++ b/eiderfield/exchange/attempt_table.py
@@ -11,7 +11,7 @@
 from eiderfield.exchange.request import Attempt, PendingRequest
 from eiderfield.exchange.request_table import RequestTable
 from eiderfield.interface import (
-    HELD_UP,
+    MAX_WRITE_DELAY_MS,
     NEVER_RAN,
     AttemptEnded,
     Effect,
@@ -108,7 +108,7 @@
     deadline = attempt.pending.request.deadline
     if cls.effect != Effect.KEYED:
         return deadline
-    window = cls.repeat_window_ms - HELD_UP
+    window = cls.repeat_window_ms - MAX_WRITE_DELAY_MS
     return min(
         [
             deadline,
--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -31,9 +31,6 @@
 from eiderfield.exchange.settings_check import check_settings
 from eiderfield.exchange.timers import Timers
 from eiderfield.interface import (
-    AWAY,
-    REPEAT,
-    STARTED,
     AttemptEnded,
     AttemptProgressed,
     ClientDisconnected,
@@ -46,6 +43,7 @@
     Outcome,
     PeerReportReceived,
     ProbeCompleted,
+    ProgressKind,
     RequestReceived,
     Settings,
     Snapshot,
@@ -179,7 +177,7 @@
                 0.0,
                 request.slots,
                 request.memory,
-                REPEAT if request.is_client_retry else 0,
+                request.is_client_retry,
                 before,
             )
         )
@@ -302,12 +300,12 @@
         attempt.may_have_run = True
         self.metrics.attempts_written += 1
 
-    def record_progress(self, attempt: Attempt, what: int, share: float = 0.0) -> None:
+    def record_progress(self, attempt: Attempt, kind: ProgressKind, share: float = 0.0) -> None:
         """Record that a worker reported the start or the progress of a request."""
         if attempt.open:
             pending = attempt.pending
-            pending.running = pending.running or what == STARTED
-            self._events.post(AttemptProgressed(pending.id, attempt.number, attempt.worker, what, share))
+            pending.running = pending.running or kind == ProgressKind.STARTED
+            self._events.post(AttemptProgressed(pending.id, attempt.number, attempt.worker, kind, share))
 
     def record_result(self, attempt: Attempt, result: bytes, load: tuple[float, ...] = ()) -> None:
         """Record a whole result; the first one is the final answer. `load` is the worker's load report."""
@@ -361,7 +359,9 @@
             self._context.log(f"exchange: event loop stalled (ms={span:.0f})")
         for attempt in self._attempts.open.values():
             self._events.post(
-                AttemptProgressed(attempt.pending.id, attempt.number, attempt.worker, AWAY, 0.0)
+                AttemptProgressed(
+                    attempt.pending.id, attempt.number, attempt.worker, ProgressKind.UNKNOWN, 0.0
+                )
             )
 
     def turn(self, now: float) -> None:
@@ -370,7 +370,7 @@
         for event in events:
             if isinstance(event, AttemptEnded):
                 event.elapsed = now - event.elapsed  # it held when the attempt was sent
-            elif isinstance(event, AttemptProgressed) and event.what == STARTED:
+            elif isinstance(event, AttemptProgressed) and event.kind == ProgressKind.STARTED:
                 pending = self._requests.pending.get(event.id)
                 if pending is not None:
                     pending.started_at = pending.started_at or now
--- /dev/null
+++ b/eiderfield/model/__init__.py
@@ -0,0 +1,1 @@
+"""Types that the policy shares with those that drive it; `eiderfield.interface` is their public face."""
--- /dev/null
+++ b/eiderfield/model/actions.py
@@ -0,0 +1,108 @@
+"""Actions: what `Dispatcher.handle` asks its caller to do.
+
+Times are in ms of the caller's clock.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True)
+class StartAttempt:
+    """Send a request to a worker, at an expected cost of `work`. `timeout` 0 means until the deadline."""
+
+    id: int
+    worker: int
+    timeout: float = 0.0
+    work: float = 0.0
+
+
+@dataclass(slots=True)
+class CancelAttempt:
+    """Stop waiting for an attempt. Whether the worker ran it stays unknown."""
+
+    id: int
+    attempt: int
+
+
+@dataclass(slots=True)
+class RejectRequest:
+    """Answer a request with a rejection: it did not run, and the client may retry.
+
+    `retry_after` advises how long to wait before that, 0 for no advice.
+    """
+
+    id: int
+    retry_after: float = 0.0
+
+
+@dataclass(slots=True)
+class FailRequest:
+    """Answer a request with a failure: it may have run."""
+
+    id: int
+
+
+@dataclass(slots=True)
+class SetTimer:
+    """Post `TimerFired` with `token` at the time `at`."""
+
+    at: float
+    token: int
+
+
+@dataclass(slots=True)
+class ProbeWorker:
+    """Ask a worker whether it is alive; post `ProbeCompleted`."""
+
+    worker: int
+
+
+@dataclass(slots=True)
+class CloseIdleConnections:
+    """Close the idle connections to a worker."""
+
+    worker: int
+
+
+@dataclass(slots=True)
+class SendPeerReport:
+    """Send a report to another dispatcher of the tier, or to all of them if `peer` is -1."""
+
+    peer: int
+    data: bytes
+
+
+@dataclass(slots=True)
+class WatchEndpoints:
+    """Open or close the subscription to the endpoint list."""
+
+    on: bool
+
+
+@dataclass(slots=True)
+class FetchEndpoints:
+    """Fetch the whole endpoint list once."""
+
+
+@dataclass(slots=True)
+class LogMessage:
+    """Write a line to the log."""
+
+    text: str
+
+
+Action = (
+    StartAttempt
+    | CancelAttempt
+    | RejectRequest
+    | FailRequest
+    | SetTimer
+    | ProbeWorker
+    | CloseIdleConnections
+    | SendPeerReport
+    | WatchEndpoints
+    | FetchEndpoints
+    | LogMessage
+)
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -28,7 +28,7 @@
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.exchange.request import Attempt
 from eiderfield.exchange.timers import Timer, Timers
-from eiderfield.interface import AWAY, STARTED, Outcome
+from eiderfield.interface import Outcome, ProgressKind
 from eiderfield.net.dialing import Dial, PendingDial
 from eiderfield.net.faults import Cause, cause_of_loss
 from eiderfield.net.http import End, Head
@@ -46,7 +46,6 @@
 )
 from eiderfield.net.worker_response import ResponseEvent, ResponseReader
 
-PROGRESS = 2  # AttemptProgressed.what: the worker reports a share of the work done
 RESPONSE_END_TIMEOUT_MS = 1000.0  # for the end of a response whose outcome is known
 
 _READ_BUFFER = memoryview(bytearray(65536))  # shared by all connections: emptied as soon as it is filled
@@ -262,7 +261,7 @@
             return
         self._delayed_locally = True
         if isinstance(self.load, Attempt):  # silence of the worker proves nothing meanwhile
-            self._exchange.record_progress(self.load, AWAY)
+            self._exchange.record_progress(self.load, ProgressKind.UNKNOWN)
 
     # Responses.
 
@@ -298,9 +297,9 @@
     def _apply_update(self, attempt: Attempt, update: Update) -> None:
         match update:
             case Started():
-                self._exchange.record_progress(attempt, STARTED)
+                self._exchange.record_progress(attempt, ProgressKind.STARTED)
             case Progress(share):
-                self._exchange.record_progress(attempt, PROGRESS, share)
+                self._exchange.record_progress(attempt, ProgressKind.SHARE_DONE, share)
             case Result(body, report):
                 self._await_end()
                 self._exchange.record_result(attempt, body, self._load_report(report))
--- a/eiderfield/policy/affinity.py
+++ b/eiderfield/policy/affinity.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from math import ceil
 
-from eiderfield.interface import mix, mix_below
+from eiderfield.interface import stable_hash, stable_hashes_up_to
 from eiderfield.policy.endpoint import Worker
 
 HOMES = 2  # workers to which the requests of a key go first, at least: one may be busy
@@ -103,7 +103,7 @@
         """Hashes every worker once and keeps those below a bound, which lets through twice the `count`."""
         share = 2 * count / max(1, len(self._workers))
         bound = int(share * _HIGHEST) if share < 1.0 else _HIGHEST
-        found = sorted(mix_below(key, self._workers, bound))
+        found = sorted(stable_hashes_up_to(key, self._workers, bound))
         if len(found) < count and bound < _HIGHEST:
             return self._make(key, 2 * count)
         hashes = [value for value, _ in found]
@@ -113,7 +113,7 @@
     def _catch_up(self, key: int, order: _Order) -> None:
         """Takes in what has changed since the key was last asked for."""
         for change in self._changes[order.taken_in - self._forgotten :]:
-            value = mix(key, change.worker.entry.worker)
+            value = stable_hash(key, change.worker.entry.worker)
             if value > order.bound:
                 continue
             index = bisect_left(order.hashes, value)
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -24,8 +24,6 @@
 
 from eiderfield.interface import (
     NEVER_RAN,
-    REPEAT,
-    STARTED,
     Action,
     AttemptEnded,
     AttemptProgressed,
@@ -40,6 +38,7 @@
     Outcome,
     PeerReportReceived,
     ProbeCompleted,
+    ProgressKind,
     RejectRequest,
     RequestReceived,
     Settings,
@@ -245,7 +244,7 @@
 
     def _queue_request(self, event: RequestReceived, now: float) -> tuple[QueuedRequest, float]:
         """The request of a request, and how long it may wait and still be in time."""
-        client_retry = bool(event.flags & REPEAT)
+        client_retry = event.is_client_retry
         queue_id = self._queue_id(event, client_retry, now)
         queue = self._queues.by_id[queue_id]
         pacer = queue.pacer
@@ -311,7 +310,7 @@
             return
         attempt.heard = now
         self._fleet.workers[attempt.entry.worker].alive(now)
-        if attempt.started is None and event.what == STARTED:
+        if attempt.started is None and event.kind == ProgressKind.STARTED:
             self._outcomes.record_start(attempt, now)
 
     # Ends and retries.
@@ -510,4 +509,6 @@
     """Whether held requests may find a worker after these events: a request's progress opens nothing."""
     if not events:
         return True
-    return any(not isinstance(event, AttemptProgressed) or event.what == STARTED for event in events)
+    return any(
+        not isinstance(event, AttemptProgressed) or event.kind == ProgressKind.STARTED for event in events
+    )
--- a/eiderfield/policy/gossip.py
+++ b/eiderfield/policy/gossip.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from eiderfield.interface import SendPeerReport, pack_counts, unpack_counts
+from eiderfield.interface import SendPeerReport, decode_peer_report, encode_peer_report
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.fleet import Fleet
@@ -39,7 +39,7 @@
 
     def receive(self, peer: int, data: bytes, now: float) -> None:
         """A peer tells how many slots its requests take at workers."""
-        for number, count in unpack_counts(data):
+        for number, count in decode_peer_report(data):
             worker = self._fleet.workers.get(number)
             if worker is not None:
                 worker.peer_reports[peer] = (now, count)
@@ -52,7 +52,7 @@
     def send(self) -> None:
         """Tells the peers of the workers where own requests came or went."""
         counts = [(number, round(w.own_slots) + w.sibling_attempts) for number, w in self._changed.items()]
-        data = pack_counts(counts)
+        data = encode_peer_report(counts)
         if data:
             self._context.actions += [SendPeerReport(peer, data) for peer in self.peers]
         self._changed.clear()
--- a/eiderfield/policy/retry_rules.py
+++ b/eiderfield/policy/retry_rules.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from eiderfield.interface import HELD_UP, Effect, Scope
+from eiderfield.interface import MAX_WRITE_DELAY_MS, Effect, Scope
 from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.ready import ReadyWorkers
 from eiderfield.policy.request import QueuedRequest
@@ -27,7 +27,10 @@
     first = request.first_run()
     if first is None or request.cls.effect == Effect.SAFE:
         return True
-    if request.cls.effect == Effect.UNSAFE or now > first.sent + request.cls.repeat_window_ms - HELD_UP:
+    if (
+        request.cls.effect == Effect.UNSAFE
+        or now > first.sent + request.cls.repeat_window_ms - MAX_WRITE_DELAY_MS
+    ):
         return False
     same_zone = worker.entry.zone == first.entry.zone
     same_cell = worker.entry.cell == first.entry.cell
--- a/eiderfield/policy/slow_start.py
+++ b/eiderfield/policy/slow_start.py
@@ -14,7 +14,7 @@
 
 from math import inf
 
-from eiderfield.interface import EndpointState, mix
+from eiderfield.interface import EndpointState, stable_hash
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import RECENT_ATTEMPTS, Worker
 from eiderfield.policy.fleet import Fleet
@@ -96,7 +96,7 @@
         """The share of a request's cost that has to be left of the budget for a whole one to be sent."""
         settings = self._context.settings
         window = int((now - worker.entry.ready_at) / settings.recovery_ramp_ms)
-        draw = mix(worker.entry.worker, window) / HASH_RANGE
+        draw = stable_hash(worker.entry.worker, window) / HASH_RANGE
         return (draw + settings.dispatcher_index / settings.dispatcher_count) % 1.0
 
     def _measure(self, now: float) -> None:
--- a/eiderfield/policy/subsetting.py
+++ b/eiderfield/policy/subsetting.py
@@ -24,7 +24,7 @@
 from math import ceil
 from typing import Protocol
 
-from eiderfield.interface import Endpoint, mix
+from eiderfield.interface import Endpoint, stable_hash
 from eiderfield.policy.endpoint import Worker
 
 SUBSET = 4  # workers that a dispatcher keeps to at least: enough to bear the loss of some
@@ -114,7 +114,9 @@
         smallest = min(self._sizes)
         candidates = [group for group, size in enumerate(self._sizes) if size == smallest]
         zone, kind, worker = place
-        target = min(candidates, key=lambda group: (self._alike[zone, kind, group], mix(group, worker)))
+        target = min(
+            candidates, key=lambda group: (self._alike[zone, kind, group], stable_hash(group, worker))
+        )
         self._put(place, target)
         return [Move(place, None, target)]
 
@@ -142,7 +144,7 @@
         def surplus(place: Place) -> tuple[int, int]:
             zone, kind, worker = place
             donor = self._group_of[place]
-            return self._alike[zone, kind, group] - self._alike[zone, kind, donor], mix(group, worker)
+            return self._alike[zone, kind, group] - self._alike[zone, kind, donor], stable_hash(group, worker)
 
         place = min(offers, key=surplus)
         source = self._group_of[place]
@@ -186,7 +188,7 @@
     def group_of(self, place: Place) -> int:
         """The group for which the worker's hash is highest."""
         _, _, worker = place
-        return max(range(self.groups), key=lambda group: mix(group + 1, worker))
+        return max(range(self.groups), key=lambda group: stable_hash(group + 1, worker))
 
 
 class Subset:
--- a/eiderfield/wire.py
+++ b/eiderfield/wire.py
@@ -29,6 +29,7 @@
     PeerReportReceived,
     ProbeCompleted,
     ProbeWorker,
+    ProgressKind,
     RejectRequest,
     RequestClass,
     RequestReceived,
@@ -68,7 +69,9 @@
 _NOTE = struct.Struct("<HQHIBf")
 _LOADS = [struct.Struct(f"<{n}f") for n in range(17)]
 
-_WORK_IS_KNOWN = 1  # flag of a query: the work that it names may be relied on
+# Flags of a query.
+_WORK_IS_KNOWN = 1  # the expected work may be relied on
+_IS_CLIENT_RETRY = 2
 
 _NODE_ID = struct.Struct("<BHQ")
 _CANCEL = struct.Struct("<BHQH")
@@ -83,6 +86,7 @@
 
 _STATES = {s.value: s for s in EndpointState}
 _KINDS = {k.value: k for k in EndpointListKind}
+_PROGRESS_KINDS = {k.value: k for k in ProgressKind}
 
 
 class WireError(ValueError):
@@ -187,7 +191,11 @@
     def _query(self, body: bytes, at: int) -> tuple[int, RequestReceived, int]:
         node, id_, cls, tenant, key, due, work, slots, memory, flags = _QUERY.unpack_from(body, at)
         work = work if flags & _WORK_IS_KNOWN else 0.0
-        return node, RequestReceived(id_, cls, due, tenant, key, work, slots, memory, flags), at + _QUERY.size
+        return (
+            node,
+            RequestReceived(id_, cls, due, tenant, key, work, slots, memory, bool(flags & _IS_CLIENT_RETRY)),
+            at + _QUERY.size,
+        )
 
     def _flowing(self, body: bytes, at: int) -> tuple[int, StreamStarted, int]:
         node, id_, attempt, worker, elapsed = _FLOWING.unpack_from(body, at)
@@ -217,8 +225,9 @@
         return node, PeerReportReceived(origin, self._bytes(body, at, size)), at + size
 
     def _noted(self, body: bytes, at: int) -> tuple[int, AttemptProgressed, int]:
-        node, id_, attempt, worker, what, share = _NOTE.unpack_from(body, at)
-        return node, AttemptProgressed(id_, attempt, worker, what, share), at + _NOTE.size
+        node, id_, attempt, worker, code, share = _NOTE.unpack_from(body, at)
+        kind = _PROGRESS_KINDS.get(code, ProgressKind.UNKNOWN)
+        return node, AttemptProgressed(id_, attempt, worker, kind, share), at + _NOTE.size
 
     @staticmethod
     def _bytes(body: bytes, at: int, size: int) -> bytes:
--- a/tests/support/driven_fleet.py
+++ b/tests/support/driven_fleet.py
@@ -15,7 +15,6 @@
 
 from eiderfield.interface import (
     NEVER_RAN,
-    STARTED,
     AttemptEnded,
     AttemptProgressed,
     CancelAttempt,
@@ -27,6 +26,7 @@
     Event,
     FailRequest,
     Outcome,
+    ProgressKind,
     RejectRequest,
     RequestClass,
     RequestReceived,
@@ -39,8 +39,6 @@
 from eiderfield.policy.dispatcher import Dispatcher
 from support.random_events import RuleBrokenError
 
-PROGRESS = 2  # Noted.what: a share of the work is done
-
 
 @dataclass(slots=True, eq=False)
 class ModelledAttempt:
@@ -292,13 +290,13 @@
 
     def _tell_start(self, attempt: ModelledAttempt) -> None:
         if self.settings.workers_report_start:
-            self.at(self.now + self.load.round_trip / 2.0, lambda: self._note(attempt, STARTED))
+            self.at(self.now + self.load.round_trip / 2.0, lambda: self._note(attempt, ProgressKind.STARTED))
         if self.settings.progress_interval:
             self.at(self.now + self.settings.progress_interval, lambda: self._progress(attempt))
 
     def _progress(self, attempt: ModelledAttempt) -> None:
         if attempt.open and attempt.running and not attempt.worker.hung:
-            self._note(attempt, PROGRESS)
+            self._note(attempt, ProgressKind.SHARE_DONE)
             self.at(self.now + self.settings.progress_interval, lambda: self._progress(attempt))
 
     def _note(self, attempt: ModelledAttempt, what: int) -> None:
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -18,6 +18,7 @@
     EndpointsUpdated,
     FailRequest,
     Outcome,
+    ProgressKind,
     RejectRequest,
     RequestReceived,
     Scope,
@@ -25,7 +26,7 @@
     StartAttempt,
     Tenant,
     TimerFired,
-    mix,
+    stable_hash,
 )
 from eiderfield.policy.context import MANY
 from eiderfield.policy.dispatcher import Dispatcher
@@ -162,7 +163,7 @@
         keeps the rule (`tests/test_simulated_fleet.py`), which one node's sends alone cannot show."""
         if self.settings.dispatcher_count <= MANY:
             return 1.0
-        draw = mix(worker, int(age / self.settings.recovery_ramp_ms)) / 2.0**64
+        draw = stable_hash(worker, int(age / self.settings.recovery_ramp_ms)) / 2.0**64
         return (draw + self.settings.dispatcher_index / self.settings.dispatcher_count) % 1.0
 
     def step(self):
@@ -183,16 +184,22 @@
                 tenant = rng.randrange(max(1, len(self.settings.tenants)))
                 key = rng.choice([0, 0, 7, 8])
                 slots = rng.choice([1.0, 1.0, 1.0, 2.0, 4.0])
-                flags = rng.choice([1, 3])
+                is_client_retry = rng.choice([False, True])
                 events.append(
-                    RequestReceived(id_, cls, self.now + wait, tenant, key, WORK, slots, flags=flags)
+                    RequestReceived(
+                        id_, cls, self.now + wait, tenant, key, WORK, slots, is_client_retry=is_client_retry
+                    )
                 )
             elif draw < 0.8 and self.out:
                 events.append(self.outcome(*self.out.pop(rng.randrange(len(self.out)))))
             elif draw < 0.87 and self.out:
                 id_, number = rng.choice(self.out)
                 worker = self.jobs[id_]["attempts"][number]["w"]
-                events.append(AttemptProgressed(id_, number, worker, rng.choice([1, 2]), 0.5))
+                events.append(
+                    AttemptProgressed(
+                        id_, number, worker, rng.choice([ProgressKind.STARTED, ProgressKind.SHARE_DONE]), 0.5
+                    )
+                )
             elif draw < 0.92 and self.jobs:
                 id_ = rng.randrange(len(self.jobs)) + 1
                 events.append(ClientDisconnected(id_))
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -15,7 +15,6 @@
 
 from eiderfield.interface import (
     NEVER_RAN,
-    STARTED,
     AttemptEnded,
     AttemptProgressed,
     CancelAttempt,
@@ -26,6 +25,7 @@
     EndpointsUpdated,
     FailRequest,
     Outcome,
+    ProgressKind,
     RejectRequest,
     RequestReceived,
     Scope,
@@ -239,7 +239,10 @@
     def note(self, leg):
         if leg["out"]:
             self.handle(
-                leg["me"], AttemptProgressed(leg["id"], leg["n"], leg["simulated"].entry.worker, STARTED, 0.0)
+                leg["me"],
+                AttemptProgressed(
+                    leg["id"], leg["n"], leg["simulated"].entry.worker, ProgressKind.STARTED, 0.0
+                ),
             )
 
     def finish(self, leg):
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -8,7 +8,7 @@
 from support.policy import KEYED, SAFE, UNSAFE
 from support.real_sockets import ListenerHarness, SocketClient, message
 
-from eiderfield.interface import HELD_UP, Effect, Scope, StartAttempt
+from eiderfield.interface import MAX_WRITE_DELAY_MS, Effect, Scope, StartAttempt
 from eiderfield.net.loop import Driver
 
 SLACK = 150.0  # ms by which a worker may be told too much (standing test)
@@ -28,7 +28,7 @@
 
     def message(self, load):
         data = self._message(load)
-        self.dispatcher.now += HELD_UP
+        self.dispatcher.now += MAX_WRITE_DELAY_MS
         head = data.split(b"\r\n\r\n")[0].decode().lower()
         fields = dict(line.split(": ") for line in head.split("\r\n")[1:])
         left = self.gives_up[fields["x-request-id"]] - self.dispatcher.now
@@ -124,7 +124,7 @@
     dispatcher = InMemoryDispatcher(keyed_site(), workers=2)
     client, sent = first_attempt_breaks(dispatcher)
     [dial] = dispatcher.dials
-    dispatcher.now = sent + WINDOW - HELD_UP - 1.0 + late
+    dispatcher.now = sent + WINDOW - MAX_WRITE_DELAY_MS - 1.0 + late
     end = dial.up()
     assert bool(end.pipe.written) is (late == 0.0)
     if late:
@@ -136,7 +136,7 @@
     dispatcher = InMemoryDispatcher(keyed_site(Scope.ZONE), workers=4)
     client, sent = first_attempt_breaks(dispatcher)
     [dial] = dispatcher.dials
-    dispatcher.now = sent + WINDOW - HELD_UP + 1.0
+    dispatcher.now = sent + WINDOW - MAX_WRITE_DELAY_MS + 1.0
     end = dial.up()
     dispatcher.advance(20.0)
     assert not end.pipe.written
@@ -144,7 +144,8 @@
 
 
 @pytest.mark.parametrize(
-    ("since", "again"), [(WINDOW - HELD_UP - 5.0, True), (WINDOW - HELD_UP + 5.0, False)]
+    ("since", "again"),
+    [(WINDOW - MAX_WRITE_DELAY_MS - 5.0, True), (WINDOW - MAX_WRITE_DELAY_MS + 5.0, False)],
 )
 def test_no_retry_is_decided_that_could_leave_after_its_window(since, again):
     dispatcher = InMemoryDispatcher(keyed_site(), workers=2)
@@ -248,7 +249,7 @@
         if any(isinstance(action, StartAttempt) for action in actions):
             harness.discovery.tell()
             told_at.append(dispatcher.now)
-            dispatcher.now += HELD_UP
+            dispatcher.now += MAX_WRITE_DELAY_MS
         return actions
 
     dispatcher.exchange.dispatcher.handle = held_up
@@ -260,5 +261,5 @@
         harness.turn(12)
     harness.pass_time(3000.0)
     assert len(told_at) == 1
-    assert sent_at == [told_at[0] + HELD_UP]
-    assert SITE.drain_grace_ms > HELD_UP
+    assert sent_at == [told_at[0] + MAX_WRITE_DELAY_MS]
+    assert SITE.drain_grace_ms > MAX_WRITE_DELAY_MS
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -35,7 +35,7 @@
     StartAttempt,
     Tenant,
     WatchEndpoints,
-    pack_counts,
+    encode_peer_report,
 )
 from eiderfield.policy.slow_start import SlowStart
 
@@ -227,7 +227,7 @@
 def test_a_peer_that_falls_silent_is_believed_for_two_seconds_and_no_longer():
     node = Node(replace(DEPLOYMENTS["admissions"], tenants=()), workers=1)
     node.dispatcher._reports.slots[0] = 4.0
-    node.play(PeerReportReceived(1, pack_counts([(1, 9)])))
+    node.play(PeerReportReceived(1, encode_peer_report([(1, 9)])))
     assert not told(node.arrive(cls=0)[1], StartAttempt)
     node.play(at=1900.0)
     assert not told(node.arrive(cls=0, due=9000.0)[1], StartAttempt)
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -8,7 +8,6 @@
 from support.policy import BASE, KEYED, SAFE, UNSAFE, Node
 
 from eiderfield.interface import (
-    STARTED,
     AttemptEnded,
     AttemptProgressed,
     Endpoint,
@@ -16,9 +15,10 @@
     EndpointsUpdated,
     Outcome,
     PeerReportReceived,
+    ProgressKind,
     SendPeerReport,
     StartAttempt,
-    pack_counts,
+    encode_peer_report,
 )
 
 ONE = replace(BASE, dispatcher_count=1, load_report_fields=("inflight", "qps", "x0"))
@@ -36,7 +36,7 @@
         while found := sends(actions):
             send, number = found[0], len(node.dispatcher._requests[found[0].id].attempts) - 1
             node.now += 1.0
-            node.play(AttemptProgressed(send.id, number, send.worker, STARTED, 0.0))
+            node.play(AttemptProgressed(send.id, number, send.worker, ProgressKind.STARTED, 0.0))
             node.now += 1.0
             outcome = Outcome.ERROR if send.worker == 1 else Outcome.OK
             actions = node.play(AttemptEnded(send.id, number, send.worker, outcome, 2.0, send.worker == 2))
@@ -82,7 +82,7 @@
     node = Node(BASE)
     id_, actions = node.arrive(cls=0)
     worker = sends(actions)[0].worker
-    node.play(AttemptProgressed(id_, 0, worker, STARTED, 0.0))
+    node.play(AttemptProgressed(id_, 0, worker, ProgressKind.STARTED, 0.0))
     node.dispatcher._retry_budget.tokens = 0.1
     ended = node.play(AttemptEnded(id_, 0, worker, Outcome.ERROR, ran, False), at=node.now + ran)
     assert bool(sends(ended)) is again
@@ -92,7 +92,7 @@
     node = Node(BASE)
     id_, actions = node.arrive(cls=0)
     worker = sends(actions)[0].worker
-    node.play(AttemptProgressed(id_, 0, worker, STARTED, 0.0))
+    node.play(AttemptProgressed(id_, 0, worker, ProgressKind.STARTED, 0.0))
     node.dispatcher._retry_budget.tokens = 0.1
     assert not sends(node.play(AttemptEnded(id_, 0, worker, Outcome.RESET, 1.0, False), at=node.now + 1.0))
 
@@ -108,11 +108,11 @@
     node = node_with_slots(BASE, workers=1)
     first, actions = node.arrive(cls=0, slots=2.0)
     assert sends(actions), "an empty worker always takes one"
-    node.play(AttemptProgressed(first, 0, 1, STARTED, 0.0))
+    node.play(AttemptProgressed(first, 0, 1, ProgressKind.STARTED, 0.0))
     assert not sends(node.arrive(cls=0, slots=4.0)[1])
     small, actions = node.arrive(cls=0, slots=1.0)
     assert [s.id for s in sends(actions)] == [small], "who fits passes the one that does not"
-    node.play(AttemptProgressed(small, 0, 1, STARTED, 0.0))
+    node.play(AttemptProgressed(small, 0, 1, ProgressKind.STARTED, 0.0))
     node.play(AttemptEnded(small, 0, 1, Outcome.OK, 5.0, True), at=5.0)
     assert [s.id for s in sends(node.play(AttemptEnded(first, 0, 1, Outcome.OK, 5.0, True)))] == [2]
 
@@ -120,7 +120,7 @@
 def test_a_large_job_does_not_starve_it_waits_at_a_worker_once_it_would_be_late():
     node = node_with_slots(replace(ONE, classes=(replace(SAFE, late_weight=0.0),)), slots=2.0, workers=1)
     first, _ = node.arrive(cls=0)
-    node.play(AttemptProgressed(first, 0, 1, STARTED, 0.0))
+    node.play(AttemptProgressed(first, 0, 1, ProgressKind.STARTED, 0.0))
     large, actions = node.arrive(cls=0, slots=2.0)
     assert not sends(actions)
     assert [s.id for s in sends(node.play(at=500.0))] == [large]
@@ -132,7 +132,7 @@
         id_, actions = node.arrive(cls=0)
         assert bool(sends(actions)) is expected
         if expected:
-            node.play(AttemptProgressed(id_, 0, 1, STARTED, 0.0))
+            node.play(AttemptProgressed(id_, 0, 1, ProgressKind.STARTED, 0.0))
 
 
 def test_without_reports_one_may_wait_there_or_more_slots_would_never_be_found():
@@ -140,7 +140,7 @@
     for expected in (True, True, False):  # the third finds the second waiting, and so the slots are known
         assert bool(sends(node.arrive(cls=0)[1])) is expected
         if expected:
-            node.play(AttemptProgressed(1, 0, 1, STARTED, 0.0))
+            node.play(AttemptProgressed(1, 0, 1, ProgressKind.STARTED, 0.0))
 
 
 def test_peers_are_told_slots_and_heed_them():
@@ -150,5 +150,5 @@
     other = Node(replace(site, dispatcher_index=1), workers=1)
     other.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1),)))
     other.dispatcher._reports.slots[0] = 4.0
-    other.play(PeerReportReceived(0, pack_counts([(1, 3)])))
+    other.play(PeerReportReceived(0, encode_peer_report([(1, 3)])))
     assert not sends(other.arrive(cls=0, slots=3.0)[1])
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -11,7 +11,7 @@
 
 from eiderfield.exchange.request import Request
 from eiderfield.interface import (
-    HELD_UP,
+    MAX_WRITE_DELAY_MS,
     AttemptEnded,
     AttemptProgressed,
     Endpoint,
@@ -40,7 +40,9 @@
 VARIANTS = {
     "objective 20 ms": with_times(20.0),
     "objective 60 s": with_times(60_000.0),
-    "window below the time that a process may be held up": with_times(300.0, repeat_window_ms=HELD_UP - 1.0),
+    "window below the time that a process may be held up": with_times(
+        300.0, repeat_window_ms=MAX_WRITE_DELAY_MS - 1.0
+    ),
     "window 5 min": with_times(300.0, repeat_window_ms=300_000.0),
     "warm-up 0.5 s": replace(BASE, slow_start_window_ms=500.0, slow_start_share=0.05),
     "warm-up 600 s": replace(BASE, slow_start_window_ms=600_000.0, slow_start_share=0.0),
@@ -146,15 +148,15 @@
     assert node.dispatcher.snapshot().out == 0
 
 
-@pytest.mark.parametrize("window", [1.0, HELD_UP - 1.0, HELD_UP + 20.0, 300_000.0])
+@pytest.mark.parametrize("window", [1.0, MAX_WRITE_DELAY_MS - 1.0, MAX_WRITE_DELAY_MS + 20.0, 300_000.0])
 def test_a_keyed_request_begins_no_attempt_near_the_end_of_its_window(window):
-    for wait in (10.0, HELD_UP, 1000.0, 200_000.0):
+    for wait in (10.0, MAX_WRITE_DELAY_MS, 1000.0, 200_000.0):
         node = Node(with_times(20.0, repeat_window_ms=window, deadline_ms=300_000.0), workers=4)
         id_, actions = node.arrive(cls=1, due=300_000.0)
         first = sends(actions)[0]
         node.now = wait
         again = sends(node.end(id_, 0, first.worker, Outcome.RESET))
-        assert bool(again) is (wait <= window - HELD_UP)
+        assert bool(again) is (wait <= window - MAX_WRITE_DELAY_MS)
 
 
 @pytest.mark.parametrize("deadline", [1.0, 60.0, 200.0, 300_000.0])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,7 +18,7 @@
 from support.processes import CONFIG, ROOT, DiscoveryServer, HoldingWorker, ask, post
 
 from eiderfield.idmap import IdMap
-from eiderfield.interface import EndpointState, pack_counts, unpack_counts
+from eiderfield.interface import EndpointState, decode_peer_report, encode_peer_report
 from eiderfield.lab.ports import free_port
 from eiderfield.net.clients.listener import ACCEPTED_PER_TURN
 from eiderfield.net.handover.new_process import ANSWER_TIMEOUT_MS, DELAYED_ANSWER_TIMEOUT_MS
@@ -501,7 +501,7 @@
     numbers = iter(range(1, 1000))
 
     def say():
-        message = ENVELOPE.pack(1, 7, next(numbers)) + pack_counts([(releases.number, 1)])
+        message = ENVELOPE.pack(1, 7, next(numbers)) + encode_peer_report([(releases.number, 1)])
         peer.sendto(message, (host, int(port)))
 
     def heard(console, most):
@@ -518,7 +518,9 @@
     busy.sendall(post("r1"))
     assert releases.worker.came.wait(30)
     first = ENVELOPE.unpack_from(message := peer.recv(300))
-    assert list(unpack_counts(message[ENVELOPE.size :])) == [(releases.number, 1)], "its job at the worker"
+    assert list(decode_peer_report(message[ENVELOPE.size :])) == [(releases.number, 1)], (
+        "its job at the worker"
+    )
     _, later = releases.start()
     for _ in range(5):
         say()
@@ -528,7 +530,7 @@
     releases.worker.let.set()
     assert ask(busy, b"") == (200, b"cba")
     assert old.wait(30) == 0
-    while list(unpack_counts((message := peer.recv(300))[ENVELOPE.size :])) != [(releases.number, 0)]:
+    while list(decode_peer_report((message := peer.recv(300))[ENVELOPE.size :])) != [(releases.number, 0)]:
         pass  # told by the next process, whose life is later, though the job was the old one's
     assert ENVELOPE.unpack_from(message)[1] > first[1]
     say()
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -7,13 +7,13 @@
 from support.policy import BASE, SAFE, UNSAFE, Node, sends
 
 from eiderfield.interface import (
-    STARTED,
     AttemptProgressed,
     Endpoint,
     EndpointListKind,
     EndpointState,
     EndpointsUpdated,
     Outcome,
+    ProgressKind,
     RejectRequest,
     RequestReceived,
     SiblingReportReceived,
@@ -355,7 +355,7 @@
     for _ in range(2):
         [send] = sends(node.arrive()[1])
         assert send.worker == 2
-        node.play(AttemptProgressed(send.id, 0, 2, STARTED, 0.0))
+        node.play(AttemptProgressed(send.id, 0, 2, ProgressKind.STARTED, 0.0))
     node.play(SiblingReportReceived(1, 0, 0.0))
     assert [send.worker for send in sends(node.arrive()[1])] == [1]
     module, node.now = node.dispatcher, 10_000.0
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -7,7 +7,6 @@
 from support.policy import BASE, SAFE, Node, sends
 
 from eiderfield.interface import (
-    REPEAT,
     AttemptProgressed,
     CancelAttempt,
     Endpoint,
@@ -22,9 +21,9 @@
     SendPeerReport,
     StartAttempt,
     TimerFired,
-    mix,
-    pack_counts,
-    unpack_counts,
+    decode_peer_report,
+    encode_peer_report,
+    stable_hash,
 )
 from eiderfield.policy.affinity import HOMES
 from eiderfield.policy.attempt_outcomes import MAX_WAIT_PAUSES
@@ -85,7 +84,7 @@
 
 def test_keys_spread_evenly_over_workers():
     """The hash of a tuple of integers made one of 14 workers first home of six times the keys of another."""
-    first = Counter(min(range(1000, 1014), key=lambda w: mix(key, w)) for key in range(1, 2801))
+    first = Counter(min(range(1000, 1014), key=lambda w: stable_hash(key, w)) for key in range(1, 2801))
     assert len(first) == 14
     assert max(first.values()) < 1.5 * min(first.values())
 
@@ -95,9 +94,11 @@
     id_, actions = node.arrive()
     told = [a for a in actions if isinstance(a, SendPeerReport)]
     assert [a.peer for a in told] == [1, 2]
-    assert list(unpack_counts(told[0].data)) == [(1, 1)]
+    assert list(decode_peer_report(told[0].data)) == [(1, 1)]
     actions = node.end(id_, 0, 1, Outcome.OK, final=True)
-    assert [list(unpack_counts(a.data)) for a in actions if isinstance(a, SendPeerReport)] == [[(1, 0)]] * 2
+    assert [list(decode_peer_report(a.data)) for a in actions if isinstance(a, SendPeerReport)] == [
+        [(1, 0)]
+    ] * 2
 
 
 def test_nodes_stop_talking_when_the_fleet_shrinks_below_their_parts():
@@ -117,23 +118,25 @@
 def test_a_worker_full_of_peers_jobs_comes_last_and_then_not_at_all():
     """xela-reparto-later: a node that sees a sixth of what waits at a worker sent there as to an idle one."""
     node = Node(TALKING, workers=3)
-    node.play(PeerReportReceived(1, pack_counts([(1, 2), (2, 2)])))
+    node.play(PeerReportReceived(1, encode_peer_report([(1, 2), (2, 2)])))
     assert sends(node.arrive()[1])[0].worker == 3
-    node.play(PeerReportReceived(2, pack_counts([(1, 1), (2, 1)])))
+    node.play(PeerReportReceived(2, encode_peer_report([(1, 1), (2, 1)])))
     assert not sends(node.arrive()[1])  # one above its slots already waits at each, and an own one at 3
-    got = node.play(PeerReportReceived(2, pack_counts([(1, 0)])))
+    got = node.play(PeerReportReceived(2, encode_peer_report([(1, 0)])))
     assert [s.worker for s in sends(got)] == [1]
 
 
 def test_a_peers_counts_are_forgotten_in_time():
     """A node that died with its zone would else keep workers full for ever."""
     node = Node(TALKING, workers=1)
-    node.play(PeerReportReceived(1, pack_counts([(1, 3)])))
+    node.play(PeerReportReceived(1, encode_peer_report([(1, 3)])))
     assert not sends(node.arrive()[1])
     assert sends(node.play(TimerFired(0), at=2100.0))
 
 
-@pytest.mark.parametrize("data", [b"", b"\x01", b"\x01\x00\x00\x00", pack_counts([(99, 1)]), b"\xff" * 256])
+@pytest.mark.parametrize(
+    "data", [b"", b"\x01", b"\x01\x00\x00\x00", encode_peer_report([(99, 1)]), b"\xff" * 256]
+)
 def test_odd_messages_change_nothing(data):
     node = Node(TALKING, workers=2)
     node.play(PeerReportReceived(7, data))
@@ -141,9 +144,9 @@
 
 
 def test_a_message_holds_what_the_wire_takes():
-    data = pack_counts([(n, 1000) for n in range(80)])
+    data = encode_peer_report([(n, 1000) for n in range(80)])
     assert len(data) <= 256
-    assert next(iter(unpack_counts(data))) == (0, 255)
+    assert next(iter(decode_peer_report(data))) == (0, 255)
 
 
 def silent(**more):
@@ -414,7 +417,7 @@
     for me in range(200):
         node = Node(replace(FULL, dispatcher_index=me), workers=2, seed=me)
         for turn in range(20):
-            key = 1 if mix(me, turn) % 10 < 2 else 1000 + turn  # a fifth of all
+            key = 1 if stable_hash(me, turn) % 10 < 2 else 1000 + turn  # a fifth of all
             node.dispatcher._key_counts.by_key[key] += 1
             node.dispatcher._key_counts.total += 1
         seen = node.dispatcher._key_counts.by_key
@@ -477,7 +480,7 @@
     """Refused jobs came back with what was left of 5 s and were taken to be in time for another aim."""
     node = Node(FULL, workers=8)
     first, _ = node.arrive(due=5000.0)
-    again, _ = node.arrive(due=4400.0, flags=REPEAT)
+    again, _ = node.arrive(due=4400.0, is_client_retry=True)
     jobs = node.dispatcher._requests
     assert jobs[first].timely - jobs[again].timely == pytest.approx(600.0)
     short, _ = node.arrive(due=4400.0)  # no repeat: only less patient
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -15,7 +15,7 @@
     EndpointsUpdated,
     Outcome,
     Scope,
-    mix,
+    stable_hash,
 )
 from eiderfield.policy import affinity, subsetting
 from eiderfield.policy.affinity import CHANGES_KEPT, KeyOrders
@@ -73,9 +73,9 @@
         (SlowStart, "capacity_share"),
     ):
         counted(owner, name, lambda args: 1)
-    counted(affinity, "mix", lambda args: 1)
-    counted(subsetting, "mix", lambda args: 1)
-    counted(affinity, "mix_below", lambda args: len(args[1]))
+    counted(affinity, "stable_hash", lambda args: 1)
+    counted(subsetting, "stable_hash", lambda args: 1)
+    counted(affinity, "stable_hashes_up_to", lambda args: len(args[1]))
     counted(subsetting, "place_of", lambda args: 1)
     return count
 
@@ -118,8 +118,8 @@
     for key in range(100, 1100):
         serve(node, key=key)
     most = cost(examined, lambda number: serve(node, key=2000 + number))
-    assert most["mix_below"] <= KEYED_SUBSET * 1.1
-    assert (most - Counter(mix_below=size)).total() <= 40, most
+    assert most["stable_hashes_up_to"] <= KEYED_SUBSET * 1.1
+    assert (most - Counter(stable_hashes_up_to=size)).total() <= 40, most
 
 
 @pytest.mark.parametrize("keyed", [False, True])
@@ -304,7 +304,7 @@
         key, count = rng.choice([7, 8, 9, rng.randrange(10, 200)]), rng.choice([2, 2, 5, 30])
         if rng.random() < 0.3:  # a key that is asked for seldom has missed many changes
             found, whole = orders.first(key, count)
-            wanted = sorted(workers, key=lambda worker: mix(key, worker))
+            wanted = sorted(workers, key=lambda worker: stable_hash(key, worker))
             numbers = [worker.entry.worker for worker in found]
             assert numbers == wanted[: len(numbers)]
             assert len(numbers) >= count or whole
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -22,6 +22,7 @@
     PeerReportReceived,
     ProbeCompleted,
     ProbeWorker,
+    ProgressKind,
     RejectRequest,
     RequestReceived,
     Scope,
@@ -48,14 +49,21 @@
     [
         (
             QUERY.format(key="640ad2557c3bf091", flags="01"),
-            RequestReceived(JOB, 0, 8652.25, 0, 0x91F03B7C55D20A64, 12.0, 2.0, 1.5, 1),
+            RequestReceived(JOB, 0, 8652.25, 0, 0x91F03B7C55D20A64, 12.0, 2.0, 1.5, False),
         ),
         (
             QUERY.format(key="0000000000000000", flags="00"),
-            RequestReceived(JOB, 0, 8652.25, 0, 0, 0.0, 2.0, 1.5, 0),
+            RequestReceived(JOB, 0, 8652.25, 0, 0, 0.0, 2.0, 1.5, False),
+        ),
+        (
+            QUERY.format(key="0000000000000000", flags="02"),
+            RequestReceived(JOB, 0, 8652.25, 0, 0, 0.0, 2.0, 1.5, True),
         ),
         ("03 0300 c4917a5d757c0000 0000 074a1203 0000000000802240", StreamStarted(JOB, 0, WORKER, 9.25)),
-        ("0b 0300 c4917a5d757c0000 0000 074a1203 01 0000003f", AttemptProgressed(JOB, 0, WORKER, 1, 0.5)),
+        (
+            "0b 0300 c4917a5d757c0000 0000 074a1203 01 0000003f",
+            AttemptProgressed(JOB, 0, WORKER, ProgressKind.STARTED, 0.5),
+        ),
         (
             "04 0300 c4917a5d757c0000 074a1203 c800 00 0000000000803240 0000 01 02 0000003f 0000a03f",
             AttemptEnded(JOB, 0, WORKER, 200, 18.5, True, 0, (0.5, 1.25)),
