--- a/eiderfield/policy/attempt_outcomes.py
+++ b/eiderfield/policy/attempt_outcomes.py
@@ -46,8 +46,8 @@
     def record_start(self, attempt: AttemptRecord, now: float) -> None:
         """Record that an attempt, which had waited at its worker, has started to run."""
         worker = self._fleet.workers[attempt.entry.worker]
-        waited = now - attempt.sent
-        attempt.started = now
+        waited = now - attempt.sent_at
+        attempt.started_at = now
         worker.fulls = 0
         worker.unstarted -= 1
         self._outliers.count_wait(waited)
@@ -77,17 +77,19 @@
             # A worker that fails fast has the fewest requests in flight and would attract even more.
             if worker.faults > FAULTY:
                 worker.strike(now, erring=self._context.trial_effect != Effect.UNSAFE)
-        elif outcome == Outcome.CANCELLED and attempt.started is None:
+        elif outcome == Outcome.CANCELLED and attempt.started_at is None:
             self._record_unstarted_cancel(attempt, worker, now)
 
     def _record_answer(self, attempt: AttemptRecord, worker: Worker, event: AttemptEnded, now: float) -> None:
         request, pacer = attempt.request, attempt.request.pacer
         late = event.elapsed >= SILENT_RUNS * max(
-            pacer.run_of(request.hint), request.cls.latency_objective_ms
+            pacer.expected_duration_ms(request.expected_work), request.request_class.latency_objective_ms
         )
         worker.alive(now, not late)
-        pacer.learn(event.elapsed if attempt.started is None else now - attempt.started, request.hint)
-        self._slow_start.count_served(request.cost, now)
+        pacer.record_duration(
+            event.elapsed if attempt.started_at is None else now - attempt.started_at, request.expected_work
+        )
+        self._slow_start.count_served(request.budget_cost, now)
 
     def _record_full(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
         worker.alive(now)
@@ -95,10 +97,10 @@
         worker.full_until = now + FULL_PAUSE_MS * min(worker.fulls, MAX_FULL_PAUSES)
         # Neither a draining worker's refusal nor one worker's, while others are free, is a sign of overload.
         if worker.entry.state == EndpointState.READY and not self._selector.is_any_free(now):
-            attempt.request.pacer.accepted -= 1
+            attempt.request.pacer.accepted_in_window -= 1
 
     def _record_unstarted_cancel(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
-        waited = now - attempt.sent
+        waited = now - attempt.sent_at
         if waited >= self._outliers.short_wait(attempt.request):
             self._outliers.count_wait(waited)
             # Where one request has waited too long, the next one would too.
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -126,15 +126,15 @@
         ]
         rates = [pacer.rate for pacer in self._queues.pacers]
         numbers = frozenset(worker.entry.worker for worker in avoided)
-        return Snapshot(self._queues.held, self._out, rates, numbers)
+        return Snapshot(self._queues.held_count, self._out, rates, numbers)
 
     def adopt(self, settings: Settings) -> None:
         """Takes new numbers of the same classes and tenants. What came before keeps its class as it was."""
         if not settings.classes:
             raise ValueError("settings.classes is empty")
         self._context.settings = settings
-        self._queues.adopt(settings)
-        self._quotas.adopt()
+        self._queues.apply_settings(settings)
+        self._quotas.apply_settings()
         self._fleet.adopt()
         self._split_anew()
 
@@ -176,7 +176,7 @@
         self._expire(now)
         self._outliers.check(now)
         self._queues.close_windows(now, WINDOW_MS)
-        if self._queues.held and opens_something(events):
+        if self._queues.held_count and opens_something(events):
             self._release(now)
         self._set_timer(now)
         self._gossip.send()
@@ -221,7 +221,7 @@
         if event.class_index >= len(self._queues.pacers) or event.id in self._requests:
             raise ValueError(f"request {event.id}: unknown class {event.class_index} or id in use")
         request, slack = self._queue_request(event, now)
-        self._slow_start.least_cost = min(self._slow_start.least_cost, request.cost)
+        self._slow_start.least_cost = min(self._slow_start.least_cost, request.budget_cost)
         if request.key:
             self._count_key(request.key)
         self._requests[request.id] = request
@@ -229,7 +229,7 @@
             self._fleet.known(entry)  # listed or not: its attempt refers to it
             attempt = AttemptRecord(request, len(request.attempts), entry, sent, sent, open=False)
             request.attempts.append(attempt)
-        deadline = request.due - DEADLINE_TICKS * self._context.settings.clock_resolution_ms
+        deadline = request.deadline - DEADLINE_TICKS * self._context.settings.clock_resolution_ms
         heapq.heappush(self._deadlines, (deadline, request.id))
         self._queues.add(request, self._queues.by_id[request.queue_id].grb)
         if (
@@ -248,25 +248,27 @@
         queue_id = self._queue_id(event, client_retry, now)
         queue = self._queues.by_id[queue_id]
         pacer = queue.pacer
-        run, left = pacer.run_of(event.expected_work), event.deadline - now
-        pacer.patience = max(pacer.patience, left)
+        run, left = pacer.expected_duration_ms(event.expected_work), event.deadline - now
+        pacer.longest_time_limit_ms = max(pacer.longest_time_limit_ms, left)
         # A client's repeat brings what is left of its time: its aim began with the first try.
-        age = pacer.patience - left if client_retry else 0.0
+        age = pacer.longest_time_limit_ms - left if client_retry else 0.0
         aim = (
-            queue.cls.latency_objective_ms + queue.cls.objective_stretch * (event.expected_work or run) - age
+            queue.request_class.latency_objective_ms
+            + queue.request_class.objective_stretch * (event.expected_work or run)
+            - age
         )
         slack = min(aim, left) - run
         request = QueuedRequest(
             id=event.id,
             key=event.key,
-            due=event.deadline,
-            hint=event.expected_work,
+            deadline=event.deadline,
+            expected_work=event.expected_work,
             queue_id=queue_id,
             pacer=pacer,
-            cls=queue.cls,
-            cost=event.expected_work or run,
-            run=run,
-            timely=inf if queue.cls.late_weight else now + slack,
+            request_class=queue.request_class,
+            budget_cost=event.expected_work or run,
+            expected_duration_ms=run,
+            latest_useful_start=inf if queue.request_class.late_weight else now + slack,
             slots=event.slots or 1.0,
         )
         return request, slack
@@ -294,23 +296,25 @@
         self._fleet.resting[worker.entry.worker] = worker
         if outcome in (Outcome.OK, Outcome.ERROR):
             worker.count_end(outcome == Outcome.ERROR)
-        if attempt.started is not None:
-            worker.learn(now, (now - attempt.started) / attempt.request.run, outcome == Outcome.OK)
+        if attempt.started_at is not None:
+            worker.learn(
+                now, (now - attempt.started_at) / attempt.request.expected_duration_ms, outcome == Outcome.OK
+            )
         self._outcomes.record_end(attempt, event, now)
         if request is None:
             del self._late_attempts[event.id, event.attempt]
         elif event.final:
             self._finish(request)
-        elif not request.out() and request.queue is None:
+        elif not request.has_open_attempt() and request.queue is None:
             self._go_on(request, now, outcome == Outcome.ERROR)
 
     def _attempt_progressed(self, event: AttemptProgressed, now: float) -> None:
         _, attempt = self._find(event.id, event.attempt)
         if attempt is None or not attempt.open:
             return
-        attempt.heard = now
+        attempt.last_heard_at = now
         self._fleet.workers[attempt.entry.worker].alive(now)
-        if attempt.started is None and event.kind == ProgressKind.STARTED:
+        if attempt.started_at is None and event.kind == ProgressKind.STARTED:
             self._outcomes.record_start(attempt, now)
 
     # Ends and retries.
@@ -329,7 +333,7 @@
         self._out -= 1
         worker.own_slots -= attempt.request.slots
         worker.open.pop((attempt.request.id, attempt.number), None)
-        worker.unstarted -= attempt.started is None
+        worker.unstarted -= attempt.started_at is None
         if not worker.open:
             self._fleet.busy.pop(worker.entry.worker, None)
             worker.silent = False  # with nothing left there, a trial must tell
@@ -378,8 +382,10 @@
             if self._may_retry(request, now):
                 attempt.given_up = True
                 self._queues.add_first(request)
-        elif settings.cancellation_allowed and (attempt.started is None or self._retry_budget.tokens >= 1.0):
-            hopeless = attempt.started is None and self._outliers.is_hopeless(request, now)
+        elif settings.cancellation_allowed and (
+            attempt.started_at is None or self._retry_budget.tokens >= 1.0
+        ):
+            hopeless = attempt.started_at is None and self._outliers.is_hopeless(request, now)
             if hopeless or self._selector.has_alternative(request, now):
                 self._call_off(attempt)
 
@@ -402,7 +408,7 @@
     def _shed(self, wait: float) -> None:
         """The GRB is full: the lowest worth goes first, the newest of it, with a hint when to come again."""
         for request in self._queues.shed_order():
-            if may_reject(request) and not request.out():
+            if may_reject(request) and not request.has_open_attempt():
                 self._answer(request, wait)
                 return
 
@@ -410,8 +416,8 @@
 
     def _release(self, now: float) -> None:
         """GRB to SLBs, SLBs to workers: highest worth first, first come first within a buffer."""
-        for queue in self._queues.by_worth:
-            queue.set_late_aside(now)
+        for queue in self._queues.by_weight:
+            queue.move_late_requests(now)
             for request in [
                 request for request in queue.late.values() if self._outliers.is_hopeless(request, now)
             ]:
@@ -427,7 +433,7 @@
             shown = any(self._reports.shown(worker, now) > 0.0 for worker in free)
             if not shown and self._reports.probe(now):
                 return
-        for queue, requests in self._queues.to_release():
+        for queue, requests in self._queues.release_order():
             free = self._release_from(queue, requests, free, now)
 
     def _release_from(
@@ -454,7 +460,7 @@
         """The one gate of attempts: enforces rules 2, 3 and 4 whatever the callers meant."""
         if request.answered or worker.entry.state != EndpointState.READY:
             return
-        if not self._slow_start.covers(worker, request.cost) or not self._selector.is_legal(
+        if not self._slow_start.covers(worker, request.budget_cost) or not self._selector.is_legal(
             request, worker, now
         ):
             return
@@ -466,7 +472,7 @@
         self._outliers.attempt_sent(attempt, worker)
         request.pacer.count_send(now)
         self._retry_budget.count_attempt()
-        self._context.actions.append(StartAttempt(request.id, worker.entry.worker, work=request.cost))
+        self._context.actions.append(StartAttempt(request.id, worker.entry.worker, work=request.budget_cost))
 
     def _add_to_worker(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
         """Takes in at its worker that an attempt is out."""
@@ -476,7 +482,7 @@
         worker.own_slots += request.slots
         worker.slots_free -= request.slots
         if worker.slow_start_left < inf:
-            worker.recent.append((now, request.cost))
+            worker.recent.append((now, request.budget_cost))
         self._fleet.busy[worker.entry.worker] = worker
         self._gossip.changed(worker)
 
@@ -497,9 +503,9 @@
         """One pending timer, at the earliest time at which something may change without an event."""
         deadline = self._deadlines[0][0] if self._deadlines else inf
         at = min(deadline, self._outliers.next_check)
-        if self._queues.held:
+        if self._queues.held_count:
             times = [*self._fleet.rest_ends(now), self._reports.waits_until]
-            times += [pacer.next_at for pacer in self._queues.pacers if pacer.rate is not None]
+            times += [pacer.next_release_at for pacer in self._queues.pacers if pacer.rate is not None]
             at = min([at, now + LOOK_AGAIN_MS, *[time for time in times if time > now]])
         at = max(at, now + self._context.settings.clock_resolution_ms)
         self._timer.schedule(at)
--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -103,7 +103,13 @@
     def pace(self, now: float) -> float:
         """How much longer than usual requests run here; those still running show first that it turns slow."""
         kept = max(0.0, 1.0 - (now - self.faded) / PACE_MEMORY_MS)
-        out = sum([(now - a.started) / a.request.run for a in self.open.values() if a.started is not None])
+        out = sum(
+            [
+                (now - a.started_at) / a.request.expected_duration_ms
+                for a in self.open.values()
+                if a.started_at is not None
+            ]
+        )
         return (PACE_REQUESTS + self.ran * kept + out) / (PACE_REQUESTS + self.done * kept)
 
     def strike(self, now: float, erring: bool = False) -> None:
--- a/eiderfield/policy/load_reports.py
+++ b/eiderfield/policy/load_reports.py
@@ -51,7 +51,7 @@
 
     def started(self, worker: Worker) -> None:
         """Takes in that an attempt has started."""
-        self._saw(worker, sum([a.request.slots for a in worker.open.values() if a.started is not None]))
+        self._saw(worker, sum([a.request.slots for a in worker.open.values() if a.started_at is not None]))
 
     def slots_of(self, worker: Worker) -> float:
         """The slots that a worker is taken to have."""
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -75,7 +75,7 @@
 
     def is_hopeless(self, request: QueuedRequest, now: float) -> bool:
         """Whether a request that can't be in time would, at queues everywhere, make others late as well."""
-        late = self._context.many and now >= request.timely
+        late = self._context.many and now >= request.latest_useful_start
         return late and self.mean_wait > self.short_wait(request)
 
     def _check_worker(self, worker: Worker, now: float) -> None:
@@ -96,30 +96,37 @@
         oldest = next(iter(worker.open.values()))
         runs = SILENT_RUNS * self._usual_run(oldest.request)
         notes = SILENT_NOTES * self._context.settings.progress_interval
-        return max(worker.heard, oldest.sent) + (notes or runs)
+        return max(worker.heard, oldest.sent_at) + (notes or runs)
 
     def _stuck_from(self, attempt: AttemptRecord, worker: Worker) -> float:
         """When an attempt is stuck: no note came in time or, if not started, its wait is too long."""
         settings = self._context.settings
         if attempt.given_up or attempt.request.streaming:
             return inf
-        if attempt.started is not None:
+        if attempt.started_at is not None:
             notes = SILENT_NOTES if worker.silent else STUCK_NOTES
-            return attempt.heard + notes * settings.progress_interval if settings.progress_interval else inf
+            return (
+                attempt.last_heard_at + notes * settings.progress_interval
+                if settings.progress_interval
+                else inf
+            )
         if not settings.workers_report_start:
             return inf
         if self._context.many:
             return self._impatient_from(attempt)
-        return attempt.sent + STUCK_RUNS / STUCK_RUNS_OF_MANY * self.short_wait(attempt.request)
+        return attempt.sent_at + STUCK_RUNS / STUCK_RUNS_OF_MANY * self.short_wait(attempt.request)
 
     def _impatient_from(self, attempt: AttemptRecord) -> float:
         """When one of many dispatchers calls an unstarted attempt off: each wait is twice the last."""
         short = self.short_wait(attempt.request)
-        patient_until = attempt.sent + max(short, self.mean_wait) * 2.0**attempt.number
+        patient_until = attempt.sent_at + max(short, self.mean_wait) * 2.0**attempt.number
         if self.mean_wait <= short:
             return patient_until
         # Where all queues are long, leaving one loses the place and the data.
-        return min(patient_until, max(attempt.request.timely, attempt.sent + short))
+        return min(patient_until, max(attempt.request.latest_useful_start, attempt.sent_at + short))
 
     def _usual_run(self, request: QueuedRequest) -> float:
-        return max(request.pacer.run_of(request.hint), request.cls.latency_objective_ms)
+        return max(
+            request.pacer.expected_duration_ms(request.expected_work),
+            request.request_class.latency_objective_ms,
+        )
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -1,12 +1,12 @@
-"""Queues of the requests that wait here, by class and tenant.
+"""Queues of the requests that wait in this dispatcher, by class and tenant.
 
-Theory of operation. The design names two stages. A request first enters the global request buffer (GRB),
-which bounds what is held in all; each class has its part of it. From there it moves to the second-level
-buffer (SLB) of its class, which is short and from which requests are released at the class's rate, first come
-first served. While an SLB is nearly full, its class stays in the GRB. What can be worth nothing any more
-moves aside, so that it doesn't make what comes after it late as well.
+A request waits in two stages. It first enters the global request buffer (GRB), of which each class has its
+part and whose total size is bounded. From there it moves to the second-level buffer (SLB) of its class, which
+is short; requests are released from it in the order of arrival, at the rate of the class. While an SLB is
+nearly full, requests of its class stay in the GRB. Requests that can only be answered too late to be of use
+move to a third buffer, so that they do not delay the requests behind them.
 
-What must never happen: a request in two queues; a request that is answered and still in one.
+Invariants: a request is in at most one buffer; an answered request is in none.
 """
 
 from __future__ import annotations
@@ -20,118 +20,125 @@
 from eiderfield.policy.rate_control import FLOOR_REST, FLOOR_TOP, Pacer
 from eiderfield.policy.request import QueuedRequest, QueueId
 
-LEAST_RUN_MS = 1.0  # that a request of a class is taken to run before any has: an objective may be 0
-SLB_SIZE = 8  # requests in a second-level buffer: enough to keep every worker fed between two events
-NEAR_FULL = 0.75  # share of an SLB at which its class is held in the GRB
+MIN_DEFAULT_DURATION_MS = 1.0  # of a class before any request has run: a latency objective may be 0
+SLB_SIZE = 8  # requests in a second-level buffer: enough to keep workers busy between two events
+NEAR_FULL = 0.75  # share of the SLB's size at which the class stays in the GRB
 
 
 @dataclass(slots=True, eq=False)
 class ClassQueue:
-    """The buffers of one class and tenant, within or above its quota: a part of the GRB, and the SLB."""
+    """The buffers of one class and tenant, within or above the tenant's quota."""
 
-    cls: RequestClass
+    request_class: RequestClass
     pacer: Pacer
-    worth: float
+    weight: float
     grb: OrderedDict[int, QueuedRequest] = field(default_factory=OrderedDict)
     slb: OrderedDict[int, QueuedRequest] = field(default_factory=OrderedDict)
-    late: OrderedDict[int, QueuedRequest] = field(
-        default_factory=OrderedDict
-    )  # what can be worth nothing any more
+    late: OrderedDict[int, QueuedRequest] = field(default_factory=OrderedDict)  # too late to be of use
 
-    def room(self) -> bool:
-        """Whether the SLB is not near-full. The SLB of a class with a high floor grows as its rate is cut."""
+    def has_room(self) -> bool:
+        """Return whether the SLB is not nearly full. With a high floor it grows as the rate is reduced."""
         size = float(SLB_SIZE)
         if self.pacer.rate is not None and self.pacer.floor_share == FLOOR_TOP:
-            size *= max(1.0, self.pacer.uncut / self.pacer.rate)
+            size *= max(1.0, self.pacer.uncut_rate / self.pacer.rate)
         return len(self.slb) < NEAR_FULL * size
 
-    def set_late_aside(self, now: float) -> None:
-        """Moves what can be in time no more behind what can."""
+    def move_late_requests(self, now: float) -> None:
+        """Move requests that can no longer be answered in time to the buffer of late ones."""
         for queue in (self.slb, self.grb):
-            late = [request for request in islice(queue.values(), SLB_SIZE) if now > request.timely]
+            late = [
+                request for request in islice(queue.values(), SLB_SIZE) if now > request.latest_useful_start
+            ]
             for request in late:
                 request.queue = self.late
                 self.late[request.id] = queue.pop(request.id)
 
     def fill_slb(self) -> None:
-        """Moves requests from the GRB to the SLB while that has room."""
-        while self.grb and self.room():
+        """Move requests from the GRB to the SLB while it has room."""
+        while self.grb and self.has_room():
             _, request = self.grb.popitem(last=False)
             request.queue = self.slb
             self.slb[request.id] = request
 
 
 class ClassQueues:
-    """All queues of a dispatcher, highest worth first, and what is held in them."""
+    """All queues of a dispatcher, and the number and expected running time of the requests in them."""
 
     def __init__(self, settings: Settings) -> None:
         floors = {max(cls.priority_weight for cls in settings.classes): FLOOR_TOP}
-        runs = [max(LEAST_RUN_MS, 0.5 * cls.latency_objective_ms) for cls in settings.classes]
+        durations = [max(MIN_DEFAULT_DURATION_MS, 0.5 * cls.latency_objective_ms) for cls in settings.classes]
         floor_shares = [floors.get(cls.priority_weight, FLOOR_REST) for cls in settings.classes]
-        self.pacers = [Pacer(*figures) for figures in zip(floor_shares, runs, strict=True)]
+        self.pacers = [Pacer(*figures) for figures in zip(floor_shares, durations, strict=True)]
         self.by_id: dict[QueueId, ClassQueue] = {}
-        for number, (cls, pacer) in enumerate(zip(settings.classes, self.pacers, strict=True)):
+        for class_index, (request_class, pacer) in enumerate(zip(settings.classes, self.pacers, strict=True)):
             for tenant in range(max(1, len(settings.tenants))):
                 for over_quota in (False, True):
-                    worth = cls.priority_weight * (settings.over_quota_weight if over_quota else 1.0)
-                    self.by_id[QueueId(number, tenant, over_quota)] = ClassQueue(cls, pacer, worth)
-        self.by_worth: list[ClassQueue] = []
+                    share = settings.over_quota_weight if over_quota else 1.0
+                    queue = ClassQueue(request_class, pacer, share * request_class.priority_weight)
+                    self.by_id[QueueId(class_index, tenant, over_quota)] = queue
+        self.by_weight: list[ClassQueue] = []
         self._sort()
-        self.held = 0  # requests that wait here
-        self.held_run = 0.0  # their expected running time, in ms
+        self.held_count = 0
+        self.held_duration_ms = 0.0  # the sum of expected running times
 
-    def adopt(self, settings: Settings) -> None:
-        """Takes new numbers of the same classes and tenants. What came before keeps its class as it was."""
+    def apply_settings(self, settings: Settings) -> None:
+        """Apply new settings of the same classes and tenants; held requests keep their class as it was."""
         fresh = ClassQueues(settings)
         for queue, new in zip(self.by_id.values(), fresh.by_id.values(), strict=True):
-            queue.cls = new.cls
-            queue.worth = new.worth
+            queue.request_class = new.request_class
+            queue.weight = new.weight
             queue.pacer.floor_share = new.pacer.floor_share
         self._sort()
 
     def learnt(self) -> list[tuple[float, float | None, float, float]]:
-        """What rate control has learnt of each class, in plain values, for the next process."""
-        return [(pacer.run, pacer.rate, pacer.uncut, pacer.next_at) for pacer in self.pacers]
+        """Return what rate control has learned of each class, in plain values, for the next process."""
+        return [
+            (pacer.mean_duration, pacer.rate, pacer.uncut_rate, pacer.next_release_at)
+            for pacer in self.pacers
+        ]
 
     def resume(self, learnt: Iterable[tuple[float, float | None, float, float]]) -> None:
-        """Goes on from what the process before had learnt."""
+        """Continue with what rate control of the previous process had learned."""
         for pacer, values in zip(self.pacers, learnt, strict=True):
-            pacer.run, pacer.rate, pacer.uncut, pacer.next_at = values
+            pacer.mean_duration, pacer.rate, pacer.uncut_rate, pacer.next_release_at = values
 
     def add(self, request: QueuedRequest, queue: OrderedDict[int, QueuedRequest]) -> None:
-        """Holds a request in a queue, behind the others."""
+        """Append a request to a buffer."""
         request.queue = queue
         queue[request.id] = request
-        self.held += 1
-        self.held_run += request.run
+        self.held_count += 1
+        self.held_duration_ms += request.expected_duration_ms
 
     def add_first(self, request: QueuedRequest) -> None:
-        """Holds a request that goes on before the others of its class: it has waited longest."""
+        """Put a request that is retried at the head of its class, for it has waited longest."""
         slb = self.by_id[request.queue_id].slb
         self.add(request, slb)
         slb.move_to_end(request.id, last=False)
 
     def remove(self, request: QueuedRequest) -> None:
-        """Takes a request out of its queue, if it is in one."""
+        """Remove a request from its buffer, if it is in one."""
         if request.queue is None:
             return
         del request.queue[request.id]
         request.queue = None
-        self.held -= 1
-        self.held_run -= request.run
+        self.held_count -= 1
+        self.held_duration_ms -= request.expected_duration_ms
 
     def close_windows(self, now: float, window_ms: float) -> None:
-        """Ends the windows of rate control that are over."""
+        """Close the rate control windows that have ended."""
         for pacer in self.pacers:
-            if now >= pacer.start + window_ms:
-                waiting = any(queue.slb or queue.grb for queue in self.by_worth if queue.pacer is pacer)
+            if now >= pacer.window_start + window_ms:
+                waiting = any(queue.slb or queue.grb for queue in self.by_weight if queue.pacer is pacer)
                 pacer.close_window(now, waiting)
 
-    def to_release(self) -> Iterator[tuple[ClassQueue, list[QueuedRequest]]]:
-        """The first requests of each queue, in the order of release; late ones only while no other waits."""
-        timely = any(queue.slb for queue in self.by_worth)
-        for queue in self.by_worth:
-            buffer = queue.slb if timely else queue.late
+    def release_order(self) -> Iterator[tuple[ClassQueue, list[QueuedRequest]]]:
+        """Yield the first requests of each queue, in the order of release.
+
+        Late requests are yielded only if no SLB holds a request.
+        """
+        in_time = any(queue.slb for queue in self.by_weight)
+        for queue in self.by_weight:
+            buffer = queue.slb if in_time else queue.late
             yield queue, list(islice(buffer.values(), SLB_SIZE))
 
     def shed_order(self) -> Iterator[QueuedRequest]:
@@ -139,12 +146,12 @@
 
         Late requests come first, then the lowest weight (the GRB before the SLB), the newest first.
         """
-        by_worth = [(queue.worth, queue.grb) for queue in self.by_worth]
-        by_worth += [(queue.worth, queue.slb) for queue in self.by_worth]
-        by_worth.sort(key=lambda pair: pair[0])
-        late = [queue.late for queue in self.by_worth]
-        for buffer in late + [buffer for _, buffer in by_worth]:
+        buffers = [(queue.weight, queue.grb) for queue in self.by_weight]
+        buffers += [(queue.weight, queue.slb) for queue in self.by_weight]
+        buffers.sort(key=lambda pair: pair[0])
+        late = [queue.late for queue in self.by_weight]
+        for buffer in late + [buffer for _, buffer in buffers]:
             yield from reversed(buffer.values())
 
     def _sort(self) -> None:
-        self.by_worth = sorted(self.by_id.values(), key=lambda queue: queue.worth, reverse=True)
+        self.by_weight = sorted(self.by_id.values(), key=lambda queue: queue.weight, reverse=True)
--- a/eiderfield/policy/request.py
+++ b/eiderfield/policy/request.py
@@ -1,8 +1,9 @@
-"""Requests that this dispatcher has accepted, and their attempts.
+"""Requests that this dispatcher has accepted, and the records of their attempts.
 
-A request is held (in a queue of its class), out (an attempt is open), or both where hedging is allowed, until
-it is answered. The ledger of its attempts alone says what may be done with it (`retry_rules.py`): an attempt
-may have run until an outcome proves that it did not, and stays in the ledger after its end.
+Until it is answered, a request waits in a queue of its class, has an open attempt at a worker, or both
+where hedging is allowed. What may be done with it follows from the records of its attempts alone
+(`retry_rules.py`): an attempt counts as one that may have run until an outcome proves that it did not, and
+its record is kept after its end. Times are milliseconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptRecord:
-    """One attempt of a request, as far as this dispatcher knows it."""
+    """One attempt of a request: where it was sent, and what has been heard of it."""
 
     request: QueuedRequest
     number: int
     entry: Endpoint  # as it was listed at the send: a worker may come back in another zone or cell
-    sent: float
-    heard: float  # its own last sign of life, for a connection can fall silent under a worker that is well
-    started: float | None = None
+    sent_at: float
+    last_heard_at: float  # of this attempt alone: a connection can fall silent though its worker is well
+    started_at: float | None = None
     open: bool = True
     given_up: bool = False
     may_have_run: bool = True  # until an outcome proves that it did not
@@ -40,28 +41,28 @@
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """A request with the ledger of its attempts."""
+    """A request with the records of its attempts."""
 
     id: int
     key: int
-    due: float
-    hint: float  # work that the client named, 0 if none
+    deadline: float
+    expected_work: float  # as the client states it, 0 if it does not
     queue_id: QueueId
     pacer: Pacer  # the rate control of its class
-    cls: RequestClass
-    cost: float  # expected work, for the slow start budget
-    run: float  # expected running time, in ms
-    timely: float  # when it must be sent at the latest to be worth anything
-    slots: float = 1.0  # that it takes while it runs
+    request_class: RequestClass
+    budget_cost: float  # work charged to the slow start budget of a worker
+    expected_duration_ms: float
+    latest_useful_start: float  # an attempt sent later can only bring a late answer
+    slots: float = 1.0  # of a worker, taken while it runs
     attempts: list[AttemptRecord] = field(default_factory=list)
-    queue: OrderedDict[int, QueuedRequest] | None = None  # in which it waits
+    queue: OrderedDict[int, QueuedRequest] | None = None  # the buffer in which it waits, None if in none
     answered: bool = False
     streaming: bool = False  # its stream has started
 
-    def first_run(self) -> AttemptRecord | None:
-        """The first attempt that may have run or may still do so."""
+    def first_possible_run(self) -> AttemptRecord | None:
+        """Return the first attempt that may have run or may still run, or None."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
-    def out(self) -> bool:
-        """Whether an attempt is out."""
+    def has_open_attempt(self) -> bool:
+        """Return whether an attempt is in progress at a worker."""
         return any(attempt.open for attempt in self.attempts)
--- a/eiderfield/policy/selection.py
+++ b/eiderfield/policy/selection.py
@@ -110,7 +110,7 @@
     def _pool(self, request: QueuedRequest, free: list[Worker], now: float) -> list[Worker]:
         if request.key:
             return self.homes(request, now)
-        if request.first_run() is None:
+        if request.first_possible_run() is None:
             return free
         legal = [worker for worker in free if self.is_legal(request, worker, now)]
         return legal or self._free_in_group(request, now)  # which may have no worker in this subset
@@ -189,13 +189,13 @@
         if not worker.strikes:
             return True
         untried = not worker.erring and now >= worker.suspect_until + STRIKE_PAUSE_MS
-        return untried or request.cls.effect <= max(self._context.trial_effect, worker.erring)
+        return untried or request.request_class.effect <= max(self._context.trial_effect, worker.erring)
 
     def _is_ready(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
         """Whether this worker may take this request: its kind, rule 2's group, and rule 4's budget."""
         if not self._is_trusted(worker, request, now):
             return False
-        if request.cls.kind >= 0 and worker.entry.kind != request.cls.kind:
+        if request.request_class.kind >= 0 and worker.entry.kind != request.request_class.kind:
             return False
         # Who waits for several slots keeps free ones from others; where all is seen, none need wait there.
         must_fit = request.slots > 1.0 or self._context.sees_all
@@ -203,12 +203,12 @@
             return False
         if any(attempt.open and attempt.entry.worker == worker.entry.worker for attempt in request.attempts):
             return False
-        return self._slow_start.covers(worker, request.cost) and self.is_legal(request, worker, now)
+        return self._slow_start.covers(worker, request.budget_cost) and self.is_legal(request, worker, now)
 
     def _fits(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
         """Whether the worker has the slots that a request takes, as far as this dispatcher knows."""
         room = self._reports.slots_of(worker) - worker.total(now)
-        may_wait = self._context.free_slots_column < 0 or now >= request.timely
+        may_wait = self._context.free_slots_column < 0 or now >= request.latest_useful_start
         return request.slots <= room + SPARE * may_wait
 
     def _rank(self, worker: Worker, request: QueuedRequest, now: float) -> Rank:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -122,11 +122,15 @@
 
 def test_what_the_module_learnt_goes_along(pair):
     module = pair.old.dispatcher.exchange.dispatcher
-    module._queues.pacers[0].run, module._queues.pacers[0].rate, module._retry_budget.tokens = 77.0, 5.0, 0.25
+    module._queues.pacers[0].mean_duration, module._queues.pacers[0].rate, module._retry_budget.tokens = (
+        77.0,
+        5.0,
+        0.25,
+    )
     module._key_counts.by_key.update({7: 40, 8: 2})
     pair.go()
     heir = pair.new.dispatcher.exchange.dispatcher
-    assert (heir._queues.pacers[0].run, heir._queues.pacers[0].rate, heir._retry_budget.tokens) == (
+    assert (heir._queues.pacers[0].mean_duration, heir._queues.pacers[0].rate, heir._retry_budget.tokens) == (
         77.0,
         5.0,
         0.25,
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -142,7 +142,8 @@
     module = dispatcher.exchange.dispatcher
     module._slow_start.served_rate = 0.75
     pacer = module._queues.pacers[0]
-    pacer.run, pacer.rate, pacer.uncut, pacer.next_at = 120.0, 4.0, 20.0, dispatcher.now + 250.0
+    pacer.mean_duration, pacer.rate = 120.0, 4.0
+    pacer.uncut_rate, pacer.next_release_at = 20.0, dispatcher.now + 250.0
     module._fleet.workers[dispatcher.ids.worker("w3")].recent.append((dispatcher.now - 30.0, 80.0))
     erring = module._fleet.workers[dispatcher.ids.worker("w1")]
     erring.faults = 2.0
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -28,7 +28,7 @@
 def window(pacer, start, sent, fulls, waiting=False):
     for n in range(sent):
         pacer.count_send(start + n)
-    pacer.accepted -= fulls
+    pacer.accepted_in_window -= fulls
     pacer.close_window(start + 1000.0, waiting)
 
 
@@ -69,14 +69,14 @@
         worker = sends(actions)[0].worker
         for other in node.dispatcher._fleet.workers.values():
             other.full_until = 1000.0 * (other.entry.worker != worker)
-        before = pacer.sent - pacer.accepted
+        before = pacer.sent_in_window - pacer.accepted_in_window
         node.play(
             EndpointsUpdated(
                 EndpointListKind.DELTA, 2, tuple(Endpoint(w, state=EndpointState.READY) for w in (worker,))
             )
         )
         node.end(id_, 0, worker, outcome)
-        assert pacer.sent - pacer.accepted - before == lost
+        assert pacer.sent_in_window - pacer.accepted_in_window - before == lost
 
 
 def test_one_workers_full_cuts_nothing_while_others_are_free():
@@ -85,7 +85,9 @@
     id_, actions = node.arrive(cls=1)
     pacer = node.dispatcher._queues.pacers[1]
     node.end(id_, 0, sends(actions)[0].worker, Outcome.FULL)
-    assert pacer.sent - 1 == pacer.accepted - 1 == 1, "sent again, and neither send counted as not accepted"
+    assert pacer.sent_in_window - 1 == pacer.accepted_in_window - 1 == 1, (
+        "sent again, and neither send counted as not accepted"
+    )
 
 
 def test_a_worker_that_answers_full_again_is_asked_less_often():
@@ -113,20 +115,20 @@
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(worker, state=EndpointState.DRAINING),)))
     node.end(id_, 0, worker, Outcome.FULL)
     pacer = node.dispatcher._queues.pacers[0]
-    assert pacer.accepted == pacer.sent
+    assert pacer.accepted_in_window == pacer.sent_in_window
 
 
 def test_the_top_class_buffer_grows_as_it_is_cut():
     lane = ClassQueue(SAFE, Pacer(0.7, 100.0), 1.0)
     for n in range(6):
         lane.slb[n] = None
-    assert not lane.room()  # 6 of 8 is near-full
-    lane.pacer.rate, lane.pacer.uncut = 20.0, 40.0
-    assert lane.room()  # 6 of 16
+    assert not lane.has_room()  # 6 of 8 is near-full
+    lane.pacer.rate, lane.pacer.uncut_rate = 20.0, 40.0
+    assert lane.has_room()  # 6 of 16
     rest = ClassQueue(SAFE, Pacer(0.3, 100.0), 1.0)
     rest.slb.update(dict.fromkeys(range(6)))
-    rest.pacer.rate, rest.pacer.uncut = 20.0, 40.0
-    assert not rest.room()
+    rest.pacer.rate, rest.pacer.uncut_rate = 20.0, 40.0
+    assert not rest.has_room()
 
 
 def test_a_near_full_buffer_holds_its_class_in_the_grb_and_no_other():
@@ -142,7 +144,7 @@
 def test_a_paced_class_is_released_in_order_at_its_rate():
     node = Node(workers=8)
     pacer = node.dispatcher._queues.pacers[0]
-    pacer.rate, pacer.uncut, pacer.start = 10.0, 10.0, 0.0
+    pacer.rate, pacer.uncut_rate, pacer.window_start = 10.0, 10.0, 0.0
     ids = [node.next_id + n for n in range(3)]
     got = sends(node.play(*(RequestReceived(i, 0, 5000.0) for i in ids)))
     assert [s.id for s in got] == ids[:1]
@@ -193,14 +195,14 @@
     for _ in range(4):
         id_, _ = node.arrive(cls=1)
         queue_id = node.dispatcher._requests[id_].queue_id
-        worths.append(node.dispatcher._queues.by_id[queue_id].worth)
+        worths.append(node.dispatcher._queues.by_id[queue_id].weight)
     full, reduced = UNSAFE.priority_weight, 0.01 * UNSAFE.priority_weight
     assert worths == [full, full, reduced, reduced]  # a share of 2 a second, saved up for a second
 
 
 def test_the_grb_is_bounded_by_count_too():
     node = Node(replace(BASE, classes=(replace(SAFE, latency_objective_ms=4000.0),)), workers=0)
-    node.dispatcher._queues.pacers[0].learn(1.0, 0.0)  # jobs of 1 ms: no wait would fill it
+    node.dispatcher._queues.pacers[0].record_duration(1.0, 0.0)  # jobs of 1 ms: no wait would fill it
     answers = [node.arrive()[1] for _ in range(GRB_PER_WORKER * 4 + 1)]
     refused = [any(isinstance(a, RejectRequest) for a in actions) for actions in answers]
     assert refused == [False] * (GRB_PER_WORKER * 4) + [True]
@@ -313,7 +315,7 @@
     node.arrive()
     node.arrive()
     node.play(at=400.0)
-    assert not any(lane.late for lane in node.dispatcher._queues.by_worth)
+    assert not any(lane.late for lane in node.dispatcher._queues.by_weight)
 
 
 def test_a_cold_worker_is_a_home_again_after_the_first_part_of_its_warm_up_and_within_its_budget():
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -45,8 +45,8 @@
     worths = zip(SITE.classes, (1.0, 1.0, 10.0), strict=True)
     site = replace(SITE, classes=tuple(replace(cls, priority_weight=worth) for cls, worth in worths))
     dispatcher.exchange.apply_settings(site)
-    lanes = dispatcher.exchange.dispatcher._queues.by_worth
-    assert [lane.cls.name for lane in lanes[:2]] == [SITE.classes[2].name] * 2
+    lanes = dispatcher.exchange.dispatcher._queues.by_weight
+    assert [lane.request_class.name for lane in lanes[:2]] == [SITE.classes[2].name] * 2
     assert (
         dispatcher.exchange.dispatcher._queues.pacers[2].floor_share
         > dispatcher.exchange.dispatcher._queues.pacers[0].floor_share
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -218,10 +218,10 @@
         age, node = 1000.0 * turn / rate, many[turn % nodes]
         node.now = 60_000.0 + age
         out = [a for w in node.dispatcher._fleet.subset.workers for a in w.open.values()]
-        for attempt in [a for a in out if node.now >= a.sent + work]:
+        for attempt in [a for a in out if node.now >= a.sent_at + work]:
             node.end(attempt.request.id, 0, 0, Outcome.OK, final=True, elapsed=work)
         node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = each, node.now
-        node.dispatcher._queues.pacers[0].run = work
+        node.dispatcher._queues.pacers[0].mean_duration = work
         for send in sends(node.arrive(key=7)[1]):
             node.play(AttemptProgressed(send.id, 0, send.worker, 1, 0.0))
             sent += [age] * (send.worker == 1)
@@ -453,7 +453,7 @@
     """calm+mass: after a burst 85% of what was served was late, for 15 s at half the burst's load: late jobs
     kept the workers so busy that the next were late too."""
     node, id_ = crowded()
-    timely = node.dispatcher._requests[id_].timely
+    timely = node.dispatcher._requests[id_].latest_useful_start
     assert cancels(node.play(TimerFired(0), at=timely + 1.0)) == [CancelAttempt(id_, 0)], (
         "before the queued mean is over"
     )
@@ -482,9 +482,9 @@
     first, _ = node.arrive(due=5000.0)
     again, _ = node.arrive(due=4400.0, is_client_retry=True)
     jobs = node.dispatcher._requests
-    assert jobs[first].timely - jobs[again].timely == pytest.approx(600.0)
+    assert jobs[first].latest_useful_start - jobs[again].latest_useful_start == pytest.approx(600.0)
     short, _ = node.arrive(due=4400.0)  # no repeat: only less patient
-    assert jobs[short].timely == jobs[first].timely
+    assert jobs[short].latest_useful_start == jobs[first].latest_useful_start
 
 
 def test_few_nodes_count_a_key_with_the_job_itself():
