--- a/eiderfield/connections/idle_connections.py
+++ b/eiderfield/connections/idle_connections.py
@@ -1,23 +1,23 @@
 """Idle client connections: a poll set that holds their descriptors, and a few bytes for each.
 
-The poll set's own descriptor is readable when one of those that it holds is, so whoever runs the loop watches
-one descriptor, however many connections are idle.
+The poll set's own descriptor is readable when one of the connections is, so that the event loop watches a
+single descriptor, however many connections are idle.
 
-    idle ──(bytes)──> woken: out of the set, handed to the owner as it is
-      │  └──(closed by the client, nothing unread)──> closed here
-      └──(expired, or evicted)──> closed here
+    idle ──(bytes received)──> woken: removed, and returned to the owner
+      │  └──(closed by the client, nothing unread)──> closed
+      └──(expired, or evicted)──> closed
 
-In an upgrade idle connections go to the next process in batches. The old process may keep its copy of each
-descriptor outside its poll set: lent, so that a next process that dies loses no client. The next one reports
-each that leaves its set, before a byte of it is read, and the old one closes its copy; as long as that is
-open, a connection that the next one closes is not over for its client.
+During a handover idle connections go to the next process in batches. The old process may keep a copy of each
+descriptor outside its poll set: the connection is lent, so that a next process that dies loses no client. The
+next process reports each connection that leaves its poll set, before a byte of it is read, and the old one
+closes its copy. While a copy is open, a connection that the next process closes stays open for its client.
 
-    idle ──(lend)──> lent ──(the next process has reported it)──> closed here, for it is that one's alone
-      ^                └──(the next process is gone)──┐
-      └───────────────────────────────────────────────┘
+    idle ──(lend)──> lent ──(reported by the next process)──> copy closed
+      ^                └──(the next process has ended)──┐
+      └─────────────────────────────────────────────────┘
 
-The poll set is level-triggered: bytes that came before a connection fell idle, or between two polls, are
-reported at the next one, so no message is missed. A poll hands over a bounded number.
+The poll set is level-triggered: bytes that arrived before a connection became idle, or between two polls, are
+reported at the next poll, so no message is missed. A poll returns a bounded number of connections.
 """
 
 from __future__ import annotations
@@ -30,11 +30,12 @@
 from dataclasses import dataclass
 from fcntl import ioctl
 from termios import FIONREAD, TIOCOUTQ
+from typing import NamedTuple
 
 from eiderfield.connections.idle_table import IdleTable
 
-WOKEN_PER_POLL = 8  # connections handed over in one poll: about 1 ms of building them anew
-EXPIRED_PER_PASS = 4  # closed in one pass as expired: about 0.1 ms, and 1,000 a second in all
+WOKEN_PER_POLL = 8  # connections returned by one poll: about 1 ms to create them anew
+EXPIRED_PER_PASS = 4  # connections closed in one pass as expired: about 0.1 ms, and 1,000 per second
 EVICTION_CANDIDATES = 32  # connections examined for one that may be evicted
 
 _WATCHED = select.EPOLLIN | select.EPOLLRDHUP
@@ -42,20 +43,33 @@
 
 @dataclass(slots=True, frozen=True)
 class WokenConnection:
-    """A connection on which something came. Its descriptor is the owner's again."""
+    """A connection that is returned to its owner, with its descriptor.
+
+    Attributes:
+        fd: the descriptor, which the owner has to close.
+        since: when the connection became idle, in ms.
+        mark: the value that the owner gave to `park`.
+    """
 
     fd: int
-    since: float  # ms; when it was last answered
+    since: float
     mark: int
 
 
+class LentConnection(NamedTuple):
+    """A connection for the next process: the descriptor, and when the connection became idle, in ms."""
+
+    fd: int
+    since: float
+
+
 def unread_bytes(fd: int) -> int:
-    """How many bytes lie unread in a socket; 0 for one that is broken."""
+    """Return how many received bytes of a socket are unread; 0 for a broken one."""
     return _queued_bytes(fd, FIONREAD)
 
 
 def unsent_bytes(fd: int) -> int:
-    """How many bytes written to a socket have not arrived at the other end; 0 for one that is broken."""
+    """Return how many bytes written to a socket are not acknowledged by the peer; 0 for a broken one."""
     return _queued_bytes(fd, TIOCOUTQ)
 
 
@@ -67,126 +81,102 @@
 
 
 class IdleConnections:
-    """Idle connections by descriptor. It closes what ends here; what wakes belongs to the caller again."""
-
-    def __init__(self, on_close: Callable[[int], None] = lambda mark: None) -> None:
-        """`on_close` is called with the mark of each connection that is closed here."""
-        self.woken = self.expired = self.closed_by_client = self.evicted = 0  # how they went, so far
+    """Idle connections by descriptor. Times are in ms.
+
+    Attributes:
+        woken: connections returned because of received bytes, so far.
+        expired: connections closed after their idle timeout, so far.
+        closed_by_client: connections that the client closed, so far.
+        evicted: connections closed for new ones, so far.
+        unreported: keys of borrowed connections that have left, until the lender is told.
+    """
+
+    def __init__(self, on_close: Callable[[int], None] = lambda _mark: None) -> None:
+        """Create an empty poll set; `on_close` is called with the mark of each connection closed here."""
+        self.woken = self.expired = self.closed_by_client = self.evicted = 0
+        self.unreported: list[int] = []
         self._on_close = on_close
         self._poll = select.epoll()
         self._table = IdleTable()
         self._lent = IdleTable()
-        self._lender = array("i")  # by descriptor, the lender's name for it plus 1, 0 for our own
-        self.unreported: list[int] = []  # the lender's names of those that left, until it is told
+        self._lender_keys = array("i")  # by descriptor: the lender's key plus 1, 0 if it is not borrowed
 
     @property
     def lent(self) -> int:
-        """How many the next process has, of which this one keeps copies."""
+        """The number of connections lent to the next process."""
         return len(self._lent)
 
     def __len__(self) -> int:
-        """How many are idle here."""
+        """Return the number of idle connections."""
         return len(self._table)
 
     def __contains__(self, fd: int) -> bool:
-        """Whether a descriptor is idle here."""
+        """Return whether a descriptor is idle here."""
         return fd in self._table
 
     def fileno(self) -> int:
-        """What to watch: readable when an idle connection is."""
+        """Return the descriptor to watch: it is readable when an idle connection is."""
         return self._poll.fileno()
 
     def park(self, fd: int, since: float, mark: int = 0, lender: int | None = None) -> None:
-        """Takes a descriptor that was last answered at `since` (ms); `lender` is its name at the process that
-        lends it. Raises `OSError` if it cannot be polled: the descriptor is the caller's then."""
+        """Take over a descriptor that has been idle since `since`.
+
+        `lender` is its key at the process that lends it. Raises `OSError` if it cannot be polled; it remains
+        the caller's then.
+        """
         self._poll.register(fd, _WATCHED)
         self._table.add(fd, since, mark)
         if lender is not None:
-            self._lender.extend([0] * (fd + 1 - len(self._lender)))
-            self._lender[fd] = lender + 1
+            self._lender_keys.extend([0] * (fd + 1 - len(self._lender_keys)))
+            self._lender_keys[fd] = lender + 1
 
     def poll_ready(self, most: int = WOKEN_PER_POLL) -> list[WokenConnection]:
-        """Connections on which something came, a bounded number. Those that were merely closed are closed."""
+        """Remove and return at most `most` connections with unread bytes; close those the client closed."""
         woken = []
         for fd, _ in self._poll.poll(0, most):
             if unread_bytes(fd):
                 self.woken += 1
                 woken.append(self.detach(fd))
-            else:  # closed or reset: it is not worth a connection of the program's
+            else:
                 self.closed_by_client += 1
                 self._close(fd)
         return woken
 
     def detach(self, fd: int) -> WokenConnection:
-        """Gives a descriptor back to the caller."""
-        since, mark = self._table.remove(fd)
+        """Remove a connection and return it to the caller."""
+        entry = self._table.remove(fd)
         self._poll.unregister(fd)
-        if fd < len(self._lender) and self._lender[fd]:
-            self.unreported.append(self._lender[fd] - 1)
-            self._lender[fd] = 0
-        return WokenConnection(fd, since, mark)
-
-    def lend(self, most: int) -> list[tuple[int, float]]:
-        """Up to so many go to the next process: their descriptors, which stay open here as copies, and since
-        when they idle. The longest idle go first."""
-        found = []
-        for fd in self._table.eldest(most):
-            woken = self.detach(fd)
-            self._lent.add(fd, woken.since, woken.mark)
-            found.append((fd, woken.since))
-        return found
-
-    def close_lent(self, fd: int) -> None:
-        """Closes the copy of a connection that the next process has for good."""
-        if fd in self._lent:
-            _, mark = self._lent.remove(fd)
-            os.close(fd)
-            self._on_close(mark)
-
-    def take_back_lent(self, most: int) -> int:
-        """Takes at most `most` back from a next process that is gone; gives how many remain lent."""
-        for fd in self._lent.eldest(most):
-            since, mark = self._lent.remove(fd)
-            try:
-                self.park(fd, since, mark)
-            except OSError:  # the kernel has no room for it in a poll set
-                os.close(fd)
-                self._on_close(mark)
-        return len(self._lent)
-
-    def take_back(self, fd: int) -> None:
-        """Takes one connection back, for which the next process has no capacity."""
-        if fd in self._lent:
-            since, mark = self._lent.remove(fd)
-            self.park(fd, since, mark)
+        if fd < len(self._lender_keys) and self._lender_keys[fd]:
+            self.unreported.append(self._lender_keys[fd] - 1)
+            self._lender_keys[fd] = 0
+        return WokenConnection(fd, entry.idle_since, entry.tag)
 
-    def forget_lender(self) -> None:
-        """Notes that the lender is gone: what it lent is this process's alone."""
-        self._lender = array("i")
-        self.unreported.clear()
+    # Expiry and eviction.
 
     def longest_idle(self, most: int) -> list[int]:
-        """At most `most` descriptors, the longest idle first. They stay."""
-        return self._table.eldest(most)
+        """Return at most `most` descriptors, the longest idle first, without removing them."""
+        return self._table.longest_idle(most)
+
+    def next_expiry(self, idle_timeout: float) -> float:
+        """Return when `expire` has a connection to close; infinity if there is none."""
+        return self._table.next_expiry(idle_timeout)
 
-    def next_expiry(self, keep: float) -> float:
-        """When `expire` has something to do, for an idle time of `keep` ms; infinity if there is none."""
-        return self._table.next_expiry(keep)
+    def expire(self, now: float, idle_timeout: float, most: int = EXPIRED_PER_PASS) -> None:
+        """Close at most `most` connections that have been idle for `idle_timeout`.
 
-    def expire(self, now: float, keep: float, most: int = EXPIRED_PER_PASS) -> None:
-        """Closes those that have idled for `keep` ms, a bounded number. One on which something came at this
-        very moment stays, and wakes."""
-        for fd in self._table.expired(now, keep, most):
+        One that has just received bytes stays, and is returned by the next poll.
+        """
+        for fd in self._table.expired(now, idle_timeout, most):
             if unread_bytes(fd):
-                since, mark = self._table.remove(fd)
-                self._table.add(fd, max(since, now), mark)  # or it would be found here again and again
+                entry = self._table.remove(fd)
+                self._table.add(fd, max(entry.idle_since, now), entry.tag)  # not to be found here again
             else:
                 self.expired += 1
                 self._close(fd)
 
     def evict_one(self) -> bool:
-        """Closes the longest idle connection on which nothing has come, if there is one."""
-        for fd in self._table.eldest(EVICTION_CANDIDATES):
+        """Close the longest idle connection without unread bytes; return whether there was one."""
+        for fd in self._table.longest_idle(EVICTION_CANDIDATES):
             if not unread_bytes(fd):
                 self.evicted += 1
                 self._close(fd)
@@ -194,20 +184,60 @@
         return False
 
     def close_idle(self, most: int) -> None:
-        """Closes those on which nothing can cross, a bounded number. The others wake."""
-        for fd in self._table.eldest(most):
+        """Close at most `most` connections, except those with unread bytes, which the next poll returns."""
+        for fd in self._table.longest_idle(most):
             if not unread_bytes(fd):
                 self._close(fd)
 
     def close(self) -> None:
-        """Closes everything."""
-        for fd in self._table.eldest(len(self._table)):
+        """Close all connections, copies of lent ones and the poll set."""
+        for fd in self._table.longest_idle(len(self._table)):
             self._close(fd)
-        for fd in self._lent.eldest(len(self._lent)):
+        for fd in self._lent.longest_idle(len(self._lent)):
             self.close_lent(fd)
         self._poll.close()
 
+    # Handover.
+
+    def lend(self, most: int) -> list[LentConnection]:
+        """Remove at most `most` connections, the longest idle first, and keep copies of their descriptors."""
+        lent = []
+        for fd in self._table.longest_idle(most):
+            connection = self.detach(fd)
+            self._lent.add(fd, connection.since, connection.mark)
+            lent.append(LentConnection(fd, connection.since))
+        return lent
+
+    def close_lent(self, fd: int) -> None:
+        """Close the copy of a connection that the next process keeps for good."""
+        if fd in self._lent:
+            entry = self._lent.remove(fd)
+            os.close(fd)
+            self._on_close(entry.tag)
+
+    def take_back(self, fd: int) -> None:
+        """Take back a lent connection for which the next process has no capacity."""
+        if fd in self._lent:
+            entry = self._lent.remove(fd)
+            self.park(fd, entry.idle_since, entry.tag)
+
+    def take_back_lent(self, most: int) -> int:
+        """Take back at most `most` connections after the next process has ended; return how many remain."""
+        for fd in self._lent.longest_idle(most):
+            entry = self._lent.remove(fd)
+            try:
+                self.park(fd, entry.idle_since, entry.tag)
+            except OSError:  # the kernel has no room for it in a poll set
+                os.close(fd)
+                self._on_close(entry.tag)
+        return len(self._lent)
+
+    def forget_lender(self) -> None:
+        """Record that the lender has ended: borrowed connections belong to this process alone."""
+        self._lender_keys = array("i")
+        self.unreported.clear()
+
     def _close(self, fd: int) -> None:
-        mark = self.detach(fd).mark
+        connection = self.detach(fd)
         os.close(fd)
-        self._on_close(mark)
+        self._on_close(connection.mark)
--- a/eiderfield/connections/idle_table.py
+++ b/eiderfield/connections/idle_table.py
@@ -1,125 +1,148 @@
-"""The idle connections in the order in which they fell idle. No I/O and no clock.
+"""Table of idle connections by descriptor, in the order in which they became idle. No I/O and no clock.
 
-An entry is a small number, the descriptor, which is a place in arrays: when the connection was last answered,
-a mark of its owner's, and its neighbours in a list. There is a list for each second of that time, so that the
-eldest entries and those that have expired are found without a look at the others:
+A descriptor is a small number that indexes arrays: when the connection became idle, a tag of its owner, and
+its neighbours in a list. There is a doubly linked list for each second of that time, so that the longest idle
+connections and the expired ones are found without visiting the others:
 
     heads: second -> first descriptor of that second's list <-> next <-> next ...
 
-Stored are times of the past and not deadlines: how long a connection may idle is asked with every question,
-so a new limit counts for the entries that are there. Adding, removing and each expiry take constant time. A
-list is in no order within its second.
+The table stores when connections became idle and no deadlines: the idle timeout is an argument of each query,
+so a new timeout applies to the connections that are there. Adding, removing and each expiry take constant
+time. A list is in no order within its second.
 
-What must never happen: a descriptor in two lists, or twice in one; one that was removed and is still found.
-`add` of one that is there and `remove` of one that is not are errors of the caller's and raise.
+Invariant: a descriptor is in one list at most, and once. `add` raises `ValueError` for a descriptor that is
+in the table, `remove` raises `KeyError` for one that is not.
 """
 
 from __future__ import annotations
 
 from array import array
 from math import inf
+from typing import NamedTuple
 
 BUCKET_MS = 1000.0  # the time that one list spans
-NO_NEIGHBOUR = -1  # no neighbour
-_ABSENT = -2  # not in the roster
+NO_NEIGHBOUR = -1
+_ABSENT = -2  # in place of the next descriptor, of one that is not in the table
+_SPARE_FRACTION = 8  # arrays grow by an eighth at least, since each growth copies them
+
+
+class IdleEntry(NamedTuple):
+    """An idle connection: when it became idle, in ms, and its owner's tag."""
+
+    idle_since: float
+    tag: int
 
 
 class IdleTable:
-    """Idle connections, by descriptor."""
+    """Idle connections, by descriptor. Times are in ms."""
 
     def __init__(self) -> None:
-        """An empty table."""
-        self._since = array("d")
-        self._mark = array("I")
+        """Create an empty table."""
+        self._idle_since = array("d")
+        self._tag = array("I")
         self._next = array("i")
-        self._before = array("i")
+        self._previous = array("i")
         self._heads: dict[int, int] = {}
-        self._eldest_known: int | None = None  # the first bucket that holds somebody; None if unknown
+        self._first_bucket: int | None = None  # the earliest that holds a connection; None if not known
         self._count = 0
 
     def __len__(self) -> int:
-        """How many connections there are."""
+        """Return the number of connections."""
         return self._count
 
-    def __contains__(self, key: int) -> bool:
-        """Whether a descriptor is there."""
-        return 0 <= key < len(self._next) and self._next[key] != _ABSENT
-
-    def add(self, key: int, since: float, mark: int = 0) -> None:
-        """Adds a connection that was last answered at `since` (ms); `mark` is the owner's, up to 32 bits."""
-        if key in self:
-            raise ValueError(f"descriptor {key} is there already")
-        if key < 0:
-            raise ValueError(f"{key} is no descriptor")
-        if (lack := key + 1 - len(self._next)) > 0:
-            lack = max(lack, len(self._next) // 8)  # an eighth to spare, or each would cost a copy
-            self._since.frombytes(bytes(8 * lack))
-            self._mark.frombytes(bytes(self._mark.itemsize * lack))
-            self._next.extend([_ABSENT] * lack)
-            self._before.extend([NO_NEIGHBOUR] * lack)
-        bucket = int(since // BUCKET_MS)
+    def __contains__(self, descriptor: int) -> bool:
+        """Return whether a descriptor is in the table."""
+        return 0 <= descriptor < len(self._next) and self._next[descriptor] != _ABSENT
+
+    @property
+    def array_bytes(self) -> int:
+        """The size of the arrays."""
+        arrays = (self._idle_since, self._tag, self._next, self._previous)
+        return sum(column.itemsize * len(column) for column in arrays)
+
+    def add(self, descriptor: int, idle_since: float, tag: int = 0) -> None:
+        """Add a connection that has been idle since `idle_since`; `tag` is the owner's, of up to 32 bits."""
+        if descriptor in self:
+            raise ValueError(f"descriptor {descriptor} is in the table already")
+        if descriptor < 0:
+            raise ValueError(f"{descriptor} is not a descriptor")
+        self._grow(descriptor + 1)
+        bucket = int(idle_since // BUCKET_MS)
         head = self._heads.get(bucket, NO_NEIGHBOUR)
         if head != NO_NEIGHBOUR:
-            self._before[head] = key
-        elif self._eldest_known is not None and bucket < self._eldest_known:
-            self._eldest_known = bucket
-        self._heads[bucket] = key
-        self._next[key] = head
-        self._before[key] = NO_NEIGHBOUR
-        self._since[key] = since
-        self._mark[key] = mark
+            self._previous[head] = descriptor
+        elif self._first_bucket is not None and bucket < self._first_bucket:
+            self._first_bucket = bucket
+        self._heads[bucket] = descriptor
+        self._next[descriptor] = head
+        self._previous[descriptor] = NO_NEIGHBOUR
+        self._idle_since[descriptor] = idle_since
+        self._tag[descriptor] = tag
         self._count += 1
 
-    def remove(self, key: int) -> tuple[float, int]:
-        """Removes a connection; gives when it was last answered, and its mark."""
-        if key not in self:
-            raise KeyError(key)
-        after, before = self._next[key], self._before[key]
-        since = self._since[key]
-        if after != NO_NEIGHBOUR:
-            self._before[after] = before
-        if before != NO_NEIGHBOUR:
-            self._next[before] = after
+    def remove(self, descriptor: int) -> IdleEntry:
+        """Remove a connection and return its entry."""
+        if descriptor not in self:
+            raise KeyError(descriptor)
+        following, previous = self._next[descriptor], self._previous[descriptor]
+        entry = IdleEntry(self._idle_since[descriptor], self._tag[descriptor])
+        if following != NO_NEIGHBOUR:
+            self._previous[following] = previous
+        if previous != NO_NEIGHBOUR:
+            self._next[previous] = following
         else:
-            bucket = int(since // BUCKET_MS)
-            if after != NO_NEIGHBOUR:
-                self._heads[bucket] = after
-            else:
-                del self._heads[bucket]
-                if bucket == self._eldest_known:
-                    self._eldest_known = None
-        self._next[key] = _ABSENT
+            self._set_head(int(entry.idle_since // BUCKET_MS), following)
+        self._next[descriptor] = _ABSENT
         self._count -= 1
-        return since, self._mark[key]
+        return entry
 
-    def expired(self, now: float, keep: float, most: int) -> list[int]:
-        """At most `most` connections that have idled for `keep` ms and the rest of their second."""
+    def expired(self, now: float, idle_timeout: float, limit: int) -> list[int]:
+        """Return at most `limit` connections idle for `idle_timeout` and up to a bucket more."""
         found: list[int] = []
-        for bucket in self._expired_buckets(now, keep):
-            key = self._heads[bucket]
-            while key != NO_NEIGHBOUR and len(found) < most:
-                found.append(key)
-                key = self._next[key]
-            if len(found) >= most:
+        for bucket in self._expired_buckets(now, idle_timeout):
+            descriptor = self._heads[bucket]
+            while descriptor != NO_NEIGHBOUR and len(found) < limit:
+                found.append(descriptor)
+                descriptor = self._next[descriptor]
+            if len(found) >= limit:
                 break
         return found
 
-    def next_expiry(self, keep: float) -> float:
-        """When `expired` will find the first one, in ms; infinity if there is none."""
-        bucket = self._eldest_bucket()
-        return inf if bucket is None else (bucket + 1) * BUCKET_MS + keep
-
-    def eldest(self, most: int) -> list[int]:
-        """At most `most` connections, the longest idle first."""
-        return self.expired(inf, 0.0, most)
-
-    def _eldest_bucket(self) -> int | None:
-        if self._eldest_known is None and self._heads:
-            self._eldest_known = min(self._heads)  # there is one for each bucket of the idle time at the most
-        return self._eldest_known
-
-    def _expired_buckets(self, now: float, keep: float) -> list[int]:
-        first = self._eldest_bucket()
-        if first is None or (first + 1) * BUCKET_MS + keep > now:
+    def next_expiry(self, idle_timeout: float) -> float:
+        """Return when `expired` finds the first connection; infinity if the table is empty."""
+        bucket = self._earliest_bucket()
+        return inf if bucket is None else (bucket + 1) * BUCKET_MS + idle_timeout
+
+    def longest_idle(self, limit: int) -> list[int]:
+        """Return at most `limit` connections, the longest idle first."""
+        return self.expired(inf, 0.0, limit)
+
+    def _grow(self, size: int) -> None:
+        """Extend the arrays to at least `size` elements."""
+        missing = size - len(self._next)
+        if missing <= 0:
+            return
+        missing = max(missing, len(self._next) // _SPARE_FRACTION)
+        self._idle_since.frombytes(bytes(self._idle_since.itemsize * missing))
+        self._tag.frombytes(bytes(self._tag.itemsize * missing))
+        self._next.extend([_ABSENT] * missing)
+        self._previous.extend([NO_NEIGHBOUR] * missing)
+
+    def _set_head(self, bucket: int, descriptor: int) -> None:
+        if descriptor != NO_NEIGHBOUR:
+            self._heads[bucket] = descriptor
+            return
+        del self._heads[bucket]
+        if bucket == self._first_bucket:
+            self._first_bucket = None
+
+    def _earliest_bucket(self) -> int | None:
+        if self._first_bucket is None and self._heads:
+            self._first_bucket = min(self._heads)  # at most one for each second of the idle timeout
+        return self._first_bucket
+
+    def _expired_buckets(self, now: float, idle_timeout: float) -> list[int]:
+        first = self._earliest_bucket()
+        if first is None or (first + 1) * BUCKET_MS + idle_timeout > now:
             return []
-        return sorted(bucket for bucket in self._heads if (bucket + 1) * BUCKET_MS + keep <= now)
+        return sorted(bucket for bucket in self._heads if (bucket + 1) * BUCKET_MS + idle_timeout <= now)
--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -20,7 +20,7 @@
 from math import inf
 from typing import Protocol
 
-from eiderfield.connections.idle_connections import IdleConnections, WokenConnection
+from eiderfield.connections.idle_connections import IdleConnections, LentConnection, WokenConnection
 from eiderfield.exchange.timers import Timer, Timers
 from eiderfield.net.clients.connection import ClientConnection
 from eiderfield.net.clients.detached import ConnectionHandover, Detach, DetachedConnection
@@ -220,7 +220,7 @@
         self._release(woken.mark)
         return DetachedConnection(fd, ConnectionHandover(True, woken.since))
 
-    def lend(self, most: int) -> list[tuple[int, float]]:
+    def lend(self, most: int) -> list[LentConnection]:
         """At most `most` parked connections for the next process. Copies stay until it reports otherwise."""
         return [] if self._idle is None else self._idle.lend(most)
 
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -16,6 +16,7 @@
 from collections.abc import Callable
 from functools import partial
 
+from eiderfield.connections.idle_connections import LentConnection
 from eiderfield.net.clients import Detach, Listener
 from eiderfield.net.handover.channel import Channel
 from eiderfield.net.handover.context import HandoverContext
@@ -112,7 +113,7 @@
                 self._send_batch(name, listener, batch)
                 return
 
-    def _send_batch(self, name: str, listener: Listener, batch: list[tuple[int, float]]) -> None:
+    def _send_batch(self, name: str, listener: Listener, batch: list[LentConnection]) -> None:
         descriptors = [descriptor for descriptor, _ in batch]
         keeps_copies = listener.idling.keep_copies
         message = ParkedBatch(
--- a/tests/test_roster.py
+++ b/tests/test_idle_table.py
@@ -18,7 +18,7 @@
 
 @settings(derandomize=True, max_examples=400, deadline=None, database=None)
 @given(st.lists(STEP, max_size=60), st.sampled_from([0.0, 3.5 * BUCKET_MS, 300.0 * BUCKET_MS]))
-def test_the_roster_is_a_dictionary_with_a_hand_over_its_seconds(steps, keep):
+def test_idle_table_random_steps_equals_a_dictionary(steps, keep):
     table, model = IdleTable(), {}
     for what, key, value in steps:
         if what == "add" and key in model:
@@ -43,20 +43,19 @@
         assert table.next_expiry(keep) == (
             inf if first == inf else (first // BUCKET_MS + 1) * BUCKET_MS + keep
         )
-    found = table.eldest(99)
+    found = table.longest_idle(99)
     assert set(found) == set(model)
     seconds = [model[key] // BUCKET_MS for key in found]
     assert seconds == sorted(seconds), "the eldest first"
 
 
-def test_a_negative_descriptor_is_refused():
+def test_idle_table_negative_descriptor_raises():
     with pytest.raises(ValueError, match="-1"):
         IdleTable().add(-1, 0.0)
 
 
-def test_an_entry_is_a_few_bytes():
+def test_idle_table_entry_takes_few_bytes():
     table = IdleTable()
     for key in range(20_000):
         table.add(key, float(key))
-    arrays = (table._since, table._mark, table._next, table._before)
-    assert sum(a.itemsize * len(a) for a in arrays) < 24 * 20_000
+    assert table.array_bytes < 24 * 20_000
