--- a/eiderfield/net/wheel.py
+++ b/eiderfield/net/wheel.py
@@ -1,19 +1,19 @@
 """Coarse timers on a hierarchical timing wheel.
 
 Time is counted in ticks. Level 0 has a slot for each of the next 256 ticks, level 1 one for each of the
-next 256 spans of 256 ticks, level 2 one for each of the spans of 65,536 ticks after that. A timer lies in
-the lowest level that reaches its tick. When the wheel enters a span, the timers of that span's slot cascade
-to the level below, so that each one is moved twice at the most in its life, and a timer for an hour costs
-what one for 100 ms costs. A bitmap for each level tells which slots may hold something: empty ones are
-never looked at, neither while time passes nor when the next timer is sought.
+next 256 spans of 256 ticks, level 2 one for each of the spans of 65,536 ticks after that. A timer is kept
+in the lowest level that reaches its tick. When the wheel enters a span, the timers of that span's slot
+cascade to the level below, so that a timer is moved twice at most, and one for an hour costs as much as one
+for 100 ms. A bitmap for each level records which slots may hold timers: empty ones are never visited,
+neither while time passes nor when the next timer is determined.
 
     at ──> slot ──(its span begins)──> cascading ──> slot ──(its tick)──> due or patient ──> called
-            cancel takes it out of its slot; on its way from there it is passed over
+            `cancel` removes it from its slot; a cancelled timer on its way from there is skipped
 
-What must never happen: a call before its time; a call after `cancel`; a call within the `at` that asked for
-it; a cancelled timer that stays in memory until its time (a connection sets one of 300 s with every message);
-one turn that calls thousands. What is due beyond the bound of a turn stays due and is the first thing that
-`next_at` tells. Patient timers, those of connections that merely idle, wait until no other one is due.
+Invariants: no call before its time, after `cancel`, or within the `at` that schedules it. A cancelled timer
+occupies no memory until its time (a connection schedules one of 300 s with every message). A turn calls a
+bounded number of timers; those left over stay due, and `next_at` returns their time first. Patient timers,
+those of idle connections, wait until no other timer is due.
 """
 
 from __future__ import annotations
@@ -22,34 +22,35 @@
 from collections.abc import Callable
 from math import ceil, inf
 
-TICK = 4.0  # ms: well inside the time limits of the rules, which are tens of milliseconds
-BITS = 8
-SLOTS = 1 << BITS  # of each level: 1 s, 262 s and 18 hours; later timers cascade from the last slot again
+TICK_MS = 4.0  # well within the time limits of the rules, which are tens of milliseconds
+SLOT_BITS = 8
+# Slots of a level, which spans 1 s, 262 s or 18 hours; later timers cascade from the last slot repeatedly.
+SLOTS = 1 << SLOT_BITS
 LEVELS = 3
 MAX_PER_TURN = 1024  # timers called, or moved, in one turn
-MAX_PATIENT_PER_TURN = 64  # patient ones called in one turn, once no other one is due
+MAX_PATIENT_PER_TURN = 64  # patient timers called in one turn, once no other one is due
 
 _MASK = SLOTS - 1
 _ALL = (1 << SLOTS) - 1
-_REACH = (SLOTS - 1) << (BITS * (LEVELS - 1))  # ticks ahead that the wheel can tell apart
+_REACH = (SLOTS - 1) << (SLOT_BITS * (LEVELS - 1))  # the number of ticks ahead that the wheel distinguishes
 
-Slot = dict["Timer", None]  # timers in the order in which they came; a set has no order to rely on
+Slot = dict["Timer", None]  # timers in order of insertion, which a set does not keep
 
 
 class Timer:
-    """A call at a tick, which may be called off."""
+    """A call at a tick, which can be cancelled."""
 
     __slots__ = ("call", "patient", "slot", "tick")
 
     def __init__(self, tick: int, call: Callable[[], object], patient: bool) -> None:
-        """The wheel makes it and puts it into a slot."""
+        """Create a timer that is in no slot; the wheel inserts it."""
         self.tick = tick
         self.call: Callable[[], object] | None = call
         self.patient = patient
         self.slot: Slot | None = None
 
     def cancel(self) -> None:
-        """Calls it off, in constant time; nothing of it stays behind."""
+        """Cancel the call, in constant time, and remove the timer from the wheel."""
         self.call = None
         if self.slot is not None:
             self.slot.pop(self, None)
@@ -57,7 +58,7 @@
 
 
 class Wheel:
-    """Timers in slots by tick. It is told the time and reads no clock."""
+    """Timers in slots by tick. Reads no clock: the time is an argument, in ms."""
 
     def __init__(
         self,
@@ -65,47 +66,50 @@
         changed: Callable[[], None] = lambda: None,
         failed: Callable[[Exception], None] | None = None,
     ) -> None:
-        """`changed` is called when a timer is due before the time that `next_at` gave, `failed` for each
-        timer that raises; without it the error goes on."""
+        """Create an empty wheel at the time `now`.
+
+        `changed` is called when a timer is due before the time that `next_at` returned last. `failed` is
+        called with the error of each timer that raises; without it the error propagates.
+        """
         self._levels: list[list[Slot | None]] = [[None] * SLOTS for _ in range(LEVELS)]
-        self._occupied = [0] * LEVELS  # slots that may hold something
-        self._cascading: deque[Timer] = deque()  # timers of a span that has begun, on their way down
+        self._occupied = [0] * LEVELS  # bitmap of slots that may hold timers
+        self._cascading: deque[Timer] = deque()  # timers of a span that has begun, to be moved down
         self._due: deque[Timer] = deque()
-        self._patient: deque[Timer] = deque()  # due as well, and in no hurry
-        self._tick = int(now // TICK)  # up to and with this one all is called, due or on its way down
-        self._announced = inf  # the tick that `next_at` gave last; an earlier timer is a change
+        self._patient: deque[Timer] = deque()  # due as well, called after all others
+        self._tick = int(now // TICK_MS)  # timers up to this tick are called, due or cascading
+        self._announced = inf  # the tick that `next_at` returned last
         self._changed = changed
         self._failed = failed
 
     def at(self, when: float, call: Callable[[], object], patient: bool = False) -> Timer:
-        """Calls at the first tick at or after `when` (ms), never within the call that asks for it.
+        """Schedule `call` at the first tick at or after `when`, never within this method.
 
-        Thousands of `patient` ones in one tick are called over several turns, after all others.
+        Patient timers are called after all others; thousands of them in one tick take several turns.
         """
-        timer = Timer(max(ceil(when / TICK), self._tick + 1), call, patient)
+        timer = Timer(max(ceil(when / TICK_MS), self._tick + 1), call, patient)
         self._insert(timer)
-        # To ask for the next timer at each new one would cost more than all else.
+        # Determining the next tick with each new timer would cost more than all the rest.
         if timer.tick < self._announced:
             self._changed()
         return timer
 
     def next_at(self) -> float:
-        """When the wheel wants to be turned next, in ms; infinity if it holds nothing.
+        """Return when `advance` has to be called next; infinity if there is no timer.
 
-        That is the tick of the next timer, or the beginning of its span. From then on `changed` is called for
+        This is the tick of the next timer, or the beginning of its span. From now on `changed` is called for
         timers that are due earlier.
         """
         self._announced = self._tick if self._has_backlog else self._next_tick()
-        return self._announced * TICK
+        return self._announced * TICK_MS
 
     def advance(self, now: float) -> None:
-        """Calls what has come due, in the order of ticks and within the bounds of a turn."""
-        last = int(now // TICK)
+        """Call the timers that are due, in the order of ticks and within the bounds of a turn."""
+        last = int(now // TICK_MS)
         left = MAX_PER_TURN
         while True:
             left = self._cascade(left)
             left = self._run(self._due, left)
-            # An overfull tick holds the wheel, but not what is merely patient: that waits for a quiet turn.
+            # A tick with too many timers stops the wheel for this turn; patient timers do not.
             if left <= 0 or self._tick >= last:
                 break
             self._tick = int(min(self._next_tick(), last))
@@ -118,14 +122,14 @@
         return bool(self._cascading or self._due or self._patient)
 
     def _insert(self, timer: Timer) -> None:
-        """Puts a timer into the lowest level that reaches its tick."""
+        """Insert a timer into the lowest level that reaches its tick."""
         tick, now = timer.tick, self._tick
         if tick <= now:
             (self._patient if timer.patient else self._due).append(timer)
             return
         tick = min(tick, now + _REACH)
         level = self._level_of(tick)
-        number = (tick >> (BITS * level)) & _MASK
+        number = (tick >> (SLOT_BITS * level)) & _MASK
         slot = self._levels[level][number]
         if slot is None:
             slot = self._levels[level][number] = {}
@@ -134,37 +138,37 @@
         self._occupied[level] |= 1 << number
 
     def _level_of(self, tick: int) -> int:
-        """The lowest level that reaches a tick, which lies within `_REACH`."""
+        """Return the lowest level that reaches a tick, which is within `_REACH`."""
         for level in range(LEVELS - 1):
-            shift = BITS * level
+            shift = SLOT_BITS * level
             if (tick >> shift) - (self._tick >> shift) < SLOTS:
                 return level
         return LEVELS - 1
 
     def _next_tick(self) -> float:
-        """The tick of the next slot that holds something, infinity if there is none."""
+        """Return the tick of the next slot with a timer, infinity if there is none."""
         return min([self._next_tick_of(level) for level in range(LEVELS)])
 
     def _next_tick_of(self, level: int) -> float:
-        """The first tick of a level's next slot that holds something, infinity if there is none."""
-        shift = BITS * level
-        here = self._tick >> shift
+        """Return the first tick of a level's next slot with a timer, infinity if there is none."""
+        shift = SLOT_BITS * level
+        current = self._tick >> shift
         while self._occupied[level]:
-            start = (here + 1) & _MASK
+            start = (current + 1) & _MASK
             bits = self._occupied[level]
             rotated = ((bits >> start) | (bits << (SLOTS - start))) & _ALL
             ahead = (rotated & -rotated).bit_length()  # 1 for the very next slot
-            number = (here + ahead) & _MASK
+            number = (current + ahead) & _MASK
             if self._levels[level][number]:
-                return (here + ahead) << shift
-            self._levels[level][number] = None  # all that lay there was called off
+                return (current + ahead) << shift
+            self._levels[level][number] = None  # all its timers were cancelled
             self._occupied[level] &= ~(1 << number)
         return inf
 
     def _enter_tick(self) -> None:
-        """The wheel has come to a tick: its slot is due, and those of spans that begin with it cascade."""
+        """Collect the timers of the current tick, and of the spans that begin with it."""
         for level in range(LEVELS):
-            shift = BITS * level
+            shift = SLOT_BITS * level
             if level and self._tick & ((1 << shift) - 1):
                 break
             number = (self._tick >> shift) & _MASK
@@ -175,7 +179,7 @@
                 self._cascading.append(timer)
 
     def _cascade(self, left: int) -> int:
-        """Moves timers down, at most `left` of them; gives how many more may be handled in this turn."""
+        """Move at most `left` timers down; return how many more may be handled in this turn."""
         while self._cascading and left > 0:
             timer = self._cascading.popleft()
             left -= 1
@@ -184,7 +188,7 @@
         return left
 
     def _run(self, timers: deque[Timer], left: int) -> int:
-        """Calls timers, at most `left` of them; gives how many more may be handled in this turn."""
+        """Call at most `left` timers; return how many more may be handled in this turn."""
         while timers and left > 0:
             timer = timers.popleft()
             call, timer.call = timer.call, None
@@ -193,7 +197,7 @@
                 continue
             try:
                 call()
-            except Exception as error:  # one that fails must not take the others of its tick along
+            except Exception as error:  # a failing timer must not prevent the others of its tick
                 if self._failed is None:
                     raise
                 self._failed(error)
--- a/tests/support/real_sockets.py
+++ b/tests/support/real_sockets.py
@@ -10,7 +10,7 @@
 from eiderfield.connections.admission import AdmissionControl
 from eiderfield.connections.settings import AdmissionSettings, IdleSettings
 from eiderfield.net.http import END, Head, Parser
-from eiderfield.net.wheel import TICK
+from eiderfield.net.wheel import TICK_MS
 from support.memory_dispatcher import SITE, InMemoryDispatcher
 
 IDLING = IdleSettings(idle_timeout=60_000.0, park_after=1000.0)
@@ -134,7 +134,7 @@
         for number in range(count):
             clients.append(SocketClient(self))
             assert clients[-1].ask(f"first{number}") == [200]
-        self.pass_time(IDLING.park_after + 2 * TICK)
+        self.pass_time(IDLING.park_after + 2 * TICK_MS)
         assert self.listener.parked == count
         assert not self.listener._connections
         return clients
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -15,7 +15,7 @@
 from eiderfield.net.clients import ConnectionHandover
 from eiderfield.net.clients.connection import LINGER_TIME
 from eiderfield.net.clients.listener import REJECTIONS_AT_ONCE
-from eiderfield.net.wheel import TICK
+from eiderfield.net.wheel import TICK_MS
 
 
 def test_one_address_with_many_is_told_to_come_later_and_the_others_are_served():
@@ -24,7 +24,7 @@
     assert [client.statuses() for client in greedy] == [[], [], [], [503], [503]]
     assert greedy[4].advice == "1.500"
     assert SocketClient(harness, address="192.0.2.2").ask("honest") == [200]
-    harness.pass_time(LINGER_TIME + TICK)
+    harness.pass_time(LINGER_TIME + TICK_MS)
     assert not greedy[4].open
     assert harness.admission.figures()["address_held"] == 2
     harness.close()
@@ -77,7 +77,7 @@
     another = SocketClient(harness)
     assert another.ask("again") == [200]
     assert clients[1].ask("woken") == [200]
-    harness.pass_time(LINGER_TIME + TICK)
+    harness.pass_time(LINGER_TIME + TICK_MS)
     assert SocketClient(harness).statuses() == [503]
     harness.pass_time(IDLING.idle_timeout + 2000.0)
     assert not harness.listener.connections
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -26,7 +26,7 @@
 from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.discovery.watch import SILENCE
 from eiderfield.net.http import MalformedMessageError
-from eiderfield.net.wheel import TICK
+from eiderfield.net.wheel import TICK_MS
 
 SERVICE = 125.0  # ms of the source's time that a call takes
 PATIENCE = 2000.0  # ms that a call waits in line; one that has waited longer fails, its place used up
@@ -304,7 +304,7 @@
     feed.pipe.send(HEAD + chunk(told("SERVING")))
     dispatcher.advance(1000.0)
     feed.pipe.break_off()
-    dispatcher.advance(FIRST_CALLS_SHARE * 500.0 + TICK)
+    dispatcher.advance(FIRST_CALLS_SHARE * 500.0 + TICK_MS)
     dispatcher.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING")))
     assert [*dispatcher.exchange.endpoint_states.values()] == [EndpointState.DRAINING]
 
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -12,7 +12,7 @@
 from eiderfield.net.clients import Phase
 from eiderfield.net.clients.connection import EVICTION_GRACE, LINGER_TIME
 from eiderfield.net.shutdown_times import ACCEPTING, LONGEST, MARGIN, TO_KILL, ShutdownTimes
-from eiderfield.net.wheel import TICK
+from eiderfield.net.wheel import TICK_MS
 from eiderfield.program.program import Program
 
 KEPT = IdleSettings(idle_timeout=60_000.0)  # nobody is parked
@@ -101,7 +101,7 @@
     harness.listener.close_idle()
     harness.turn()
     assert harness.listener._connections
-    harness.pass_time(LINGER_TIME + 2 * TICK)
+    harness.pass_time(LINGER_TIME + 2 * TICK_MS)
     assert not harness.listener._connections
     assert rest(client).startswith(b"HTTP/1.1 200 ")
 
@@ -115,7 +115,7 @@
     [connection] = harness.listener._connections
     assert connection.phase == Phase.LINGERING
     assert not harness.listener.make_room(), "its answer has not arrived"
-    harness.pass_time(EVICTION_GRACE + 2 * TICK)
+    harness.pass_time(EVICTION_GRACE + 2 * TICK_MS)
     assert harness.listener.make_room()
     harness.turn()
     assert client.statuses() == [404]
@@ -137,7 +137,7 @@
 def test_an_idle_connection_that_never_reads_its_answer_gives_way_after_a_while():
     harness = ListenerHarness(KEPT, most=1)
     client = served(harness)
-    harness.pass_time(EVICTION_GRACE + 2 * TICK)
+    harness.pass_time(EVICTION_GRACE + 2 * TICK_MS)
     assert harness.listener.make_room()
     client.sock.close()
     harness.close()
@@ -151,7 +151,7 @@
     whole = message("r0")
     client.send(whole[:20])
     harness.turn()
-    harness.pass_time(EVICTION_GRACE + 2 * TICK)
+    harness.pass_time(EVICTION_GRACE + 2 * TICK_MS)
     if rest_comes:
         client.send(whole[20:])  # the loop has not read it yet
     assert harness.listener.make_room() is not rest_comes
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -21,7 +21,7 @@
 from eiderfield.net.link import Link
 from eiderfield.net.link_socket import LinkListener
 from eiderfield.net.selector import RetryingSelector, new_event_loop
-from eiderfield.net.wheel import TICK
+from eiderfield.net.wheel import TICK_MS
 from eiderfield.program.listeners import BoundListener, Opener
 
 DIAL_TIMEOUT_MS = 100.0  # of a dispatcher
@@ -199,7 +199,7 @@
             port.turn(40)
             assert failing.calls[Call.ACCEPT] == tries, "it spins"
             assert port.listener.has_waiting_clients, "a port that closes now would reset the client"
-            port.dispatcher.advance(RETRY_MS + TICK)
+            port.dispatcher.advance(RETRY_MS + TICK_MS)
         port.turn()
         assert port.listener.connections == 1
         assert not port.listener.has_waiting_clients
@@ -220,7 +220,7 @@
         port.turn(40)
         assert failing.calls[Call.ACCEPT] == ACCEPTED_PER_TURN
         failing.failure = None
-        port.dispatcher.advance(RETRY_MS + TICK)
+        port.dispatcher.advance(RETRY_MS + TICK_MS)
         port.turn()
         assert port.listener.connections == 1
 
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -10,7 +10,7 @@
 from eiderfield.net.clients import ClientConnection, Phase
 from eiderfield.net.clients.connection import EVICTION_GRACE, LINGER_BYTES, LINGER_TIME
 from eiderfield.net.clients.listener import ACCEPT_RETRY, ACCEPTED_PER_TURN
-from eiderfield.net.wheel import TICK, Wheel
+from eiderfield.net.wheel import TICK_MS, Wheel
 
 OWED = 3000.0  # ms from connecting within which a rude client must have an error or a close
 
@@ -51,7 +51,7 @@
     dispatcher.advance(MESSAGE_TIMEOUT_MS / 2)
     client.send(b"X-Request-Id: r1\r\n")
     assert not client.answers()
-    dispatcher.advance(MESSAGE_TIMEOUT_MS / 2 + 2 * TICK)
+    dispatcher.advance(MESSAGE_TIMEOUT_MS / 2 + 2 * TICK_MS)
     assert client.answers()[0][0] == 408
 
 
@@ -61,7 +61,7 @@
     client.send(b"POST /none HTTP/1.1\r\n\r\nPOST /safe/a HTTP/1.1\r\nX-Request-Id: r1\r\n\r\n")
     assert [status for status, *_ in client.answers()] == [404]
     assert not dispatcher.dials
-    dispatcher.advance(LINGER_TIME + TICK)
+    dispatcher.advance(LINGER_TIME + TICK_MS)
     assert not client.pipe.open
 
 
@@ -74,7 +74,7 @@
     assert not client.pipe.paused
     client.send(b"x" * 2000)
     assert client.pipe.paused
-    dispatcher.advance(LINGER_TIME + TICK)
+    dispatcher.advance(LINGER_TIME + TICK_MS)
     assert not client.pipe.open
 
 
@@ -173,7 +173,7 @@
     client.send(b"GET /ready HTTP/1.1\r\n\r\n")
     client.connection.close()
     assert client.pipe.open
-    dispatcher.advance(LINGER_TIME + TICK)
+    dispatcher.advance(LINGER_TIME + TICK_MS)
     assert not client.pipe.open
 
 
@@ -259,7 +259,7 @@
     dispatcher.listener._accept()
     assert listener.asked == 1
     assert not loop.reading
-    dispatcher.advance(ACCEPT_RETRY + TICK)
+    dispatcher.advance(ACCEPT_RETRY + TICK_MS)
     assert loop.reading
 
 
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -19,7 +19,7 @@
 from eiderfield.connections.idle_connections import EXPIRED_PER_PASS, WOKEN_PER_POLL, IdleConnections
 from eiderfield.connections.settings import MESSAGE_TIMEOUT_MS, IdleSettings
 from eiderfield.net.clients import ClientConnection, ConnectionHandover
-from eiderfield.net.wheel import TICK
+from eiderfield.net.wheel import TICK_MS
 
 
 @pytest.fixture
@@ -35,7 +35,7 @@
     assert harness.listener.connections == 1
     assert client.ask("r2") == [200]
     assert harness.listener.parked == 0
-    harness.pass_time(IDLING.park_after + 2 * TICK)
+    harness.pass_time(IDLING.park_after + 2 * TICK_MS)
     assert harness.listener.parked == 1
     assert client.ask("r3") == [200]
 
@@ -142,7 +142,7 @@
         theirs, _ = listener.accept()
     harness.listener.adopt_connection(theirs, ConnectionHandover(True, harness.dispatcher.now))
     harness.turn()
-    harness.pass_time(IDLING.park_after + 2 * TICK)
+    harness.pass_time(IDLING.park_after + 2 * TICK_MS)
     assert harness.listener.parked == 1
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     client.close()
@@ -167,10 +167,10 @@
 def test_thousands_that_end_in_one_second_end_a_few_in_each_tick():
     harness = ListenerHarness(most=1000)
     clients = harness.parked(3 * EXPIRED_PER_PASS)
-    harness.pass_time(harness.listener.parking._expiry.tick * TICK - harness.dispatcher.now - 1.0)
+    harness.pass_time(harness.listener.parking._expiry.tick * TICK_MS - harness.dispatcher.now - 1.0)
     left = []
     while harness.listener.connections:
-        harness.dispatcher.now += TICK
+        harness.dispatcher.now += TICK_MS
         harness.dispatcher.wheel.advance(harness.dispatcher.now)
         left.append(harness.listener.connections)
     assert left[0] >= 2 * EXPIRED_PER_PASS
@@ -189,7 +189,7 @@
     harness.turn(20)
     for _ in range(10):
         harness.work()
-        harness.pass_time(5 * TICK)
+        harness.pass_time(5 * TICK_MS)
     answers = [client.statuses() for client in clients]
     assert all(len(statuses) == 1 for statuses in answers), "none lost: one worker alone declines some"
     harness.close()
@@ -219,7 +219,7 @@
     harness = ListenerHarness(most=4)
     first, second = harness.parked(2)
     assert second.ask("again") == [200]
-    harness.pass_time(IDLING.park_after + 2 * TICK)
+    harness.pass_time(IDLING.park_after + 2 * TICK_MS)
     first.send(b"P")  # speaks at this very moment
     third, fourth = SocketClient(harness), SocketClient(harness)
     assert third.ask("t") == [200]
@@ -240,7 +240,7 @@
     harness.turn()
     assert clients[1].open
     harness.dispatcher.now += 86_400_000.0
-    harness.pass_time(10 * TICK)
+    harness.pass_time(10 * TICK_MS)
     assert not any(client.open for client in clients)
     assert harness.dispatcher.wheel.next_at() == inf
 
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -14,7 +14,7 @@
 from support.processes import CONFIG, DiscoveryServer, HoldingWorker, ask, post, running_program
 
 from eiderfield.lab.ports import free_port
-from eiderfield.net.loop import PAUSE, READ_ROUNDS, Driver
+from eiderfield.net.loop import PAUSE_MS, READ_ROUNDS, Driver
 
 
 class Loop:
@@ -79,7 +79,7 @@
 
 def test_a_small_delay_is_no_gap(world):
     world.driver.wake()
-    world.now += PAUSE - 1.0
+    world.now += PAUSE_MS - 1.0
     world.loop.round()
     assert world.log == [], "one more poll comes first"
     world.loop.round()
--- a/tests/test_wheel.py
+++ b/tests/test_wheel.py
@@ -8,9 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from eiderfield.net.wheel import MAX_PATIENT_PER_TURN, MAX_PER_TURN, SLOTS, TICK, Wheel
+from eiderfield.net.wheel import MAX_PATIENT_PER_TURN, MAX_PER_TURN, SLOTS, TICK_MS, Wheel
 
-SPANS = [SLOTS * TICK, SLOTS**2 * TICK, SLOTS**3 * TICK]  # what each level reaches, in ms
+SPANS = [SLOTS * TICK_MS, SLOTS**2 * TICK_MS, SLOTS**3 * TICK_MS]  # what each level reaches, in ms
 TIMES = st.one_of(*[st.floats(-50.0, 3.0 * span) for span in SPANS])
 STEP = st.one_of(
     st.tuples(st.just("at"), TIMES),
@@ -41,17 +41,23 @@
                 assert wanted.pop(number) <= now  # a cancelled one would be missing here
             fired.clear()
             # What is left is due later, or within the tick in which it was asked for.
-            assert all(timers[number].tick * TICK > now - TICK for number in wanted)
-            assert all(at > now - 2 * TICK for at in wanted.values())
+            assert all(timers[number].tick * TICK_MS > now - TICK_MS for number in wanted)
+            assert all(at > now - 2 * TICK_MS for at in wanted.values())
         if wanted:
-            assert wheel.next_at() <= min(wanted.values()) + 2 * TICK
+            assert wheel.next_at() <= min(wanted.values()) + 2 * TICK_MS
         else:
             assert wheel.next_at() == float("inf"), "nothing wakes a program at rest"
 
 
 def test_timers_are_called_in_the_order_of_ticks_whatever_level_they_came_from():
     wheel, seen = Wheel(0.0), []
-    for at in (SPANS[1] * 2 + 9 * TICK, 7 * TICK, SPANS[0] + TICK, SPANS[2] + 1.0, SPANS[1] + 5 * TICK):
+    for at in (
+        SPANS[1] * 2 + 9 * TICK_MS,
+        7 * TICK_MS,
+        SPANS[0] + TICK_MS,
+        SPANS[2] + 1.0,
+        SPANS[1] + 5 * TICK_MS,
+    ):
         wheel.at(at, lambda at=at: seen.append(at))
     wheel.advance(SPANS[2] * 2)
     assert seen == sorted(seen)
@@ -142,5 +148,5 @@
     assert steps < 30
     wheel.advance(SPANS[2])  # back in time: nothing happens, and what is new is not early
     timer = wheel.at(SPANS[2], lambda: seen.append(0))
-    assert timer.tick * TICK > SPANS[2] * 5
+    assert timer.tick * TICK_MS > SPANS[2] * 5
     assert len(seen) == 4
