--- a/eiderfield/net/dialer.py
+++ b/eiderfield/net/dialer.py
@@ -1,4 +1,4 @@
-"""Opens connections on the event loop's real sockets, and tries again what only this host has held up."""
+"""Opens connections on the event loop's sockets, and retries dials that a fault of this host delays."""
 
 from __future__ import annotations
 
@@ -12,22 +12,25 @@
 
 
 class Dialer:
-    """The dials of one event loop (`dialing.Dial`)."""
+    """Dials on one event loop (implements `dialing.Dial`)."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Nothing is dialled yet."""
+        """Create a dialer without pending dials."""
         self._loop = loop
-        self._tasks: set[asyncio.Task[None]] = set()  # the loop itself holds a task only weakly
+        self._tasks: set[asyncio.Task[None]] = set()  # the loop holds weak references to tasks only
 
     def dial(
         self,
         protocol: asyncio.BufferedProtocol,
         address: Address,
         failed: Callable[[], None],
-        delayed: Callable[[Cause], None] = lambda cause: None,
+        delayed: Callable[[Cause], None] = lambda _cause: None,
     ) -> asyncio.Task[None]:
-        """Connects a protocol to an address, or calls `failed`. For a fault of this host `delayed` is called
-        instead, and the dial is tried again until the caller's time limit cancels it."""
+        """Connect a protocol to an address, or call `failed`.
+
+        After a fault of this host `delayed` is called instead, and the dial is retried until the caller
+        cancels it at its time limit.
+        """
         task = self._loop.create_task(self._connect(protocol, address, failed, delayed))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/eiderfield/net/dialing.py
+++ b/eiderfield/net/dialing.py
@@ -1,4 +1,4 @@
-"""How connections are opened: what whoever dials may rely on. `net/loop.py` does it on real sockets."""
+"""Protocols for opening connections. `net/dialer.py` implements them on real sockets."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class PendingDial(Protocol):
-    """A connection that is coming up and may be called off."""
+    """A connection that is being established."""
 
     def cancel(self) -> object:
-        """Calls it off."""
+        """Cancel the dial; the protocol may still be connected if this comes too late."""
 
 
 class Dial(Protocol):
@@ -27,5 +27,4 @@
         failed: Callable[[], None],
         delayed: Callable[[Cause], None] = ...,
     ) -> PendingDial:
-        """Begins a dial. Each time that a fault of this host holds it up, `delayed` is called and it goes
-        on."""
+        """Start a dial; `delayed` is called each time that a fault of this host delays it."""
--- a/eiderfield/net/faults.py
+++ b/eiderfield/net/faults.py
@@ -1,24 +1,23 @@
-"""Which side a failed system call speaks of: this host, or the other end of a connection.
-
-A call on a socket can fail because this host lacks something (descriptors, memory, ports, a route), or
-because of the other end (it refuses, has reset, cannot be reached). The first says nothing about a worker:
-counted against it, one shortage here would eject every worker at once. So whoever makes such a call asks here
-what its error means, and no other module reads the errnos of accept, connect, send or recv.
-
-A dial that fails with `LOCAL` is tried again after `RETRY_MS` within its caller's time limit, and so is an
-accept. `CONNECTION` is the fault of the connection in hand, or of its other end: the next call may be made at
-once.
-
-`ROUTE` is what this host's own routing table or packet filter answers to a connect, before a packet leaves
-(ENETUNREACH, ENETDOWN, EACCES, EPERM). A lost default route or a link that is down gives it for every
-address, so it is treated as this host's fault and tried again. It may also hold for one worker's address
-alone; the evidence for that is that other workers are heard meanwhile, and then it counts against that
-worker, which would otherwise cost each of its attempts the whole time limit of a dial. EHOSTUNREACH is the
-other end's: it comes when nobody answers for that address in its own network (ARP, neighbour discovery) or a
-router near it says so, and the routes to other workers are as good as they were.
-
-A connect that fails with EAGAIN (no local port or routing entry, on some kernels) cannot be told from one in
-progress by asyncio; it shows as a connection that breaks before anything is written.
+"""Classification of failed system calls on sockets: a fault of this host, or of the peer.
+
+A call fails because this host lacks a resource (descriptors, memory, ports, a route), or because of the
+peer (it refuses or resets the connection, or cannot be reached). A fault of this host says nothing about a
+worker: counted against it, a single shortage here would eject every worker at once. Callers classify their
+errors by this module; no other one reads the errnos of accept, connect, send or recv.
+
+A dial that fails with `LOCAL` is retried after `RETRY_MS` within its caller's time limit, and so is an
+accept. `CONNECTION` is a fault of the connection or of its peer: the next call may be made at once.
+
+`ROUTE` is the response of this host's routing table or packet filter to a connect, before a packet is sent
+(ENETUNREACH, ENETDOWN, EACCES, EPERM). A lost default route or a link that is down causes it for every
+address, so it is treated as a fault of this host and retried. It may also apply to one worker's address
+alone. The evidence for that is data received from other workers meanwhile; then it counts against that
+worker, whose attempts would otherwise each wait for the full time limit of a dial. EHOSTUNREACH is a fault
+of the peer: its network reports that nobody responds at that address (ARP, neighbour discovery), while the
+routes to other workers are not affected.
+
+asyncio cannot distinguish a connect that fails with EAGAIN (no local port or routing entry, on some
+kernels) from one in progress; it appears as a connection that is lost before anything is written.
 """
 
 from __future__ import annotations
@@ -27,18 +26,18 @@
 import socket
 from enum import Enum
 
-RETRY_MS = 20.0  # until a call is made again that failed for a shortage of this host
+RETRY_MS = 20.0  # delay until a call that failed for lack of a resource is retried
 
 
 class Cause(Enum):
-    """What a failed call speaks of."""
+    """The cause of a failed call."""
 
     LOCAL = "this host"
     ROUTE = "this host's routes, for one address or for all"
-    CONNECTION = "the connection or its other end"
+    CONNECTION = "the connection or its peer"
 
 
-# Descriptors of this process or of the host, memory, buffers, watches of poll sets, descriptors on their way
+# Descriptors of this process or of the host, memory, buffers, watches of poll sets, descriptors in flight
 # through Unix sockets.
 RESOURCES = frozenset(
     {
@@ -52,8 +51,8 @@
 )
 _ROUTES = frozenset({errno.ENETUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM})
 _RESOLVER = frozenset({socket.EAI_AGAIN, socket.EAI_MEMORY, socket.EAI_SYSTEM})
-# What accept(2) passes on from the connection that it would have given: it is off the queue, and the next
-# call gives the next one. EPERM is a packet filter's word on that connection.
+# Errors of the pending connection that accept(2) reports: it has left the queue, and the next call returns
+# the next one. EPERM is a packet filter's rejection of that connection.
 _PENDING = frozenset(
     {
         errno.ECONNABORTED,
@@ -77,12 +76,12 @@
 
 
 def is_shortage(error: OSError) -> bool:
-    """Whether this process or this host has no more of something, which may pass."""
+    """Return whether this process or this host temporarily lacks a resource."""
     return error.errno in RESOURCES
 
 
 def cause_of_dial(error: Exception) -> Cause:
-    """The cause of a connection that did not come up."""
+    """Return the cause of a failed dial."""
     number = error.errno if isinstance(error, OSError) else None
     if isinstance(error, socket.gaierror):  # its numbers are not errnos
         return Cause.LOCAL if number in _RESOLVER else Cause.CONNECTION
@@ -92,11 +91,14 @@
 
 
 def cause_of_accept(error: OSError) -> Cause:
-    """The cause of a failed accept. What is not known to be a connection's own is this host's: the listener
-    pauses, so that a call which goes on failing does not spin."""
+    """Return the cause of a failed accept.
+
+    An error that is not known to be the connection's own is a fault of this host: the listener pauses, so
+    that a call that keeps failing does not spin.
+    """
     return Cause.CONNECTION if error.errno in _PENDING else Cause.LOCAL
 
 
 def cause_of_loss(error: Exception | None) -> Cause:
-    """The cause of a connection's end, which the error of its last send or recv tells; None is a close."""
+    """Return the cause of a lost connection, given the error of its last send or recv; None for a close."""
     return Cause.LOCAL if isinstance(error, OSError) and is_shortage(error) else Cause.CONNECTION
--- a/eiderfield/net/link.py
+++ b/eiderfield/net/link.py
@@ -1,14 +1,13 @@
-"""The Unix socket between the two processes of an upgrade, as messages with descriptors.
+"""The Unix socket between the two processes of a handover, which carries messages with file descriptors.
 
-Packets carry JSON and, with it, descriptors. asyncio has no transport that carries descriptors, so these
-sockets are read and written with the loop's plain readers and writers.
+Packets carry JSON together with descriptors. asyncio has no transport for descriptors, so the socket is
+read and written with the loop's plain readers and writers.
 
-    open ──(the system lacks room for a packet)──> waiting ──(RETRY_MS)──> open
-    open or waiting ──(the other end closes, breaks or says what is no message)──> closed, and reported once
+    open ──(the system lacks memory for a packet)──> waiting ──(RETRY_MS)──> open open or waiting ──(the
+    peer closes, fails, or sends a malformed message)──> closed, and `lost` is called once
                  └──(`close`)──> closed
 
-What must never happen: a message that is not whole or out of order; a descriptor that comes and that nobody
-closes.
+Invariants: messages are received complete and in order; every received descriptor is passed on or closed.
 """
 
 from __future__ import annotations
@@ -25,33 +24,38 @@
 
 from eiderfield.net.faults import RETRY_MS, Cause, cause_of_loss
 
-MAX_PIECE = 60_000  # bytes of a message in a packet: well within a socket's buffer
-MAX_MESSAGE = 8 * 1024 * 1024  # bytes of a message, and of what may wait to leave
-MAX_DESCRIPTORS = 250  # of a message: the kernel takes 253 with a packet
+MAX_PACKET_BYTES = 60_000  # of a message, well within a socket's buffer
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # also of all that may wait to be written
+MAX_DESCRIPTORS = 250  # with a message: the kernel allows 253 with a packet
 
 _RETRY_S = RETRY_MS / 1000.0
-_MORE, _LAST = b"+", b"."  # the first byte of a packet: whether the message goes on
+_MORE, _LAST = b"+", b"."  # the first byte of a packet: whether the message continues
 
 
 @dataclass(slots=True, frozen=True)
 class _Packet:
-    """What leaves in one piece. The descriptors are copies of the link's own."""
+    """A packet to be written. The descriptors are copies that the link owns."""
 
     data: bytes
     descriptors: list[int]
 
 
 class Link:
-    """One end. Messages and their descriptors arrive whole and in order, or the link is lost."""
+    """One end of the socket.
+
+    Attributes:
+        receive: called with the fields and the descriptors of each message; set by the owner.
+        lost: called once when the link fails; set by the owner.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        """Takes over the socket; `receive` and `lost` are set by whoever uses the link."""
-        self.receive: Callable[[dict[str, Any], list[int]], None] = lambda fields, descriptors: None
+        """Take over a connected socket."""
+        self.receive: Callable[[dict[str, Any], list[int]], None] = _ignore_message
         self.lost: Callable[[], None] = lambda: None
         self._loop = loop
         self._sock = sock
         self._open = True
-        self._received = bytearray()  # of a message that is not whole
+        self._received = bytearray()  # of an incomplete message
         self._waiting: deque[_Packet] = deque()
         self._waiting_bytes = 0
         sock.setblocking(False)
@@ -59,11 +63,11 @@
 
     @property
     def flushed(self) -> bool:
-        """Whether all that was sent has left."""
+        """Whether everything that was sent has been written."""
         return not self._waiting
 
     def send(self, fields: Mapping[str, Any], descriptors: Sequence[int] = ()) -> None:
-        """Sends a message with copies of some descriptors. Raises `OSError` if there is no room for these."""
+        """Send a message with copies of descriptors; raises `OSError` if these cannot be copied."""
         if not self._open:
             return
         copies = _copies(descriptors)
@@ -71,11 +75,11 @@
             self._waiting.append(packet)
             self._waiting_bytes += len(packet.data)
         self._write()
-        if self._waiting_bytes > MAX_MESSAGE:  # the other process stands still: it is of no use as a peer
+        if self._waiting_bytes > MAX_MESSAGE_BYTES:  # the peer does not read: the link is of no use
             self._lose()
 
     def close(self) -> None:
-        """Ends the link; nothing is reported after that."""
+        """Close the link; nothing is reported after that."""
         if not self._open:
             return
         self._open = False
@@ -115,7 +119,7 @@
         if cause_of_loss(error) is not Cause.LOCAL:
             self._lose()
             return
-        # Too many descriptors are on their way, say: the socket is writable and tells no end of it.
+        # The system lacks room, for example for descriptors in flight, but reports the socket as writable.
         self._loop.remove_writer(self._sock)
         self._loop.call_later(_RETRY_S, self._write)
 
@@ -125,7 +129,7 @@
         while self._open:
             try:
                 data, descriptors, flags, _ = socket.recv_fds(
-                    self._sock, MAX_PIECE + 1, MAX_DESCRIPTORS, socket.MSG_CMSG_CLOEXEC
+                    self._sock, MAX_PACKET_BYTES + 1, MAX_DESCRIPTORS, socket.MSG_CMSG_CLOEXEC
                 )
             except (BlockingIOError, InterruptedError):
                 return
@@ -136,7 +140,7 @@
                 close_all(descriptors)
                 self._lose()
                 return
-            self._take_packet(data, descriptors)
+            self._add_packet(data, descriptors)
 
     def _read_failed(self, error: OSError) -> None:
         if cause_of_loss(error) is not Cause.LOCAL:
@@ -149,9 +153,10 @@
         if self._open:
             self._loop.add_reader(self._sock, self._read)
 
-    def _take_packet(self, data: bytes, descriptors: list[int]) -> None:
+    def _add_packet(self, data: bytes, descriptors: list[int]) -> None:
+        """Add a packet to the message being received, and pass the message on if it is complete."""
         self._received += data[1:]
-        if data[:1] == _MORE and len(self._received) <= MAX_MESSAGE:
+        if data[:1] == _MORE and len(self._received) <= MAX_MESSAGE_BYTES:
             return
         message, self._received = bytes(self._received), bytearray()
         try:
@@ -166,17 +171,20 @@
 
 
 def close_all(descriptors: Sequence[int]) -> None:
-    """Closes descriptors."""
+    """Close descriptors; errors are ignored."""
     for descriptor in descriptors:
         with suppress(OSError):
             os.close(descriptor)
 
 
+def _ignore_message(_fields: dict[str, Any], descriptors: list[int]) -> None:
+    close_all(descriptors)
+
+
 def _copies(descriptors: Sequence[int]) -> list[int]:
     copies: list[int] = []
     try:
-        for descriptor in descriptors:
-            copies.append(os.dup(descriptor))
+        copies.extend(map(os.dup, descriptors))  # keeps the copies made before an error
     except OSError:
         close_all(copies)
         raise
@@ -184,7 +192,7 @@
 
 
 def _packets(message: bytes, descriptors: list[int]) -> list[_Packet]:
-    """A message in pieces, the last of which carries the descriptors."""
-    pieces = [message[start : start + MAX_PIECE] for start in range(0, len(message), MAX_PIECE)]
-    packets = [_Packet(_MORE + piece, []) for piece in pieces[:-1]]
-    return [*packets, _Packet(_LAST + pieces[-1], descriptors)]
+    """Split a message into packets, the last of which carries the descriptors."""
+    parts = [message[start : start + MAX_PACKET_BYTES] for start in range(0, len(message), MAX_PACKET_BYTES)]
+    packets = [_Packet(_MORE + part, []) for part in parts[:-1]]
+    return [*packets, _Packet(_LAST + parts[-1], descriptors)]
--- a/eiderfield/net/link_socket.py
+++ b/eiderfield/net/link_socket.py
@@ -1,4 +1,4 @@
-"""How the two processes of an upgrade find each other: a Unix socket at a path, for one user alone."""
+"""The Unix socket at a path by which the two processes of a handover connect, for a single user."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept
 from eiderfield.net.link import Link
 
-MAX_PATH = 100  # bytes of a path that a Unix address holds
+MAX_PATH_BYTES = 100  # of a path that fits into a Unix address
 BACKLOG = 2
 OWNER_ONLY = 0o600
 
@@ -21,17 +21,17 @@
 
 
 class LinkListener:
-    """Listens for the process that is to take over."""
+    """Listens for the next process, which takes over."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, path: Path, on_link: Callable[[Link], None]) -> None:
-        """`on_link` gets each link that comes up."""
+        """Create a listener that is not open; `on_link` receives each link that is established."""
         self._loop = loop
         self._path = path
         self._on_link = on_link
         self._listener: socket.socket | None = None
 
     def open(self) -> None:
-        """Puts the socket in the place of an earlier process's; raises `OSError` if that fails."""
+        """Replace the socket of an earlier process at the path; raises `OSError` if that fails."""
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         draft = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         try:
@@ -50,7 +50,7 @@
         self._loop.add_reader(listener, self._accept)
 
     def close(self, unlink: bool) -> None:
-        """Listens no more; `unlink` where no other process's socket stands in its place."""
+        """Stop listening; `unlink` removes the path, unless another process listens there by now."""
         if self._listener is None:
             return
         self._loop.remove_reader(self._listener)
@@ -67,7 +67,7 @@
         except BlockingIOError:
             return
         except OSError as error:
-            if cause_of_accept(error) is Cause.LOCAL:  # asked again at once it would spin
+            if cause_of_accept(error) is Cause.LOCAL:  # retried later: an immediate retry would spin
                 self._loop.remove_reader(self._listener)
                 self._loop.call_later(RETRY_MS / 1000.0, self._resume_accepting, self._listener)
             return
@@ -77,17 +77,17 @@
             sock.close()
 
     def _resume_accepting(self, listener: socket.socket) -> None:
-        if listener is self._listener:  # it may have been closed, or opened anew
+        if listener is self._listener:  # unless it was closed or replaced meanwhile
             self._loop.add_reader(listener, self._accept)
 
 
 def connect_link(loop: asyncio.AbstractEventLoop, path: Path) -> Link | None:
-    """The link to the process that listens there, None if there is none or the system has no such sockets."""
+    """Connect to the process that listens at `path`; return None if there is none or it cannot be reached."""
     try:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    except OSError:  # refused outright: who can't be reached can't hand over, and the start goes on
+    except OSError:  # no such sockets on this system: the process starts without a handover
         return None
-    sock.setblocking(False)  # a peer that stands still must not block the start
+    sock.setblocking(False)  # a peer that does not respond must not block the start
     try:
         with _short_path(path) as address:
             sock.connect(address)
@@ -101,7 +101,7 @@
 
 
 def _belongs_to_this_user(sock: socket.socket) -> bool:
-    """Whether the other end does: a directory for temporary files may be open to others."""
+    """Return whether the peer runs as this user: a directory for temporary files may be open to others."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _PEER_CREDENTIALS.size)
     _, user, _ = _PEER_CREDENTIALS.unpack(credentials)
     return bool(user == os.getuid())
@@ -109,8 +109,8 @@
 
 @contextmanager
 def _short_path(path: Path) -> Iterator[str]:
-    """The path, by way of its directory's descriptor where it is too long for a Unix address."""
-    if len(os.fsencode(path)) <= MAX_PATH:
+    """Yield an address for the path; a path too long for one is given by its directory's descriptor."""
+    if len(os.fsencode(path)) <= MAX_PATH_BYTES:
         yield str(path)
         return
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
--- a/eiderfield/net/selector.py
+++ b/eiderfield/net/selector.py
@@ -1,16 +1,16 @@
-"""The poll set of the event loop, which outlasts a system that has no room in it.
+"""The selector of the event loop, which retries registrations that fail for lack of system resources.
 
-epoll_ctl fails with ENOMEM, or with ENOSPC at the user's limit of watches. asyncio lets that pass: a callback
-of its own fails, and a connection stays open that is never read again, so that whatever was accepted on it is
-never answered. Here such a registration is kept and made again, before a poll and at most every
-`RETRY_MS`, until it succeeds or is withdrawn; in between its descriptor brings no events.
+epoll_ctl fails with ENOMEM, or with ENOSPC at the user's limit of watches. asyncio does not handle that:
+one of its callbacks fails, and the connection stays open but is never read again, so that a request on it
+is never answered. This selector keeps such a registration and retries it before a poll, at most every
+`RETRY_MS`, until it succeeds or is withdrawn. Meanwhile its descriptor reports no events.
 
-    register ──(the system takes it)──> registered
-        └──(no room)──> pending ──(no sooner than RETRY_MS later)──> registered
-                           └──(unregister)──> forgotten
+    register ──(success)──> registered
+        └──(no resources)──> pending ──(after RETRY_MS at the earliest)──> registered
+                                └──(unregister)──> removed
 
-What must never happen: an interest that its owner believes registered and that neither the kernel nor
-`_pending` holds; a poll that waits for longer than `RETRY_MS` while something is pending.
+Invariants: a registration is held by the kernel or by `_pending`; a poll does not wait for longer than
+`RETRY_MS` while one is pending.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 
 
 class RetryingSelector(selectors.EpollSelector):
-    """An epoll selector that makes registrations again for which the system had no room."""
+    """An epoll selector that retries registrations for which the system lacked resources."""
 
     def __init__(self) -> None:
-        """Opens the poll set."""
+        """Open the poll set."""
         super().__init__()
         self._pending: dict[int, selectors.SelectorKey] = {}
         self._retry_at = 0.0
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Registers a descriptor now, or as soon as there is room."""
+        """Register a descriptor now, or as soon as the system has the resources."""
         try:
             return super().register(fileobj, events, data)
         except OSError as error:
@@ -49,25 +49,28 @@
         return key
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Changes what is waited for. A changed mask is registered anew, since a modification that fails
-        would leave the old mask in the kernel."""
+        """Change the events or the data of a registration.
+
+        Changed events are registered anew, since a failed modification would leave the old ones in the
+        kernel.
+        """
         if events == self.get_key(fileobj).events and _descriptor(fileobj) not in self._pending:
             return super().modify(fileobj, events, data)
         self.unregister(fileobj)
         return self.register(fileobj, events, data)
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
-        """Forgets a descriptor."""
+        """Remove a descriptor; raises `KeyError` if it is not registered."""
         pending = self._pending.pop(_descriptor(fileobj), None)
         return pending if pending is not None else super().unregister(fileobj)
 
     def get_key(self, fileobj: Any) -> selectors.SelectorKey:
-        """The registration of a descriptor; `KeyError` if there is none."""
+        """Return the registration of a descriptor; raises `KeyError` if there is none."""
         pending = self._pending.get(_descriptor(fileobj))
         return pending if pending is not None else super().get_key(fileobj)
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Polls, after another try for what is pending."""
+        """Retry pending registrations, then poll; `timeout` is in s."""
         if self._pending:
             self._register_pending()
         if self._pending:
@@ -81,12 +84,12 @@
         self._retry_at = now + _RETRY_S
         pending, self._pending = self._pending, {}
         for key in pending.values():
-            with suppress(OSError, ValueError, KeyError):  # it was closed meanwhile, by whoever owned it
+            with suppress(OSError, ValueError, KeyError):  # the owner has closed it meanwhile
                 self.register(key.fileobj, key.events, key.data)
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
-    """The event loop of a dispatcher."""
+    """Return an event loop for a dispatcher."""
     return asyncio.SelectorEventLoop(RetryingSelector())
 
 
