--- a/eiderfield/durable.py
+++ b/eiderfield/durable.py
@@ -1,12 +1,11 @@
-"""Durable writes of small files: the one place that writes, syncs and renames what has to outlive a process.
+"""Durable writes of small files. All files that must outlive a process are written by this module.
 
-A file moves between two states only: it is absent or holds the old content, and then it holds the new one. A
-writer that is killed at any moment leaves one of the two, and perhaps a draft beside it, which no reader
-looks at. A call that returned has done its work; one that raised `OSError` may or may not have, so its caller
-either calls again or treats the content as not written.
+States of a file: absent or old content -> new content. A writer that is killed at any moment leaves one of
+the two, and perhaps a draft beside it, which no reader opens. A call that returns has done its work; after
+one that raised `OSError` the caller repeats the call or treats the content as not written.
 
-What must never happen: a reader sees half of a file; a call returns although the system refused a write or a
-sync. With `sync` the content also survives a loss of power; without it, only the loss of the process.
+Invariants: a reader never sees half of a file; a call never returns if the system refused a write or a sync.
+With `sync` the content also survives a loss of power; without it, only the loss of the process.
 """
 
 from __future__ import annotations
@@ -16,8 +15,8 @@
 from contextlib import suppress
 from pathlib import Path
 
-# Errors that pass: the same call may succeed once the disk, or the machine, is well again.
-TRANSIENT = frozenset(
+# Errors after which the same call may succeed later.
+TRANSIENT_ERRNOS = frozenset(
     {
         errno.EIO,
         errno.ENOSPC,
@@ -30,20 +29,22 @@
     }
 )
 
-DRAFT = "~"  # names that begin so are drafts; whoever lists a folder passes over them
-PRIVATE = 0o600  # mode of files that only their owner reads
-SHARED = 0o666  # mode of files that operators read, less the umask
+DRAFT_PREFIX = "~"  # of the names of drafts; whoever lists a folder skips them
+PRIVATE_MODE = 0o600  # of files that only their owner reads
+SHARED_MODE = 0o666  # of files that operators read, less the umask
+FOLDER_MODE = 0o700
+RANDOM_NAME_BYTES = 4  # of a draft's name
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Writes all of some bytes: the system may take fewer in a call."""
+    """Write all of `data`: one system call may take fewer bytes."""
     rest = memoryview(data)
     while rest:
         rest = rest[os.write(descriptor, rest) :]
 
 
 def sync_folder(folder: Path) -> None:
-    """Waits until the names in a folder are on the disk."""
+    """Wait until the names in a folder are on the disk."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
@@ -51,43 +52,47 @@
         os.close(descriptor)
 
 
-def replace_file(path: Path, text: str, mode: int = PRIVATE) -> None:
-    """Gives a file a new content, synced to the disk."""
-    draft = path.with_name(f"{DRAFT}{path.name}.{os.getpid()}")
-    with suppress(OSError):  # of an earlier process with this number; one that stays refuses the next draft
-        os.unlink(draft)
+def replace_file(path: Path, text: str, mode: int = PRIVATE_MODE) -> None:
+    """Replace the content of a file and sync it to the disk."""
+    draft = path.with_name(f"{DRAFT_PREFIX}{path.name}.{os.getpid()}")
+    with suppress(OSError):  # left by an earlier process with this pid; if it stays, the next line raises
+        draft.unlink()
     try:
         _write_draft(draft, text, mode, sync=True)
-        os.replace(draft, path)
+        draft.replace(path)
     except BaseException:
         with suppress(OSError):
-            os.unlink(draft)
+            draft.unlink()
         raise
     sync_folder(path.parent)
 
 
 def create_file(path: Path, text: str, sync: bool = False) -> None:
-    """Makes a file that must not be there; `FileExistsError` if it is."""
-    draft = path.with_name(f"{DRAFT}{path.name}.{os.getpid()}.{os.urandom(4).hex()}")
+    """Create a file. Raises `FileExistsError` if it exists."""
+    random_part = os.urandom(RANDOM_NAME_BYTES).hex()
+    draft = path.with_name(f"{DRAFT_PREFIX}{path.name}.{os.getpid()}.{random_part}")
     try:
-        _write_draft(draft, text, PRIVATE, sync)
+        _write_draft(draft, text, PRIVATE_MODE, sync)
         os.link(draft, path)
     finally:
         with suppress(OSError):  # a draft that stays is never read
-            os.unlink(draft)
+            draft.unlink()
     if sync:
         sync_folder(path.parent)
 
 
 def create_symlink(target: str, path: Path, sync: bool = False) -> bool:
-    """Makes a link, and its folder if need be. False if the link is there already."""
+    """Create a symbolic link, and its folder if that does not exist.
+
+    Returns False if the link exists already.
+    """
     try:
-        os.symlink(target, path)
+        path.symlink_to(target)
     except FileExistsError:
         return False
     except FileNotFoundError:
         with suppress(FileExistsError):
-            os.mkdir(path.parent, 0o700)
+            path.parent.mkdir(FOLDER_MODE)
         if sync:
             sync_folder(path.parent.parent)
         return create_symlink(target, path, sync)
@@ -97,13 +102,13 @@
 
 
 def append_line(path: Path, line: str) -> None:
-    """Adds a line to a file. Where the last one was cut short, the new one still stands by itself."""
+    """Append a line to a file. If the last line was cut short, the new one starts on a line of its own."""
     flags = os.O_RDWR | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC
-    descriptor = os.open(path, flags, SHARED)
+    descriptor = os.open(path, flags, SHARED_MODE)
     try:
         size = os.fstat(descriptor).st_size
-        cut_short = size > 0 and os.pread(descriptor, 1, size - 1) != b"\n"
-        start = "\n" if cut_short else ""
+        is_cut_short = size > 0 and os.pread(descriptor, 1, size - 1) != b"\n"
+        start = "\n" if is_cut_short else ""
         write_all(descriptor, f"{start}{line}\n".encode())
     finally:
         os.close(descriptor)
--- a/eiderfield/durable_requests/context.py
+++ b/eiderfield/durable_requests/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a member share: settings, folder, readers, counts, clock and log."""
+"""What the parts of a member share: settings, folder, readers, counters, clock and log."""
 
 from __future__ import annotations
 
@@ -16,38 +16,42 @@
 
 @dataclass(slots=True)
 class Counters:
-    """What was done since this process began, for its console."""
+    """What this process has done since it started, for its console."""
 
     accepted: int = 0
-    joined: int = 0  # waiters for a request that was recorded already
-    refused: int = 0  # waiters for whom nothing could be written
+    joined: int = 0  # clients that joined a recorded request
+    refused: int = 0  # clients whose request could not be recorded
     claims_refused: int = 0
     taken_over: int = 0
-    expired: int = 0  # taken over with their time over
-    fenced: int = 0  # incarnations of this process that others took for lost
-    lost_answers: int = 0  # results of requests that had been taken over meanwhile
+    expired: int = 0  # taken over after their deadline
+    fenced: int = 0  # incarnations of this process that others fenced
+    lost_answers: int = 0  # answers to requests that had been taken over meanwhile
     fences: int = 0  # written by this process
     commits: int = 0
     slowest_commit: float = 0.0  # ms
-    commits_failed: int = 0  # what the system refused
+    commits_failed: int = 0  # writes that the system refused
 
 
 @dataclass(slots=True)
 class Incarnation:
-    """The incarnation of this process: its store and what it has there without an answer."""
+    """The current incarnation of this process."""
 
     name: str
     store: RecordStore
     lease: Lease
     detector: FailureDetector
-    open_records: dict[str, Record] = field(default_factory=dict)
-    heartbeat: int = 0
-    suspects: set[str] = field(default_factory=set)
+    open_records: dict[str, Record] = field(default_factory=dict)  # without an answer, by request id
+    heartbeat: int = 0  # the count that was written last
+    suspects: set[str] = field(default_factory=set)  # incarnations that it votes against
 
 
 @dataclass(slots=True)
 class Context:
-    """Shared by the parts of one member. `priorities` orders classes, by name."""
+    """Shared by the parts of one member.
+
+    `priorities` has the priority weight of each class, by name. `point` is called at named points of the
+    protocol, where the laboratory stops or kills a process.
+    """
 
     settings: DurableRequestSettings
     folder: SharedFolder
@@ -55,36 +59,38 @@
     priorities: Mapping[str, float]
     now: Callable[[], float]
     log: Callable[[str], None]
-    point: Callable[[str], None]  # called at named points, where the laboratory stops a process
+    point: Callable[[str], None]
     counters: Counters = field(default_factory=Counters)
-    incarnation: Incarnation | None = None  # None while there is none
+    incarnation: Incarnation | None = None
     _logged: set[str] = field(default_factory=set)
 
     @property
     def own_name(self) -> str:
-        """The name of this process's incarnation, '' while there is none."""
+        """The name of the current incarnation, '' while there is none."""
         return "" if self.incarnation is None else self.incarnation.name
 
     def log_once(self, text: str) -> None:
-        """A line for operators, not repeated."""
+        """Log a line, unless the same line was logged before."""
         if text not in self._logged:
             self._logged.add(text)
             self.log(text)
 
     def count_failure(self, error: Exception) -> None:
-        """Something was refused by the system, and is tried again."""
+        """Count and log an operation that the system refused and that is tried again."""
         self.counters.commits_failed += 1
         self.log_once(f"durable requests: {error}")
 
     def end_incarnation(self) -> None:
-        """Gives up all that this incarnation has: it is its successors'."""
+        """End the current incarnation. Its successors own its requests."""
         if self.incarnation is not None:
             self.incarnation.store.close()
             self.incarnation = None
 
     def is_over(self) -> bool:
-        """Whether there is no incarnation, or it is fenced; it ends then. What cannot be looked at may be:
-        `OSError`."""
+        """Return whether there is no incarnation, or it is fenced; a fenced one ends.
+
+        Raises `OSError` if the fence cannot be looked up.
+        """
         if self.incarnation is None:
             return True
         name = self.incarnation.name
@@ -100,8 +106,11 @@
         return True
 
     def is_over_after_commit(self) -> bool:
-        """Whether this incarnation is over, after it has written. Where that cannot be found out it is over:
-        what it wrote may be its successors' already, and nothing may follow from it here."""
+        """Return whether the incarnation is over, after it has written.
+
+        If the fence cannot be looked up, the incarnation ends: its successors may own what it wrote, so
+        nothing may follow from it here.
+        """
         try:
             return self.is_over()
         except OSError as error:
--- a/eiderfield/durable_requests/end_requests.py
+++ b/eiderfield/durable_requests/end_requests.py
@@ -1,6 +1,6 @@
-"""Requests for the end of a job, which its owner finds at its next tick.
+"""Requests for the end of a request, which its owner finds at its next tick.
 
-wishes/HASH    the id of the job
+wishes/HASH    the id of the request
 """
 
 from __future__ import annotations
@@ -10,33 +10,33 @@
 
 from eiderfield.durable_requests.files import FolderFiles, hashed
 
-END_REQUESTS = "wishes"
+END_REQUESTS = "wishes"  # the part of the folder; the stored name is older
 
 
 class EndRequests:
-    """All requests of that kind in a folder."""
+    """All end requests in a folder."""
 
     def __init__(self, files: FolderFiles) -> None:
-        """Reads nothing yet."""
+        """Read nothing yet."""
         self._files = files
 
     def add(self, id_: str) -> None:
-        """Requests the end of a job."""
+        """Request the end of a request."""
         with suppress(FileExistsError):
             self._files.create(json.dumps({"id": id_}), END_REQUESTS, hashed(id_))
 
     def exists(self, id_: str) -> bool:
-        """Whether the end of a job is requested."""
+        """Return whether the end of a request has been requested."""
         return self._files.exists(END_REQUESTS, hashed(id_))
 
     def all(self) -> list[str]:
-        """The ids of the jobs whose end is requested."""
-        found = []
+        """Return the ids of all requests whose end has been requested."""
+        ids = []
         for name in self._files.names(END_REQUESTS):
             with suppress(OSError, ValueError, LookupError, TypeError):
-                found.append(str(json.loads(self._files.read(END_REQUESTS, name))["id"]))
-        return found
+                ids.append(str(json.loads(self._files.read(END_REQUESTS, name))["id"]))
+        return ids
 
     def remove(self, id_: str) -> None:
-        """A request is over, granted or not."""
+        """Remove an end request that has been handled."""
         self._files.remove(END_REQUESTS, hashed(id_))
--- a/eiderfield/durable_requests/fences.py
+++ b/eiderfield/durable_requests/fences.py
@@ -1,10 +1,10 @@
-"""Votes on who is lost, and fences, which bar a lost incarnation for ever and name its successors.
+"""Votes on lost incarnations, and fences, which bar a lost incarnation for ever and name its successors.
 
-    votes/INCARNATION/VOTER    VOTER takes INCARNATION for lost
-    fences/INCARNATION         it is lost; its successors, who wrote that, and why
-    fences/+N                  the N-th further list of successors, for chains that find nobody else
+    votes/INCARNATION/VOTER    VOTER suspects INCARNATION
+    fences/INCARNATION         INCARNATION is lost: its successors, who wrote the fence, and why
+    fences/+N                  the N-th further list of successors, for chains that find no other successor
 
-A fence is a file that must not be there when it is made: of all who try, one succeeds, and it never changes.
+Of all who try to create a fence, one succeeds, and a fence never changes.
 """
 
 from __future__ import annotations
@@ -14,60 +14,64 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
+from eiderfield.durable import FOLDER_MODE, PRIVATE_MODE
 from eiderfield.durable_requests.files import FolderFiles
 from eiderfield.durable_requests.ownership import ownership_chain
 
 FENCES, VOTES = "fences", "votes"
-LEFT = "it left"  # why an incarnation fenced itself
+LEFT = "it left"  # the reason of an incarnation that fenced itself
+FENCED_TOGETHER = "heirs were fenced at one moment"  # the reason of a further list of successors
 _FURTHER = "+"  # with a number: the name of a further list of successors
 
 
 @dataclass(frozen=True, slots=True)
 class Fence:
-    """What a fence says."""
+    """The content of a fence."""
 
     successors: tuple[str, ...]
-    by: str
+    by: str  # the incarnation that wrote it
     reason: str
 
     def encode(self) -> str:
-        """Its stored form."""
+        """Return the stored form."""
         return json.dumps({"heirs": sorted(self.successors), "by": self.by, "why": self.reason})
 
     @classmethod
     def decode(cls, text: str) -> Fence:
-        """Out of the stored form. One that a loss of power tore names no successors: its requests go on
-        among the further ones."""
+        """Return the fence of a stored form.
+
+        A fence that was torn by a loss of power has no successors: its requests go to the further ones.
+        """
         with suppress(ValueError, LookupError, TypeError):
-            told = json.loads(text)
-            return cls(tuple(map(str, told["heirs"])), str(told["by"]), str(told["why"]))
+            fields = json.loads(text)
+            return cls(tuple(map(str, fields["heirs"])), str(fields["by"]), str(fields["why"]))
         return cls((), "", "")
 
 
 class Fences:
-    """All votes and fences of a folder."""
+    """All votes and fences in a folder."""
 
     def __init__(self, files: FolderFiles) -> None:
-        """Reads nothing yet."""
+        """Read nothing yet."""
         self._files = files
-        self.known: dict[str, tuple[str, ...]] = {}  # the successors of the incarnations that `refresh` found
+        self.known: dict[str, tuple[str, ...]] = {}  # successors by fenced incarnation, as of `refresh`
         self.further_successors: list[tuple[str, ...]] = []
 
     def vote(self, incarnation: str, voter: str, suspects: bool) -> None:
-        """Says whether a voter takes an incarnation for lost."""
+        """Record whether a voter suspects an incarnation."""
         if not suspects:
             self._files.remove(VOTES, incarnation, voter)
             return
-        place = self._files.path / VOTES / incarnation
-        place.mkdir(exist_ok=True, mode=0o700)
-        (place / voter).touch(0o600)
+        folder = self._files.path / VOTES / incarnation
+        folder.mkdir(exist_ok=True, mode=FOLDER_MODE)
+        (folder / voter).touch(PRIVATE_MODE)
 
     def votes(self, incarnation: str) -> list[str]:
-        """Who takes an incarnation for lost."""
+        """Return the voters that suspect an incarnation."""
         return self._files.names(f"{VOTES}/{incarnation}")
 
     def create(self, incarnation: str, successors: Sequence[str], by: str, reason: str) -> bool:
-        """Fences an incarnation. False if it is fenced already: that fence stands."""
+        """Fence an incarnation. Returns False if it is fenced already: that fence stands."""
         try:
             self._files.create(Fence(tuple(successors), by, reason).encode(), FENCES, incarnation)
         except FileExistsError:
@@ -75,20 +79,20 @@
         return True
 
     def add_successors(self, successors: Sequence[str], by: str) -> bool:
-        """Writes the next list for chains that find nobody else."""
+        """Write the next further list of successors. Returns False if it exists already."""
         name = f"{_FURTHER}{len(self.further_successors) + 1}"
-        return self.create(name, successors, by, "heirs were fenced at one moment")
+        return self.create(name, successors, by, FENCED_TOGETHER)
 
     def exists(self, incarnation: str) -> bool:
-        """Whether an incarnation is fenced now. What cannot be looked at may be: `OSError`."""
+        """Return whether an incarnation is fenced now. Raises `OSError` if that cannot be looked up."""
         return self._files.exists(FENCES, incarnation)
 
     def read(self, incarnation: str) -> Fence:
-        """What a fence says."""
+        """Return the fence of an incarnation."""
         return Fence.decode(self._files.read(FENCES, incarnation))
 
     def refresh(self) -> dict[str, tuple[str, ...]]:
-        """The successors of all fenced incarnations; a fence never changes, so each is read once."""
+        """Return the successors of all fenced incarnations. Each fence is read once."""
         further = {}
         for name in self._files.names(FENCES):
             if name.startswith(_FURTHER):
@@ -100,11 +104,11 @@
         return self.known
 
     def chain(self, id_: str, incarnation: str) -> list[str]:
-        """Whom a request has belonged to, by the fences that `refresh` found."""
+        """Return the owners of a request so far, by the fences that `refresh` found."""
         return ownership_chain(id_, incarnation, self.known, self.further_successors)
 
     def forget_votes(self, incarnation: str) -> None:
-        """Removes the votes on an incarnation. Its fence stays: others may refer to it."""
+        """Remove the votes on an incarnation. Its fence stays: others may refer to it."""
         for voter in self.votes(incarnation):
             self._files.remove(VOTES, incarnation, voter)
         with suppress(OSError):
--- a/eiderfield/durable_requests/files.py
+++ b/eiderfield/durable_requests/files.py
@@ -1,60 +1,69 @@
-"""Files and links under the shared folder. What cannot be read is not taken for absent."""
+"""Files and links in the shared folder.
+
+A file that cannot be read raises `OSError`; it is never taken for absent.
+"""
 
 from __future__ import annotations
 
 import os
-from contextlib import suppress
 from hashlib import blake2b
 from pathlib import Path
 
-from eiderfield.durable import DRAFT, create_file, create_symlink, replace_file, sync_folder
+from eiderfield.durable import (
+    DRAFT_PREFIX,
+    FOLDER_MODE,
+    create_file,
+    create_symlink,
+    replace_file,
+    sync_folder,
+)
+
+NAME_BYTES = 16  # of the hash that names a file after an id or a key
 
 
 class FolderFiles:
-    """The files of a folder with parts. `OSError` for what the system refuses. With `flush`, what is written
-    is on the disk before a call returns."""
+    """The files of a folder with named parts. Every method raises `OSError` for what the system refuses."""
 
     def __init__(self, path: Path, flush: bool = False) -> None:
-        """Touches nothing yet."""
+        """With `flush`, a method that writes returns once the data is on the disk."""
         self.path = path
         self._flush = flush
 
     def make(self, parts: tuple[str, ...]) -> None:
-        """Makes the folder and its parts, where they are not there."""
+        """Create the folder and its parts, as far as they do not exist."""
         for part in parts:
-            (self.path / part).mkdir(parents=True, exist_ok=True, mode=0o700)
+            (self.path / part).mkdir(parents=True, exist_ok=True, mode=FOLDER_MODE)
         if self._flush:
             sync_folder(self.path)
 
     def names(self, part: str, prefix: str = "") -> list[str]:
-        """The names in a part, but for drafts."""
+        """Return the sorted names in a part that start with a prefix, without drafts."""
         try:
-            names = os.listdir(self.path / part)
+            names = [path.name for path in (self.path / part).iterdir()]
         except FileNotFoundError:
             return []
-        return sorted(name for name in names if name.startswith(prefix) and not name.startswith(DRAFT))
+        return sorted(name for name in names if name.startswith(prefix) and not name.startswith(DRAFT_PREFIX))
 
     def read(self, *place: str) -> str:
-        """A file's text."""
+        """Return the text of a file."""
         descriptor = os.open(self.path.joinpath(*place), os.O_RDONLY | os.O_CLOEXEC)
         with os.fdopen(descriptor, encoding="utf-8") as file:
             return file.read()
 
     def create(self, text: str, *place: str) -> None:
-        """Makes a file whole or not at all; `FileExistsError` if it is there."""
+        """Create a file, whole or not at all. Raises `FileExistsError` if it exists."""
         create_file(self.path.joinpath(*place), text, self._flush)
 
     def replace(self, text: str, *place: str) -> None:
-        """Gives a file a new content."""
+        """Replace the content of a file."""
         replace_file(self.path.joinpath(*place), text)
 
     def remove(self, *place: str) -> None:
-        """Removes a file, if it is there."""
-        with suppress(FileNotFoundError):
-            os.unlink(self.path.joinpath(*place))
+        """Remove a file, if it exists."""
+        self.path.joinpath(*place).unlink(missing_ok=True)
 
     def exists(self, *place: str) -> bool:
-        """Whether a file or a link is there."""
+        """Return whether a file or a link exists."""
         try:
             os.lstat(self.path.joinpath(*place))
         except FileNotFoundError:
@@ -62,17 +71,18 @@
         return True
 
     def link(self, target: str, *place: str) -> bool:
-        """Makes a link that must not be there. False if it is."""
+        """Create a link. Returns False if it exists already."""
         return create_symlink(target, self.path.joinpath(*place), self._flush)
 
     def target(self, *place: str) -> str | None:
-        """What a link names, None if it is not there."""
+        """Return the target of a link, None if there is no link."""
         try:
+            # `Path.readlink` would normalise the target, which may be any request id.
             return os.readlink(self.path.joinpath(*place))
         except FileNotFoundError:
             return None
 
 
 def hashed(*words: str) -> str:
-    """The name under which an id, or a class's key, is found."""
-    return blake2b("\0".join(words).encode(), digest_size=16).hexdigest()
+    """Return the file name of an id, or of a class and its idempotency key."""
+    return blake2b("\0".join(words).encode(), digest_size=NAME_BYTES).hexdigest()
--- a/eiderfield/durable_requests/folder.py
+++ b/eiderfield/durable_requests/folder.py
@@ -1,18 +1,18 @@
 """The folder that the dispatchers of a host share.
 
-    form           the form of all this; another one is refused by name
+    form           the version of this layout; another version is refused
     members, beats (`incarnations.py`), votes, fences (`fences.py`), ids, keys (`ids.py`), wishes
                    (`end_requests.py`)
-    lives/INCARNATION.db    the records of an incarnation (`store.py`); nobody else writes there
+    lives/INCARNATION.db    the records of an incarnation (`store.py`), with one writer
 
-Every decision between processes is one call of the system that succeeds for exactly one of them: making a
-link or a name that must not be there. Nobody holds a lock, so a process that is stopped or killed blocks
-nobody.
+Every decision between processes is one system call that succeeds for exactly one of them: it creates a link
+or a file that must not exist. No process holds a lock, so a process that is stopped or killed blocks no
+other.
 
-Why each request has one owner: an incarnation writes a claim into its own store and then looks for its own
-fence, and only without one sends. Whoever takes over sees the fence made and then reads the store. One of
-the two is later, so either the owner sees the fence and sends nothing, or the other sees the claim. That
-needs one kernel's view of files: a folder on a network file system is none.
+Why each request has one owner: an incarnation writes a claim into its own store, then looks up its own fence,
+and sends only if there is none. A successor sees the fence, then reads the store. One of the two is later, so
+either the owner sees the fence and sends nothing, or the successor sees the claim. This requires that all
+processes see the files through one kernel: a network file system does not do.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from eiderfield.durable import TRANSIENT
+from eiderfield.durable import TRANSIENT_ERRNOS
 from eiderfield.durable_requests.end_requests import END_REQUESTS, EndRequests
 from eiderfield.durable_requests.errors import FOLDER_KEY, FolderError
 from eiderfield.durable_requests.fences import FENCES, VOTES, Fences
@@ -29,25 +29,29 @@
 from eiderfield.durable_requests.ids import IDS, KEYS, Ids
 from eiderfield.durable_requests.incarnations import HEARTBEATS, MEMBERS, Incarnations
 
-FORM = "1"
-STORES = "lives"
+FORM = "1"  # the version of the layout
+STORES = "lives"  # the part with the stores; the stored name is older
 PARTS = (MEMBERS, HEARTBEATS, VOTES, FENCES, STORES, IDS, KEYS, END_REQUESTS)
 _FORM_FILE = "form"
-_STORE_ENDINGS = ("", "-wal", "-shm")
+_STORE_SUFFIXES = ("", "-wal", "-shm")  # of the files of an SQLite database
+_MAX_SHOWN_FORM = 20  # characters of a foreign form in a message
 
 
 class SharedFolder:
-    """The shared folder; `make` makes it where it is not there. `OSError` for what the system refuses."""
+    """The shared folder. Methods raise `OSError` for what the system refuses."""
 
     def __init__(self, path: Path, make: bool = True, flush: bool = False) -> None:
-        """Raises `FolderError`, but not for what may pass: `ensure_usable` tries again."""
+        """Open the folder; with `make`, create it if it does not exist.
+
+        Raises `FolderError`, except for a transient error with `make`: `ensure_usable` tries again then.
+        """
         self.path = path
         self._files = FolderFiles(path, flush)
         self.incarnations = Incarnations(self._files)
         self.fences = Fences(self._files)
         self.ids = Ids(self._files)
         self.end_requests = EndRequests(self._files)
-        self._usable = False
+        self._is_usable = False
         try:
             self._open(make)
         except FolderError as error:
@@ -55,8 +59,8 @@
                 raise
 
     def ensure_usable(self) -> None:
-        """Makes the folder, if that could not be done before; `FolderError` if it cannot be used."""
-        if not self._usable:
+        """Create the folder, if that failed before. Raises `FolderError` if it cannot be used."""
+        if not self._is_usable:
             self._open(make=True)
 
     def _open(self, make: bool) -> None:
@@ -64,49 +68,49 @@
             if make:
                 self._make()
             form = self._files.read(_FORM_FILE)
-            owner = os.stat(self.path).st_uid
+            owner = self.path.stat().st_uid
         except OSError as error:
-            if make:
-                raise FolderError(
-                    self.path, str(error.strerror), FOLDER_KEY, error.errno in TRANSIENT
-                ) from None
-            raise FolderError(self.path, "not a folder of durable requests") from None
+            if not make:
+                raise FolderError(self.path, "not a folder of durable requests") from None
+            is_transient = error.errno in TRANSIENT_ERRNOS
+            raise FolderError(self.path, str(error.strerror), FOLDER_KEY, is_transient) from None
         if form != FORM:
-            raise FolderError(self.path, f"is of form {form[:20]!r}, not {FORM!r}", FOLDER_KEY)
+            reason = f"is of form {form[:_MAX_SHOWN_FORM]!r}, not {FORM!r}"
+            raise FolderError(self.path, reason, FOLDER_KEY)
         if owner != os.getuid():
             raise FolderError(self.path, "belongs to another user", FOLDER_KEY)
-        self._usable = True
+        self._is_usable = True
 
     def _make(self) -> None:
         self._files.make(PARTS)
         if not self._files.exists(_FORM_FILE):
-            with suppress(FileExistsError):  # another member makes it just now
+            with suppress(FileExistsError):  # another member creates it at the same time
                 self._files.create(FORM, _FORM_FILE)
 
     def store_path(self, incarnation: str) -> Path:
-        """Where an incarnation's store lies."""
+        """Return the path of an incarnation's store."""
         return self.path / STORES / f"{incarnation}.db"
 
     def store_version(self, incarnation: str) -> tuple[int, ...] | None:
-        """Differs once more was written to an incarnation's store; None if there is none."""
+        """Return a value that changes with each write to a store, None if there is no store."""
         path = self.store_path(incarnation)
-        found: list[int] = []
-        for place in (path, path.with_name(f"{path.name}-wal")):
+        version: list[int] = []
+        for file in (path, path.with_name(f"{path.name}-wal")):
             try:
-                status = place.stat()
-                found += [status.st_size, status.st_mtime_ns]
+                status = file.stat()
+                version += [status.st_size, status.st_mtime_ns]
             except FileNotFoundError:
-                if place is path:
+                if file is path:
                     return None
-        return tuple(found)
+        return tuple(version)
 
     def stored_incarnations(self) -> list[str]:
-        """The incarnations that have stores."""
+        """Return the incarnations that have a store."""
         return [path.stem for path in sorted((self.path / STORES).glob("*.db"))]
 
     def forget(self, incarnation: str) -> None:
-        """Removes what is left of a fenced incarnation, but for its fence."""
+        """Remove what is left of a fenced incarnation, except its fence."""
         self.incarnations.forget(incarnation)
-        for ending in _STORE_ENDINGS:
-            self._files.remove(STORES, f"{incarnation}.db{ending}")
+        for suffix in _STORE_SUFFIXES:
+            self._files.remove(STORES, f"{incarnation}.db{suffix}")
         self.fences.forget_votes(incarnation)
--- a/eiderfield/durable_requests/ids.py
+++ b/eiderfield/durable_requests/ids.py
@@ -1,9 +1,9 @@
-"""Who holds which id, and which id holds a class's idempotency key.
+"""Which incarnation holds a request id, and which request id holds a class's idempotency key.
 
-    ids/XX/HASH[.N]    a link that names the incarnation which took an id; N where it was taken anew
-    keys/XX/HASH       a link that names the id which holds a class's key
+    ids/XX/HASH[.N]    a link to the incarnation that took an id; N is the generation from the second one on
+    keys/XX/HASH       a link to the request id that holds a class's key
 
-A link that must not be there is made for exactly one of all who try.
+Of all who try to create a link, one succeeds.
 """
 
 from __future__ import annotations
@@ -13,62 +13,65 @@
 from eiderfield.durable_requests.files import FolderFiles, hashed
 
 IDS, KEYS = "ids", "keys"
+FIRST_GENERATION = 1
+PREFIX_LENGTH = 2  # characters of a hash that name its subfolder
 
 
 class Holder(NamedTuple):
-    """The incarnation that took an id last, and how often it had been taken then."""
+    """The incarnation that took an id last, and how often the id had been taken then."""
 
     generation: int
     incarnation: str
 
 
 class Ids:
-    """All ids and keys of a folder."""
+    """All ids and keys in a folder."""
 
     def __init__(self, files: FolderFiles) -> None:
-        """Reads nothing yet."""
+        """Read nothing yet."""
         self._files = files
 
     def holder(self, id_: str) -> Holder | None:
-        """Who holds an id; None if nobody does."""
-        found, generation = None, 1
+        """Return the holder of an id, None if there is none."""
+        holder, generation = None, FIRST_GENERATION
         while (incarnation := self._files.target(*_id_place(id_, generation))) is not None:
-            found = Holder(generation, incarnation)
+            holder = Holder(generation, incarnation)
             generation += 1
-        return found
+        return holder
 
-    def take(self, id_: str, incarnation: str, generation: int = 1) -> bool:
-        """Takes an id for the `generation`-th time. False if somebody has."""
+    def take(self, id_: str, incarnation: str, generation: int = FIRST_GENERATION) -> bool:
+        """Take an id for the `generation`-th time. Returns False if another incarnation has done so."""
         return self._files.link(incarnation, *_id_place(id_, generation))
 
-    def hold_key(self, cls: str, key: str, id_: str) -> str:
-        """Holds a class's key for an id, and returns the id that holds it."""
-        place = _key_place(cls, key)
+    def hold_key(self, class_name: str, key: str, id_: str) -> str:
+        """Hold a class's key for an id, unless another one holds it. Returns the id that holds it."""
+        place = _key_place(class_name, key)
         while not self._files.link(id_, *place):
             if (holder := self._files.target(*place)) is not None:
                 return holder
         return id_
 
-    def free_key(self, cls: str, key: str, id_: str) -> None:
-        """Takes a key from an id that does not count any more."""
-        place = _key_place(cls, key)
+    def free_key(self, class_name: str, key: str, id_: str) -> None:
+        """Free a key that an id holds."""
+        place = _key_place(class_name, key)
         if self._files.target(*place) == id_:
             self._files.remove(*place)
 
-    def release(self, id_: str, generation: int, cls: str = "", key: str = "") -> None:
-        """Forgets an id that was taken `generation` times, and its key; not if it was taken again."""
+    def release(self, id_: str, generation: int, class_name: str = "", key: str = "") -> None:
+        """Release an id that was taken `generation` times, and its key, unless the id was taken again."""
         if not self._files.exists(*_id_place(id_, generation + 1)):
-            for each in range(generation, 0, -1):  # the first of them last: it is the one that is looked for
-                self._files.remove(*_id_place(id_, each))
+            for number in range(generation, 0, -1):  # the first link last: `holder` starts from it
+                self._files.remove(*_id_place(id_, number))
         if key:
-            self.free_key(cls, key, id_)
+            self.free_key(class_name, key, id_)
 
 
 def _id_place(id_: str, generation: int) -> tuple[str, str, str]:
     name = hashed(id_)
-    return IDS, name[:2], name if generation == 1 else f"{name}.{generation}"
+    file_name = name if generation == FIRST_GENERATION else f"{name}.{generation}"
+    return IDS, name[:PREFIX_LENGTH], file_name
 
 
-def _key_place(cls: str, key: str) -> tuple[str, str, str]:
-    name = hashed(cls, key)
-    return KEYS, name[:2], name
+def _key_place(class_name: str, key: str) -> tuple[str, str, str]:
+    name = hashed(class_name, key)
+    return KEYS, name[:PREFIX_LENGTH], name
--- a/eiderfield/durable_requests/incarnations.py
+++ b/eiderfield/durable_requests/incarnations.py
@@ -1,9 +1,9 @@
-"""The incarnations of the host's dispatchers: names that never come again, with processes and heartbeats.
+"""The incarnations of the host's dispatchers: names that are never reused, with processes and heartbeats.
 
-    members/INCARNATION    its process, its start, the boot of the machine, and the wall clock's offset
-    beats/INCARNATION      eight bytes, the count of its heartbeats
+    members/INCARNATION    its process, the process's start, the boot of the machine, the wall clock's offset
+    beats/INCARNATION      the count of its heartbeats, in eight bytes
 
-A process begins an incarnation (`n1.3`) when it joins, and a further one when it was taken for lost.
+A process begins an incarnation (`n1.3`) when it joins, and another one after it was fenced.
 """
 
 from __future__ import annotations
@@ -16,62 +16,66 @@
 from contextlib import suppress
 from dataclasses import asdict, dataclass
 
+from eiderfield.durable import PRIVATE_MODE
 from eiderfield.durable_requests.errors import DispatcherNameError
 from eiderfield.durable_requests.files import FolderFiles
 from eiderfield.machine import boot_id, process_started, unix_offset
 
 MEMBERS, HEARTBEATS = "members", "beats"
-CLOCK_STEP = 1000.0  # ms by which the wall clock must have parted from the monotonic one to count as stepped
+CLOCK_STEP_MS = 1000.0  # by which the wall clock must leave the monotonic one to count as stepped
 _HEARTBEAT = struct.Struct("<Q")
 _PLAIN_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}\Z")
 
 
 @dataclass(frozen=True, slots=True)
 class IncarnationInfo:
-    """What an incarnation says of itself. `offset` leads from its monotonic clock to Unix time, in ms."""
+    """What an incarnation has recorded of itself. The names of the fields are stored."""
 
     name: str  # of the dispatcher
     pid: int
     started: str  # when its process began, in the kernel's ticks
     boot: str
-    offset: float
+    offset: float  # ms from its monotonic clock to Unix time
 
     def encode(self) -> str:
-        """Its stored form."""
+        """Return the stored form."""
         return json.dumps(asdict(self))
 
     @classmethod
     def decode(cls, text: str) -> IncarnationInfo:
-        """Out of the stored form; `ValueError` if that is torn."""
+        """Return the content of a stored form. Raises `ValueError` if it is torn."""
         try:
-            told = json.loads(text)
+            fields = json.loads(text)
             return cls(
-                str(told["name"]),
-                int(told["pid"]),
-                str(told["started"]),
-                str(told["boot"]),
-                float(told["offset"]),
+                name=str(fields["name"]),
+                pid=int(fields["pid"]),
+                started=str(fields["started"]),
+                boot=str(fields["boot"]),
+                offset=float(fields["offset"]),
             )
         except (LookupError, TypeError) as error:
             raise ValueError(f"not an incarnation: {error}") from None
 
     @property
     def is_running(self) -> bool:
-        """Whether its process is there, by the machine's word."""
+        """Whether the kernel knows its process."""
         return self.boot == boot_id() and process_started(self.pid) == self.started
 
 
 class Incarnations:
-    """All incarnations of a folder."""
+    """All incarnations in a folder."""
 
     def __init__(self, files: FolderFiles) -> None:
-        """Reads nothing yet."""
+        """Read nothing yet."""
         self._files = files
         self._gone: set[str] = set()
         self.offset = unix_offset()  # as this process has written it last
 
     def begin(self, name: str) -> str:
-        """Begins an incarnation of a dispatcher: a name that was never there before."""
+        """Begin an incarnation of a dispatcher and return its name.
+
+        Raises `DispatcherNameError` if the dispatcher's name cannot be a file name.
+        """
         if not _PLAIN_NAME.match(name):
             raise DispatcherNameError(name)
         self.offset = unix_offset()
@@ -91,33 +95,35 @@
         return IncarnationInfo(name, pid, process_started(pid), boot_id(), self.offset)
 
     def follow_wall_clock(self, incarnation: str, name: str) -> None:
-        """Writes the wall clock's offset anew where it was stepped: after a reboot only that offset brings
-        the incarnation's times to those of the next monotonic clock."""
+        """Record the wall clock's offset again if the wall clock was stepped.
+
+        After a reboot only that offset converts the incarnation's times to the next monotonic clock.
+        """
         offset = unix_offset()
-        if abs(offset - self.offset) <= CLOCK_STEP:
+        if abs(offset - self.offset) <= CLOCK_STEP_MS:
             return
-        before, self.offset = self.offset, offset
+        offset_before, self.offset = self.offset, offset
         try:
             self._files.replace(self._own_info(name).encode(), MEMBERS, incarnation)
         except OSError:
-            self.offset = before  # tried again at the next tick
+            self.offset = offset_before  # the next tick tries again
             raise
 
     def info(self, incarnation: str) -> IncarnationInfo | None:
-        """What an incarnation says of itself; None if it is forgotten, or torn by a loss of power."""
+        """Return what an incarnation has recorded of itself, None if that is removed or torn."""
         with suppress(FileNotFoundError, ValueError):
             return IncarnationInfo.decode(self._files.read(MEMBERS, incarnation))
         return None
 
     def all(self, besides: Container[str] = ()) -> dict[str, IncarnationInfo]:
-        """All incarnations besides some, with what each says of itself."""
+        """Return all incarnations besides some, with what each has recorded of itself."""
         names = [name for name in self._files.names(MEMBERS) if name not in besides]
         return {name: info for name in names if (info := self.info(name)) is not None}
 
     def write_heartbeat(self, incarnation: str, count: int) -> None:
-        """Writes a heartbeat."""
+        """Write the heartbeat count of an incarnation."""
         path = self._files.path / HEARTBEATS / incarnation
-        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, PRIVATE_MODE)
         try:
             if os.pwrite(descriptor, _HEARTBEAT.pack(count), 0) != _HEARTBEAT.size:
                 raise OSError(f"{path}: a heartbeat was cut short")
@@ -125,23 +131,25 @@
             os.close(descriptor)
 
     def heartbeats(self, incarnations: Iterable[str]) -> dict[str, int]:
-        """The heartbeats of some incarnations; 0 of one that has none, as in a copy."""
-        found = dict.fromkeys(incarnations, 0)
-        for name in found:
+        """Return the heartbeat counts of some incarnations, 0 for one without a count, as in a copy."""
+        counts = dict.fromkeys(incarnations, 0)
+        for name in counts:
             with suppress(OSError, struct.error):
-                found[name] = _HEARTBEAT.unpack((self._files.path / HEARTBEATS / name).read_bytes())[0]
-        return found
+                counts[name] = _HEARTBEAT.unpack((self._files.path / HEARTBEATS / name).read_bytes())[0]
+        return counts
 
     def gone(self, incarnations: Mapping[str, IncarnationInfo]) -> set[str]:
-        """Those of some incarnations whose process is not there any more, by the machine's word."""
+        """Return those of some incarnations whose process the kernel does not know any more."""
         for name, info in incarnations.items():
             if name not in self._gone and not info.is_running:
                 self._gone.add(name)
         return self._gone & incarnations.keys()
 
     def may_write(self, incarnation: str) -> bool:
-        """Whether the process of a fenced incarnation may still be writing to its store: it is there, and has
-        not begun a later incarnation, which is its word that the earlier one is over."""
+        """Return whether the process of a fenced incarnation may still write to its store.
+
+        A process that is running and has begun a later incarnation writes to the later store only.
+        """
         info = self.info(incarnation)
         if info is None or not info.is_running:
             return False
@@ -150,12 +158,12 @@
         return not any(other is not None and other.pid == info.pid for other in later)
 
     def forget(self, incarnation: str) -> None:
-        """Removes what it says of itself and its heartbeat."""
+        """Remove what an incarnation has recorded of itself, and its heartbeat."""
         self._files.remove(HEARTBEATS, incarnation)
         self._files.remove(MEMBERS, incarnation)
 
 
 def number_of(incarnation: str) -> int:
-    """The number in an incarnation's name."""
+    """Return the number in an incarnation's name, 0 if there is none."""
     end = incarnation.rpartition(".")[2]
     return int(end) if end.isdigit() else 0
--- a/eiderfield/durable_requests/lease.py
+++ b/eiderfield/durable_requests/lease.py
@@ -1,9 +1,9 @@
-"""This process's own right to send what it has claimed. No I/O, no clock.
+"""The lease under which this process may send what it has claimed. Performs no I/O and reads no clock.
 
-A lease runs from the moment before a heartbeat was written. Once it is over, but for a margin, its holder
-sends nothing; nobody suspects the holder before the whole lease has passed since its last heartbeat was
-read. Whoever reads a heartbeat reads it after it was written, so on any two monotonic clocks that drift by
-less than the margin within a lease, nobody suspects a holder that still believes it may send.
+A lease runs from the moment before a heartbeat was written. Its holder stops sending a margin before its end;
+no other member suspects the holder before a whole lease has passed since it read the last heartbeat. A
+heartbeat is read after it was written. So on any two monotonic clocks that drift by less than the margin
+within a lease, no member suspects a holder that still considers itself allowed to send.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A lease of a length, in ms."""
+    """A lease. All times in ms."""
 
     length: float
     margin: float
     since: float = -inf  # the moment before the last heartbeat was written
 
     def renew(self, before: float) -> None:
-        """A heartbeat has been written, which was begun at `before`."""
+        """Renew the lease: a heartbeat has been written whose write began at `before`."""
         self.since = max(self.since, before)
 
     def holds(self, now: float) -> bool:
-        """Whether this process may send."""
+        """Return whether the holder may send."""
         return now < self.since + self.length - self.margin
--- a/eiderfield/durable_requests/member.py
+++ b/eiderfield/durable_requests/member.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from contextlib import suppress
 
-from eiderfield.durable import TRANSIENT
+from eiderfield.durable import TRANSIENT_ERRNOS
 from eiderfield.durable_requests.changes import ChangeWriter
 from eiderfield.durable_requests.context import Context, Counters, Incarnation
 from eiderfield.durable_requests.errors import FOLDER_KEY, DurableRequestsError, FolderError, StoreError
@@ -119,7 +119,7 @@
             name, store = self._open_store()
         except OSError as error:
             raise FolderError(
-                self.folder.path, str(error.strerror), FOLDER_KEY, error.errno in TRANSIENT
+                self.folder.path, str(error.strerror), FOLDER_KEY, error.errno in TRANSIENT_ERRNOS
             ) from None
         settings = self.settings
         lease = Lease(settings.lease, settings.margin)
--- a/eiderfield/durable_requests/messages.py
+++ b/eiderfield/durable_requests/messages.py
@@ -1,4 +1,4 @@
-"""What the loop asks of the member of its process, and what it hears in return."""
+"""Operations that the event loop hands to its member, and their outcomes."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Accept a request."""
+    """Record a request and own it."""
 
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Record an attempt that is about to begin."""
+    """Record an attempt that is about to start."""
 
     id: str
     attempt: AttemptRecord
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseClaim:
-    """Take off an attempt that never ran."""
+    """Remove an attempt that never ran."""
 
     id: str
     number: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """Record the final answer."""
+    """Record the final answer. `reason` is for operators."""
 
     id: str
     answer: Answer
@@ -44,20 +44,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Find:
-    """Find a request's record, wherever it is. Nothing is written."""
+    """Find the record of a request, in any store. Nothing is written."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class RequestEnd:
-    """Request the end of a request, wherever it is."""
+    """Request the end of a request, whichever incarnation owns it."""
 
     id: str
 
 
-Change = Accept | Claim | ReleaseClaim | Finish  # what is written into the own store
-Query = Find | RequestEnd  # what needs no store of one's own
+Change = Accept | Claim | ReleaseClaim | Finish  # written into the store of this incarnation
+Query = Find | RequestEnd  # possible without an incarnation
 Operation = Change | Query
 
 # Outcomes.
@@ -65,12 +65,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """Of `Accept`: the request is this incarnation's."""
+    """Of `Accept`: this incarnation owns the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyAccepted:
-    """Of `Accept`: the request is recorded already, under this id, and its answer is waited for."""
+    """Of `Accept`: the request is recorded under this id and its answer can be awaited."""
 
     id: str
 
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Of `Accept`: the id, or the key, is that of another request."""
+    """Of `Accept`: the id, or the idempotency key, belongs to another request."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndRequested:
-    """Of `Claim`: not recorded, for somebody has requested the end of the request."""
+    """Of `Claim`: not recorded, because the end of the request has been requested."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,17 +108,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """It is written."""
+    """The change is written."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotOwned:
-    """The request is not this incarnation's, or not any more: nothing may follow from what was asked."""
+    """This incarnation does not own the request, or not any more: nothing may follow from the change."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotWritten:
-    """The system refused to write it."""
+    """The system refused to write the change."""
 
     reason: str
 
--- a/eiderfield/durable_requests/ownership.py
+++ b/eiderfield/durable_requests/ownership.py
@@ -1,10 +1,10 @@
-"""Who owns a request after its owners were lost. No I/O, no clock.
+"""The owner of a request after incarnations were lost. Performs no I/O and reads no clock.
 
-Each request of a fenced incarnation has one successor among those that the fence names, by a hash of its id;
-if that one is fenced too, one among its successors, and so on.
+Each request of a fenced incarnation has one successor among those that the fence names, selected by a hash of
+the request id; if that one is fenced too, one among its successors, and so on.
 
-What must never happen: two incarnations own one request. A further fence only lengthens a chain, so all who
-know the same fences name the same owner, and whoever knows fewer names one that is fenced.
+Invariant: no two incarnations own one request. A further fence only lengthens the chain, so all who know the
+same fences select the same owner, and whoever knows fewer selects one that is fenced.
 """
 
 from __future__ import annotations
@@ -21,11 +21,12 @@
     fences: Mapping[str, Sequence[str]],
     further_successors: Sequence[Sequence[str]] = (),
 ) -> list[str]:
-    """The incarnations that a request has belonged to, from the one that accepted it to its owner.
+    """Return the incarnations that a request has belonged to, from the one that accepted it to its owner.
 
-    `fences` holds the successors of each fenced incarnation. Two that were fenced at one moment may be each
-    other's successors; a chain that finds nobody new goes on in the first of `further_successors`, and so on.
-    If the last of the chain is fenced, the request has no owner yet.
+    `fences` maps each fenced incarnation to its successors. Two incarnations that were fenced at the same
+    time may name each other: a chain that finds no new successor continues in the first list of
+    `further_successors`, then in the second one, and so on. If the last incarnation of the chain is fenced,
+    the request has no owner yet.
     """
     chain = [incarnation]
     number = crc32(id_.encode())
--- a/eiderfield/durable_requests/snapshot.py
+++ b/eiderfield/durable_requests/snapshot.py
@@ -6,7 +6,7 @@
 from contextlib import closing
 from pathlib import Path
 
-from eiderfield.durable import DRAFT
+from eiderfield.durable import DRAFT_PREFIX
 from eiderfield.durable_requests.errors import FolderError
 from eiderfield.durable_requests.fences import FENCES
 from eiderfield.durable_requests.folder import SharedFolder
@@ -31,7 +31,7 @@
 
 def _copy_files(source: Path, target: Path) -> None:
     for file in source.iterdir():
-        if not file.name.startswith(DRAFT):
+        if not file.name.startswith(DRAFT_PREFIX):
             shutil.copy2(file, target / file.name)
 
 
--- a/eiderfield/net/ban_file.py
+++ b/eiderfield/net/ban_file.py
@@ -13,7 +13,7 @@
 from math import isfinite
 from pathlib import Path
 
-from eiderfield.durable import TRANSIENT, replace_file
+from eiderfield.durable import TRANSIENT_ERRNOS, replace_file
 from eiderfield.net.clock import WallClock
 
 MAX_FILE_BYTES = 1 << 20  # that are read of the file: thousands of names
@@ -52,7 +52,7 @@
         except FileNotFoundError:
             return {}
         except (OSError, ValueError, RecursionError) as error:
-            if isinstance(error, OSError) and error.errno in TRANSIENT:
+            if isinstance(error, OSError) and error.errno in TRANSIENT_ERRNOS:
                 raise
             self._log(f"bans: file ignored (path={self.path} error={error})")
             return {}
--- a/eiderfield/rollout/controller.py
+++ b/eiderfield/rollout/controller.py
@@ -19,7 +19,7 @@
 import structlog
 
 from eiderfield.config.errors import ConfigError
-from eiderfield.durable import SHARED, append_line, replace_file
+from eiderfield.durable import SHARED_MODE, append_line, replace_file
 from eiderfield.rollout.journal import Journal, JournalError, JournalWriteError, Locks, read
 from eiderfield.rollout.measurement import WindowMeter
 from eiderfield.rollout.plan import Plan
@@ -53,8 +53,8 @@
         raise JournalError(f"{folder} holds a change already: resume it, undo it, or name another folder")
     folder.mkdir(parents=True, exist_ok=True)
     prepare(plan, base, folder)
-    replace_file(folder / PLAN, plan_file.read_text(encoding="utf-8"), SHARED)
-    replace_file(folder / BASE, str(base), SHARED)
+    replace_file(folder / PLAN, plan_file.read_text(encoding="utf-8"), SHARED_MODE)
+    replace_file(folder / BASE, str(base), SHARED_MODE)
     Journal(folder, plan.digest, uuid4().hex[:12]).write(time.time())
 
 
--- a/eiderfield/rollout/journal.py
+++ b/eiderfield/rollout/journal.py
@@ -27,7 +27,7 @@
 from zlib import crc32
 
 from eiderfield.config.address import Address
-from eiderfield.durable import SHARED, append_line, replace_file
+from eiderfield.durable import SHARED_MODE, append_line, replace_file
 from eiderfield.rollout.plan import Plan
 from eiderfield.rollout.state_machine import COMMANDS, RolloutState, decode_state
 
@@ -83,7 +83,9 @@
         }
         body = json.dumps(told, sort_keys=True)
         try:
-            replace_file(self.path, json.dumps({"sum": f"{crc32(body.encode()):08x}", "body": body}), SHARED)
+            replace_file(
+                self.path, json.dumps({"sum": f"{crc32(body.encode()):08x}", "body": body}), SHARED_MODE
+            )
         except OSError as error:
             raise JournalWriteError(f"{self.path}: {error.strerror}") from None
         self.said, self.body = said, body
@@ -128,7 +130,7 @@
     if word not in COMMANDS:
         raise ValueError(f"no word for a controller: {word!r}")
     try:
-        replace_file(folder / WISH, json.dumps({"word": word}), SHARED)
+        replace_file(folder / WISH, json.dumps({"word": word}), SHARED_MODE)
     except OSError as error:
         raise JournalWriteError(f"{folder / WISH}: {error.strerror}") from None
 
--- a/eiderfield/rollout/settings.py
+++ b/eiderfield/rollout/settings.py
@@ -21,7 +21,7 @@
 from eiderfield.config.errors import ConfigError
 from eiderfield.config.loader import read, read_text
 from eiderfield.config.source import source_digest
-from eiderfield.durable import SHARED, replace_file
+from eiderfield.durable import SHARED_MODE, replace_file
 from eiderfield.rollout.plan import Plan
 from eiderfield.rollout.reconciler import Version
 
@@ -44,7 +44,7 @@
 
     def put(self, version: Version) -> None:
         """Puts a version's text in place: renamed, for a reader must never see half of it."""
-        replace_file(self.path, self.text[version], SHARED)
+        replace_file(self.path, self.text[version], SHARED_MODE)
 
 
 def prepare(plan: Plan, base: Path, folder: Path) -> dict[str, Texts]:
@@ -75,8 +75,8 @@
             except (OSError, ValueError) as error:
                 raise ConfigError(f"{at}: {target}: {error}") from None
             _check(new, target, at, member.environment)
-            replace_file(kept[Version.OLD], old, SHARED)  # half of one would be put in place by an undo
-            replace_file(kept[Version.NEW], new, SHARED)
+            replace_file(kept[Version.OLD], old, SHARED_MODE)  # half of one would be put in place by an undo
+            replace_file(kept[Version.NEW], new, SHARED_MODE)
         texts = {side: file.read_text(encoding="utf-8") for side, file in kept.items()}
         data = {side: _plain(text, target) for side, text in texts.items()}
         found[member.name] = Texts(target, texts, {side: source_digest(told) for side, told in data.items()})
