--- a/eiderfield/cli/jobs.py
+++ b/eiderfield/cli/jobs.py
@@ -1,28 +1,37 @@
-"""`eiderfield jobs`: the work in hand of a host, as its dispatchers have written it down."""
+"""`eiderfield jobs`: the durable requests of a host, as its dispatchers have recorded them."""
 
 from __future__ import annotations
 
 import json
 import time
+from http import HTTPStatus
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 
 from eiderfield.machine import unix_offset
 
+if TYPE_CHECKING:
+    from eiderfield.durable_requests.inspection import Inspection
+    from eiderfield.durable_requests.record import Record
+
 FOLDER: Any = click.Path(exists=True, file_okay=False, path_type=Path)
+TABLE_WIDTH = 160  # characters
+REQUEUE_TIMEOUT_S = 600.0
+
+Row = dict[str, object]
 
 
 @click.group()
 def jobs() -> None:
-    """Shows and checks the work in hand in a custody folder; asks for the end of a job, or for one again.
+    """Shows and checks the jobs in a folder of durable requests, cancels a job or submits one again.
 
-    Every call reads the stores while the dispatchers go on. Exits with 2 and one line if FOLDER is none.
+    Every command reads the stores while the dispatchers go on. Exits with 2 if FOLDER is not such a folder.
     """
 
 
-def _inspect(folder: Path) -> Any:
+def _inspect(folder: Path) -> Inspection:
     from eiderfield.durable_requests.errors import FolderError
     from eiderfield.durable_requests.inspection import Inspection
 
@@ -32,7 +41,7 @@
         raise click.UsageError(str(error)) from None
 
 
-def _print(rows: list[dict[str, Any]], as_json: bool, columns: tuple[str, ...]) -> None:
+def _print(rows: list[Row], as_json: bool, columns: tuple[str, ...]) -> None:
     from rich.console import Console
     from rich.table import Table
 
@@ -43,7 +52,7 @@
     table = Table(*columns, box=None)
     for row in rows:
         table.add_row(*[_cell(row[name]) for name in columns])
-    Console(width=160).print(table, highlight=False)
+    Console(width=TABLE_WIDTH).print(table, highlight=False)
 
 
 def _cell(value: object) -> str:
@@ -56,17 +65,17 @@
 
 @jobs.command("list")
 @click.argument("folder", type=FOLDER)
-@click.option("--class", "cls", default="", help="of this class alone")
+@click.option("--class", "class_name", default="", help="only jobs of this class")
 @click.option("--state", default="", help="accepted, claimed, served, failed, declined, terminated or open")
 @_JSON
-def list_(folder: Path, cls: str, state: str, as_json: bool) -> None:
-    """Lists all jobs, each once, with the life that owns it."""
+def list_(folder: Path, class_name: str, state: str, as_json: bool) -> None:
+    """Lists all jobs, each once, with the incarnation that owns it."""
     inspection = _inspect(folder)
     rows = []
-    for known in inspection.jobs():
-        fits = state in ("", known.state) or (state == "open" and not known.record.verdict)
-        if fits and cls in ("", known.record.class_name):
-            rows.append(known.row(unix_offset()))
+    for job in inspection.jobs():
+        has_state = state in ("", job.state) or (state == "open" and not job.record.verdict)
+        if has_state and class_name in ("", job.record.class_name):
+            rows.append(job.row(unix_offset()))
     _print(rows, as_json, _COLUMNS)
     for fault in inspection.faults:
         click.echo(f"not read: {fault}", err=True)
@@ -76,21 +85,21 @@
 @click.argument("folder", type=FOLDER)
 @click.argument("id_", metavar="ID")
 def show(folder: Path, id_: str) -> None:
-    """Shows a job: its legs, the lives it went through, its answer."""
-    known = _inspect(folder).job(id_)
-    if known is None:
+    """Shows a job: its attempts, the incarnations that it has belonged to, its answer."""
+    job = _inspect(folder).job(id_)
+    if job is None:
         raise click.ClickException(f"job {id_!r} is not known")
-    told = {**known.row(unix_offset()), "chain": list(known.chain)}
-    if known.record.verdict == "served":
-        told["result"] = known.record.result.decode("utf-8", "replace")
-    click.echo(json.dumps(told, indent=1))
+    row = {**job.row(unix_offset()), "chain": list(job.chain)}
+    if job.record.verdict == "served":
+        row["result"] = job.record.result.decode("utf-8", "replace")
+    click.echo(json.dumps(row, indent=1))
 
 
 @jobs.command()
 @click.argument("folder", type=FOLDER)
 @_JSON
 def members(folder: Path, as_json: bool) -> None:
-    """Lists the lives: alive, lost, left, or gone and not fenced yet."""
+    """Lists the incarnations: alive, lost, left, or gone and not fenced yet."""
     rows = [incarnation.row() for incarnation in _inspect(folder).incarnations()]
     _print(rows, as_json, ("life", "state", "open", "answered", "bytes", "pid", "why", "heirs"))
 
@@ -99,8 +108,8 @@
 @click.argument("folder", type=FOLDER)
 @_JSON
 def dead(folder: Path, as_json: bool) -> None:
-    """Lists jobs that ended without a result, with whether they may have run."""
-    rows = [known.row(unix_offset()) for known in _inspect(folder).jobs() if known.is_dead]
+    """Lists jobs that ended without a result, and whether they may have run."""
+    rows = [job.row(unix_offset()) for job in _inspect(folder).jobs() if job.is_dead]
     _print(rows, as_json, _COLUMNS)
 
 
@@ -108,13 +117,13 @@
 @click.argument("folder", type=FOLDER)
 @click.argument("id_", metavar="ID")
 def cancel(folder: Path, id_: str) -> None:
-    """Asks for the end of a job. Its owner ends it, unless it has its answer first: that one wins."""
+    """Requests the end of a job. Its owner ends it, unless the job has its answer first."""
     inspection = _inspect(folder)
-    known = inspection.job(id_)
-    if known is None:
+    job = inspection.job(id_)
+    if job is None:
         raise click.ClickException(f"job {id_!r} is not known")
-    if known.record.verdict:
-        raise click.ClickException(f"job {id_!r} is over: {known.state}")
+    if job.record.verdict:
+        raise click.ClickException(f"job {id_!r} is over: {job.state}")
     inspection.folder.end_requests.add(id_)
     click.echo("asked for")
 
@@ -125,40 +134,45 @@
 @click.option("--to", "address", required=True, metavar="HOST:PORT", help="a dispatcher's clients' address")
 @click.option("--anyway", is_flag=True, help="although it may have run")
 def requeue(folder: Path, id_: str, address: str, anyway: bool) -> None:
-    """Asks a dispatcher for a dead job once more, as a job of its own.
+    """Submits a dead job once more to a dispatcher, as a new job.
 
-    One that may have run is refused unless you say so: whether that does harm, who runs the jobs knows.
-    Prints the status of the answer; exits with 1 if that is not 200.
+    A job that may have run is refused without --anyway: only the operator knows whether a second run does
+    harm. Prints the status of the answer; exits with 1 if it is not 200.
     """
+    job = _inspect(folder).job(id_)
+    if job is None or not job.is_dead:
+        state = "not known" if job is None else job.state
+        raise click.ClickException(f"job {id_!r} is {state}, not dead")
+    if job.record.may_have_run and not anyway:
+        raise click.ClickException(f"job {id_!r} may have run: --anyway asks for it all the same")
+    now = int(time.time())
+    new_id = f"{id_}~{job.record.generation}.{now}"
+    status = _submit(address, job.record, new_id, f"{job.record.key}~{now}" if job.record.key else "")
+    click.echo(f"{new_id}: {status}")
+    if status != HTTPStatus.OK:
+        raise SystemExit(1)
+
+
+def _submit(address: str, record: Record, new_id: str, new_key: str) -> int:
+    """Submit a recorded request under another id and key. Return the status of the answer."""
     import http.client
 
     from eiderfield.config.address import parse_address
     from eiderfield.config.errors import ConfigError
 
-    known = _inspect(folder).job(id_)
-    if known is None or not known.is_dead:
-        state = "not known" if known is None else known.state
-        raise click.ClickException(f"job {id_!r} is {state}, not dead")
-    record = known.record
-    if record.may_have_run and not anyway:
-        raise click.ClickException(f"job {id_!r} may have run: --anyway asks for it all the same")
     try:
         host, port = parse_address(address, "--to")
     except ConfigError as error:
         raise click.UsageError(str(error)) from None
-    again = f"{id_}~{record.generation}.{int(time.time())}"
-    headers = {"X-Request-Id": again, "Content-Length": str(len(record.body))}
-    if record.key:
-        headers["Idempotency-Key"] = f"{record.key}~{int(time.time())}"
+    headers = {"X-Request-Id": new_id, "Content-Length": str(len(record.body))}
+    if new_key:
+        headers["Idempotency-Key"] = new_key
     try:
-        connection = http.client.HTTPConnection(host, port, timeout=600.0)
+        connection = http.client.HTTPConnection(host, port, timeout=REQUEUE_TIMEOUT_S)
         connection.request("POST", record.head.target, record.body, headers)
-        answer = connection.getresponse()
+        return connection.getresponse().status
     except OSError as error:
         raise click.ClickException(f"{address}: {error}") from None
-    click.echo(f"{again}: {answer.status}")
-    if answer.status != 200:
-        raise SystemExit(1)
 
 
 @jobs.command()
@@ -169,7 +183,7 @@
     import pyarrow
     import pyarrow.parquet as parquet
 
-    rows = [known.row(unix_offset()) for known in _inspect(folder).jobs()]
+    rows = [job.row(unix_offset()) for job in _inspect(folder).jobs()]
     rows = [{**row, "legs": json.dumps(row["legs"])} for row in rows]
     schema = pyarrow.schema(
         [
@@ -197,7 +211,7 @@
 @jobs.command()
 @click.argument("folder", type=FOLDER)
 def verify(folder: Path) -> None:
-    """Reads every record of every store. Prints what is wrong, a line each; exits with 1 if anything is."""
+    """Reads every record of every store. Prints a line for each fault; exits with 1 if there is one."""
     found = _inspect(folder).verify()
     for line in found:
         click.echo(line)
@@ -210,7 +224,7 @@
 @click.argument("folder", type=FOLDER)
 @click.argument("copy", type=click.Path(file_okay=False, path_type=Path))
 def snapshot(folder: Path, copy: Path) -> None:
-    """Copies what is kept into the new folder COPY while the dispatchers go on."""
+    """Copies FOLDER into the new folder COPY while the dispatchers go on."""
     from eiderfield.durable_requests.errors import FolderError
     from eiderfield.durable_requests.snapshot import copy_folder
 
@@ -224,7 +238,7 @@
 @click.argument("copy", type=FOLDER)
 @click.argument("folder", type=click.Path(file_okay=False, path_type=Path))
 def restore(copy: Path, folder: Path) -> None:
-    """Makes the new folder FOLDER out of a snapshot. Dispatchers that start on it take over what is open."""
+    """Restores the new folder FOLDER from a snapshot. Dispatchers that start on it take over open jobs."""
     from eiderfield.durable_requests.errors import FolderError
     from eiderfield.durable_requests.snapshot import copy_folder
 
--- a/eiderfield/durable_requests/changes.py
+++ b/eiderfield/durable_requests/changes.py
@@ -1,11 +1,14 @@
-"""Writes groups of changes into the own store, and says what may follow from each.
+"""Writes groups of changes into the store of the current incarnation and determines their outcomes.
 
-A group is written whole or not at all. After it is written the own fence is looked for: what a fenced
-incarnation has written is its successors', and nothing may follow from it here.
+A group is written in one transaction. After the commit the incarnation looks up its own fence: what a fenced
+incarnation has written belongs to its successors, and nothing may follow from it here.
 
-What must never happen: `Accepted`, `Claimed` or `Written` for what is not in the store, or for what was
-written by an incarnation that was fenced before it looked; a rejection that promises that asking anew is
-harmless (`NotWritten` of an `Accept`) for a request that is recorded somewhere.
+Invariants:
+
+- `Accepted`, `Claimed` and `Written` are returned only for what is in the store, written by an incarnation
+  that was not fenced afterwards.
+- `NotWritten` of an `Accept` promises that submitting the request again is harmless. It is never returned for
+  a request that is recorded somewhere.
 """
 
 from __future__ import annotations
@@ -15,7 +18,7 @@
 
 from eiderfield.durable_requests.context import Context, Incarnation
 from eiderfield.durable_requests.errors import StoreError
-from eiderfield.durable_requests.lookup import Located, RecordLookup
+from eiderfield.durable_requests.lookup import LocatedRecord, RecordLookup
 from eiderfield.durable_requests.messages import (
     Accept,
     Accepted,
@@ -35,15 +38,16 @@
 )
 from eiderfield.durable_requests.record import Record, Stage
 
-NO_INCARNATION = "no life could be begun"
+NO_INCARNATION = "no life could be begun"  # the reason of a `NotWritten`
+ID_IS_HELD = 0  # in the place of a generation: another incarnation holds the id
 
 
 @dataclass(slots=True)
 class _Group:
-    """What a group of changes is to write."""
+    """A group of changes that is being written."""
 
-    drafts: dict[str, Record] = field(default_factory=dict)
-    taken: list[Record] = field(default_factory=list)  # whose ids were taken for it
+    drafts: dict[str, Record] = field(default_factory=dict)  # records to be written, by request id
+    taken: list[Record] = field(default_factory=list)  # records whose ids were taken for the group
     outcomes: list[Outcome] = field(default_factory=list)
 
 
@@ -51,28 +55,28 @@
     """Applies changes for the current incarnation."""
 
     def __init__(self, context: Context, lookup: RecordLookup) -> None:
-        """Writes nothing yet."""
+        """Write nothing yet."""
         self._context = context
         self._lookup = lookup
-        self._unreleased: list[Record] = []  # whose ids could not be released
+        self._unreleased: list[Record] = []  # whose ids the system refused to release
 
     def apply(self, changes: Sequence[Change]) -> list[Outcome]:
-        """Writes a group; what came of each."""
+        """Write a group of changes and return their outcomes."""
         if not changes:
             return []
         try:
             if self._context.incarnation is not None and self._context.is_over():
-                return [self._too_late(change, Accepted()) for change in changes]
+                return [self._outcome_after_fence(change, Accepted()) for change in changes]
         except OSError as error:
-            return [self._not_written(change, str(error)) for change in changes]
+            return self._not_written(changes, str(error))
         own = self._context.incarnation
         if own is None:
-            return [self._not_written(change, NO_INCARNATION) for change in changes]
+            return self._not_written(changes, NO_INCARNATION)
         return self._write(own, changes)
 
     def _write(self, own: Incarnation, changes: Sequence[Change]) -> list[Outcome]:
-        counters, began, group = self._context.counters, self._context.now(), _Group()
-        self._at_points(changes, "")
+        counters, started_at, group = self._context.counters, self._context.now(), _Group()
+        self._reach_points(changes, "")
         try:
             with own.store.transaction():
                 for change in changes:
@@ -83,21 +87,22 @@
             for record in group.taken:
                 self._release(record)
             counters.commits_failed += 1
-            return [self._not_written(change, str(error)) for change in changes]
+            return self._not_written(changes, str(error))
         counters.commits += 1
-        counters.slowest_commit = max(counters.slowest_commit, self._context.now() - began)
+        counters.slowest_commit = max(counters.slowest_commit, self._context.now() - started_at)
         if self._context.is_over_after_commit():
-            return [self._too_late(*each) for each in zip(changes, group.outcomes, strict=True)]
-        self._note_open(own, group)
-        self._at_points(changes, " done")
+            pairs = zip(changes, group.outcomes, strict=True)
+            return [self._outcome_after_fence(change, outcome) for change, outcome in pairs]
+        self._update_open_records(own, group)
+        self._reach_points(changes, " done")
         return group.outcomes
 
-    def _at_points(self, changes: Sequence[Change], ending: str) -> None:
+    def _reach_points(self, changes: Sequence[Change], suffix: str) -> None:
         for name in sorted({type(change).__name__.lower() for change in changes}):
-            self._context.point(f"{name}{ending}")
+            self._context.point(f"{name}{suffix}")
 
     @staticmethod
-    def _note_open(own: Incarnation, group: _Group) -> None:
+    def _update_open_records(own: Incarnation, group: _Group) -> None:
         for id_, record in group.drafts.items():
             if record.stage == Stage.FINAL:
                 own.open_records.pop(id_, None)
@@ -107,6 +112,7 @@
     # Drafts.
 
     def _draft(self, own: Incarnation, change: Change, group: _Group) -> Outcome:
+        """Add the record that a change leads to, and return the outcome once that is written."""
         if isinstance(change, Accept):
             return self._draft_accept(own, change.record, group)
         record = group.drafts.get(change.id) or own.open_records.get(change.id)
@@ -133,58 +139,72 @@
         except StoreError:
             return AlreadyAccepted(record.id)
         if located.record is not None and (located.is_open or located.record.is_repeatable):
-            return _joined(record, located.record)
+            return _join(record, located.record)
         generation = self._take_id(own, record.id, located)
-        if generation == 0:
+        if generation == ID_IS_HELD:
             return AlreadyAccepted(record.id)
         record = replace(record, generation=generation)
         group.taken.append(record)
         if record.key and (holder := self._hold_key(record)) != record.id:
-            return self._joined_by_key(record, holder, group)
+            return self._join_by_key(record, holder, group)
         group.drafts[record.id] = record
         self._context.counters.accepted += 1
         return Accepted()
 
-    def _take_id(self, own: Incarnation, id_: str, located: Located) -> int:
-        """Takes an id that nobody holds any more; its generation, 0 if somebody holds it."""
+    def _take_id(self, own: Incarnation, id_: str, located: LocatedRecord) -> int:
+        """Take an id that no incarnation holds any more, and return its generation.
+
+        An id is free again if its request was rejected, or if its holder was lost before it recorded
+        anything. Returns `ID_IS_HELD` if the id is not free.
+        """
         if self._lookup.is_unwritten_here(located):
             self._unreleased = [record for record in self._unreleased if record.id != id_]
             return located.generation
-        # Its holder was lost before it wrote anything, or it was rejected: whoever asks next takes it anew.
-        free = located.generation == 0 or located.record is not None or self._lookup.is_abandoned(located)
+        is_free = located.generation == 0 or located.record is not None or self._lookup.is_abandoned(located)
         generation = located.generation + 1
-        return generation if free and self._context.folder.ids.take(id_, own.name, generation) else 0
+        is_taken = is_free and self._context.folder.ids.take(id_, own.name, generation)
+        return generation if is_taken else ID_IS_HELD
 
     def _hold_key(self, record: Record) -> str:
-        """The id that holds a record's key now: its own, unless another request that counts has it."""
+        """Hold a record's key for its id, unless another request holds it. Return the id that holds it.
+
+        A request that was rejected or abandoned does not hold its key any more.
+        """
         ids = self._context.folder.ids
         while (holder := ids.hold_key(record.class_name, record.key, record.id)) != record.id:
             located = self._lookup.locate(holder)
             if located.record is not None:
-                counts = located.is_open or located.record.is_repeatable
+                holds_key = located.is_open or located.record.is_repeatable
             else:
-                counts = located.generation > 0 and not self._lookup.is_abandoned(located)
-            if counts:
+                holds_key = located.generation > 0 and not self._lookup.is_abandoned(located)
+            if holds_key:
                 return holder
             ids.free_key(record.class_name, record.key, holder)
         return holder
 
-    def _joined_by_key(self, record: Record, holder: str, group: _Group) -> Outcome:
+    def _join_by_key(self, record: Record, holder: str, group: _Group) -> Outcome:
+        """Release the id of a record whose key another request holds, and join that request."""
         group.taken.pop()
         self._context.folder.ids.release(record.id, record.generation)
-        there = self._lookup.locate(holder).record
-        same = there is None or replace(there, id=record.id).digest == record.digest
-        return AlreadyAccepted(holder) if same else Conflict()
+        recorded = self._lookup.locate(holder).record
+        is_same = recorded is None or replace(recorded, id=record.id).digest == record.digest
+        return AlreadyAccepted(holder) if is_same else Conflict()
+
+    # Changes that could not be written, or were written too late.
+
+    def _not_written(self, changes: Sequence[Change], reason: str) -> list[Outcome]:
+        return [self._outcome_unwritten(change, reason) for change in changes]
 
-    # What could not be written, or came too late.
+    def _outcome_unwritten(self, change: Change, reason: str) -> Outcome:
+        """Return the outcome of a change that could not be written.
 
-    def _not_written(self, change: Change, reason: str) -> Outcome:
-        """What may be said where nothing could be written. A waiter for a request that is recorded somewhere
-        waits for it: told that asking anew is harmless, it might begin a second one."""
+        The client of a request that is recorded somewhere waits for it: told that submitting again is
+        harmless, it could cause a second run.
+        """
         if not isinstance(change, Accept):
             own = self._context.incarnation
-            mine = own is not None and change.id in own.open_records
-            return NotWritten(reason) if mine or isinstance(change, Finish) else NotOwned()
+            is_mine = own is not None and change.id in own.open_records
+            return NotWritten(reason) if is_mine or isinstance(change, Finish) else NotOwned()
         record = change.record
         try:
             located = self._lookup.locate(record.id)
@@ -194,39 +214,39 @@
             if located.record.digest != record.digest:
                 return Conflict()
             if located.is_open or located.record.is_repeatable:
-                return _joined(record, located.record)
+                return _join(record, located.record)
             return NotWritten(reason)
-        unknown = located.generation == 0 or self._lookup.is_unwritten_here(located)
-        return NotWritten(reason) if unknown else AlreadyAccepted(record.id)
+        is_unknown = located.generation == 0 or self._lookup.is_unwritten_here(located)
+        return NotWritten(reason) if is_unknown else AlreadyAccepted(record.id)
 
-    def _too_late(self, change: Change, outcome: Outcome) -> Outcome:
-        """What an incarnation that is over may say of what it wrote: its successors have it."""
+    def _outcome_after_fence(self, change: Change, outcome: Outcome) -> Outcome:
+        """Return the outcome of a change that a fenced incarnation has written: its successors own it."""
         if isinstance(change, Accept):
             return AlreadyAccepted(change.record.id) if isinstance(outcome, Accepted) else outcome
         if isinstance(change, Claim):
             self._context.counters.claims_refused += 1
         return NotOwned()
 
-    # Ids that were taken and not written.
+    # Ids that were taken for records that could not be written.
 
     def _release(self, record: Record) -> None:
-        """Releases an id; later, if the system refuses it now."""
+        """Release an id, later if the system refuses it now."""
         try:
             self._context.folder.ids.release(record.id, record.generation, record.class_name, record.key)
         except OSError:
             self._unreleased.append(record)
 
     def release_again(self) -> None:
-        """Releases what could not be released before."""
+        """Release the ids that could not be released before."""
         own = self._context.incarnation
-        waiting, self._unreleased = self._unreleased, []
-        for record in waiting:
+        unreleased, self._unreleased = self._unreleased, []
+        for record in unreleased:
             if own is None or record.id not in own.open_records:
                 self._release(record)
 
 
-def _joined(record: Record, there: Record) -> Outcome:
-    """Of a request whose id is recorded already."""
-    if there.digest != record.digest:
+def _join(record: Record, recorded: Record) -> Outcome:
+    """Return the outcome of accepting a request whose id is recorded already."""
+    if recorded.digest != record.digest:
         return Conflict()
-    return AlreadyFinal(there) if there.stage == Stage.FINAL else AlreadyAccepted(record.id)
+    return AlreadyFinal(recorded) if recorded.stage == Stage.FINAL else AlreadyAccepted(record.id)
--- a/eiderfield/durable_requests/commit_thread.py
+++ b/eiderfield/durable_requests/commit_thread.py
@@ -184,7 +184,7 @@
         now, member = steady_ms(), self.member
         if now < self._next_tick or member.has_left:
             return
-        self._next_tick = now + member.settings.tick
+        self._next_tick = now + member.settings.tick_interval_ms
         member.tick()
         if ids := member.requested_ends():
             self._call(lambda: self._listener.on_end_requested(ids))
--- a/eiderfield/durable_requests/coordinator.py
+++ b/eiderfield/durable_requests/coordinator.py
@@ -47,7 +47,7 @@
         classes = services.exchange.settings.classes
         priorities = {each.name: each.priority_weight for each in classes}
         member = Member(settings, name, priorities, services.log)
-        thread = CommitThread(member, services.call_in_loop, settings.most_waiting)
+        thread = CommitThread(member, services.call_in_loop, settings.max_waiting_operations)
         self.context = LoopContext(services, thread, tuple(each.name for each in classes))
         self._remote_waiters = RemoteWaiters(self.context)
         recorder = AnswerRecorder(self.context, self._remote_waiters)
--- a/eiderfield/durable_requests/errors.py
+++ b/eiderfield/durable_requests/errors.py
@@ -12,31 +12,30 @@
 from pathlib import Path
 
 FOLDER_KEY = "custody.folder"  # the key of the settings that names the shared folder
+MAX_SHOWN_NAME = 40  # characters of a name in a message
 
 
 class DurableRequestsError(RuntimeError):
     """Base of all errors of durable requests.
 
-    `transient` says that the same call may succeed later, without an operator.
+    `transient` says that the same call may succeed later, without an operator. `key` is the key of the
+    settings that an operator has to change, '' if it is none.
     """
 
-    def __init__(self, message: str, transient: bool = False) -> None:
+    def __init__(self, message: str, transient: bool = False, key: str = "") -> None:
         """Create an error with a message for operators."""
         super().__init__(message)
         self.transient = transient
+        self.key = key
 
 
 class FolderError(DurableRequestsError):
-    """The shared folder cannot be used.
-
-    `path` is the folder; `key` is the key of the settings that names it, '' if it is from the command line.
-    """
+    """The shared folder, `path`, cannot be used. `key` is '' if the folder is from the command line."""
 
     def __init__(self, path: Path, reason: str, key: str = "", transient: bool = False) -> None:
         """Create an error with a message of key, path and reason."""
-        super().__init__(f"{key}: {path}: {reason}" if key else f"{path}: {reason}", transient)
+        super().__init__(f"{key}: {path}: {reason}" if key else f"{path}: {reason}", transient, key)
         self.path = path
-        self.key = key
         self.reason = reason
 
 
@@ -45,7 +44,8 @@
 
     def __init__(self, name: str) -> None:
         """Create an error for a dispatcher's name."""
-        super().__init__(f"name is not a plain word, as [custody] needs it: {name[:40]!r}")
+        message = f"name is not a plain word, as [custody] needs it: {name[:MAX_SHOWN_NAME]!r}"
+        super().__init__(message, key="name")
         self.name = name
 
 
--- a/eiderfield/durable_requests/inspection.py
+++ b/eiderfield/durable_requests/inspection.py
@@ -1,7 +1,7 @@
-"""The whole folder as operators see it: every job once, with its owner; checks. It changes no store.
+"""The whole folder as operators see it: every job once, with its owner; checks. Changes no store.
 
-A job may stand in several stores: in that of who accepted it, and in those of its successors. What counts is
-the record of the last owner that wrote one (`ownership.py`).
+A job may be recorded in several stores: in that of the incarnation that accepted it, and in those of its
+successors. The record of the last owner that wrote one counts (`ownership.py`).
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 from collections.abc import Iterator
 from contextlib import closing, suppress
 from dataclasses import dataclass
+from enum import StrEnum
 from pathlib import Path
 
 from eiderfield.durable_requests.errors import EmptyStoreError, StoreError
@@ -20,30 +21,43 @@
 from eiderfield.exchange.request import Verdict
 
 NO_FENCE = Fence((), "", "")
+NO_RECORDS = Counts(0, 0, 0)
+
+
+class IncarnationState(StrEnum):
+    """The state of an incarnation, by the word that operators see."""
+
+    ALIVE = "alive"
+    GONE = "gone"  # its process is gone, and it is not fenced yet
+    LOST = "lost"
+    LEFT = "left"
 
 
 @dataclass(frozen=True, slots=True)
 class StoredJob:
-    """A job, the incarnation that owns it, and those it has belonged to. `owner` is '' while it has none."""
+    """A durable request as it is recorded. `chain` are the incarnations it has belonged to."""
 
     record: Record
-    owner: str
+    owner: str  # '' while no incarnation owns it
     chain: tuple[str, ...]
 
     @property
     def state(self) -> str:
-        """In a word: `accepted`, `claimed`, or the verdict of its answer."""
+        """The verdict of its answer, otherwise its stage: `accepted` or `claimed`."""
         return self.record.verdict or self.record.stage.name.lower()
 
     @property
     def is_dead(self) -> bool:
-        """Whether it ended without a result, and nobody asked for that end."""
+        """Whether it ended without a result, and its end had not been requested."""
         return self.record.verdict in (Verdict.FAILED.value, Verdict.REJECTED.value)
 
-    def row(self, offset: float) -> dict[str, object]:
-        """Plain values, for tables and JSON; `offset` leads from monotonic times to Unix time, in ms."""
+    def row(self, unix_offset: float) -> dict[str, object]:
+        """Return plain values, for tables and JSON.
+
+        `unix_offset` leads from the monotonic clock to Unix time, in ms.
+        """
         record = self.record
-        attempted = not record.verdict and bool(record.attempts)
+        is_attempted = not record.verdict and bool(record.attempts)
         return {
             "id": record.id,
             "class": record.class_name,
@@ -51,10 +65,10 @@
             "owner": self.owner,
             "taken_over": record.takeovers,
             "front": record.front,
-            "accepted_ms": record.accepted_at + offset,
-            "due_ms": record.deadline + offset,
-            "finished_ms": record.finished_at + offset if record.finished_at else None,
-            "may_have_run": record.may_have_run or attempted,
+            "accepted_ms": record.accepted_at + unix_offset,
+            "due_ms": record.deadline + unix_offset,
+            "finished_ms": record.finished_at + unix_offset if record.finished_at else None,
+            "may_have_run": record.may_have_run or is_attempted,
             "legs": [encode_attempt(attempt) for attempt in record.attempts],
             "why": record.reason,
             "key": record.key,
@@ -65,19 +79,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredIncarnation:
-    """An incarnation: alive, lost, left, or gone and not fenced yet."""
+    """An incarnation as it is recorded."""
 
     name: str
-    state: str
+    state: IncarnationState
     fence: Fence
     counts: Counts
     pid: int | None
 
     def row(self) -> dict[str, object]:
-        """Plain values, for tables and JSON."""
+        """Return plain values, for tables and JSON."""
         return {
             "life": self.name,
-            "state": self.state,
+            "state": str(self.state),
             "why": self.fence.reason,
             "heirs": list(self.fence.successors),
             "open": self.counts.open,
@@ -88,33 +102,35 @@
 
 
 class Inspection:
-    """A look at a folder. Raises `FolderError` if it is none."""
+    """Reads a folder. Raises `FolderError` if it is not a folder of durable requests."""
 
     def __init__(self, path: Path) -> None:
-        """Reads the fences."""
+        """Read the fences."""
         self.folder = SharedFolder(path, make=False)
         self.fences = self.folder.fences.refresh()
-        self.faults: list[str] = []  # stores that could not be read, by name
+        self.faults: list[str] = []  # stores that could not be read, with the reason
 
     def incarnations(self) -> list[StoredIncarnation]:
-        """All incarnations."""
+        """Return all incarnations."""
         alive = self.folder.incarnations.all(besides=self.fences)
         gone = self.folder.incarnations.gone(alive)
         return [self._incarnation(name, name in gone) for name in sorted({*alive, *self.fences})]
 
     def _incarnation(self, name: str, is_gone: bool) -> StoredIncarnation:
-        counts = Counts(0, 0, 0)
+        counts = NO_RECORDS
         with suppress(StoreError), closing(self.open_store(name)) as store:
             counts = store.counts()
-        fence = self.folder.fences.read(name) if name in self.fences else NO_FENCE
-        state = "gone" if is_gone else "alive"
-        if name in self.fences:
-            state = "left" if fence.reason == LEFT else "lost"
+        is_fenced = name in self.fences
+        fence = self.folder.fences.read(name) if is_fenced else NO_FENCE
+        if is_fenced:
+            state = IncarnationState.LEFT if fence.reason == LEFT else IncarnationState.LOST
+        else:
+            state = IncarnationState.GONE if is_gone else IncarnationState.ALIVE
         info = self.folder.incarnations.info(name)
         return StoredIncarnation(name, state, fence, counts, None if info is None else info.pid)
 
     def jobs(self) -> Iterator[StoredJob]:
-        """Every job once."""
+        """Yield every job once."""
         seen: set[str] = set()
         for name in self.folder.stored_incarnations():
             try:
@@ -133,7 +149,7 @@
             yield job
 
     def job(self, id_: str) -> StoredJob | None:
-        """One job, None if nothing is known of it."""
+        """Return one job, None if nothing is recorded of it."""
         holder = self.folder.ids.holder(id_)
         if holder is None:
             return None
@@ -147,20 +163,17 @@
         return None
 
     def open_store(self, incarnation: str) -> RecordStore:
-        """An incarnation's store, to be read and closed."""
+        """Open the store of an incarnation for reading; the caller closes it."""
         path = self.folder.store_path(incarnation)
         if not path.exists():
             raise StoreError(path, "not there")
         return RecordStore(path, read_only=True)
 
     def verify(self) -> list[str]:
-        """What is wrong, a line each; nothing for a folder in order."""
-        found = [*self._faulty_stores(), *self._unknown_successors()]
-        for job in self.jobs():
-            if job.record.stage != Stage.FINAL and not job.owner:
-                found.append(f"job {job.record.id}: open, and all who might own it are lost")
-        named = [fault for fault in self.faults if any(fault.split(":")[0] in line for line in found)]
-        return [*found, *(fault for fault in self.faults if fault not in named)]
+        """Return the faults of the folder, a line each."""
+        found = [*self._faulty_stores(), *self._unknown_successors(), *self._ownerless_jobs()]
+        unnamed = [fault for fault in self.faults if not any(fault.split(":")[0] in line for line in found)]
+        return [*found, *unnamed]
 
     def _faulty_stores(self) -> Iterator[str]:
         for name in self.folder.stored_incarnations():
@@ -179,3 +192,8 @@
             for successor in successors:
                 if successor not in self.fences and self.folder.incarnations.info(successor) is None:
                     yield f"fences/{name}: its heir {successor} is not known"
+
+    def _ownerless_jobs(self) -> Iterator[str]:
+        for job in self.jobs():
+            if job.record.stage != Stage.FINAL and not job.owner:
+                yield f"job {job.record.id}: open, and all who might own it are lost"
--- a/eiderfield/durable_requests/lookup.py
+++ b/eiderfield/durable_requests/lookup.py
@@ -1,4 +1,4 @@
-"""Finds what is recorded of a request, wherever it is."""
+"""Finds the record of a request, in whichever store it is."""
 
 from __future__ import annotations
 
@@ -10,76 +10,85 @@
 from eiderfield.durable_requests.record import Record, Stage
 
 
-class Located(NamedTuple):
-    """How often an id was taken (0 for never), its latest record, and whom it has belonged to."""
+class LocatedRecord(NamedTuple):
+    """The latest record of an id, if there is one, and the incarnations that the id has belonged to."""
 
-    generation: int
+    generation: int  # how often the id was taken; 0 for never
     record: Record | None
     chain: tuple[str, ...]
 
     @property
     def is_open(self) -> bool:
-        """Whether it is recorded and lacks its answer."""
+        """Whether there is a record without an answer."""
         return self.record is not None and self.record.stage != Stage.FINAL
 
 
-NOWHERE = Located(0, None, ())
+class FoundAnswer(NamedTuple):
+    """A request whose answer was awaited: its FINAL record, None if nothing is known of the id any more."""
+
+    id: str
+    record: Record | None
+
+
+NOT_TAKEN = LocatedRecord(0, None, ())
 
 
 class RecordLookup:
-    """Reads the own store and those of others."""
+    """Reads the store of this incarnation and those of others."""
 
     def __init__(self, context: Context) -> None:
-        """Reads nothing yet."""
+        """Read nothing yet."""
         self._context = context
 
-    def locate(self, id_: str) -> Located:
-        """What is recorded of a request. `StoreError` or `OSError` where that cannot be told."""
+    def locate(self, id_: str) -> LocatedRecord:
+        """Return the latest record of a request. Raises `StoreError` or `OSError` if it cannot be read."""
         folder = self._context.folder
         holder = folder.ids.holder(id_)
         if holder is None:
-            return NOWHERE
+            return NOT_TAKEN
         chain = tuple(folder.fences.chain(id_, holder.incarnation))
         for incarnation in reversed(chain):
             record = self.read(incarnation, id_)
             if record is not None and record.generation == holder.generation:
-                return Located(holder.generation, record, chain)
-        return Located(holder.generation, None, chain)
+                return LocatedRecord(holder.generation, record, chain)
+        return LocatedRecord(holder.generation, None, chain)
 
     def read(self, incarnation: str, id_: str) -> Record | None:
-        """What one incarnation has recorded of a request."""
+        """Return the record of a request in the store of one incarnation."""
         own = self._context.incarnation
         if own is not None and own.name == incarnation:
             return own.store.get(id_)
         return self._context.readers.read(incarnation, id_)
 
     def find(self, id_: str) -> Record | None:
-        """What is recorded of a request; None also where that cannot be told."""
+        """Return the latest record of a request, None if there is none or it cannot be read."""
         try:
             return self.locate(id_).record
         except (StoreError, OSError):
             return None
 
-    def is_abandoned(self, located: Located) -> bool:
-        """Whether an id is taken by an incarnation that is fenced and has recorded nothing, so that nobody
-        will, but for a commit that was under way."""
+    def is_abandoned(self, located: LocatedRecord) -> bool:
+        """Return whether an id was taken by an incarnation that is fenced and recorded nothing.
+
+        Nobody will record it any more, except a commit that was in progress when the fence was created.
+        """
         if located.record is not None or not located.chain:
             return False
         return self._context.folder.fences.exists(located.chain[0])
 
-    def is_unwritten_here(self, located: Located) -> bool:
-        """Whether an id was taken by this incarnation and nothing recorded: nobody else will record it."""
+    def is_unwritten_here(self, located: LocatedRecord) -> bool:
+        """Return whether this incarnation took an id and recorded nothing: no other one will record it."""
         return located.record is None and located.chain == (self._context.own_name,)
 
-    def poll_answers(self, ids: Iterable[str]) -> list[tuple[str, Record | None]]:
-        """Those of some ids that have their answer, or of which nothing is known any more."""
-        found: list[tuple[str, Record | None]] = []
+    def poll_answers(self, ids: Iterable[str]) -> list[FoundAnswer]:
+        """Return those of some ids that have their answer, or of which nothing is known any more."""
+        found: list[FoundAnswer] = []
         for id_ in ids:
             try:
                 located = self.locate(id_)
-                unknown = located == NOWHERE or self.is_abandoned(located)
+                is_unknown = located == NOT_TAKEN or self.is_abandoned(located)
             except (StoreError, OSError):
-                continue  # its owner may be writing its first record just now
-            if unknown or (located.record is not None and not located.is_open):
-                found.append((id_, located.record))
+                continue  # its owner may be writing the first record
+            if is_unknown or (located.record is not None and not located.is_open):
+                found.append(FoundAnswer(id_, located.record))
         return found
--- a/eiderfield/durable_requests/member.py
+++ b/eiderfield/durable_requests/member.py
@@ -1,14 +1,15 @@
-"""One member of a host's durable requests: the part of one process, without a thread.
+"""The member of one process in the shared folder, without a thread.
 
 States of a member, which has one incarnation at a time:
 
-    none     no incarnation could be begun, or the last one is over; `tick` begins one, a try a second
-    active   it writes (`apply`), renews its lease and watches the others (`tick`), takes over (`take_over`)
-    left     it has given what it had to the others, and begins nothing any more
+    none     no incarnation could be begun, or the last one is over; `tick` begins one, at most one per second
+    active   writes changes (`apply`), renews its lease and watches the others (`tick`), takes over requests
+             (`take_over`)
+    left     has given its requests to the others, and begins no further incarnation
 
-It is called by one thread at a time (`commit_thread.py`), or by a test that stops it at any of the named
-points. A member that finds its incarnation fenced gives everything up; the next incarnation inherits
-nothing.
+A member is called by one thread at a time (`commit_thread.py`), or by a test that stops it at one of the
+named points. A member whose incarnation is fenced gives up all its requests; its next incarnation starts with
+none.
 """
 
 from __future__ import annotations
@@ -19,11 +20,16 @@
 from eiderfield.durable import TRANSIENT_ERRNOS
 from eiderfield.durable_requests.changes import ChangeWriter
 from eiderfield.durable_requests.context import Context, Counters, Incarnation
-from eiderfield.durable_requests.errors import FOLDER_KEY, DurableRequestsError, FolderError, StoreError
+from eiderfield.durable_requests.errors import (
+    FOLDER_KEY,
+    DurableRequestsError,
+    FolderError,
+    StoreError,
+)
 from eiderfield.durable_requests.failure_detector import FailureDetector
 from eiderfield.durable_requests.folder import SharedFolder
 from eiderfield.durable_requests.lease import Lease
-from eiderfield.durable_requests.lookup import RecordLookup
+from eiderfield.durable_requests.lookup import FoundAnswer, RecordLookup
 from eiderfield.durable_requests.membership import Membership
 from eiderfield.durable_requests.messages import (
     Find,
@@ -42,13 +48,18 @@
 from eiderfield.durable_requests.takeover import Takeover
 from eiderfield.machine import steady_ms
 
-BEGIN_AGAIN = 1000.0  # ms from one try to begin an incarnation to the next
+BEGIN_INTERVAL_MS = 1000.0  # between two tries to begin an incarnation
+STORE_SIZE_FACTOR = 2  # of a store's file, over the bytes of bodies and results in it
+
+
+def _ignore_point(_name: str) -> None:
+    """Do nothing: only the laboratory stops a process at named points."""
 
 
 class Member:
-    """A process's part. `priorities` orders classes, by name; `log` gets lines for operators."""
+    """The member of one process. `point` is replaced by the laboratory and by tests."""
 
-    point: Callable[[str], None] = staticmethod(lambda name: None)  # of the laboratory, at named points
+    point: Callable[[str], None] = staticmethod(_ignore_point)
 
     def __init__(
         self,
@@ -58,7 +69,11 @@
         log: Callable[[str], None],
         now: Callable[[], float] = steady_ms,
     ) -> None:
-        """Opens the folder; `FolderError` if only an operator can make that possible."""
+        """Open the folder.
+
+        `priorities` has the priority weight of each class, by name. Raises `FolderError` if only an operator
+        can make the folder usable.
+        """
         self.settings = settings
         self.name = name
         self.folder = SharedFolder(settings.folder, flush=settings.flush)
@@ -72,17 +87,17 @@
         self._membership = Membership(self._context)
         self._takeover = Takeover(self._context, self._lookup, self._membership.renew)
         self.retention = Retention(self._context, self._lookup, self._takeover.on_own_clock)
-        self._begun = ""  # an incarnation that was begun and has no store yet
-        self._tried = -BEGIN_AGAIN
+        self._unopened_incarnation = ""  # one that was begun and has no store yet
+        self._tried_to_begin_at = -BEGIN_INTERVAL_MS
 
     @property
     def current(self) -> Incarnation | None:
-        """The incarnation of this process, None while there is none."""
+        """The current incarnation, None while there is none."""
         return self._context.incarnation
 
     @property
     def incarnation(self) -> str:
-        """The name of the incarnation, '' while there is none."""
+        """The name of the current incarnation, '' while there is none."""
         return self._context.own_name
 
     @property
@@ -92,64 +107,72 @@
 
     @property
     def member_count(self) -> int:
-        """Incarnations that are not fenced, as of the last tick."""
+        """The number of incarnations that were not fenced at the last tick."""
         return self._membership.member_count
 
     @property
     def pending_takeovers(self) -> int:
-        """Requests of lost incarnations that are still to be taken over here."""
+        """The number of requests of lost incarnations that are still to be taken over."""
         return self._takeover.pending_count
 
     @property
     def open_records(self) -> Mapping[str, Record]:
-        """The requests of this incarnation that lack an answer."""
+        """The records of this incarnation that have no answer, by request id."""
         return {} if self.current is None else self.current.open_records
 
     def holds_lease(self, now: float) -> bool:
-        """Whether this process may send what it has claimed."""
+        """Return whether this process may send what it has claimed."""
         return self.current is not None and self.current.lease.holds(now)
 
     # Incarnations.
 
     def begin(self) -> None:
-        """Begins an incarnation. `FolderError` or `StoreError` if the folder cannot be used."""
-        self._tried = self._context.now()
+        """Begin an incarnation.
+
+        Raises `FolderError`, `StoreError` or `DispatcherNameError` if that is not possible.
+        """
+        self._tried_to_begin_at = self._context.now()
         try:
             self.folder.ensure_usable()
             name, store = self._open_store()
         except OSError as error:
-            raise FolderError(
-                self.folder.path, str(error.strerror), FOLDER_KEY, error.errno in TRANSIENT_ERRNOS
-            ) from None
+            is_transient = error.errno in TRANSIENT_ERRNOS
+            raise FolderError(self.folder.path, str(error.strerror), FOLDER_KEY, is_transient) from None
         settings = self.settings
-        lease = Lease(settings.lease, settings.margin)
-        self._begun = ""
-        self._context.incarnation = Incarnation(name, store, lease, FailureDetector(name, settings.lease))
+        lease = Lease(settings.lease_ms, settings.lease_margin_ms)
+        detector = FailureDetector(name, settings.lease_ms)
+        self._unopened_incarnation = ""
+        self._context.incarnation = Incarnation(name, store, lease, detector)
         self._takeover.reset()
 
     def _open_store(self) -> tuple[str, RecordStore]:
-        """A new incarnation's name and store. One whose store could not be made is used at the next try, or a
-        full disk would fill with names; unless it was fenced meanwhile."""
+        """Return the name and the store of a new incarnation.
+
+        A name whose store could not be created is used again at the next try, unless it was fenced meanwhile:
+        otherwise a full disk would fill with names.
+        """
         fences = self.folder.fences
-        if not self._begun or fences.exists(self._begun):
-            self._begun = self.folder.incarnations.begin(self.name)
-        name = self._begun
-        max_bytes = 2 * self.settings.most_bytes
-        store = RecordStore(self.folder.store_path(name), flush=self.settings.flush, max_bytes=max_bytes)
+        if not self._unopened_incarnation or fences.exists(self._unopened_incarnation):
+            self._unopened_incarnation = self.folder.incarnations.begin(self.name)
+        name = self._unopened_incarnation
+        store = RecordStore(
+            self.folder.store_path(name),
+            flush=self.settings.flush,
+            max_bytes=STORE_SIZE_FACTOR * self.settings.max_bytes,
+        )
         if fences.exists(name):
             store.close()
-            self._begun = ""
-            raise FolderError(
-                self.folder.path, f"{name} was fenced before it began", FOLDER_KEY, transient=True
-            )
+            self._unopened_incarnation = ""
+            reason = f"{name} was fenced before it began"
+            raise FolderError(self.folder.path, reason, FOLDER_KEY, transient=True)
         return name, store
 
     def end_incarnation(self) -> None:
-        """Gives up all that the incarnation has: it is its successors'."""
+        """End the current incarnation. Its successors own its requests."""
         self._context.end_incarnation()
 
     def leave(self) -> bool:
-        """Gives what is left to the others, at once. False if there is nobody."""
+        """Give all requests to the other members. Returns False if there is no other member."""
         if self.current is None:
             return False
         with suppress(OSError):
@@ -159,8 +182,10 @@
         return self.has_left
 
     def close(self) -> None:
-        """Closes what is open, and leaves if nothing is open; else the incarnation is its successors' as soon
-        as its process is gone."""
+        """Close all files, and leave if no request is open.
+
+        Open requests are the successors' once this process is gone.
+        """
         if not self.open_records:
             self.leave()
         self._context.readers.close_all()
@@ -169,11 +194,13 @@
     # Operations.
 
     def apply(self, operations: Sequence[Operation]) -> list[Outcome]:
-        """Writes a group of changes, whole or not at all, and answers queries after that; what came of
-        each."""
-        changes = [each for each in operations if not isinstance(each, Query)]
+        """Write the changes of a group in one transaction, then answer its queries. Return the outcomes."""
+        changes = [operation for operation in operations if not isinstance(operation, Query)]
         outcomes = iter(self._changes.apply(changes))
-        return [self._answer(each) if isinstance(each, Query) else next(outcomes) for each in operations]
+        return [
+            self._answer(operation) if isinstance(operation, Query) else next(outcomes)
+            for operation in operations
+        ]
 
     def _answer(self, query: Query) -> Outcome:
         if isinstance(query, Find):
@@ -185,23 +212,26 @@
         return Written()
 
     def find(self, id_: str) -> Record | None:
-        """What is recorded of a request, wherever it is."""
+        """Return the latest record of a request, in whichever store it is."""
         return self._lookup.find(id_)
 
-    def poll_answers(self, ids: Iterable[str]) -> list[tuple[str, Record | None]]:
-        """Those of some ids that have their answer, or of which nothing is known any more."""
+    def poll_answers(self, ids: Iterable[str]) -> list[FoundAnswer]:
+        """Return those of some ids that have their answer, or of which nothing is known any more."""
         return self._lookup.poll_answers(ids)
 
     def requested_ends(self) -> list[str]:
-        """Requests of this incarnation whose end somebody requests. What is over needs none."""
-        found = []
+        """Return the requests of this incarnation whose end has been requested.
+
+        Removes the end requests of requests that are over.
+        """
+        ids = []
         with suppress(OSError):
             for id_ in self.folder.end_requests.all():
                 if id_ in self.open_records:
-                    found.append(id_)
+                    ids.append(id_)
                 elif self.current is not None and self._is_over(id_):
                     self.folder.end_requests.remove(id_)
-        return found
+        return ids
 
     def _is_over(self, id_: str) -> bool:
         record = self.find(id_)
@@ -210,14 +240,18 @@
     # Ticks.
 
     def tick(self) -> bool:
-        """Renews the lease, sees who is lost, and what they left. False without an incarnation."""
+        """Renew the lease, detect lost incarnations and scan their stores.
+
+        Without an incarnation, try to begin one. Returns whether there was one and still is.
+        """
         if self.current is None:
-            if not self.has_left and self._context.now() >= self._tried + BEGIN_AGAIN:
+            is_due = self._context.now() >= self._tried_to_begin_at + BEGIN_INTERVAL_MS
+            if is_due and not self.has_left:
                 self._begin_again()
             return False
         try:
             self._tick(self.current)
-        except (StoreError, OSError, ValueError) as error:  # or a name that is none of ours
+        except (StoreError, OSError, ValueError) as error:  # `ValueError`: a foreign name in the folder
             self._context.count_failure(error)
         return self.current is not None
 
@@ -239,9 +273,9 @@
         self.retention.clean(own)
 
     def take_over(self) -> list[Record]:
-        """Takes over as many requests of lost incarnations as the rate allows now."""
+        """Take over as many requests of lost incarnations as the rate allows now. Return their records."""
         return [] if self.current is None else self._takeover.take_over(self.current)
 
     def report(self, text: str) -> None:
-        """A line for operators, not repeated."""
+        """Log a line for operators, unless it was logged before."""
         self._context.log_once(text)
--- a/eiderfield/durable_requests/membership.py
+++ b/eiderfield/durable_requests/membership.py
@@ -1,4 +1,4 @@
-"""One member's part in agreeing on who is lost: its heartbeat, its votes, and the fences that it makes."""
+"""One member's part in the agreement on lost incarnations: its heartbeat, its votes and its fences."""
 
 from __future__ import annotations
 
@@ -9,29 +9,32 @@
 from eiderfield.durable_requests.fences import LEFT
 from eiderfield.durable_requests.incarnations import IncarnationInfo
 
+PROCESS_GONE = "its process is gone"  # reasons of fences
+SILENT = "it is silent"
+
 
 class Membership:
     """Watches the other incarnations for the current one."""
 
     def __init__(self, context: Context) -> None:
-        """Watches nobody yet."""
+        """Watch nothing yet."""
         self._context = context
-        self.member_count = 0  # incarnations that are not fenced, as of the last round
+        self.member_count = 0  # incarnations that were not fenced in the last round
 
     def renew(self, own: Incarnation) -> None:
-        """Writes a heartbeat, which renews the lease."""
+        """Write a heartbeat, which renews the lease."""
         before = self._context.now()
         own.heartbeat += 1
         self._context.folder.incarnations.write_heartbeat(own.name, own.heartbeat)
         own.lease.renew(before)
 
     def alive(self) -> dict[str, IncarnationInfo]:
-        """The incarnations that are not fenced."""
+        """Return the incarnations that are not fenced."""
         folder = self._context.folder
         return folder.incarnations.all(besides=folder.fences.known)
 
     def run_round(self, own: Incarnation) -> None:
-        """Reads the heartbeats of the others, votes on who is suspected, and fences who is lost."""
+        """Read the heartbeats of the others, vote against those that are suspected, and fence the lost."""
         folder, now = self._context.folder, self._context.now()
         alive = self.alive()
         self.member_count = len(alive)
@@ -48,11 +51,11 @@
 
     def _fence_lost(self, own: Incarnation, alive: Mapping[str, object], gone: set[str]) -> None:
         fences = self._context.folder.fences
+        successors = [name for name in alive if name not in own.suspects]
         for name in sorted(own.suspects & alive.keys()):
             if not is_lost(name, fences.votes(name), alive, own.suspects):
                 continue
-            reason = "its process is gone" if name in gone else "it is silent"
-            successors = [other for other in alive if other not in own.suspects]
+            reason = PROCESS_GONE if name in gone else SILENT
             self._context.point("fence")
             if fences.create(name, successors, own.name, reason):
                 self._context.counters.fences += 1
@@ -62,7 +65,10 @@
                 )
 
     def fence_self(self, own: Incarnation) -> bool:
-        """Gives what is left to the others, at once. False if there is nobody."""
+        """Fence the current incarnation, so that the others own its requests.
+
+        Returns False if there is no other incarnation.
+        """
         successors = [name for name in self.alive() if name not in own.suspects | {own.name}]
         if not successors:
             return False
--- a/eiderfield/durable_requests/readers.py
+++ b/eiderfield/durable_requests/readers.py
@@ -1,7 +1,7 @@
-"""Reads the stores of other incarnations, a bounded number of which are open at once.
+"""Reads the stores of other incarnations, with a bounded number of open files.
 
-A store is open, absent, empty (nothing was ever written there), or unreadable. What is unreadable is not
-taken for nothing: a request in it may have begun.
+A store is open, absent, empty (nothing was ever written) or unreadable. An unreadable store is never taken
+for an empty one: a request in it may have started.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from eiderfield.durable_requests.record import Record
 from eiderfield.durable_requests.store import RecordStore
 
-MOST_OPEN = 6  # stores: each takes three descriptors
+MAX_OPEN_STORES = 6  # each takes three descriptors
 
 
 class StoreReaders:
     """Open stores of other incarnations, by incarnation."""
 
     def __init__(self, folder: SharedFolder, log: Callable[[str], None]) -> None:
-        """Opens nothing yet."""
+        """Open nothing yet."""
         self._folder = folder
         self._log = log
         self._open: dict[str, RecordStore] = {}  # the one that was used last at the end
         self._used: set[str] = set()  # since the last `close_unused`
-        self._empty: set[str] = set()  # as of the last look at each
-        self._named: set[str] = set()  # unreadable ones that the log names
+        self._empty: set[str] = set()  # when they were opened last
+        self._logged: set[str] = set()  # unreadable ones that have been logged
 
     def open(self, incarnation: str) -> RecordStore | None:
-        """A store; None where it is absent, empty or unreadable."""
+        """Return the store of an incarnation, None if it is absent, empty or unreadable."""
         self._used.add(incarnation)
         if incarnation in self._open:
             self._open[incarnation] = self._open.pop(incarnation)
@@ -44,24 +44,24 @@
             self._empty.add(incarnation)
             return None
         except StoreError as error:
-            self._name(incarnation, error)
+            self._log_unreadable(incarnation, error)
             return None
         self._open[incarnation] = store
-        if len(self._open) > MOST_OPEN:
+        if len(self._open) > MAX_OPEN_STORES:
             self.close(next(iter(self._open)))
         return store
 
-    def _name(self, incarnation: str, error: StoreError) -> None:
-        if incarnation not in self._named and self._folder.fences.exists(incarnation):
-            self._named.add(incarnation)
+    def _log_unreadable(self, incarnation: str, error: StoreError) -> None:
+        if incarnation not in self._logged and self._folder.fences.exists(incarnation):
+            self._logged.add(incarnation)
             self._log(f"durable requests: what {incarnation} left cannot be read: {error}")
 
     def is_empty(self, incarnation: str) -> bool:
-        """Whether nothing was ever written to a store that could not be opened."""
+        """Return whether a store could not be opened because nothing was ever written to it."""
         return incarnation in self._empty
 
     def read(self, incarnation: str, id_: str) -> Record | None:
-        """A record; None if it is not there. `StoreError` where that cannot be told."""
+        """Return a record, None if there is none. Raises `StoreError` if the store is unreadable."""
         store = self.open(incarnation)
         if store is not None:
             return store.get(id_)
@@ -71,17 +71,17 @@
         return None
 
     def close(self, incarnation: str) -> None:
-        """Closes a store, if it is open."""
+        """Close a store, if it is open."""
         if incarnation in self._open:
             self._open.pop(incarnation).close()
 
     def close_unused(self) -> None:
-        """Closes what was not used since the last call."""
+        """Close the stores that were not used since the last call."""
         for incarnation in self._open.keys() - self._used:
             self.close(incarnation)
         self._used.clear()
 
     def close_all(self) -> None:
-        """Closes all."""
+        """Close all stores."""
         for incarnation in list(self._open):
             self.close(incarnation)
--- a/eiderfield/durable_requests/retention.py
+++ b/eiderfield/durable_requests/retention.py
@@ -1,9 +1,10 @@
-"""Forgets what was answered long ago: in the own store, and in those of lost incarnations.
+"""Deletes old answers: from the store of this incarnation, and with the stores of lost incarnations.
 
-A lost incarnation's store is removed once nobody writes to it, all that it left is taken over, and its
-answers are old. Ids go before records: a record whose id was released does not count any more (`Takeover`).
+The store of a lost incarnation is removed once no process writes to it, all its open requests are taken over,
+and its answers are old. Ids are released before records are deleted: a record whose id was released does not
+count any more (`takeover.py`).
 
-What must never happen: the id of a record is released after somebody has taken it anew.
+Invariant: an id that was taken again is not released.
 """
 
 from __future__ import annotations
@@ -15,38 +16,39 @@
 from eiderfield.durable_requests.lookup import RecordLookup
 from eiderfield.durable_requests.record import Record, Stage
 
-OWN_EVERY = 1000.0  # ms between two clean-ups of the own store
-LOST_EVERY = 10_000.0  # ms between two looks at the stores of lost incarnations
+OWN_INTERVAL_MS = 1000.0  # between two clean-ups of the own store
+LOST_INTERVAL_MS = 10_000.0  # between two clean-ups of the stores of lost incarnations
 
 
 class Retention:
-    """The clean-up for the current incarnation."""
+    """The clean-up by the current incarnation."""
 
     def __init__(
         self, context: Context, lookup: RecordLookup, on_own_clock: Callable[[Record, str], Record]
     ) -> None:
-        """`on_own_clock` brings the times of an incarnation's record to this boot's clock."""
+        """Convert the times of an incarnation's record to this boot's clock with `on_own_clock`."""
         self._context = context
         self._lookup = lookup
         self._on_own_clock = on_own_clock
-        self._cleaned = self._looked_at_lost = context.now()
+        self._own_cleaned_at = self._lost_cleaned_at = context.now()
 
     def clean(self, own: Incarnation) -> None:
-        """Forgets what is due, at most once in `OWN_EVERY`."""
+        """Delete what is due, at most once in `OWN_INTERVAL_MS`."""
         now, settings = self._context.now(), self._context.settings
-        if now < self._cleaned + OWN_EVERY:
+        if now < self._own_cleaned_at + OWN_INTERVAL_MS:
             return
-        self._cleaned = now
-        before = now - settings.keep
-        self.forget(own, own.store.expired(before, settings.most_final, settings.most_bytes))
-        if now >= self._looked_at_lost + LOST_EVERY:
-            self._looked_at_lost = now
-            for name in self._in_care(own):
-                self._remove_if_settled(name, before)
+        self._own_cleaned_at = now
+        finished_before = now - settings.retention_ms
+        expired = own.store.expired(finished_before, settings.max_final_records, settings.max_bytes)
+        self.delete(own, expired)
+        if now >= self._lost_cleaned_at + LOST_INTERVAL_MS:
+            self._lost_cleaned_at = now
+            for name in self._stores_to_remove(own):
+                self._remove_if_settled(name, finished_before)
         self._context.readers.close_unused()
 
-    def forget(self, own: Incarnation, records: list[Record]) -> None:
-        """Forgets final records of the own store. What the system refuses is forgotten at a later time."""
+    def delete(self, own: Incarnation, records: list[Record]) -> None:
+        """Delete FINAL records from the own store. What the system refuses is deleted later."""
         try:
             for record in records:
                 self._release(record, own.name)
@@ -61,13 +63,13 @@
         if holder is not None and incarnation in folder.fences.chain(record.id, holder.incarnation):
             folder.ids.release(record.id, record.generation, record.class_name, record.key)
 
-    def _in_care(self, own: Incarnation) -> list[str]:
-        """The lost incarnations whose store this one is to remove."""
+    def _stores_to_remove(self, own: Incarnation) -> list[str]:
+        """Return the lost incarnations whose store this incarnation is to remove."""
         folder = self._context.folder
         names = [name for name in folder.fences.known if folder.store_path(name).exists()]
         return [name for name in names if folder.fences.chain("", name)[-1] == own.name]
 
-    def _remove_if_settled(self, name: str, before: float) -> None:
+    def _remove_if_settled(self, name: str, finished_before: float) -> None:
         folder, readers = self._context.folder, self._context.readers
         store = readers.open(name)
         if folder.incarnations.may_write(name):
@@ -76,18 +78,18 @@
             if readers.is_empty(name):
                 folder.forget(name)
             return
-        if any(self._is_owed_by(name, record.id) for record in store.open_records()):
+        if any(self._holds_latest_record(name, record.id) for record in store.open_records()):
             return
         final = list(store.records((Stage.FINAL,)))
-        if any(self._on_own_clock(record, name).finished_at >= before for record in final):
+        if any(self._on_own_clock(record, name).finished_at >= finished_before for record in final):
             return
         for record in final:
             self._release(record, name)
         readers.close(name)
         folder.forget(name)
 
-    def _is_owed_by(self, name: str, id_: str) -> bool:
-        """Whether a lost incarnation's store holds the latest record of a request without an answer."""
+    def _holds_latest_record(self, name: str, id_: str) -> bool:
+        """Return whether the store of a lost incarnation holds the latest record of an open request."""
         folder = self._context.folder
         holder = folder.ids.holder(id_)
         chain = [] if holder is None else folder.fences.chain(id_, holder.incarnation)
--- a/eiderfield/durable_requests/snapshot.py
+++ b/eiderfield/durable_requests/snapshot.py
@@ -1,4 +1,4 @@
-"""Copies of a folder, made while its members go on, and folders made out of such copies."""
+"""Copies of a folder, made while its members go on, and folders restored from such copies."""
 
 from __future__ import annotations
 
@@ -10,14 +10,17 @@
 from eiderfield.durable_requests.errors import FolderError
 from eiderfield.durable_requests.fences import FENCES
 from eiderfield.durable_requests.folder import SharedFolder
+from eiderfield.durable_requests.ids import FIRST_GENERATION
 from eiderfield.durable_requests.incarnations import MEMBERS
 from eiderfield.durable_requests.inspection import Inspection, StoredJob
 
 
 def copy_folder(source: Path, target: Path) -> int:
-    """Copies a folder, or a copy of one, into a new folder; how many jobs that are. Started on the copy,
-    dispatchers take over all that had no answer when its store was copied. `FolderError` if something is
-    there."""
+    """Copy a folder, or a copy of one, into a new folder. Return the number of jobs.
+
+    Dispatchers that start on the copy take over all jobs that had no answer when their store was copied.
+    Raises `FolderError` if `target` is not empty.
+    """
     if target.exists() and any(target.iterdir()):
         raise FolderError(target, "is not empty")
     inspection, copy = Inspection(source), SharedFolder(target)
@@ -36,12 +39,12 @@
 
 
 def _copy_ids(job: StoredJob, folder: SharedFolder, copy: SharedFolder) -> bool:
-    """Takes a job's id and key in the copy as they are taken in the folder. False if nobody holds it."""
+    """Take a job's id and key in the copy as in the folder. Return whether the id has a holder."""
     record = job.record
     holder = folder.ids.holder(record.id)
     if holder is None:
         return False
-    for generation in range(1, holder.generation + 1):
+    for generation in range(FIRST_GENERATION, holder.generation + 1):
         copy.ids.take(record.id, holder.incarnation, generation)
     if record.key:
         copy.ids.hold_key(record.class_name, record.key, record.id)
--- a/eiderfield/lab/durable_requests/__init__.py
+++ b/eiderfield/lab/durable_requests/__init__.py
@@ -1,1 +1,1 @@
-"""What durable requests cost, how fast they are taken over, and their protocol as a model."""
+"""Measurements of durable requests, and a model of their protocol."""
--- a/eiderfield/lab/durable_requests/comparison.py
+++ b/eiderfield/lab/durable_requests/comparison.py
@@ -1,9 +1,10 @@
-"""What durable requests cost: the same jobs on a fleet off, on, off, on, timed by the clients' event log."""
+"""The cost of durable requests: the same jobs on a fleet off, on, off, on, timed by the clients' events."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
+from http import HTTPStatus
 from pathlib import Path
 
 import numpy as np
@@ -19,33 +20,33 @@
     JobClass(KEPT, "dedup", 0.5, (20.0, 60.0), goal=2000.0),
     JobClass("unkept", "retryable", 0.5, (20.0, 60.0), goal=2000.0),
 )
-LEAST_WORKERS = 4
+MIN_WORKERS = 4
 LEASE_MS = 3000
 
 
 @dataclass(frozen=True, slots=True)
 class ComparedPart:
-    """One part of a comparison. Times in ms, `processor` in s of all dispatchers together."""
+    """One part of a comparison: a run with durable requests on or off."""
 
     on: bool
     jobs: int
     served: int
     seconds: float
-    p50: dict[str, float]  # by class
-    p99: dict[str, float]
-    processor: float
-    bytes_each: float  # in the stores, by durable job
+    p50: dict[str, float]  # ms, by class
+    p99: dict[str, float]  # ms, by class
+    processor: float  # s of CPU time of all dispatchers
+    bytes_each: float  # in the stores, of a durable job
 
 
 def compare(
     dispatchers: int, rate: float, seconds: float, folder: Path, rounds: int = 2
 ) -> Iterator[ComparedPart]:
-    """Off and on in turns, the same jobs each time."""
+    """Yield the parts of a comparison: off and on in turns, with the same jobs each time."""
     scenario = validated(
         Scenario(
             name="cost",
             dispatchers=dispatchers,
-            workers=max(LEAST_WORKERS, dispatchers),
+            workers=max(MIN_WORKERS, dispatchers),
             slots=8,
             queue=64,
             cell=4,
@@ -62,7 +63,7 @@
 
 
 def play_part(scenario: Scenario, folder: Path, on: bool) -> ComparedPart:
-    """Plays the jobs once."""
+    """Run the jobs once."""
     with Fleet(scenario, folder) as fleet:
         used: list[float] = []
         before = processor_seconds(fleet)
@@ -84,13 +85,13 @@
 
 
 def processor_seconds(fleet: Fleet) -> float:
-    """What all dispatchers have used so far."""
+    """Return the CPU time that all dispatchers have used, in s."""
     processes = [psutil.Process(dispatcher.pid) for dispatcher in fleet.dispatchers.values()]
     return float(sum(sum(process.cpu_times()[:2]) for process in processes))
 
 
 def first_sent(folder: Path) -> dict[str, float]:
-    """When each job was first sent."""
+    """Return when each job was first sent, in s."""
     sent: dict[str, float] = {}
     for event in read_events(folder / CLIENT_EVENTS):
         if event["what"] == "asked":
@@ -99,9 +100,9 @@
 
 
 def answer_times(folder: Path, sent: dict[str, float]) -> dict[str, list[float]]:
-    """By class, how many ms each served job took."""
+    """Return how long each served job took, in ms, by class."""
     times: dict[str, list[float]] = {each.name: [] for each in JOB_CLASSES}
     for event in read_events(folder / CLIENT_EVENTS):
-        if event["what"] == "answered" and event["status"] == 200:
+        if event["what"] == "answered" and event["status"] == HTTPStatus.OK:
             times[event["kind"]].append((event["t"] - sent[event["job"]]) * 1000.0)
     return times
--- a/eiderfield/lab/durable_requests/protocol_model.py
+++ b/eiderfield/lab/durable_requests/protocol_model.py
@@ -1,16 +1,16 @@
-"""Custody's protocol as a small state machine, for `explore`: members, faults and jobs that run at most once.
+"""The protocol of durable requests as a state machine, for `explore`: members, faults, jobs that run once.
 
-Every step is one thing that the system does at once for a process: a link made, a commit, a look for a
-fence, a byte sent. Between any two of them anything may happen elsewhere, so a step that comes late is a
-process that was stopped. Faults are `dies` (the process is gone) and `sleeps` (its lease runs out while it
-is stopped; it may wake at any moment). Who suspects whom follows from these two alone, as the leases
-guarantee. Successors and owners are those of the program itself (`ownership_chain`).
+Every step is one atomic action of a process: it creates a link, commits, looks up a fence or sends a byte.
+Any other process may act between two steps, so a late step models a process that was stopped. Faults are
+`dies` (the process is gone) and `sleeps` (its lease expires while it is stopped; it may wake at any time).
+Suspicions follow from these two alone, as the leases guarantee. Successors and owners are determined by the
+program's own code (`ownership_chain`).
 
     ask -> taken -> written -> held -> claimed -> cleared -> sent -> result -> answered -> told
 
-A planted fault (a slip) is one that a search must find: `claim unchecked` (neither the fence nor the lease
-is looked at after a claim), `sends first` (a byte before the claim), `heirs choose` (a successor takes
-whatever it finds), `answers first` (the answer is told before it is written).
+A slip is a planted fault that a search must find: `claim unchecked` (neither fence nor lease is checked after
+a claim), `sends first` (a byte is sent before the claim), `heirs choose` (a successor takes whatever it
+finds), `answers first` (the answer is passed on before it is written).
 """
 
 from __future__ import annotations
@@ -27,12 +27,11 @@
 ANSWERS_FIRST = "answers first"
 SLIPS = (CLAIM_UNCHECKED, SENDS_FIRST, SUCCESSORS_CHOOSE, ANSWERS_FIRST)
 
-OPEN, CLAIMED, SERVED, FAILED = (
-    "accepted",
-    "claimed",
-    "served",
-    "failed",
-)  # what a member has written of a job
+# What a member has written of a job.
+OPEN = "accepted"
+CLAIMED = "claimed"
+SERVED = "served"
+FAILED = "failed"
 FINAL = (SERVED, FAILED)
 
 Table = tuple[tuple[tuple[str, str], str], ...]  # sorted pairs, so that states compare by value
@@ -42,25 +41,25 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """A state. `at` is where each member is with each job; `store` what each has written of it."""
+    """A state of all members and jobs."""
 
-    alive: tuple[str, ...]
-    asleep: tuple[str, ...]  # whose lease is over
+    alive: tuple[str, ...]  # members
+    asleep: tuple[str, ...]  # members whose lease is over
     fences: tuple[tuple[str, tuple[str, ...]], ...]
-    owner: tuple[tuple[str, str], ...]  # by job, whose link was made
-    at: Table
-    store: Table
-    told: Table  # by job and member, what it told a client
-    sent: Counts  # by job, how often its first byte left
+    owner: tuple[tuple[str, str], ...]  # by job, the member that took its id
+    at: Table  # by member and job, the last step
+    store: Table  # by member and job, what the member has written
+    told: Table  # by job and member, the answer that a client got
+    sent: Counts  # by job, how often its first byte was sent
     asks: Counts  # by job, how often a client may still ask
-    faults: int  # that may still come
+    faults: int  # that may still happen
 
 
 Step = tuple[str, State]
 
 
 def start(members: int, jobs: int, faults: int, asks: int = 2) -> State:
-    """Members `a`, `b`..., jobs `0`, `1`..."""
+    """Return the first state, with members `a`, `b`... and jobs `0`, `1`..."""
     ids = [str(number) for number in range(jobs)]
     return State(
         alive=tuple(chr(ord("a") + number) for number in range(members)),
@@ -87,7 +86,7 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """What names the turn in the state's tables."""
+        """The key of the turn in the state's tables."""
         return self.member, self.job
 
     @property
@@ -96,27 +95,28 @@
         return dict(self.state.store).get(self.key, "")
 
     def step(self, name: str, to: str, **changes: Any) -> Step:
-        """A step that leads the member to another place with the job."""
+        """Return a step that leads the member to another place with the job."""
         state = replace(self.state, at=with_value(self.state.at, self.key, to), **changes)
         return f"{self.member} {name} {self.job}", state
 
     def writing(self, value: str) -> Table:
-        """The store once the member has written a value."""
+        """Return the store after the member has written a value."""
         return with_value(self.state.store, self.key, value)
 
     def sending(self) -> Counts:
-        """The counts once the job's first byte has left."""
+        """Return the counts after the job's first byte was sent."""
         return tuple((job, count + (job == self.job)) for job, count in self.state.sent)
 
     def telling(self, answer: str) -> Table:
-        """What clients know once the member has told an answer."""
+        """Return the answers of clients after the member has passed one on."""
         return with_value(self.state.told, (self.job, self.member), answer)
 
 
 class Machine:
-    """The steps, with a planted slip or none."""
+    """The steps of the protocol, with a planted slip or none."""
 
     def __init__(self, slip: str = "") -> None:
+        """Plant a slip. Raises `ValueError` if there is no such slip."""
         if slip and slip not in SLIPS:
             raise ValueError(f"no such slip: {slip!r}")
         self._slip = slip
@@ -136,7 +136,7 @@
         }
 
     def steps(self, state: State) -> Iterator[Step]:
-        """All that may come next."""
+        """Yield all steps that are possible in a state."""
         fences = dict(state.fences)
         for member in state.alive:
             yield from self._faults(state, member)
@@ -150,7 +150,7 @@
 
     @staticmethod
     def wrong(state: State) -> str:
-        """What is wrong with a state, '' for nothing."""
+        """Return which rule a state breaks, '' for none."""
         for job, count in state.sent:
             if count > 1:
                 return f"job {job} was begun {count} times"
@@ -169,9 +169,9 @@
             yield f"{member} sleeps", replace(state, asleep=asleep, faults=state.faults - 1)
 
     def _fence(self, state: State, member: str, fences: Fences) -> Iterator[Step]:
-        """A member that is awake fences who is dead, or sleeps.
+        """Yield the fences that an awake member may create, of members that are dead or asleep.
 
-        One that sleeps wakes only to find itself watching anew, so it suspects nobody.
+        A member that wakes starts watching again and suspects nobody.
         """
         if member in state.asleep:
             return
@@ -187,7 +187,7 @@
         yield from self._take_over(turn)
 
     def _accept(self, turn: Turn) -> Iterator[Step]:
-        """A client asks: the first link wins. Later clients get the answer that stands."""
+        """Yield a client's request: the first link wins; later clients get the answer that is recorded."""
         state, job = turn.state, turn.job
         asks = dict(state.asks)
         if turn.is_fenced or not asks[job]:
@@ -203,7 +203,7 @@
             yield f"{turn.member} tells again {job}", replace(state, told=told, asks=left)
 
     def _take_over(self, turn: Turn) -> Iterator[Step]:
-        """The last successor in the job's chain takes it over from an owner that is fenced."""
+        """Yield the takeover from a fenced owner by the last successor in the job's chain."""
         state, fences = turn.state, dict(turn.state.fences)
         owner = dict(state.owner).get(turn.job)
         if turn.is_fenced or owner is None or owner not in fences:
@@ -266,13 +266,13 @@
 
 
 def with_value(table: Table, key: tuple[str, str], value: str) -> Table:
-    """A table with one value set."""
+    """Return a table with one value set."""
     found = {**dict(table), key: value}
     return tuple(sorted((key, value) for key, value in found.items() if value))
 
 
 def last_written(state: State, job: str, owner: str) -> str:
-    """What the last of the job's owners wrote of it."""
+    """Return what the last of the job's owners has written."""
     store = dict(state.store)
     for member in reversed(ownership_chain(job, owner, dict(state.fences))):
         if (member, job) in store:
--- a/eiderfield/lab/durable_requests/store_writes.py
+++ b/eiderfield/lab/durable_requests/store_writes.py
@@ -1,8 +1,8 @@
-"""The ways to keep records: processes write as fast as they can, into a store each or all into one.
+"""Compares a store for each process with one store for all: processes write as fast as they can.
 
     python -m eiderfield.lab.durable_requests.store_writes STORE SECONDS hold|-
 
-The last part of a measurement has a process that is stopped within a commit.
+The last measurement of each kind stops a process within a commit.
 """
 
 from __future__ import annotations
@@ -18,6 +18,7 @@
 
 import numpy as np
 
+from eiderfield.durable_requests.errors import StoreError
 from eiderfield.durable_requests.store import RecordStore
 from eiderfield.lab.durable_requests.samples import sample_record
 
@@ -30,20 +31,18 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRate:
-    """What processes wrote together. `gap` is the longest time in ms in which one of them, not stopped, wrote
-    nothing.
-    """
+    """The commits of all processes of a measurement."""
 
     way: str
     processes: int
     commits_per_s: float
     p50: float  # ms of a commit
-    p99: float
-    gap: float
+    p99: float  # ms of a commit
+    gap: float  # ms, the longest time in which a process that was not stopped committed nothing
 
 
 def ways(processes: Sequence[int], seconds: float, folder: Path) -> Iterator[WriteRate]:
-    """Each number of processes: stores of their own, one store, and both with one process stopped."""
+    """Yield a measurement of each kind and number of processes, then of each kind with one stopped."""
     for number in processes:
         for way in (STORE_EACH, ONE_STORE):
             yield measure(way, number, seconds, folder / f"{way}-{number}", stopped=False)
@@ -52,7 +51,7 @@
 
 
 def measure(way: str, number: int, seconds: float, folder: Path, stopped: bool) -> WriteRate:
-    """Lets so many processes write, of which the first is stopped where that is asked for."""
+    """Let `number` processes write; with `stopped`, the first one is stopped within a commit."""
     folder.mkdir(parents=True)
     children = [
         start_writer(
@@ -78,7 +77,7 @@
 
 
 def start_writer(store: Path, seconds: float, hold: bool) -> subprocess.Popen[str]:
-    """Starts a process that writes."""
+    """Start a process that writes."""
     arguments = [str(store), str(seconds), HOLD if hold else GO_ON]
     return subprocess.Popen(
         [sys.executable, "-m", "eiderfield.lab.durable_requests.store_writes", *arguments],
@@ -88,16 +87,16 @@
 
 
 def write_records(path: Path, seconds: float, hold: bool) -> list[float]:
-    """Writes as fast as it can; how long each commit took, in ms.
+    """Write as fast as possible. Return how long each commit took, in ms.
 
-    The time of attempts that failed before it is included. With `hold` the process stops itself within its
-    tenth commit, until somebody ends its sleep.
+    The time of a commit includes the tries that failed before it. With `hold` the process stops itself within
+    its tenth commit.
     """
     store = RecordStore(path)
     end = time.monotonic() + seconds
     number = 0
     times: list[float] = []
-    began = time.monotonic()
+    started_at = time.monotonic()
     while time.monotonic() < end:
         number += 1
         try:
@@ -106,17 +105,17 @@
             if hold and number == HELD_COMMIT:
                 stop_for(seconds / 2.0)
             store.commit()
-        except Exception:  # the store is locked for longer than anybody waits
+        except StoreError:  # the store is locked for longer than the timeout
             store.roll_back()
             continue
-        committed = time.monotonic()
-        times.append((committed - began) * 1000.0)
-        began = committed
+        committed_at = time.monotonic()
+        times.append((committed_at - started_at) * 1000.0)
+        started_at = committed_at
     return times
 
 
 def stop_for(seconds: float) -> None:
-    """Stops this process for a time."""
+    """Stop this process for a time."""
     waker = subprocess.Popen([sys.executable, "-c", WAKER, str(os.getpid()), str(seconds)])
     os.kill(os.getpid(), signal.SIGSTOP)
     waker.wait()
--- a/eiderfield/lab/durable_requests/throughput.py
+++ b/eiderfield/lab/durable_requests/throughput.py
@@ -1,4 +1,4 @@
-"""How fast one member takes over what a lost one left, and how fast it works through requests."""
+"""Measures how fast one member takes over requests of a lost one, and how fast it processes requests."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from eiderfield.exchange.request import Answer, Verdict
 from eiderfield.lab.durable_requests.samples import CLASSES, sample_attempt, sample_record
 
-LINKED = 50_000  # ids that have their links in a measurement of recovery: more than it takes over
+MAX_LINKED_IDS = 50_000  # in a measurement of recovery: more than it takes over
 TAKEOVER_RATE = 50_000.0  # a second: no limit
-MOST_BYTES = 4 * 2**30
+MAX_BYTES = 4 * 2**30
 LEASE_MS = 1000.0
 POLL_S = 0.002
 MEGABYTE = 2**20
@@ -22,24 +22,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovered:
-    """How a lost incarnation's records were taken over. Times in s."""
+    """The takeover of a lost incarnation's records. Times in s."""
 
     records: int
-    read: float  # until the successor knew what was left
-    first: float  # until the first request was its own
+    read: float  # until the successor had read the store
+    first: float  # until it owned the first request
     adopted: int  # within the measured seconds
     per_s: float
     megabytes: float
 
 
 def recovery(records: int, seconds: float, folder: Path) -> Recovered:
-    """An incarnation with so many open records is lost; one successor takes over as fast as it can."""
+    """Let one successor take over `records` open requests of a lost incarnation, as fast as possible."""
     settings = DurableRequestSettings(
         folder / "custody",
         frozenset({0}),
-        lease=LEASE_MS,
-        takeover_rate=TAKEOVER_RATE,
-        most_bytes=MOST_BYTES,
+        lease_ms=LEASE_MS,
+        takeovers_per_second=TAKEOVER_RATE,
+        max_bytes=MAX_BYTES,
     )
     lost = Member(settings, "lost", CLASSES, print)
     lost.begin()
@@ -51,23 +51,23 @@
     successor.folder.fences.create(
         lost.incarnation, [successor.incarnation], successor.incarnation, "measured"
     )
-    began = time.monotonic()
+    started_at = time.monotonic()
     successor.tick()
-    read = time.monotonic() - began
+    read = time.monotonic() - started_at
     spent, first, adopted = 0.0, 0.0, 0
-    while (spent := time.monotonic() - began) < read + seconds and successor.pending_takeovers:
+    while (spent := time.monotonic() - started_at) < read + seconds and successor.pending_takeovers:
         time.sleep(POLL_S)
         found = successor.take_over()
         adopted += len(found)
         if found and not first:
-            first = time.monotonic() - began
+            first = time.monotonic() - started_at
     successor.close()
     lost.close()
     return Recovered(records, read, first, adopted, adopted / max(1e-9, spent - read), size)
 
 
 def write_open_records(member: Member, records: int) -> None:
-    """Writes so many records without an answer, every second of them with an attempt that may have run."""
+    """Write `records` open records, every second one with an attempt that may have run."""
     assert member.current is not None
     store = member.current.store
     store.begin()
@@ -75,12 +75,12 @@
         record = sample_record(f"j{number}")
         store.put(record if number % 2 else record.with_attempt(sample_attempt(record.accepted_at)))
     store.commit()
-    for number in range(min(records, LINKED)):  # the oldest, which are taken over first
+    for number in range(min(records, MAX_LINKED_IDS)):  # the oldest, which are taken over first
         member.folder.ids.take(f"j{number}", member.incarnation)
 
 
 def commits(seconds: float, folder: Path) -> float:
-    """Whole requests a second of one member: accepted, claimed, finished, each in a commit of its own."""
+    """Return the requests a second of one member: accept, claim and finish, each in its own commit."""
     member = Member(DurableRequestSettings(folder / "c", frozenset({0})), "m", CLASSES, print)
     member.begin()
     member.tick()
--- a/eiderfield/program/durable_requests.py
+++ b/eiderfield/program/durable_requests.py
@@ -70,5 +70,5 @@
         coordinator = DurableRequestCoordinator(config.durable_requests, config.name, services)
         coordinator.begin()
     except DurableRequestsError as error:
-        raise ConfigError(str(error)) from None
+        raise ConfigError(str(error), key=error.key) from None
     return DurableRequests(coordinator, core)
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -46,7 +46,7 @@
     def __init__(self, path):
         self.dispatcher = InMemoryDispatcher(workers=1)
         self.answers = []
-        settings = DurableRequestSettings(path / "custody", frozenset({0}), lease=LEASE)
+        settings = DurableRequestSettings(path / "custody", frozenset({0}), lease_ms=LEASE)
         services = ProcessServices(
             exchange=self.dispatcher.exchange,
             ids=self.dispatcher.ids,
--- a/tests/test_durable_requests_cost.py
+++ b/tests/test_durable_requests_cost.py
@@ -58,5 +58,5 @@
     config = read_text((ROOT / "deploy" / "durable-requests-example.toml").read_text())
     assert config.durable_requests is not None
     assert config.durable_requests.classes == {1}
-    assert config.durable_requests.lease == 3000.0
+    assert config.durable_requests.lease_ms == 3000.0
     assert config.client_connections + config.worker_connections == 1024 - 40 - 16 - 32
--- a/tests/test_durable_requests_members.py
+++ b/tests/test_durable_requests_members.py
@@ -63,7 +63,7 @@
 
     def __init__(self, path, **more):
         self.now, self.said = 1000.0, []
-        self.settings = DurableRequestSettings(path / "custody", frozenset({0}), lease=LEASE, **more)
+        self.settings = DurableRequestSettings(path / "custody", frozenset({0}), lease_ms=LEASE, **more)
         self.all = []
 
     def member(self, name):
@@ -77,7 +77,7 @@
         """Lets time pass, in which these look at the others."""
         end = self.now + span
         while self.now < end:
-            self.now += self.settings.tick
+            self.now += self.settings.tick_interval_ms
             for member in members:
                 member.tick()
 
@@ -488,7 +488,7 @@
 
 
 def test_a_store_has_a_bound_beyond_which_new_jobs_are_refused(tmp_path):
-    host = Host(tmp_path, most_bytes=100_000)
+    host = Host(tmp_path, max_bytes=100_000)
     a = host.member("a")
     outcomes = [one(a, Accept(record(f"j{number}", body=b"x" * 10_000))) for number in range(40)]
     assert Accepted() in outcomes
@@ -499,7 +499,7 @@
 
 
 def test_answers_are_kept_by_age_count_and_bytes_and_their_ids_are_free_after_that(tmp_path):
-    host = Host(tmp_path, most_final=3, keep=50_000.0)
+    host = Host(tmp_path, max_final_records=3, retention_ms=50_000.0)
     a = host.member("a")
     for number in range(6):
         one(a, Accept(record(f"j{number}", key=f"k{number}")))
@@ -515,7 +515,7 @@
 
 
 def test_a_settled_estate_is_removed_once_its_answers_are_old(tmp_path):
-    host = Host(tmp_path, keep=20_000.0)
+    host = Host(tmp_path, retention_ms=20_000.0)
     a, b = host.member("a"), host.member("b")
     a.apply([Accept(record("open")), Accept(record("over"))])
     one(a, Finish("over", SERVED))
--- a/tests/test_durable_requests_on_failing_disk.py
+++ b/tests/test_durable_requests_on_failing_disk.py
@@ -63,7 +63,7 @@
         """One look of each member that is not lost, and the disk's recovery once its time has come."""
         if self.faults.failed and self.heals_at == float("inf") and self.faults.kind:
             self.heals_at = self.host.now + self.span
-        self.host.now += self.host.settings.tick
+        self.host.now += self.host.settings.tick_interval_ms
         if self.host.now >= self.heals_at:
             self.faults.heal()
         for name, member in self.members.items():
@@ -301,9 +301,9 @@
     [over] = a.current.store.expired(host.now + 1.0, 0, 0)
     with monkeypatch.context() as refused:
         refused.setattr(a.current.store, "delete", broken)
-        a.retention.forget(a.current, [over])
+        a.retention.delete(a.current, [over])
     assert one(b, Accept(record("j"))) == Accepted()
-    a.retention.forget(a.current, [over])
+    a.retention.delete(a.current, [over])
     assert b.folder.ids.holder("j") == (1, "b.1")
     assert one(a, Accept(record("j"))) == AlreadyAccepted("j")
 
@@ -389,7 +389,7 @@
 
     def __init__(self, folder, cls=0):
         self.dispatcher = InMemoryDispatcher(workers=1)
-        settings = DurableRequestSettings(folder, frozenset({cls}), lease=600_000.0)
+        settings = DurableRequestSettings(folder, frozenset({cls}), lease_ms=600_000.0)
         self.calls, self.answers = [], []
         dispatcher = self.dispatcher
         services = ProcessServices(
@@ -558,7 +558,7 @@
     one(a, Accept(record("j", at=host.now, deadline=host.now + 60_000.0)))
     real = time.time
     monkeypatch.setattr(time, "time", lambda: real() + step)
-    host.live(2.0 * host.settings.tick, a, b)
+    host.live(2.0 * host.settings.tick_interval_ms, a, b)
     about = host.settings.folder / "members" / "a.1"
     told = json.loads(about.read_text())
     about.write_text(json.dumps({**told, "boot": "before"}))
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -112,12 +112,12 @@
     """All processes of the folder are gone; their boot was another, and their jobs are due on its clock."""
     folder, told = golden_folder
     now = [1000.0]
-    settings = DurableRequestSettings(folder, frozenset({0}), lease=LEASE)
+    settings = DurableRequestSettings(folder, frozenset({0}), lease_ms=LEASE)
     member = Member(settings, "n9", {"report": 3.0}, lambda line: None, lambda: now[0])
     member.begin()
     found = {}
     for _ in range(60):
-        now[0] += settings.tick
+        now[0] += settings.tick_interval_ms
         member.tick()
         found.update({record.id: record for record in member.take_over()})
     member.close()
