--- a/eiderfield/net/bans.py
+++ b/eiderfield/net/bans.py
@@ -32,7 +32,7 @@
 SavedCallback = Callable[[bool], None]  # called with whether the bans are in the file
 
 
-def _ignore_result(_saved: bool) -> None:
+def ignore_result(_saved: bool) -> None:
     """Wait for no result of a save."""
 
 
@@ -101,7 +101,7 @@
             self._lifted_while_unread.add(name)
         return self.since.pop(name, None)
 
-    def save(self, on_saved: SavedCallback = _ignore_result) -> None:
+    def save(self, on_saved: SavedCallback = ignore_result) -> None:
         """Write the bans to the file; `on_saved` is called after the attempt that includes them."""
         if self._file is None:
             on_saved(True)
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -63,7 +63,7 @@
 
 
 def _worker_figures(exchange: Exchange, table: RoutingTable, now: float) -> dict[str, Any]:
-    listed = table.listed
+    listed = table.listed_workers
     return {
         "watches_reopened": dict(table.watches_reopened),
         "hosts_listed": len(listed),
@@ -126,7 +126,7 @@
         """Disables a worker or enables it again; answers once that is on the disk, or cannot be for now."""
         answer = _MaintenanceAnswer(connection, name, disable)
         change = self._table.ban if disable else self._table.unban
-        if change(name, answer.write_ended) is None:
+        if not change(name, answer.write_ended):
             connection.reject(404, "no worker of this id was ever listed")
         elif not answer.given:
             listener.timers.at(listener.clock() + WRITE_PATIENCE, answer.write_overdue)
--- a/eiderfield/net/departures.py
+++ b/eiderfield/net/departures.py
@@ -1,15 +1,15 @@
-"""Notices that a peer has left a connection that is not being read.
+"""Detection of peers that leave a connection while it is not being read.
 
-A transport whose reading is paused reports nothing: neither an end nor a reset. A client that has sent too
-much, or that leaves its answers unread, is not read for a while and may leave meanwhile. So a poll set of its
-own watches such connections for their peers' departure alone (EPOLLRDHUP, which unread bytes before it do not
-hide), and not for bytes.
+A transport whose reading is paused reports neither an end nor a reset. The dispatcher pauses reading from
+a client that has sent too much or does not read its responses, and the client may leave meanwhile. A
+separate epoll set watches such connections for their peers' departure alone (EPOLLRDHUP, which unread
+bytes do not hide), not for bytes.
 
-    read ──(watch, when reading is paused)──> watched ──(forget, when it is read again or over)──> read
-                                                 └──(the peer has left)──> forgotten, then reported, once
+    read ──(watch, when reading pauses)──> watched ──(forget, when reading resumes or ends)──> read
+                                              └──(the peer leaves)──> forgotten, then reported once
 
-What must never happen: a descriptor in the set that its owner has closed, for its number may be somebody
-else's by then. Owners forget before they close.
+Invariant: no descriptor in the set is closed, since its number may be reused. Owners forget a descriptor
+before they close it.
 """
 
 from __future__ import annotations
@@ -25,27 +25,28 @@
 
 
 def has_left(fd: int) -> bool:
-    """Whether a connection's peer has closed it, ended its sending or reset it, whatever lies unread."""
+    """Return whether a connection's peer has closed, half-closed or reset it, in spite of unread bytes."""
     if fd < 0:
         return True
-    poll = select.poll()  # `select.select` knows no descriptor above 1,023
+    poll = select.poll()  # `select.select` supports no descriptor above 1,023
     poll.register(fd, select.POLLRDHUP)
     return any(event & _LEFT for _, event in poll.poll(0))
 
 
 class DepartureWatch:
-    """The connections of one loop that are not read at present."""
+    """Watches the connections of one event loop that are not being read."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Watches nothing yet."""
+        """Creates an empty watch."""
         self._loop = loop
         self._poll: select.epoll | None = None
         self._watched: dict[int, Callable[[], None]] = {}
 
     def watch(self, fd: int, on_departure: Callable[[], None]) -> None:
-        """Calls `on_departure`, once, when the peer has closed, ended its sending or reset.
+        """Call `on_departure`, once, when the peer has closed, half-closed or reset the connection.
 
-        Where the system refuses a poll set, a departure shows when the connection is read again."""
+        If the system refuses an epoll set, a departure is detected when the connection is read again.
+        """
         with suppress(OSError):
             if self._poll is None:
                 self._poll = select.epoll()
@@ -55,13 +56,13 @@
             self._watched[fd] = on_departure
 
     def forget(self, fd: int) -> None:
-        """Stops watching a connection."""
+        """Stop watching a connection."""
         if self._watched.pop(fd, None) is not None and self._poll is not None:
             with suppress(OSError):
                 self._poll.unregister(fd)
 
     def close(self) -> None:
-        """Stops watching all connections."""
+        """Stop watching all connections."""
         if self._poll is not None:
             self._loop.remove_reader(self._poll.fileno())
             self._poll.close()
--- a/eiderfield/net/discovery/consul.py
+++ b/eiderfield/net/discovery/consul.py
@@ -89,7 +89,7 @@
         missing = self._unconfirmed_removals(endpoints, backwards)
         self._index = 0 if backwards or missing else self._answer_index
         self.table.apply(EndpointList(self._answer_index, not missing, self._with_first_seen(endpoints)))
-        self.table.starts.source_heard()
+        self.table.start_times.record_source_contact()
         self.table.unconfirmed_removals = missing
         if not missing:
             self.list_applied()
@@ -108,7 +108,7 @@
 
     def _unconfirmed_removals(self, endpoints: Iterable[ListedEndpoint], backwards: bool) -> int:
         """How many workers a list leaves out that it can't yet take away; 0 if it is beyond doubt."""
-        known = self.table.ready
+        known = self.table.ready_workers
         missing = len(known - {self.table.ids.worker(endpoint.name) for endpoint in endpoints})
         doubtful = not self._confirmed or backwards or not self._has_leader
         if not doubtful or not known or len(known) - missing >= SHORT_LIST * len(known):
--- a/eiderfield/net/discovery/platform.py
+++ b/eiderfield/net/discovery/platform.py
@@ -37,7 +37,7 @@
             if text:
                 self.table.load(json.loads(text))
                 self.needs_snapshot = False
-            self.table.starts.source_heard()
+            self.table.start_times.record_source_contact()
             self.source_alive()
             if text:
                 self.list_applied()
--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -1,9 +1,9 @@
-"""The routing table: the workers that discovery lists, with operators' bans applied.
+"""Routing table: the workers that discovery lists, with operators' bans applied.
 
-The table takes typed lists, tells the worker side where workers listen, and the exchange which of them may be
-sent to. A banned worker counts as draining whatever discovery says. One whose ban has ended may have been
-restarted meanwhile, and discovery tells of that seconds late: until it does, the worker is taken to have
-started when the ban ended, so that it warms up.
+The table takes typed lists, gives the worker side the addresses and the exchange the endpoints. A banned
+worker counts as draining whatever discovery lists. After its ban it may have been restarted, which
+discovery announces seconds late: until then it counts as started when the ban ended, so that it goes
+through slow start.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.idmap import IdMap
 from eiderfield.interface import Endpoint, EndpointListKind, EndpointState
-from eiderfield.net.bans import Bans
+from eiderfield.net.bans import Bans, SavedCallback, ignore_result
 from eiderfield.net.clock import WallClock
 from eiderfield.net.discovery.endpoint_list import (
     EndpointList,
@@ -36,7 +36,18 @@
 
 
 class RoutingTable:
-    """All workers that were ever listed, as they were listed last."""
+    """All workers that were ever listed, as they were listed last.
+
+    Attributes:
+        ids: The numbers of workers, zones, kinds and cells.
+        bans: The bans in force.
+        start_times: The workers' starts on this process's clock.
+        index: The version of the last list, None before the first one.
+        watches_reopened: How often a watch was lost and reopened, by reason.
+        unconfirmed_removals: How many workers the last list omits that stay until it is confirmed.
+        on_list_applied: Called after each list of a source.
+        on_ban: Called with a worker's name and when its ban began, or None when it was lifted.
+    """
 
     def __init__(
         self,
@@ -47,55 +58,61 @@
         clock: Callable[[], float],
         wall: WallClock | None = None,
     ) -> None:
-        """Without a wall clock, discovery's times are those of `clock`."""
+        """Creates an empty table; without `wall`, discovery's times are those of `clock`."""
         self._exchange = exchange
         self._workers = workers
         self._clock = clock
         self.ids = ids
         self.bans = bans
         bans.on_late_ban = self._begin_ban
-        self.starts = StartTimes(clock, wall or WallClock(clock, clock))
-        self.index: int | None = None  # the version of the last list
-        self.watches_reopened: Counter[str] = Counter()  # watches lost and opened anew so far, by why
-        self.unconfirmed_removals = 0  # workers that a list left out and that stay until it is confirmed
-        self.on_list: Callable[[], None] = lambda: None  # a source has told a list
-        # Called when a ban begins, with its time, or ends, with None.
+        self.start_times = StartTimes(clock, wall or WallClock(clock, clock))
+        self.index: int | None = None
+        self.watches_reopened: Counter[str] = Counter()
+        self.unconfirmed_removals = 0
+        self.on_list_applied: Callable[[], None] = lambda: None
         self.on_ban: Callable[[str, float | None], None] | None = None
-        self._entries: dict[int, Endpoint] = {}  # as discovery listed each worker last
-        self._unbanned: dict[int, UnbannedWorker] = {}
+        self._endpoints: dict[int, Endpoint] = {}  # by worker, without bans
+        self._unbanned: dict[int, UnbannedWorker] = {}  # by worker: those that may have been restarted
 
     @property
-    def listed(self) -> set[int]:
-        """The workers in the list, whatever their state."""
-        return {worker for worker, entry in self._entries.items() if entry.state != EndpointState.GONE}
+    def listed_workers(self) -> set[int]:
+        """The workers in the list, in whatever state."""
+        return {
+            worker for worker, endpoint in self._endpoints.items() if endpoint.state != EndpointState.GONE
+        }
 
     @property
-    def ready(self) -> set[int]:
-        """The workers that discovery last called ready, banned ones among them."""
-        return {worker for worker, entry in self._entries.items() if entry.state == EndpointState.READY}
+    def ready_workers(self) -> set[int]:
+        """The workers that discovery lists as ready, including banned ones."""
+        return {
+            worker for worker, endpoint in self._endpoints.items() if endpoint.state == EndpointState.READY
+        }
 
     # Bans.
 
-    def ban(self, name: str, then: Callable[[bool], None] = lambda written: None) -> bool | None:
-        """Leaves a worker out, whatever discovery says. None if it was never listed; else `then` hears
-        whether the ban is written down, and it is in force in either case."""
+    def ban(self, name: str, on_saved: SavedCallback = ignore_result) -> bool:
+        """Exclude a worker until `unban`, whatever discovery lists.
+
+        Return False if the worker was never listed. Otherwise the ban is in force, and `on_saved` is
+        called with whether it is on file.
+        """
         if not self._was_listed(name):
-            return None
-        if name not in self.bans.since:  # a ban that is called again began when it was first called
+            return False
+        if name not in self.bans.since:  # a repeated ban keeps its time
             self._begin_ban(name, self._clock())
-        self.bans.save(then)
+        self.bans.save(on_saved)
         return True
 
-    def unban(self, name: str, then: Callable[[bool], None] = lambda written: None) -> bool | None:
-        """Gives a worker back as discovery last listed it; answers as `ban` does."""
+    def unban(self, name: str, on_saved: SavedCallback = ignore_result) -> bool:
+        """Restore a worker as discovery last listed it; return and call back as `ban` does."""
         if not self._was_listed(name):
-            return None
+            return False
         self._end_ban(name)
-        self.bans.save(then)
+        self.bans.save(on_saved)
         return True
 
     def apply_ban(self, name: str, since: float | None) -> None:
-        """The dispatcher's other process banned a worker, or ended its ban."""
+        """Apply a ban of the dispatcher's other process, or its end (None)."""
         if since is None and name in self.bans.since:
             self._end_ban(name)
         elif since is not None and name not in self.bans.since:
@@ -107,121 +124,132 @@
         worker = self.ids.worker(name)
         self._unbanned.pop(worker, None)
         self._publish(worker)
-        self._workers.close_idle(worker)  # its process is about to end
-        if self.on_ban is not None:
-            self.on_ban(name, since)
+        self._workers.close_idle(worker)  # the worker is about to be stopped
+        self._notify_ban(name, since)
 
     def _end_ban(self, name: str) -> None:
         since = self.bans.remove(name)
         if since is None:
             return
         worker = self.ids.worker(name)
-        entry = self._entries.get(worker)
-        if entry is not None and entry.ready_at < since:
+        endpoint = self._endpoints.get(worker)
+        if endpoint is not None and endpoint.ready_at < since:
             self._unbanned[worker] = UnbannedWorker(name, since, self._clock())
         self._publish(worker)
+        self._notify_ban(name, None)
+
+    def _notify_ban(self, name: str, since: float | None) -> None:
         if self.on_ban is not None:
-            self.on_ban(name, None)
+            self.on_ban(name, since)
 
     def _was_listed(self, name: str) -> bool:
-        return name in self.bans.since or self.ids.known(name) in self._entries
+        return name in self.bans.since or self.ids.known(name) in self._endpoints
 
     # Lists.
 
     def load(self, document: object, cached: bool = False) -> None:
-        """Applies a list in the platform's form; raises `EndpointListError` and changes nothing if it is
-        malformed."""
+        """Apply a list in the platform's form.
+
+        Raises `EndpointListError`, and changes nothing, if it is malformed.
+        """
         self.apply(parse_endpoint_list(document), cached)
 
-    def apply(self, endpoints: EndpointList, cached: bool = False) -> None:
-        """Applies a list; `cached` for one that was kept since an earlier time."""
+    def apply(self, endpoint_list: EndpointList, cached: bool = False) -> None:
+        """Apply a list; `cached` marks one that was stored at an earlier time."""
         kind = EndpointListKind.DELTA
-        if endpoints.snapshot:
+        if endpoint_list.snapshot:
             kind = EndpointListKind.CACHED if cached else EndpointListKind.FULL
-        entries = tuple([self._entry(endpoint) for endpoint in endpoints.endpoints])
-        self.index = endpoints.index
-        if endpoints.snapshot:
-            self._workers.keep_only({entry.worker for entry in entries})
-            self._entries = {
-                worker: replace(old, state=EndpointState.GONE) for worker, old in self._entries.items()
+        endpoints = tuple([self._to_endpoint(listed) for listed in endpoint_list.endpoints])
+        self.index = endpoint_list.index
+        if endpoint_list.snapshot:
+            self._workers.keep_only({endpoint.worker for endpoint in endpoints})
+            self._endpoints = {
+                worker: replace(endpoint, state=EndpointState.GONE)
+                for worker, endpoint in self._endpoints.items()
             }
-        for entry, endpoint in zip(entries, endpoints.endpoints, strict=True):
-            self._entries[entry.worker] = entry
-            self._workers.set_address(entry.worker, endpoint.address)
-        self._exchange.update_endpoints(
-            kind, endpoints.index, tuple([self._with_bans(entry) for entry in entries])
-        )
+        for endpoint, listed in zip(endpoints, endpoint_list.endpoints, strict=True):
+            self._endpoints[endpoint.worker] = endpoint
+            self._workers.set_address(endpoint.worker, listed.address)
+        with_bans = tuple([self._with_ban(endpoint) for endpoint in endpoints])
+        self._exchange.update_endpoints(kind, endpoint_list.index, with_bans)
         if kind != EndpointListKind.CACHED:
-            self.on_list()
+            self.on_list_applied()
 
-    def _entry(self, endpoint: ListedEndpoint) -> Endpoint:
-        worker, group = self.ids.worker(endpoint.name), endpoint.group
+    def _to_endpoint(self, listed: ListedEndpoint) -> Endpoint:
+        worker, group = self.ids.worker(listed.name), listed.group
         return Endpoint(
             worker=worker,
-            zone=self.ids.zone(endpoint.zone),
-            kind=self.ids.kind(endpoint.kind),
+            zone=self.ids.zone(listed.zone),
+            kind=self.ids.kind(listed.kind),
             cell=group if isinstance(group, int) else self.ids.cell(group),
-            state=_STATES[endpoint.status],
-            weight=endpoint.weight,
-            ready_at=self.starts.started_at(worker, endpoint.since_ms) or endpoint.first_seen,
+            state=_STATES[listed.status],
+            weight=listed.weight,
+            ready_at=self.start_times.started_at(worker, listed.since_ms) or listed.first_seen,
         )
 
-    def _with_bans(self, entry: Endpoint) -> Endpoint:
-        """A worker as the exchange is to see it."""
-        worker = entry.worker
-        if entry.state == EndpointState.READY and self.ids.name(worker) in self.bans.since:
-            return replace(entry, state=EndpointState.DRAINING)
+    def _with_ban(self, endpoint: Endpoint) -> Endpoint:
+        """Return a worker as the exchange is to see it."""
+        worker = endpoint.worker
+        if endpoint.state == EndpointState.READY and self.ids.name(worker) in self.bans.since:
+            return replace(endpoint, state=EndpointState.DRAINING)
         unbanned = self._unbanned.get(worker)
         if unbanned is None:
-            return entry
-        if entry.ready_at >= unbanned.banned_at:
-            del self._unbanned[worker]  # discovery has told of the restart by now
-            return entry
-        return replace(entry, ready_at=max(entry.ready_at, unbanned.unbanned_at))
+            return endpoint
+        if endpoint.ready_at >= unbanned.banned_at:
+            del self._unbanned[worker]  # discovery has announced the restart
+            return endpoint
+        return replace(endpoint, ready_at=max(endpoint.ready_at, unbanned.unbanned_at))
 
     def _publish(self, worker: int) -> None:
-        """Tells the exchange of a worker whose ban has begun or ended."""
-        if worker in self._entries:
-            entry = self._with_bans(self._entries[worker])
-            self._exchange.update_endpoints(EndpointListKind.DELTA, self.index or 0, (entry,))
+        """Update the exchange on a worker whose ban has begun or ended."""
+        if worker in self._endpoints:
+            endpoint = self._with_ban(self._endpoints[worker])
+            self._exchange.update_endpoints(EndpointListKind.DELTA, self.index or 0, (endpoint,))
 
-    # The next process.
+    # Handover.
 
     def state(self) -> RoutingTableState:
-        """The table with all workers that were ever listed, for the next process."""
-        endpoints = [self._endpoint_state(entry) for entry in self._entries.values()]
-        unbanned = tuple(self._unbanned.values())
-        return RoutingTableState(self.index or 0, tuple(endpoints), unbanned, self.starts.heard)
+        """Return the table, with all workers that were ever listed, for the next process."""
+        return RoutingTableState(
+            index=self.index or 0,
+            endpoints=tuple([self._to_record(endpoint) for endpoint in self._endpoints.values()]),
+            unbanned_workers=tuple(self._unbanned.values()),
+            source_heard_at=self.start_times.source_heard_at,
+        )
 
     def take_over(self, state: RoutingTableState, bans: Mapping[str, float]) -> None:
-        """Goes on from the table and the bans of another process."""
+        """Continue from the table and the bans of the previous process."""
         self.bans.since = dict(bans)
-        if not self.bans.saved:  # the process before may not have been able to write them
+        if not self.bans.saved:  # the previous process may have failed to write them
             self.bans.save()
         for unbanned in state.unbanned_workers:
             self._unbanned[self.ids.worker(unbanned.name)] = unbanned
-        for worker in self._entries:
+        for worker in self._endpoints:
             self._publish(worker)
-        for endpoint in state.endpoints:
-            if endpoint.started_at is not None:
-                self.starts.take_over(self.ids.worker(endpoint.name), endpoint.since_ms, endpoint.started_at)
-        if state.announced_offset is not None:
-            self.starts.take_over_offset(state.announced_offset)
+        self._take_over_start_times(state)
         if state.endpoints:
-            endpoints = [endpoint.to_platform_form() for endpoint in state.endpoints]
+            endpoints = [record.to_platform_form() for record in state.endpoints]
             self.load({"index": state.index, "snapshot": True, "endpoints": endpoints}, cached=True)
-        self.starts.heard = state.source_heard_at
+        self.start_times.source_heard_at = state.source_heard_at
 
-    def _endpoint_state(self, entry: Endpoint) -> EndpointRecord:
-        host, port = self._workers.address(entry.worker) or ("", 0)
+    def _take_over_start_times(self, state: RoutingTableState) -> None:
+        for record in state.endpoints:
+            if record.started_at is not None:
+                worker = self.ids.worker(record.name)
+                self.start_times.take_over(worker, record.since_ms, record.started_at)
+        if state.announced_offset is not None:
+            self.start_times.take_over_offset(state.announced_offset)
+
+    def _to_record(self, endpoint: Endpoint) -> EndpointRecord:
+        host, port = self._workers.address(endpoint.worker) or ("", 0)
         return EndpointRecord(
-            name=self.ids.name(entry.worker),
+            name=self.ids.name(endpoint.worker),
             address=f"{host}:{port}",
-            status=_STATUSES[entry.state].value,
-            zone=self.ids.zone_name(entry.zone),
-            kind=self.ids.kind_name(entry.kind),
-            group=entry.cell,
-            weight=entry.weight,
-            since_ms=self.starts.since_ms(entry.worker, entry.ready_at),
-            started_at=entry.ready_at,
+            status=_STATUSES[endpoint.state].value,
+            zone=self.ids.zone_name(endpoint.zone),
+            kind=self.ids.kind_name(endpoint.kind),
+            group=endpoint.cell,
+            weight=endpoint.weight,
+            since_ms=self.start_times.since_ms(endpoint.worker, endpoint.ready_at),
+            started_at=endpoint.ready_at,
         )
--- a/eiderfield/program/discovery.py
+++ b/eiderfield/program/discovery.py
@@ -46,7 +46,7 @@
         if self._config.discovery.address is None:
             return
         listed = asyncio.Event()
-        self._core.table.on_list = listed.set
+        self._core.table.on_list_applied = listed.set
         wait = min(self._config.policy_settings.drain_grace_ms, FIRST_LIST_TIMEOUT)
         self._core.driver.wheel.at(self._core.clock() + wait, listed.set)
         await listed.wait()
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -125,15 +125,15 @@
     waits = [Backoff(FEW_SHARERS, 0, Random(1)).next_wait(0.0) for _ in range(3)]
     assert all(LEAST_SHARE_OF_WAIT * WAIT_PER_SHARER <= wait <= WAIT_PER_SHARER for wait in waits)
     backoff = Backoff(4, 0, Random(1))
-    assert max(backoff.next_wait(9e3 * n) for n in range(20)) <= backoff.most == MAX_WAIT_OF_FEW
+    assert max(backoff.next_wait(9e3 * n) for n in range(20)) <= backoff.longest_wait == MAX_WAIT_OF_FEW
 
 
 def test_waits_are_bounded_grow_with_failures_and_begin_anew_after_a_list():
     backoff = Backoff(40, 0, Random(2))
     waits = [backoff.next_wait(9e3 * n) for n in range(30)]
     assert max(waits[:1]) <= WAIT_PER_SHARER * 40
-    assert max(waits) <= backoff.most == MAX_WAIT
-    assert min(waits[4:]) >= LEAST_SHARE_OF_WAIT * backoff.most
+    assert max(waits) <= backoff.longest_wait == MAX_WAIT
+    assert min(waits[4:]) >= LEAST_SHARE_OF_WAIT * backoff.longest_wait
     assert len(set(waits)) == 30
     backoff.reset()
     assert backoff.next_wait(1e6) == backoff.first_wait(True), "after a list the first call comes in its turn"
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -84,8 +84,8 @@
 
 def test_a_list_with_one_faulty_endpoint_changes_nothing():
     dispatcher = InMemoryDispatcher(workers=2)
-    before = dispatcher.table.index, dispatcher.table.listed, dispatcher.table.ready
+    before = dispatcher.table.index, dispatcher.table.listed_workers, dispatcher.table.ready_workers
     faulty = {"index": 9, "snapshot": True, "endpoints": [{**WORKER}, {**WORKER, "name": "x", "status": 1}]}
     with pytest.raises(EndpointListError):
         dispatcher.table.load(faulty)
-    assert (dispatcher.table.index, dispatcher.table.listed, dispatcher.table.ready) == before
+    assert (dispatcher.table.index, dispatcher.table.listed_workers, dispatcher.table.ready_workers) == before
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -211,7 +211,7 @@
         ids = IdMap()
         self.table = RoutingTable(self.exchange, self.side, ids, Bans(None, self.logged.append), self.clock)
         self.indexes: queue.Queue[int | None] = queue.Queue()  # of each list that was taken in
-        self.table.on_list = lambda: self.indexes.put(self.table.index)
+        self.table.on_list_applied = lambda: self.indexes.put(self.table.index)
         self.following = ActiveWatch()
         address = ("127.0.0.1", self.discovery.port)
         watcher = PlatformWatch(self.table, wheel, self.clock, self.driver.dial, address, self.logged.append)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -51,8 +51,8 @@
     assert pair.old.handover.handed_over
     assert [state(pair.new, w) for w in (1, 2)] == [EndpointState.READY, EndpointState.DRAINING]
     assert pair.new.dispatcher.table.ban("w3"), "ids that were ever listed are remembered"
-    assert pair.new.dispatcher.table.ban("w4") is None
-    assert pair.new.dispatcher.table.listed == pair.old.dispatcher.table.listed
+    assert pair.new.dispatcher.table.ban("w4") is False
+    assert pair.new.dispatcher.table.listed_workers == pair.old.dispatcher.table.listed_workers
 
 
 def test_the_new_process_accepts_only_once_the_old_one_has_stopped(pair):
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -24,7 +24,7 @@
 from eiderfield.net.handover.messages import BanChanged, ConnectionPassed, ParkedBatch
 from eiderfield.net.peer_filter import LIFE_HOLDS
 from eiderfield.net.peers import PeerPort
-from eiderfield.net.start_times import ANNOUNCED, StartTimes
+from eiderfield.net.start_times import MAX_ANNOUNCEMENT_DELAY_MS, StartTimes
 
 SECONDS, HOUR = 5_000.0, 3_600_000.0
 STEPS = [-HOUR, -SECONDS, SECONDS, HOUR]
@@ -208,15 +208,15 @@
 
 def test_a_start_that_is_announced_late_is_as_old_as_it_says(machine):
     """Many dispatchers share a budget by windows from the start: those that hear later must agree on it."""
-    machine.tell(("late", machine.wall() - ANNOUNCED))
-    assert machine.started("late") == ANNOUNCED
+    machine.tell(("late", machine.wall() - MAX_ANNOUNCEMENT_DELAY_MS))
+    assert machine.started("late") == MAX_ANNOUNCEMENT_DELAY_MS
 
 
 def test_a_start_in_a_silence_of_discovery_is_as_old_as_it_says(machine):
     machine.dispatcher.advance(1000.0)
     since = machine.wall()
     machine.dispatcher.advance(7000.0)
-    started = machine.dispatcher.table.starts.started_at(machine.dispatcher.ids.worker("x"), since)
+    started = machine.dispatcher.table.start_times.started_at(machine.dispatcher.ids.worker("x"), since)
     assert machine.dispatcher.now - started == 7000.0
 
 
@@ -237,7 +237,7 @@
 def test_an_earlier_relation_of_the_clocks_is_forgotten(machine):
     machine.wall.step(SECONDS)
     machine.beat()
-    machine.pass_time(ANNOUNCED)
+    machine.pass_time(MAX_ANNOUNCEMENT_DELAY_MS)
     machine.tell(("new", machine.wall() - 5500.0))
     assert machine.started("new") == 5500.0
 
@@ -247,7 +247,7 @@
     wall, consul = Wall(), Consul()
     dispatcher = consul.dispatcher
     wall.runs_with(dispatcher)
-    dispatcher.table.starts = StartTimes(dispatcher.clock, WallClock(dispatcher.clock, wall))
+    dispatcher.table.start_times = StartTimes(dispatcher.clock, WallClock(dispatcher.clock, wall))
     consul.answer(7, instance("a", 1))
     dispatcher.advance(100.0)
     since = str(wall())
@@ -266,7 +266,7 @@
     wall, consul = Wall(), Consul()
     dispatcher = consul.dispatcher
     wall.runs_with(dispatcher)
-    dispatcher.table.starts = StartTimes(dispatcher.clock, WallClock(dispatcher.clock, wall))
+    dispatcher.table.start_times = StartTimes(dispatcher.clock, WallClock(dispatcher.clock, wall))
     consul.answer(7, instance("a", 1))
     dispatcher.advance(100.0)
     consul.answer(8, instance("a", 1), instance("b", 2, since_ms=str(wall() + off)))
@@ -421,7 +421,7 @@
 def test_a_start_that_is_first_announced_after_the_handover_did_not_happen_an_hour_ago():
     """The process before has heard discovery a moment ago, so that the worker cannot have been there long."""
     takeover = Takeover(HOUR)
-    takeover.old.dispatcher.table.starts.source_heard()
+    takeover.old.dispatcher.table.start_times.record_source_contact()
     since = takeover.wall()
     takeover.old.dispatcher.advance(500.0)
     new = takeover.go().new.dispatcher
