--- a/eiderfield/exchange/actions.py
+++ b/eiderfield/exchange/actions.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Iterable
 from functools import partial
+from traceback import format_exc
 from typing import assert_never
 
 from eiderfield.exchange.attempt_table import AttemptTable, StopReason
@@ -43,6 +44,7 @@
         attempts: AttemptTable,
         metrics: Metrics,
     ) -> None:
+        """Carry out actions on these parts of an exchange."""
         self.context = context
         self.endpoints = endpoints
         self.requests = requests
@@ -66,7 +68,8 @@
                     case _:
                         self._execute_for_dispatcher(action)
             except Exception as error:  # an adapter that fails must not lose the turn's other actions
-                self.context.log(f"exchange: action failed (action={type(action).__name__} error={error!r})")
+                name = type(action).__name__
+                self.context.log(f"exchange: action failed (action={name} error={error!r})\n{format_exc()}")
 
     def start_attempt(self, action: StartAttempt, now: float) -> None:
         """Start an attempt, unless its request has ended or it exceeds the limits on attempts."""
--- a/eiderfield/exchange/attempt_table.py
+++ b/eiderfield/exchange/attempt_table.py
@@ -35,6 +35,7 @@
     def __init__(
         self, context: Context, events: EventQueue, requests: RequestTable, metrics: Metrics
     ) -> None:
+        """Create an empty table; ends of attempts are posted to `events`."""
         self.open: dict[tuple[int, int], Attempt] = {}
         self._context = context
         self._events = events
--- a/eiderfield/exchange/endpoint_table.py
+++ b/eiderfield/exchange/endpoint_table.py
@@ -11,6 +11,7 @@
     """The state of each worker, in force at once for every attempt that has not started."""
 
     def __init__(self) -> None:
+        """Create a table without workers."""
         self.states: dict[int, EndpointState] = {}
         self._endpoints: dict[int, Endpoint] = {}  # each worker that was ever listed, as last listed
 
--- a/eiderfield/exchange/other_process.py
+++ b/eiderfield/exchange/other_process.py
@@ -12,6 +12,7 @@
     """The request ids and the attempts of the other process, as it last reported them."""
 
     def __init__(self, events: EventQueue) -> None:
+        """Post changes of attempts to `events`."""
         self.request_ids: set[str] = set()
         self._events = events
         self._workers: set[int] = set()  # at which it has open attempts
--- a/eiderfield/exchange/request_table.py
+++ b/eiderfield/exchange/request_table.py
@@ -14,6 +14,7 @@
     """Pending requests by number, and the ids that no other request may use."""
 
     def __init__(self, context: Context, metrics: Metrics, other_process: OtherProcessState) -> None:
+        """Create an empty table; the ids of `other_process` are in use too."""
         self.pending: dict[int, PendingRequest] = {}
         self.ids: set[str] = set()  # of requests without a final answer or with an open attempt
         self._context = context
--- a/eiderfield/lab/fleet/faulty_programs.py
+++ b/eiderfield/lab/fleet/faulty_programs.py
@@ -1,18 +1,18 @@
-"""Faulty programs, planted: a copy of the package whose main module calls `plant` before it begins.
-
-    declines    rejects one job in ten that it could have forwarded
-    slower      lets every job wait for three tenths of its class's objective before it is forwarded
-    forgets     forgets the bans that it was handed, and those on file
-    leaks       keeps ten descriptors more for every job
-    one-class   fails half of the jobs of the last class, and no others
-    drains      rejects half of the jobs while any worker drains
+"""Faulty programs for rollout tests: copies of the package whose main module calls `plant` before it starts.
+
+    declines    rejects one request in ten that it could have forwarded
+    slower      delays every attempt by three tenths of its class's latency objective
+    forgets     drops the bans that it received in a handover, and those on file
+    leaks       opens ten descriptors for every request and never closes them
+    one-class   fails half of the requests of the last class, and no others
+    drains      rejects half of the requests while any worker drains
     unready     never opens its listeners
-    crashes     ends by itself at its thirtieth job
-    attempts    sends one job in three to a second worker after it cancelled the first attempt
-    one-zone    rejects half of the jobs at the dispatchers of the second zone; not drawn from seeds
-    none        nothing: a good change that is another folder
+    crashes     exits at its thirtieth request
+    attempts    cancels the first attempt of one request in three, so that it goes to a second worker
+    one-zone    rejects half of the requests at the dispatchers of the second zone; not drawn from seeds
+    none        no fault: a good change that is another folder
 
-Of the laboratory alone; nothing of the program imports it.
+Part of the laboratory; the dispatcher does not import it.
 """
 
 from __future__ import annotations
@@ -27,6 +27,7 @@
 
 from eiderfield.exchange.actions import ActionExecutor
 from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.request import PendingRequest
 from eiderfield.interface import EndpointState, FailRequest, RejectRequest, StartAttempt
 from eiderfield.net.discovery.routing_table import RoutingTable
 
@@ -48,14 +49,14 @@
 
 FaultyStart = Callable[[ActionExecutor, StartAttempt, float], None]
 
-ENTRY = 'if __name__ == "__main__":'  # of the main module, where the fault is planted
-EVERY_DECLINED = 10
-EVERY_CANCELLED = 3
-WAIT_SHARE = 0.3  # of a class's objective
+ENTRY = 'if __name__ == "__main__":'  # of the main module, before which `plant` is called
+DECLINE_INTERVAL = 10
+CANCEL_INTERVAL = 3
+DELAY_SHARE = 0.3  # of a class's latency objective
 CANCEL_AFTER_MS = 30.0
 LEAKED_DESCRIPTORS = 10
-LAST_JOB = 30
-PLANTED = "planted"  # why an attempt is cancelled
+CRASH_AT_REQUEST = 30
+PLANTED = "planted"  # reason of a cancelled attempt
 CRASH_CODE = 70
 
 start_attempt = ActionExecutor.start_attempt
@@ -65,7 +66,10 @@
 
 
 def build(kind: str, folder: Path, root: Path = ROOT) -> Path:
-    """Makes a program of a kind in `folder` out of the package in `root`; gives the folder back."""
+    """Copy the package in `root` to `folder`, plant a fault in it and return the folder.
+
+    Raises `ValueError` for an unknown kind.
+    """
     if kind not in ALL:
         raise ValueError(f"no such program: {kind!r}")
     package = folder / "eiderfield"
@@ -78,7 +82,7 @@
 
 
 def plant_call(main: Path, kind: str) -> None:
-    """Makes a main module call `plant` before it begins."""
+    """Insert a call of `plant` at the entry of a main module; raises `ValueError` if it has none."""
     text = main.read_text()
     if text.count(ENTRY) != 1:
         raise ValueError(f"{main} has no single entry to plant at")
@@ -87,7 +91,7 @@
 
 
 def plant(kind: str) -> None:
-    """Makes this process a faulty program."""
+    """Replace methods of this process so that it has the fault `kind`."""
     executor: Any = ActionExecutor
     exchange: Any = Exchange
     table: Any = RoutingTable
@@ -99,7 +103,7 @@
         table.take_over = forget_bans
     elif kind == "unready":
         program: Any = sys.modules["__main__"]
-        program.Program._ready = lambda self: False
+        program.Program._ready = lambda _: False
 
 
 def end_early(executor: ActionExecutor, action: StartAttempt, now: float, rejected: bool) -> None:
@@ -116,12 +120,12 @@
 
 
 def start_or_end_early(
-    is_faulty: Callable[[ActionExecutor, StartAttempt], bool], rejected: bool = True
+    is_faulty: Callable[[ActionExecutor, PendingRequest | None], bool], rejected: bool = True
 ) -> FaultyStart:
     """Return a `start_attempt` that ends some requests early."""
 
     def faulty_start(executor: ActionExecutor, action: StartAttempt, now: float) -> None:
-        if is_faulty(executor, action):
+        if is_faulty(executor, executor.requests.pending.get(action.id)):
             end_early(executor, action, now, rejected)
         else:
             start_attempt(executor, action, now)
@@ -129,24 +133,23 @@
     return faulty_start
 
 
-def one_in_ten(executor: ActionExecutor, action: StartAttempt) -> bool:
+def one_in_ten(*_: object) -> bool:
     """Return True for every tenth attempt."""
-    return next(number) % EVERY_DECLINED == 0
+    return next(number) % DECLINE_INTERVAL == 0
 
 
-def half_of_last_class(executor: ActionExecutor, action: StartAttempt) -> bool:
+def half_of_last_class(executor: ActionExecutor, pending: PendingRequest | None) -> bool:
     """Return True for every second attempt of a request of the last class."""
-    pending = executor.requests.pending.get(action.id)
     last_class = len(executor.context.settings.classes) - 1
     return pending is not None and pending.request.class_index == last_class and next(number) % 2 == 1
 
 
-def half_while_draining(executor: ActionExecutor, action: StartAttempt) -> bool:
+def half_while_draining(executor: ActionExecutor, *_: object) -> bool:
     """Return True for every second attempt while any worker drains."""
     return EndpointState.DRAINING in executor.endpoints.states.values() and next(number) % 2 == 1
 
 
-def half_in_second_zone(executor: ActionExecutor, action: StartAttempt) -> bool:
+def half_in_second_zone(executor: ActionExecutor, *_: object) -> bool:
     """Return True for every second attempt of a dispatcher in the second zone."""
     return executor.context.settings.zone_index == 1 and next(number) % 2 == 1
 
@@ -157,7 +160,7 @@
     wait = 0.0
     if pending is not None:
         cls = executor.context.settings.classes[pending.request.class_index]
-        wait = WAIT_SHARE * cls.latency_objective_ms
+        wait = DELAY_SHARE * cls.latency_objective_ms
     executor.context.timers.at(now + wait, lambda: start_attempt(executor, action, now + wait))
 
 
@@ -165,28 +168,28 @@
     """Start an attempt, and stop the first attempt of one request in three."""
     start_attempt(executor, action, now)
     pending = executor.requests.pending.get(action.id)
-    if pending is None or len(pending.attempts) != 1 or next(number) % EVERY_CANCELLED != 0:
+    if pending is None or len(pending.attempts) != 1 or next(number) % CANCEL_INTERVAL != 0:
         return
     first = pending.attempts[0]
     executor.context.timers.at(now + CANCEL_AFTER_MS, lambda: executor.attempts.stop(first, PLANTED))
 
 
 def submit_and_leak(exchange: Any, *arguments: Any, **options: Any) -> int:
-    """Takes a job, and keeps descriptors for ever."""
+    """Submit a request, and leak descriptors."""
     for _ in range(LEAKED_DESCRIPTORS):
         os.dup(sys.stderr.fileno())
     return submit(exchange, *arguments, **options)
 
 
 def submit_or_crash(exchange: Any, *arguments: Any, **options: Any) -> int:
-    """Takes a job, or ends the process."""
-    if next(number) == LAST_JOB:
+    """Submit a request, or exit the process."""
+    if next(number) == CRASH_AT_REQUEST:
         os._exit(CRASH_CODE)
     return submit(exchange, *arguments, **options)
 
 
-def forget_bans(table: Any, state: Any, bans: Any) -> None:
-    """Takes the list over from the process before, without its bans."""
+def forget_bans(table: Any, state: Any, *_: object) -> None:
+    """Take the endpoint list of the previous process over without its bans."""
     take_over(table, state, {})
 
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -169,6 +169,7 @@
 def test_an_unknown_action_is_logged(dispatcher):
     [line] = execute(dispatcher, object())
     assert line.startswith("exchange: action failed (action=object ")
+    assert "Traceback" in line
 
 
 def told(actions, kind):
