--- a/eiderfield/net/clients/__init__.py
+++ b/eiderfield/net/clients/__init__.py
@@ -6,6 +6,10 @@
 | `request_front` | the front of the platform's protocol |
 | `detached` | connections that are given away between two requests |
 | `arrivals` | the times at which bytes arrived |
+| `message_reader` | assembles messages from the bytes of a connection |
+| `connection_timer` | the time limits of a connection |
+| `connection_admission` | the place of a connection in admission control |
+| `flow_control` | pauses and resumes reading, and watches a paused connection for its client's departure |
 | `connection` | one client's connection, and its states |
 | `parking` | the idle connections of a listener, also on their way to the next process |
 | `listener` | a listening socket, its capacity and its evictions |
--- a/eiderfield/net/clients/arrivals.py
+++ b/eiderfield/net/clients/arrivals.py
@@ -1,41 +1,48 @@
-"""When bytes came that are still to be taken: a message's time counts from its first byte.
+"""The times at which the bytes of a connection arrived: a message's time counts from its first byte.
 
-A message may come behind another whose answer takes long. Known are the times of some bytes, by their place
-in all that came on the connection; a byte between two of them counts as the earlier one.
+A message may arrive behind another whose response takes long. The times of some bytes are recorded, by their
+position in the stream; a byte between two recorded ones counts as the earlier one.
 
-What must never happen: a time that a client can put off by sending further bytes; memory that grows with the
-number of pieces in which bytes come.
+Invariants: a client cannot put a time off by sending further bytes, and memory does not grow with the number
+of pieces in which bytes arrive.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
 
-PRECISION = 50.0  # ms; bytes that come closer together count as come together
+PRECISION = 50.0  # ms; bytes that arrive closer together count as arrived together
 
 
-class Arrivals:
-    """The times at which the bytes of one connection came."""
+@dataclass(slots=True, frozen=True)
+class _Arrival:
+    offset: int  # bytes that arrived before
+    at: float  # ms
+
+
+class ArrivalTimes:
+    """The arrival times of the bytes of one connection that have not been parsed."""
 
     def __init__(self) -> None:
-        """Nothing has come."""
-        self._count = 0
-        self._times: deque[tuple[int, float]] = deque()  # bytes that came before, and when further ones came
+        """Start with an empty stream."""
+        self._received_bytes = 0
+        self._arrivals: deque[_Arrival] = deque()
 
-    def came(self, count: int, now: float) -> None:
-        """Notes that `count` bytes have come."""
-        if not self._times or now >= self._times[-1][1] + PRECISION:
-            self._times.append((self._count, now))
-        self._count += count
+    def record(self, count: int, now: float) -> None:
+        """Record that `count` bytes have arrived."""
+        if not self._arrivals or now >= self._arrivals[-1].at + PRECISION:
+            self._arrivals.append(_Arrival(self._received_bytes, now))
+        self._received_bytes += count
 
     def first_at(self, buffered: int, now: float) -> float:
-        """When the first of the last `buffered` bytes came; now if there are none."""
-        taken = self._count - buffered
-        while len(self._times) > 1 and self._times[1][0] <= taken:
-            self._times.popleft()
-        return self._times[0][1] if buffered and self._times else now
+        """Return when the first of the last `buffered` bytes arrived; now if there are none."""
+        parsed_bytes = self._received_bytes - buffered
+        while len(self._arrivals) > 1 and self._arrivals[1].offset <= parsed_bytes:
+            self._arrivals.popleft()
+        return self._arrivals[0].at if buffered and self._arrivals else now
 
     def restart(self, now: float) -> None:
-        """Lets all that has not been taken count as come now."""
-        self._times.clear()
-        self._times.append((0, now))
+        """Count all bytes that are not parsed as arrived now."""
+        self._arrivals.clear()
+        self._arrivals.append(_Arrival(0, now))
--- /dev/null
+++ b/eiderfield/net/clients/connection_timer.py
@@ -0,0 +1,88 @@
+"""The timer of a client's connection: how long it may stay as it is."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+from eiderfield.connections.admission import AdmissionControl, Limit
+from eiderfield.connections.settings import IdleSettings
+from eiderfield.exchange.timers import Timer, Timers
+from eiderfield.net.clients.message_reader import MessageReader
+
+
+class TimerSettings(Protocol):
+    """The time limits of a listener's connections. They may change while a connection is open."""
+
+    @property
+    def timers(self) -> Timers:
+        """Timers on the listener's clock."""
+
+    @property
+    def idling(self) -> IdleSettings:
+        """How long a connection may idle between requests."""
+
+    @property
+    def message_timeout(self) -> float:
+        """Ms for a message from its first byte, where there is no admission control."""
+
+    @property
+    def admission(self) -> AdmissionControl | None:
+        """Limits the time of messages, None if nothing does."""
+
+    def clock(self) -> float:
+        """Return the current time in ms."""
+
+
+class ConnectionTimer:
+    """The one timer of a connection. A message's limit counts from its first byte, whatever follows."""
+
+    def __init__(
+        self, settings: TimerSettings, reader: MessageReader, on_expiry: Callable[[], None], now: float
+    ) -> None:
+        """Call `on_expiry` when a time limit is reached."""
+        self.started_at = now  # ms; when what is limited now began
+        self.limits_message = False  # whether the limit is that of a message which has begun
+        self._settings = settings
+        self._reader = reader
+        self._on_expiry = on_expiry
+        self._timer: Timer | None = None
+
+    def restart(self, proven: bool, idle_since: float, started_at: float | None = None) -> None:
+        """Limit the message that has begun, else the idle time.
+
+        Args:
+            proven: whether the client has sent a request; else its first message is limited from the start.
+            idle_since: when the last response was written, in ms.
+            started_at: when what is limited began, in ms; None for now.
+        """
+        self.cancel()
+        settings = self._settings
+        self.limits_message = self._reader.in_message
+        self.started_at = settings.clock() if started_at is None else started_at
+        if proven and not self.limits_message:
+            idling = settings.idling
+            at = min(idle_since + idling.idle_timeout, settings.clock() + idling.park_after)
+            self._timer = settings.timers.at(at, self._on_expiry, patient=True)
+        else:
+            self._timer = settings.timers.at(self.message_limit().at, self._on_expiry)
+
+    def message_limit(self) -> Limit:
+        """Return until when the message may take that has begun, or has yet to begin on a new connection."""
+        admission = self._settings.admission
+        if admission is None:
+            return Limit(self.started_at + self._settings.message_timeout)
+        if self._reader.head is None:
+            return admission.head_limit(self.started_at)
+        return admission.body_limit(self.started_at, self._reader.head_at, len(self._reader.body))
+
+    def call_at(self, when: float, callback: Callable[[], None]) -> None:
+        """Replace the time limit by a call at `when`, in ms."""
+        self.cancel()
+        self._timer = self._settings.timers.at(when, callback)
+
+    def cancel(self) -> None:
+        """Set no limit."""
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
--- /dev/null
+++ b/eiderfield/net/clients/flow_control.py
@@ -0,0 +1,67 @@
+"""Pauses and resumes reading on a client's connection.
+
+A transport that is not read reports no departure, so a paused connection is watched for that
+(`net/departures.py`) until it is read again or closed.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+
+from eiderfield.net.departures import DepartureWatch
+
+
+class FlowControl:
+    """Whether one connection is read."""
+
+    def __init__(
+        self,
+        sock: socket.socket | None,
+        departures: DepartureWatch | None,
+        on_departure: Callable[[], None],
+    ) -> None:
+        """Call `on_departure` when the client leaves while reading is paused; without a watch, not at all."""
+        self._sock = sock
+        self._departures = departures
+        self._on_departure = on_departure
+        self.paused = False
+        self._transport: asyncio.Transport | None = None
+        self._closed = False
+
+    def open(self, transport: asyncio.Transport) -> None:
+        """Control a transport that is read from now on."""
+        self._transport = transport
+
+    def pause(self) -> None:
+        """Stop reading."""
+        if self._transport is None:
+            return
+        self._transport.pause_reading()
+        self.paused = True
+        if self._closed or self._departures is None or self._sock is None:
+            return
+        if (fd := self._sock.fileno()) >= 0:
+            self._departures.watch(fd, self._on_departure)
+
+    def resume(self) -> bool:
+        """Read again; return whether reading was paused."""
+        if self._transport is None:
+            return False
+        was_paused, self.paused = self.paused, False
+        if was_paused:
+            self._stop_watching()
+        self._transport.resume_reading()
+        return was_paused
+
+    def close(self) -> None:
+        """Stop watching for good: the connection is closed."""
+        self._closed = True
+        self._stop_watching()
+
+    def _stop_watching(self) -> None:
+        if self._departures is None or self._sock is None:
+            return
+        if (fd := self._sock.fileno()) >= 0:
+            self._departures.forget(fd)
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -303,9 +303,7 @@
         self._connections.discard(connection)
         if connection.rejection is not None:
             self._rejected -= 1
-        if connection.ticket is not None and self.admission is not None:
-            self.admission.release(connection.ticket)
-            connection.ticket = None
+        connection.admission.release()
         self.mark_busy(connection)
         self.resume_accepting()
 
--- /dev/null
+++ b/eiderfield/net/clients/message_reader.py
@@ -0,0 +1,78 @@
+"""Assembles the messages of a client's connection from the bytes that arrive."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from eiderfield.net.clients.arrivals import ArrivalTimes
+from eiderfield.net.http import Head, Parser
+
+
+class MessageReader:
+    """The incoming side of one connection: parsed and unparsed bytes, and when they arrived. No I/O."""
+
+    def __init__(self, clock: Callable[[], float], opened_at: float, unparsed: bytes | None = None) -> None:
+        """Start with bytes that arrived before `opened_at` (ms), if there are any."""
+        self.head: Head | None = None  # of a message whose body is incomplete
+        self.head_at = opened_at  # when that head was complete
+        self.last_byte_at = opened_at
+        self.expects_continue = False  # whether the client waits for an interim response to `head`
+        self._clock = clock
+        self.body = bytearray()  # of that message, or of the message returned last
+        self._parser = Parser()
+        self._arrivals = ArrivalTimes()
+        if unparsed is not None:
+            self.feed(unparsed, opened_at)
+
+    @property
+    def buffered(self) -> int:
+        """Bytes that have arrived and are not parsed."""
+        return self._parser.buffered
+
+    @property
+    def in_message(self) -> bool:
+        """Whether a part of a message has arrived."""
+        return not self._parser.between
+
+    @property
+    def partial_head(self) -> bytes | None:
+        """What has arrived of a message whose head is incomplete, None within a message's body."""
+        return None if self.head is not None else self._parser.begun
+
+    def feed(self, data: bytes | memoryview, now: float) -> None:
+        """Take bytes that have arrived."""
+        self.last_byte_at = now
+        self._arrivals.record(len(data), now)
+        self._parser.feed(data)
+
+    def next_message(self) -> Head | None:
+        """Return the head of the next complete message; its body is in `body` until the next call.
+
+        Returns:
+            None where no message is complete, and once when `expects_continue` becomes set.
+
+        Raises:
+            MalformedMessageError: the bytes are no message that the server accepts.
+        """
+        while (part := self._parser.poll()) is not None:
+            if isinstance(part, Head):
+                self.head = part
+                self.head_at = self._clock()
+                self.body.clear()
+                if part.get("expect").lower() == "100-continue":
+                    self.expects_continue = True
+                    return None
+            elif isinstance(part, bytes):
+                self.body += part
+            elif self.head is not None:
+                head, self.head = self.head, None
+                return head
+        return None
+
+    def first_byte_at(self) -> float:
+        """Return when the first unparsed byte arrived, maybe behind an earlier message; now if none."""
+        return self._arrivals.first_at(self._parser.buffered, self._clock())
+
+    def restart_arrivals(self) -> None:
+        """Count unparsed bytes as arrived now: reading was paused, and the client could not send the rest."""
+        self._arrivals.restart(self._clock())
--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -134,9 +134,9 @@
         listener = self._listener
         if self._idle is None or not listener.may_park:
             return False
-        ticket, connection.ticket = connection.ticket, None  # it keeps its place in admission's counts
+        ticket = connection.admission.take_ticket()  # it keeps its place in admission's counts
         if (detached := connection.detach()) is None:
-            connection.ticket = ticket
+            connection.admission.restore_ticket(ticket)
             return False
         try:
             self._idle.park(detached.descriptor, detached.state.since, _mark_of(ticket))
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -71,10 +71,10 @@
     [connection] = harness.listener._connections
     client.send(message("r2"))  # unread, and the timer comes first
     assert not connection.is_idle
-    connection._time_is_up()
+    connection._time_limit_reached()
     assert not harness.listener.parked, "something has come: it stays"
     real, connection.__class__ = connection.__class__, type("Deaf", (ClientConnection,), {"is_idle": True})
-    connection._time_is_up()  # the same between the look for unread bytes and the parking
+    connection._time_limit_reached()  # the same between the look for unread bytes and the parking
     connection.__class__ = real
     assert harness.listener.parked == 1
     harness.turn()
@@ -337,7 +337,7 @@
     harness.turn()
     [connection] = harness.listener._connections
     harness.dispatcher.now += 30_000.0  # a dispatcher that stood still
-    connection._limited_since = harness.dispatcher.now - 100.0
+    connection._timer.started_at = harness.dispatcher.now - 100.0
     detached = connection.detach()
     heir = ListenerHarness(loop=harness.loop)
     heir.dispatcher.now = harness.dispatcher.now
@@ -445,7 +445,7 @@
         assert listener.connections == len(listener._connections) + listener.parked
         assert sum(self.harness.admission.addresses.connections) == listener.connections
         assert sum(self.harness.admission.addresses.incomplete_messages) == sum(
-            a._message_counted for a in listener._connections
+            a.admission.message_counted for a in listener._connections
         )
 
     def teardown(self):
