--- a/eiderfield/batch/front.py
+++ b/eiderfield/batch/front.py
@@ -111,8 +111,10 @@
         return None
 
     def _is_remote(self, job_id: str, rest: Sequence[str]) -> bool:
-        """Whether the durable store is asked: about a job that is not known here, and about where one stands
-        that it keeps, or for that one's end."""
+        """Whether the durable store answers.
+
+        It does for a job that is not known here, and for the status or the end of a durable one that runs.
+        """
         if self._lookup is None:
             return False
         asks_store = not rest or list(rest) == ["control"]
--- a/eiderfield/lab/__init__.py
+++ b/eiderfield/lab/__init__.py
@@ -1,2 +1,4 @@
-"""The laboratory: stand-ins, load and measurements, on loopback addresses alone. The dispatcher imports none
-of it."""
+"""Stand-ins, load, fault injection and measurements, on loopback addresses alone.
+
+The dispatcher imports none of it.
+"""
--- a/eiderfield/lab/experiment.py
+++ b/eiderfield/lab/experiment.py
@@ -8,6 +8,7 @@
 import json
 import signal
 from contextlib import ExitStack
+from http import HTTPStatus
 from pathlib import Path
 from types import TracebackType
 from typing import Any, TypeVar
@@ -114,7 +115,7 @@
         if not self.alive:
             raise LabError("a dispatcher ended at its start")
         try:
-            return call_console(self.console, "/-/ready")[0] == 200
+            return call_console(self.console, "/-/ready")[0] == HTTPStatus.OK
         except OSError:
             return False
 
--- a/eiderfield/lab/fleet/backends.py
+++ b/eiderfield/lab/fleet/backends.py
@@ -92,11 +92,11 @@
         else:
             self._discovery.is_silent = command.active
 
-    def _set_draining(self, worker: Worker, active: bool, value: float) -> None:
+    def _set_draining(self, worker: Worker, active: bool, _value: float) -> None:
         worker.status = DRAINING if active else SERVING
         self._discovery.worker_changed(worker.name)
 
-    def _set_gone(self, worker: Worker, active: bool, value: float) -> None:
+    def _set_gone(self, worker: Worker, active: bool, _value: float) -> None:
         worker.status = DELETED if active else SERVING
         if active:
             worker.stop_process()
@@ -104,7 +104,7 @@
             worker.start_process()
         self._discovery.worker_changed(worker.name)
 
-    def _set_restarting(self, worker: Worker, active: bool, value: float) -> None:
+    def _set_restarting(self, worker: Worker, active: bool, _value: float) -> None:
         if active:
             worker.stop_process()
             return
@@ -117,12 +117,12 @@
     return ONLY_ZONE if settings.zones == 1 else f"z{number % settings.zones}"
 
 
-def set_failing(worker: Worker, active: bool, value: float) -> None:
+def set_failing(worker: Worker, active: bool, _value: float) -> None:
     """Begins or ends that a worker fails all its jobs."""
     worker.fails = active
 
 
-def set_silent(worker: Worker, active: bool, value: float) -> None:
+def set_silent(worker: Worker, active: bool, _value: float) -> None:
     """Begins or ends that a worker's machine has vanished."""
     worker.is_silent = active
     if not active:
--- a/eiderfield/lab/fleet/consul.py
+++ b/eiderfield/lab/fleet/consul.py
@@ -56,7 +56,7 @@
                 await self._index_rose.wait_for(lambda: self.index > index)
         await self._wait_while_silent()
 
-    def _change_told(self, name: str) -> None:
+    def _change_told(self, _name: str) -> None:
         task = asyncio.get_running_loop().create_task(self._wake_queries())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/eiderfield/lab/fleet/dispatcher.py
+++ b/eiderfield/lab/fleet/dispatcher.py
@@ -9,6 +9,7 @@
 import sys
 from contextlib import suppress
 from dataclasses import dataclass
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -18,6 +19,7 @@
 from eiderfield.config.address import parse_address
 from eiderfield.lab.fleet.child import ROOT
 from eiderfield.lab.processes import LabError, call_console, wait_for
+from eiderfield.lab.usage import open_descriptors
 
 START_ARGUMENTS = ("-m", "eiderfield", "--config")  # which start a dispatcher with a file
 FAILPOINT_ARGUMENTS = ("-m", "eiderfield.lab.fleet.failpoints", "--config")
@@ -132,7 +134,10 @@
         if not self.alive:
             raise LabError(f"{self.name} ended at its start")
         with suppress(OSError, ValueError, LookupError):
-            return call_console(self.console, "/-/ready")[0] == 200 and self.figures()["hosts_listed"] > 0
+            return (
+                call_console(self.console, "/-/ready")[0] == HTTPStatus.OK
+                and self.figures()["hosts_listed"] > 0
+            )
         return False
 
     def figures(self, timeout: float = CONSOLE_TIMEOUT_S) -> dict[str, Any]:
@@ -142,7 +147,7 @@
 
     def descriptors(self) -> int:
         """How many descriptors it holds."""
-        return len(os.listdir(f"/proc/{self.pid}/fd"))
+        return open_descriptors(self.pid)
 
     def signal(self, number: signal.Signals) -> None:
         """Sends it a signal, if it is there."""
--- a/eiderfield/lab/fleet/durable_run.py
+++ b/eiderfield/lab/fleet/durable_run.py
@@ -11,6 +11,7 @@
 from collections.abc import Mapping, Sequence
 from contextlib import suppress
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -176,7 +177,7 @@
     sent = first_sent(clients)
     served = set()
     for event in clients:
-        if event["what"] == "answered" and event["status"] == 200:
+        if event["what"] == "answered" and event["status"] == HTTPStatus.OK:
             goal, stretch = objectives[event["kind"]]
             job = event["job"]
             if event["t"] - sent[job] <= goal + stretch * runs.get(job, 0.0):
--- a/eiderfield/lab/fleet/faults.py
+++ b/eiderfield/lab/fleet/faults.py
@@ -77,8 +77,10 @@
             self._record(fault.what, fault.who, active)
 
     def reached_failpoints(self) -> list[tuple[float, Fault]]:
-        """Faults of dispatchers that have failed at their failpoints since the last call, each with the time
-        at which it is to be ended: who was killed comes back."""
+        """Return the faults of dispatchers that failed at a failpoint since the last call.
+
+        Each comes with the time at which it is to be ended, when a killed dispatcher is started again.
+        """
         found: list[tuple[float, Fault]] = []
         for name in [name for name in self._failpoints if self._dispatchers[name].failpoint_marker.exists()]:
             self._failpoints.remove(name)
@@ -160,7 +162,7 @@
             self._clients.send(SetHealthyDispatchers(healthy))
 
 
-def set_stopped(dispatcher: Dispatcher, fault: Fault, active: bool) -> None:
+def set_stopped(dispatcher: Dispatcher, _fault: Fault, active: bool) -> None:
     """Stops a process, or continues it."""
     dispatcher.signal(signal.SIGSTOP if active else signal.SIGCONT)
 
--- a/eiderfield/lab/fleet/faulty_programs.py
+++ b/eiderfield/lab/fleet/faulty_programs.py
@@ -103,7 +103,7 @@
         table.take_over = forget_bans
     elif kind == "unready":
         program: Any = sys.modules["__main__"]
-        program.Program._ready = lambda _: False
+        program.Program.is_ready = lambda _: False
 
 
 def end_early(executor: ActionExecutor, action: StartAttempt, now: float, rejected: bool) -> None:
--- a/eiderfield/lab/fleet/result.py
+++ b/eiderfield/lab/fleet/result.py
@@ -6,6 +6,7 @@
 from collections import Counter
 from collections.abc import Sequence
 from dataclasses import asdict, dataclass, field
+from http import HTTPStatus
 from math import inf
 from pathlib import Path
 from typing import Any
@@ -74,7 +75,7 @@
     statuses = Counter(event["status"] for event in answered)
     return {
         "jobs": len({event["job"] for event in clients}),
-        "served": len({event["job"] for event in answered if event["status"] == 200}),
+        "served": len({event["job"] for event in answered if event["status"] == HTTPStatus.OK}),
         "tries": client_counts["asked"],
         "declined": statuses[429] + statuses[503],
         "failed": statuses[502],
--- a/eiderfield/lab/fleet/rollout_draw.py
+++ b/eiderfield/lab/fleet/rollout_draw.py
@@ -6,6 +6,7 @@
 import math
 import time
 from dataclasses import dataclass, field, replace
+from http import HTTPStatus
 from pathlib import Path
 from random import Random
 
@@ -226,7 +227,7 @@
         job = event["job"]
         if event["what"] == "asked":
             sent.setdefault(job, event["t"])
-        elif event["what"] == "answered" and event["status"] == 200 and job in runs:
+        elif event["what"] == "answered" and event["status"] == HTTPStatus.OK and job in runs:
             goal, stretch = objectives[event["kind"]]
             if event["t"] - sent[job] <= goal + stretch * runs[job]:
                 served.add(job)
--- a/eiderfield/lab/fleet/rollout_run.py
+++ b/eiderfield/lab/fleet/rollout_run.py
@@ -10,6 +10,7 @@
 
 import time
 from collections.abc import Iterable, Sequence
+from http import HTTPStatus
 from pathlib import Path
 
 from eiderfield.lab.fleet.dispatcher import Dispatcher, Program
@@ -53,7 +54,7 @@
     """Bans a worker at all dispatchers, if one is named; the time of the monotonic clock after that."""
     if worker:
         for dispatcher in dispatchers:
-            if call_console(dispatcher.console, f"/-/workers/{worker}/disable", "POST")[0] != 200:
+            if call_console(dispatcher.console, f"/-/workers/{worker}/disable", "POST")[0] != HTTPStatus.OK:
                 raise LabError(f"{dispatcher.name} does not ban {worker}")
     return time.monotonic()
 
--- a/eiderfield/lab/fleet/rules.py
+++ b/eiderfield/lab/fleet/rules.py
@@ -21,6 +21,7 @@
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
+from http import HTTPStatus
 from itertools import pairwise
 from math import inf
 
@@ -139,7 +140,7 @@
         end = left.get(job)
         if not heard and not (end and _excused(stops, (end["at"],), event["t"], end["t"])):
             yield Finding("lost", job, f"{event['kind']}, asked last at {event['at']}, was never answered")
-        results = {e["result"] for e in told[job] if e["status"] == 200}
+        results = {e["result"] for e in told[job] if e["status"] == HTTPStatus.OK}
         if len(results) > 1:
             yield Finding("one", job, f"it was served {' and '.join(sorted(results))}")
 
@@ -147,7 +148,7 @@
 def _made(workers: Sequence[Event], clients: Sequence[Event]) -> Iterable[Finding]:
     made = {event["result"]: event["job"] for event in workers if event["what"] in ("ended", "unread")}
     for event in clients:
-        served = event["what"] == "answered" and event["status"] == 200
+        served = event["what"] == "answered" and event["status"] == HTTPStatus.OK
         if served and made.get(event["result"]) != event["job"]:
             text = f"{event['id']} was served {event['result']!r}, made by no worker"
             yield Finding("made", event["job"], text)
@@ -229,10 +230,11 @@
 
 
 def cold_use(scenario: Scenario, workers: Sequence[Event]) -> Iterable[tuple[Event, float, float]]:
-    """For each attempt that came to a cold worker: the event, how much of what rule 4 allows all dispatchers
-    together had then sent it within `fall` ms, as a share, and the worker's age in s.
+    """Yield each attempt at a warming worker, with the used share of its slow start budget and its age in s.
 
-    The rule is broken above 1.
+    The share is of what rule 4 allows all dispatchers
+    together to send the worker within the recovery ramp; the
+    rule is broken above 1.
     """
     started: dict[str, float] = {}
     sent: dict[str, list[tuple[float, float]]] = defaultdict(list)
--- a/eiderfield/lab/fleet/scenario_file.py
+++ b/eiderfield/lab/fleet/scenario_file.py
@@ -132,9 +132,12 @@
     return JobClass(**given)
 
 
+PAIR_LENGTH = 2
+
+
 def _rising_pair(at: str, pair: object, whole: bool) -> tuple[float, float]:
     kinds = (int,) if whole else (int, float)
-    if isinstance(pair, list) and len(pair) == 2 and all(type(number) in kinds for number in pair):
+    if isinstance(pair, list) and len(pair) == PAIR_LENGTH and all(type(number) in kinds for number in pair):
         low, high = pair
         if 0.0 < low <= high:
             return low, high
--- a/eiderfield/lab/fleet/workers.py
+++ b/eiderfield/lab/fleet/workers.py
@@ -103,7 +103,7 @@
             self._worker.log_malformed(self._dispatcher, error)
             self.close()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Tells the worker of the attempt that is out on it."""
         self._worker.connections.discard(self)
         if self.attempt is not None:
--- a/eiderfield/lab/idle_cost.py
+++ b/eiderfield/lab/idle_cost.py
@@ -60,7 +60,7 @@
     wake: int = 1000  # connections woken within a second
     expire: int = 10_000  # connections whose time ends within a second
     connections: dict[str, Any] = field(default_factory=dict)  # settings of the loaded one
-    say: Callable[[str], None] = lambda text: None
+    say: Callable[[str], None] = lambda _text: None
 
 
 @dataclass(frozen=True, slots=True)
--- a/eiderfield/lab/scale/workers.py
+++ b/eiderfield/lab/scale/workers.py
@@ -70,7 +70,7 @@
         for head in heads:
             self._begin(head.get("x-request-id"))
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Drops the request that is running, if there is one."""
         self._worker.connections.discard(self)
         if self._pending is not None:
--- a/eiderfield/lab/usage.py
+++ b/eiderfield/lab/usage.py
@@ -28,7 +28,7 @@
         name, _, rest = line.partition(":")
         if name in ("Private_Clean", "Private_Dirty"):
             private += int(rest.split()[0]) * 1024
-    return Usage((int(fields[11]) + int(fields[12])) / TICKS, private, len(os.listdir(folder / "fd")))
+    return Usage((int(fields[11]) + int(fields[12])) / TICKS, private, open_descriptors(pid))
 
 
 def socket_memory() -> int:
@@ -65,4 +65,4 @@
 
 def open_descriptors(pid: int) -> int:
     """The descriptors that a process has open."""
-    return len(os.listdir(Path("/proc") / str(pid) / "fd"))
+    return len(list((Path("/proc") / str(pid) / "fd").iterdir()))
--- a/eiderfield/machine.py
+++ b/eiderfield/machine.py
@@ -45,7 +45,8 @@
 def offset_between(clock: Callable[[], float], other: Callable[[], float]) -> float:
     """What the second clock is ahead of the first now, in ms.
 
-    A process may be held up while it reads them: then it reads them again, and the closest reading counts."""
+    A process may be held up while it reads them: then it reads them again, and the closest reading counts.
+    """
     closest, offset = READING, 0.0
     for reading in range(READINGS):
         before = clock()
--- a/eiderfield/net/memory.py
+++ b/eiderfield/net/memory.py
@@ -1,19 +1,21 @@
-"""How much of the memory that it may have this process takes."""
+"""Measures which share of its memory limit this process uses."""
 
 from __future__ import annotations
 
 import os
 from collections.abc import Callable
+from pathlib import Path
 
 _PAGE = os.sysconf("SC_PAGE_SIZE")
+_MEMORY_STATUS = Path("/proc/self/statm")
 
 
 def share_of(limit_mb: int) -> Callable[[], float]:
-    """Tells the share of a limit that is resident now; 0 where the system does not say."""
+    """Return a function for the share of a limit in MB that is resident now, 0 where that is unknown."""
 
     def share() -> float:
         try:
-            with open("/proc/self/statm", "rb", buffering=0) as file:
+            with _MEMORY_STATUS.open("rb", buffering=0) as file:
                 resident = int(file.read(128).split()[1]) * _PAGE
         except (OSError, ValueError, IndexError):
             return 0.0
--- a/eiderfield/program/discovery.py
+++ b/eiderfield/program/discovery.py
@@ -42,7 +42,8 @@
 
         What the agent holds counts as told from a process's first moment, and the list that the configuration
         names is as old as that. A drain binds after its grace: an agent that is silent for so long can't be
-        asked, and the known list has to do. However long the grace is, a process has to be ready in time."""
+        asked, and the known list has to do. However long the grace is, a process has to be ready in time.
+        """
         if self._config.discovery.address is None:
             return
         listed = asyncio.Event()
--- a/eiderfield/program/listeners.py
+++ b/eiderfield/program/listeners.py
@@ -66,7 +66,8 @@
         """Opens a listener unless it is open; a `ConfigError` if the system refuses.
 
         It may share its address with a process that left its socket and does not hand over: that must not
-        block the start. Nor does a shortage of this host (`net/faults.py`) end it: that may pass."""
+        block the start. Nor does a shortage of this host (`net/faults.py`) end it: that may pass.
+        """
         host, port = bound.address
         waiting = False
         while not bound.listener.listening and not bound.listener.draining:
@@ -113,8 +114,8 @@
         for bound in self._bound:
             await self._opener.open(bound)
 
-    def reload(self, old: Config, new: Config) -> None:
-        """Gives them their limits."""
+    def reload(self, _old: Config, new: Config) -> None:
+        """Apply the limits of the new configuration."""
         for listener in self.listeners:
             listener.set_idle_limits(new.idling)
             listener.set_admission(new.admission)
--- a/eiderfield/program/program.py
+++ b/eiderfield/program/program.py
@@ -56,7 +56,7 @@
         durable = make_durable_requests(config, self.core, loop)
         bound = _bind_listeners(config, self.core, durable, limits)
         self._clients = ClientListeners(bound, opener)
-        console = ConsolePart(config, self.core, opener, self._ready, self._figures, self.settings.report)
+        console = ConsolePart(config, self.core, opener, self.is_ready, self._figures, self.settings.report)
         peers = make_peers(config, self.core, loop)
         handover = _make_handover(self.core, loop, [*bound, *_present(console.bound)])
         handover.peers = None if peers is None else peers.peers
@@ -109,7 +109,7 @@
         if config.discovery.kind == "static" and config.known_endpoints is not None:
             self.core.table.load(config.known_endpoints)
 
-    def _ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this process takes clients."""
         return self._settled and self.core.table.index is not None and self._clients.accepting
 
--- a/eiderfield/program/settings.py
+++ b/eiderfield/program/settings.py
@@ -32,7 +32,8 @@
     """What the process runs with.
 
     An operator's file is taken whole or not at all. The platform's may name what cannot be changed: the rest
-    of it is taken, for a discovery that has moved has to be followed whatever else the file says."""
+    of it is taken, for a discovery that has moved has to be followed whatever else the file says.
+    """
 
     def __init__(self, config: Config, exchange: Exchange) -> None:
         """`exchange` says which settings of the policy a running process can take."""
@@ -44,7 +45,8 @@
     def take(self, load: Callable[[], Config], apply_known: Callable[[Config], None]) -> bool:
         """Reads the configuration again; whether it was taken.
 
-        `apply_known` may still refuse it, by a `ValueError`, for the endpoints that it names."""
+        `apply_known` may still refuse it, by a `ValueError`, for the endpoints that it names.
+        """
         source: object = None
         try:
             config = load()
--- a/eiderfield/program/shutdown.py
+++ b/eiderfield/program/shutdown.py
@@ -70,8 +70,10 @@
             self._end_when_idle()
 
     def close_listeners(self, answered_by: float) -> None:
-        """Closes the listeners, but not while somebody waits whom a full one cannot accept yet: closing would
-        reset them. Once clients are sent away there is room."""
+        """Close the listeners once no client waits to be accepted.
+
+        Closing would reset clients that a full listener cannot accept yet; room appears as others are closed.
+        """
         for listener in self._listeners:
             listener.response_deadline = answered_by
         if not self._ending and any(listener.has_waiting_clients for listener in self._listeners):
--- a/eiderfield/program/takeover.py
+++ b/eiderfield/program/takeover.py
@@ -61,7 +61,7 @@
         except OSError as error:  # it serves without; only an upgrade would be rough
             log(f"no process can take over from this one: {self._socket_path}: {error}")
 
-    def drain(self, times: DrainTimes) -> None:
+    def drain(self, _times: DrainTimes) -> None:
         """Passes clients on to a process that has taken over."""
         if self._handover.handed_over:
             names = self._handover.listeners
