--- a/eiderfield/batch/drmaa.py
+++ b/eiderfield/batch/drmaa.py
@@ -4,6 +4,8 @@
 
 from enum import Enum
 
+from eiderfield.errors import EiderfieldError
+
 
 class JobState(Enum):
     """Where a job stands."""
@@ -30,7 +32,7 @@
     TERMINATE = "terminate"
 
 
-class DrmaaError(Exception):
+class DrmaaError(EiderfieldError):
     """An error with DRMAA's name for it and the HTTP status that carries it."""
 
     name = "InternalException"
--- a/eiderfield/config/errors.py
+++ b/eiderfield/config/errors.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from eiderfield.errors import EiderfieldError
 
-class ConfigError(ValueError):
+
+class ConfigError(EiderfieldError, ValueError):
     """A setting is missing or wrong.
 
     Attributes:
--- a/eiderfield/durable_requests/errors.py
+++ b/eiderfield/durable_requests/errors.py
@@ -11,11 +11,13 @@
 
 from pathlib import Path
 
+from eiderfield.errors import EiderfieldError
+
 FOLDER_KEY = "custody.folder"  # the key of the settings that names the shared folder
 MAX_SHOWN_NAME = 40  # characters of a name in a message
 
 
-class DurableRequestsError(RuntimeError):
+class DurableRequestsError(EiderfieldError, RuntimeError):
     """Base of all errors of durable requests.
 
     `transient` says that the same call may succeed later, without an operator. `key` is the key of the
--- /dev/null
+++ b/eiderfield/errors.py
@@ -0,0 +1,24 @@
+"""The base class of the errors that the package defines.
+
+Each package derives its own errors from it, in its module `errors` or beside what raises them:
+
+    EiderfieldError
+    ├── ConfigError               config/errors.py: a setting is missing or wrong
+    ├── WireError                 wire.py: a message of the deterministic adapter is malformed
+    ├── ExchangeError             exchange/errors.py: a call that the exchange refuses
+    ├── HandoverError             net/handover/errors.py: the handover to the next process failed
+    ├── EndpointListError         net/discovery/endpoint_list.py: an endpoint list is malformed
+    ├── MalformedMessageError     net/http/message.py: an HTTP message is malformed
+    ├── DurableRequestsError      durable_requests/errors.py: the shared folder or a store is unusable
+    ├── DrmaaError                batch/drmaa.py: an error of the batch interface, as DRMAA names it
+    └── errors of rollout/ and lab/
+
+Errors carry the key, path, peer or id that they are about as attributes. Those that also derive from
+`ValueError` or `RuntimeError` can be caught as such.
+"""
+
+from __future__ import annotations
+
+
+class EiderfieldError(Exception):
+    """Base of all errors of this package."""
--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -125,7 +125,7 @@
         return self.dispatcher.snapshot(now)
 
     def check_settings(self, settings: Settings) -> None:
-        """Raise `ValueError`, which names the key, for a change that only a new process can take."""
+        """Raise `FixedSettingError` for a change that only a new process can take."""
         check_settings(self._context.settings, settings)
 
     def apply_settings(self, settings: Settings) -> None:
@@ -155,7 +155,7 @@
 
         `client_waits` returns whether the client is still connected, also if its close has not been read yet.
         `before` are the attempts of a lost dispatcher, each as the worker and the time of its start.
-        Raises `ValueError` if the id is in use.
+        Raises `RequestIdInUseError`.
         """
         before = tuple(before)
         pending = self._requests.add(request, answer, durable, client_waits)
--- a/eiderfield/exchange/request_table.py
+++ b/eiderfield/exchange/request_table.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 
 from eiderfield.exchange.context import Context
+from eiderfield.exchange.errors import RequestIdInUseError
 from eiderfield.exchange.metrics import Metrics
 from eiderfield.exchange.other_process import OtherProcessState
 from eiderfield.exchange.request import Answer, PendingRequest, Request, Verdict
@@ -35,10 +36,10 @@
         durable: bool,
         client_waits: Callable[[], bool] | None,
     ) -> PendingRequest:
-        """Add a request; raises `ValueError` if its id is in use."""
+        """Add a request; raises `RequestIdInUseError`."""
         id_ = request.id
         if id_ in self.ids or id_ in self._other_process.request_ids:
-            raise ValueError(f"request {id_} is there already")
+            raise RequestIdInUseError(id_)
         self._last_number += 1
         pending = PendingRequest(
             self._last_number, request, answer, durable=durable, client_waits=client_waits
--- a/eiderfield/exchange/settings_check.py
+++ b/eiderfield/exchange/settings_check.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from eiderfield.exchange.errors import FixedSettingError
 from eiderfield.interface import Settings
 
 # Keys of the settings, each with the field of `Settings` that holds it. Requests refer to classes and tenants
@@ -17,12 +18,13 @@
 
 
 def check_settings(current: Settings, new: Settings) -> None:
-    """Raise `ValueError`, which names the key, for a change that only a new process can take."""
+    """Raise `FixedSettingError` for a change that only a new process can take."""
     for key, field in _NAMED_LISTS.items():
         old_names = [item.name for item in getattr(current, field)]
         new_names = [item.name for item in getattr(new, field)]
         if old_names != new_names:
-            raise ValueError(f"settings.{key} names others than at the start: {new_names}, not {old_names}")
+            reason = f"names others than at the start: {new_names}, not {old_names}"
+            raise FixedSettingError(f"settings.{key}", reason)
     for key, field in _FIXED.items():
         if getattr(new, field) != getattr(current, field):
-            raise ValueError(f"settings.{key} takes effect at the next start alone")
+            raise FixedSettingError(f"settings.{key}", "takes effect at the next start alone")
--- a/eiderfield/lab/fleet/commands.py
+++ b/eiderfield/lab/fleet/commands.py
@@ -13,6 +13,8 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
+from eiderfield.errors import EiderfieldError
+
 MAX_COMMAND_SIZE = 64 * 1024 * 1024  # bytes: all jobs of a run are one command
 
 READY = "ready"
@@ -21,7 +23,7 @@
 OVER = "over"
 
 
-class CommandError(ValueError):
+class CommandError(EiderfieldError, ValueError):
     """A line that is no command."""
 
 
--- a/eiderfield/lab/fleet/scenario.py
+++ b/eiderfield/lab/fleet/scenario.py
@@ -13,6 +13,8 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
+from eiderfield.errors import EiderfieldError
+
 # Faults by the kind of their target, and whether one ends after `lasts`.
 FAULTS: dict[str, dict[str, bool]] = {
     "dispatcher": {
@@ -38,7 +40,7 @@
 LINK_PATTERN = re.compile(r"(c|n\d+|n\*)>(n\d+|n\*|w\d+|w\*|source)\Z")
 
 
-class ScenarioError(ValueError):
+class ScenarioError(EiderfieldError, ValueError):
     """A key that is missing or wrong. The text begins with it."""
 
 
--- a/eiderfield/lab/idle_commands.py
+++ b/eiderfield/lab/idle_commands.py
@@ -8,8 +8,10 @@
 
 from hdrh.histogram import HdrHistogram
 
+from eiderfield.errors import EiderfieldError
 
-class CommandError(ValueError):
+
+class CommandError(EiderfieldError, ValueError):
     """A line that is no command."""
 
 
--- a/eiderfield/lab/ports.py
+++ b/eiderfield/lab/ports.py
@@ -11,13 +11,15 @@
 import socket
 from functools import cache
 
+from eiderfield.errors import EiderfieldError
+
 FIRST_PORT = 10_000
 END_PORT = 32_768  # where Linux's own range begins (net.ipv4.ip_local_port_range)
 BLOCK_SIZE = 256  # ports; some eighty processes may hand out ports at one time
 LOOPBACK = "127.0.0.1"
 
 
-class NoPortLeftError(RuntimeError):
+class NoPortLeftError(EiderfieldError, RuntimeError):
     """All blocks, or all ports of the block, are in use."""
 
 
--- a/eiderfield/lab/processes.py
+++ b/eiderfield/lab/processes.py
@@ -10,6 +10,7 @@
 import time
 from collections.abc import Callable, Mapping
 
+from eiderfield.errors import EiderfieldError
 from eiderfield.lab.usage import Usage, usage
 
 START_TIMEOUT_S = 30.0  # in which a process may start, or reach a state that was asked for
@@ -17,7 +18,7 @@
 READ_SIZE = 65536
 
 
-class LabError(RuntimeError):
+class LabError(EiderfieldError, RuntimeError):
     """A process did not do what the experiment needs."""
 
 
--- a/eiderfield/lab/regression.py
+++ b/eiderfield/lab/regression.py
@@ -14,6 +14,8 @@
 from pathlib import Path
 from typing import Any
 
+from eiderfield.errors import EiderfieldError
+
 MAX_FALL = 0.03  # of a figure within one panel, from which on the cause is sought
 SHOWN_OUTPUT = 400  # last characters of a bench's output in an error
 SCORE_COMMANDS = ("score", "real-score")
@@ -74,7 +76,7 @@
         return "kept"
 
 
-class BenchError(RuntimeError):
+class BenchError(EiderfieldError, RuntimeError):
     """A bench left no score."""
 
 
--- a/eiderfield/net/discovery/endpoint_list.py
+++ b/eiderfield/net/discovery/endpoint_list.py
@@ -12,9 +12,10 @@
 
 from eiderfield.config.address import Address, parse_address
 from eiderfield.config.errors import ConfigError
+from eiderfield.errors import EiderfieldError
 
 
-class EndpointListError(ValueError):
+class EndpointListError(EiderfieldError, ValueError):
     """A list that cannot be understood. The text names the endpoint and the field."""
 
 
--- a/eiderfield/net/handover/errors.py
+++ b/eiderfield/net/handover/errors.py
@@ -9,8 +9,10 @@
 
 from __future__ import annotations
 
+from eiderfield.errors import EiderfieldError
 
-class HandoverError(ValueError):
+
+class HandoverError(EiderfieldError, ValueError):
     """The other process cannot be understood."""
 
 
--- a/eiderfield/net/http/message.py
+++ b/eiderfield/net/http/message.py
@@ -4,10 +4,11 @@
 
 from dataclasses import dataclass, field
 
+from eiderfield.errors import EiderfieldError
 from eiderfield.net.http.status import BAD_REQUEST
 
 
-class MalformedMessageError(ValueError):
+class MalformedMessageError(EiderfieldError, ValueError):
     """Input that breaks the protocol, with the status that says so."""
 
     def __init__(self, text: str, status: int = BAD_REQUEST) -> None:
--- a/eiderfield/rollout/journal.py
+++ b/eiderfield/rollout/journal.py
@@ -28,6 +28,7 @@
 
 from eiderfield.config.address import Address
 from eiderfield.durable import SHARED_MODE, append_line, replace_file
+from eiderfield.errors import EiderfieldError
 from eiderfield.rollout.plan import Plan
 from eiderfield.rollout.state_machine import COMMANDS, RolloutState, decode_state
 
@@ -36,7 +37,7 @@
 KEPT = 200  # entries of what was said, the latest
 
 
-class JournalError(RuntimeError):
+class JournalError(EiderfieldError, RuntimeError):
     """A journal that cannot be gone on from, or a fleet that another controller leads."""
 
 
--- a/eiderfield/rollout/processes.py
+++ b/eiderfield/rollout/processes.py
@@ -22,6 +22,7 @@
 import psutil
 
 from eiderfield.config.address import Address
+from eiderfield.errors import EiderfieldError
 from eiderfield.machine import process_age
 from eiderfield.rollout.measurement import ProcessReport
 from eiderfield.rollout.plan import Member, Plan
@@ -34,7 +35,7 @@
 START_TOLERANCE = 0.05  # s by which two tellings of one process's start may differ
 
 
-class ProcessError(RuntimeError):
+class ProcessError(EiderfieldError, RuntimeError):
     """Something could not be carried out."""
 
 
--- a/eiderfield/wire.py
+++ b/eiderfield/wire.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
+from eiderfield.errors import EiderfieldError
 from eiderfield.interface import (
     Action,
     AttemptEnded,
@@ -89,7 +90,7 @@
 _PROGRESS_KINDS = {k.value: k for k in ProgressKind}
 
 
-class WireError(ValueError):
+class WireError(EiderfieldError, ValueError):
     """A frame that cannot be understood: what is wrong, and at which byte of it."""
 
 
