--- a/eiderfield/policy/affinity.py
+++ b/eiderfield/policy/affinity.py
@@ -57,7 +57,7 @@
         self._workers: dict[int, Worker] = {}
         self._orders: dict[int, _Order] = {}
         self._changes: list[_Change] = []
-        self._forgotten = 0  # changes that came before those that are kept
+        self._dropped_changes = 0  # changes that came before those that are kept
 
     def __len__(self) -> int:
         return len(self._orders)
@@ -66,53 +66,53 @@
         """Starts anew with these workers."""
         self._workers = {worker.entry.worker: worker for worker in workers}
         self._changes.clear()
-        self.forget()
+        self.clear()
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Forgets all keys."""
         self._orders.clear()
 
-    def join(self, worker: Worker) -> None:
+    def add(self, worker: Worker) -> None:
         """Takes in one more worker."""
         self._workers[worker.entry.worker] = worker
-        self._log(_Change(worker, True))
+        self._append(_Change(worker, True))
 
-    def leave(self, worker: Worker) -> None:
+    def remove(self, worker: Worker) -> None:
         """Lets a worker go."""
         del self._workers[worker.entry.worker]
-        self._log(_Change(worker, False))
+        self._append(_Change(worker, False))
 
-    def first(self, key: int, count: int) -> tuple[list[Worker], bool]:
+    def first_workers(self, key: int, count: int) -> tuple[list[Worker], bool]:
         """At least the first `count` workers of a key, and whether these are all. Not to be changed."""
         order = self._orders.get(key)
-        if order is None or order.taken_in < self._forgotten:
-            order = self._orders[key] = self._make(key, max(count, FIRST_KEPT))
+        if order is None or order.taken_in < self._dropped_changes:
+            order = self._orders[key] = self._compute(key, max(count, FIRST_KEPT))
         else:
             self._catch_up(key, order)
         if len(order.workers) < count and order.bound < _HIGHEST:
-            order = self._orders[key] = self._make(key, count)
+            order = self._orders[key] = self._compute(key, count)
         return order.workers, order.bound == _HIGHEST
 
-    def _log(self, change: _Change) -> None:
+    def _append(self, change: _Change) -> None:
         self._changes.append(change)
         if len(self._changes) > 2 * CHANGES_KEPT:
-            self._forgotten += CHANGES_KEPT
+            self._dropped_changes += CHANGES_KEPT
             del self._changes[:CHANGES_KEPT]
 
-    def _make(self, key: int, count: int) -> _Order:
+    def _compute(self, key: int, count: int) -> _Order:
         """Hashes every worker once and keeps those below a bound, which lets through twice the `count`."""
         share = 2 * count / max(1, len(self._workers))
         bound = int(share * _HIGHEST) if share < 1.0 else _HIGHEST
         found = sorted(stable_hashes_up_to(key, self._workers, bound))
         if len(found) < count and bound < _HIGHEST:
-            return self._make(key, 2 * count)
+            return self._compute(key, 2 * count)
         hashes = [value for value, _ in found]
         workers = [self._workers[number] for _, number in found]
-        return _Order(hashes, workers, bound, self._forgotten + len(self._changes))
+        return _Order(hashes, workers, bound, self._dropped_changes + len(self._changes))
 
     def _catch_up(self, key: int, order: _Order) -> None:
         """Takes in what has changed since the key was last asked for."""
-        for change in self._changes[order.taken_in - self._forgotten :]:
+        for change in self._changes[order.taken_in - self._dropped_changes :]:
             value = stable_hash(key, change.worker.entry.worker)
             if value > order.bound:
                 continue
@@ -122,7 +122,7 @@
                 order.workers.insert(index, change.worker)
             else:
                 del order.hashes[index], order.workers[index]
-        order.taken_in = self._forgotten + len(self._changes)
+        order.taken_in = self._dropped_changes + len(self._changes)
 
 
 class KeyCounts:
@@ -142,7 +142,7 @@
         self.total = self.by_key.total()
         return True
 
-    def homes(self, key: int, workers: int, many: bool) -> int:
+    def home_count(self, key: int, workers: int, many: bool) -> int:
         """How many homes a key needs among so many workers (incident ia7713c).
 
         One of many dispatchers counts it without the request itself: of few requests each would make a
--- a/eiderfield/policy/attempt_outcomes.py
+++ b/eiderfield/policy/attempt_outcomes.py
@@ -9,7 +9,7 @@
 
 from eiderfield.interface import AttemptEnded, Effect, EndpointState, Outcome
 from eiderfield.policy.context import Context
-from eiderfield.policy.endpoint import FAULTY, Worker
+from eiderfield.policy.endpoint import MAX_ERROR_SCORE, Worker
 from eiderfield.policy.fleet import Fleet
 from eiderfield.policy.load_reports import LoadReports
 from eiderfield.policy.outlier_detection import SILENT_RUNS, OutlierDetector
@@ -48,14 +48,14 @@
         worker = self._fleet.workers[attempt.entry.worker]
         waited = now - attempt.sent_at
         attempt.started_at = now
-        worker.fulls = 0
+        worker.consecutive_fulls = 0
         worker.unstarted -= 1
-        self._outliers.count_wait(waited)
-        self._reports.started(worker)
+        self._outliers.record_wait(waited)
+        self._reports.record_start(worker)
         # One waiting request of each dispatcher is a long queue (i1da742): after a wait others come first.
-        others = self._fleet.subset.sharers / self._reports.slots_of(worker) - 1.0
+        others = self._fleet.subset.dispatchers_per_worker / self._reports.slots_of(worker) - 1.0
         worker.full_until = max(worker.full_until, now + waited * min(MAX_WAIT_PAUSES, others))
-        self._fleet.resting[worker.entry.worker] = worker
+        self._fleet.pausing[worker.entry.worker] = worker
 
     def record_end(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
         """Update the worker's health, and its class's rate control, from the outcome of an attempt."""
@@ -65,18 +65,18 @@
         elif outcome == Outcome.FULL:
             self._record_full(attempt, worker, now)
         elif outcome == Outcome.CONNECT_FAILED:
-            worker.strike(now)
+            worker.eject(now)
         elif outcome == Outcome.RESET:
-            worker.resets += 1
+            worker.consecutive_resets += 1
             worker.full_until = now + FULL_PAUSE_MS
             # A single connection can break under a worker that is well.
-            if worker.resets > 1 and now >= worker.suspect_until:
-                worker.strike(now)
+            if worker.consecutive_resets > 1 and now >= worker.ejected_until:
+                worker.eject(now)
         elif outcome == Outcome.ERROR:
-            worker.alive(now)
+            worker.record_sign_of_life(now)
             # A worker that fails fast has the fewest requests in flight and would attract even more.
-            if worker.faults > FAULTY:
-                worker.strike(now, erring=self._context.trial_effect != Effect.UNSAFE)
+            if worker.error_score > MAX_ERROR_SCORE:
+                worker.eject(now, failing=self._context.trial_effect != Effect.UNSAFE)
         elif outcome == Outcome.CANCELLED and attempt.started_at is None:
             self._record_unstarted_cancel(attempt, worker, now)
 
@@ -85,23 +85,23 @@
         late = event.elapsed >= SILENT_RUNS * max(
             pacer.expected_duration_ms(request.expected_work), request.request_class.latency_objective_ms
         )
-        worker.alive(now, not late)
+        worker.record_sign_of_life(now, not late)
         pacer.record_duration(
             event.elapsed if attempt.started_at is None else now - attempt.started_at, request.expected_work
         )
-        self._slow_start.count_served(request.budget_cost, now)
+        self._slow_start.record_served(request.budget_cost, now)
 
     def _record_full(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
-        worker.alive(now)
-        worker.fulls += 1
-        worker.full_until = now + FULL_PAUSE_MS * min(worker.fulls, MAX_FULL_PAUSES)
+        worker.record_sign_of_life(now)
+        worker.consecutive_fulls += 1
+        worker.full_until = now + FULL_PAUSE_MS * min(worker.consecutive_fulls, MAX_FULL_PAUSES)
         # Neither a draining worker's refusal nor one worker's, while others are free, is a sign of overload.
         if worker.entry.state == EndpointState.READY and not self._selector.is_any_free(now):
             attempt.request.pacer.accepted_in_window -= 1
 
     def _record_unstarted_cancel(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
         waited = now - attempt.sent_at
-        if waited >= self._outliers.short_wait(attempt.request):
-            self._outliers.count_wait(waited)
+        if waited >= self._outliers.short_wait_ms(attempt.request):
+            self._outliers.record_wait(waited)
             # Where one request has waited too long, the next one would too.
             worker.full_until = now + 2.0 * FULL_PAUSE_MS
--- a/eiderfield/policy/context.py
+++ b/eiderfield/policy/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one dispatcher's decisions share: its settings, its random numbers, and its actions."""
+"""State shared by the parts of one dispatcher's policy: settings, random numbers, and pending actions."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 
 from eiderfield.interface import Action, Effect, Settings
 
-MANY = 8  # dispatchers above which what one of them sees of a worker says little
+MANY_DISPATCHERS = 8  # above which one dispatcher sees only a small part of a worker's requests
 
 
 @dataclass(slots=True, eq=False)
 class Context:
-    """The shared state of one dispatcher."""
+    """The shared state of one dispatcher's policy."""
 
     settings: Settings
     random: random.Random
-    actions: list[Action] = field(default_factory=list)  # asked for since the present call began
+    actions: list[Action] = field(default_factory=list)  # of the present call
 
     @property
-    def many(self) -> bool:
-        """Whether there are so many dispatchers that each sees little of a worker."""
-        return self.settings.dispatcher_count > MANY
+    def many_dispatchers(self) -> bool:
+        """Whether each dispatcher sees only a small part of a worker's requests."""
+        return self.settings.dispatcher_count > MANY_DISPATCHERS
 
     @property
     def free_slots_column(self) -> int:
-        """The place of the free slots in a load report, -1 where reports do not tell them."""
+        """The index of the free slots in a load report, -1 if reports do not hold them."""
         fields = self.settings.load_report_fields
         return fields.index("x0") if "x0" in fields else -1
 
     @property
-    def sees_all(self) -> bool:
-        """Whether this dispatcher is alone and reports tell of slots: nothing at a worker is unseen then."""
+    def sees_all_slots(self) -> bool:
+        """Whether no request at a worker is unknown: there is one dispatcher, and reports hold free slots."""
         return self.settings.dispatcher_count == 1 and self.free_slots_column >= 0
 
     @property
     def trial_effect(self) -> Effect:
-        """The effect of the class that is sent first to a worker of which little is known."""
-        return min(cls.effect for cls in self.settings.classes)
+        """The effect of the class that is safest to repeat, whose requests try a half-open worker."""
+        return min(request_class.effect for request_class in self.settings.classes)
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -135,7 +135,7 @@
         self._context.settings = settings
         self._queues.apply_settings(settings)
         self._quotas.apply_settings()
-        self._fleet.adopt()
+        self._fleet.apply_settings()
         self._split_anew()
 
     def memory(self) -> dict[str, Any]:
@@ -143,10 +143,10 @@
         slow_start = self._slow_start
         return {
             "pacers": self._queues.learnt(),
-            "spent": (self._retry_budget.tokens, slow_start.served_rate, slow_start.served_at),
+            "spent": (self._retry_budget.tokens, slow_start.served_rate, slow_start.served_rate_at),
             "cold": self._fleet.recent_work(),
             "keys": self._key_counts.most_common(),
-            "slots": list(self._reports.slots.items()),
+            "slots": list(self._reports.slots_per_kind.items()),
             "erring": self._fleet.erring(),
         }
 
@@ -154,12 +154,12 @@
         """Goes on from the memory of the process before. The list must be known."""
         self._queues.resume(memory["pacers"])
         slow_start = self._slow_start
-        self._retry_budget.tokens, slow_start.served_rate, slow_start.served_at = memory["spent"]
-        self._reports.slots.update(memory["slots"])
+        self._retry_budget.tokens, slow_start.served_rate, slow_start.served_rate_at = memory["spent"]
+        self._reports.slots_per_kind.update(memory["slots"])
         self._key_counts.resume(memory["keys"])
         self._fleet.resume_recent_work(memory["cold"])
         self._fleet.resume_erring(memory.get("erring", ()))
-        if self._key_counts.total and self._fleet.saw_key():
+        if self._key_counts.total and self._fleet.enable_affinity():
             self._split_anew()
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
@@ -179,7 +179,7 @@
         if self._queues.held_count and opens_something(events):
             self._release(now)
         self._set_timer(now)
-        self._gossip.send()
+        self._gossip.send_reports()
         return actions
 
     # Events.
@@ -199,34 +199,34 @@
             self._queues.remove(request)
 
     def _probe_completed(self, event: ProbeCompleted, now: float) -> None:
-        self._reports.report(self._fleet.workers.get(event.worker), event.load, now)
+        self._reports.record_report(self._fleet.workers.get(event.worker), event.load, now)
 
     def _peer_report_received(self, event: PeerReportReceived, now: float) -> None:
-        self._gossip.receive(event.peer, event.data, now)
+        self._gossip.record_report(event.peer, event.data, now)
 
     def _sibling_report_received(self, event: SiblingReportReceived, now: float) -> None:
         worker = self._fleet.workers.get(event.worker)
         if worker is not None:
             worker.sibling_attempts = event.out
-            worker.recent.append((now, event.work))
-            self._gossip.changed(worker)
+            worker.recent_sends.append((now, event.work))
+            self._gossip.mark_changed(worker)
 
     def _endpoints_updated(self, event: EndpointsUpdated, now: float) -> None:
         if event.kind == EndpointListKind.FAILED:
             self._watching = False
-        elif self._fleet.apply(event.entries, event.kind != EndpointListKind.DELTA, now):
+        elif self._fleet.apply_entries(event.entries, event.kind != EndpointListKind.DELTA, now):
             self._split_anew()
 
     def _request_received(self, event: RequestReceived, now: float) -> None:
         if event.class_index >= len(self._queues.pacers) or event.id in self._requests:
             raise ValueError(f"request {event.id}: unknown class {event.class_index} or id in use")
         request, slack = self._queue_request(event, now)
-        self._slow_start.least_cost = min(self._slow_start.least_cost, request.budget_cost)
+        self._slow_start.min_cost = min(self._slow_start.min_cost, request.budget_cost)
         if request.key:
             self._count_key(request.key)
         self._requests[request.id] = request
         for entry, sent in event.earlier_attempts:  # of a lost dispatcher: they may have run or still run
-            self._fleet.known(entry)  # listed or not: its attempt refers to it
+            self._fleet.worker_of(entry)  # listed or not: its attempt refers to it
             attempt = AttemptRecord(request, len(request.attempts), entry, sent, sent, open=False)
             request.attempts.append(attempt)
         deadline = request.deadline - DEADLINE_TICKS * self._context.settings.clock_resolution_ms
@@ -235,7 +235,7 @@
         if (
             event.earlier_attempts
             and self._fleet.ready.by_number
-            and not self._selector.may_go_on(request, now)
+            and not self._selector.may_retry_anywhere(request, now)
         ):
             self._answer(request)
         wait = expected_wait(self._queues, self._out)
@@ -280,10 +280,10 @@
 
     def _count_key(self, key: int) -> None:
         forgot = self._key_counts.count(key)
-        if self._fleet.saw_key():
+        if self._fleet.enable_affinity():
             self._split_anew()
         if forgot:
-            self._fleet.key_orders.forget()
+            self._fleet.key_orders.clear()
 
     def _attempt_ended(self, event: AttemptEnded, now: float) -> None:
         request, attempt = self._find(event.id, event.attempt)
@@ -291,13 +291,13 @@
             return  # an attempt from before this dispatcher's present life
         self._close(attempt)
         outcome, worker = event.outcome, self._fleet.workers[attempt.entry.worker]
-        self._reports.report(worker, event.load, now)
+        self._reports.record_report(worker, event.load, now)
         attempt.may_have_run = outcome not in NEVER_RAN
-        self._fleet.resting[worker.entry.worker] = worker
+        self._fleet.pausing[worker.entry.worker] = worker
         if outcome in (Outcome.OK, Outcome.ERROR):
-            worker.count_end(outcome == Outcome.ERROR)
+            worker.record_outcome(outcome == Outcome.ERROR)
         if attempt.started_at is not None:
-            worker.learn(
+            worker.record_duration(
                 now, (now - attempt.started_at) / attempt.request.expected_duration_ms, outcome == Outcome.OK
             )
         self._outcomes.record_end(attempt, event, now)
@@ -313,7 +313,7 @@
         if attempt is None or not attempt.open:
             return
         attempt.last_heard_at = now
-        self._fleet.workers[attempt.entry.worker].alive(now)
+        self._fleet.workers[attempt.entry.worker].record_sign_of_life(now)
         if attempt.started_at is None and event.kind == ProgressKind.STARTED:
             self._outcomes.record_start(attempt, now)
 
@@ -332,12 +332,12 @@
         attempt.open = False
         self._out -= 1
         worker.own_slots -= attempt.request.slots
-        worker.open.pop((attempt.request.id, attempt.number), None)
+        worker.open_attempts.pop((attempt.request.id, attempt.number), None)
         worker.unstarted -= attempt.started_at is None
-        if not worker.open:
-            self._fleet.busy.pop(worker.entry.worker, None)
+        if not worker.open_attempts:
+            self._fleet.with_open_attempts.pop(worker.entry.worker, None)
             worker.silent = False  # with nothing left there, a trial must tell
-        self._gossip.changed(worker)
+        self._gossip.mark_changed(worker)
 
     def _finish(self, request: QueuedRequest) -> None:
         """Forget a request that is over and cancel its open attempts, which frees workers that support it."""
@@ -368,7 +368,11 @@
     def _may_retry(self, request: QueuedRequest, now: float, failed: bool = False) -> bool:
         """Whether a further attempt is legal and within the retry budget, from which its cost is taken."""
         cost = retry_cost(request, now, self._context.settings.workers_report_start, failed)
-        if request.answered or self._retry_budget.tokens < cost or not self._selector.may_go_on(request, now):
+        if (
+            request.answered
+            or self._retry_budget.tokens < cost
+            or not self._selector.may_retry_anywhere(request, now)
+        ):
             return False
         self._retry_budget.spend(cost)
         return True
@@ -421,16 +425,16 @@
             for request in [
                 request for request in queue.late.values() if self._outliers.is_hopeless(request, now)
             ]:
-                self._answer(request, self._outliers.mean_wait)
+                self._answer(request, self._outliers.mean_wait_ms)
             queue.fill_slb()
-        self._fleet.doubt_again()
-        self._slow_start.fade(now)
+        self._fleet.forget_silence_count()
+        self._slow_start.decay_served_rate(now)
         free: list[Worker] | None = (
             None  # found when a request without a key is to go, or probes may be wanted
         )
         if self._reports.probing:
             free = [worker for worker in self._fleet.subset.workers if self._selector.is_free(worker, now)]
-            shown = any(self._reports.shown(worker, now) > 0.0 for worker in free)
+            shown = any(self._reports.free_slot_evidence(worker, now) > 0.0 for worker in free)
             if not shown and self._reports.probe(now):
                 return
         for queue, requests in self._queues.release_order():
@@ -447,7 +451,7 @@
                 free = self._selector.free_workers(now) if free is None else free
                 if not free:
                     break
-            worker = self._selector.pick(request, free or [], now)
+            worker = self._selector.select(request, free or [], now)
             if worker is not None:
                 self._send(request, worker, now)
                 if free and worker in free and not self._selector.is_free(worker, now):
@@ -469,7 +473,7 @@
         request.attempts.append(attempt)
         self._out += 1
         self._add_to_worker(attempt, worker, now)
-        self._outliers.attempt_sent(attempt, worker)
+        self._outliers.record_send(attempt, worker)
         request.pacer.count_send(now)
         self._retry_budget.count_attempt()
         self._context.actions.append(StartAttempt(request.id, worker.entry.worker, work=request.budget_cost))
@@ -477,21 +481,21 @@
     def _add_to_worker(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
         """Takes in at its worker that an attempt is out."""
         request = attempt.request
-        worker.open[request.id, attempt.number] = attempt
+        worker.open_attempts[request.id, attempt.number] = attempt
         worker.unstarted += 1
         worker.own_slots += request.slots
         worker.slots_free -= request.slots
         if worker.slow_start_left < inf:
-            worker.recent.append((now, request.budget_cost))
-        self._fleet.busy[worker.entry.worker] = worker
-        self._gossip.changed(worker)
+            worker.recent_sends.append((now, request.budget_cost))
+        self._fleet.with_open_attempts[worker.entry.worker] = worker
+        self._gossip.mark_changed(worker)
 
     # The list and the timer.
 
     def _split_anew(self) -> None:
         """The fleet has been split anew: reports and peers are others."""
-        self._reports.choose()
-        self._gossip.choose()
+        self._reports.update_probing()
+        self._gossip.update_peers()
 
     def _keep_watching(self) -> None:
         """Opens the subscription to the list, where the settings want one, and again after it failed."""
@@ -504,7 +508,7 @@
         deadline = self._deadlines[0][0] if self._deadlines else inf
         at = min(deadline, self._outliers.next_check)
         if self._queues.held_count:
-            times = [*self._fleet.rest_ends(now), self._reports.waits_until]
+            times = [*self._fleet.pause_ends(now), self._reports.probes_pending_until]
             times += [pacer.next_release_at for pacer in self._queues.pacers if pacer.rate is not None]
             at = min([at, now + LOOK_AGAIN_MS, *[time for time in times if time > now]])
         at = max(at, now + self._context.settings.clock_resolution_ms)
--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -1,13 +1,15 @@
-"""A worker as this dispatcher sees it: its entry in the list, its answers, and its silence.
+"""The state that this dispatcher keeps of one worker: health, load, and its budget while it warms up.
 
-Theory of operation. A worker is trusted until it fails: a strike (a failed connection, two resets in a row,
-silence, or many errors) rests it for a while, twice as long after each further one. After the rest it is half
-open: one attempt at a time tries it, of the class that may best be repeated. A timely answer ends suspicion.
-One that fails its requests at once but answers others well is not rested but marked as erring: it comes
-behind all others, and gets only what may run twice.
+A worker is healthy until it fails. A failed connection, two resets in a row, silence or too many errors
+eject it: for a while it is sent nothing, twice as long after each further ejection. When that time is over
+it is half open, as a circuit breaker is: it gets one attempt at a time, of the class that is safest to
+repeat. An answer in time makes it healthy again. A worker that fails some requests at once and answers
+others well is not ejected but marked as failing: it is chosen after all others, and only for requests that
+may run twice.
 
-A sign of life ends silence alone. What must never happen: a resting worker that is sent anything; a worker
-that draws requests in by failing them fast.
+A sign of life other than an answer in time ends silence alone, not the ejection.
+
+Invariants: an ejected worker is sent nothing; a worker does not attract requests by failing them fast.
 """
 
 from __future__ import annotations
@@ -19,102 +21,106 @@
 from eiderfield.interface import Endpoint
 from eiderfield.policy.request import AttemptRecord
 
-STRIKE_PAUSE_MS = 500.0  # without sends after a first strike, doubled with each further one
-LONGEST_STRIKE_PAUSE_MS = 4000.0
-FAULT_FADE = 0.8  # weight of an error, compared with the next one
-FAULTY = 1.5  # sum of errors at which a worker is rested: two in a row, or one in three
-PACE_REQUESTS = (
-    3.0  # requests of the usual length that a worker is credited with, so that one long request says little
-)
-PACE_MEMORY_MS = 5000.0  # over which what a worker has had running is forgotten
-RECENT_ATTEMPTS = 1024  # attempts to a warming worker that are remembered: more are not sent in a window
+BASE_EJECTION_MS = 500.0  # length of a first ejection, doubled by each further one
+MAX_EJECTION_MS = 4000.0
+ERROR_DECAY = 0.8  # factor on the error score with each attempt that ends
+MAX_ERROR_SCORE = 1.5  # above it a worker is ejected: two errors in a row, or one in three
+PACE_PRIOR_REQUESTS = 3.0  # requests of typical duration that a worker is credited with in its pace
+PACE_MEMORY_MS = 5000.0  # after which what has run at a worker no longer counts in its pace
+RECENT_ATTEMPTS = 1024  # sends to a warming worker that are remembered: no more are made in one window
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """A worker as the list, its answers and its silence show it."""
+    """A worker, as its entry in the endpoint list, its answers and its silence show it.
+
+    Field comments say "own" for what this dispatcher has sent, as opposed to its peers.
+    """
 
     entry: Endpoint
-    open: dict[tuple[int, int], AttemptRecord] = field(default_factory=dict)  # own attempts out, oldest first
-    unstarted: int = 0
-    own_slots: float = 0.0  # slots of own attempts out
-    sibling_attempts: int = 0  # attempts that this node's other process has out here, while it is upgraded
-    heard: float = 0.0
+    open_attempts: dict[tuple[int, int], AttemptRecord] = field(default_factory=dict)  # own, oldest first
+    unstarted: int = 0  # own open attempts that have not started
+    own_slots: float = 0.0  # slots taken by own open attempts
+    sibling_attempts: int = 0  # open attempts of the other process of this dispatcher during an upgrade
+    last_heard_at: float = 0.0
     full_until: float = 0.0
-    strikes: int = 0
-    ran: float = 0.0  # what ran here lately and is over, in usual running times
-    done: float = 0.0  # how many of these requests were done
-    faded: float = 0.0
-    faults: float = 0.0  # errors, each ended request weighing less than the next by FAULT_FADE
-    fulls: int = 0  # in a row, without a start between
-    resets: int = 0  # in a row, without a sign of life between
-    suspect_until: float = 0.0
+    ejections: int = 0  # since the last answer in time
+    recent_durations: float = 0.0  # of ended requests, in typical durations; decays
+    recent_completions: float = 0.0  # number of those that completed; decays
+    pace_updated_at: float = 0.0
+    error_score: float = 0.0  # decaying sum of errors
+    consecutive_fulls: int = 0  # without a start in between
+    consecutive_resets: int = 0  # without a sign of life in between
+    ejected_until: float = 0.0
     silent: bool = False
-    erring: bool = (
-        False  # it fails requests at once, and others well: for what may run twice, behind all others
-    )
-    recent: deque[tuple[float, float]] = field(
+    failing: bool = False  # fails some requests at once and answers others well
+    recent_sends: deque[tuple[float, float]] = field(
         default_factory=lambda: deque(maxlen=RECENT_ATTEMPTS)
-    )  # cold: time, work
-    slow_start_left: float = inf
-    lot: float = 1.0  # cold: the share of a request's cost that must be left of the budget
+    )  # times and work of sends while it warms up
+    slow_start_left: float = inf  # work that it may still be sent while it warms up
+    budget_threshold: float = 1.0  # share of a request's cost that must be left of the slow start budget
     slots_free: float = 0.0  # as last reported, less own sends since
-    reported: float = -inf
-    probed: float = -inf
-    peer_reports: dict[int, tuple[float, int]] = field(
-        default_factory=dict
-    )  # by peer: when, its requests here
-    peer_slots: int = 0  # their sum
+    reported_at: float = -inf  # when it last reported its load
+    probed_at: float = -inf
+    peer_reports: dict[int, tuple[float, int]] = field(default_factory=dict)  # by peer: time, slots in use
+    peer_slots: int = 0  # the sum of the reports that still hold
     peer_slots_until: float = 0.0
 
-    def total(self, now: float) -> float:
-        """Slots in use by requests of this dispatcher and, as far as reported, of its peers."""
-        return (
-            self.own_slots + self.sibling_attempts + (self.peer_slots if now < self.peer_slots_until else 0)
-        )
+    def slots_in_use(self, now: float) -> float:
+        """Return the slots taken by requests of this dispatcher and, as far as reported, of its peers."""
+        peer_slots = self.peer_slots if now < self.peer_slots_until else 0
+        return self.own_slots + self.sibling_attempts + peer_slots
 
-    def alive(self, now: float, well: bool = False) -> None:
-        """A sign of life ends silence. Only a timely answer ends suspicion, or a slow worker never rests."""
-        self.heard = now
+    def record_sign_of_life(self, now: float, in_time: bool = False) -> None:
+        """End silence and, after an answer in time, the ejection.
+
+        Any other sign of life leaves the ejection as it is, or a slow worker would never be ejected.
+        """
+        self.last_heard_at = now
         self.silent = False
-        self.resets = 0
-        if well and self.faults <= FAULTY:
-            self.strikes = 0
-            self.suspect_until = 0.0
-            self.erring = False
-
-    def restarted(self, now: float) -> None:
-        """A new process is there, which owes nothing to the past."""
-        self.faults = 0.0
-        self.reported = -inf
-        self.alive(now, True)
-
-    def count_end(self, failed: bool) -> None:
-        """Counts an attempt that ended well, or with an error."""
-        self.faults = self.faults * FAULT_FADE + failed
-
-    def learn(self, now: float, ran: float, done: bool) -> None:
-        """Takes in that a request which had started is over, after so many usual running times."""
-        kept = max(0.0, 1.0 - (now - self.faded) / PACE_MEMORY_MS)
-        self.ran = self.ran * kept + ran
-        self.done = self.done * kept + done
-        self.faded = now
+        self.consecutive_resets = 0
+        if in_time and self.error_score <= MAX_ERROR_SCORE:
+            self.ejections = 0
+            self.ejected_until = 0.0
+            self.failing = False
+
+    def record_restart(self, now: float) -> None:
+        """Reset the health of a worker whose process has been started anew."""
+        self.error_score = 0.0
+        self.reported_at = -inf
+        self.record_sign_of_life(now, True)
+
+    def record_outcome(self, failed: bool) -> None:
+        """Update the error score with an attempt that was answered, `failed` with an error."""
+        self.error_score = self.error_score * ERROR_DECAY + failed
+
+    def record_duration(self, now: float, duration: float, completed: bool) -> None:
+        """Update the pace with a started request that has ended after `duration` typical durations."""
+        kept = max(0.0, 1.0 - (now - self.pace_updated_at) / PACE_MEMORY_MS)
+        self.recent_durations = self.recent_durations * kept + duration
+        self.recent_completions = self.recent_completions * kept + completed
+        self.pace_updated_at = now
 
     def pace(self, now: float) -> float:
-        """How much longer than usual requests run here; those still running show first that it turns slow."""
-        kept = max(0.0, 1.0 - (now - self.faded) / PACE_MEMORY_MS)
-        out = sum(
+        """Return how many times longer than typical requests run here.
+
+        Requests in progress count with the time that they have run so far: they are the first to show that a
+        worker has become slow.
+        """
+        kept = max(0.0, 1.0 - (now - self.pace_updated_at) / PACE_MEMORY_MS)
+        in_progress = sum(
             [
-                (now - a.started_at) / a.request.expected_duration_ms
-                for a in self.open.values()
-                if a.started_at is not None
+                (now - attempt.started_at) / attempt.request.expected_duration_ms
+                for attempt in self.open_attempts.values()
+                if attempt.started_at is not None
             ]
         )
-        return (PACE_REQUESTS + self.ran * kept + out) / (PACE_REQUESTS + self.done * kept)
-
-    def strike(self, now: float, erring: bool = False) -> None:
-        """A failed connection, a reset, silence, errors: no sends for a while, then one trial (half-open)."""
-        self.strikes += 1
-        self.erring = erring
-        pause = STRIKE_PAUSE_MS * 2.0 ** (self.strikes - 1)
-        self.suspect_until = now + min(LONGEST_STRIKE_PAUSE_MS, pause)
+        durations = PACE_PRIOR_REQUESTS + self.recent_durations * kept + in_progress
+        return durations / (PACE_PRIOR_REQUESTS + self.recent_completions * kept)
+
+    def eject(self, now: float, failing: bool = False) -> None:
+        """Send nothing to the worker for a while; `failing` marks it instead, see the module's docstring."""
+        self.ejections += 1
+        self.failing = failing
+        duration = BASE_EJECTION_MS * 2.0 ** (self.ejections - 1)
+        self.ejected_until = now + min(MAX_EJECTION_MS, duration)
--- a/eiderfield/policy/fleet.py
+++ b/eiderfield/policy/fleet.py
@@ -32,67 +32,67 @@
         self.workers: dict[int, Worker] = {}
         self.ready = ReadyWorkers()
         self.key_orders = KeyOrders()  # of the subset
-        self.subset = Subset(self.key_orders.join, self.key_orders.leave)
+        self.subset = Subset(self.key_orders.add, self.key_orders.remove)
         self.keyed = False  # whether any request so far had a key
-        self.busy: dict[int, Worker] = {}  # workers with own attempts out
-        self.resting: dict[int, Worker] = {}  # workers that may be resting
+        self.with_open_attempts: dict[int, Worker] = {}  # workers with own attempts out
+        self.pausing: dict[int, Worker] = {}  # workers that may be resting
         self.warming: dict[int, Worker] = {}  # workers that may be warming up
         self._context = context
         self._most_silent: bool | None = None  # None: not counted yet
-        self.deal()
+        self.repartition()
 
-    def apply(self, entries: Iterable[Endpoint], whole: bool, now: float) -> bool:
+    def apply_entries(self, entries: Iterable[Endpoint], whole: bool, now: float) -> bool:
         """Takes in changes, or a whole list; returns whether the fleet was split anew."""
         first = not self.ready.by_number
         named = set()
         for entry in entries:
             named.add(entry.worker)
-            self._update(entry, now, first)
+            self._apply_entry(entry, now, first)
         if whole:
             for number in self.workers.keys() - named:
                 worker = self.workers[number]
                 if worker.entry.state != EndpointState.GONE:
-                    self._update(replace(worker.entry, state=EndpointState.GONE), now, first)
-        if first or self._groups() != self.subset.groups:
-            self.deal()
+                    self._apply_entry(replace(worker.entry, state=EndpointState.GONE), now, first)
+        if first or self._group_count() != self.subset.group_count:
+            self.repartition()
             return True
         return False
 
-    def known(self, entry: Endpoint) -> Worker:
+    def worker_of(self, entry: Endpoint) -> Worker:
         """The worker of an entry; one that was never listed is taken to be gone."""
         worker = self.workers.get(entry.worker)
         if worker is None:
             worker = self.workers[entry.worker] = Worker(replace(entry, state=EndpointState.GONE))
         return worker
 
-    def saw_key(self) -> bool:
+    def enable_affinity(self) -> bool:
         """Takes in that a request has a key; returns whether the fleet was split anew."""
         if self.keyed:
             return False
         self.keyed = True
-        self.deal()
+        self.repartition()
         return True
 
-    def deal(self) -> None:
+    def repartition(self) -> None:
         """Splits the fleet anew."""
-        settings, groups = self._context.settings, self._groups()
+        settings, groups = self._context.settings, self._group_count()
         group = group_of_dispatcher(settings.dispatcher_index, settings.dispatcher_count, groups, self.keyed)
         sharers = settings.dispatcher_count / groups
-        self.subset.deal(self.ready.by_number.values(), self.keyed, groups, group, sharers)
+        self.subset.repartition(self.ready.by_number.values(), self.keyed, groups, group, sharers)
         self.key_orders.reset(self.subset.workers)
 
-    def adopt(self) -> None:
+    def apply_settings(self) -> None:
         """Takes new settings."""
         started = {number: w for number, w in self.workers.items() if w.entry.ready_at > 0.0}
         self.warming = started
-        self.deal()
+        self.repartition()
 
-    def examined(self) -> list[Worker]:
+    def candidates(self) -> list[Worker]:
         """The workers that are looked at for what may go to any: all of a subset or, of hundreds, some."""
         workers = self.subset.workers
         return workers if len(workers) <= EXAMINED else self._context.random.sample(workers, EXAMINED)
 
-    def doubt_again(self) -> None:
+    def forget_silence_count(self) -> None:
         """Lets the silent workers be counted anew."""
         self._most_silent = None
 
@@ -101,53 +101,53 @@
 
         If most workers are silent, doubt the evidence and keep serving. A failed connection is certain."""
         if not worker.silent:
-            return now >= worker.suspect_until or worker.erring
+            return now >= worker.ejected_until or worker.failing
         if self._most_silent is None:
             silent = sum([other.silent for other in self.subset.workers])
             self._most_silent = 2 * silent > len(self.subset)
         return self._most_silent
 
-    def rest_ends(self, now: float) -> list[float]:
+    def pause_ends(self, now: float) -> list[float]:
         """The times at which resting workers of the subset may be sent to again."""
-        rested = [n for n, w in self.resting.items() if max(w.full_until, w.suspect_until) <= now]
+        rested = [n for n, w in self.pausing.items() if max(w.full_until, w.ejected_until) <= now]
         for number in rested:
-            del self.resting[number]
-        here = [worker for worker in self.resting.values() if worker in self.subset]
-        return [time for worker in here for time in (worker.full_until, worker.suspect_until)]
+            del self.pausing[number]
+        here = [worker for worker in self.pausing.values() if worker in self.subset]
+        return [time for worker in here for time in (worker.full_until, worker.ejected_until)]
 
     def recent_work(self) -> list[tuple[int, list[tuple[float, float]]]]:
         """The attempts that warming workers were sent lately, in plain values, for the next process."""
-        sent = [worker for worker in self.workers.values() if worker.recent]
-        return [(worker.entry.worker, list(worker.recent)) for worker in sent]
+        sent = [worker for worker in self.workers.values() if worker.recent_sends]
+        return [(worker.entry.worker, list(worker.recent_sends)) for worker in sent]
 
     def resume_recent_work(self, told: Iterable[tuple[int, list[tuple[float, float]]]]) -> None:
         """Goes on from the attempts that the process before had sent to warming workers."""
         for number, recent in told:
             if number in self.workers:
-                self.workers[number].recent.extend((at, work) for at, work in recent)
+                self.workers[number].recent_sends.extend((at, work) for at, work in recent)
 
     def erring(self) -> list[tuple[int, float, int]]:
         """The workers that fail their requests at once, in plain values, for the next process."""
-        failing = [worker for worker in self.workers.values() if worker.erring]
-        return [(worker.entry.worker, worker.faults, worker.strikes) for worker in failing]
+        failing = [worker for worker in self.workers.values() if worker.failing]
+        return [(worker.entry.worker, worker.error_score, worker.ejections) for worker in failing]
 
     def resume_erring(self, told: Iterable[tuple[int, float, int]]) -> None:
         """Goes on from the workers that the process before knew to fail their requests at once."""
         for number, faults, strikes in told:
             worker = self.workers.get(number)
             if worker is not None:
-                worker.faults = faults
-                worker.strikes = strikes
-                worker.erring = True
+                worker.error_score = faults
+                worker.ejections = strikes
+                worker.failing = True
 
-    def _update(self, entry: Endpoint, now: float, first: bool) -> None:
+    def _apply_entry(self, entry: Endpoint, now: float, first: bool) -> None:
         """Takes in what the list says of one worker. After the `first` list all are dealt anew."""
-        worker = self.known(entry)
+        worker = self.worker_of(entry)
         old = worker.entry
         if entry == old:
             return
         if entry.ready_at != old.ready_at:
-            worker.restarted(now)
+            worker.record_restart(now)
         if entry.ready_at > 0.0:
             self.warming[entry.worker] = worker
         was_ready, is_ready = old.state == EndpointState.READY, entry.state == EndpointState.READY
@@ -156,16 +156,18 @@
         if was_ready and not stays:
             self.ready.remove(old)
             if not first:
-                self.subset.leave(old)
+                self.subset.remove(old)
         worker.entry = entry
         if is_ready and not stays:
             self.ready.add(worker)
             if not first:
-                self.subset.join(worker)
+                self.subset.add(worker)
 
-    def _groups(self) -> int:
+    def _group_count(self) -> int:
         """How many groups the fleet should be split into."""
         settings, ready = self._context.settings, len(self.ready.by_number)
         if self.keyed:
-            return keyed_groups(self.subset.groups, settings.dispatcher_count, ready)
-        return balanced_groups(self.subset.groups, settings.dispatcher_count, settings.gossip_allowed, ready)
+            return keyed_groups(self.subset.group_count, settings.dispatcher_count, ready)
+        return balanced_groups(
+            self.subset.group_count, settings.dispatcher_count, settings.gossip_allowed, ready
+        )
--- a/eiderfield/policy/gossip.py
+++ b/eiderfield/policy/gossip.py
@@ -1,6 +1,7 @@
-"""Gossip: dispatchers that share workers tell each other the slots that their requests take there.
+"""Gossip: dispatchers that share workers report to each other the slots that their requests take there.
 
-A count that was lost is replaced by the next, and forgotten after a while: its sender may have died.
+Reports are not acknowledged. One that is lost is replaced by the next, and each expires after `FRESH_MS`, for
+its sender may have died.
 """
 
 from __future__ import annotations
@@ -11,46 +12,48 @@
 from eiderfield.policy.fleet import Fleet
 from eiderfield.policy.subsetting import SHARERS, group_of_dispatcher
 
-FRESH_MS = 2000.0  # for which a peer's count holds
+FRESH_MS = 2000.0  # after which a peer's report expires
 
 
 class Gossip:
-    """The reports to and from this dispatcher's peers."""
+    """Sends this dispatcher's reports to its peers and records theirs."""
 
     def __init__(self, context: Context, fleet: Fleet) -> None:
-        self.peers: list[int] = []  # dispatchers that share this one's workers and may talk
-        self._changed: dict[int, Worker] = {}  # workers where own requests came or went in this call
+        self.peers: list[int] = []  # dispatchers that reports are sent to
+        self._changed: dict[int, Worker] = {}  # workers whose own slots changed in this call
         self._context = context
         self._fleet = fleet
 
-    def choose(self) -> None:
-        """Finds the peers: the dispatchers of the same group, unless they are too many to listen to."""
+    def update_peers(self) -> None:
+        """Set the peers to the other dispatchers of the same group, or to none if they are too many."""
         settings, subset = self._context.settings, self._fleet.subset
-        nodes, groups, keyed = settings.dispatcher_count, subset.groups, self._fleet.keyed
+        dispatchers, groups, keyed = settings.dispatcher_count, subset.group_count, self._fleet.keyed
         self.peers = []
-        if settings.gossip_allowed and subset.sharers < 2 * SHARERS[True]:
-            own = group_of_dispatcher(settings.dispatcher_index, nodes, groups, keyed)
-            alike = [n for n in range(nodes) if group_of_dispatcher(n, nodes, groups, keyed) == own]
-            self.peers = [number for number in alike if number != settings.dispatcher_index]
-
-    def changed(self, worker: Worker) -> None:
-        """Own requests came or went at a worker."""
+        if settings.gossip_allowed and subset.dispatchers_per_worker < 2 * SHARERS[True]:
+            own = group_of_dispatcher(settings.dispatcher_index, dispatchers, groups, keyed)
+            members = [
+                index
+                for index in range(dispatchers)
+                if group_of_dispatcher(index, dispatchers, groups, keyed) == own
+            ]
+            self.peers = [index for index in members if index != settings.dispatcher_index]
+
+    def mark_changed(self, worker: Worker) -> None:
+        """Note that the slots of own requests at a worker have changed."""
         self._changed[worker.entry.worker] = worker
 
-    def receive(self, peer: int, data: bytes, now: float) -> None:
-        """A peer tells how many slots its requests take at workers."""
+    def record_report(self, peer: int, data: bytes, now: float) -> None:
+        """Record a peer's report of the slots that its requests take at workers."""
         for number, count in decode_peer_report(data):
             worker = self._fleet.workers.get(number)
             if worker is not None:
                 worker.peer_reports[peer] = (now, count)
                 worker.peer_slots_until = now + FRESH_MS
-                fresh = [
-                    requests for told_at, requests in worker.peer_reports.values() if told_at > now - FRESH_MS
-                ]
-                worker.peer_slots = sum(fresh)
+                reports = worker.peer_reports.values()
+                worker.peer_slots = sum([slots for sent_at, slots in reports if sent_at > now - FRESH_MS])
 
-    def send(self) -> None:
-        """Tells the peers of the workers where own requests came or went."""
+    def send_reports(self) -> None:
+        """Report to the peers the workers at which own slots have changed in this call."""
         counts = [(number, round(w.own_slots) + w.sibling_attempts) for number, w in self._changed.items()]
         data = encode_peer_report(counts)
         if data:
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -39,29 +39,29 @@
         self, context: Context, fleet: Fleet, give_up: Callable[[AttemptRecord, float], None]
     ) -> None:
         self.next_check = inf  # nobody is suspect before
-        self.mean_wait = 0.0  # of requests, at workers, until they start, in ms
+        self.mean_wait_ms = 0.0  # of requests, at workers, until they start, in ms
         self._context = context
         self._fleet = fleet
         self._give_up = give_up
 
-    def attempt_sent(self, attempt: AttemptRecord, worker: Worker) -> None:
+    def record_send(self, attempt: AttemptRecord, worker: Worker) -> None:
         """An attempt is out, and may fall silent."""
-        silence, stuck = self._silent_from(worker), self._stuck_from(attempt, worker)
+        silence, stuck = self._silent_at(worker), self._stuck_at(attempt, worker)
         self.next_check = min(self.next_check, silence, stuck)
 
-    def count_wait(self, wait: float) -> None:
+    def record_wait(self, wait: float) -> None:
         """Takes in how long a request waited at a worker."""
-        self.mean_wait += WAIT_WEIGHT * (wait - self.mean_wait)
+        self.mean_wait_ms += WAIT_WEIGHT * (wait - self.mean_wait_ms)
 
     def check(self, now: float) -> None:
         """Strikes workers that have become silent, and gives up what is stuck."""
         if now < self.next_check:
             return
         self.next_check = inf
-        for worker in list(self._fleet.busy.values()):
+        for worker in list(self._fleet.with_open_attempts.values()):
             self._check_worker(worker, now)
-            for attempt in worker.open.values():
-                stuck_from = self._stuck_from(attempt, worker)
+            for attempt in worker.open_attempts.values():
+                stuck_from = self._stuck_at(attempt, worker)
                 if now >= stuck_from or worker.silent:
                     self._give_up(attempt, now)
                 else:
@@ -69,36 +69,36 @@
         if self.next_check <= now:
             self.next_check = now + CHECKED_AGAIN_MS
 
-    def short_wait(self, request: QueuedRequest) -> float:
+    def short_wait_ms(self, request: QueuedRequest) -> float:
         """The wait that one of many dispatchers takes for a short one, in ms."""
-        return STUCK_RUNS_OF_MANY * self._usual_run(request)
+        return STUCK_RUNS_OF_MANY * self._typical_duration_ms(request)
 
     def is_hopeless(self, request: QueuedRequest, now: float) -> bool:
         """Whether a request that can't be in time would, at queues everywhere, make others late as well."""
-        late = self._context.many and now >= request.latest_useful_start
-        return late and self.mean_wait > self.short_wait(request)
+        late = self._context.many_dispatchers and now >= request.latest_useful_start
+        return late and self.mean_wait_ms > self.short_wait_ms(request)
 
     def _check_worker(self, worker: Worker, now: float) -> None:
         if worker.silent:
             return
-        silent_from = self._silent_from(worker)
+        silent_from = self._silent_at(worker)
         if worker.entry.state == EndpointState.READY and now >= silent_from:
             worker.silent = True
-            worker.strike(now)
-            self._fleet.resting[worker.entry.worker] = worker
-            text = f"worker {worker.entry.worker} silent, {len(worker.open)} jobs out"
+            worker.eject(now)
+            self._fleet.pausing[worker.entry.worker] = worker
+            text = f"worker {worker.entry.worker} silent, {len(worker.open_attempts)} jobs out"
             self._context.actions.append(LogMessage(text))
         else:
             self.next_check = min(self.next_check, silent_from)
 
-    def _silent_from(self, worker: Worker) -> float:
+    def _silent_at(self, worker: Worker) -> float:
         """When the worker's silence becomes suspect: measured from its last sign of life."""
-        oldest = next(iter(worker.open.values()))
-        runs = SILENT_RUNS * self._usual_run(oldest.request)
+        oldest = next(iter(worker.open_attempts.values()))
+        runs = SILENT_RUNS * self._typical_duration_ms(oldest.request)
         notes = SILENT_NOTES * self._context.settings.progress_interval
-        return max(worker.heard, oldest.sent_at) + (notes or runs)
+        return max(worker.last_heard_at, oldest.sent_at) + (notes or runs)
 
-    def _stuck_from(self, attempt: AttemptRecord, worker: Worker) -> float:
+    def _stuck_at(self, attempt: AttemptRecord, worker: Worker) -> float:
         """When an attempt is stuck: no note came in time or, if not started, its wait is too long."""
         settings = self._context.settings
         if attempt.given_up or attempt.request.streaming:
@@ -112,20 +112,20 @@
             )
         if not settings.workers_report_start:
             return inf
-        if self._context.many:
-            return self._impatient_from(attempt)
-        return attempt.sent_at + STUCK_RUNS / STUCK_RUNS_OF_MANY * self.short_wait(attempt.request)
+        if self._context.many_dispatchers:
+            return self._short_wait_over_at(attempt)
+        return attempt.sent_at + STUCK_RUNS / STUCK_RUNS_OF_MANY * self.short_wait_ms(attempt.request)
 
-    def _impatient_from(self, attempt: AttemptRecord) -> float:
+    def _short_wait_over_at(self, attempt: AttemptRecord) -> float:
         """When one of many dispatchers calls an unstarted attempt off: each wait is twice the last."""
-        short = self.short_wait(attempt.request)
-        patient_until = attempt.sent_at + max(short, self.mean_wait) * 2.0**attempt.number
-        if self.mean_wait <= short:
+        short = self.short_wait_ms(attempt.request)
+        patient_until = attempt.sent_at + max(short, self.mean_wait_ms) * 2.0**attempt.number
+        if self.mean_wait_ms <= short:
             return patient_until
         # Where all queues are long, leaving one loses the place and the data.
         return min(patient_until, max(attempt.request.latest_useful_start, attempt.sent_at + short))
 
-    def _usual_run(self, request: QueuedRequest) -> float:
+    def _typical_duration_ms(self, request: QueuedRequest) -> float:
         return max(
             request.pacer.expected_duration_ms(request.expected_work),
             request.request_class.latency_objective_ms,
--- a/eiderfield/policy/ready.py
+++ b/eiderfield/policy/ready.py
@@ -1,4 +1,4 @@
-"""The ready workers of the whole fleet, indexed by what a keyed request may be repeated within."""
+"""Index of the ready workers of the whole fleet, by the scopes in which a keyed request may be repeated."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ReadyWorkers:
-    """Ready workers by number, by zone and by cell. Workers come in the order in which they became ready."""
+    """Ready workers by number, zone and cell, each in the order in which they became ready."""
 
     def __init__(self) -> None:
         self.by_number: dict[int, Worker] = {}
@@ -17,22 +17,22 @@
         self._by_cell: defaultdict[int, dict[int, Worker]] = defaultdict(dict)
 
     def add(self, worker: Worker) -> None:
-        """Takes in a worker that has become ready."""
+        """Add a worker that has become ready."""
         entry = worker.entry
         self.by_number[entry.worker] = worker
         self._by_zone[entry.zone][entry.worker] = worker
         self._by_cell[entry.cell][entry.worker] = worker
 
     def remove(self, entry: Endpoint) -> None:
-        """Lets a worker go, which was ready in this entry."""
+        """Remove a worker, given the entry with which it was added."""
         del self.by_number[entry.worker]
         del self._by_zone[entry.zone][entry.worker]
         del self._by_cell[entry.cell][entry.worker]
 
     def in_zone(self, zone: int) -> dict[int, Worker]:
-        """The ready workers of a zone."""
+        """Return the ready workers of a zone, by number."""
         return self._by_zone.get(zone, {})
 
     def in_cell(self, cell: int) -> dict[int, Worker]:
-        """The ready workers of a cell."""
+        """Return the ready workers of a cell, by number."""
         return self._by_cell.get(cell, {})
--- a/eiderfield/policy/selection.py
+++ b/eiderfield/policy/selection.py
@@ -15,7 +15,7 @@
 
 from eiderfield.policy.affinity import KeyCounts
 from eiderfield.policy.context import Context
-from eiderfield.policy.endpoint import STRIKE_PAUSE_MS, Worker
+from eiderfield.policy.endpoint import BASE_EJECTION_MS, Worker
 from eiderfield.policy.fleet import EXAMINED, Fleet
 from eiderfield.policy.gossip import Gossip
 from eiderfield.policy.load_reports import LoadReports
@@ -55,7 +55,7 @@
         settings = self._context.settings
         return may_resend(request, worker, now, settings.hedging_allowed, settings.max_attempts)
 
-    def may_go_on(self, request: QueuedRequest, now: float) -> bool:
+    def may_retry_anywhere(self, request: QueuedRequest, now: float) -> bool:
         """Whether the retry rules let the request go to any ready worker (again)."""
         group = retry_group(request, self._fleet.ready)
         return any(self.is_legal(request, worker, now) for worker in first_of(group))
@@ -70,23 +70,27 @@
 
     def is_any_free(self, now: float) -> bool:
         """Whether any worker can take one more own request now."""
-        return any(self.is_free(worker, now) for worker in self._fleet.examined())
+        return any(self.is_free(worker, now) for worker in self._fleet.candidates())
 
     def free_workers(self, now: float) -> list[Worker]:
         """The workers that can take one more own request without a key now."""
-        return [worker for worker in self._fleet.examined() if self.is_free(worker, now)]
+        return [worker for worker in self._fleet.candidates() if self.is_free(worker, now)]
 
     def is_free(self, worker: Worker, now: float) -> bool:
         """Whether the worker can take one more own request now. Brings its slow start budget up to date."""
-        half_open = worker.strikes and not worker.erring
-        if now < worker.full_until or (half_open and worker.open) or not self._fleet.is_usable(worker, now):
+        half_open = worker.ejections and not worker.failing
+        if (
+            now < worker.full_until
+            or (half_open and worker.open_attempts)
+            or not self._fleet.is_usable(worker, now)
+        ):
             return False
         if self._is_full(worker, now):
             return False
         self._slow_start.refresh(worker, now)
-        return self._slow_start.may_take_any(worker)
+        return self._slow_start.has_budget(worker)
 
-    def pick(self, request: QueuedRequest, free: list[Worker], now: float) -> Worker | None:
+    def select(self, request: QueuedRequest, free: list[Worker], now: float) -> Worker | None:
         """The best worker for a request; one without a key is to go to one of those that are `free`."""
         pool = self._pool(request, free, now)
         ranked = [(self._rank(w, request, now), w) for w in pool if self._is_ready(w, request, now)]
@@ -97,9 +101,11 @@
 
     def homes(self, request: QueuedRequest, now: float) -> list[Worker]:
         """The free ones of a key's homes, as many as its share of the requests needs."""
-        if not self.may_go_on(request, now):
+        if not self.may_retry_anywhere(request, now):
             return []
-        most = self._key_counts.homes(request.key, len(self._fleet.subset), self._context.many)
+        most = self._key_counts.home_count(
+            request.key, len(self._fleet.subset), self._context.many_dispatchers
+        )
         if most > EXAMINED:
             return self._some_homes(request, most, now)
         homes = self._open_homes(request, most, now)
@@ -118,7 +124,7 @@
     def _some_homes(self, request: QueuedRequest, most: int, now: float) -> list[Worker]:
         """Some free homes of a key that has so many that a part of them, drawn at random, does as well."""
         group = retry_group(request, self._fleet.ready)
-        order, _ = self._fleet.key_orders.first(request.key, most)
+        order, _ = self._fleet.key_orders.first_workers(request.key, most)
         drawn = self._context.random.sample(order[:most], min(EXAMINED, len(order)))
         legal = [worker for worker in drawn if worker.entry.worker in group]
         return [w for w in legal if self._is_open_home(w, request, now) and self.is_free(w, now)]
@@ -129,7 +135,7 @@
         A warming one takes nobody's place: its budget could let nothing through (incident ia7713c)."""
         count, whole = 2 * most, False
         while True:
-            order, whole = self._fleet.key_orders.first(request.key, count)
+            order, whole = self._fleet.key_orders.first_workers(request.key, count)
             homes, warm = self._take_homes(request, order, most, now)
             if whole or warm == most:
                 return homes
@@ -155,7 +161,7 @@
     def _must_leave_subset(self, request: QueuedRequest, homes: list[Worker]) -> bool:
         """Whether a retry is bound to workers of which this subset has no further one."""
         group = retry_group(request, self._fleet.ready)
-        if group is self._fleet.ready.by_number or self._fleet.subset.groups == 1:
+        if group is self._fleet.ready.by_number or self._fleet.subset.group_count == 1:
             return False
         tried = {attempt.entry.worker for attempt in request.attempts}
         return all(worker.entry.worker in tried for worker in homes)
@@ -173,23 +179,27 @@
         ):  # one may wait there: more would do so unseen and unmovable
             full = worker.unstarted > 0
         else:
-            out = (len(worker.open) + worker.sibling_attempts) * self._fleet.subset.sharers
-            full = out >= most and self._reports.shown(worker, now) <= 0.0
-        return full or (bool(self._gossip.peers) and worker.total(now) >= most)
+            out = (
+                len(worker.open_attempts) + worker.sibling_attempts
+            ) * self._fleet.subset.dispatchers_per_worker
+            full = out >= most and self._reports.free_slot_evidence(worker, now) <= 0.0
+        return full or (bool(self._gossip.peers) and worker.slots_in_use(now) >= most)
 
     def _is_open_home(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
         """Whether requests should wait for this home: not if just started, full, or taking trials alone."""
-        if (worker.fulls > 1 and now < worker.full_until) or not self._is_trusted(worker, request, now):
+        if (worker.consecutive_fulls > 1 and now < worker.full_until) or not self._is_trusted(
+            worker, request, now
+        ):
             return False
         soon = now + (1.0 - COLD_REST) * self._context.settings.slow_start_window_ms
         return self._fleet.is_usable(worker, now) and not self._slow_start.is_warming(worker, soon)
 
     def _is_trusted(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
         """Whether a request may go to a worker that was struck: trials are of what may best be repeated."""
-        if not worker.strikes:
+        if not worker.ejections:
             return True
-        untried = not worker.erring and now >= worker.suspect_until + STRIKE_PAUSE_MS
-        return untried or request.request_class.effect <= max(self._context.trial_effect, worker.erring)
+        untried = not worker.failing and now >= worker.ejected_until + BASE_EJECTION_MS
+        return untried or request.request_class.effect <= max(self._context.trial_effect, worker.failing)
 
     def _is_ready(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
         """Whether this worker may take this request: its kind, rule 2's group, and rule 4's budget."""
@@ -198,8 +208,8 @@
         if request.request_class.kind >= 0 and worker.entry.kind != request.request_class.kind:
             return False
         # Who waits for several slots keeps free ones from others; where all is seen, none need wait there.
-        must_fit = request.slots > 1.0 or self._context.sees_all
-        if must_fit and worker.total(now) and not self._fits(worker, request, now):
+        must_fit = request.slots > 1.0 or self._context.sees_all_slots
+        if must_fit and worker.slots_in_use(now) and not self._fits(worker, request, now):
             return False
         if any(attempt.open and attempt.entry.worker == worker.entry.worker for attempt in request.attempts):
             return False
@@ -207,7 +217,7 @@
 
     def _fits(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
         """Whether the worker has the slots that a request takes, as far as this dispatcher knows."""
-        room = self._reports.slots_of(worker) - worker.total(now)
+        room = self._reports.slots_of(worker) - worker.slots_in_use(now)
         may_wait = self._context.free_slots_column < 0 or now >= request.latest_useful_start
         return request.slots <= room + SPARE * may_wait
 
@@ -217,12 +227,12 @@
         pace = worker.pace(now) if settings.workers_report_start else 1.0
         slow = pace > SLOW
         tight = (self._gossip.peers or request.slots > 1.0) and not self._fits(worker, request, now)
-        tier = 1.0 if tight else -self._reports.shown(worker, now)
-        tier += 2.0 * worker.erring + slow
-        if self._context.many and worker.slow_start_left < float("inf"):
+        tier = 1.0 if tight else -self._reports.free_slot_evidence(worker, now)
+        tier += 2.0 * worker.failing + slow
+        if self._context.many_dispatchers and worker.slow_start_left < float("inf"):
             tier -= 1.0  # a lot that is drawn is used at once
         elsewhere = settings.cross_zone_cost > 0.0 and worker.entry.zone != settings.zone_index
-        load = (len(worker.open) + worker.sibling_attempts + 1) * (pace if slow else 1.0)
+        load = (len(worker.open_attempts) + worker.sibling_attempts + 1) * (pace if slow else 1.0)
         return tier, elsewhere, ceil(load)
 
 
--- a/eiderfield/policy/subsetting.py
+++ b/eiderfield/policy/subsetting.py
@@ -74,15 +74,15 @@
 class Partition(Protocol):
     """A split of the ready workers into groups."""
 
-    groups: int
+    group_count: int
 
-    def deal(self, places: Iterable[Place], groups: int) -> None:
+    def repartition(self, places: Iterable[Place], groups: int) -> None:
         """Splits all ready workers anew into so many groups."""
 
-    def join(self, place: Place) -> list[Move]:
+    def add(self, place: Place) -> list[Move]:
         """Takes in one more worker."""
 
-    def leave(self, place: Place) -> list[Move]:
+    def remove(self, place: Place) -> list[Move]:
         """Lets a worker go."""
 
     def group_of(self, place: Place) -> int:
@@ -93,37 +93,38 @@
     """Groups whose sizes differ by one at most, each of the same mix of zones and kinds."""
 
     def __init__(self) -> None:
-        self.groups = 1
+        self.group_count = 1
         self._group_of: dict[Place, int] = {}
         self._members: list[dict[Place, None]] = [{}]
         self._sizes = [0]
-        self._alike: Counter[tuple[int, int, int]] = Counter()  # by zone, kind and group
+        self._sizes_per_kind: Counter[tuple[int, int, int]] = Counter()  # by zone, kind and group
 
-    def deal(self, places: Iterable[Place], groups: int) -> None:
+    def repartition(self, places: Iterable[Place], groups: int) -> None:
         """Splits all ready workers anew: in their order each goes to the next group."""
-        self.groups = groups
+        self.group_count = groups
         self._group_of.clear()
         self._members = [{} for _ in range(groups)]
         self._sizes = [0] * groups
-        self._alike.clear()
+        self._sizes_per_kind.clear()
         for number, place in enumerate(sorted(places)):
-            self._put(place, number % groups)
+            self._add_member(place, number % groups)
 
-    def join(self, place: Place) -> list[Move]:
+    def add(self, place: Place) -> list[Move]:
         """Puts a worker into the smallest group, of these the one that has fewest of its zone and kind."""
         smallest = min(self._sizes)
         candidates = [group for group, size in enumerate(self._sizes) if size == smallest]
         zone, kind, worker = place
         target = min(
-            candidates, key=lambda group: (self._alike[zone, kind, group], stable_hash(group, worker))
+            candidates,
+            key=lambda group: (self._sizes_per_kind[zone, kind, group], stable_hash(group, worker)),
         )
-        self._put(place, target)
+        self._add_member(place, target)
         return [Move(place, None, target)]
 
-    def leave(self, place: Place) -> list[Move]:
+    def remove(self, place: Place) -> list[Move]:
         """Takes a worker out. Where its group is then two short, one of the largest gives up a worker."""
         group = self._group_of[place]
-        self._take(place)
+        self._remove_member(place)
         moves = [Move(place, group, None)]
         if max(self._sizes) - self._sizes[group] > 1:
             moves.append(self._refill(group))
@@ -144,51 +145,52 @@
         def surplus(place: Place) -> tuple[int, int]:
             zone, kind, worker = place
             donor = self._group_of[place]
-            return self._alike[zone, kind, group] - self._alike[zone, kind, donor], stable_hash(group, worker)
+            excess = self._sizes_per_kind[zone, kind, group] - self._sizes_per_kind[zone, kind, donor]
+            return excess, stable_hash(group, worker)
 
         place = min(offers, key=surplus)
         source = self._group_of[place]
-        self._take(place)
-        self._put(place, group)
+        self._remove_member(place)
+        self._add_member(place, group)
         return Move(place, source, group)
 
-    def _put(self, place: Place, group: int) -> None:
+    def _add_member(self, place: Place, group: int) -> None:
         zone, kind, _ = place
         self._group_of[place] = group
         self._members[group][place] = None
         self._sizes[group] += 1
-        self._alike[zone, kind, group] += 1
+        self._sizes_per_kind[zone, kind, group] += 1
 
-    def _take(self, place: Place) -> None:
+    def _remove_member(self, place: Place) -> None:
         zone, kind, _ = place
         group = self._group_of.pop(place)
         del self._members[group][place]
         self._sizes[group] -= 1
-        self._alike[zone, kind, group] -= 1
+        self._sizes_per_kind[zone, kind, group] -= 1
 
 
 class HashedPartition:
     """Groups by rendezvous hashing: even enough where each has hundreds of workers."""
 
     def __init__(self) -> None:
-        self.groups = 1
+        self.group_count = 1
 
-    def deal(self, places: Iterable[Place], groups: int) -> None:
+    def repartition(self, places: Iterable[Place], groups: int) -> None:
         """Sets the number of groups. A worker changes its group only for a new one, or from one that goes."""
-        self.groups = groups
+        self.group_count = groups
 
-    def join(self, place: Place) -> list[Move]:
+    def add(self, place: Place) -> list[Move]:
         """Takes in one more worker."""
         return [Move(place, None, self.group_of(place))]
 
-    def leave(self, place: Place) -> list[Move]:
+    def remove(self, place: Place) -> list[Move]:
         """Lets a worker go."""
         return [Move(place, self.group_of(place), None)]
 
     def group_of(self, place: Place) -> int:
         """The group for which the worker's hash is highest."""
         _, _, worker = place
-        return max(range(self.groups), key=lambda group: stable_hash(group + 1, worker))
+        return max(range(self.group_count), key=lambda group: stable_hash(group + 1, worker))
 
 
 class Subset:
@@ -196,8 +198,8 @@
 
     def __init__(self, joined: Callable[[Worker], None], left: Callable[[Worker], None]) -> None:
         self.workers: list[Worker] = []
-        self.sharers = 1.0  # dispatchers that send to one worker
-        self.groups = 1
+        self.dispatchers_per_worker = 1.0  # dispatchers that send to one worker
+        self.group_count = 1
         self._group = 0
         self._places: list[Place] = []  # of `workers`, one by one
         self._ready: dict[Place, Worker] = {}
@@ -211,25 +213,27 @@
     def __contains__(self, worker: Worker) -> bool:
         return self._find(place_of(worker.entry)) is not None
 
-    def deal(self, ready: Iterable[Worker], keyed: bool, groups: int, group: int, sharers: float) -> None:
+    def repartition(
+        self, ready: Iterable[Worker], keyed: bool, groups: int, group: int, sharers: float
+    ) -> None:
         """Splits the fleet anew and takes the workers of a group."""
         self._ready = {place_of(worker.entry): worker for worker in ready}
         self._partition = HashedPartition() if keyed else BalancedPartition()
-        self._partition.deal(self._ready, groups)
-        self.groups, self._group, self.sharers = groups, group, sharers
+        self._partition.repartition(self._ready, groups)
+        self.group_count, self._group, self.dispatchers_per_worker = groups, group, sharers
         self._places = sorted(place for place in self._ready if self._partition.group_of(place) == group)
         self.workers = [self._ready[place] for place in self._places]
 
-    def join(self, worker: Worker) -> None:
+    def add(self, worker: Worker) -> None:
         """Takes in a worker that has become ready."""
         place = place_of(worker.entry)
         self._ready[place] = worker
-        self._apply(self._partition.join(place))
+        self._apply(self._partition.add(place))
 
-    def leave(self, entry: Endpoint) -> None:
+    def remove(self, entry: Endpoint) -> None:
         """Lets a worker go that was ready, at the place that it had then."""
         place = place_of(entry)
-        self._apply(self._partition.leave(place))
+        self._apply(self._partition.remove(place))
         del self._ready[place]
 
     def _apply(self, moves: Iterable[Move]) -> None:
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -28,7 +28,7 @@
     TimerFired,
     stable_hash,
 )
-from eiderfield.policy.context import MANY
+from eiderfield.policy.context import MANY_DISPATCHERS
 from eiderfield.policy.dispatcher import Dispatcher
 from eiderfield.policy.slow_start import SERVED_RATE_MS
 from support.policy import BASE, KEYED, SAFE, UNSAFE
@@ -161,7 +161,7 @@
         """The share of a job that must be left of this node's part for a whole one: 1 where nodes are few. Of
         many each has less than a job, and whose lot is low enough sends a whole one: the sum over all nodes
         keeps the rule (`tests/test_simulated_fleet.py`), which one node's sends alone cannot show."""
-        if self.settings.dispatcher_count <= MANY:
+        if self.settings.dispatcher_count <= MANY_DISPATCHERS:
             return 1.0
         draw = stable_hash(worker, int(age / self.settings.recovery_ramp_ms)) / 2.0**64
         return (draw + self.settings.dispatcher_index / self.settings.dispatcher_count) % 1.0
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -40,7 +40,7 @@
             node.now += 1.0
             outcome = Outcome.ERROR if send.worker == 1 else Outcome.OK
             actions = node.play(AttemptEnded(send.id, number, send.worker, outcome, 2.0, send.worker == 2))
-        if node.dispatcher._fleet.workers[1].strikes:
+        if node.dispatcher._fleet.workers[1].ejections:
             return node
     raise AssertionError("the failing worker was never known for one")
 
@@ -100,7 +100,7 @@
 def node_with_slots(site, slots=4.0, workers=2):
     """A node whose workers of one kind are known to have so many slots."""
     node = Node(site, workers=workers)
-    node.dispatcher._reports.slots[0] = slots
+    node.dispatcher._reports.slots_per_kind[0] = slots
     return node
 
 
@@ -149,6 +149,6 @@
     assert told[0].data[-1] == 3
     other = Node(replace(site, dispatcher_index=1), workers=1)
     other.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1),)))
-    other.dispatcher._reports.slots[0] = 4.0
+    other.dispatcher._reports.slots_per_kind[0] = 4.0
     other.play(PeerReportReceived(0, encode_peer_report([(1, 3)])))
     assert not sends(other.arrive(cls=0, slots=3.0)[1])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -116,7 +116,7 @@
     old, new = pair.old.dispatcher.exchange, pair.new.dispatcher.exchange
     assert old.open_attempts_per_worker != new.open_attempts_per_worker, "fewest jobs of both goes first"
     [worker] = pair.new.dispatcher.exchange.open_attempts_per_worker
-    [(_, work)] = pair.old.dispatcher.exchange.dispatcher._fleet.workers[worker].recent
+    [(_, work)] = pair.old.dispatcher.exchange.dispatcher._fleet.workers[worker].recent_sends
     assert work > 0.0
 
 
@@ -143,11 +143,11 @@
     """Each new process of sofia's upgrade day sent jobs that must never run twice to find it out anew."""
     old = pair.old.dispatcher.exchange.dispatcher
     [id_] = [w for w in old._fleet.workers if w == pair.old.dispatcher.ids.worker("w1")]
-    old._fleet.workers[id_].faults = 2.0
-    old._fleet.workers[id_].strike(0.0, erring=True)
+    old._fleet.workers[id_].error_score = 2.0
+    old._fleet.workers[id_].eject(0.0, failing=True)
     pair.go()
     heir = pair.new.dispatcher.exchange.dispatcher._fleet.workers[id_]
-    assert (heir.faults, heir.strikes, heir.erring) == (2.0, 1, True)
+    assert (heir.error_score, heir.ejections, heir.failing) == (2.0, 1, True)
 
 
 def test_connections_are_counted_and_shared_out_together(pair):
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -144,10 +144,10 @@
     pacer = module._queues.pacers[0]
     pacer.mean_duration, pacer.rate = 120.0, 4.0
     pacer.uncut_rate, pacer.next_release_at = 20.0, dispatcher.now + 250.0
-    module._fleet.workers[dispatcher.ids.worker("w3")].recent.append((dispatcher.now - 30.0, 80.0))
-    erring = module._fleet.workers[dispatcher.ids.worker("w1")]
-    erring.faults = 2.0
-    erring.strike(dispatcher.now, erring=True)
+    module._fleet.workers[dispatcher.ids.worker("w3")].recent_sends.append((dispatcher.now - 30.0, 80.0))
+    failing = module._fleet.workers[dispatcher.ids.worker("w1")]
+    failing.error_score = 2.0
+    failing.eject(dispatcher.now, failing=True)
 
 
 def pass_connection(handover, detach):
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -105,7 +105,7 @@
     node.now += 10_000.0
     id_, actions = node.arrive()
     node.play(AttemptProgressed(id_, 0, 1, 1, 0.0))
-    assert worker.fulls == 0
+    assert worker.consecutive_fulls == 0
 
 
 def test_a_draining_workers_full_cuts_nothing():
@@ -232,8 +232,8 @@
     node.now = 1.0
     first, second = (w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), node.now))
     workers = node.dispatcher._fleet.workers
-    workers[first].fulls, workers[first].full_until = 2, 500.0
-    workers[second].strikes = 1
+    workers[first].consecutive_fulls, workers[first].full_until = 2, 500.0
+    workers[second].ejections = 1
     homes = {w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), node.now)}
     assert len(homes) == 2
     assert not homes & {first, second}
@@ -295,7 +295,7 @@
     order = []
     for _ in range(4):
         worker = node.dispatcher._fleet.workers[1]
-        [(id_, attempt)] = worker.open
+        [(id_, attempt)] = worker.open_attempts
         actions = node.play(AttemptProgressed(id_, attempt, 1, 1, 0.0))
         worker.full_until = 0.0
         actions += node.end(id_, attempt, 1, Outcome.OK, final=True)
@@ -334,7 +334,7 @@
             node.end(send.id, 0, send.worker, Outcome.OK, final=True, elapsed=40.0)
     assert got
     assert COLD_REST * BASE.slow_start_window_ms <= got[0] < (COLD_REST + 0.1) * BASE.slow_start_window_ms
-    node.dispatcher._fleet.workers[1].recent.append((node.now, inf))
+    node.dispatcher._fleet.workers[1].recent_sends.append((node.now, inf))
     assert [send.worker for send in sends(node.arrive(key=7)[1])] == [2], "its budget is spent"
 
 
@@ -361,7 +361,7 @@
     node.play(SiblingReportReceived(1, 0, 0.0))
     assert [send.worker for send in sends(node.arrive()[1])] == [1]
     module, node.now = node.dispatcher, 10_000.0
-    module._slow_start.served_rate, module._slow_start.served_at = 1.0, node.now
+    module._slow_start.served_rate, module._slow_start.served_rate_at = 1.0, node.now
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, ready_at=node.now - 100.0),)))
     left = module._slow_start.budget_left(module._fleet.workers[1], node.now)
     node.play(SiblingReportReceived(1, 1, left))
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -102,8 +102,8 @@
     node = Node(replace(BASE, load_report_fields=FIELDS), workers=1)
     id_, _ = node.arrive()
     ended(node, id_, 1, (3.0, 1.0, NAN))
-    assert node.dispatcher._fleet.workers[1].reported == -math.inf
-    assert node.dispatcher._reports.slots[0] == 2.0
+    assert node.dispatcher._fleet.workers[1].reported_at == -math.inf
+    assert node.dispatcher._reports.slots_per_kind[0] == 2.0
 
 
 def test_free_slots_are_not_believed_against_full():
@@ -119,10 +119,10 @@
     node.now = 100.0
     id_, _ = node.arrive()
     ended(node, id_, 1, (0.0, 0.0, 0.0))
-    worker.faults = 3.0
-    worker.strike(node.now, erring=True)
+    worker.error_score = 3.0
+    worker.eject(node.now, failing=True)
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, ready_at=node.now),)))
-    assert worker.reported == -math.inf
-    assert not worker.erring
-    assert not worker.faults
+    assert worker.reported_at == -math.inf
+    assert not worker.failing
+    assert not worker.error_score
     assert sends(node.arrive()[1])
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -27,7 +27,7 @@
 )
 from eiderfield.policy.affinity import HOMES
 from eiderfield.policy.attempt_outcomes import MAX_WAIT_PAUSES
-from eiderfield.policy.context import MANY
+from eiderfield.policy.context import MANY_DISPATCHERS
 from eiderfield.policy.outlier_detection import STUCK_RUNS_OF_MANY
 
 FLEET = tuple(Endpoint(w, zone=w % 2, kind=w // 2 % 2) for w in range(1, 41))
@@ -195,11 +195,11 @@
 def test_most_of_a_part_back_cold_gets_no_more_for_what_few_warm_ones_serve():
     """A lost zone came back among 49 nodes: what six workers served, over one warm one, allowed too much."""
     node = Node(BASE, workers=6)
-    node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = 6.0, 60_000.0
+    node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_rate_at = 6.0, 60_000.0
     cold = tuple(Endpoint(w, ready_at=60_000.0) for w in range(2, 7))
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, cold), at=60_000.0)
     node.arrive(expected_work=1.0)
-    assert node.dispatcher._slow_start.served_by_each == pytest.approx(2.0)
+    assert node.dispatcher._slow_start.rate_per_warm_worker == pytest.approx(2.0)
 
 
 def cold_day(nodes, rate, work):
@@ -210,17 +210,17 @@
     many = [Node(replace(settings, dispatcher_index=me), workers=10, seed=me) for me in range(nodes)]
     each = rate * work / 1000.0 / nodes  # what one node has served in a ms
     for node in many:
-        node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = each, 60_000.0
+        node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_rate_at = each, 60_000.0
         node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, ready_at=60_000.0),)), at=60_000.0)
     sent, worst, allowed = [], 0.0, 0.0
     warm = rate * work / 1000.0 / 10.0  # one warm worker's work in a ms
     for turn in range(int(rate * 8.0)):
         age, node = 1000.0 * turn / rate, many[turn % nodes]
         node.now = 60_000.0 + age
-        out = [a for w in node.dispatcher._fleet.subset.workers for a in w.open.values()]
+        out = [a for w in node.dispatcher._fleet.subset.workers for a in w.open_attempts.values()]
         for attempt in [a for a in out if node.now >= a.sent_at + work]:
             node.end(attempt.request.id, 0, 0, Outcome.OK, final=True, elapsed=work)
-        node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_at = each, node.now
+        node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_rate_at = each, node.now
         node.dispatcher._queues.pacers[0].mean_duration = work
         for send in sends(node.arrive(key=7)[1]):
             node.play(AttemptProgressed(send.id, 0, send.worker, 1, 0.0))
@@ -250,13 +250,13 @@
     queued at the warm ones."""
     node = Node(CROWD, workers=8)
     module, node.now = node.dispatcher, 60_000.0
-    module._slow_start.served_rate, module._slow_start.served_at = 100.0, node.now
+    module._slow_start.served_rate, module._slow_start.served_rate_at = 100.0, node.now
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=node.now - 4000.0),)))
-    drawn = module._fleet.workers[3].lot
+    drawn = module._fleet.workers[3].budget_threshold
     module._key_counts.by_key[7] = module._key_counts.total = 100  # a hot key: all workers are its homes
     assert [send.worker for send in sends(node.arrive(key=7)[1])] == [3], drawn
-    few = Node(replace(CROWD, dispatcher_count=MANY), workers=8)
-    few.dispatcher._slow_start.served_rate, few.dispatcher._slow_start.served_at = 100.0, 60_000.0
+    few = Node(replace(CROWD, dispatcher_count=MANY_DISPATCHERS), workers=8)
+    few.dispatcher._slow_start.served_rate, few.dispatcher._slow_start.served_rate_at = 100.0, 60_000.0
     few.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=56_000.0),)), at=60_000.0)
     assert {send.worker for _ in range(7) for send in sends(few.arrive(key=7)[1])} > {3}
 
@@ -291,25 +291,25 @@
 
 
 def test_few_nodes_know_the_queue_that_they_made_and_leave_a_job_in_its_place():
-    node, _, _ = waiting(replace(CROWD, dispatcher_count=MANY))
+    node, _, _ = waiting(replace(CROWD, dispatcher_count=MANY_DISPATCHERS))
     assert not cancels(node.play(TimerFired(0), at=2.0 * SAFE.latency_objective_ms))
 
 
 def test_where_all_queues_are_long_a_job_keeps_its_place():
     """While workers fetched for a fleet replaced, every job went from queue to queue, four legs each."""
     node, id_, worker = waiting()
-    node.dispatcher._outliers.mean_wait = 400.0
+    node.dispatcher._outliers.mean_wait_ms = 400.0
     assert not cancels(node.play(TimerFired(0), at=395.0))
     assert cancels(node.play(TimerFired(0), at=405.0)) == [CancelAttempt(id_, 0)]
     node.end(id_, 0, worker, Outcome.CANCELLED)
-    assert node.dispatcher._outliers.mean_wait > 400.0, "what was called off has waited too"
+    assert node.dispatcher._outliers.mean_wait_ms > 400.0, "what was called off has waited too"
     for _ in range(60):
         node.now += 1000.0
         other, actions = node.arrive(key=7)
         for send in sends(actions):
             node.play(AttemptProgressed(other, 0, send.worker, 1, 0.0), at=node.now + 10.0)
             node.end(other, 0, send.worker, Outcome.OK, final=True)
-    assert node.dispatcher._outliers.mean_wait < STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms
+    assert node.dispatcher._outliers.mean_wait_ms < STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms
 
 
 def test_a_wait_at_one_worker_does_not_keep_one_of_many_nodes_away_for_twenty_waits():
@@ -323,7 +323,7 @@
 def test_among_many_nodes_a_key_keeps_closer_to_its_homes():
     """Called off where they wait, jobs need fewer homes to choose from, and find their data more often."""
     homes = []
-    for balancers in (MANY, 40):
+    for balancers in (MANY_DISPATCHERS, 40):
         node = Node(replace(CROWD, dispatcher_count=balancers), workers=40)
         node.dispatcher._key_counts.by_key.update({1: 800, 2: 200})
         node.dispatcher._key_counts.total = 1000
@@ -347,7 +347,7 @@
     for _ in range(40):  # a trial comes, and its answer makes an end of the matter
         for send in sends(node.arrive(key=7)[1]):
             node.end(send.id, 0, send.worker, Outcome.OK, final=True)
-    assert full.strikes == 0
+    assert full.ejections == 0
     assert worker not in node.dispatcher.snapshot(node.now).avoided
 
 
@@ -435,7 +435,7 @@
         node.dispatcher._key_counts.by_key[7] = node.dispatcher._key_counts.total = (
             100  # all workers are its homes
         )
-        node.dispatcher._outliers.mean_wait = 0.0
+        node.dispatcher._outliers.mean_wait_ms = 0.0
         sent, wait = node.now, soon * 2.0**number
         assert not cancels(node.play(TimerFired(0), at=sent + wait - 2.0))
         assert cancels(node.play(TimerFired(0), at=sent + wait + 2.0)) == [CancelAttempt(id_, number)]
@@ -445,7 +445,7 @@
 def crowded(settings=FULL, **more):
     """A node that has learnt of long queues everywhere, and one job that waits unstarted."""
     node, id_, _ = waiting(settings, **more)
-    node.dispatcher._outliers.mean_wait = 2.0 * SAFE.latency_objective_ms
+    node.dispatcher._outliers.mean_wait_ms = 2.0 * SAFE.latency_objective_ms
     return node, id_
 
 
@@ -463,14 +463,18 @@
 
 
 def test_a_late_job_stays_where_queues_are_short_where_nodes_are_few_and_where_late_answers_have_worth():
-    for settings, queued in ((FULL, 0.0), (replace(FULL, dispatcher_count=MANY), 600.0), (CROWD, 600.0)):
+    for settings, queued in (
+        (FULL, 0.0),
+        (replace(FULL, dispatcher_count=MANY_DISPATCHERS), 600.0),
+        (CROWD, 600.0),
+    ):
         node, id_, worker = waiting(settings)
         module = node.dispatcher
-        module._outliers.mean_wait = queued
+        module._outliers.mean_wait_ms = queued
         for number, wait in enumerate((5.0, 5.0)):
             node.play(TimerFired(0), at=node.now + wait)
             node.end(id_, number, worker, Outcome.CONNECT_FAILED)
-        module._outliers.mean_wait, node.now = queued, 2000.0
+        module._outliers.mean_wait_ms, node.now = queued, 2000.0
         told = node.end(id_, 2, worker, Outcome.CONNECT_FAILED)
         assert not [a for a in told if isinstance(a, RejectRequest)]
         assert id_ in module._requests
@@ -490,7 +494,7 @@
 def test_few_nodes_count_a_key_with_the_job_itself():
     """Without it, an overloaded day of four nodes fell from 0.84 to 0.77 in the simulator."""
     homes = []
-    for balancers in (MANY, MANY + 1):
+    for balancers in (MANY_DISPATCHERS, MANY_DISPATCHERS + 1):
         node = Node(replace(FULL, dispatcher_count=balancers), workers=12)
         id_, _ = node.arrive(key=7)
         job = node.dispatcher._requests[id_]
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -141,7 +141,7 @@
     for key in range(100, 1100):
         serve(node, key=key)
     busy, _ = node.arrive(key=7)
-    for worker in node.dispatcher._fleet.key_orders.first(7, 20)[0]:
+    for worker in node.dispatcher._fleet.key_orders.first_workers(7, 20)[0]:
         worker.full_until = 1e9
     waiting = [node.arrive(key=7)[0] for _ in range(4)]
     assert busy in node.dispatcher._requests
@@ -228,7 +228,7 @@
 
 @pytest.mark.parametrize(("dispatchers", "size"), [(200, 3200), (3200, 3200)])
 def test_large_subsets_cover_the_fleet_evenly_by_zone_and_kind(dispatchers, size):
-    groups = node_of(size, 0, dispatchers).dispatcher._fleet.subset.groups
+    groups = node_of(size, 0, dispatchers).dispatcher._fleet.subset.group_count
     group_of = {
         me: subsetting.group_of_dispatcher(me, dispatchers, groups, True) for me in range(dispatchers)
     }
@@ -249,7 +249,7 @@
 @pytest.mark.parametrize("zones", [3, 4, 5])
 def test_the_dispatchers_of_one_zone_still_serve_every_part_of_a_large_fleet(zones):
     """Were a zone's dispatchers all of one group, the loss of the zone would leave its workers idle."""
-    groups = node_of(3200, 0, 200).dispatcher._fleet.subset.groups
+    groups = node_of(3200, 0, 200).dispatcher._fleet.subset.group_count
     seen = {subsetting.group_of_dispatcher(me, 200, groups, keyed=True) for me in range(0, 200, zones)}
     assert groups > 1
     assert seen == set(range(groups))
@@ -263,13 +263,13 @@
 def test_a_large_fleet_that_breathes_is_not_split_anew():
     """Where the number of groups changes, all homes of keys do."""
     node = node_of(3200, 0, 3200)
-    groups = node.dispatcher._fleet.subset.groups
+    groups = node.dispatcher._fleet.subset.group_count
     entries = fleet(3200)
     for away in (600, 1200):
         node.play(EndpointsUpdated(EndpointListKind.FULL, 2, tuple(entries[away:])))
-        assert node.dispatcher._fleet.subset.groups == groups
+        assert node.dispatcher._fleet.subset.group_count == groups
         node.play(EndpointsUpdated(EndpointListKind.FULL, 3, tuple(entries)))
-    assert node.dispatcher._fleet.subset.groups == groups
+    assert node.dispatcher._fleet.subset.group_count == groups
 
 
 # Homes of keys.
@@ -287,7 +287,7 @@
     young = node_of(3200, 0, 3200, entries=list(entries.values()))
     assert members(old) == members(young)
     for key in range(1, 400):
-        homes = [node.dispatcher._fleet.key_orders.first(key, 4)[0][:4] for node in (old, young)]
+        homes = [node.dispatcher._fleet.key_orders.first_workers(key, 4)[0][:4] for node in (old, young)]
         assert [w.entry.worker for w in homes[0]] == [w.entry.worker for w in homes[1]]
 
 
@@ -297,13 +297,13 @@
     orders.reset(workers.values())
     for number in range(100, 100 + 8 * CHANGES_KEPT):
         if rng.random() < 0.5 and len(workers) > 5:
-            orders.leave(workers.pop(rng.choice(sorted(workers))))
+            orders.remove(workers.pop(rng.choice(sorted(workers))))
         else:
             workers[number] = Worker(Endpoint(number))
-            orders.join(workers[number])
+            orders.add(workers[number])
         key, count = rng.choice([7, 8, 9, rng.randrange(10, 200)]), rng.choice([2, 2, 5, 30])
         if rng.random() < 0.3:  # a key that is asked for seldom has missed many changes
-            found, whole = orders.first(key, count)
+            found, whole = orders.first_workers(key, count)
             wanted = sorted(workers, key=lambda worker: stable_hash(key, worker))
             numbers = [worker.entry.worker for worker in found]
             assert numbers == wanted[: len(numbers)]
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -50,7 +50,7 @@
     """An overloaded day with a lost zone: 6 attempts a request went to workers that refused connections."""
     node = Node(workers=3)
     for worker in (1, 2, 3):
-        node.dispatcher._fleet.workers[worker].strike(0.0)
+        node.dispatcher._fleet.workers[worker].eject(0.0)
     assert not sends(node.arrive()[1])
 
 
@@ -74,11 +74,11 @@
     """Slow days: a start note brought a slow worker straight back."""
     node = Node(workers=1)
     worker = node.dispatcher._fleet.workers[1]
-    worker.strike(0.0)
-    worker.alive(10.0)
-    assert worker.strikes == 1
-    worker.alive(20.0, well=True)
-    assert worker.strikes == 0
+    worker.eject(0.0)
+    worker.record_sign_of_life(10.0)
+    assert worker.ejections == 1
+    worker.record_sign_of_life(20.0, in_time=True)
+    assert worker.ejections == 0
 
 
 def test_a_subscription_is_opened_where_needed_and_again_after_a_failure():
@@ -159,7 +159,7 @@
     other, _ = started(node)
     for at in (1000.0, 2000.0, 3000.0):
         node.play(AttemptProgressed(other, 0, 3 - worker, 2, 0.1), at=at)
-        node.dispatcher._fleet.workers[worker].alive(at)  # by others of this node's jobs
+        node.dispatcher._fleet.workers[worker].record_sign_of_life(at)  # by others of this node's jobs
     assert not [a for a in node.play(at=3500.0) if isinstance(a, CancelAttempt)]
     assert [(a.id, a.attempt) for a in node.play(at=3650.0) if isinstance(a, CancelAttempt)] == [(id_, 0)]
     assert [s.id for s in sends(node.end(id_, 0, worker, Outcome.CANCELLED))] == [id_]
@@ -170,7 +170,7 @@
     started(node)
     for at in (500.0, 1000.0, 1500.0, 2500.0):
         for worker in node.dispatcher._fleet.workers.values():
-            worker.alive(at)
+            worker.record_sign_of_life(at)
         assert not [a for a in node.play(at=at) if isinstance(a, CancelAttempt)]
 
 
@@ -199,9 +199,9 @@
         node.end(id_, 0, 1, Outcome.RESET)
         node.now += 300.0
         node.dispatcher._fleet.workers[2].full_until = node.now + 1.0
-    assert worker.strikes == 1
-    worker.alive(node.now, well=True)
-    assert worker.resets == 0
+    assert worker.ejections == 1
+    worker.record_sign_of_life(node.now, in_time=True)
+    assert worker.consecutive_resets == 0
 
 
 def test_jobs_at_a_slow_worker_count_for_more():
@@ -218,8 +218,8 @@
     assert slow.pace(1500.0) > SLOW
     assert picked == [2, 2]
     for _ in range(20):
-        slow.learn(1502.0, 1.0, True)
-    slow.open.clear()
+        slow.record_duration(1502.0, 1.0, True)
+    slow.open_attempts.clear()
     assert slow.pace(1502.0) < 1.1
     assert slow.pace(20_000.0) == 1.0, "an old pace is forgotten: another program may have passed"
 
@@ -239,19 +239,19 @@
         elif send is not None:
             node.play(AttemptProgressed(id_, 0, 2, 1, 0.0))
     assert at_bad == 2
-    assert bad.strikes
+    assert bad.ejections
 
 
 def test_one_answer_does_not_clear_a_worker_that_fails_every_third_job():
     node = Node(workers=1)
     worker = node.dispatcher._fleet.workers[1]
-    worker.faults = 3.0
-    worker.strike(0.0)
-    worker.alive(1.0, well=True)
-    assert worker.strikes
-    worker.faults = 1.0
-    worker.alive(1.0, well=True)
-    assert not worker.strikes
+    worker.error_score = 3.0
+    worker.eject(0.0)
+    worker.record_sign_of_life(1.0, in_time=True)
+    assert worker.ejections
+    worker.error_score = 1.0
+    worker.record_sign_of_life(1.0, in_time=True)
+    assert not worker.ejections
 
 
 def test_a_job_that_never_started_does_not_keep_its_silent_worker_out():
