--- a/eiderfield/batch/client.py
+++ b/eiderfield/batch/client.py
@@ -205,7 +205,7 @@
             self._socket.settimeout(wait + ANSWER_TIMEOUT_S)
             self._socket.sendall(request_bytes(method, path, "{}:{}".format(*self._address), content))
             head, answer = _read_answer(self._socket)
-            if not head.keeps:
+            if not head.keep_alive:
                 self.exit()
             body: object = json.loads(answer)
         except (OSError, ValueError, RecursionError) as error:
@@ -215,7 +215,7 @@
 
 
 def _read_answer(sock: socket.socket) -> tuple[Head, bytes]:
-    parser, head, body = Parser(answers=True, max_body=0), Head(), bytearray()
+    parser, head, body = Parser(responses=True, max_body=0), Head(), bytearray()
     while True:
         part = parser.poll()
         if part is None:
--- a/eiderfield/lab/wire.py
+++ b/eiderfield/lab/wire.py
@@ -32,7 +32,7 @@
     """Whole messages out of pieces. Raises `MalformedMessageError` on what is none."""
 
     def __init__(self, answers: bool) -> None:
-        self._parser = Parser(answers=answers)
+        self._parser = Parser(responses=answers)
         self._head: Head | None = None
 
     def feed(self, data: bytes) -> list[Head]:
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -34,7 +34,7 @@
 from eiderfield.net.clients.front import ClientDeparted, Front, ListenerStatus
 from eiderfield.net.clients.message_reader import MessageReader
 from eiderfield.net.departures import DepartureWatch, has_left
-from eiderfield.net.http import Head, MalformedMessageError, answer_bytes
+from eiderfield.net.http import Head, MalformedMessageError, response_bytes
 
 LINGER_TIME = 1000.0  # ms for which input is discarded after a last response, so that it gets through
 LINGER_BYTES = 262_144  # input discarded meanwhile; more stays unread, for 60 MB of it cost a core
@@ -223,7 +223,7 @@
         keep = (
             keep and self._keep_alive and (not self.listener.keep_alive_disabled or self._reader.buffered > 0)
         )
-        self._transport.write(answer_bytes(status, body, keep, **headers))
+        self._transport.write(response_bytes(status, body, keep, **headers))
         self._answered = True
         if not keep:
             self._start_lingering()
@@ -431,7 +431,7 @@
         self._timer.cancel()
         self.admission.end_message()
         self.phase = Phase.WAITING
-        self._keep_alive = head.keeps
+        self._keep_alive = head.keep_alive
         try:
             body = bytes(self._reader.body)
             on_departure = self.listener.front.handle_message(self.listener, self, head, body)
--- a/eiderfield/net/clients/message_reader.py
+++ b/eiderfield/net/clients/message_reader.py
@@ -32,12 +32,12 @@
     @property
     def in_message(self) -> bool:
         """Whether a part of a message has arrived."""
-        return not self._parser.between
+        return not self._parser.at_boundary
 
     @property
     def partial_head(self) -> bytes | None:
         """What has arrived of a message whose head is incomplete, None within a message's body."""
-        return None if self.head is not None else self._parser.begun
+        return None if self.head is not None else self._parser.incomplete_head
 
     def feed(self, data: bytes | memoryview, now: float) -> None:
         """Take bytes that have arrived."""
--- a/eiderfield/net/discovery/watch.py
+++ b/eiderfield/net/discovery/watch.py
@@ -52,7 +52,7 @@
     def __init__(self, watch: Watch) -> None:
         """It reports to `watch` until it is closed."""
         self._watch = watch
-        self._parser = Parser(answers=True, max_body=0)
+        self._parser = Parser(responses=True, max_body=0)
         self._transport: asyncio.Transport | None = None
         self.closed = False
 
--- a/eiderfield/net/http/__init__.py
+++ b/eiderfield/net/http/__init__.py
@@ -1,18 +1,18 @@
-"""HTTP/1.1 messages: an incremental parser, which does no I/O, and the bytes of whole messages."""
+"""HTTP/1.1 messages: an incremental parser that performs no I/O, and an encoder of complete messages."""
 
-from eiderfield.net.http.head import MAX_HEAD
+from eiderfield.net.http.head import MAX_HEAD_BYTES
 from eiderfield.net.http.message import END, End, Head, MalformedMessageError
-from eiderfield.net.http.parser import MAX_BODY, Parser
-from eiderfield.net.http.writer import answer_bytes, request_bytes
+from eiderfield.net.http.parser import MAX_BODY_BYTES, Parser
+from eiderfield.net.http.writer import request_bytes, response_bytes
 
 __all__ = [
     "END",
-    "MAX_BODY",
-    "MAX_HEAD",
+    "MAX_BODY_BYTES",
+    "MAX_HEAD_BYTES",
     "End",
     "Head",
     "MalformedMessageError",
     "Parser",
-    "answer_bytes",
     "request_bytes",
+    "response_bytes",
 ]
--- a/eiderfield/net/http/head.py
+++ b/eiderfield/net/http/head.py
@@ -1,7 +1,6 @@
-"""The head of a message: its start line, its headers, and how its body is framed.
+"""Parser of a message's head: the start line, the headers, and how the body is framed.
 
-Input that could be read in two ways is rejected rather than guessed at: a second length, a length beside
-chunked coding, folded headers.
+Ambiguous input is rejected: a second length, a length together with chunked coding, folded headers.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 from eiderfield.net.http.message import Head, MalformedMessageError
 from eiderfield.net.http.status import CONTENT_TOO_LARGE, FIRST_FINAL, NO_CONTENT, NOT_MODIFIED
 
-MAX_HEAD = 16384  # bytes
+MAX_HEAD_BYTES = 16384
 MAX_HEADERS = 100
 
 _TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
@@ -35,10 +34,10 @@
 )
 
 
-def parse_head(text: str, is_answer: bool) -> Head:
-    """A head's text, without the empty line that ends it."""
+def parse_head(text: str, is_response: bool) -> Head:
+    """Parse a head, given without its final empty line; raises `MalformedMessageError`."""
     start, *lines = text.split("\r\n")
-    head = _parse_status_line(start) if is_answer else _parse_request_line(start)
+    head = _parse_status_line(start) if is_response else _parse_request_line(start)
     if len(lines) > MAX_HEADERS:
         raise MalformedMessageError("too many headers", CONTENT_TOO_LARGE)
     _parse_headers(head, lines)
@@ -72,7 +71,7 @@
             raise MalformedMessageError("a header is malformed")
         name = name.lower()
         if name in headers:
-            if name in _SINGLETON_HEADERS:  # two lengths, or two ids, could be read in two ways
+            if name in _SINGLETON_HEADERS:  # two lengths, or two ids, are ambiguous
                 raise MalformedMessageError(f"{name} stands there twice")
             value = f"{headers[name]}, {value}"
         headers[name] = value
@@ -84,12 +83,12 @@
     NONE = "there is no body"
     LENGTH = "its length"
     CHUNKED = "its last chunk"
-    CLOSE = "the connection's end"
+    CLOSE = "the end of the connection"
 
 
 @dataclass(slots=True, frozen=True)
 class Framing:
-    """How a body is framed; `length` counts where that ends it."""
+    """How a body is framed; `length` is in bytes and applies to `BodyEnd.LENGTH`."""
 
     end: BodyEnd
     length: int = 0
@@ -100,9 +99,9 @@
 _TO_CLOSE = Framing(BodyEnd.CLOSE)
 
 
-def framing_of(head: Head, is_answer: bool) -> Framing:
-    """The framing that a head tells."""
-    if is_answer and (head.status < FIRST_FINAL or head.status in (NO_CONTENT, NOT_MODIFIED)):
+def framing_of(head: Head, is_response: bool) -> Framing:
+    """Return the framing of the body after a head; raises `MalformedMessageError`."""
+    if is_response and (head.status < FIRST_FINAL or head.status in (NO_CONTENT, NOT_MODIFIED)):
         return _NO_BODY
     if head.get("transfer-encoding"):
         return _coded_framing(head)
@@ -114,7 +113,7 @@
         return Framing(BodyEnd.LENGTH, length) if length else _NO_BODY
     if "transfer-encoding" in head.headers:
         raise MalformedMessageError("the transfer coding is empty")
-    return _TO_CLOSE if is_answer else _NO_BODY
+    return _TO_CLOSE if is_response else _NO_BODY
 
 
 def _coded_framing(head: Head) -> Framing:
--- a/eiderfield/net/http/message.py
+++ b/eiderfield/net/http/message.py
@@ -1,4 +1,4 @@
-"""The parts of a message that a parser hands out, and the error for input that breaks the protocol."""
+"""The parts of a message that the parser returns, and the error for input that violates the protocol."""
 
 from __future__ import annotations
 
@@ -9,33 +9,45 @@
 
 
 class MalformedMessageError(EiderfieldError, ValueError):
-    """Input that breaks the protocol, with the status that says so."""
+    """Input violates the protocol.
+
+    Attributes:
+        status: the status code for the response to it.
+    """
 
     def __init__(self, text: str, status: int = BAD_REQUEST) -> None:
-        """`text` says what is wrong, for the other side and for the log."""
+        """Create an error; `text` is sent to the peer and written to the log."""
         super().__init__(text)
         self.status = status
 
 
 @dataclass(slots=True)
 class Head:
-    """A start line and headers. `method` and `target` are empty in an answer, `status` is 0 in a request."""
+    """A start line and headers.
+
+    Attributes:
+        method: empty in a response.
+        target: empty in a response.
+        status: 0 in a request.
+        version: the minor version, of HTTP/1.1 or HTTP/1.0.
+        headers: values by name in lower case.
+    """
 
     method: str = ""
     target: str = ""
     status: int = 0
-    version: int = 1  # the minor version: HTTP/1.1 or HTTP/1.0
-    headers: dict[str, str] = field(default_factory=dict)  # by name in lower case
+    version: int = 1
+    headers: dict[str, str] = field(default_factory=dict)
 
     def get(self, name: str) -> str:
-        """A header's value, empty if there is none."""
+        """Return a header's value, an empty text if there is none."""
         return self.headers.get(name, "")
 
     @property
-    def keeps(self) -> bool:
-        """Whether the connection stays usable after this message."""
-        words = [word.strip().lower() for word in self.get("connection").split(",")]
-        return "close" not in words and (self.version == 1 or "keep-alive" in words)
+    def keep_alive(self) -> bool:
+        """Whether the sender keeps the connection open after this message."""
+        options = [option.strip().lower() for option in self.get("connection").split(",")]
+        return "close" not in options and (self.version == 1 or "keep-alive" in options)
 
 
 class End:
--- a/eiderfield/net/http/parser.py
+++ b/eiderfield/net/http/parser.py
@@ -1,12 +1,11 @@
-"""An incremental parser of HTTP/1.1, for requests and answers alike. It does no I/O.
+"""An incremental parser of HTTP/1.1 requests and responses. Performs no I/O.
 
-    HEAD ──(a whole head)──> FIXED | CHUNK_SIZE | TO_CLOSE | DONE
-    CHUNK_SIZE ──> CHUNK ──> CHUNK_END ──> CHUNK_SIZE ... ──(a chunk of no bytes)──> TRAILER ──> DONE
-    FIXED ──(its last byte)──> DONE        TO_CLOSE ──(the connection's end)──> HEAD
-    DONE ──(the end is handed out)──> HEAD
+    HEAD ──(a complete head)──> FIXED | CHUNK_SIZE | TO_CLOSE | DONE
+    CHUNK_SIZE ──> CHUNK ──> CHUNK_END ──> CHUNK_SIZE ... ──(an empty chunk)──> TRAILER ──> DONE
+    FIXED ──(its last byte)──> DONE        TO_CLOSE ──(end of the connection)──> HEAD
+    DONE ──(the end is returned)──> HEAD
 
-Bytes move it; nothing else does. What must never happen: input that could be read in two ways taken for one
-of them; more kept than the bounds say.
+Only received bytes change the state. Invariants: ambiguous input is rejected; buffers stay within limits.
 """
 
 from __future__ import annotations
@@ -14,12 +13,12 @@
 import re
 from enum import Enum
 
-from eiderfield.net.http.head import MAX_HEAD, BodyEnd, framing_of, parse_head
+from eiderfield.net.http.head import MAX_HEAD_BYTES, BodyEnd, framing_of, parse_head
 from eiderfield.net.http.message import END, End, Head, MalformedMessageError
 from eiderfield.net.http.status import CONTENT_TOO_LARGE
 
-MAX_BODY = 65536  # bytes of a request's body
-MAX_CHUNK_LINE = 256  # bytes of the line that tells a chunk's size
+MAX_BODY_BYTES = 65536  # of a request's body
+MAX_CHUNK_LINE_BYTES = 256  # of the line with a chunk's size
 
 _CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{1,8}\Z")
 
@@ -45,48 +44,51 @@
 
 
 class Parser:
-    """Feed it bytes, then take what they complete with `poll` until that gives None."""
+    """Parses the messages of one connection: `feed` received bytes, then `poll` until it returns None."""
 
-    def __init__(self, answers: bool = False, max_body: int = MAX_BODY) -> None:
-        """`max_body` 0 is no bound: such a body must be taken as it comes."""
-        self._is_answer = answers
+    def __init__(self, responses: bool = False, max_body: int = MAX_BODY_BYTES) -> None:
+        """Create a parser; `max_body` limits a body's bytes, 0 for no limit."""
+        self._is_response = responses
         self._max_body = max_body
         self._buffer = bytearray()
         self._state = _State.HEAD
-        self._left = 0  # bytes left of the fixed body or of the chunk
-        self._body_size = 0  # bytes of body so far
+        self._left = 0  # bytes outstanding of the body or of the chunk
+        self._body_size = 0  # bytes of the body so far
         self._trailer_size = 0
 
     @property
     def buffered(self) -> int:
-        """Bytes that have come and are not yet taken."""
+        """The number of received bytes that are not yet parsed."""
         return len(self._buffer)
 
     @property
-    def begun(self) -> bytes | None:
-        """What has come of a message whose head is not whole, None within a message."""
+    def incomplete_head(self) -> bytes | None:
+        """The received part of an incomplete head (empty between messages), None within a message."""
         return bytes(self._buffer) if self._state == _State.HEAD else None
 
     @property
-    def between(self) -> bool:
-        """Whether the parser stands between two messages, with nothing of the next one."""
+    def at_boundary(self) -> bool:
+        """Whether the last message is complete and no byte of the next one is received."""
         return self._state == _State.HEAD and not self._buffer
 
     def feed(self, data: bytes | bytearray | memoryview) -> None:
-        """Takes bytes in."""
+        """Append received bytes."""
         self._buffer += data
 
     def finish(self) -> End | None:
-        """The connection's end: it ends a body that has no other end, and breaks any other message."""
+        """Record the end of the connection; return `END` if it ends the message.
+
+        Raises `MalformedMessageError` if the message is incomplete.
+        """
         if self._state == _State.TO_CLOSE:
             self._state = _State.HEAD
             return END
-        if not self.between:
+        if not self.at_boundary:
             raise MalformedMessageError("the connection ended within a message")
         return None
 
     def poll(self) -> Head | bytes | End | None:
-        """The next head, piece of a body or end of a message; None until more bytes come."""
+        """Return the next head, part of a body or end of a message; None if more bytes are needed."""
         while True:
             if self._state == _State.HEAD:
                 return self._read_head()
@@ -99,17 +101,17 @@
                 return None
 
     def _read_head(self) -> Head | None:
-        while self._buffer.startswith(b"\r\n"):  # empty lines before a start line are to be ignored
+        while self._buffer.startswith(b"\r\n"):  # RFC 9112: ignore empty lines before a start line
             del self._buffer[:2]
-        end = self._buffer.find(b"\r\n\r\n", 0, MAX_HEAD)
+        end = self._buffer.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES)
         if end < 0:
-            if len(self._buffer) >= MAX_HEAD:
+            if len(self._buffer) >= MAX_HEAD_BYTES:
                 raise MalformedMessageError("the head is too long", CONTENT_TOO_LARGE)
             return None
         text = self._buffer[:end].decode("latin-1")
         del self._buffer[: end + 4]
-        head = parse_head(text, self._is_answer)
-        framing = framing_of(head, self._is_answer)
+        head = parse_head(text, self._is_response)
+        framing = framing_of(head, self._is_response)
         self._body_size = 0
         self._left = framing.length
         self._count_body(framing.length)
@@ -132,8 +134,8 @@
         return data
 
     def _read_chunk_line(self) -> bool:
-        """Takes a line between chunks or behind the last one; whether there was one."""
-        line = self._read_line(MAX_HEAD if self._state == _State.TRAILER else MAX_CHUNK_LINE)
+        """Parse a line between chunks or after the last one; return whether there was one."""
+        line = self._read_line(MAX_HEAD_BYTES if self._state == _State.TRAILER else MAX_CHUNK_LINE_BYTES)
         if line is None:
             return False
         if self._state == _State.CHUNK_END:
@@ -141,7 +143,7 @@
                 raise MalformedMessageError("a chunk is longer than its size says")
             self._state = _State.CHUNK_SIZE
         elif self._state == _State.CHUNK_SIZE:
-            self._begin_chunk(line)
+            self._start_chunk(line)
         else:
             self._add_to_trailer(line)
         return True
@@ -158,7 +160,7 @@
         del self._buffer[: end + 1]
         return line
 
-    def _begin_chunk(self, line: bytes) -> None:
+    def _start_chunk(self, line: bytes) -> None:
         size = line.partition(b";")[0].strip(b" \t")
         if not _CHUNK_SIZE.match(size):
             raise MalformedMessageError("a chunk's size is not a number")
@@ -168,15 +170,15 @@
         self._count_body(self._left)
 
     def _add_to_trailer(self, line: bytes) -> None:
-        """Skips a trailer's line; an empty one ends it."""
+        """Skip a line of the trailer; an empty one ends it."""
         if not line:
             self._state = _State.DONE
             return
         self._trailer_size += len(line)
-        if self._trailer_size > MAX_HEAD:
+        if self._trailer_size > MAX_HEAD_BYTES:
             raise MalformedMessageError("the trailer is too long", CONTENT_TOO_LARGE)
 
-    def _count_body(self, more: int) -> None:
-        self._body_size += more
+    def _count_body(self, received: int) -> None:
+        self._body_size += received
         if self._max_body and self._body_size > self._max_body:
             raise MalformedMessageError("the body is too long", CONTENT_TOO_LARGE)
--- a/eiderfield/net/worker_response.py
+++ b/eiderfield/net/worker_response.py
@@ -26,7 +26,7 @@
         """Create a reader that expects no response yet."""
         self.head: Head | None = None  # of the current response, once complete
         self.body = bytearray()  # of the response to a health check, as far as received
-        self._parser = Parser(answers=True, max_body=0)
+        self._parser = Parser(responses=True, max_body=0)
         self._line = bytearray()  # the incomplete last line of a response to an attempt
         self._request_id: str | None = None
         self._keeps_body = False
@@ -39,8 +39,8 @@
     @property
     def can_be_reused(self) -> bool:
         """Whether the worker keeps the connection open and nothing follows the complete response."""
-        keeps_open = self.head is not None and self.head.keeps
-        return keeps_open and not self._parser.buffered and self._parser.between
+        keeps_open = self.head is not None and self.head.keep_alive
+        return keeps_open and not self._parser.buffered and self._parser.at_boundary
 
     def start(self, request_id: str | None) -> None:
         """Prepare for the next response.
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -92,7 +92,7 @@
         (listener or dispatcher.listener).add(self.connection)
         self.pipe = Pipe(self.connection)
         self.connection.connection_made(self.pipe)
-        self._parser = Parser(answers=True)
+        self._parser = Parser(responses=True)
 
     def post(self, path="/safe/k1", id_="r1", wait=5000, body=b"b", **headers):
         lines = [f"POST {path} HTTP/1.1", "Host: h", f"X-Request-Id: {id_}", f"X-Deadline-Ms: {wait}"]
--- a/tests/support/real_sockets.py
+++ b/tests/support/real_sockets.py
@@ -42,7 +42,7 @@
         self.sock, theirs = socket.socketpair()
         self.sock.setblocking(False)
         theirs.setblocking(False)
-        self._parser = Parser(answers=True)
+        self._parser = Parser(responses=True)
         if handover is not None:
             harness.listener.adopt_connection(theirs, handover)
         else:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from eiderfield.net.http import END, MAX_HEAD, Head, MalformedMessageError, Parser
+from eiderfield.net.http import END, MAX_HEAD_BYTES, Head, MalformedMessageError, Parser
 
 POST = b"POST /a/b?c=d HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"
 CHUNKED = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nT: u\r\n\r\n"
@@ -36,7 +36,7 @@
     found, parser = read(data, cuts)
     assert found == read(data)[0]
     assert [body for body in found if isinstance(body, bytes)] == [b"abc"] * 3
-    assert parser.between
+    assert parser.at_boundary
 
 
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
@@ -73,7 +73,7 @@
         (b"POST /a b HTTP/1.1\r\n\r\n", 400),
         (b"POST / HTTP/2.0\r\n\r\n", 400),
         (b"POST / HTTP/1.1\r\nX-Request-Id: a\r\nX-Request-Id: b\r\n\r\n", 400),
-        (b"A" * MAX_HEAD, 413),
+        (b"A" * MAX_HEAD_BYTES, 413),
     ],
 )
 def test_what_is_rejected(data, status):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -47,7 +47,7 @@
     def __init__(self, port):
         self.sock = socket.create_connection(("127.0.0.1", port))
         self.sock.setblocking(False)
-        self.parser = Parser(answers=True)
+        self.parser = Parser(responses=True)
         self.statuses = []
         self.sent_at = []
         self.open = True
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -9,7 +9,7 @@
 from eiderfield.net.clients.connection import MESSAGES_PER_TURN
 from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.discovery.watch import SILENCE
-from eiderfield.net.http import MAX_BODY
+from eiderfield.net.http import MAX_BODY_BYTES
 from eiderfield.net.worker_idle import DISTRUST_MS, IDLE_MARGIN_MS
 from eiderfield.net.worker_messages import DEADLINE_MARGIN_MS
 
@@ -92,7 +92,7 @@
 
 def test_a_result_is_served_as_it_is_and_its_connection_used_again():
     dispatcher = InMemoryDispatcher(workers=1)
-    client = dispatcher.client(body=b"x" * MAX_BODY)
+    client = dispatcher.client(body=b"x" * MAX_BODY_BYTES)
     end = dispatcher.dials[0].up()
     end.finish(result="naïve ✓")
     assert [(s, b.decode()) for s, _, b in client.answers()] == [(200, "naïve ✓")]
