--- /dev/null
+++ b/tests/support/peers.py
@@ -0,0 +1,65 @@
+"""Dispatchers of one tier whose datagrams a test reads and writes."""
+
+from __future__ import annotations
+
+import socket
+from struct import Struct
+
+from eiderfield.net.peer_filter import FORM
+from eiderfield.net.peers import PeerPort
+
+ENVELOPE = Struct("<BIH")
+
+
+class Loop:
+    """Readers that the test calls itself."""
+
+    def __init__(self):
+        self.readers = {}
+
+    def add_reader(self, sock, call):
+        self.readers[sock] = call
+
+    def remove_reader(self, sock):
+        self.readers.pop(sock, None)
+
+
+class Tier:
+    """Ports of some dispatchers, the first of which is the program's."""
+
+    def __init__(self, count=3):
+        self.now = 5_000_000.0
+        self.logged, self.heard = [], []
+        self.ends = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
+        for end in self.ends:
+            end.bind(("127.0.0.1", 0))
+            end.settimeout(10.0)
+        self.addresses = [end.getsockname() for end in self.ends]
+        self.ends[0].close()
+        self.loop = Loop()
+        self.port = self.new()
+        self.port.open()
+
+    def new(self, everyone=None):
+        return PeerPort(
+            self.loop,
+            self.addresses[0],
+            self.addresses,
+            everyone,
+            0,
+            lambda: self.now,
+            lambda peer, data: self.heard.append((peer, data)),
+            self.logged.append,
+        )
+
+    def say(self, peer, life, number, data=b"x", form=FORM):
+        self.ends[peer].sendto(ENVELOPE.pack(form, life, number) + data, self.addresses[0])
+
+    def read(self):
+        for call in list(self.loop.readers.values()):
+            call()
+
+    def close(self):
+        self.port.close()
+        for end in self.ends[1:]:
+            end.close()
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -3,76 +3,10 @@
 import json
 
 import pytest
-from support.memory_dispatcher import InMemoryDispatcher, Pipe
+from support.consul import Consul, instance
 
 from eiderfield.interface import EndpointState
-from eiderfield.net.discovery.consul import ANSWER_SLACK, ConsulWatch
-from eiderfield.net.discovery.settings import DiscoverySettings
-from eiderfield.net.http import END, Head, Parser
-
-
-def instance(id_, port, status="passing", node="n", **meta):
-    return {
-        "Node": {"Node": node, "Address": "127.0.0.9", "Datacenter": "dc1"},
-        "Service": {
-            "ID": id_,
-            "Address": "",
-            "Port": port,
-            "Meta": meta,
-            "Weights": {"Passing": 2, "Warning": 1},
-        },
-        "Checks": [{"Status": "passing"}, {"Status": status}],
-    }
-
-
-class Consul:
-    """The stand-in: answers one query at a time."""
-
-    def __init__(self, api="health"):
-        self.dispatcher = InMemoryDispatcher(workers=0)
-        place = DiscoverySettings("consul", ("127.0.0.1", 8500), "claim workers", api, "secret", 30_000.0)
-        dispatcher = self.dispatcher
-        self.follower = ConsulWatch(
-            dispatcher.table,
-            dispatcher.wheel,
-            dispatcher.clock,
-            dispatcher.dial,
-            place,
-            dispatcher.logged.append,
-        )
-        self.follower.connect()
-        self.connect()
-
-    def connect(self):
-        dial = self.dispatcher.dials.pop()
-        self.pipe = Pipe(dial.connection)
-        dial.connection.connection_made(self.pipe)
-        self.parser = Parser()
-
-    def query(self):
-        """The query that is out, taken once."""
-        self.parser.feed(bytes(self.pipe.written))
-        self.pipe.written.clear()
-        got = [self.parser.poll(), self.parser.poll()]
-        if not isinstance(got[0], Head):
-            return None
-        assert got[1] is END
-        assert got[0].get("x-consul-token") == "secret"
-        return got[0].target
-
-    def answer(self, index, *instances, raw=None):
-        body = json.dumps(instances).encode() if raw is None else raw
-        head = f"HTTP/1.1 200 OK\r\nX-Consul-Index: {index}\r\nContent-Length: {len(body)}\r\n\r\n"
-        self.pipe.send(head.encode() + body)
-        self.dispatcher.settle()
-
-    def states(self):
-        names = self.dispatcher.ids
-        return {
-            names.name(w): s
-            for w, s in self.dispatcher.exchange.endpoint_states.items()
-            if s != EndpointState.GONE
-        }
+from eiderfield.net.discovery.consul import ANSWER_SLACK
 
 
 def test_health_is_followed_by_blocking_queries():
--- /dev/null
+++ b/tests/test_wall_clock_bans.py
@@ -0,0 +1,52 @@
+"""Bans keep their age when the wall clock is stepped by seconds or an hour, forward or back."""
+
+import json
+
+import pytest
+from support.wall_clock import (
+    COLD,
+    Machine,
+    settled_machine,
+    steps,
+)
+
+from eiderfield.interface import EndpointState
+
+
+@pytest.fixture
+def machine():
+    return settled_machine()
+
+
+@steps
+def test_a_step_in_the_middle_of_a_ban_hides_no_start(machine, step):
+    """The worker is restarted while it is banned, which discovery has not told when the ban is lifted."""
+    machine.tell(("w", machine.wall()))
+    machine.dispatcher.advance(500.0)
+    machine.dispatcher.table.ban("w")
+    machine.dispatcher.advance(500.0)
+    machine.wall.step(step)
+    machine.pass_time(COLD)
+    machine.dispatcher.table.unban("w")
+    assert machine.started("w") == 0.0
+    machine.dispatcher.advance(1000.0)
+    machine.tell(("w", machine.wall() - 1500.0))
+    assert machine.started("w") == pytest.approx(1500.0), "discovery has told of the start by now"
+
+
+@steps
+def test_a_step_between_two_starts_moves_no_ban_before_a_start(tmp_path, step):
+    first = Machine(bans=tmp_path / "bans.json")
+    started = first.wall()
+    first.tell(("w", started), snapshot=True)
+    first.dispatcher.advance(1000.0)
+    assert first.dispatcher.table.ban("w")
+    stored = json.loads((tmp_path / "bans.json").read_text())
+    assert stored == {"banned": {"w": started + 1000.0}}, "the file holds Unix time"
+    second = Machine(bans=tmp_path / "bans.json", start=77e9)
+    second.wall.step(step)
+    second.tell(("w", started), snapshot=True)
+    entry = second.dispatcher.exchange.endpoint_states[second.dispatcher.ids.worker("w")]
+    assert entry == EndpointState.DRAINING
+    second.dispatcher.table.unban("w")
+    assert second.started("w") == 0.0
--- /dev/null
+++ b/tests/test_wall_clock_handover.py
@@ -0,0 +1,104 @@
+"""The state that a process hands over keeps its age when the wall clock is stepped meanwhile."""
+
+import pytest
+from support.handover import LISTEN
+from support.wall_clock import COLD, HOUR, STEPS, Takeover, passed_on, steps
+
+from eiderfield.net.handover.messages import ConnectionPassed, ParkedBatch
+
+
+@pytest.fixture(params=STEPS)
+def takeover(request):
+    return Takeover(request.param)
+
+
+def test_what_the_policy_learnt_keeps_its_age_over_a_step_between_two_starts(takeover):
+    """A pacer would have waited an hour, or a worker in slow start have been sent its work twice."""
+    old = takeover.old.dispatcher
+    old.advance(500.0)
+    module = old.exchange.dispatcher
+    module._queues.pacers[0].rate, module._queues.pacers[0].next_release_at = 4.0, old.now + 250.0
+    module._slow_start.served_rate, module._slow_start.served_rate_at = 0.5, old.now - 100.0
+    module._fleet.workers[old.ids.worker("slow")].recent_sends.append((old.now - 30.0, 80.0))
+    heir = takeover.go().module()
+    assert takeover.age(heir._queues.pacers[0].next_release_at) == pytest.approx(-250.0)
+    assert takeover.age(heir._slow_start.served_rate_at) == pytest.approx(100.0)
+    assert heir._slow_start.served_rate == 0.5
+    [(at, work)] = heir._fleet.workers[old.ids.worker("slow")].recent_sends
+    assert takeover.age(at) == pytest.approx(30.0)
+    assert work == 80.0
+
+
+def test_slow_start_goes_on_over_a_step_between_two_starts(takeover):
+    takeover.old.dispatcher.advance(3000.0)
+    heir = takeover.go().module()
+    worker = heir._fleet.workers[takeover.old.dispatcher.ids.worker("slow")]
+    assert takeover.age(worker.entry.ready_at) == pytest.approx(3000.0)
+    takeover.new.dispatcher.table.load(takeover.list)
+    takeover.new.dispatcher.settle()
+    assert takeover.age(worker.entry.ready_at) == pytest.approx(3000.0), "discovery's list changes nothing"
+
+
+def test_a_start_that_is_first_announced_after_the_handover_did_not_happen_an_hour_ago():
+    """The process before has heard discovery a moment ago, so that the worker cannot have been there long."""
+    takeover = Takeover(HOUR)
+    takeover.old.dispatcher.table.start_times.record_source_contact()
+    since = takeover.wall()
+    takeover.old.dispatcher.advance(500.0)
+    new = takeover.go().new.dispatcher
+    endpoint = {"name": "new", "address": "127.0.0.1:3", "status": "SERVING", "since_ms": since}
+    new.table.load({"index": 5, "snapshot": False, "endpoints": [endpoint]})
+    new.settle()
+    entry = takeover.module()._fleet.workers[new.ids.worker("new")].entry
+    assert entry.ready_at == new.now
+
+
+def test_a_ban_keeps_its_place_over_a_step_between_two_starts(takeover):
+    old = takeover.old.dispatcher
+    old.advance(1000.0)
+    old.table.ban("banned")
+    old.advance(1000.0)
+    new = takeover.go().new.dispatcher
+    assert takeover.age(new.table.bans.since["banned"]) == pytest.approx(1000.0)
+    new.advance(COLD)
+    new.table.unban("banned")
+    new.settle()
+    entry = takeover.module()._fleet.workers[new.ids.worker("banned")].entry
+    assert entry.ready_at == new.now, "it may have been restarted meanwhile"
+
+
+def test_a_lifted_ban_keeps_its_age_over_a_step_between_two_starts(takeover):
+    old = takeover.old.dispatcher
+    old.advance(1000.0)
+    old.table.ban("banned")
+    old.advance(500.0)
+    old.table.unban("banned")
+    old.advance(200.0)
+    new = takeover.go().new.dispatcher
+    entry = takeover.module()._fleet.workers[new.ids.worker("banned")].entry
+    assert takeover.age(entry.ready_at) == pytest.approx(200.0)
+
+
+def test_a_ban_during_the_handover_is_told_by_its_age(takeover):
+    takeover.go()
+    takeover.old.dispatcher.table.ban("slow")
+    takeover.new.dispatcher.table.ban("banned")
+    takeover.talk()
+    assert takeover.age(takeover.new.dispatcher.table.bans.since["slow"]) == pytest.approx(0.0)
+    since = takeover.old.dispatcher.table.bans.since["banned"]
+    assert takeover.old.dispatcher.now - since == pytest.approx(0.0)
+
+
+@steps
+def test_clients_connections_keep_their_age_over_a_step(step):
+    """They would all have been closed at once, or have idled for an hour."""
+    batch, now = passed_on(ParkedBatch(LISTEN, (5e6 - 9000.0, 5e6), (), {}), step)
+    assert batch.since == pytest.approx((now - 9000.0, now))
+    begun, now = passed_on(ConnectionPassed(LISTEN, True, 5e6 - 2000.0, b"POST", {}), step)
+    assert begun.since == pytest.approx(now - 2000.0), "its message has 0.8 s left"
+
+
+@steps
+def test_a_time_that_lies_ahead_is_now(step):
+    batch, now = passed_on(ParkedBatch(LISTEN, (5e6 + HOUR,), (), {}), step)
+    assert batch.since == (now,)
--- /dev/null
+++ b/tests/test_wall_clock_handover_731b84e.py
@@ -0,0 +1,102 @@
+"""Handover with processes of 731b84e, whose clocks show Unix time as it was when they started."""
+
+import pytest
+from support.golden_messages import recorded
+from support.handover import LISTEN
+from support.memory_dispatcher import InMemoryDispatcher
+from support.wall_clock import HOUR, SECONDS, UNIX, Process, Takeover, Wall, steps
+
+from eiderfield.net.handover.messages import BanChanged, ParkedBatch
+
+STATE_AT = UNIX + 40.0  # what the clock of the recorded process showed
+
+
+def from_731b84e(step, elapsed=0.0):
+    """The recorded state as a process has it that starts after a step, and its codec and clock."""
+    now = 9e9
+    process = Process(lambda: STATE_AT + elapsed + step, now)
+    return process.codec.decode(recorded("731b84e", "state")[0]), process
+
+
+@steps
+def test_a_step_before_the_handover_of_731b84e_makes_nothing_wait(step):
+    """It would have held the first class back for an hour."""
+    state, process = from_731b84e(step)
+    pacer = state.learned.pacers[0]
+    assert process.now <= pacer.next_release_at <= process.now + 1000.0 / pacer.rate
+    assert state.learned.served_at <= process.now
+    assert all(since <= process.now for since in state.bans.values())
+    assert all(
+        worker.banned_at <= worker.unbanned_at <= process.now for worker in state.table.unbanned_workers
+    )
+
+
+@steps
+def test_work_that_731b84e_has_just_sent_to_a_worker_in_slow_start_is_not_sent_again(step):
+    state, process = from_731b84e(step)
+    [(at, _)] = state.learned.recent_work[0].sent
+    assert process.now - at == 30.0
+
+
+@steps
+def test_a_worker_in_slow_start_stays_so_over_a_step_before_the_handover_of_731b84e(step):
+    """Its clock is that of its start: it would be taken for warm after a step forward."""
+    process = Process(lambda: STATE_AT + step, 9e9)
+    table = process.codec.decode(recorded("731b84e", "state")[0]).table
+    dispatcher = InMemoryDispatcher(workers=0, unix=lambda: STATE_AT + step, start=process.now)
+    dispatcher.table.take_over(table, {})
+    dispatcher.settle()
+    worker = dispatcher.exchange.dispatcher._fleet.workers[dispatcher.ids.worker("w3")]
+    assert process.now - worker.entry.ready_at == 140.0
+
+
+@pytest.mark.parametrize("step", [-HOUR, -SECONDS])
+def test_a_worker_that_started_after_a_step_back_is_not_warm_by_the_clock_of_731b84e(step):
+    unix = STATE_AT + step
+    message = recorded("731b84e", "state")[0]
+    for endpoint in message["table"]["endpoints"]:
+        endpoint["since_ms"] = unix - 100.0
+    process = Process(lambda: unix, 9e9)
+    dispatcher = InMemoryDispatcher(workers=0, unix=lambda: unix, start=process.now)
+    dispatcher.table.take_over(process.codec.decode(message).table, {})
+    dispatcher.settle()
+    worker = dispatcher.exchange.dispatcher._fleet.workers[dispatcher.ids.worker("w3")]
+    assert process.now - worker.entry.ready_at == 100.0
+
+
+def test_the_state_of_731b84e_is_exact_where_no_step_was():
+    state, process = from_731b84e(0.0, elapsed=50.0)
+    assert state.learned.served_at == process.now - 50.0
+    assert state.table.unbanned_workers[0].unbanned_at == process.now - 50.0
+
+
+@steps
+def test_clients_that_731b84e_passes_on_after_a_step_are_neither_closed_nor_kept(step):
+    _, process = from_731b84e(step)
+    batch = process.codec.decode(recorded("731b84e", "parked")[0])
+    idle = {HOUR: 0.0, SECONDS: 1500.0 + SECONDS}.get(step, 1500.0)
+    assert process.now - batch.since[0] == idle
+    passed = process.codec.decode(recorded("731b84e", "client-begun")[0])
+    assert 0.0 <= process.now - passed.since <= 2800.0
+
+
+@steps
+def test_731b84e_is_told_times_that_its_clock_has_passed(step):
+    """It starts after the step, so its clock shows what the wall clock shows then."""
+    wall = Wall()
+    wall.step(step)
+    process = Process(wall, 9e9)
+    ban = process.codec.encode(BanChanged("w1", process.now - 100.0))
+    assert ban["since"] == wall() - 100.0
+    parked = process.codec.encode(ParkedBatch(LISTEN, (process.now - 700.0,), (), {}))
+    assert parked["since"] == [wall() - 700.0]
+
+
+@steps
+def test_731b84e_is_told_of_starts_as_discovery_announced_them(step):
+    """Told otherwise, it would take discovery's next list for a new start of each worker."""
+    takeover = Takeover(step)
+    takeover.old.dispatcher.advance(500.0)
+    takeover.wall.step(step)
+    state = takeover.old.dispatcher.table.state()
+    assert [endpoint.since_ms for endpoint in state.endpoints] == [takeover.since] * 2
