--- a/eiderfield/durable_requests/exchange_hooks.py
+++ b/eiderfield/durable_requests/exchange_hooks.py
@@ -27,13 +27,13 @@
         self._recorder = recorder
         self._cancellation = cancellation
 
-    def claim(self, attempt: Attempt, go: MayStart) -> None:
-        """Record an attempt; `go` is called with whether it may start."""
+    def claim(self, attempt: Attempt, on_claimed: MayStart) -> None:
+        """Record an attempt; `on_claimed` is called with whether it may start."""
         ids = self._context.services.ids
         endpoint = self._context.exchange.endpoint(attempt.worker)
         worker, zone = ids.name(attempt.worker), ids.zone_name(endpoint.zone)
         record = AttemptRecord(attempt.number, worker, zone, endpoint.cell, steady_ms())
-        self._claims.request(attempt, record, go)
+        self._claims.request(attempt, record, on_claimed)
 
     def may_write(self, attempt: Attempt) -> bool:
         """Return whether a claimed attempt may still start: its claim holds and a client waits for it."""
--- a/eiderfield/durable_requests/submission.py
+++ b/eiderfield/durable_requests/submission.py
@@ -10,6 +10,7 @@
 from eiderfield.durable_requests.loop_context import LoopContext
 from eiderfield.durable_requests.owned_requests import OwnedRequest
 from eiderfield.durable_requests.timing import RECORDING_TIME_MS, RETRY_INTERVAL_MS
+from eiderfield.exchange.errors import RequestIdInUseError
 from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.interface import Endpoint
 
@@ -37,9 +38,9 @@
         decided_by = replace(request, deadline=request.deadline - RECORDING_TIME_MS)
         try:
             owned.exchange_id = self._context.exchange.submit(
-                decided_by, _ignore_answer, durable=True, before=earlier
+                decided_by, _ignore_answer, durable=True, earlier_attempts=earlier
             )
-        except ValueError:
+        except RequestIdInUseError:
             self._context.call_after(RETRY_INTERVAL_MS, partial(self._submit_again, request, owned, earlier))
         else:  # its clients may have left meanwhile
             self._cancellation.abandon_unless_waited_for(request.id)
--- a/eiderfield/exchange/actions.py
+++ b/eiderfield/exchange/actions.py
@@ -154,7 +154,7 @@
                     context.worker_side.close_idle(worker)
             case SendPeerReport(peer, data):
                 if context.peer_channel is not None:
-                    context.peer_channel.tell(peer, data)
+                    context.peer_channel.send_report(peer, data)
             case LogMessage(text):
                 context.log(text)
             case WatchEndpoints() | FetchEndpoints():
--- a/eiderfield/exchange/attempt_table.py
+++ b/eiderfield/exchange/attempt_table.py
@@ -89,7 +89,7 @@
                 attempt.number,
                 attempt.worker,
                 outcome,
-                attempt.sent,
+                attempt.sent_at,
                 pending.answered,
                 load=load,
             )
@@ -114,7 +114,7 @@
         [
             deadline,
             *[
-                other.sent + window
+                other.sent_at + window
                 for other in attempt.pending.attempts
                 if other is not attempt and other.may_have_run
             ],
--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -148,20 +148,20 @@
         request: Request,
         answer: Callable[[Answer], None],
         durable: bool = False,
-        before: Iterable[tuple[Endpoint, float]] = (),
+        earlier_attempts: Iterable[tuple[Endpoint, float]] = (),
         client_waits: Callable[[], bool] | None = None,
     ) -> int:
         """Accept a request and return its number. `answer` is called once, after this has returned.
 
         `client_waits` returns whether the client is still connected, also if its close has not been read yet.
-        `before` are the attempts of a lost dispatcher, each as the worker and the time of its start.
+        `earlier_attempts` are those that a lost dispatcher started: worker, and time of the start.
         Raises `RequestIdInUseError`.
         """
-        before = tuple(before)
+        earlier = tuple(earlier_attempts)
         pending = self._requests.add(request, answer, durable, client_waits)
-        for number, (endpoint, sent) in enumerate(before):
+        for number, (endpoint, sent_at) in enumerate(earlier):
             pending.attempts.append(
-                Attempt(pending, number, endpoint.worker, sent, open=False, may_have_run=True)
+                Attempt(pending, number, endpoint.worker, sent_at, open=False, may_have_run=True)
             )
         # The policy answers just before the deadline; this guards against a fault of the policy.
         pending.timer = self._context.timers.at(
@@ -178,7 +178,7 @@
                 request.slots,
                 request.memory,
                 request.is_client_retry,
-                before,
+                earlier,
             )
         )
         return pending.id
@@ -317,10 +317,10 @@
             self._requests.finish(pending, answer)
         self._attempts.end(attempt, Outcome.OK, load)
 
-    def record_malformed_response(self, worker: int, why: str) -> None:
+    def record_malformed_response(self, worker: int, reason: str) -> None:
         """Record that a response of a worker is malformed or does not match its request."""
         self.metrics.malformed_responses += 1
-        self._context.log(f"exchange: malformed response (worker={worker} reason={why})")
+        self._context.log(f"exchange: malformed response (worker={worker} reason={reason})")
 
     def record_rejection(self, attempt: Attempt) -> None:
         """Record that a worker rejected the request itself: the worker is healthy, a retry is useless."""
--- a/eiderfield/exchange/protocols.py
+++ b/eiderfield/exchange/protocols.py
@@ -30,7 +30,7 @@
 class PeerChannel(Protocol):
     """Sends load reports to the other dispatchers of the tier, where the settings allow gossip."""
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_report(self, peer: int, data: bytes) -> None:
         """Send a datagram to one peer, or to all of them if `peer` is -1. It may be lost."""
 
 
@@ -46,17 +46,17 @@
     def id_released(self, id_: str) -> None:
         """Notify that the id can be used again."""
 
-    def attempts_changed(self, worker: int, out: int, work: float) -> None:
+    def attempts_changed(self, worker: int, count: int, work: float) -> None:
         """Notify of the number of open attempts at a worker, and of the work that was just sent to it."""
 
 
 class DurableRequests(Protocol):
     """Persists requests of durable classes so that another dispatcher can take them over."""
 
-    def claim(self, attempt: Attempt, go: Callable[[bool], None]) -> None:
+    def claim(self, attempt: Attempt, on_claimed: Callable[[bool], None]) -> None:
         """Persist that an attempt of a durable request is about to start.
 
-        Calls `go(True)` once that is stored, and `go(False)` if the attempt must not start.
+        Calls `on_claimed(True)` once that is stored, and `on_claimed(False)` if the attempt must not start.
         """
 
     def may_write(self, attempt: Attempt) -> bool:
--- a/eiderfield/exchange/request.py
+++ b/eiderfield/exchange/request.py
@@ -67,7 +67,7 @@
     pending: PendingRequest
     number: int
     worker: int
-    sent: float
+    sent_at: float  # ms, when the policy decided it
     open: bool = True
     may_have_run: bool = False
     timer: Timer | None = None
--- a/eiderfield/lab/fleet/failpoints.py
+++ b/eiderfield/lab/fleet/failpoints.py
@@ -1,11 +1,12 @@
-"""The program, but it fails once at a named point of custody.
+"""The dispatcher, made to fail once at a named point of its work on durable requests.
 
     EIDERFIELD_POINT=NAME:NUMBER:kill|stop:SECONDS python -m eiderfield.lab.fleet.failpoints --config FILE
 
-At the NUMBER-th time that it comes to NAME it kills or stops itself, as if its machine had failed just
-there; whoever runs it starts or continues it SECONDS later. The points are those of `Member.point`
-(`accept`, `claim`, `finish` before a change is written down, `accept done` and so on after that, `adopt`,
-`adopt done`, `fence`) and `sent`, once the last byte of an attempt has left. Of the laboratory alone.
+The process kills or stops itself when it reaches the point NAME for the NUMBER-th time, as if its host had
+failed there. The run that started it reads the marker file and starts or continues it SECONDS later. The
+points are those of `Member.point` (`accept`, `claim`, `finish` before a change is stored, `accept done` etc.
+after it, `adopt`, `adopt done`, `fence`) and `sent`, after the last byte of an attempt. Part of the
+laboratory; the dispatcher does not import it.
 """
 
 from __future__ import annotations
@@ -28,32 +29,32 @@
 
 
 def fail_at(failpoint: str) -> None:
-    """Makes this process fail at a point."""
-    target, number, how, lasts = failpoint.split(":")
+    """Replace methods of this process so that it fails at `failpoint`, the value of the variable."""
+    target, number, how, seconds = failpoint.split(":")
     counts: Counter[str] = Counter()
 
     def point(name: str) -> None:
         counts[name] += 1
         if name == target and counts[name] == int(number):
-            leave_marker(how, float(lasts))
+            leave_marker(how, float(seconds))
             os.kill(os.getpid(), signal.SIGKILL if how == "kill" else signal.SIGSTOP)
 
     exchange_class: Any = Exchange
-    wrote = exchange_class.request_written
+    request_written = exchange_class.request_written
 
-    def wrote_then_point(exchange: Any, attempt: Any) -> None:
-        wrote(exchange, attempt)
+    def request_written_then_point(exchange: Any, attempt: Any) -> None:
+        request_written(exchange, attempt)
         point("sent")
 
     Member.point = staticmethod(point)
-    exchange_class.request_written = wrote_then_point
+    exchange_class.request_written = request_written_then_point
 
 
-def leave_marker(how: str, lasts: float) -> None:
-    """Tells the run how this process fails, and for how long."""
+def leave_marker(how: str, seconds: float) -> None:
+    """Write how this process fails, and for how many seconds, to the marker file in `$TMPDIR`."""
     marker = Path(tempfile.gettempdir()) / MARKER
     draft = marker.with_suffix(".draft")
-    draft.write_text(json.dumps([how, lasts]))
+    draft.write_text(json.dumps([how, seconds]))
     draft.replace(marker)
 
 
--- a/eiderfield/net/peers.py
+++ b/eiderfield/net/peers.py
@@ -88,7 +88,7 @@
             self.sock.close()
             self.sock = None
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_report(self, peer: int, data: bytes) -> None:
         """Sends bytes to one peer, or to `ALL_PEERS`."""
         if self.sock is None or self._paused:
             return
--- a/eiderfield/program/settings.py
+++ b/eiderfield/program/settings.py
@@ -9,6 +9,7 @@
 from eiderfield.config.errors import ConfigError
 from eiderfield.config.loader import Config
 from eiderfield.config.source import redact, source_digest
+from eiderfield.exchange.errors import FixedSettingError
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.program.log import log
 
@@ -85,7 +86,7 @@
         why = why and f"{why}: a new value takes effect at the next start alone"
         try:
             self._exchange.check_settings(config.policy_settings)
-        except ValueError as error:
+        except FixedSettingError as error:
             why, kept = why or str(error), {**kept, "policy_settings": old.policy_settings}
         if why and config.is_operator_file:
             raise ConfigError(why)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -21,9 +21,9 @@
 
 
 def test_what_is_told_goes_to_one_or_to_all(tier):
-    tier.port.tell(1, b"one")
-    tier.port.tell(-1, b"all")
-    tier.port.tell(7, b"nobody")
+    tier.port.send_report(1, b"one")
+    tier.port.send_report(-1, b"all")
+    tier.port.send_report(7, b"nobody")
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"one"
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"all"
     assert tier.ends[2].recv(300)[ENVELOPE.size :] == b"all"
@@ -32,8 +32,8 @@
 
 def test_nothing_longer_than_the_protocol_allows_leaves(tier):
     room = MAX_MESSAGE - ENVELOPE.size
-    tier.port.tell(1, b"x" * (room + 1))
-    tier.port.tell(1, b"y" * room)
+    tier.port.send_report(1, b"x" * (room + 1))
+    tier.port.send_report(1, b"y" * room)
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"y" * room
     assert tier.port.figures["too_long"] == 1
 
@@ -101,7 +101,7 @@
 def test_a_port_that_is_taken_is_named_once_and_served_without(tier):
     second = tier.new()
     second.open()
-    second.tell(1, b"x")
+    second.send_report(1, b"x")
     second.close()
     assert len(tier.logged) == 1
     assert "peer_listen" in tier.logged[0]
@@ -116,8 +116,8 @@
     tier.read()
     assert tier.heard == [(1, b"to the next")]
     assert following.figures["heard"] == 1
-    tier.port.tell(1, b"not said")
-    following.tell(1, b"said")
+    tier.port.send_report(1, b"not said")
+    following.send_report(1, b"said")
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"said"
     following.close()
     tier.port.resume()
