--- a/eiderfield/errors.py
+++ b/eiderfield/errors.py
@@ -11,7 +11,8 @@
     ├── MalformedMessageError     net/http/message.py: an HTTP message is malformed
     ├── DurableRequestsError      durable_requests/errors.py: the shared folder or a store is unusable
     ├── DrmaaError                batch/drmaa.py: an error of the batch interface, as DRMAA names it
-    └── errors of rollout/ and lab/
+    ├── RolloutError              rollout/errors.py: a change cannot be led, read or carried out
+    └── errors of lab/
 
 Errors carry the key, path, peer or id that they are about as attributes. Those that also derive from
 `ValueError` or `RuntimeError` can be caught as such.
--- a/eiderfield/lab/fleet/controller_process.py
+++ b/eiderfield/lab/fleet/controller_process.py
@@ -17,11 +17,11 @@
 from collections import Counter
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 from eiderfield.config.address import Address
+from eiderfield.rollout.console import ConsoleAnswer
 from eiderfield.rollout.controller import Controller
-from eiderfield.rollout.journal import JournalError
+from eiderfield.rollout.errors import RolloutError
 from eiderfield.rollout.processes import ProcessManager
 
 ANOTHER_LEADS = 75  # exit code where another controller leads the change
@@ -45,10 +45,10 @@
     """A `ProcessManager` that reaches no console whose dispatcher the folder's file names."""
 
     class PartlyBlindManager(ProcessManager):
-        def _query(self, asked: tuple[str, Address]) -> dict[str, Any] | None:
+        def query(self, member: str, console: Address) -> ConsoleAnswer | None:
             path = folder / UNREACHABLE_FILE
             unreachable = json.loads(path.read_text()) if path.exists() else []
-            return None if asked[0] in unreachable else super()._query(asked)
+            return None if member in unreachable else super().query(member, console)
 
     return PartlyBlindManager
 
@@ -57,7 +57,7 @@
     """Leads the change of a folder to its end; 0 once it is over, 75 where another controller leads it."""
     try:
         controller = Controller(folder, kill_at(failpoint), without_contact(folder))
-    except JournalError as error:
+    except RolloutError as error:
         print(error, flush=True)
         return ANOTHER_LEADS
     controller.run()
--- a/eiderfield/lab/fleet/rollout_draw.py
+++ b/eiderfield/lab/fleet/rollout_draw.py
@@ -14,12 +14,14 @@
 from eiderfield.lab.fleet.faulty_programs import DRAWN, NO_FAULT
 from eiderfield.lab.fleet.result import RESULT_FILE
 from eiderfield.lab.fleet.rollout_change import Change, ChangeResult, LostContact
-from eiderfield.lab.fleet.rollout_run import CHANGE_FOLDER, ROLLOUT_LOG, play_change
+from eiderfield.lab.fleet.rollout_run import CHANGE_FOLDER, play_change
 from eiderfield.lab.fleet.rollout_supervisor import UNREACHABLE_FILE
 from eiderfield.lab.fleet.scenario import Fault, Scenario
 from eiderfield.lab.fleet.scenario_file import validated
 from eiderfield.lab.processes import LabError
-from eiderfield.rollout.journal import read as read_journal
+from eiderfield.rollout.controller import LOG_FILE
+from eiderfield.rollout.journal import read_journal
+from eiderfield.rollout.state import Phase
 
 FAILPOINTS = (
     "looked:2",
@@ -202,10 +204,10 @@
 
 def in_time(folder: Path, scenario: Scenario) -> tuple[InTime, InTime]:
     """Jobs of a run that were sent before its change began to move, and during it, up to its end."""
-    entries = read_journal(folder / CHANGE_FOLDER).said
+    entries = read_journal(folder / CHANGE_FOLDER).entries
     offset = unix_offset()
-    moved = next((entry["t"] for entry in entries if entry["phase"] == "moving"), math.inf) - offset
-    ended = entries[-1]["t"] - offset
+    moved = next((entry.time for entry in entries if entry.phase is Phase.MOVING), math.inf) - offset
+    ended = entries[-1].time - offset
     sent, served = sent_and_served(folder, scenario)
     before = [job for job, at in sent.items() if at < min(moved, ended)]
     during = [job for job, at in sent.items() if moved <= at < ended]
@@ -239,13 +241,13 @@
 
     What is drawn may come too late for a change that is over soon.
     """
-    entries = read_journal(folder / CHANGE_FOLDER).said
+    entries = read_journal(folder / CHANGE_FOLDER).entries
     offset = unix_offset()
-    since, until = entries[0]["t"] - offset, entries[-1]["t"] - offset
+    since, until = entries[0].time - offset, entries[-1].time - offset
     result = json.loads((folder / RESULT_FILE).read_text())
     begun = [result["start"] + at for at, _, _ in scenario.floods]
     begun += [fault["since"] for fault in result["struck"]]
-    log = read_events(folder / CHANGE_FOLDER / ROLLOUT_LOG)
+    log = read_events(folder / CHANGE_FOLDER / LOG_FILE)
     controllers = sum(entry["event"] == "leads" for entry in log)
     lost_contact = bool(change.lost_contacts) and (folder / CHANGE_FOLDER / UNREACHABLE_FILE).exists()
     return any(since <= at <= until for at in begun) or controllers > 1 or lost_contact
--- a/eiderfield/lab/fleet/rollout_run.py
+++ b/eiderfield/lab/fleet/rollout_run.py
@@ -22,13 +22,12 @@
 from eiderfield.lab.fleet.rollout_supervisor import ControllerSupervisor
 from eiderfield.lab.fleet.scenario import Scenario
 from eiderfield.lab.processes import LabError, call_console
-from eiderfield.rollout.controller import begin
-from eiderfield.rollout.journal import Journal
-from eiderfield.rollout.journal import read as read_journal
+from eiderfield.rollout.controller import LOG_FILE, begin_change
+from eiderfield.rollout.journal import Journal, read_journal
+from eiderfield.rollout.state import Phase
 
 BAN_GRACE_S = 0.55  # after a ban, in which an attempt may still come in
 CHANGE_FOLDER = "change"
-ROLLOUT_LOG = "rollout.log"
 
 
 def play_change(scenario: Scenario, change: Change, folder: Path) -> ChangeResult:
@@ -41,7 +40,7 @@
         banned_at = ban_everywhere(dispatchers, change.banned_worker)
         plan = folder / "plan.toml"
         plan.write_text(plan_text(change, program, dispatchers, folder))
-        begin(plan, folder / CHANGE_FOLDER)
+        begin_change(plan, folder / CHANGE_FOLDER)
         supervisor = ControllerSupervisor(folder / CHANGE_FOLDER, change)
         try:
             result = fleet.play(lambda: supervisor.step(fleet), lambda: supervisor.over)
@@ -64,13 +63,13 @@
 ) -> ChangeResult:
     """What came of a change that has been played in a folder."""
     journal = read_journal(folder / CHANGE_FOLDER)
-    log = folder / CHANGE_FOLDER / ROLLOUT_LOG
+    log = folder / CHANGE_FOLDER / LOG_FILE
     looks = [entry for entry in read_events(log) if entry.get("event") == "look"]
     workers = read_events(folder / WORKER_EVENTS)
     return ChangeResult(
         phase=journal.state.phase,
         stage=journal.state.stage,
-        why=journal.state.why,
+        why=journal.state.reason,
         findings=result.findings,
         counts=result.counts,
         versions=supervisor.versions,
@@ -100,7 +99,7 @@
 
 def undo_seconds(journal: Journal) -> float | None:
     """From the first watch to the undo's end; None where nothing was undone."""
-    if journal.state.phase not in ("undone", "stuck"):
+    if journal.state.phase not in (Phase.UNDONE, Phase.STUCK):
         return None
-    first = next((entry["t"] for entry in journal.said if entry["phase"] == "watching"), None)
-    return None if first is None else float(journal.said[-1]["t"]) - float(first)
+    first = next((entry.time for entry in journal.entries if entry.phase is Phase.WATCHING), None)
+    return None if first is None else journal.entries[-1].time - first
--- a/eiderfield/lab/fleet/rollout_supervisor.py
+++ b/eiderfield/lab/fleet/rollout_supervisor.py
@@ -27,14 +27,16 @@
 from eiderfield.lab.fleet.rollout_change import Change
 from eiderfield.lab.fleet.scenario import Fault
 from eiderfield.lab.processes import LabError, call_console
-from eiderfield.rollout.journal import JournalError, ask
-from eiderfield.rollout.journal import read as read_journal
+from eiderfield.rollout.errors import JournalError
+from eiderfield.rollout.journal import read_journal
+from eiderfield.rollout.operator_command import CommandFile, send_command
+from eiderfield.rollout.processes import MARK_VARIABLE
+from eiderfield.rollout.state import Phase
 
 HELD_AFTER_S = 2.0  # from the start of a change, before which nobody takes it for held
 MAX_CONTROLLERS = 40  # of one change, before the run is given up
 MEGABYTE = 2**20
 UNREACHABLE_FILE = "blind.json"  # read by `controller_process.py`
-MARK_VARIABLE = "EIDERFIELD_ROLLOUT"  # of processes that a controller started
 VERSIONS = ("old", "new")
 
 
@@ -80,7 +82,7 @@
         if self._child is None or self._child.poll() not in (None, 0):
             self._start_controller()
         elif self._decision and at > HELD_AFTER_S and self._is_held():
-            ask(self._folder, self._decision)
+            send_command(self._folder, self._decision)
             self._decision = ""
         elif not self._requests and self._has_ended(at):
             self.end_controller()
@@ -134,15 +136,14 @@
         return ""
 
     def _is_held(self) -> bool:
-        with suppress(JournalError):
-            # Looked for first: a request goes only once it is written down.
-            if read_journal(self._folder).wish():
-                return False
-        return not self._fault_ends and self._phase() == "held"
+        # The command is read first: it is removed only once the journal holds its effect.
+        if CommandFile(self._folder).pending() is not None:
+            return False
+        return not self._fault_ends and self._phase() == Phase.HELD
 
     def _make_requests(self, at: float) -> None:
         while self._requests and self._requests[0].at <= at:
-            ask(self._folder, self._requests.pop(0).request)
+            send_command(self._folder, self._requests.pop(0).request)
 
     def _lose_contacts(self, at: float) -> None:
         contacts = self._change.lost_contacts
@@ -174,7 +175,7 @@
 
     def _finish(self, fleet: Fleet, at: float) -> None:
         self.over, self.seconds = True, at
-        change_id = read_journal(self._folder).id
+        change_id = read_journal(self._folder).content.change_id
         for dispatcher in fleet.dispatchers.values():
             is_program = bool(self._change.program)
             self.versions[dispatcher.name] = version_of(dispatcher, change_id) if is_program else "none"
--- a/eiderfield/rollout/measurement.py
+++ b/eiderfield/rollout/measurement.py
@@ -1,164 +1,192 @@
-"""From the figures of consoles, which count since a process began, to windows of what each dispatcher did.
+"""Makes windows of what each dispatcher did, from the figures of consoles, which count from a start on.
 
-No I/O, no clock. A process's first figures say nothing, nor do those after a time in which it could not be
-asked: what it did meanwhile was not seen side by side with what the others did. One that stood still also
-serves, once it goes on, jobs that waited for it; so from its return on it is taken for one that has just
-started, and settles anew. Where old and new programs
-do not both tell what was served in time, all that was served counts for both.
+Performs no I/O and reads no clock. The first figures of a process make no window, nor do those after a time
+in which its console did not answer: what it did meanwhile was not observed side by side with the others. A
+process that stood still also serves, once it continues, requests that waited for it; it therefore has to warm
+up anew from its return on. Where old and new programs do not both report what was served in time, all that
+was served counts for both.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from eiderfield.rollout.canary_analysis import Moments, Observation
-from eiderfield.rollout.reconciler import ProcessStatus, Version
+from eiderfield.rollout.actions import Version
+from eiderfield.rollout.observation import Moments, Observation
+from eiderfield.rollout.reconciler import ProcessStatus
 
 Counts = Mapping[str, int]
-OVER = ("success", "busy", "failure")  # figures of a console, by class: all jobs that are over
+OUTCOME_FIGURES = ("success", "busy", "failure")  # of a console, by class: all requests that are over
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessReport:
-    """What a process's console said, and what the machine says of the process.
+    """What a process's console reports, and what the machine says of the process."""
 
-    `age` in s since its start, `memory` in MB. `in_time` is None where the program does not tell it."""
-
-    found: ProcessStatus
-    age: float
-    figures: Mapping[str, Counts] = field(default_factory=dict)
-    in_time: Counts | None = None
-    waits: Mapping[str, Sequence[float]] | None = None  # count, sum, sum of squares of the logarithms of ms
+    status: ProcessStatus
+    age: float  # s since its start
+    outcomes: Mapping[str, Counts] = field(default_factory=dict)  # by figure and class
+    in_time: Counts | None = None  # None where the program does not report it
+    latencies: Mapping[str, Sequence[float]] | None = None  # moments of the logarithms of ms; None as above
     descriptors: int = 0
-    memory: float = 0.0
-    banned: frozenset[str] = frozenset()
-    broken: Counts = field(default_factory=dict)  # how often it broke which rule
-    legs: int | None = None  # written whole to workers
-    processor: float = 0.0  # s that it has used
+    memory: float = 0.0  # MB
+    banned: frozenset[str] = frozenset()  # workers
+    violations: Counts = field(default_factory=dict)  # by rule that it broke
+    attempts: int | None = None  # written completely to workers; None as above
+    cpu_seconds: float = 0.0
+
+    @property
+    def completed(self) -> dict[str, int]:
+        """The requests that are over, by class."""
+        classes = self.outcomes[OUTCOME_FIGURES[0]]
+        return {name: sum(self.outcomes[figure][name] for figure in OUTCOME_FIGURES) for name in classes}
+
+    def served(self, only_in_time: bool) -> Counts:
+        """Return the requests that were served, or served in time, by class."""
+        if only_in_time and self.in_time is not None:
+            return self.in_time
+        return self.outcomes["success"]
+
+
+class _ProcessKey(NamedTuple):
+    """Names a process of a member."""
+
+    member: str
+    pid: int
 
 
 @dataclass(frozen=True, slots=True)
 class _Work:
     """What a process did in a window."""
 
-    asked: Mapping[str, int] = field(default_factory=dict)
-    good: Mapping[str, int] = field(default_factory=dict)
-    waits: Mapping[str, Moments] = field(default_factory=dict)
-    broken: str = ""
+    completed: Counts = field(default_factory=dict)
+    in_time: Counts = field(default_factory=dict)
+    latencies: Mapping[str, Moments] = field(default_factory=dict)
+    violation: str = ""
     attempts: int | None = None
-    processor: float = 0.0
+    cpu_seconds: float = 0.0
 
 
 class WindowMeter:
-    """Makes windows. `classes` are found at the first figures."""
+    """Makes a window of each poll of all processes."""
 
     def __init__(self) -> None:
-        self._before: dict[tuple[str, int], ProcessReport] = {}
-        self._away: set[tuple[str, int]] = set()  # processes that could not be asked at the last look
-        self._back: dict[tuple[str, int], float] = {}  # their age when they could be asked again
-        self._pids: dict[str, int] = {}  # of members that are seen as new
-        self._waits = False  # whether all programs tell how long jobs took
-        self._banned: dict[str, frozenset[str]] = {}  # by member, what an old process said last
-
-    def look(
-        self, told: Mapping[str, Sequence[ProcessReport]], changed: Iterable[str], ending: Iterable[int] = ()
+        self._previous: dict[_ProcessKey, ProcessReport] = {}
+        self._reports: dict[_ProcessKey, ProcessReport] = {}  # of the present poll
+        self._unanswered: set[_ProcessKey] = set()  # whose console did not answer the last poll
+        self._age_at_return: dict[_ProcessKey, float] = {}  # when the console answered again
+        self._new_pids: dict[str, int] = {}  # by member that is observed as new
+        self._banned: dict[str, frozenset[str]] = {}  # by member: what an old process reported last
+        self._all_report_in_time = False
+        self._all_report_latencies = False
+
+    def add_poll(
+        self,
+        reports: Mapping[str, Sequence[ProcessReport]],
+        changed: Iterable[str],
+        stopping: Iterable[int] = (),
     ) -> list[Observation]:
-        """A window. A member that has changed is seen as its new process, any other as its old one."""
-        ending, new = set(ending), set(changed)
-        before, self._before = self._before, {}
-        for name, processes in told.items():
-            for one in processes:
-                if one.found.ready is not None:
-                    self._before[name, one.found.pid] = one
-        in_time = all(one.in_time is not None for one in self._before.values())
-        self._waits = all(one.waits is not None for one in self._before.values())
+        """Return the window between the last poll and this one.
+
+        Args:
+            reports: The processes of each member.
+            changed: Members that are observed as their new process; any other as its old one.
+            stopping: Pids of processes that were asked to stop, which count for neither version.
+        """
+        ignored, new_members = set(stopping), set(changed)
+        self._previous = self._reports
+        self._reports = {
+            _ProcessKey(member, report.status.pid): report
+            for member, processes in reports.items()
+            for report in processes
+            if report.status.ready is not None
+        }
+        answered = self._reports.values()
+        self._all_report_in_time = all(report.in_time is not None for report in answered)
+        self._all_report_latencies = all(report.latencies is not None for report in answered)
         return [
-            self._observe(name, processes, name in new, before, in_time, ending)
-            for name, processes in told.items()
+            self._observe(
+                member,
+                [report for report in processes if report.status.pid not in ignored],
+                Version.NEW if member in new_members else Version.OLD,
+            )
+            for member, processes in reports.items()
         ]
 
-    def _observe(
-        self,
-        name: str,
-        reports: Sequence[ProcessReport],
-        new: bool,
-        before: Mapping[tuple[str, int], ProcessReport],
-        in_time: bool,
-        ending: set[int],
-    ) -> Observation:
-        version = Version.NEW if new else Version.OLD
-        current = [one for one in reports if one.found.version is version and one.found.pid not in ending]
-        if not current:
-            return Observation(name, new, alive=False)
-        one, key = current[0], (name, current[0].found.pid)
-        if one.found.ready is None:
-            self._away.add(key)
-            return Observation(name, new, alive=None, since_start=one.age)
-        if key in self._away:
-            self._away.remove(key)
-            self._back[key] = one.age
-        last = before.get(key)
-        work = _Work() if last is None else self._work_between(last, one, in_time)
-        broken = self._restart_or_forgotten_ban(name, one, new, last is None) or work.broken
-        since_start = one.age - self._back.get(key, 0.0)
+    def _observe(self, member: str, reports: Iterable[ProcessReport], version: Version) -> Observation:
+        is_new = version is Version.NEW
+        report = next((report for report in reports if report.status.version is version), None)
+        if report is None:
+            return Observation(member, is_new, alive=False)
+        key = _ProcessKey(member, report.status.pid)
+        if report.status.ready is None:
+            self._unanswered.add(key)
+            return Observation(member, is_new, alive=None, age=report.age)
+        if key in self._unanswered:
+            self._unanswered.remove(key)
+            self._age_at_return[key] = report.age
+        previous = self._previous.get(key)
+        work = _Work() if previous is None else self._work_between(previous, report)
+        fault = self._check_continuity(member, report, is_new, is_first=previous is None)
         return Observation(
-            name,
-            new,
-            True,
-            bool(one.found.ready),
-            since_start,
-            work.asked,
-            work.good,
-            one.descriptors,
-            one.memory,
-            broken,
-            work.waits,
-            work.attempts,
-            work.processor,
+            dispatcher=member,
+            is_new=is_new,
+            alive=True,
+            ready=report.status.ready,
+            age=report.age - self._age_at_return.get(key, 0.0),
+            completed=work.completed,
+            in_time=work.in_time,
+            descriptors=report.descriptors,
+            memory=report.memory,
+            violation=fault or work.violation,
+            latencies=work.latencies,
+            attempts=work.attempts,
+            cpu_seconds=work.cpu_seconds,
         )
 
-    def _work_between(self, last: ProcessReport, one: ProcessReport, in_time: bool) -> _Work:
-        """What a process did between two reports."""
+    def _work_between(self, previous: ProcessReport, report: ProcessReport) -> _Work:
+        """Return what a process did between two reports."""
         attempts = None
-        if one.legs is not None and last.legs is not None:
-            attempts = max(0, one.legs - last.legs)
-        served = one.in_time if in_time and one.in_time is not None else one.figures["success"]
-        earlier = last.in_time if in_time and last.in_time is not None else last.figures["success"]
-        waits: dict[str, Moments] = {}
-        if self._waits and one.waits is not None and last.waits is not None:
-            waits = {name: _less(now, last.waits.get(name)) for name, now in one.waits.items()}
+        if report.attempts is not None and previous.attempts is not None:
+            attempts = max(0, report.attempts - previous.attempts)
+        only_in_time = self._all_report_in_time
+        violations = _increase(report.violations, previous.violations)
         return _Work(
-            asked=_more(_over(one), _over(last)),
-            good=_more(served, earlier),
-            waits=waits,
-            broken=", ".join(rule for rule, more in _more(one.broken, last.broken).items() if more),
+            completed=_increase(report.completed, previous.completed),
+            in_time=_increase(report.served(only_in_time), previous.served(only_in_time)),
+            latencies=self._latencies_between(previous, report),
+            violation=", ".join(rule for rule, count in violations.items() if count),
             attempts=attempts,
-            processor=max(0.0, one.processor - last.processor),
+            cpu_seconds=max(0.0, report.cpu_seconds - previous.cpu_seconds),
         )
 
-    def _restart_or_forgotten_ban(self, name: str, one: ProcessReport, new: bool, is_first: bool) -> str:
-        """A fault that shows between a member's processes, '' for none."""
-        pid_before = self._pids.pop(name, None)
-        if not new:
-            self._banned[name] = one.banned
+    def _latencies_between(self, previous: ProcessReport, report: ProcessReport) -> dict[str, Moments]:
+        if not self._all_report_latencies or report.latencies is None or previous.latencies is None:
+            return {}
+        return {
+            name: _moments_increase(moments, previous.latencies.get(name))
+            for name, moments in report.latencies.items()
+        }
+
+    def _check_continuity(self, member: str, report: ProcessReport, is_new: bool, is_first: bool) -> str:
+        """Return a fault that shows between the processes of a member; "" if there is none."""
+        previous_pid = self._new_pids.pop(member, None)
+        if not is_new:
+            self._banned[member] = report.banned
             return ""
-        self._pids[name] = one.found.pid
-        if pid_before not in (None, one.found.pid):
+        self._new_pids[member] = report.status.pid
+        if previous_pid not in (None, report.status.pid):
             return "its process was started again by somebody else"
-        forgotten = self._banned.get(name, frozenset()) - one.banned
+        forgotten = self._banned.get(member, frozenset()) - report.banned
         return f"it forgot the ban of {', '.join(sorted(forgotten))}" if is_first and forgotten else ""
 
 
-def _over(told: ProcessReport) -> dict[str, int]:
-    names = told.figures[OVER[0]]
-    return {name: sum(told.figures[figure][name] for figure in OVER) for name in names}
-
-
-def _less(now: Sequence[float], before: Sequence[float] | None) -> Moments:
-    n, s, q = [a - b for a, b in zip(now, before or (0, 0.0, 0.0), strict=True)]
-    return max(0, int(n)), s, q
+def _moments_increase(now: Sequence[float], before: Sequence[float] | None) -> Moments:
+    count, total, squares = [a - b for a, b in zip(now, before or (0, 0.0, 0.0), strict=True)]
+    return Moments(max(0, int(count)), total, squares)
 
 
-def _more(now: Counts, before: Counts) -> dict[str, int]:
+def _increase(now: Counts, before: Counts) -> dict[str, int]:
     return {name: max(0, count - before.get(name, 0)) for name, count in now.items()}
--- a/eiderfield/rollout/reconciler.py
+++ b/eiderfield/rollout/reconciler.py
@@ -1,250 +1,272 @@
-"""How each dispatcher gets from the old version to the new one, and back. No I/O, no clock, no chance.
-
-What is wanted of each member is a version; what is there is told at every look. An action is made of what is
-missing, so that a controller that takes over from a lost one needs to know no more than what is wanted:
-
-    nothing runs                         start one of the wanted version
-    only the other version runs          start one of the wanted version beside it, if few enough are changing
-    the wanted one is ready              tell the other to end
-    the wanted one is not ready in time  end it: the other serves on; a trial has failed
-    the wanted one was told to end       it is waited for; then one is started anew
-    a process does not end in time       it is ended hard
-
-Where only settings change, a process is given its file and told to read it again, and is of the version whose
-settings it says that it runs with.
-
-What must never happen: two starts of one member at once; the end of a process before one of the wanted
-version is ready, but for one that never was; more members changing at once than the plan allows, but for
-those that have no process and so cannot serve less.
+"""Brings each dispatcher from one version to the other, and back. Performs no I/O and reads no clock.
+
+Each member has a target version. At every poll the reconciler compares it with the processes that are there
+and returns the actions that are missing, so that a controller which takes over needs the targets alone:
+
+    processes of the member                         action
+    none                                            start one of the target version
+    of the other version only                       start one of the target version beside it
+    one of the target version, ready                stop the others
+    one of the target version, not ready in time    stop it while the other serves; an attempt has failed
+    one of the target version, being stopped        wait for its end, then start a new one
+    one that does not stop in time                  kill it
+
+If only settings change, the file is put in place and the process asked to reload it; the version of a process
+is then that of the settings which its console reports.
+
+A member begins only if fewer are changing than the plan allows. What must never happen: two processes of one
+member started at once; a process stopped before one of the target version is ready, except one that never
+was; more members changing at once than the plan allows, except those that have no process and so cannot serve
+less.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field, replace
-from enum import Enum
 
 from eiderfield.config.address import Address
+from eiderfield.rollout.actions import Action, ApplySettings, StartProcess, StopProcess, Version
 from eiderfield.rollout.plan import Plan
 
-ENDING = 20.0  # s in which a process that was told to end has to be gone
-SHOW = 2.0  # s in which a process that was started has to show, as a process
-
-
-class Version(Enum):
-    """Which of the two a process, or a member, is."""
-
-    OLD = "old"
-    NEW = "new"
+STOP_TIMEOUT = 20.0  # s from the request to stop a process until it is killed
+START_TIMEOUT = 2.0  # s from the start of a process until it has to exist
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessStatus:
-    """A process of a member as it was seen. `ready` is None where its console says nothing."""
+    """A process of a member as it was observed."""
 
     version: Version
     pid: int
     console: Address
-    ready: bool | None
-    refused: str = ""  # why it did not take the settings that it was given last
-    lies: Version | None = None  # whose settings lie in its file, None where the change is of none
-
-
-@dataclass(frozen=True, slots=True)
-class Start:
-    """Start a process of a version, with this console."""
-
-    member: str
-    version: Version
-    console: Address
-
-
-@dataclass(frozen=True, slots=True)
-class End:
-    """Tell a process to end, or end it `hard`."""
-
-    member: str
-    pid: int
-    hard: bool = False
-
-
-@dataclass(frozen=True, slots=True)
-class Configure:
-    """Put a side's settings in place, and tell a process, if there is one, to read them."""
-
-    member: str
-    version: Version
-    pid: int | None
-
-
-Action = Start | End | Configure
+    ready: bool | None  # None: its console does not answer
+    settings_error: str = ""  # why it refused the settings that it was given last
+    installed_settings: Version | None = None  # in the member's file; None where no settings change
 
 
 @dataclass(slots=True)
 class _Transition:
-    """Where a member is between two versions."""
-
-    wanted: Version
-    arrived: bool = False  # from then on it is left alone, whatever becomes of it
-    arrival_restored: bool = False  # it arrived under an earlier controller, whose word may be out of date
-    begun: float | None = None  # since when a process, or new settings, are waited for
-    started: bool = False  # whether a process of the wanted version was started here
-    trials: int = 0
-    ending: dict[int, float] = field(default_factory=dict)  # processes that were told to end, since when
-    hard: set[int] = field(default_factory=set)
+    """The way of a member to its target version."""
+
+    target: Version
+    converged: bool = False  # reached once; from then on the member is left alone
+    convergence_restored: bool = False  # an earlier controller saw it; an undo may have reverted it since
+    waiting_since: float | None = None  # for a process to get ready, or for settings to be reloaded
+    started: bool = False  # a process of the target version was started by this reconciler
+    attempts: int = 0  # that failed
     changing: bool = False
+    stopping: dict[int, float] = field(default_factory=dict)  # by pid: when it was asked to stop
+    killed: set[int] = field(default_factory=set)
+
+    def forget_ended(self, processes: Sequence[ProcessStatus]) -> None:
+        """Forget the processes that are not there any more."""
+        pids = {process.pid for process in processes}
+        self.stopping = {pid: since for pid, since in self.stopping.items() if pid in pids}
+        self.killed &= pids
+
+    def usable(self, processes: Sequence[ProcessStatus]) -> list[ProcessStatus]:
+        """Return the processes of the target version that are not being stopped."""
+        return [
+            process
+            for process in processes
+            if process.version is self.target and process.pid not in self.stopping
+        ]
+
+    def is_complete(self, processes: Sequence[ProcessStatus]) -> bool:
+        """Return whether one ready process of the target version, and nothing else, is there."""
+        if len(processes) != 1 or self.needs_settings(processes[0]):
+            return False
+        return processes[0].ready is True and bool(self.usable(processes))
+
+    def has_current_convergence(self, processes: Sequence[ProcessStatus]) -> bool:
+        """Return whether the target was reached and, if only an earlier controller saw that, still holds."""
+        if not self.converged or not self.convergence_restored:
+            return self.converged
+        return all(process.version is self.target for process in processes)
+
+    def needs_settings(self, process: ProcessStatus) -> bool:
+        """Return whether the member's file holds the settings of the other version."""
+        return process.installed_settings not in (None, self.target)
+
+    def overdue_stops(self, now: float) -> list[int]:
+        """Return the pids of processes that did not stop in time and were not killed yet."""
+        return [
+            pid
+            for pid, since in self.stopping.items()
+            if now - since > STOP_TIMEOUT and pid not in self.killed
+        ]
 
 
 class Reconciler:
-    """All members of a plan."""
+    """Decides the next actions for all members of a plan."""
 
     def __init__(self, plan: Plan) -> None:
+        self.failures: dict[str, str] = {}  # by member that was given up: why
         self._plan = plan
-        self._by_settings = not plan.program
+        self._changes_settings_only = not plan.program
         self._transitions: dict[str, _Transition] = {}
-        self.given_up: dict[str, str] = {}  # members that were not brought to what is wanted, and why
 
-    def want(self, member: str, version: Version) -> None:
-        """A member is to be of a version. Where it was given up, it is tried again."""
+    @property
+    def stopping(self) -> set[int]:
+        """The pids of processes that were asked to stop and are still there."""
+        return {pid for transition in self._transitions.values() for pid in transition.stopping}
+
+    def set_target(self, member: str, version: Version) -> None:
+        """Set the version that a member is to have. A member that was given up is tried again."""
         transition = self._transitions.setdefault(member, _Transition(version))
-        if transition.wanted is not version or member in self.given_up:
+        if transition.target is not version or member in self.failures:
             self._transitions[member] = replace(
                 transition,
-                wanted=version,
-                arrived=False,
-                arrival_restored=False,
-                begun=None,
+                target=version,
+                converged=False,
+                convergence_restored=False,
+                waiting_since=None,
                 started=False,
-                trials=0,
+                attempts=0,
             )
-            self.given_up.pop(member, None)
-
-    def step(
-        self, now: float, found: Mapping[str, Sequence[ProcessStatus]], most_trials: int
-    ) -> list[Action]:
-        """What is to be done now. What was returned counts as done."""
-        actions: list[Action] = []
-        for name, transition in self._transitions.items():
-            there = found.get(name, ())
-            pids = {one.pid for one in there}
-            transition.ending = {pid: at for pid, at in transition.ending.items() if pid in pids}
-            transition.hard &= pids
-            if not self.has_current_arrival(name, there):
-                transition.arrived = transition.arrival_restored = False
-            transition.arrived = transition.arrived or self._settled(transition, there)
-            if transition.arrived or name in self.given_up:
-                transition.changing = False
-            elif len(there) > 1:  # begun by an earlier controller, or here
-                transition.changing = True
-        for name, transition in self._transitions.items():
-            there = found.get(name, ())
-            if not transition.arrived and name not in self.given_up:
-                actions += self._next_actions(name, transition, there, now, most_trials)
-            late = [
-                pid
-                for pid, at in transition.ending.items()
-                if now - at > ENDING and pid not in transition.hard
-            ]
-            transition.hard.update(late)
-            actions += [End(name, pid, hard=True) for pid in late]
-        return actions
-
-    @property
-    def ending(self) -> set[int]:
-        """Processes that were told to end and are still there."""
-        return {pid for transition in self._transitions.values() for pid in transition.ending}
+            self.failures.pop(member, None)
 
-    def has_arrived(self, name: str) -> None:
-        """Restore that an earlier controller saw the member arrive.
+    def restore_converged(self, member: str) -> None:
+        """Restore that an earlier controller saw the member reach its target.
 
         It holds until a process of the other version shows that the change was undone since then.
         """
-        self._transitions[name].arrived = True
-        self._transitions[name].arrival_restored = True
-
-    def arrived(self, name: str) -> bool:
-        """Whether a member became what is wanted, with nothing else of it left."""
-        return name in self._transitions and self._transitions[name].arrived
+        self._transitions[member].converged = True
+        self._transitions[member].convergence_restored = True
 
-    def has_current_arrival(self, name: str, there: Sequence[ProcessStatus]) -> bool:
-        """Whether a member arrived and, if only an earlier controller saw that, no process contradicts it."""
-        if not self.arrived(name):
-            return False
-        transition = self._transitions[name]
-        is_contradicted = any(process.version is not transition.wanted for process in there)
-        return not (transition.arrival_restored and is_contradicted)
+    def has_converged(self, member: str) -> bool:
+        """Return whether the member reached its target, with no other process of it left."""
+        return member in self._transitions and self._transitions[member].converged
 
-    def _settled(self, transition: _Transition, there: Sequence[ProcessStatus]) -> bool:
-        if len(there) != 1 or there[0].lies not in (None, transition.wanted):
-            return False
-        return there[0].ready is True and there[0] in self._usable(transition, there)
+    def has_current_convergence(self, member: str, processes: Sequence[ProcessStatus]) -> bool:
+        """Return whether the member reached its target, and no process contradicts an earlier controller."""
+        transition = self._transitions.get(member)
+        return transition is not None and transition.has_current_convergence(processes)
 
-    def _usable(self, transition: _Transition, there: Sequence[ProcessStatus]) -> list[ProcessStatus]:
-        return [one for one in there if one.version is transition.wanted and one.pid not in transition.ending]
+    def next_actions(
+        self, now: float, processes: Mapping[str, Sequence[ProcessStatus]], max_attempts: int
+    ) -> list[Action]:
+        """Return the actions to carry out now; each counts as carried out.
 
-    def _may_begin(self, transition: _Transition, there: Sequence[ProcessStatus]) -> bool:
-        changing = sum(transition.changing for transition in self._transitions.values())
-        return transition.changing or not there or changing < self._plan.max_concurrent
+        Args:
+            now: Time of a steady clock in s.
+            processes: The processes of each member as they were just observed.
+            max_attempts: Failed attempts after which a member is given up.
+        """
+        for member, transition in self._transitions.items():
+            self._update(member, transition, processes.get(member, ()))
+        actions: list[Action] = []
+        for member, transition in self._transitions.items():
+            if not transition.converged and member not in self.failures:
+                actions += self._advance(member, transition, processes.get(member, ()), now, max_attempts)
+            overdue = transition.overdue_stops(now)
+            transition.killed.update(overdue)
+            actions += [StopProcess(member, pid, kill=True) for pid in overdue]
+        return actions
 
-    def _next_actions(
-        self, name: str, transition: _Transition, there: Sequence[ProcessStatus], now: float, most_trials: int
+    def _update(self, member: str, transition: _Transition, processes: Sequence[ProcessStatus]) -> None:
+        transition.forget_ended(processes)
+        if not transition.has_current_convergence(processes):
+            transition.converged = transition.convergence_restored = False
+        transition.converged = transition.converged or transition.is_complete(processes)
+        if transition.converged or member in self.failures:
+            transition.changing = False
+        elif len(processes) > 1:  # begun here, or by an earlier controller
+            transition.changing = True
+
+    def _advance(
+        self,
+        member: str,
+        transition: _Transition,
+        processes: Sequence[ProcessStatus],
+        now: float,
+        max_attempts: int,
     ) -> Sequence[Action]:
-        usable = self._usable(transition, there)
-        ready = next((one for one in usable if one.ready), None)
-        if ready is not None and ready.lies not in (None, transition.wanted):
-            # It never took the other side's settings, but would at its next start.
-            return [Configure(name, transition.wanted, ready.pid if self._by_settings else None)]
+        usable = transition.usable(processes)
+        ready = next((process for process in usable if process.ready), None)
         if ready is not None:
-            left = [one for one in there if one is not ready and one.pid not in transition.ending]
-            return [self._end(name, transition, one, now) for one in left]
-        if transition.begun is None:
-            if usable:  # a controller that is lost may have started it, or it does not answer at the moment
-                transition.begun = now
-            elif not transition.ending and self._may_begin(transition, there):
-                return self._begin(name, transition, there, now)
+            return self._finish(member, transition, ready, processes, now)
+        if transition.waiting_since is None:
+            if usable:  # a lost controller may have started it, or its console does not answer now
+                transition.waiting_since = now
+            elif not transition.stopping and self._may_begin(transition, processes):
+                return self._begin(member, transition, processes, now)
             return []
-        why = self._failed(transition, usable, there, now)
-        if not why:
+        failure = self._failure(transition, usable, processes, now)
+        if not failure:
             return []
-        transition.begun, transition.trials = None, transition.trials + 1
-        if transition.trials >= most_trials:
-            self.given_up[name] = why
-        # Another one serves; or it is ours, does not, and makes room for the next trial.
-        if len(usable) < len(there) or (transition.started and name not in self.given_up):
-            return [self._end(name, transition, one, now) for one in usable]
+        transition.waiting_since = None
+        transition.attempts += 1
+        if transition.attempts >= max_attempts:
+            self.failures[member] = failure
+        another_serves = len(usable) < len(processes)
+        if another_serves or (transition.started and member not in self.failures):
+            return [self._stop(member, transition, process, now) for process in usable]
         return []
 
-    def _failed(
+    def _finish(
         self,
+        member: str,
         transition: _Transition,
-        usable: Sequence[ProcessStatus],
-        there: Sequence[ProcessStatus],
+        ready: ProcessStatus,
+        processes: Sequence[ProcessStatus],
         now: float,
-    ) -> str:
-        waited = now - (transition.begun or now)
-        if self._by_settings and any(one.refused for one in there):
-            return next(one.refused for one in there if one.refused)
-        if not usable and waited > SHOW and not self._by_settings:
-            return "its process ended at once"
-        return f"not ready after {waited:.0f} s" if waited > self._plan.watch.ready_timeout else ""
+    ) -> list[Action]:
+        if transition.needs_settings(ready):
+            # It never loaded the other version's settings, but would do so at its next start.
+            pid = ready.pid if self._changes_settings_only else None
+            return [ApplySettings(member, transition.target, pid)]
+        others = [
+            process
+            for process in processes
+            if process is not ready and process.pid not in transition.stopping
+        ]
+        return [self._stop(member, transition, process, now) for process in others]
+
+    def _may_begin(self, transition: _Transition, processes: Sequence[ProcessStatus]) -> bool:
+        changing = sum(transition.changing for transition in self._transitions.values())
+        return transition.changing or not processes or changing < self._plan.max_concurrent
 
     def _begin(
-        self, name: str, transition: _Transition, there: Sequence[ProcessStatus], now: float
+        self, member: str, transition: _Transition, processes: Sequence[ProcessStatus], now: float
     ) -> list[Action]:
-        member = self._plan.member(name)
-        if self._by_settings:
-            transition.begun, transition.changing = now, True
-            if not there:
-                self.given_up[name] = "it has no process; its file is in place"
-            return [Configure(name, transition.wanted, there[0].pid if there else None)]
-        taken = {one.console for one in there}
-        free = [address for address in member.consoles() if address not in taken]
+        if self._changes_settings_only:
+            return self._begin_settings(member, transition, processes, now)
+        used = {process.console for process in processes}
+        free = [address for address in self._plan.member(member).consoles() if address not in used]
         if not free:
             return []
-        transition.begun, transition.started, transition.changing = now, True, True
-        return [Start(name, transition.wanted, free[0])]
+        transition.waiting_since, transition.started, transition.changing = now, True, True
+        return [StartProcess(member, transition.target, free[0])]
+
+    def _begin_settings(
+        self, member: str, transition: _Transition, processes: Sequence[ProcessStatus], now: float
+    ) -> list[Action]:
+        transition.waiting_since, transition.changing = now, True
+        if not processes:
+            self.failures[member] = "it has no process; its file is in place"
+            return [ApplySettings(member, transition.target, None)]
+        return [ApplySettings(member, transition.target, processes[0].pid)]
+
+    def _failure(
+        self,
+        transition: _Transition,
+        usable: Sequence[ProcessStatus],
+        processes: Sequence[ProcessStatus],
+        now: float,
+    ) -> str:
+        """Return why the attempt that is under way has failed; "" if it has not."""
+        waited = now - (transition.waiting_since or now)
+        if self._changes_settings_only:
+            for process in processes:
+                if process.settings_error:
+                    return process.settings_error
+        elif not usable and waited > START_TIMEOUT:
+            return "its process ended at once"
+        return f"not ready after {waited:.0f} s" if waited > self._plan.watch.ready_timeout else ""
 
-    def _end(self, name: str, transition: _Transition, one: ProcessStatus, now: float) -> End:
-        transition.ending[one.pid] = now
+    def _stop(self, member: str, transition: _Transition, process: ProcessStatus, now: float) -> StopProcess:
+        transition.stopping[process.pid] = now
         transition.changing = True
-        return End(name, one.pid)
+        return StopProcess(member, process.pid)
--- a/eiderfield/rollout/settings.py
+++ b/eiderfield/rollout/settings.py
@@ -1,8 +1,9 @@
-"""New settings laid over each dispatcher's own file, checked before anything is touched, and put back whole.
+"""Merges new settings into each dispatcher's own file, checks the result, and puts either version in place.
 
-Tables are laid over tables; a list of tables that have names (classes, projects) is laid over the one that is
-there by name; any other value takes the old one's place. The file keeps its comments and its order (tomlkit).
-What a file was, and what it is to be, lie in the change's folder from the beginning:
+Tables are merged key by key. A list of tables that have names (classes, projects) is merged by name. Any
+other value replaces the old one. A TOML file keeps its comments and its order (tomlkit).
+
+Both versions of a file lie in the change's folder from the beginning:
 
     settings/NAME.old, settings/NAME.new
 """
@@ -22,113 +23,147 @@
 from eiderfield.config.loader import read, read_text
 from eiderfield.config.source import source_digest
 from eiderfield.durable import SHARED_MODE, replace_file
-from eiderfield.rollout.plan import Plan
-from eiderfield.rollout.reconciler import Version
+from eiderfield.rollout.actions import Version
+from eiderfield.rollout.plan import Member, Plan
+
+SETTINGS_FOLDER = "settings"
+JSON_SUFFIX = ".json"  # of a dispatcher's file; any other file is TOML
 
 
 @dataclass(frozen=True, slots=True)
-class Texts:
-    """A dispatcher's file, on either side, with the digests by which its console names them."""
+class SettingsFile:
+    """A dispatcher's file: its path, and the text and the digest of either version.
+
+    The console of a process reports the digest of the settings that it runs with.
+    """
 
     path: Path
-    text: Mapping[Version, str]
-    digest: Mapping[Version, str]
+    texts: Mapping[Version, str]
+    digests: Mapping[Version, str]
 
-    def lies(self) -> Version | None:
-        """Whose text is in place, None if it is neither's: somebody wrote there meanwhile."""
+    def installed_version(self) -> Version | None:
+        """Return the version that is in place; None if somebody else wrote the file, or it cannot be read."""
         try:
             text = self.path.read_text(encoding="utf-8")
         except OSError:
             return None
-        return next((side for side, own in self.text.items() if own == text), None)
+        return next((version for version, own in self.texts.items() if own == text), None)
+
+    def install(self, version: Version) -> None:
+        """Put a version in place by a rename, so that no reader sees half of it."""
+        replace_file(self.path, self.texts[version], SHARED_MODE)
 
-    def put(self, version: Version) -> None:
-        """Puts a version's text in place: renamed, for a reader must never see half of it."""
-        replace_file(self.path, self.text[version], SHARED_MODE)
+    def version_of(self, digest: str) -> Version:
+        """Return the version that a process runs with, by the digest that its console reports."""
+        return Version.NEW if digest == self.digests[Version.NEW] else Version.OLD
 
 
-def prepare(plan: Plan, base: Path, folder: Path) -> dict[str, Texts]:
-    """The files of all dispatchers on both sides, by name; `ConfigError` where one would not be taken.
+def prepare_settings(plan: Plan, base: Path, folder: Path) -> dict[str, SettingsFile]:
+    """Return the settings file of each dispatcher by name; none if the plan changes no settings.
 
-    They are made once for a change: one that goes on finds them in its folder, whatever happened since.
+    Both versions are made once for a change: the next controller finds them in the change's folder.
+
+    Args:
+        plan: The plan of the change.
+        base: The folder that the plan's paths are relative to.
+        folder: The folder of the change.
+
+    Raises:
+        ConfigError: a file cannot be read, or a dispatcher would refuse the new settings.
     """
     if not plan.settings:
         return {}
-    path = base / plan.settings
+    changes = _read_changes(base / plan.settings)
+    place = folder / SETTINGS_FOLDER
+    place.mkdir(parents=True, exist_ok=True)
+    return {
+        member.name: _prepare_member(member, f"dispatcher.{number}.config", base, place, changes)
+        for number, member in enumerate(plan.members)
+    }
+
+
+def _read_changes(path: Path) -> dict[str, Any]:
     try:
-        over = tomllib.loads(path.read_text(encoding="utf-8"))
+        changes = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         raise ConfigError(f"change.settings: {path}: {error}") from None
-    if not over:
+    if not changes:
         raise ConfigError(f"change.settings: {path} is empty: nothing would change")
-    place = folder / "settings"
-    place.mkdir(parents=True, exist_ok=True)
-    found = {}
-    for number, member in enumerate(plan.members):
-        at = f"dispatcher.{number}.config"
-        target = (base / member.config_file).resolve()
-        kept = {side: place / f"{member.name}.{side.value}" for side in Version}
-        if not all(file.exists() for file in kept.values()):
-            try:
-                old = target.read_text(encoding="utf-8")
-                new = merged(old, over, target.suffix == ".json")
-            except (OSError, ValueError) as error:
-                raise ConfigError(f"{at}: {target}: {error}") from None
-            _check(new, target, at, member.environment)
-            replace_file(kept[Version.OLD], old, SHARED_MODE)  # half of one would be put in place by an undo
-            replace_file(kept[Version.NEW], new, SHARED_MODE)
-        texts = {side: file.read_text(encoding="utf-8") for side, file in kept.items()}
-        data = {side: _plain(text, target) for side, text in texts.items()}
-        found[member.name] = Texts(target, texts, {side: source_digest(told) for side, told in data.items()})
-    return found
-
-
-def merged(text: str, over: Mapping[str, Any], as_json: bool = False) -> str:
-    """A file's text with settings laid over it; `ValueError` if the text cannot be read."""
+    return changes
+
+
+def _prepare_member(
+    member: Member, key: str, base: Path, place: Path, changes: Mapping[str, Any]
+) -> SettingsFile:
+    path = (base / member.config_file).resolve()
+    copies = {version: place / f"{member.name}.{version.value}" for version in Version}
+    if not all(copy.exists() for copy in copies.values()):
+        try:
+            old = path.read_text(encoding="utf-8")
+            new = merge_settings(old, changes, path.suffix == JSON_SUFFIX)
+        except (OSError, ValueError) as error:
+            raise ConfigError(f"{key}: {path}: {error}") from None
+        _check_accepted(new, path, key, member.environment)
+        replace_file(copies[Version.OLD], old, SHARED_MODE)  # an undo would put half of a copy in place
+        replace_file(copies[Version.NEW], new, SHARED_MODE)
+    texts = {version: copy.read_text(encoding="utf-8") for version, copy in copies.items()}
+    digests = {version: source_digest(_parse(text, path)) for version, text in texts.items()}
+    return SettingsFile(path, texts, digests)
+
+
+def merge_settings(text: str, changes: Mapping[str, Any], as_json: bool = False) -> str:
+    """Return the text of a settings file with `changes` merged into it.
+
+    Raises:
+        ValueError: the text cannot be parsed.
+    """
     if as_json:
-        told = json.loads(text)
-        if not isinstance(told, dict):
+        table = json.loads(text)
+        if not isinstance(table, dict):
             raise ValueError("not a table")
-        _lay(told, over)
-        return json.dumps(told, indent=1) + "\n"
+        _merge(table, changes)
+        return json.dumps(table, indent=1) + "\n"
     document = tomlkit.parse(text)
-    _lay(document, over)
+    _merge(document, changes)
     return tomlkit.dumps(document)
 
 
-def _lay(under: MutableMapping[str, Any], over: Mapping[str, Any]) -> None:
-    for key, value in over.items():
-        there = under.get(key)
-        if isinstance(value, Mapping) and isinstance(there, MutableMapping):
-            _lay(there, value)
-        elif _named(value) and _named(there):
-            names = {table["name"]: table for table in there or ()}
-            for table in value:
-                if table["name"] in names:
-                    _lay(names[table["name"]], table)
-                else:
-                    there.append(table)  # type: ignore[union-attr]
+def _merge(table: MutableMapping[str, Any], changes: Mapping[str, Any]) -> None:
+    for key, value in changes.items():
+        present = table.get(key)
+        if isinstance(value, Mapping) and isinstance(present, MutableMapping):
+            _merge(present, value)
+        elif isinstance(present, list) and _is_list_of_named(value) and _is_list_of_named(present):
+            _merge_by_name(present, value)
+        else:
+            table[key] = value
+
+
+def _merge_by_name(tables: list[Any], changes: list[Any]) -> None:
+    by_name = {table["name"]: table for table in tables}
+    for change in changes:
+        if change["name"] in by_name:
+            _merge(by_name[change["name"]], change)
         else:
-            under[key] = value
+            tables.append(change)
 
 
-def _named(value: object) -> bool:
-    return (
-        isinstance(value, list)
-        and bool(value)
-        and all(isinstance(table, Mapping) and "name" in table for table in value)
-    )
+def _is_list_of_named(value: object) -> bool:
+    if not isinstance(value, list) or not value:
+        return False
+    return all(isinstance(table, Mapping) and "name" in table for table in value)
 
 
-def _check(text: str, path: Path, at: str, environ: Mapping[str, str]) -> None:
+def _check_accepted(text: str, path: Path, key: str, environment: Mapping[str, str]) -> None:
+    """Raise `ConfigError` if a dispatcher would refuse the text."""
     try:
-        if path.suffix == ".json":
-            read(json.loads(text), environ)
+        if path.suffix == JSON_SUFFIX:
+            read(json.loads(text), environment)
         else:
-            read_text(text, environ)
+            read_text(text, environment)
     except ConfigError as error:
-        raise ConfigError(f"{at}: {path.name} with the new settings: {error}") from None
+        raise ConfigError(f"{key}: {path.name} with the new settings: {error}") from None
 
 
-def _plain(text: str, path: Path) -> object:
-    return json.loads(text) if path.suffix == ".json" else tomllib.loads(text)
+def _parse(text: str, path: Path) -> object:
+    return json.loads(text) if path.suffix == JSON_SUFFIX else tomllib.loads(text)
--- a/eiderfield/rollout/state_machine.py
+++ b/eiderfield/rollout/state_machine.py
@@ -1,264 +1,271 @@
-"""The course of one change: from a look at the whole fleet before it to its end, or back. No I/O, no clock.
-
-Theory of operation. A course is in one phase, and actions as it is told what is there:
-
-    before    all are old and well, and are watched so that what they lacked before is known
-    refused   the fleet was ill before the start: nothing was touched                              (an end)
-    moving    the dispatchers of a stage are being brought to the new side
-    watching  old and new ones side by side, until the judge says go on, hold or undo
-    held      too little is known, or seen: somebody decides
-    undoing   all that was changed is being brought back
-    done      all are new                                                                          (an end)
-    undone    all are old again                                                                    (an end)
-    stuck     as undone, but for dispatchers that could not be reached, with the reason of each    (an end)
-
-The judge undoes; so does a fault that no chance explains, in any phase between; so does an operator's word at
-any time. An operator may also pause (what is begun is finished, nothing else begins), and resume: a held
-stage is watched anew, an undoing one goes forward again. `state` is all that another controller needs to go
-on: it holds no process and no time, for both are seen anew.
+"""The course of one change, from the observation of the whole fleet before it to its end, or back.
+
+Performs no I/O and reads no clock. The phases:
+
+    before    all dispatchers are old and ready, and are watched for the baseline
+    refused   the fleet was not healthy before the start: nothing was changed       (final)
+    moving    the dispatchers of a stage are being brought to the new version
+    watching  new and old dispatchers are compared until the analysis decides
+    held      too little was observed: an operator decides
+    undoing   everything that was changed is being brought back
+    done      all dispatchers are new                                               (final)
+    undone    all dispatchers are old again                                         (final)
+    stuck     like undone, except dispatchers that could not be brought back        (final)
+
+A change is undone by the analysis, by a fault that chance cannot explain in any phase from `moving` on, and
+by an operator at any time. An operator may also pause it (what is under way is finished, nothing else begins)
+and resume it: a held stage is watched anew, a change that was undone goes forward again.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from dataclasses import asdict, dataclass, field
-from typing import Any
-
-from eiderfield.rollout.canary_analysis import (
-    Baseline,
-    CanaryAnalysis,
-    Decision,
-    Judgement,
-    Observation,
-    find_fault,
-)
-from eiderfield.rollout.plan import Plan
-from eiderfield.rollout.reconciler import Action, ProcessStatus, Reconciler, Version
-
-ENDS = frozenset({"refused", "done", "undone", "stuck"})
-PHASES = ENDS | {"before", "moving", "watching", "held", "undoing"}
-COMMANDS = ("pause", "resume", "undo")  # of operators
-
-
-@dataclass(slots=True)
-class RolloutState:
-    """What is written down of a course."""
 
-    phase: str = "before"
-    stage: int = 0
-    why: str = ""
-    paused: bool = False
-    classes: list[str] = field(default_factory=list)
-    before: dict[str, dict[str, dict[str, list[float]]]] = field(default_factory=dict)  # a baseline's counts
-    watched: float = 0.0  # s of the present stage
-    missing: dict[str, str] = field(default_factory=dict)  # members that could not be brought back, and why
-
-    def encode(self) -> dict[str, Any]:
-        """Its stored form."""
-        return asdict(self)
+from eiderfield.rollout.actions import Action, Version
+from eiderfield.rollout.baseline import Baseline
+from eiderfield.rollout.canary_analysis import CanaryAnalysis, Decision, find_fault
+from eiderfield.rollout.observation import Observation
+from eiderfield.rollout.operator_command import OperatorCommand
+from eiderfield.rollout.plan import Plan
+from eiderfield.rollout.reconciler import ProcessStatus, Reconciler
+from eiderfield.rollout.state import FINAL_PHASES, Phase, RolloutState
 
+Processes = Mapping[str, Sequence[ProcessStatus]]  # by member
 
-def decode_state(told: Mapping[str, Any]) -> RolloutState:
-    """A state out of plain values; `ValueError` if they are none."""
-    try:
-        state = RolloutState(**told)
-    except TypeError as error:
-        raise ValueError(f"not a state: {error}") from None
-    if state.phase not in PHASES:
-        raise ValueError(f"no phase: {state.phase!r}")
-    return state
+_PHASES_BEFORE_START = (Phase.BEFORE, Phase.REFUSED)
+_PHASES_GOING_FORWARD = (Phase.MOVING, Phase.WATCHING, Phase.HELD)
+_PHASES_GOING_BACK = (Phase.UNDOING, Phase.UNDONE, Phase.STUCK)
 
 
 class RolloutStateMachine:
-    """One change."""
+    """One change, from a stored state on."""
 
     def __init__(self, plan: Plan, state: RolloutState | None = None) -> None:
         self.plan = plan
         self.state = state or RolloutState()
         self._reconciler = Reconciler(plan)
         self._analysis: CanaryAnalysis | None = None
-        self._baseline = Baseline(self.state.classes)
-        self._baseline.counts = self.state.before
-        self._well_since: float | None = None
-        self._ill_since: float | None = None
-        if self.state.phase not in ("before", "refused"):
-            self._want()
-            self._restore()
+        self._baseline = Baseline(self.state.classes, self.state.baseline)
+        self._healthy_since: float | None = None
+        self._unhealthy_since: float | None = None
+        if self.state.phase not in _PHASES_BEFORE_START:
+            self._set_targets()
+            self._restore_converged()
 
     @property
-    def over(self) -> bool:
-        """Whether nothing more is done."""
-        return self.state.phase in ENDS
+    def is_over(self) -> bool:
+        """Whether the phase is final."""
+        return self.state.phase in FINAL_PHASES
 
     @property
-    def changed(self) -> list[str]:
-        """The members that are to be new, or were to be so before they were to go back."""
-        last = self.state.stage + 1 if self.state.phase not in ("before", "refused") else 0
-        return [name for stage in self.plan.stages[:last] for name in stage]
+    def started_members(self) -> list[str]:
+        """The members of the present stage and those before it, in the order in which they change."""
+        if self.state.phase in _PHASES_BEFORE_START:
+            return []
+        return [name for stage in self.plan.stages[: self.state.stage + 1] for name in stage]
 
     @property
-    def ending(self) -> set[int]:
-        """Processes that were told to end: what they do counts for neither side."""
-        return self._reconciler.ending
+    def stopping(self) -> set[int]:
+        """The pids of processes that were asked to stop, which count for neither version."""
+        return self._reconciler.stopping
 
     @property
-    def evidence(self) -> dict[str, float]:
-        """Of the present stage, by class."""
-        return {} if self._analysis is None else self._analysis.evidence
+    def log_likelihood_ratios(self) -> dict[str, float]:
+        """Those of the present stage, by class and measure."""
+        return {} if self._analysis is None else self._analysis.log_likelihood_ratios
 
-    def changed_members(self, told: Mapping[str, Sequence[ProcessStatus]]) -> set[str]:
-        """The members that are seen as new: those that are to be, once their new process has been ready."""
-        if self.state.phase in ("undoing", *ENDS):
+    def changed_members(self, processes: Processes) -> set[str]:
+        """Return the members that are observed as new: those whose new process is, or has been, ready."""
+        if self.state.phase is Phase.UNDOING or self.is_over:
             return set()
-        now_ready = {
-            name for name, there in told.items() if any(x.version is Version.NEW and x.ready for x in there)
+        ready = {
+            member
+            for member, statuses in processes.items()
+            if any(status.version is Version.NEW and status.ready for status in statuses)
         }
-        reconciler = self._reconciler
         return {
-            name
-            for name in self.changed
-            if name in now_ready or reconciler.has_current_arrival(name, told.get(name, ()))
+            member
+            for member in self.started_members
+            if member in ready or self._reconciler.has_current_convergence(member, processes.get(member, ()))
         }
 
-    # What operators say.
+    def apply_command(self, command: OperatorCommand) -> str:
+        """Apply an operator's command. Returns why it cannot be applied, "" if it was."""
+        match command:
+            case OperatorCommand.PAUSE:
+                applied = self._pause()
+            case OperatorCommand.RESUME:
+                applied = self._resume()
+            case OperatorCommand.UNDO:
+                applied = self._undo()
+        return "" if applied else f"{command} has no effect while the change is {self.state.phase}"
+
+    def step(
+        self,
+        now: float,
+        duration: float,
+        processes: Processes,
+        observations: Sequence[Observation],
+    ) -> list[Action]:
+        """Return the actions to carry out after a poll of the whole fleet.
+
+        Args:
+            now: Time of a steady clock in s.
+            duration: Time since the poll before, in s.
+            processes: The processes of each member.
+            observations: The window between the two polls.
+        """
+        if self.is_over:
+            return []
+        if self.state.phase is Phase.BEFORE:
+            self._step_before(now, processes, observations)
+        elif self.state.phase in _PHASES_GOING_FORWARD:
+            self._step_forward(duration, observations)
+        if self.state.paused and self.state.phase is not Phase.UNDOING:
+            return []
+        undoing = self.state.phase is Phase.UNDOING
+        max_attempts = self.plan.watch.max_start_attempts if undoing else 1
+        actions = self._reconciler.next_actions(now, processes, max_attempts)
+        if self.state.phase is Phase.MOVING:
+            self._step_moving()
+        elif undoing:
+            self._step_undoing()
+        return actions
+
+    def _pause(self) -> bool:
+        if self.is_over:
+            return False
+        self.state.paused = True
+        return True
 
-    def obey(self, command: str) -> str:
-        """Obeys an operator's command. Returns why it cannot be obeyed, or ''."""
+    def _resume(self) -> bool:
         state = self.state
-        if command == "pause" and not self.over:
-            state.paused = True
-        elif command == "resume" and state.paused and not self.over:
+        if state.paused and not self.is_over:
             state.paused = False
-        elif command == "resume" and state.phase == "held":
+        elif state.phase is Phase.HELD:
             self._watch("watched anew, as asked")
-        elif command == "resume" and state.phase in ("undoing", "undone", "stuck"):
-            state.missing.clear()
-            self._to("moving", "forward again, as asked")
-        elif command == "undo" and state.phase == "before":
-            self._to("undone", "called off before anything changed")
-        elif command == "undo" and state.phase not in ("refused", "undone"):
-            state.paused = False
-            state.missing.clear()
-            self._to("undoing", "as asked")
+        elif state.phase in _PHASES_GOING_BACK:
+            state.unreachable.clear()
+            self._enter(Phase.MOVING, "forward again, as asked")
         else:
-            return f"{command} says nothing while the change is {state.phase}"
-        return ""
-
-    # What is seen.
+            return False
+        return True
 
-    def look(
-        self,
-        now: float,
-        span: float,
-        found: Mapping[str, Sequence[ProcessStatus]],
-        seen: Sequence[Observation],
-    ) -> list[Action]:
-        """A look at the whole fleet, `span` s after the last: what is to be done now."""
+    def _undo(self) -> bool:
         state = self.state
-        if self.over:
-            return []
-        if state.phase == "before":
-            self._look_before(now, found, seen)
-        elif state.phase in ("moving", "watching", "held"):
-            fault = find_fault(self.plan.watch, [one for one in seen if one.new])
-            fault = fault or next((f"{n}: {why}" for n, why in self._reconciler.given_up.items()), None)
-            if fault:
-                self._to("undoing", fault)
-            elif state.phase == "watching" and not state.paused:
-                self._look_watching(span, seen)
-        if state.paused and state.phase != "undoing":
-            return []
-        trials = self.plan.watch.max_start_attempts if state.phase == "undoing" else 1
-        actions = self._reconciler.step(now, found, trials)
-        if state.phase == "moving":
-            waited = [name for name in self.changed if not self._reconciler.arrived(name)]
-            if not waited and not self._reconciler.given_up:
-                self._watch("")
-        elif state.phase == "undoing":
-            self._look_undoing(found)
-        return actions
+        if state.phase is Phase.BEFORE:
+            self._enter(Phase.UNDONE, "called off before anything changed")
+        elif state.phase not in (Phase.REFUSED, Phase.UNDONE):
+            state.paused = False
+            state.unreachable.clear()
+            self._enter(Phase.UNDOING, "as asked")
+        else:
+            return False
+        return True
 
-    def _look_before(
-        self, now: float, found: Mapping[str, Sequence[ProcessStatus]], seen: Sequence[Observation]
-    ) -> None:
-        state, watching = self.state, self.plan.watch
+    def _step_before(self, now: float, processes: Processes, observations: Sequence[Observation]) -> None:
         names = [member.name for member in self.plan.members]
-        ill = [name for name in names if not _well(found.get(name, ()))]
-        if ill:
-            self._ill_since = now if self._ill_since is None else self._ill_since
-            self._well_since = None
-            if now - self._ill_since > watching.ready_timeout:
-                self._to("refused", f"ill before the start: {', '.join(ill)}")
+        unhealthy = [name for name in names if not _is_healthy(processes.get(name, ()))]
+        if unhealthy:
+            self._refuse_after_timeout(now, unhealthy)
             return
-        self._ill_since = None
-        classes = sorted({name for one in seen for name in one.asked})
-        if self._well_since is None or classes != state.classes:
-            self._well_since, state.classes, state.before = now, classes, {}
+        self._unhealthy_since = None
+        state = self.state
+        classes = sorted({name for observation in observations for name in observation.completed})
+        if self._healthy_since is None or classes != state.classes:
+            self._healthy_since, state.classes = now, classes
             self._baseline = Baseline(classes)
-        self._baseline.look(seen)
-        state.before = self._baseline.counts
-        if now - self._well_since >= watching.baseline_duration and not state.paused:
-            self._to("moving", "all are well")
-
-    def _look_watching(self, span: float, seen: Sequence[Observation]) -> None:
+        self._baseline.add_window(observations)
+        state.baseline = self._baseline.counts
+        if now - self._healthy_since >= self.plan.watch.baseline_duration and not state.paused:
+            self._enter(Phase.MOVING, "all are well")
+
+    def _refuse_after_timeout(self, now: float, unhealthy: Sequence[str]) -> None:
+        self._healthy_since = None
+        if self._unhealthy_since is None:
+            self._unhealthy_since = now
+        if now - self._unhealthy_since > self.plan.watch.ready_timeout:
+            self._enter(Phase.REFUSED, f"ill before the start: {', '.join(unhealthy)}")
+
+    def _step_forward(self, duration: float, observations: Sequence[Observation]) -> None:
+        new = [observation for observation in observations if observation.is_new]
+        fault = find_fault(self.plan.watch, new) or self._reconciler_failure()
+        if fault:
+            self._enter(Phase.UNDOING, fault)
+        elif self.state.phase is Phase.WATCHING and not self.state.paused:
+            self._step_watching(duration, observations)
+
+    def _reconciler_failure(self) -> str | None:
+        failures = self._reconciler.failures.items()
+        return next((f"{member}: {reason}" for member, reason in failures), None)
+
+    def _step_watching(self, duration: float, observations: Sequence[Observation]) -> None:
         state = self.state
         if self._analysis is None:
-            stages = len(self.plan.stages)
-            offsets = self._baseline.offsets(self.changed)
-            self._analysis = CanaryAnalysis(self.plan.watch, state.classes, stages, offsets)
-        said: Judgement = self._analysis.look(span, seen)
-        state.watched += span
-        if said.decision is Decision.UNDO:
-            self._to("undoing", said.why)
-        elif said.decision is Decision.HOLD:
-            self._to("held", said.why)
-        elif said.decision is Decision.GO and state.stage + 1 < len(self.plan.stages):
-            state.stage += 1
-            self._to("moving", said.why)
-        elif said.decision is Decision.GO:
-            self._to("done", said.why)
-
-    def _look_undoing(self, found: Mapping[str, Sequence[ProcessStatus]]) -> None:
-        open_ = [
-            name
-            for name in self.changed
-            if not self._reconciler.arrived(name) and name not in self._reconciler.given_up
-        ]
-        if open_:
+            offsets = self._baseline.offsets(self.started_members)
+            self._analysis = CanaryAnalysis(self.plan.watch, state.classes, len(self.plan.stages), offsets)
+        assessment = self._analysis.assess(duration, observations)
+        state.watched += duration
+        match assessment.decision:
+            case Decision.UNDO:
+                self._enter(Phase.UNDOING, assessment.reason)
+            case Decision.HOLD:
+                self._enter(Phase.HELD, assessment.reason)
+            case Decision.GO if state.stage + 1 < len(self.plan.stages):
+                state.stage += 1
+                self._enter(Phase.MOVING, assessment.reason)
+            case Decision.GO:
+                self._enter(Phase.DONE, assessment.reason)
+
+    def _step_moving(self) -> None:
+        if not self._unconverged() and not self._reconciler.failures:
+            self._watch("")
+
+    def _step_undoing(self) -> None:
+        failures = self._reconciler.failures
+        if any(member not in failures for member in self._unconverged()):
             return
-        self.state.missing = dict(self._reconciler.given_up)
-        named = "; ".join(f"{name}: {why}" for name, why in self.state.missing.items())
-        if named:
-            self._to("stuck", f"{self.state.why}. Not brought back: {named}")
+        self.state.unreachable = dict(failures)
+        if failures:
+            named = "; ".join(f"{member}: {reason}" for member, reason in failures.items())
+            self._enter(Phase.STUCK, f"{self.state.reason}. Not brought back: {named}")
         else:
-            self._to("undone", self.state.why)
+            self._enter(Phase.UNDONE, self.state.reason)
 
-    def _watch(self, why: str) -> None:
+    def _unconverged(self) -> list[str]:
+        return [member for member in self.started_members if not self._reconciler.has_converged(member)]
+
+    def _watch(self, reason: str) -> None:
         self._analysis = None
         self.state.watched = 0.0
-        self._to("watching", why)
-
-    def _to(self, phase: str, why: str) -> None:
-        self.state.phase, self.state.why = phase, why or self.state.why
-        self.state.paused = False  # an undoing is not held up, and what is asked for begins anew
-        if phase in ("moving", "undoing"):
-            self._want()
-
-    def _restore(self) -> None:
-        """What another controller saw arrive is not brought there anew: if it is gone, that is a fault."""
-        settled = {"watching": 1, "held": 1, "moving": 0}.get(self.state.phase)
-        if settled is not None:
-            for stage in self.plan.stages[: self.state.stage + settled]:
-                for name in stage:
-                    self._reconciler.has_arrived(name)
-
-    def _want(self) -> None:
-        """Tells the mover what is wanted: members back in the reverse of the order in which they changed."""
-        back = self.state.phase in ("undoing", "undone", "stuck")
-        names = self.changed
-        for name in reversed(names) if back else names:
-            self._reconciler.want(name, Version.OLD if back else Version.NEW)
-
-
-def _well(there: Sequence[ProcessStatus]) -> bool:
-    return len(there) == 1 and there[0].ready is True and there[0].version is Version.OLD
+        self._enter(Phase.WATCHING, reason)
+
+    def _enter(self, phase: Phase, reason: str) -> None:
+        """Enter a phase; with an empty `reason` the reason of the previous phase stays."""
+        self.state.phase, self.state.reason = phase, reason or self.state.reason
+        self.state.paused = False  # an undo is not delayed, and what an operator asks for takes effect
+        if phase in (Phase.MOVING, Phase.UNDOING):
+            self._set_targets()
+
+    def _restore_converged(self) -> None:
+        """Restore what the previous controller saw converge: if such a process is gone, that is a fault."""
+        completed_stages = self.state.stage
+        if self.state.phase in (Phase.WATCHING, Phase.HELD):
+            completed_stages += 1
+        elif self.state.phase is not Phase.MOVING:
+            return
+        for stage in self.plan.stages[:completed_stages]:
+            for member in stage:
+                self._reconciler.restore_converged(member)
+
+    def _set_targets(self) -> None:
+        """Set the target version of all started members; the last one to change is the first to go back."""
+        going_back = self.state.phase in _PHASES_GOING_BACK
+        members = self.started_members
+        for member in reversed(members) if going_back else members:
+            self._reconciler.set_target(member, Version.OLD if going_back else Version.NEW)
+
+
+def _is_healthy(processes: Sequence[ProcessStatus]) -> bool:
+    """Return whether a member has a single process, which is old and ready."""
+    return len(processes) == 1 and processes[0].ready is True and processes[0].version is Version.OLD
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -17,8 +17,12 @@
 from eiderfield.durable_requests.settings import DurableRequestSettings
 from eiderfield.durable_requests.store import RecordStore
 from eiderfield.net.bans import Bans
-from eiderfield.rollout.journal import JournalError, read
+from eiderfield.rollout.errors import JournalError
+from eiderfield.rollout.journal import read_journal
+from eiderfield.rollout.journal_codec import encode_entry, encode_process
+from eiderfield.rollout.operator_command import CommandFile, OperatorCommand
 from eiderfield.rollout.plan_file import parse_plan
+from eiderfield.rollout.state import encode_state
 from eiderfield.rollout.state_machine import RolloutStateMachine
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -151,25 +155,25 @@
 def test_a_rollout_journal_keeps_its_meaning(golden, name):
     folder = golden / "rollout" / name
     plan = parse_plan((folder / "plan.toml").read_text())
-    journal, told = read(folder, plan), expected(folder)
-    assert (journal.plan, journal.id) == (told["plan"], told["id"])
-    assert plain(journal.state.encode()) == told["state"]
-    assert journal.said == told["said"]
-    assert journal.processes == told["processes"]
-    assert journal.wish() == ("undo" if name == "paused" else "")
-    course = RolloutStateMachine(plan, journal.state)
-    assert course.state.phase == told["state"]["phase"]
+    journal, told = read_journal(folder, plan), expected(folder)
+    assert (journal.content.plan_digest, journal.content.change_id) == (told["plan"], told["id"])
+    assert plain(encode_state(journal.state)) == told["state"]
+    assert [encode_entry(entry) for entry in journal.entries] == told["said"]
+    assert [encode_process(record) for record in journal.processes] == told["processes"]
+    assert CommandFile(folder).pending() is (OperatorCommand.UNDO if name == "paused" else None)
+    machine = RolloutStateMachine(plan, journal.state)
+    assert machine.state.phase == told["state"]["phase"]
 
 
 @pytest.mark.parametrize("name", ROLLOUT)
 def test_a_rollout_journal_is_written_byte_for_byte_as_before(golden, name, tmp_path):
     folder = golden / "rollout" / name
-    journal = read(folder)
+    journal = read_journal(folder)
     journal.folder = tmp_path
-    journal.write(journal.said[-1]["t"])
+    journal.write(journal.entries[-1].time)
     assert (tmp_path / "journal.json").read_bytes() == (folder / "journal.json").read_bytes()
 
 
 def test_a_torn_rollout_journal_is_refused_by_name(golden):
     with pytest.raises(JournalError, match=r"journal\.json"):
-        read(golden / "rollout" / "torn")
+        read_journal(golden / "rollout" / "torn")
--- a/tests/test_rollout_analysis.py
+++ b/tests/test_rollout_analysis.py
@@ -13,10 +13,12 @@
 
 from eiderfield.cli import main
 from eiderfield.config.errors import ConfigError
-from eiderfield.rollout.canary_analysis import Baseline, CanaryAnalysis, Decision, Observation
+from eiderfield.rollout.baseline import Baseline
+from eiderfield.rollout.canary_analysis import CanaryAnalysis, Decision
+from eiderfield.rollout.observation import Moments, Observation
 from eiderfield.rollout.plan import WatchSettings
 from eiderfield.rollout.plan_file import parse_plan
-from eiderfield.rollout.power_analysis import weigh
+from eiderfield.rollout.power_analysis import decision_shares
 
 EXAMPLE = (ROOT / "deploy" / "rollout-example.toml").read_text()
 
@@ -118,7 +120,7 @@
     """Two new ones and six old ones, with these shares in time."""
 
     def one(name, is_new, share):
-        counts = {"asked": {"a": asked}, "in_time": {"a": round(share * asked)}}
+        counts = {"completed": {"a": asked}, "in_time": {"a": round(share * asked)}}
         return Observation(name, is_new, descriptors=40, memory=16.0, **counts)
 
     seen = [one(f"n{n}", n < 2, new if n < 2 else old) for n in range(8)]
@@ -126,18 +128,18 @@
     return seen
 
 
-def decide(judge, seen, most=200):
+def decide(analysis, seen, most=200):
     for _ in range(most):
-        if (said := judge.look(1.0, seen)).decision != Decision.WAIT:
-            return said
+        if (assessment := analysis.assess(1.0, seen)).decision != Decision.WAIT:
+            return assessment
     raise AssertionError("it waits for ever")
 
 
 def test_a_change_that_is_no_worse_goes_on_and_a_worse_one_is_undone_by_class():
     assert decide(CanaryAnalysis(WATCH, ["a"]), window()).decision == Decision.GO
-    said = decide(CanaryAnalysis(WATCH, ["a"]), window(new=0.85))
-    assert said.decision == Decision.UNDO
-    assert "class a" in said.why
+    assessment = decide(CanaryAnalysis(WATCH, ["a"]), window(new=0.85))
+    assert assessment.decision == Decision.UNDO
+    assert "class a" in assessment.reason
 
 
 def waiting(new, old, asked=50):
@@ -145,82 +147,82 @@
 
     def moments(ms):
         logs = [log(ms * 4.0 / 3.0), log(ms * 2.0 / 3.0)]
-        return (asked, sum(logs) * asked / 2.0, sum(x * x for x in logs) * asked / 2.0)
+        return Moments(asked, sum(logs) * asked / 2.0, sum(x * x for x in logs) * asked / 2.0)
 
-    return [replace(one, waits={"a": moments(new if one.new else old)}) for one in window(asked=asked)]
+    return [replace(one, latencies={"a": moments(new if one.is_new else old)}) for one in window(asked=asked)]
 
 
 def test_one_that_serves_in_time_but_slower_is_undone_and_one_as_fast_goes_on():
     assert decide(CanaryAnalysis(WATCH, ["a"]), waiting(200.0, 200.0)).decision == Decision.GO
-    said = decide(CanaryAnalysis(WATCH, ["a"]), waiting(260.0, 200.0))
-    assert said.decision == Decision.UNDO
-    assert "slower" in said.why
+    assessment = decide(CanaryAnalysis(WATCH, ["a"]), waiting(260.0, 200.0))
+    assert assessment.decision == Decision.UNDO
+    assert "slower" in assessment.reason
     assert decide(CanaryAnalysis(WATCH, ["a"]), waiting(160.0, 200.0)).decision == Decision.GO
 
 
 def test_a_flood_that_hurts_both_stops_nothing():
-    judge = CanaryAnalysis(WATCH, ["a"])
-    judge.look(1.0, window(asked=20))
-    assert decide(judge, window(new=0.4, old=0.4)).decision == Decision.GO
+    analysis = CanaryAnalysis(WATCH, ["a"])
+    analysis.assess(1.0, window(asked=20))
+    assert decide(analysis, window(new=0.4, old=0.4)).decision == Decision.GO
 
 
 def test_a_canary_with_little_traffic_is_held_and_not_passed():
-    said = decide(CanaryAnalysis(replace(WATCH, max_duration=20.0), ["a"]), window(asked=1))
-    assert said.decision == Decision.HOLD
-    assert "a" in said.why
+    assessment = decide(CanaryAnalysis(replace(WATCH, max_duration=20.0), ["a"]), window(asked=1))
+    assert assessment.decision == Decision.HOLD
+    assert "a" in assessment.reason
 
 
 def test_a_class_that_nobody_asks_for_holds_nothing_up():
-    said = decide(CanaryAnalysis(WATCH, ["a", "b"]), window())
-    assert said.decision == Decision.GO
-    assert "b" in said.why
+    assessment = decide(CanaryAnalysis(WATCH, ["a", "b"]), window())
+    assert assessment.decision == Decision.GO
+    assert "b" in assessment.reason
 
 
 def test_one_bad_class_of_two_is_enough():
     seen = [
-        replace(one, asked={"a": 200, "b": 200}, in_time={"a": 190, "b": 150 if one.new else 190})
+        replace(one, completed={"a": 200, "b": 200}, in_time={"a": 190, "b": 150 if one.is_new else 190})
         for one in window()
     ]
-    assert "class b" in decide(CanaryAnalysis(WATCH, ["a", "b"]), seen).why
+    assert "class b" in decide(CanaryAnalysis(WATCH, ["a", "b"]), seen).reason
 
 
 @pytest.mark.parametrize(
     ("more", "why"),
     [
         ({"alive": False}, "gone"),
-        ({"ready": False, "since_start": 31.0}, "not ready"),
-        ({"broken": "drain"}, "broke a rule: drain"),
+        ({"ready": False, "age": 31.0}, "not ready"),
+        ({"violation": "drain"}, "broke a rule: drain"),
         ({"descriptors": 100}, "descriptors"),
         ({"memory": 60.0}, "memory"),
     ],
 )
 def test_what_no_chance_explains_undoes_at_once(more, why):
-    said = CanaryAnalysis(WATCH, ["a"]).look(1.0, window(**more))
-    assert said.decision == Decision.UNDO
-    assert why in said.why
+    assessment = CanaryAnalysis(WATCH, ["a"]).assess(1.0, window(**more))
+    assert assessment.decision == Decision.UNDO
+    assert why in assessment.reason
 
 
 def test_one_that_is_not_ready_yet_or_cold_is_waited_for():
-    judge = CanaryAnalysis(WATCH, ["a"])
-    slow = [replace(one, ready=False, since_start=5.0) if one.new else one for one in window(new=0.2)]
-    assert judge.look(1.0, slow).decision == Decision.WAIT
-    cold = [replace(one, since_start=5.0) if one.new else one for one in window(new=0.2)]
-    assert judge.look(1.0, cold).decision == Decision.WAIT
-    assert not judge.evidence["a"], "nobody that counts was seen"
+    analysis = CanaryAnalysis(WATCH, ["a"])
+    slow = [replace(one, ready=False, age=5.0) if one.is_new else one for one in window(new=0.2)]
+    assert analysis.assess(1.0, slow).decision == Decision.WAIT
+    cold = [replace(one, age=5.0) if one.is_new else one for one in window(new=0.2)]
+    assert analysis.assess(1.0, cold).decision == Decision.WAIT
+    assert not analysis.log_likelihood_ratios["a"], "nobody that counts was seen"
 
 
 def test_unreachable_is_not_gone_it_waits_and_then_holds():
-    seen = [replace(one, alive=None) if one.new else one for one in window()]
-    judge = CanaryAnalysis(WATCH, ["a"])
-    assert judge.look(1.0, seen).decision == Decision.WAIT
-    assert decide(judge, seen).decision == Decision.HOLD
+    seen = [replace(one, alive=None) if one.is_new else one for one in window()]
+    analysis = CanaryAnalysis(WATCH, ["a"])
+    assert analysis.assess(1.0, seen).decision == Decision.WAIT
+    assert decide(analysis, seen).decision == Decision.HOLD
 
 
 def test_what_differed_before_the_change_is_not_its_fault():
     seen = window(new=0.88, old=0.95)
     baseline = Baseline(["a"])
     for _ in range(60):
-        baseline.look(seen)
+        baseline.add_window(seen)
     assert decide(CanaryAnalysis(WATCH, ["a"]), seen).decision == Decision.UNDO
     assert (
         decide(CanaryAnalysis(WATCH, ["a"], offsets=baseline.offsets({"n0", "n1"})), seen).decision
@@ -230,43 +232,49 @@
 
 def test_the_chances_of_error_hold_over_simulated_rollouts():
     """100 each here; the figures of 1,000 are in docs/rollout.md."""
-    good, bad = (weigh(100, worse, 0.03)["sequential, with the baseline"] for worse in (0.0, 0.08))
+    good, bad = (decision_shares(100, worse, 0.03)["sequential, with the baseline"] for worse in (0.0, 0.08))
     assert good["undo"] <= 0.05
     assert bad["undo"] >= 0.9
 
 
 @pytest.mark.parametrize(("new", "word"), [(1.05, Decision.GO), (1.6, Decision.UNDO)])
-def test_a_change_that_sends_jobs_far_more_often_is_undone_before_any_is_late(new, word):
-    judge = CanaryAnalysis(WatchSettings(), ["a"], 1)
-    said = None
+def test_a_change_that_sends_requests_far_more_often_is_undone_before_any_is_late(new, word):
+    analysis = CanaryAnalysis(WatchSettings(), ["a"], 1)
+    assessment = None
     for _ in range(400):
         seen = [
             Observation(
-                f"n{n}", n < 2, asked={"a": 20}, in_time={"a": 20}, legs=round(20 * (new if n < 2 else 1.0))
+                f"n{n}",
+                n < 2,
+                completed={"a": 20},
+                in_time={"a": 20},
+                attempts=round(20 * (new if n < 2 else 1.0)),
             )
             for n in range(8)
         ]
-        said = judge.look(1.0, seen)
-        if said.decision is not Decision.WAIT:
+        assessment = analysis.assess(1.0, seen)
+        if assessment.decision is not Decision.WAIT:
             break
-    assert said.decision is word
-    assert ("legs a job" in said.why) == (word is Decision.UNDO)
+    assert assessment.decision is word
+    assert ("attempts per request" in assessment.reason) == (word is Decision.UNDO)
 
 
 @pytest.mark.parametrize(("new", "word"), [(1.5, Decision.GO), (2.5, Decision.UNDO)])
-def test_a_change_that_uses_far_more_processor_a_job_is_undone(new, word):
-    judge, said = CanaryAnalysis(WatchSettings(), ["a"], 1), None
+def test_a_change_that_uses_far_more_cpu_per_request_is_undone(new, word):
+    analysis, assessment = CanaryAnalysis(WatchSettings(), ["a"], 1), None
     for _ in range(400):
         seen = [
-            Observation(f"n{n}", n < 2, asked={"a": 20}, in_time={"a": 20}, legs=20, processor=0.1 * times)
+            Observation(
+                f"n{n}", n < 2, completed={"a": 20}, in_time={"a": 20}, attempts=20, cpu_seconds=0.1 * times
+            )
             for n in range(8)
             for times in [new if n < 2 else 1.0]
         ]
-        said = judge.look(1.0, seen)
-        if said.decision is not Decision.WAIT:
+        assessment = analysis.assess(1.0, seen)
+        if assessment.decision is not Decision.WAIT:
             break
-    assert said.decision is word
-    assert ("processor a job" in said.why) == (word is Decision.UNDO)
+    assert assessment.decision is word
+    assert ("CPU per request" in assessment.reason) == (word is Decision.UNDO)
 
 
 def test_the_command_shows_the_stages_and_names_a_fault(tmp_path):
--- a/tests/test_rollout_on_failing_disk.py
+++ b/tests/test_rollout_on_failing_disk.py
@@ -11,13 +11,17 @@
 from support.failing_files import ERRORS, FULL, failing_files
 from test_rollout_settings import FILE
 
-from eiderfield.rollout.controller import Controller, begin, plan_of
-from eiderfield.rollout.journal import Journal, JournalError, JournalWriteError, ask, read
+from eiderfield.rollout.actions import StartProcess, StopProcess, Version
+from eiderfield.rollout.controller import Controller, begin_change, load_plan
+from eiderfield.rollout.errors import JournalError, JournalWriteError
+from eiderfield.rollout.journal import Journal, read_journal
+from eiderfield.rollout.journal_codec import JournalContent, MoveRecord, ProcessRecord, encode_move
 from eiderfield.rollout.measurement import ProcessReport
+from eiderfield.rollout.operator_command import send_command
 from eiderfield.rollout.plan_file import parse_plan
 from eiderfield.rollout.processes import ProcessManager
-from eiderfield.rollout.reconciler import End, ProcessStatus, Start, Version
-from eiderfield.rollout.settings import prepare
+from eiderfield.rollout.reconciler import ProcessStatus
+from eiderfield.rollout.settings import prepare_settings
 
 NAMES = ("n0", "n1", "n2")
 KINDS = ("open", "write", "sync", "rename", "unlink")
@@ -54,7 +58,7 @@
 
     def __init__(self, plan, id_, base, folder, texts, kept=()):
         self.plan, self.folder = plan, folder
-        self.known_processes = [{"member": "n0", "pid": 1}]
+        self.known_processes = [ProcessRecord("n0", Version.OLD, ("127.0.0.1", 8070), 1, 1.0)]
         self.running = {
             member.name: {number: (Version.OLD, member.console)} for number, member in enumerate(plan.members)
         }
@@ -63,7 +67,7 @@
     def close(self):
         """Nothing is held."""
 
-    def look(self):
+    def poll(self):
         return {
             name: [self.told(pid, *one) for pid, one in there.items()] for name, there in self.running.items()
         }
@@ -75,11 +79,11 @@
 
     def execute(self, move):
         there = self.running[move.member]
-        if isinstance(move, Start):
+        if isinstance(move, StartProcess):
             assert move.console not in [console for _, console in there.values()], "two starts"
             there[self.next_pid] = (move.version, move.console)
             self.next_pid += 1
-        if isinstance(move, End):
+        if isinstance(move, StopProcess):
             del there[move.pid]
             assert there, "nobody serves"
         return "told"
@@ -96,35 +100,35 @@
         (folder / "plan.toml").write_text(PLAN)
 
     def begin(self):
-        begin(self.base / "plan.toml", self.folder)
+        begin_change(self.base / "plan.toml", self.folder)
         self.controller = Controller(self.folder, manager=Processes, clock=lambda: self.now)
-        processes = self.controller._processes
+        processes = self.controller.processes
         self.execute, processes.execute = processes.execute, self.checked
 
     def checked(self, move):
         """Nothing is done before it is on the disk that it may be done."""
         with self.faults.paused():
-            on_disk = read(self.folder).state
-        assert on_disk.phase == self.controller.course.state.phase
-        assert on_disk.stage == self.controller.course.state.stage
+            on_disk = read_journal(self.folder).state
+        assert on_disk.phase == self.controller.state_machine.state.phase
+        assert on_disk.stage == self.controller.state_machine.state.stage
         return self.execute(move)
 
     def lead(self, heals_after=None):
         for _ in range(TURNS):
             self.now += 1.0
-            self.controller.turn()
+            self.controller.poll()
             with self.faults.paused():
-                read(self.folder)
+                read_journal(self.folder)
             if self.faults.failed and heals_after is not None:
                 heals_after -= 1
                 if heals_after == 0:
                     self.faults.heal()
-            if self.controller.course.over and not self.controller.journal.wish():
+            if self.controller.state_machine.is_over and self.controller.commands.pending() is None:
                 break
-        return self.controller.course.state.phase
+        return self.controller.state_machine.state.phase
 
     def sides(self):
-        running = self.controller._processes.running
+        running = self.controller.processes.running
         return [side for there in running.values() for side, _ in there.values()]
 
 
@@ -152,7 +156,7 @@
         assert change.lead(turns) == "done", f"operation {first} of {many}"
         faults.heal()
         assert change.sides() == [Version.NEW] * len(NAMES)
-        assert read(change.folder, change.controller.plan).state.phase == "done"
+        assert read_journal(change.folder, change.controller.plan).state.phase == "done"
         change.controller.close()
 
 
@@ -181,27 +185,27 @@
     change.begin()
     for _ in range(5):
         change.now += 1.0
-        change.controller.turn()
-    ask(change.folder, "pause")
+        change.controller.poll()
+    send_command(change.folder, "pause")
     faults.fail("unlink", code)
     for _ in range(5):
         change.now += 1.0
-        change.controller.turn()
-    assert change.controller.course.state.paused
+        change.controller.poll()
+    assert change.controller.state_machine.state.paused
     assert (change.folder / "wish.json").exists()
-    assert change.controller.journal.wish() == ""
-    ask(change.folder, "resume")
+    assert change.controller.commands.pending() is None
+    send_command(change.folder, "resume")
     for _ in range(3):
         change.now += 1.0
-        change.controller.turn()
-    assert not change.controller.course.state.paused, "the earlier word came back"
+        change.controller.poll()
+    assert not change.controller.state_machine.state.paused, "the earlier word came back"
 
 
 @pytest.mark.parametrize("kind", ["open", "write", "sync", "rename"])
 def test_a_word_that_cannot_be_left_says_so(kind, tmp_path, faults):
     faults.fail(kind, FULL)
     with pytest.raises(JournalWriteError, match=r"wish\.json"):
-        ask(tmp_path, "undo")
+        send_command(tmp_path, "undo")
 
 
 def test_a_journal_cut_at_any_byte_is_refused_by_name_and_so_is_none(tmp_path, faults):
@@ -212,28 +216,29 @@
     for size in range(len(whole)):
         path.write_bytes(whole[:size])
         with pytest.raises(JournalError, match=r"journal\.json"):
-            read(change.folder, change.controller.plan)
+            read_journal(change.folder, change.controller.plan)
     path.write_bytes(whole)
-    assert read(change.folder, change.controller.plan).state.phase == "before"
+    assert read_journal(change.folder, change.controller.plan).state.phase == "before"
 
 
 def test_a_line_after_one_that_was_cut_at_any_byte_stands_by_itself(tmp_path):
-    journal = Journal(tmp_path, "plan", "id")
+    journal = Journal(tmp_path, JournalContent("plan", "id"))
     path = tmp_path / "moves.jsonl"
-    journal.note(move="start", member="n0")
+    journal.append_move(MoveRecord(1.0, StopProcess("n0", 1)))
     first = path.read_bytes()
     for size in range(len(first)):
         path.write_bytes(first[:size])
-        journal.note(move="end", member="n1")
+        record = MoveRecord(2.0, StopProcess("n1", 2))
+        journal.append_move(record)
         last = path.read_text().splitlines()[-1]
-        assert json.loads(last) == {"move": "end", "member": "n1"}
+        assert json.loads(last) == encode_move(record)
 
 
 @pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
 @pytest.mark.parametrize("kind", ["open", "write", "sync", "rename"])
 @pytest.mark.parametrize("first", [1, 2, 3, 4])
 def test_half_of_a_dispatchers_own_file_is_never_kept_for_an_undo(kind, code, first, tmp_path, faults):
-    """What `prepare` finds in the change's folder is taken for whole, and put in place by an undo."""
+    """What `prepare_settings` finds in the change's folder counts as whole, and an undo puts it in place."""
     (tmp_path / "n0.toml").write_text(FILE)
     (tmp_path / "more.toml").write_text("[limits]\nsockets = 2048\n")
     (tmp_path / "plan.toml").write_text(
@@ -244,16 +249,16 @@
     faults.partly = True
     faults.fail(kind, code, first, times=1)
     try:
-        begin(tmp_path / "plan.toml", folder)
+        begin_change(tmp_path / "plan.toml", folder)
     except JournalError:
-        begin(tmp_path / "plan.toml", folder)
-    plan, base = plan_of(folder)
-    [texts] = prepare(plan, base, folder).values()
-    assert texts.text[Version.OLD] == FILE
-    assert texts.text[Version.NEW] != FILE
+        begin_change(tmp_path / "plan.toml", folder)
+    plan, base = load_plan(folder)
+    [texts] = prepare_settings(plan, base, folder).values()
+    assert texts.texts[Version.OLD] == FILE
+    assert texts.texts[Version.NEW] != FILE
     for side in (Version.NEW, Version.OLD):
-        texts.put(side)
-        assert texts.lies() is side
+        texts.install(side)
+        assert texts.installed_version() is side
 
 
 # Wall clocks that are stepped.
@@ -264,12 +269,12 @@
     with socket.create_server(("127.0.0.1", 0)) as console:
         plan, kept = hands_of(console, created=psutil.Process().create_time())
         hands = ProcessManager(plan, "id", tmp_path, tmp_path, {}, [kept])
-        before = hands.look()["n0"][0].age
+        before = hands.poll()["n0"][0].age
         real = time.time
         monkeypatch.setattr(time, "time", lambda: real() + step)
-        [after] = hands.look()["n0"]
+        [after] = hands.poll()["n0"]
         hands.close()
-    assert after.found.pid == os.getpid()
+    assert after.status.pid == os.getpid()
     assert 0.0 <= after.age - before < 4.0
 
 
@@ -278,7 +283,7 @@
     with socket.create_server(("127.0.0.1", 0)) as console:
         plan, kept = hands_of(console, created=psutil.Process().create_time() + step)
         hands = ProcessManager(plan, "id", tmp_path, tmp_path, {}, [kept])
-        assert [known["pid"] for known in hands.known_processes] == [os.getpid()]
+        assert [known.pid for known in hands.known_processes] == [os.getpid()]
         hands.close()
     hands = ProcessManager(plan, "id", tmp_path, tmp_path, {}, [kept])
     assert hands.known_processes == [], "another process may have the number by now"
@@ -290,5 +295,5 @@
     address = console.getsockname()
     text = 'name = "c"\n[change]\nsettings = "s"\n[[dispatcher]]\nname = "n0"\nconfig = "n0.toml"\n'
     plan = parse_plan(f'{text}console = "127.0.0.1:{address[1]}"\nstart = ["run"]\n')
-    kept = {"member": "n0", "side": "old", "console": list(address), "pid": os.getpid(), "created": created}
+    kept = ProcessRecord("n0", Version.OLD, address, os.getpid(), created)
     return plan, kept
--- a/tests/test_rollout_settings.py
+++ b/tests/test_rollout_settings.py
@@ -6,12 +6,12 @@
 from dataclasses import replace
 
 import pytest
-from test_rollout_state_machine import PLAN
+from support.rollout import PLAN
 
 from eiderfield.config.errors import ConfigError
+from eiderfield.rollout.actions import Version
 from eiderfield.rollout.plan import Member
-from eiderfield.rollout.reconciler import Version
-from eiderfield.rollout.settings import merged, prepare
+from eiderfield.rollout.settings import merge_settings, prepare_settings
 
 FILE = """# Ours.
 name = "n0"
@@ -41,7 +41,7 @@
 
 
 def test_a_class_is_laid_over_by_name_and_comments_stay():
-    text = merged(FILE, tomllib.loads('[[settings.classes]]\nname = "lookup"\nvalue = 2.0\n'))
+    text = merge_settings(FILE, tomllib.loads('[[settings.classes]]\nname = "lookup"\nvalue = 2.0\n'))
     told = tomllib.loads(text)
     assert told["settings"]["classes"] == [{**tomllib.loads(FILE)["settings"]["classes"][0], "value": 2.0}]
     assert "# Ours." in text
@@ -50,9 +50,9 @@
 
 
 def test_a_class_that_is_not_there_is_added_and_a_json_file_is_laid_over_too():
-    told = tomllib.loads(merged(FILE, tomllib.loads('[[settings.classes]]\nname = "new"\n')))
+    told = tomllib.loads(merge_settings(FILE, tomllib.loads('[[settings.classes]]\nname = "new"\n')))
     assert [each["name"] for each in told["settings"]["classes"]] == ["lookup", "new"]
-    assert '"worth": 3' in merged('{"a": {"b": 1}}', {"a": {"worth": 3}}, as_json=True)
+    assert '"worth": 3' in merge_settings('{"a": {"b": 1}}', {"a": {"worth": 3}}, as_json=True)
 
 
 def test_one_bad_file_of_eight_is_named_and_no_file_is_touched(tmp_path):
@@ -60,7 +60,7 @@
     (tmp_path / "n5.toml").write_text(FILE.replace('idempotency = "retryable"', 'idempotency = "sometimes"'))
     before = {path.name: path.read_text() for path in tmp_path.glob("n*.toml")}
     with pytest.raises(ConfigError, match=r"dispatcher\.5\.config.*idempotency"):
-        prepare(plan, tmp_path, tmp_path / "change")
+        prepare_settings(plan, tmp_path, tmp_path / "change")
     assert {path.name: path.read_text() for path in tmp_path.glob("n*.toml")} == before
 
 
@@ -70,19 +70,19 @@
 )
 def test_settings_that_no_dispatcher_would_take_are_refused_before_the_start(over, key, tmp_path):
     with pytest.raises(ConfigError, match=key):
-        prepare(fleet(tmp_path, over), tmp_path, tmp_path / "change")
+        prepare_settings(fleet(tmp_path, over), tmp_path, tmp_path / "change")
 
 
 def test_what_was_and_what_is_to_be_are_kept_from_the_beginning(tmp_path):
     plan = fleet(tmp_path, "[limits]\nsockets = 900\n", 1)
-    texts = prepare(plan, tmp_path, tmp_path / "change")["n0"]
-    assert texts.lies() is Version.OLD
-    texts.put(Version.NEW)
+    texts = prepare_settings(plan, tmp_path, tmp_path / "change")["n0"]
+    assert texts.installed_version() is Version.OLD
+    texts.install(Version.NEW)
     (tmp_path / "over.toml").write_text("[limits]\nsockets = 1000\n")
-    again = prepare(plan, tmp_path, tmp_path / "change")["n0"]  # another controller, later
-    assert again.lies() is Version.NEW
-    assert again.digest == texts.digest
-    again.put(Version.OLD)
+    again = prepare_settings(plan, tmp_path, tmp_path / "change")["n0"]  # another controller, later
+    assert again.installed_version() is Version.NEW
+    assert again.digests == texts.digests
+    again.install(Version.OLD)
     assert (tmp_path / "n0.toml").read_text() == FILE
     (tmp_path / "n0.toml").write_text(FILE + "# by hand\n")
-    assert again.lies() is None
+    assert again.installed_version() is None
