--- a/eiderfield/rollout/sequential_test.py
+++ b/eiderfield/rollout/sequential_test.py
@@ -11,6 +11,11 @@
 
     (effect_size * d' - effect_size**2 / 2) / v
 
+d' is the mean of the windows' differences, each weighted by n * m / (n + m) for n new and m old samples
+(Cochran and Mantel-Haenszel). The weight must not depend on the variance that a window shows: a window whose
+samples are all alike, by chance or because the machine stood still, shows little variance and no difference,
+and would outweigh those that show one.
+
 The variance of a window is that of its samples, times the dispersion: how much more the old dispatchers
 differ from each other than chance explains. Uneven traffic and unlike workers make it large.
 """
@@ -77,8 +82,9 @@
     log_likelihood_ratio: float = 0.0
     cleared: bool = False  # the lower bound was crossed once
     new_samples: int = 0
-    _precision: float = 0.0  # 1 / variance of the estimated difference
-    _weighted_sum: float = 0.0  # of the windows' differences, each weighted by its precision
+    _total_weight: float = 0.0
+    _weighted_difference: float = 0.0  # sum over the windows
+    _weighted_variance: float = 0.0  # sum over the windows, of the variance of a single sample
     _dispersion: float = 1.0
     _pending: dict[str, _Sample] = field(default_factory=dict)  # by dispatcher
 
@@ -94,9 +100,10 @@
         self._update_dispersion(old.mean, variance)
         self._pending.clear()
         self.new_samples += int(new.size)
-        window_variance = variance * self._dispersion * (1.0 / new.size + 1.0 / old.size)
-        self._precision += 1.0 / window_variance
-        self._weighted_sum += deterioration(self.measure, new, old) / window_variance
+        weight = new.size * old.size / (new.size + old.size)
+        self._total_weight += weight
+        self._weighted_difference += weight * deterioration(self.measure, new, old)
+        self._weighted_variance += weight * variance * self._dispersion
         self._update_ratio()
 
     def _add_pending(self, observation: Observation, class_name: str) -> None:
@@ -122,8 +129,8 @@
             self._dispersion = max(1.0, smoothed)
 
     def _update_ratio(self) -> None:
-        difference = self._weighted_sum / self._precision - self.offset.difference
-        variance = 1.0 / self._precision + self.offset.variance
+        difference = self._weighted_difference / self._total_weight - self.offset.difference
+        variance = self._weighted_variance / self._total_weight**2 + self.offset.variance
         gain = self.effect_size * difference - self.effect_size**2 / 2.0
         self.log_likelihood_ratio = gain / variance
 
--- a/tests/test_rollout_analysis.py
+++ b/tests/test_rollout_analysis.py
@@ -142,6 +142,22 @@
     assert "class a" in assessment.reason
 
 
+def test_windows_without_a_failure_do_not_outweigh_those_with_failures():
+    """Seen: a change that failed one request in six was held or let go on beside busy processes."""
+    analysis = CanaryAnalysis(replace(WATCH, in_time_drop=0.2), ["a"])
+    for number in range(60):
+        failed = 0 if number % 2 else 2  # of the six requests of each new dispatcher
+        observations = [
+            Observation(f"n{n}", n < 2, completed={"a": 6}, in_time={"a": 6 - failed * (n < 2)})
+            for n in range(4)
+        ]
+        assessment = analysis.assess(1.0, observations)
+        if assessment.decision is not Decision.WAIT:
+            break
+    assert assessment.decision is Decision.UNDO
+    assert "class a" in assessment.reason
+
+
 def waiting(new, old, asked=50):
     """The usual window, with jobs that take so many ms, each a third more or less."""
 
