--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -1,14 +1,14 @@
-"""The console: where operators read the dispatcher's state, and disable and enable workers.
+"""The console, by which operators read the dispatcher's state and disable and enable workers.
 
-    GET  /-/ready               200 once this process takes clients, 503 before and while it ends
+    GET  /-/ready               200 while this process accepts clients, 503 before that and during shutdown
     GET  /-/metrics             the figures, as JSON
-    GET  /-/config              what this process runs with: its settings, their generation and digest, and
-                                those that it was given last and did not take, with the reason
-    POST /-/workers/ID/disable  sends worker ID nothing until it is enabled
-    POST /-/workers/ID/enable   lets worker ID serve again
+    GET  /-/config              the settings in use, their generation and digest, and the last settings that
+                                were rejected, with the reason
+    POST /-/workers/ID/disable  sends no requests to worker ID until it is enabled
+    POST /-/workers/ID/enable   sends requests to worker ID again
 
-One call per connection. It holds no state: every figure is read, when it is asked for, where it is counted,
-and bans belong to the routing table.
+A connection carries one call. The console has no state: figures are read where they are counted, and bans
+belong to the routing table.
 """
 
 from __future__ import annotations
@@ -23,13 +23,19 @@
 from eiderfield.net.clients import ListenerStatus, Responder
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.http import Head
-
-WAIT = 1000.0  # ms for which callers wait for an answer, and that a call may take to come in
-# For which an answer waits for the disk, so that it comes in time whatever the disk does.
-WRITE_PATIENCE = 0.8 * WAIT
-
-# Each figure by class, and the verdicts that it counts.
-_BY_CLASS = {
+from eiderfield.net.http.status import (
+    INTERNAL_SERVER_ERROR,
+    METHOD_NOT_ALLOWED,
+    NOT_FOUND,
+    OK,
+    SERVICE_UNAVAILABLE,
+)
+
+CALL_TIMEOUT_MS = 1000.0  # for which callers wait, and in which a call must be received
+WRITE_TIMEOUT_MS = 0.8 * CALL_TIMEOUT_MS  # for the disk, before a call is answered without it
+
+# The figures by class, and the verdicts that each counts.
+_VERDICTS_BY_FIGURE = {
     "success": (Verdict.SERVED,),
     "busy": (Verdict.DECLINED,),
     "failure": (Verdict.FAILED, Verdict.REJECTED),
@@ -37,10 +43,10 @@
 
 
 def figures(
-    exchange: Exchange, table: RoutingTable, of_parts: Mapping[str, Any], now: float
+    exchange: Exchange, table: RoutingTable, program_figures: Mapping[str, Any], now: float
 ) -> dict[str, Any]:
-    """What `/-/metrics` says: of requests, of workers, and the figures that the program's parts give."""
-    return {**_request_figures(exchange), **_worker_figures(exchange, table, now), **of_parts}
+    """Return the figures of `/-/metrics`: of requests, of workers, and those of the program's parts."""
+    return {**_request_figures(exchange), **_worker_figures(exchange, table, now), **program_figures}
 
 
 def _request_figures(exchange: Exchange) -> dict[str, Any]:
@@ -48,7 +54,7 @@
     names = [cls.name for cls in exchange.settings.classes]
     answered = {
         figure: {name: sum([metrics.final_answers[n, v] for v in verdicts]) for n, name in enumerate(names)}
-        for figure, verdicts in _BY_CLASS.items()
+        for figure, verdicts in _VERDICTS_BY_FIGURE.items()
     }
     return {
         **answered,
@@ -74,7 +80,7 @@
 
 
 class ConsoleFront:
-    """What the console's listener does with calls."""
+    """Handles the calls of the console's listener."""
 
     def __init__(
         self,
@@ -82,21 +88,21 @@
         table: RoutingTable,
         clock: Callable[[], float],
         ready: Callable[[], bool],
-        figures_of_parts: Callable[[], Mapping[str, Any]],
+        program_figures: Callable[[], Mapping[str, Any]],
         config: Callable[[], Mapping[str, Any]] = dict,
     ) -> None:
-        """`figures_of_parts` and `config` give what `/-/metrics` adds, and what `/-/config` says."""
+        """Create a console; `program_figures` adds to `/-/metrics`, `config` returns `/-/config`."""
         self._exchange = exchange
         self._table = table
         self._clock = clock
         self._ready = ready
-        self._figures_of_parts = figures_of_parts
+        self._program_figures = program_figures
         self._config = config
 
     def handle_message(
-        self, listener: ListenerStatus, connection: Responder, head: Head, body: bytes
+        self, listener: ListenerStatus, connection: Responder, head: Head, _body: bytes
     ) -> Callable[[], None] | None:
-        """Answers a call at once and closes its connection."""
+        """Respond to a call and close its connection."""
         path = head.target.partition("?")[0]
         match path.split("/")[1:]:
             case ["-", "ready"]:
@@ -112,55 +118,57 @@
                 if _allowed(connection, head, "POST"):
                     self._maintain(listener, connection, unquote(name), call == "disable")
             case _:
-                connection.reject(404, "no such call")
+                connection.reject(NOT_FOUND, "no such call")
         return None
 
     def _answer_readiness(self, connection: Responder) -> None:
         ready = self._ready()
-        connection.reject(200 if ready else 503, "ready" if ready else "not ready")
+        connection.reject(OK if ready else SERVICE_UNAVAILABLE, "ready" if ready else "not ready")
 
     def _figures(self) -> dict[str, Any]:
-        return figures(self._exchange, self._table, self._figures_of_parts(), self._clock())
+        return figures(self._exchange, self._table, self._program_figures(), self._clock())
 
     def _maintain(self, listener: ListenerStatus, connection: Responder, name: str, disable: bool) -> None:
-        """Disables a worker or enables it again; answers once that is on the disk, or cannot be for now."""
-        answer = _MaintenanceAnswer(connection, name, disable)
+        """Disable or enable a worker; respond once this is written to disk, or has failed or timed out."""
+        response = _MaintenanceResponse(connection, name, disable)
         change = self._table.ban if disable else self._table.unban
-        if not change(name, answer.write_ended):
-            connection.reject(404, "no worker of this id was ever listed")
-        elif not answer.given:
-            listener.timers.at(listener.clock() + WRITE_PATIENCE, answer.write_overdue)
+        if not change(name, response.write_ended):
+            connection.reject(NOT_FOUND, "no worker of this id was ever listed")
+        elif not response.sent:
+            listener.timers.at(listener.clock() + WRITE_TIMEOUT_MS, response.write_overdue)
 
 
-class _MaintenanceAnswer:
-    """The one answer to a call that disables or enables a worker."""
+class _MaintenanceResponse:
+    """The only response to a call that disables or enables a worker."""
 
     def __init__(self, connection: Responder, name: str, disable: bool) -> None:
         self._connection = connection
         self._name = name
         self._disable = disable
-        self.given = False
+        self.sent = False
 
     def write_ended(self, written: bool) -> None:
-        """The change is on the disk, or the disk has refused it."""
-        if self.given:
+        """Respond that the change is written to disk, or that writing has failed."""
+        if self.sent:
             return
-        self.given = True
+        self.sent = True
         if written:
             _write_json(self._connection, {"worker": self._name, "disabled": self._disable})
         else:
-            self._connection.reject(500, "in force, but not written down yet: it is lost if the program ends")
+            self._connection.reject(
+                INTERNAL_SERVER_ERROR, "in force, but not written down yet: it is lost if the program ends"
+            )
 
     def write_overdue(self) -> None:
-        """The disk takes longer than the caller waits."""
+        """Respond before the caller stops waiting: the disk takes longer."""
         self.write_ended(False)
 
 
 def _allowed(connection: Responder, head: Head, method: str) -> bool:
     if head.method != method:
-        connection.reject(405, f"this call is a {method}", Allow=method)
+        connection.reject(METHOD_NOT_ALLOWED, f"this call is a {method}", Allow=method)
     return head.method == method
 
 
 def _write_json(connection: Responder, answer: Mapping[str, Any]) -> None:
-    connection.finish(200, json.dumps(answer).encode() + b"\n", Content_Type="application/json")
+    connection.finish(OK, json.dumps(answer).encode() + b"\n", Content_Type="application/json")
--- a/eiderfield/net/peer_filter.py
+++ b/eiderfield/net/peer_filter.py
@@ -1,8 +1,9 @@
-"""Which datagrams of peers are heard: envelopes, their order and their rate. Knows no socket.
+"""Filter of the datagrams of peers: their envelope, order and rate. Performs no I/O.
 
-The envelope (form, life, number) orders what one peer says: the network repeats, reorders and delays, and a
-message from a peer's earlier life would count requests that died with it. Lives are numbered by Unix time,
-which may be stepped back: a life that has said nothing for `LIFE_HOLDS` gives way to an earlier number.
+The envelope (version, incarnation, sequence number) orders the messages of one peer: the network
+duplicates, reorders and delays them, and a message of a peer's earlier incarnation would count requests
+that ended with it. Incarnations are numbered by Unix time, which may be stepped back: an incarnation that
+has sent nothing for `INCARNATION_TIMEOUT_MS` may be replaced by one with an earlier number.
 """
 
 from __future__ import annotations
@@ -12,31 +13,32 @@
 from enum import Enum
 from struct import Struct
 
-FORM = 1  # of the envelope; another version's may mean something else
-MAX_MESSAGE = 256  # bytes with the envelope, as the protocol says
-LIFE_HOLDS = 2000.0  # ms for which what a peer said counts at most: after that its life matters no more
-RATE = 2000.0  # messages a second that one peer is heard for at most, and as many in one burst
+ENVELOPE_VERSION = 1
+MAX_MESSAGE_BYTES = 256  # with the envelope, as the protocol requires
+INCARNATION_TIMEOUT_MS = 2000.0  # the longest time for which a peer's report counts
+MAX_MESSAGES_PER_S = 2000.0  # accepted from one peer, and as many in one burst
 
-_ENVELOPE = Struct("<BIH")  # form, the sender's life, the message's number in it
-_MAX_LIFE = 0xFFFFFFFF
-_MAX_NUMBER = 0xFFFF
+_ENVELOPE = Struct("<BIH")  # version, the sender's incarnation, the message's sequence number in it
+_MAX_INCARNATION = 0xFFFFFFFF
+_MAX_SEQUENCE = 0xFFFF
+_INCARNATION_MS = 10.0  # of Unix time, by which the number of an incarnation grows
 
 
 class Reception(Enum):
-    """What became of a message, as the console counts it."""
+    """The result of receiving a message. The values are the names of the console's figures."""
 
-    HEARD = "heard"
-    STRANGER = "strangers"
-    FLOOD = "flood"
+    ACCEPTED = "heard"
+    UNKNOWN_SENDER = "strangers"
+    RATE_LIMITED = "flood"
     MALFORMED = "malformed"
-    OTHER_FORM = "other_form"
-    EARLIER_LIFE = "earlier_life"
+    OTHER_VERSION = "other_form"
+    EARLIER_INCARNATION = "earlier_life"
     OUT_OF_ORDER = "out_of_order"
 
 
 @dataclass(slots=True, frozen=True)
 class Received:
-    """What became of a message, and what it says if it is heard."""
+    """The result of receiving a message, with its data if it is accepted."""
 
     reception: Reception
     data: bytes = b""
@@ -44,84 +46,88 @@
 
 @dataclass(slots=True, frozen=True)
 class Envelope:
-    """Who speaks in which life, and which of its messages this is."""
+    """The incarnation of a message's sender, and the message's sequence number in it."""
 
-    life: int
-    number: int
+    incarnation: int
+    sequence: int
 
     def pack(self, data: bytes) -> bytes:
-        """The message with its envelope."""
-        return _ENVELOPE.pack(FORM, self.life, self.number) + data
+        """Return the message that consists of the envelope and `data`."""
+        return _ENVELOPE.pack(ENVELOPE_VERSION, self.incarnation, self.sequence) + data
 
     def next(self) -> Envelope:
-        """That of the next message."""
-        return Envelope(self.life, (self.number + 1) & _MAX_NUMBER)
+        """Return the envelope of the next message."""
+        return Envelope(self.incarnation, (self.sequence + 1) & _MAX_SEQUENCE)
 
 
 def first_envelope(unix_ms: float) -> Envelope:
-    """That before the first message of a life that begins now. Later lives have greater numbers for 497 days,
-    unless the wall clock is stepped back."""
-    return Envelope(int(unix_ms / 10.0) & _MAX_LIFE, 0)
+    """Return the envelope before the first message of an incarnation that starts now.
+
+    Later incarnations have greater numbers for 497 days, unless the wall clock is stepped back.
+    """
+    return Envelope(int(unix_ms / _INCARNATION_MS) & _MAX_INCARNATION, 0)
 
 
 def fits(data: bytes) -> bool:
-    """Whether data and its envelope are no longer than a message may be."""
-    return len(data) + _ENVELOPE.size <= MAX_MESSAGE
+    """Return whether a message with `data` does not exceed the protocol's limit."""
+    return len(data) + _ENVELOPE.size <= MAX_MESSAGE_BYTES
 
 
 @dataclass(slots=True, frozen=True)
-class _LastHeard:
+class _LastAccepted:
     envelope: Envelope
     at: float
 
 
 @dataclass(slots=True, frozen=True)
-class _Credit:
-    messages: float  # that the peer may send at once
-    at: float
+class _TokenBucket:
+    tokens: float  # messages that the peer may send at once
+    updated_at: float
 
 
 class PeerFilter:
-    """What was heard of each peer so far."""
+    """Decides which messages of each peer are accepted, by those accepted before."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """`clock` is the process's clock, in ms."""
+        """Create a filter that has received nothing; `clock` returns the process's time, in ms."""
         self._clock = clock
-        self._last: dict[int, _LastHeard] = {}
-        self._credits: dict[int, _Credit] = {}
+        self._last: dict[int, _LastAccepted] = {}
+        self._buckets: dict[int, _TokenBucket] = {}
 
     def receive(self, peer: int, message: bytes) -> Received:
-        """What becomes of a peer's message."""
-        if not self._spend_credit(peer):
-            return Received(Reception.FLOOD)
-        if not _ENVELOPE.size <= len(message) <= MAX_MESSAGE:
+        """Return whether a peer's message is accepted, with its data."""
+        if not self._take_token(peer):
+            return Received(Reception.RATE_LIMITED)
+        if not _ENVELOPE.size <= len(message) <= MAX_MESSAGE_BYTES:
             return Received(Reception.MALFORMED)
-        form, life, number = _ENVELOPE.unpack_from(message)
-        if form != FORM:
-            return Received(Reception.OTHER_FORM)
-        envelope = Envelope(life, number)
-        reception = self._order(peer, envelope)
-        if reception is not Reception.HEARD:
+        version, incarnation, sequence = _ENVELOPE.unpack_from(message)
+        if version != ENVELOPE_VERSION:
+            return Received(Reception.OTHER_VERSION)
+        envelope = Envelope(incarnation, sequence)
+        reception = self._check_order(peer, envelope)
+        if reception is not Reception.ACCEPTED:
             return Received(reception)
-        self._last[peer] = _LastHeard(envelope, self._clock())
-        return Received(Reception.HEARD, message[_ENVELOPE.size :])
+        self._last[peer] = _LastAccepted(envelope, self._clock())
+        return Received(Reception.ACCEPTED, message[_ENVELOPE.size :])
 
-    def _order(self, peer: int, envelope: Envelope) -> Reception:
+    def _check_order(self, peer: int, envelope: Envelope) -> Reception:
         last = self._last.get(peer)
         if last is None:
-            return Reception.HEARD
-        older = (last.envelope.life - envelope.life) & _MAX_LIFE
-        if 0 < older <= _MAX_LIFE // 2 and self._clock() < last.at + LIFE_HOLDS:
-            return Reception.EARLIER_LIFE
-        newer = (envelope.number - last.envelope.number) & _MAX_NUMBER
-        if older == 0 and not 0 < newer <= _MAX_NUMBER // 2:
+            return Reception.ACCEPTED
+        age = (last.envelope.incarnation - envelope.incarnation) & _MAX_INCARNATION
+        is_earlier = 0 < age <= _MAX_INCARNATION // 2
+        if is_earlier and self._clock() < last.at + INCARNATION_TIMEOUT_MS:
+            return Reception.EARLIER_INCARNATION
+        advance = (envelope.sequence - last.envelope.sequence) & _MAX_SEQUENCE
+        if age == 0 and not 0 < advance <= _MAX_SEQUENCE // 2:
             return Reception.OUT_OF_ORDER
-        return Reception.HEARD
+        return Reception.ACCEPTED
 
-    def _spend_credit(self, peer: int) -> bool:
+    def _take_token(self, peer: int) -> bool:
         now = self._clock()
-        credit = self._credits.get(peer, _Credit(RATE, now))
-        messages = min(RATE, credit.messages + (now - credit.at) * RATE / 1000.0)
-        allowed = messages >= 1.0
-        self._credits[peer] = _Credit(messages - 1.0 if allowed else messages, now)
+        bucket = self._buckets.get(peer, _TokenBucket(MAX_MESSAGES_PER_S, now))
+        regained = (now - bucket.updated_at) * MAX_MESSAGES_PER_S / 1000.0
+        tokens = min(MAX_MESSAGES_PER_S, bucket.tokens + regained)
+        allowed = tokens >= 1.0
+        self._buckets[peer] = _TokenBucket(tokens - 1.0 if allowed else tokens, now)
         return allowed
--- a/eiderfield/net/peers.py
+++ b/eiderfield/net/peers.py
@@ -1,15 +1,15 @@
 """Datagrams between the dispatchers of a tier, where the settings allow them.
 
-A port sends what the policy tells its peers and hands in what they tell. It lives by four rules:
+A port sends the policy's reports to its peers and passes received reports on. Its rules:
 
-- A message is at most 256 bytes, envelope included; a longer one is neither sent nor read.
-- Who speaks is known by the address alone, which must be one of `peers`; strangers are counted, not heard.
-- What a peer says is heard in its order, and at a bounded rate (`peer_filter`).
-- Nothing here is needed to serve. A port that is taken or refused is named once in the log; a message that
+- A message has at most 256 bytes, envelope included; a longer one is neither sent nor accepted.
+- A sender is identified by its address alone, which must be one of `peers`; other senders are counted.
+- The messages of a peer are accepted in order and at a limited rate (`peer_filter`).
+- Serving requests does not depend on the port. A port that cannot be opened is logged once; a message that
   cannot be sent is lost, as the network may lose any.
 
-In an upgrade both processes are one dispatcher to its peers: the next one takes the port over with the socket
-(`sock`), and the one before is paused until it ends, or until the next one is lost.
+During a handover both processes are one dispatcher to its peers: the next process takes the port over with
+its socket (`sock`), and the previous one pauses its port until it ends, or until the next one is lost.
 """
 
 from __future__ import annotations
@@ -17,79 +17,88 @@
 import asyncio
 import socket
 from collections import Counter
-from collections.abc import Callable, Iterable, Sequence
+from collections.abc import Callable, Iterable
 
 from eiderfield.config.address import Address
 from eiderfield.net.faults import Cause, cause_of_loss
-from eiderfield.net.peer_filter import MAX_MESSAGE, PeerFilter, Reception, first_envelope, fits
+from eiderfield.net.peer_filter import MAX_MESSAGE_BYTES, PeerFilter, Reception, first_envelope, fits
+from eiderfield.net.peer_settings import PeerSettings
 
-MAX_READS_PER_TURN = 64  # messages read in a turn of the loop
+MAX_READS_PER_TURN = 64  # messages read in an iteration of the loop
 ALL_PEERS = -1
 
 
 class PeerPort:
-    """The port of one dispatcher. `on_message` gets a peer's number and what it said."""
+    """The port of one dispatcher.
+
+    Attributes:
+        sock: the open socket, which the next process takes over; None while closed.
+        figures: the console's figures: messages sent, accepted, and rejected by reason.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        listen: Address,
-        peers: Sequence[Address],
-        everyone: Address | None,
-        me: int,
+        settings: PeerSettings,
+        dispatcher_index: int,
         clock: Callable[[], float],
         on_message: Callable[[int, bytes], None],
         log: Callable[[str], None],
-        unix: Callable[[], float] | None = None,
+        unix_clock: Callable[[], float] | None = None,
     ) -> None:
-        """`everyone` is an address that reaches all peers; `unix` tells Unix time, in ms."""
+        """Create a closed port.
+
+        `on_message` receives the number of a peer and its message. `clock` and `unix_clock` are in ms.
+        """
+        self.sock: socket.socket | None = None
+        self.figures: Counter[str] = Counter()
         self._loop = loop
-        self._listen = listen
-        self._peers = list(peers)
-        self._numbers = {address: number for number, address in enumerate(peers) if number != me}
-        self._everyone = everyone
+        self._settings = settings
+        self._numbers = {
+            address: number for number, address in enumerate(settings.peers) if number != dispatcher_index
+        }
         self._on_message = on_message
         self._log = log
         self._filter = PeerFilter(clock)
-        self._envelope = first_envelope((unix or clock)())
+        self._envelope = first_envelope((unix_clock or clock)())
         self._paused = True
-        self.sock: socket.socket | None = None  # what the next process takes over
-        self.figures: Counter[str] = Counter()  # sent, heard, and by cause what was not
 
     def open(self, sock: socket.socket | None = None) -> None:
-        """Opens the port, or goes on with that of the process before."""
+        """Open the port, or take over the socket of the previous process."""
         try:
             if sock is None:
-                sock = _bound(self._listen)
+                sock = _bind(self._settings.listen)
             sock.setblocking(False)
         except (OSError, OverflowError) as error:
-            host, port = self._listen
-            self._log(f"peer_listen: {host}:{port} cannot be opened, peers are not heard ({error})")
+            host, port = self._settings.listen
+            self._log(
+                f"peers: port cannot be opened, peers are not heard (peer_listen={host}:{port} error={error})"
+            )
             return
         self.sock = sock
         self.resume()
 
     def pause(self) -> None:
-        """Leaves the port to the dispatcher's other process."""
+        """Leave the port to the dispatcher's other process."""
         if self.sock is not None and not self._paused:
             self._paused = True
             self._loop.remove_reader(self.sock)
 
     def resume(self) -> None:
-        """Takes the port back."""
+        """Use the port again."""
         if self.sock is not None and self._paused:
             self._paused = False
             self._loop.add_reader(self.sock, self._read)
 
     def close(self) -> None:
-        """Closes the port."""
+        """Close the port."""
         self.pause()
         if self.sock is not None:
             self.sock.close()
             self.sock = None
 
     def send_report(self, peer: int, data: bytes) -> None:
-        """Sends bytes to one peer, or to `ALL_PEERS`."""
+        """Send a message to one peer, or to `ALL_PEERS`; it may be lost."""
         if self.sock is None or self._paused:
             return
         if not fits(data):
@@ -101,40 +110,41 @@
             try:
                 self.sock.sendto(message, address)
                 self.figures["sent"] += 1
-            except OSError:  # the buffer is full, or nobody is there: lost
+            except OSError:  # the buffer is full, or the peer has closed its port
                 self.figures["unsent"] += 1
 
     def _addresses(self, peer: int) -> Iterable[Address]:
         if peer >= 0:
-            return self._peers[peer : peer + 1]
-        return [self._everyone] if self._everyone is not None else list(self._numbers)
+            return self._settings.peers[peer : peer + 1]
+        broadcast = self._settings.broadcast
+        return [broadcast] if broadcast is not None else list(self._numbers)
 
     def _read(self) -> None:
         for _ in range(MAX_READS_PER_TURN):
             if self.sock is None:
                 return
             try:
-                message, address = self.sock.recvfrom(MAX_MESSAGE + 1)
+                message, address = self.sock.recvfrom(MAX_MESSAGE_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:
                 if cause_of_loss(error) is Cause.LOCAL:
                     return
-                continue  # a message of ours found nobody
+                continue  # reports that an earlier message could not be delivered
             reception = self._receive(message, (address[0], address[1]))
             self.figures[reception.value] += 1
 
     def _receive(self, message: bytes, address: Address) -> Reception:
         peer = self._numbers.get(address)
         if peer is None:
-            return Reception.STRANGER
+            return Reception.UNKNOWN_SENDER
         received = self._filter.receive(peer, message)
-        if received.reception is Reception.HEARD:
+        if received.reception is Reception.ACCEPTED:
             self._on_message(peer, received.data)
         return received.reception
 
 
-def _bound(address: Address) -> socket.socket:
+def _bind(address: Address) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
         sock.bind(address)
--- a/eiderfield/net/reports.py
+++ b/eiderfield/net/reports.py
@@ -1,9 +1,9 @@
-"""Load reports of workers, read into the figures that the settings name.
+"""Parser of workers' load reports into the figures that the settings name.
 
-A report comes as text (`TEXT inflight=7, queue=2`), in a header or as a probe's whole body, or as an object
-of such figures. It is late and noisy, may lack a figure, repeat one or hold some that nobody asked for; none
-of this is an error. Nothing in it is taken on trust: a figure that is no finite number of at least 0, or is
-beyond `MAX_FIGURE`, counts as absent, and a report without any known figure is none.
+A report is a text (`TEXT inflight=7, queue=2`), in a header or as the body of a health check's response, or
+an object of such figures. It may lack a figure, repeat one or contain unknown ones; none of this is an
+error. A figure that is not a finite number of at least 0, or exceeds `MAX_FIGURE`, counts as absent, and a
+report without any known figure is not a report.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from collections.abc import Mapping, Sequence
 from math import isnan, nan
 
-MAX_FIGURE = 1_000_000.0  # of any figure: more is a fault of the report
-MAX_TEXT = 2048  # characters of a text that are read
+MAX_FIGURE = 1_000_000.0  # a greater value is a fault of the report
+MAX_TEXT_LENGTH = 2048  # characters of a text that are parsed
 
 
 def from_text(text: str, fields: Sequence[str]) -> tuple[float, ...]:
-    """The figures of `TEXT name=value, ...` in the order of `fields`: NaN where absent, () for no report."""
+    """Parse `TEXT name=value, ...`; return the figures by `fields`, NaN where absent, () for no report."""
     figures: dict[str, object] = {}
-    for part in text[:MAX_TEXT].removeprefix("TEXT").split(","):
+    for part in text[:MAX_TEXT_LENGTH].removeprefix("TEXT").split(","):
         name, _, value = part.strip().partition("=")
         try:
             figures[name.strip()] = float(value)
@@ -29,7 +29,7 @@
 
 
 def from_object(figures: object, fields: Sequence[str]) -> tuple[float, ...]:
-    """The same from a mapping of names to numbers; anything else holds no report."""
+    """Return the figures of a mapping of names to numbers; any other value is no report."""
     if not isinstance(figures, Mapping):
         return ()
     report = tuple(_figure(figures.get(name)) for name in fields)
@@ -37,7 +37,7 @@
 
 
 def from_body(body: bytes, fields: Sequence[str]) -> tuple[float, ...]:
-    """The report that is the whole body of a probe's answer, as text or as a JSON object."""
+    """Parse the body of a health check's response, a text or a JSON object."""
     text = body.decode("utf-8", "replace").strip()
     if not text.startswith("{"):
         return from_text(text, fields)
--- a/eiderfield/program/listeners.py
+++ b/eiderfield/program/listeners.py
@@ -14,7 +14,7 @@
 from eiderfield.config.loader import Config
 from eiderfield.connections.admission import AdmissionControl
 from eiderfield.net.clients import Front, Listener
-from eiderfield.net.console import WAIT, ConsoleFront
+from eiderfield.net.console import CALL_TIMEOUT_MS, ConsoleFront
 from eiderfield.net.faults import RETRY_MS, is_shortage
 from eiderfield.net.memory import share_of
 from eiderfield.program.core import Core
@@ -151,7 +151,7 @@
         """`ready`, `figures` and `settings` give what the calls of the console answer."""
         front = ConsoleFront(core.exchange, core.table, core.clock, ready, figures, settings)
         self._opener = opener
-        self._listener = Listener(front, core.driver.wheel, core.clock, CONSOLE_DESCRIPTORS, WAIT)
+        self._listener = Listener(front, core.driver.wheel, core.clock, CONSOLE_DESCRIPTORS, CALL_TIMEOUT_MS)
         self.bound: BoundListener | None = None
         if config.console is not None:
             self.bound = BoundListener("console", self._listener, config.console)
--- a/eiderfield/program/peers.py
+++ b/eiderfield/program/peers.py
@@ -40,9 +40,7 @@
         return None
     peers = PeerPort(
         loop,
-        settings.listen,
-        settings.peers,
-        settings.broadcast,
+        settings,
         config.policy_settings.dispatcher_index,
         core.clock,
         core.exchange.peer_report_received,
--- a/tests/support/console.py
+++ b/tests/support/console.py
@@ -3,7 +3,7 @@
 import json
 
 from eiderfield.net.clients import Listener
-from eiderfield.net.console import WAIT, ConsoleFront
+from eiderfield.net.console import CALL_TIMEOUT_MS, ConsoleFront
 from support.memory_dispatcher import Client, InMemoryDispatcher
 
 CALLERS = 4
@@ -19,7 +19,9 @@
         front = ConsoleFront(
             dispatcher.exchange, dispatcher.table, dispatcher.clock, lambda: self.ready, self._connections
         )
-        self.listener = Listener(front, self.dispatcher.wheel, self.dispatcher.clock, CALLERS, WAIT)
+        self.listener = Listener(
+            front, self.dispatcher.wheel, self.dispatcher.clock, CALLERS, CALL_TIMEOUT_MS
+        )
 
     def _connections(self):
         return {"connections": self.dispatcher.listener.figures()}
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -5,7 +5,8 @@
 import socket
 from struct import Struct
 
-from eiderfield.net.peer_filter import FORM
+from eiderfield.net.peer_filter import ENVELOPE_VERSION
+from eiderfield.net.peer_settings import PeerSettings
 from eiderfield.net.peers import PeerPort
 
 ENVELOPE = Struct("<BIH")
@@ -43,17 +44,15 @@
     def new(self, everyone=None):
         return PeerPort(
             self.loop,
-            self.addresses[0],
-            self.addresses,
-            everyone,
+            PeerSettings(self.addresses[0], tuple(self.addresses), everyone),
             0,
             lambda: self.now,
             lambda peer, data: self.heard.append((peer, data)),
             self.logged.append,
         )
 
-    def say(self, peer, life, number, data=b"x", form=FORM):
-        self.ends[peer].sendto(ENVELOPE.pack(form, life, number) + data, self.addresses[0])
+    def say(self, peer, incarnation, sequence, data=b"x", version=ENVELOPE_VERSION):
+        self.ends[peer].sendto(ENVELOPE.pack(version, incarnation, sequence) + data, self.addresses[0])
 
     def read(self):
         for call in list(self.loop.readers.values()):
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -11,7 +11,7 @@
 
 from eiderfield.interface import EndpointState
 from eiderfield.net.bans import RETRY_INTERVAL_MS, Bans
-from eiderfield.net.console import WAIT
+from eiderfield.net.console import CALL_TIMEOUT_MS
 from eiderfield.net.file_operations import result_of, thread_runner
 from eiderfield.net.table_state import RoutingTableState
 
@@ -183,11 +183,11 @@
     assert caller.answers() == []
     if ends == "in time":
         disk.end_next()
-    console.dispatcher.advance(WAIT)
+    console.dispatcher.advance(CALL_TIMEOUT_MS)
     assert [status for status, *_ in caller.answers()] == [200 if ends == "in time" else 500]
     if ends == "late":
         disk.end_next()
-        console.dispatcher.advance(WAIT)
+        console.dispatcher.advance(CALL_TIMEOUT_MS)
     assert len(caller.answers()) == 0
     assert banned_on_file(tmp_path / "bans") == {"w1"}
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -7,7 +7,7 @@
 from eiderfield.interface import EndpointState
 from eiderfield.net.backoff import DIAL_TIMEOUT
 from eiderfield.net.clients.connection import EVICTION_GRACE
-from eiderfield.net.console import WAIT
+from eiderfield.net.console import CALL_TIMEOUT_MS
 from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.discovery.watch import SILENCE
 from eiderfield.net.wheel import TICK_MS
@@ -125,7 +125,7 @@
     console.dispatcher.advance(EVICTION_GRACE)
     assert console.listener.make_room()
     assert console.call("/-/ready")[0] == 200
-    console.dispatcher.advance(WAIT + 2 * TICK_MS)
+    console.dispatcher.advance(CALL_TIMEOUT_MS + 2 * TICK_MS)
     assert all(not caller.pipe.open or caller.pipe.ended for caller in hanging)
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,7 +10,7 @@
 
 from eiderfield.config.errors import ConfigError
 from eiderfield.config.loader import read
-from eiderfield.net.peer_filter import FORM, MAX_MESSAGE, RATE
+from eiderfield.net.peer_filter import ENVELOPE_VERSION, MAX_MESSAGE_BYTES, MAX_MESSAGES_PER_S
 
 
 @pytest.fixture
@@ -31,7 +31,7 @@
 
 
 def test_nothing_longer_than_the_protocol_allows_leaves(tier):
-    room = MAX_MESSAGE - ENVELOPE.size
+    room = MAX_MESSAGE_BYTES - ENVELOPE.size
     tier.port.send_report(1, b"x" * (room + 1))
     tier.port.send_report(1, b"y" * room)
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"y" * room
@@ -40,7 +40,7 @@
 
 def test_strangers_are_not_heard(tier):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-        stranger.sendto(ENVELOPE.pack(FORM, 1, 1) + b"x", tier.addresses[0])
+        stranger.sendto(ENVELOPE.pack(ENVELOPE_VERSION, 1, 1) + b"x", tier.addresses[0])
     tier.say(1, 1, 1, b"known")
     tier.read()
     assert tier.heard == [(1, b"known")]
@@ -73,9 +73,9 @@
 
 
 def test_other_forms_and_stumps_are_no_messages(tier):
-    tier.say(1, 1, 1, form=FORM + 1)
+    tier.say(1, 1, 1, version=ENVELOPE_VERSION + 1)
     tier.ends[1].sendto(b"ab", tier.addresses[0])
-    tier.ends[1].sendto(b"z" * (MAX_MESSAGE + 50), tier.addresses[0])
+    tier.ends[1].sendto(b"z" * (MAX_MESSAGE_BYTES + 50), tier.addresses[0])
     tier.read()
     assert not tier.heard
     assert tier.port.figures["other_form"] == 1
@@ -83,7 +83,7 @@
 
 
 def test_a_peer_that_floods_is_heard_so_often_and_the_others_still_are(tier):
-    for number in range(int(RATE) + 100):
+    for number in range(int(MAX_MESSAGES_PER_S) + 100):
         tier.say(1, 1, number & 0xFFFF)
         if number % 32 == 31:
             tier.read()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -21,7 +21,8 @@
 from eiderfield.batch.registry import JobRegistry, RegistryLimits
 from eiderfield.net.clients import Listener
 from eiderfield.net.clock import MonotonicClock, WallClock
-from eiderfield.net.peer_filter import LIFE_HOLDS
+from eiderfield.net.peer_filter import INCARNATION_TIMEOUT_MS
+from eiderfield.net.peer_settings import PeerSettings
 from eiderfield.net.peers import PeerPort
 
 
@@ -108,7 +109,7 @@
     life = int(UNIX / 10.0) & 0xFFFFFFFF
     tier.say(1, life, 5, b"first")
     tier.read()
-    tier.now += LIFE_HOLDS
+    tier.now += INCARNATION_TIMEOUT_MS
     tier.say(1, (life + int(step / 10.0)) & 0xFFFFFFFF, 1, b"again")
     tier.read()
     assert [data for _, data in tier.heard] == [b"first", b"again"]
@@ -118,7 +119,7 @@
     tier = Tier()
     tier.say(1, 700, 5, b"later")
     tier.read()
-    tier.now += LIFE_HOLDS - 1.0
+    tier.now += INCARNATION_TIMEOUT_MS - 1.0
     tier.say(1, 699, 9, b"earlier")
     tier.read()
     assert [data for _, data in tier.heard] == [b"later"]
@@ -129,9 +130,7 @@
     tier.port.close()
     port = PeerPort(
         tier.loop,
-        tier.addresses[0],
-        tier.addresses,
-        None,
+        PeerSettings(tier.addresses[0], tuple(tier.addresses), None),
         0,
         lambda: 5.0,
         None,
@@ -139,7 +138,7 @@
         lambda: UNIX,
     )
     port.open()
-    port.tell(1, b"x")
+    port.send_report(1, b"x")
     life = int.from_bytes(tier.ends[1].recv(256)[1:5], "little")
     port.close()
     assert life == int(UNIX / 10.0) & 0xFFFFFFFF
