--- a/eiderfield/exchange/actions.py
+++ b/eiderfield/exchange/actions.py
@@ -74,9 +74,9 @@
     def start_attempt(self, action: StartAttempt, now: float) -> None:
         """Start an attempt, unless its request has ended or it exceeds the limits on attempts."""
         context = self.context
-        pending = self.requests.pending.get(action.id)
+        pending = self.requests.pending.get(action.request_id)
         if pending is None or context.worker_side is None:
-            context.log(f"exchange: attempt not started, its request has ended (request={action.id})")
+            context.log(f"exchange: attempt not started, its request has ended (request={action.request_id})")
             return
         attempt = Attempt(pending, len(pending.attempts), action.worker, now)
         any_open = any(other.open for other in pending.attempts)
@@ -89,8 +89,8 @@
             self.attempts.end(attempt, Outcome.MOOT)
             return
         deadline = pending.request.deadline
-        stop_at = min(deadline, now + action.timeout) if action.timeout > 0.0 else deadline
-        self.attempts.add(attempt, action.work)
+        stop_at = min(deadline, now + action.timeout_ms) if action.timeout_ms > 0.0 else deadline
+        self.attempts.add(attempt, action.expected_work)
         attempt.timer = context.timers.at(
             stop_at, lambda: self.attempts.stop(attempt, StopReason.TIMEOUT, Outcome.TIMEOUT)
         )
@@ -109,15 +109,15 @@
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
         """Stop an attempt if it is still open."""
-        if (attempt := self.attempts.open.get((action.id, action.attempt))) is not None:
+        if (attempt := self.attempts.open.get((action.request_id, action.attempt_number))) is not None:
             self.attempts.stop(attempt, StopReason.POLICY)
 
     def reject_request(self, action: RejectRequest) -> None:
         """Answer a request that is still pending: not served, the client may retry."""
-        if (pending := self.requests.pending.get(action.id)) is not None:
+        if (pending := self.requests.pending.get(action.request_id)) is not None:
             answer = Answer(
                 Verdict.DECLINED,
-                retry_after=action.retry_after,
+                retry_after=action.retry_after_ms,
                 may_have_run=may_have_run(pending),
                 attempts=len(pending.attempts),
             )
@@ -125,7 +125,7 @@
 
     def fail_request(self, action: FailRequest) -> None:
         """Answer a request that is still pending: failed."""
-        if (pending := self.requests.pending.get(action.id)) is not None:
+        if (pending := self.requests.pending.get(action.request_id)) is not None:
             answer = Answer(
                 Verdict.FAILED, may_have_run=may_have_run(pending), attempts=len(pending.attempts)
             )
--- a/eiderfield/exchange/attempt_table.py
+++ b/eiderfield/exchange/attempt_table.py
@@ -91,7 +91,7 @@
                 outcome,
                 attempt.sent_at,
                 pending.answered,
-                load=load,
+                load_report=load,
             )
         )
 
--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -369,9 +369,9 @@
         events = self._events.take()
         for event in events:
             if isinstance(event, AttemptEnded):
-                event.elapsed = now - event.elapsed  # it held when the attempt was sent
+                event.elapsed_ms = now - event.elapsed_ms  # it held when the attempt was sent
             elif isinstance(event, AttemptProgressed) and event.kind == ProgressKind.STARTED:
-                pending = self._requests.pending.get(event.id)
+                pending = self._requests.pending.get(event.request_id)
                 if pending is not None:
                     pending.started_at = pending.started_at or now
         self._requests.timestamp(now)
--- a/eiderfield/lab/fleet/faulty_programs.py
+++ b/eiderfield/lab/fleet/faulty_programs.py
@@ -109,13 +109,13 @@
 def end_early(executor: ActionExecutor, action: StartAttempt, now: float, rejected: bool) -> None:
     """Start an attempt, and end its request at once."""
     start_attempt(executor, action, now)
-    pending = executor.requests.pending.get(action.id)
+    pending = executor.requests.pending.get(action.request_id)
     if pending is None or len(pending.attempts) != 1:
         return
     if rejected:
-        executor.reject_request(RejectRequest(action.id))
+        executor.reject_request(RejectRequest(action.request_id))
     else:
-        executor.fail_request(FailRequest(action.id))
+        executor.fail_request(FailRequest(action.request_id))
     executor.attempts.stop_all(pending, PLANTED)
 
 
@@ -125,7 +125,7 @@
     """Return a `start_attempt` that ends some requests early."""
 
     def faulty_start(executor: ActionExecutor, action: StartAttempt, now: float) -> None:
-        if is_faulty(executor, executor.requests.pending.get(action.id)):
+        if is_faulty(executor, executor.requests.pending.get(action.request_id)):
             end_early(executor, action, now, rejected)
         else:
             start_attempt(executor, action, now)
@@ -156,7 +156,7 @@
 
 def start_late(executor: ActionExecutor, action: StartAttempt, now: float) -> None:
     """Start an attempt after a share of its class's latency objective."""
-    pending = executor.requests.pending.get(action.id)
+    pending = executor.requests.pending.get(action.request_id)
     wait = 0.0
     if pending is not None:
         cls = executor.context.settings.classes[pending.request.class_index]
@@ -167,7 +167,7 @@
 def start_twice(executor: ActionExecutor, action: StartAttempt, now: float) -> None:
     """Start an attempt, and stop the first attempt of one request in three."""
     start_attempt(executor, action, now)
-    pending = executor.requests.pending.get(action.id)
+    pending = executor.requests.pending.get(action.request_id)
     if pending is None or len(pending.attempts) != 1 or next(number) % CANCEL_INTERVAL != 0:
         return
     first = pending.attempts[0]
--- a/eiderfield/model/actions.py
+++ b/eiderfield/model/actions.py
@@ -10,45 +10,48 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send a request to a worker, at an expected cost of `work`. `timeout` 0 means until the deadline."""
+    """Send a request to a worker.
 
-    id: int
+    `timeout_ms` 0 lets the attempt run until the deadline. `expected_work` is its likely cost.
+    """
+
+    request_id: int
     worker: int
-    timeout: float = 0.0
-    work: float = 0.0
+    timeout_ms: float = 0.0
+    expected_work: float = 0.0
 
 
 @dataclass(slots=True)
 class CancelAttempt:
     """Stop waiting for an attempt. Whether the worker ran it stays unknown."""
 
-    id: int
-    attempt: int
+    request_id: int
+    attempt_number: int
 
 
 @dataclass(slots=True)
 class RejectRequest:
     """Answer a request with a rejection: it did not run, and the client may retry.
 
-    `retry_after` advises how long to wait before that, 0 for no advice.
+    `retry_after_ms` advises how long to wait before that, 0 for no advice.
     """
 
-    id: int
-    retry_after: float = 0.0
+    request_id: int
+    retry_after_ms: float = 0.0
 
 
 @dataclass(slots=True)
 class FailRequest:
     """Answer a request with a failure: it may have run."""
 
-    id: int
+    request_id: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Post `TimerFired` with `token` at the time `at`."""
+    """Post `TimerFired` with `token` at the time `fires_at`."""
 
-    at: float
+    fires_at: float
     token: int
 
 
@@ -78,7 +81,7 @@
 class WatchEndpoints:
     """Open or close the subscription to the endpoint list."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(slots=True)
--- a/eiderfield/model/events.py
+++ b/eiderfield/model/events.py
@@ -15,16 +15,16 @@
 class RequestReceived:
     """A request was accepted; it is owed exactly one final answer before `deadline`.
 
-    `tenant_index` and `class_index` refer to the settings; `key` is the affinity key, 0 for none.
+    `tenant_index` and `class_index` refer to the settings; `affinity_key` is 0 for none.
     `expected_work` is 0 if unknown. `earlier_attempts` are those of a failed dispatcher from which the
     request was taken over: the endpoint, and when the attempt was sent.
     """
 
-    id: int
+    request_id: int
     class_index: int
     deadline: float
     tenant_index: int = 0
-    key: int = 0
+    affinity_key: int = 0
     expected_work: float = 0.0
     slots: float = 1.0
     memory: float = 0.0
@@ -38,53 +38,53 @@
 
     kind: EndpointListKind
     version: int
-    entries: tuple[Endpoint, ...]
+    endpoints: tuple[Endpoint, ...]
 
 
 @dataclass(slots=True)
 class StreamStarted:
     """The stream of an attempt started: the request stays with this attempt and has no deadline any more."""
 
-    id: int
-    attempt: int
+    request_id: int
+    attempt_number: int
     worker: int
-    elapsed: float
+    elapsed_ms: float
 
 
 @dataclass(slots=True)
 class AttemptEnded:
     """An attempt ended.
 
-    `outcome` is an `Outcome`, or another status of the worker's. `final` tells that the request is over.
-    `load` is the worker's load report, empty if there is none; it may be old and inexact.
+    `outcome` is an `Outcome`, or another status of the worker's. `is_final` tells that the request is over.
+    `load_report` is the worker's load report, empty if there is none; it may be old and inexact.
     """
 
-    id: int
-    attempt: int
+    request_id: int
+    attempt_number: int
     worker: int
     outcome: int
-    elapsed: float
-    final: bool
-    note: int = 0
-    load: tuple[float, ...] = ()
+    elapsed_ms: float
+    is_final: bool
+    info: int = 0
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True)
 class AttemptProgressed:
-    """There is news of an open attempt. `share` is the part of its work that is done, for `SHARE_DONE`."""
+    """There is news of an open attempt. `share_done`, from 0 to 1, is known for the kind `SHARE_DONE`."""
 
-    id: int
-    attempt: int
+    request_id: int
+    attempt_number: int
     worker: int
     kind: ProgressKind
-    share: float
+    share_done: float
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
     """The client of a request disconnected: its answer will not be delivered."""
 
-    id: int
+    request_id: int
 
 
 @dataclass(slots=True)
@@ -96,12 +96,12 @@
 
 @dataclass(slots=True)
 class ProbeCompleted:
-    """A probe that `ProbeWorker` asked for ended; `outcome` and `load` are as those of `AttemptEnded`."""
+    """A probe that `ProbeWorker` asked for ended; the fields are as those of `AttemptEnded`."""
 
     worker: int
     outcome: int
-    elapsed: float
-    load: tuple[float, ...] = ()
+    elapsed_ms: float
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True)
@@ -116,13 +116,13 @@
 class SiblingReportReceived:
     """The other process of this dispatcher sent a report, during the handover of a restart.
 
-    `out` are the attempts that it has open at the worker, `work` the expected work of those that it sent
-    there since its last report.
+    `open_attempts` are those that it has at the worker, `added_work` is the expected work of those that it
+    sent there since its last report.
     """
 
     worker: int
-    out: int
-    work: float
+    open_attempts: int
+    added_work: float
 
 
 Event = (
--- a/eiderfield/model/settings.py
+++ b/eiderfield/model/settings.py
@@ -74,7 +74,7 @@
     subscribes_to_endpoints: bool = False
     load_report_fields: tuple[str, ...] = ()
     workers_report_start: bool = False
-    progress_interval: float = 0.0
+    progress_interval_ms: float = 0.0
     cancellation_allowed: bool = False
     probing_allowed: bool = False
     gossip_allowed: bool = False
--- a/eiderfield/model/snapshot.py
+++ b/eiderfield/model/snapshot.py
@@ -9,7 +9,7 @@
 class Snapshot:
     """Queued requests, open attempts, rate of each class, and listed workers that are sent nothing now."""
 
-    held: int = 0
-    out: int = 0
-    rates: list[float | None] = field(default_factory=list)
-    avoided: frozenset[int] = frozenset()
+    queued_requests: int = 0
+    open_attempts: int = 0
+    class_rates: list[float | None] = field(default_factory=list)
+    avoided_workers: frozenset[int] = frozenset()
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -75,7 +75,7 @@
         "hosts_listed": len(listed),
         "hosts_doubted": table.unconfirmed_removals,
         "hosts_banned": sorted(table.bans.since),
-        "hosts_down": len(exchange.snapshot(now).avoided & listed),
+        "hosts_down": len(exchange.snapshot(now).avoided_workers & listed),
     }
 
 
--- a/eiderfield/policy/attempt_outcomes.py
+++ b/eiderfield/policy/attempt_outcomes.py
@@ -82,12 +82,13 @@
 
     def _record_answer(self, attempt: AttemptRecord, worker: Worker, event: AttemptEnded, now: float) -> None:
         request, pacer = attempt.request, attempt.request.pacer
-        late = event.elapsed >= SILENT_RUNS * max(
+        late = event.elapsed_ms >= SILENT_RUNS * max(
             pacer.expected_duration_ms(request.expected_work), request.request_class.latency_objective_ms
         )
         worker.record_sign_of_life(now, not late)
         pacer.record_duration(
-            event.elapsed if attempt.started_at is None else now - attempt.started_at, request.expected_work
+            event.elapsed_ms if attempt.started_at is None else now - attempt.started_at,
+            request.expected_work,
         )
         self._slow_start.record_served(request.budget_cost, now)
 
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -188,18 +188,18 @@
         self._timer.fired(event)
 
     def _client_disconnected(self, event: ClientDisconnected, now: float) -> None:
-        request = self._requests.get(event.id)
+        request = self._requests.get(event.request_id)
         if request is not None:
             self._finish(request)
 
     def _stream_started(self, event: StreamStarted, now: float) -> None:
-        request = self._requests.get(event.id)
+        request = self._requests.get(event.request_id)
         if request is not None:
             request.streaming = True
             self._queues.remove(request)
 
     def _probe_completed(self, event: ProbeCompleted, now: float) -> None:
-        self._reports.record_report(self._fleet.workers.get(event.worker), event.load, now)
+        self._reports.record_report(self._fleet.workers.get(event.worker), event.load_report, now)
 
     def _peer_report_received(self, event: PeerReportReceived, now: float) -> None:
         self._gossip.record_report(event.peer, event.data, now)
@@ -207,19 +207,19 @@
     def _sibling_report_received(self, event: SiblingReportReceived, now: float) -> None:
         worker = self._fleet.workers.get(event.worker)
         if worker is not None:
-            worker.sibling_attempts = event.out
-            worker.recent_sends.append((now, event.work))
+            worker.sibling_attempts = event.open_attempts
+            worker.recent_sends.append((now, event.added_work))
             self._gossip.mark_changed(worker)
 
     def _endpoints_updated(self, event: EndpointsUpdated, now: float) -> None:
         if event.kind == EndpointListKind.FAILED:
             self._watching = False
-        elif self._fleet.apply_entries(event.entries, event.kind != EndpointListKind.DELTA, now):
+        elif self._fleet.apply_entries(event.endpoints, event.kind != EndpointListKind.DELTA, now):
             self._split_anew()
 
     def _request_received(self, event: RequestReceived, now: float) -> None:
-        if event.class_index >= len(self._queues.pacers) or event.id in self._requests:
-            raise ValueError(f"request {event.id}: unknown class {event.class_index} or id in use")
+        if event.class_index >= len(self._queues.pacers) or event.request_id in self._requests:
+            raise ValueError(f"request {event.request_id}: unknown class {event.class_index} or id in use")
         request, slack = self._queue_request(event, now)
         self._slow_start.min_cost = min(self._slow_start.min_cost, request.budget_cost)
         if request.key:
@@ -259,8 +259,8 @@
         )
         slack = min(aim, left) - run
         request = QueuedRequest(
-            id=event.id,
-            key=event.key,
+            id=event.request_id,
+            key=event.affinity_key,
             deadline=event.deadline,
             expected_work=event.expected_work,
             queue_id=queue_id,
@@ -286,12 +286,12 @@
             self._fleet.key_orders.clear()
 
     def _attempt_ended(self, event: AttemptEnded, now: float) -> None:
-        request, attempt = self._find(event.id, event.attempt)
+        request, attempt = self._find(event.request_id, event.attempt_number)
         if attempt is None or not attempt.open:
             return  # an attempt from before this dispatcher's present life
         self._close(attempt)
         outcome, worker = event.outcome, self._fleet.workers[attempt.entry.worker]
-        self._reports.record_report(worker, event.load, now)
+        self._reports.record_report(worker, event.load_report, now)
         attempt.may_have_run = outcome not in NEVER_RAN
         self._fleet.pausing[worker.entry.worker] = worker
         if outcome in (Outcome.OK, Outcome.ERROR):
@@ -302,14 +302,14 @@
             )
         self._outcomes.record_end(attempt, event, now)
         if request is None:
-            del self._late_attempts[event.id, event.attempt]
-        elif event.final:
+            del self._late_attempts[event.request_id, event.attempt_number]
+        elif event.is_final:
             self._finish(request)
         elif not request.has_open_attempt() and request.queue is None:
             self._go_on(request, now, outcome == Outcome.ERROR)
 
     def _attempt_progressed(self, event: AttemptProgressed, now: float) -> None:
-        _, attempt = self._find(event.id, event.attempt)
+        _, attempt = self._find(event.request_id, event.attempt_number)
         if attempt is None or not attempt.open:
             return
         attempt.last_heard_at = now
@@ -476,7 +476,9 @@
         self._outliers.record_send(attempt, worker)
         request.pacer.count_send(now)
         self._retry_budget.count_attempt()
-        self._context.actions.append(StartAttempt(request.id, worker.entry.worker, work=request.budget_cost))
+        self._context.actions.append(
+            StartAttempt(request.id, worker.entry.worker, expected_work=request.budget_cost)
+        )
 
     def _add_to_worker(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
         """Takes in at its worker that an attempt is out."""
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -95,7 +95,7 @@
         """When the worker's silence becomes suspect: measured from its last sign of life."""
         oldest = next(iter(worker.open_attempts.values()))
         runs = SILENT_RUNS * self._typical_duration_ms(oldest.request)
-        notes = SILENT_NOTES * self._context.settings.progress_interval
+        notes = SILENT_NOTES * self._context.settings.progress_interval_ms
         return max(worker.last_heard_at, oldest.sent_at) + (notes or runs)
 
     def _stuck_at(self, attempt: AttemptRecord, worker: Worker) -> float:
@@ -106,8 +106,8 @@
         if attempt.started_at is not None:
             notes = SILENT_NOTES if worker.silent else STUCK_NOTES
             return (
-                attempt.last_heard_at + notes * settings.progress_interval
-                if settings.progress_interval
+                attempt.last_heard_at + notes * settings.progress_interval_ms
+                if settings.progress_interval_ms
                 else inf
             )
         if not settings.workers_report_start:
--- a/eiderfield/wire.py
+++ b/eiderfield/wire.py
@@ -270,7 +270,7 @@
 
 
 def _encode_cancel(node: int, action: CancelAttempt) -> bytes:
-    return _CANCEL.pack(CANCEL, node, action.id, action.attempt)
+    return _CANCEL.pack(CANCEL, node, action.request_id, action.attempt_number)
 
 
 def _encode_log(node: int, action: LogMessage) -> bytes:
@@ -282,7 +282,7 @@
 
 
 def _encode_watch(node: int, action: WatchEndpoints) -> bytes:
-    return _WATCH.pack(WATCH, node, action.on)
+    return _WATCH.pack(WATCH, node, action.enabled)
 
 
 def _encode_probe(node: int, action: ProbeWorker) -> bytes:
@@ -290,15 +290,15 @@
 
 
 def _encode_send(node: int, action: StartAttempt) -> bytes:
-    return _SEND.pack(SEND, node, action.id, action.worker, action.timeout)
+    return _SEND.pack(SEND, node, action.request_id, action.worker, action.timeout_ms)
 
 
 def _encode_timer(node: int, action: SetTimer) -> bytes:
-    return _TIMER.pack(TIMER, node, action.at, action.token)
+    return _TIMER.pack(TIMER, node, action.fires_at, action.token)
 
 
 def _encode_refuse(node: int, action: RejectRequest) -> bytes:
-    return _REFUSE.pack(REFUSE, node, action.id, action.retry_after)
+    return _REFUSE.pack(REFUSE, node, action.request_id, action.retry_after_ms)
 
 
 def _encode_tell(node: int, action: SendPeerReport) -> bytes:
@@ -307,7 +307,7 @@
 
 
 def _encode_fail(node: int, action: FailRequest) -> bytes:
-    return _NODE_ID.pack(FAIL, node, action.id)
+    return _NODE_ID.pack(FAIL, node, action.request_id)
 
 
 _ENCODERS: dict[type[Action], Callable[[int, Any], bytes]] = {
@@ -445,7 +445,7 @@
         if pairs.text("load_info.how", "none") == "none"
         else tuple(pairs.words("load_info.columns")),
         workers_report_start=pairs.flag("family_info.tells_start"),
-        progress_interval=pairs.number("family_info.progress", 0.0),
+        progress_interval_ms=pairs.number("family_info.progress", 0.0),
         cancellation_allowed=pairs.flag(limits + "cancel"),
         probing_allowed=pairs.flag(limits + "probes"),
         gossip_allowed=pairs.flag(limits + "may_tell"),
--- a/tests/support/deployments.py
+++ b/tests/support/deployments.py
@@ -18,7 +18,7 @@
         zone_count=4,
         hedging_allowed=False,
         probing_allowed=True,
-        progress_interval=1000.0,
+        progress_interval_ms=1000.0,
         cross_zone_cost=0.025,
         over_quota_weight=0.1,
     ),
@@ -34,7 +34,7 @@
         dispatcher_count=2,
         probing_allowed=True,
         gossip_allowed=True,
-        progress_interval=1000.0,
+        progress_interval_ms=1000.0,
         drain_grace_ms=1000.0,
         slow_start_window_ms=23_000.0,
         slow_start_share=0.13,
@@ -67,9 +67,9 @@
         load_report_fields=("x0",),
     ),
     "one attempt, never twice": replace(BASE, classes=(UNSAFE,), max_attempts=1, hedging_allowed=False),
-    "one worker": replace(BASE, progress_interval=1000.0, load_report_fields=("x0",)),
+    "one worker": replace(BASE, progress_interval_ms=1000.0, load_report_fields=("x0",)),
     "two hundred dispatchers": replace(
-        BASE, dispatcher_count=200, dispatcher_index=77, hedging_allowed=False, progress_interval=1000.0
+        BASE, dispatcher_count=200, dispatcher_index=77, hedging_allowed=False, progress_interval_ms=1000.0
     ),
 }
 
--- a/tests/support/driven_fleet.py
+++ b/tests/support/driven_fleet.py
@@ -197,13 +197,13 @@
 
     def _carry_out(self, node: int, action: object) -> None:
         if isinstance(action, SetTimer):
-            self.at(action.at, lambda: self._post(node, TimerFired(action.token)))
+            self.at(action.fires_at, lambda: self._post(node, TimerFired(action.token)))
         elif isinstance(action, StartAttempt):
-            self._send(self.requests[action.id], self.workers[action.worker])
+            self._send(self.requests[action.request_id], self.workers[action.worker])
         elif isinstance(action, CancelAttempt):
-            self._end(self.requests[action.id].attempts[action.attempt], Outcome.CANCELLED)
+            self._end(self.requests[action.request_id].attempts[action.attempt_number], Outcome.CANCELLED)
         elif isinstance(action, RejectRequest | FailRequest):
-            request = self.requests[action.id]
+            request = self.requests[action.request_id]
             if isinstance(action, RejectRequest) and not self._may_refuse(request):
                 raise RuleBrokenError(f"request {request.id}: rejected though it may have run")
             self._answer(request, served=False)
@@ -291,13 +291,13 @@
     def _tell_start(self, attempt: ModelledAttempt) -> None:
         if self.settings.workers_report_start:
             self.at(self.now + self.load.round_trip / 2.0, lambda: self._note(attempt, ProgressKind.STARTED))
-        if self.settings.progress_interval:
-            self.at(self.now + self.settings.progress_interval, lambda: self._progress(attempt))
+        if self.settings.progress_interval_ms:
+            self.at(self.now + self.settings.progress_interval_ms, lambda: self._progress(attempt))
 
     def _progress(self, attempt: ModelledAttempt) -> None:
         if attempt.open and attempt.running and not attempt.worker.hung:
             self._note(attempt, ProgressKind.SHARE_DONE)
-            self.at(self.now + self.settings.progress_interval, lambda: self._progress(attempt))
+            self.at(self.now + self.settings.progress_interval_ms, lambda: self._progress(attempt))
 
     def _note(self, attempt: ModelledAttempt, what: int) -> None:
         if attempt.open:
--- a/tests/support/extreme_settings.py
+++ b/tests/support/extreme_settings.py
@@ -155,7 +155,7 @@
         steady(250_000.0),
     ),
     "hung worker, deadline 200 ms, notes each 1 s": Case(
-        settings_of(SHORT, cancellation_allowed=False, progress_interval=1000.0),
+        settings_of(SHORT, cancellation_allowed=False, progress_interval_ms=1000.0),
         Load(40.0, 5.0),
         one_hangs(20_000.0),
     ),
@@ -206,7 +206,7 @@
         settings_of(*_SHORT_EFFECTS, slow_start_window_ms=500.0), Load(4.0, 5.0), mixed_faults(500.0)
     ),
     "faults, deadline 200 ms, warm-up 600 s": Case(
-        settings_of(*_SHORT_EFFECTS, slow_start_window_ms=600_000.0, progress_interval=50.0),
+        settings_of(*_SHORT_EFFECTS, slow_start_window_ms=600_000.0, progress_interval_ms=50.0),
         Load(4.0, 5.0),
         mixed_faults(500.0),
     ),
@@ -215,7 +215,7 @@
     ),
     "faults, deadline 300 s, hedging": Case(
         settings_of(
-            *_LONG_EFFECTS, hedging_allowed=True, cancellation_allowed=False, progress_interval=1000.0
+            *_LONG_EFFECTS, hedging_allowed=True, cancellation_allowed=False, progress_interval_ms=1000.0
         ),
         Load(1000.0, 2000.0),
         mixed_faults(60_000.0),
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -95,44 +95,44 @@
     def judge(self, action):
         """Checks one action against the rules."""
         if isinstance(action, SetTimer):
-            self.timers.append((action.at, action.token))
+            self.timers.append((action.fires_at, action.token))
         elif isinstance(action, CancelAttempt):
-            if not self.settings.cancellation_allowed or action.attempt >= len(
-                self.jobs[action.id]["attempts"]
+            if not self.settings.cancellation_allowed or action.attempt_number >= len(
+                self.jobs[action.request_id]["attempts"]
             ):
                 raise RuleBrokenError("cancel not allowed or of an attempt never sent")
         elif isinstance(action, RejectRequest | FailRequest):
-            job = self.jobs[action.id]
+            job = self.jobs[action.request_id]
             if job["answered"] is not None and not job["gone"]:  # naming a client just gone does no harm
-                raise RuleBrokenError(f"rule 1: {action.id} answered twice")
+                raise RuleBrokenError(f"rule 1: {action.request_id} answered twice")
             job["answered"] = self.now
             cls = self.settings.classes[job["cls"]]
             ran = [a for a in job["attempts"] if a["may"]]
             free = cls.effect == Effect.SAFE or (cls.effect == Effect.KEYED and cls.scope == Scope.ALL)
             if isinstance(action, RejectRequest) and ran and not free:
-                raise RuleBrokenError(f"rule 2: {action.id} refused though it may have run")
+                raise RuleBrokenError(f"rule 2: {action.request_id} refused though it may have run")
         elif isinstance(action, StartAttempt):
             self.judge_send(action)
 
     def judge_send(self, action):
         """Rules 1 to 4 for a send."""
-        job, entry = self.jobs[action.id], self.entries[action.worker]
+        job, entry = self.jobs[action.request_id], self.entries[action.worker]
         cls = self.settings.classes[job["cls"]]
         if job["answered"] is not None or job["gone"]:
-            raise RuleBrokenError(f"rule 1: {action.id} sent after its end")
+            raise RuleBrokenError(f"rule 1: {action.request_id} sent after its end")
         ran = [a for a in job["attempts"] if a["may"]]
         if any(a["out"] for a in job["attempts"]) and not self.settings.hedging_allowed:
             raise RuleBrokenError("two attempts at once")
         if ran and cls.effect == Effect.UNSAFE:
-            raise RuleBrokenError(f"rule 2: unsafe {action.id} sent again")
+            raise RuleBrokenError(f"rule 2: unsafe {action.request_id} sent again")
         if ran and cls.effect == Effect.KEYED:
             first = ran[0]
             zone, cell = entry.zone == first["zone"], entry.cell == first["cell"]
             same = {Scope.ALL: True, Scope.ZONE: zone, Scope.CELL: cell}[cls.scope]
             if not same or self.now > first["sent"] + cls.repeat_window_ms:
-                raise RuleBrokenError(f"rule 2: keyed {action.id} outside its group or window")
+                raise RuleBrokenError(f"rule 2: keyed {action.request_id} outside its group or window")
         if entry.state != EndpointState.READY:
-            raise RuleBrokenError(f"rule 3: {action.id} to a worker that drains or is gone")
+            raise RuleBrokenError(f"rule 3: {action.request_id} to a worker that drains or is gone")
         age = self.now - entry.ready_at
         if entry.ready_at > 0 and age < self.settings.slow_start_window_ms:
             self.sent_cold.append((self.now, action.worker))
@@ -155,7 +155,7 @@
                 raise RuleBrokenError(f"rule 4: {recent} jobs to a cold worker")
         place = {"zone": entry.zone, "cell": entry.cell, "w": action.worker}
         job["attempts"].append({"sent": self.now, "may": True, "out": True, **place})
-        self.out.append((action.id, len(job["attempts"]) - 1))
+        self.out.append((action.request_id, len(job["attempts"]) - 1))
 
     def lot(self, worker, age):
         """The share of a job that must be left of this node's part for a whole one: 1 where nodes are few. Of
@@ -237,7 +237,9 @@
                 job["answered"] = self.now
         over = job["answered"] is not None or job["gone"]
         load = tuple(self.rng.choice(FIGURES) for _ in self.settings.load_report_fields)
-        return AttemptEnded(id_, number, attempt["w"], how, self.now - attempt["sent"], over, load=load)
+        return AttemptEnded(
+            id_, number, attempt["w"], how, self.now - attempt["sent"], over, load_report=load
+        )
 
     def run(self, steps):
         """Plays so many steps, then lets the time of all clients run out."""
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -179,32 +179,32 @@
         key = min(120, int(self.rng.paretovariate(0.9)))
         due = self.now + SITE.classes[cls].deadline_ms
         self.jobs[me, id_] = {"cls": cls, "due": due, "legs": [], "done": None, "run": cost * RUN}
-        self.handle(me, RequestReceived(id_, cls, due, key=key))
+        self.handle(me, RequestReceived(id_, cls, due, affinity_key=key))
 
     def handle(self, me, *events):
         for action in self.nodes[me].handle(self.now, list(events)):
             if isinstance(action, StartAttempt):
                 self.send(me, action)
             elif isinstance(action, CancelAttempt):
-                self.cancel(me, action.id, action.attempt)
+                self.cancel(me, action.request_id, action.attempt_number)
             elif isinstance(action, RejectRequest | FailRequest):
-                self.answer(me, action.id, type(action))
+                self.answer(me, action.request_id, type(action))
             elif isinstance(action, SetTimer):
-                self.at(action.at, self.handle, me, TimerFired(action.token))
+                self.at(action.fires_at, self.handle, me, TimerFired(action.token))
 
     def send(self, me, action):
-        job, simulated = self.jobs[me, action.id], self.simulated_workers[action.worker]
+        job, simulated = self.jobs[me, action.request_id], self.simulated_workers[action.worker]
         state, since = self.told[me][action.worker]
         if state != EndpointState.READY and self.now > since + SITE.drain_grace_ms:
             self.broken.append(f"3: node {me} to {action.worker}, told {self.now - since:.0f} ms before")
         if any(leg["out"] for leg in job["legs"]) or job["done"] is not None:
-            self.broken.append(f"1, 2: job {action.id} of node {me} has a leg out or is over")
+            self.broken.append(f"1, 2: job {action.request_id} of node {me} has a leg out or is over")
         ran = [leg for leg in job["legs"] if leg["may"]]
         if ran and SITE.classes[job["cls"]].effect == Effect.KEYED and ran[0]["zone"] != simulated.entry.zone:
-            self.broken.append(f"2: job {action.id} of node {me} repeated in another zone")
+            self.broken.append(f"2: job {action.request_id} of node {me} repeated in another zone")
         leg = {
             "me": me,
-            "id": action.id,
+            "id": action.request_id,
             "n": len(job["legs"]),
             "simulated": simulated,
             "out": True,
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -256,7 +256,7 @@
 
 
 def test_a_hedged_request_is_not_begun_for_a_client_that_has_left():
-    harness = ListenerHarness(site=replace(SITE, hedging_allowed=True, progress_interval=100.0), workers=2)
+    harness = ListenerHarness(site=replace(SITE, hedging_allowed=True, progress_interval_ms=100.0), workers=2)
     client = SocketClient(harness)
     client.send(message("r0"))
     harness.turn()
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -74,7 +74,7 @@
 
 
 def test_a_hedged_request_is_told_what_is_left_when_it_is_written():
-    dispatcher = InMemoryDispatcher(slow_site(hedging_allowed=True, progress_interval=100.0), workers=2)
+    dispatcher = InMemoryDispatcher(slow_site(hedging_allowed=True, progress_interval_ms=100.0), workers=2)
     delays = Delays(dispatcher)
     delays.client("/safe/a", "r1", 3000)
     first = dispatcher.dials[0].up()
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -182,7 +182,7 @@
     node = Node(site, workers=1)
     events = [RequestReceived(n, 0, 5000.0, tenant_index=1) for n in range(1, 41)]
     events += [RequestReceived(n, 0, 5000.0, tenant_index=0) for n in range(41, 51)]
-    refused = {action.id for action in told(node.play(*events), RejectRequest)}
+    refused = {action.request_id for action in told(node.play(*events), RejectRequest)}
     assert refused, "only of the one that is over its share"
     assert refused <= set(range(1, 41)), "only of the one that is over its share"
 
@@ -256,5 +256,5 @@
     node = Node(replace(DEPLOYMENTS["admissions"], tenants=(), dispatcher_count=1), workers=1)
     node.dispatcher._reports.slots_per_kind[0] = 4.0
     id_, _ = node.arrive(cls=0)
-    node.play(AttemptEnded(id_, 0, 1, Outcome.OK, 1.0, True, load=(9.0, 9.0, 0.0)))
+    node.play(AttemptEnded(id_, 0, 1, Outcome.OK, 1.0, True, load_report=(9.0, 9.0, 0.0)))
     assert told(node.arrive(cls=0)[1], StartAttempt), "what was free seconds ago is no limit"
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -34,12 +34,14 @@
     for _ in range(40):
         actions = node.arrive(cls=cls)[1]
         while found := sends(actions):
-            send, number = found[0], len(node.dispatcher._requests[found[0].id].attempts) - 1
+            send, number = found[0], len(node.dispatcher._requests[found[0].request_id].attempts) - 1
             node.now += 1.0
-            node.play(AttemptProgressed(send.id, number, send.worker, ProgressKind.STARTED, 0.0))
+            node.play(AttemptProgressed(send.request_id, number, send.worker, ProgressKind.STARTED, 0.0))
             node.now += 1.0
             outcome = Outcome.ERROR if send.worker == 1 else Outcome.OK
-            actions = node.play(AttemptEnded(send.id, number, send.worker, outcome, 2.0, send.worker == 2))
+            actions = node.play(
+                AttemptEnded(send.request_id, number, send.worker, outcome, 2.0, send.worker == 2)
+            )
         if node.dispatcher._fleet.workers[1].ejections:
             return node
     raise AssertionError("the failing worker was never known for one")
@@ -74,7 +76,7 @@
     id_, actions = node.arrive(cls=0)
     assert [s.worker for s in sends(actions)] == [1]
     node.play(AttemptEnded(id_, 0, 1, Outcome.CONNECT_FAILED, 1.0, False))
-    assert 1 in node.dispatcher.snapshot(node.now).avoided
+    assert 1 in node.dispatcher.snapshot(node.now).avoided_workers
 
 
 @pytest.mark.parametrize(("ran", "again"), [(1.0, True), (600.0, False)])
@@ -111,10 +113,10 @@
     node.play(AttemptProgressed(first, 0, 1, ProgressKind.STARTED, 0.0))
     assert not sends(node.arrive(cls=0, slots=4.0)[1])
     small, actions = node.arrive(cls=0, slots=1.0)
-    assert [s.id for s in sends(actions)] == [small], "who fits passes the one that does not"
+    assert [s.request_id for s in sends(actions)] == [small], "who fits passes the one that does not"
     node.play(AttemptProgressed(small, 0, 1, ProgressKind.STARTED, 0.0))
     node.play(AttemptEnded(small, 0, 1, Outcome.OK, 5.0, True), at=5.0)
-    assert [s.id for s in sends(node.play(AttemptEnded(first, 0, 1, Outcome.OK, 5.0, True)))] == [2]
+    assert [s.request_id for s in sends(node.play(AttemptEnded(first, 0, 1, Outcome.OK, 5.0, True)))] == [2]
 
 
 def test_a_large_job_does_not_starve_it_waits_at_a_worker_once_it_would_be_late():
@@ -123,7 +125,7 @@
     node.play(AttemptProgressed(first, 0, 1, ProgressKind.STARTED, 0.0))
     large, actions = node.arrive(cls=0, slots=2.0)
     assert not sends(actions)
-    assert [s.id for s in sends(node.play(at=500.0))] == [large]
+    assert [s.request_id for s in sends(node.play(at=500.0))] == [large]
 
 
 def test_alone_and_with_reports_nothing_waits_unseen_at_a_worker():
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -49,9 +49,9 @@
     "fall 50 ms": replace(BASE, recovery_ramp_ms=50.0),
     "fall 60 s": replace(BASE, recovery_ramp_ms=60_000.0),
     "200 dispatchers": replace(with_times(20.0), dispatcher_count=200, dispatcher_index=77),
-    "notes each 50 ms": replace(with_times(20.0), progress_interval=50.0),
+    "notes each 50 ms": replace(with_times(20.0), progress_interval_ms=50.0),
     "notes each 10 s, no cancel": replace(
-        with_times(60_000.0), progress_interval=10_000.0, cancellation_allowed=False
+        with_times(60_000.0), progress_interval_ms=10_000.0, cancellation_allowed=False
     ),
     "tick 20 ms": replace(BASE, clock_resolution_ms=20.0, answer_slack_ms=0.0),
 }
@@ -145,7 +145,7 @@
     worker = sends(actions)[0].worker
     node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=1.0)
     node.play(AttemptEnded(id_, 0, worker, Outcome.OK, 3.0, True), at=3.0)
-    assert node.dispatcher.snapshot().out == 0
+    assert node.dispatcher.snapshot().open_attempts == 0
 
 
 @pytest.mark.parametrize("window", [1.0, MAX_WRITE_DELAY_MS - 1.0, MAX_WRITE_DELAY_MS + 20.0, 300_000.0])
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -318,7 +318,7 @@
     assert not {Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT} & set(stage.outcomes)
     assert not any("silent, " in line for line in stage.logged)
     draining = {stage.table.ids.worker("w1")}
-    assert stage.exchange.snapshot(stage.clock()).avoided <= draining
+    assert stage.exchange.snapshot(stage.clock()).avoided_workers <= draining
 
 
 LOCAL_FAULTS = [
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -101,7 +101,7 @@
     dispatcher.advance(RETRY_MS)
     assert dial.cancelled
     assert dispatcher.outcomes == [Outcome.MOOT]
-    assert not dispatcher.exchange.snapshot(dispatcher.now).avoided
+    assert not dispatcher.exchange.snapshot(dispatcher.now).avoided_workers
     dispatcher.advance(RETRY_MS)
     dispatcher.dials[0].up().finish()
     assert client.answers()[0][0] == 200
@@ -137,7 +137,7 @@
     first.delayed(Cause.ROUTE)
     dispatcher.settle()
     assert dispatcher.outcomes.count(Outcome.CONNECT_FAILED) == 1
-    assert dispatcher.exchange.snapshot(dispatcher.now).avoided == {first.connection.worker}
+    assert dispatcher.exchange.snapshot(dispatcher.now).avoided_workers == {first.connection.worker}
 
 
 @pytest.mark.parametrize(
@@ -154,7 +154,7 @@
     end.connection.connection_lost(failed(errno.ENOBUFS))
     dispatcher.settle()
     assert dispatcher.outcomes == [outcome]
-    assert not dispatcher.exchange.snapshot(dispatcher.now).avoided
+    assert not dispatcher.exchange.snapshot(dispatcher.now).avoided_workers
     assert [answer[0] for answer in client.answers()] == ([status] if status else [])
 
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -29,8 +29,8 @@
 
 def ignore_drains(real):
     def listed(self, event, now):
-        ready = [replace(entry, state=EndpointState.READY) for entry in event.entries]
-        real(self, replace(event, entries=tuple(ready)), now)
+        ready = [replace(entry, state=EndpointState.READY) for entry in event.endpoints]
+        real(self, replace(event, endpoints=tuple(ready)), now)
 
     return listed
 
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -147,10 +147,10 @@
     pacer.rate, pacer.uncut_rate, pacer.window_start = 10.0, 10.0, 0.0
     ids = [node.next_id + n for n in range(3)]
     got = sends(node.play(*(RequestReceived(i, 0, 5000.0) for i in ids)))
-    assert [s.id for s in got] == ids[:1]
+    assert [s.request_id for s in got] == ids[:1]
     assert not sends(node.play(at=99.0))
-    assert [s.id for s in sends(node.play(at=100.0))] == ids[1:2]
-    assert [s.id for s in sends(node.play(at=200.0))] == ids[2:]
+    assert [s.request_id for s in sends(node.play(at=100.0))] == ids[1:2]
+    assert [s.request_id for s in sends(node.play(at=200.0))] == ids[2:]
 
 
 def test_the_pick_is_the_ready_worker_with_fewest_own_jobs():
@@ -181,7 +181,7 @@
     refused = []
     for _ in range(5):
         id_, actions = node.arrive(cls=1)
-        refused += [(a.id, a.retry_after) for a in actions if isinstance(a, RejectRequest)]
+        refused += [(a.request_id, a.retry_after_ms) for a in actions if isinstance(a, RejectRequest)]
     assert [r[0] for r in refused] == [*reversed(low), id_]
     assert all(0.0 < r[1] <= 2000.0 for r in refused)
 
@@ -212,7 +212,7 @@
     """The workers that took jobs of one key, each ended at once."""
     used = set()
     for _ in range(count):
-        id_, actions = node.arrive(key=key)
+        id_, actions = node.arrive(affinity_key=key)
         for send in sends(actions):
             used.add(send.worker)
             node.play(AttemptProgressed(id_, 0, send.worker, 1, 0.0))
@@ -299,7 +299,7 @@
         actions = node.play(AttemptProgressed(id_, attempt, 1, 1, 0.0))
         worker.full_until = 0.0
         actions += node.end(id_, attempt, 1, Outcome.OK, final=True)
-        order += [s.id for s in sends(actions)]
+        order += [s.request_id for s in sends(actions)]
     assert order == [fresh, *late], "and what is late is sent all the same once nothing else waits"
 
 
@@ -310,7 +310,7 @@
     node.play(at=400.0)
     node.play(at=401.0)
     actions = [a for _ in range(40) for a in node.arrive(cls=1)[1]]
-    assert [a.id for a in actions if isinstance(a, RejectRequest)][:3] == late[::-1]
+    assert [a.request_id for a in actions if isinstance(a, RejectRequest)][:3] == late[::-1]
     node = Node(replace(BASE, classes=(SAFE, UNSAFE)), workers=1)
     node.arrive()
     node.arrive()
@@ -323,19 +323,19 @@
     node = Node(replace(BASE, hedging_allowed=False), workers=1)
     for _ in range(40):  # what a worker serves is learnt from what it served
         node.now += 100.0
-        [send] = sends(node.arrive(key=7)[1])
-        node.end(send.id, 0, send.worker, Outcome.OK, final=True, elapsed=90.0)
+        [send] = sends(node.arrive(affinity_key=7)[1])
+        node.end(send.request_id, 0, send.worker, Outcome.OK, final=True, elapsed=90.0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 2, (Endpoint(1, ready_at=node.now), Endpoint(2))))
     started, got = node.now, []
     while not got and node.now < started + BASE.slow_start_window_ms:
         node.now += 50.0
-        for send in sends(node.arrive(key=7)[1]):
+        for send in sends(node.arrive(affinity_key=7)[1]):
             got += [node.now - started] if send.worker == 1 else []
-            node.end(send.id, 0, send.worker, Outcome.OK, final=True, elapsed=40.0)
+            node.end(send.request_id, 0, send.worker, Outcome.OK, final=True, elapsed=40.0)
     assert got
     assert COLD_REST * BASE.slow_start_window_ms <= got[0] < (COLD_REST + 0.1) * BASE.slow_start_window_ms
     node.dispatcher._fleet.workers[1].recent_sends.append((node.now, inf))
-    assert [send.worker for send in sends(node.arrive(key=7)[1])] == [2], "its budget is spent"
+    assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [2], "its budget is spent"
 
 
 def test_cold_homes_whose_budgets_let_nothing_through_hold_up_no_key():
@@ -357,7 +357,7 @@
     for _ in range(2):
         [send] = sends(node.arrive()[1])
         assert send.worker == 2
-        node.play(AttemptProgressed(send.id, 0, 2, ProgressKind.STARTED, 0.0))
+        node.play(AttemptProgressed(send.request_id, 0, 2, ProgressKind.STARTED, 0.0))
     node.play(SiblingReportReceived(1, 0, 0.0))
     assert [send.worker for send in sends(node.arrive()[1])] == [1]
     module, node.now = node.dispatcher, 10_000.0
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -28,7 +28,7 @@
     id_, actions = node.arrive(due=100.0)
     assert not sends(actions)
     actions = node.play(at=97.0)
-    assert [a.id for a in actions if isinstance(a, RejectRequest)] == [id_]
+    assert [a.request_id for a in actions if isinstance(a, RejectRequest)] == [id_]
 
 
 def test_an_unsafe_job_that_is_out_fails_at_its_end_and_is_not_refused(node):
@@ -104,7 +104,7 @@
     for outcome in (Outcome.CANCELLED, Outcome.OK):
         actions = node.end(id_, 0, worker, outcome, final=True)
         assert not [a for a in actions if not isinstance(a, CancelAttempt)]
-    assert node.dispatcher.snapshot().out == 0
+    assert node.dispatcher.snapshot().open_attempts == 0
 
 
 def test_a_cold_worker_gets_nothing_while_nothing_has_been_served():
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -103,7 +103,7 @@
     dispatcher.exchange.process_resumed(4_000.0)
     dispatcher.settle()
     assert end.pipe.open
-    assert not dispatcher.exchange.snapshot(dispatcher.now).avoided
+    assert not dispatcher.exchange.snapshot(dispatcher.now).avoided_workers
     assert any("exchange: event loop stalled (ms=4000)" in line for line in dispatcher.logged)
     end.say({"id": "r1", "from": "w", "state": "done", "result": "ok"}, head=False, end=True)
     assert client.answers()
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -30,13 +30,13 @@
 SITES = {
     **VARIANTS,
     "reports and probes": PROBING,
-    "peers": replace(BASE, gossip_allowed=True, dispatcher_count=6, progress_interval=40.0),
+    "peers": replace(BASE, gossip_allowed=True, dispatcher_count=6, progress_interval_ms=40.0),
     "many": replace(
         BASE,
         dispatcher_count=40,
         dispatcher_index=3,
         hedging_allowed=False,
-        progress_interval=40.0,
+        progress_interval_ms=40.0,
         cross_zone_cost=0.1,
     ),
 }
@@ -69,7 +69,7 @@
     def handle(now, events):
         actions = real(now, events)
         for action in actions:
-            work = struct.pack("<d", action.work) if isinstance(action, StartAttempt) else b""
+            work = struct.pack("<d", action.expected_work) if isinstance(action, StartAttempt) else b""
             digest.update(struct.pack("<d", now) + encode(number, action) + work)
         return actions
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -66,7 +66,7 @@
     real = Dispatcher._attempt_ended
 
     def heard(module, event, now):
-        loads.append(event.load)
+        loads.append(event.load_report)
         return real(module, event, now)
 
     monkeypatch.setattr(Dispatcher, "_attempt_ended", heard)
@@ -95,7 +95,7 @@
 
 
 def ended(node, id_, worker, load, outcome=Outcome.OK):
-    return node.play(AttemptEnded(id_, 0, worker, outcome, 1.0, outcome == Outcome.OK, load=load))
+    return node.play(AttemptEnded(id_, 0, worker, outcome, 1.0, outcome == Outcome.OK, load_report=load))
 
 
 def test_a_report_without_the_free_slots_changes_nothing():
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -74,7 +74,7 @@
     node = part(3, 40)
     used = set()
     for key in range(1, 60):
-        id_, actions = node.arrive(key=key)
+        id_, actions = node.arrive(affinity_key=key)
         for sent in sends(actions):
             used.add(sent.worker)
             node.end(id_, 0, sent.worker, Outcome.OK, final=True)
@@ -222,8 +222,8 @@
             node.end(attempt.request.id, 0, 0, Outcome.OK, final=True, elapsed=work)
         node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_rate_at = each, node.now
         node.dispatcher._queues.pacers[0].mean_duration = work
-        for send in sends(node.arrive(key=7)[1]):
-            node.play(AttemptProgressed(send.id, 0, send.worker, 1, 0.0))
+        for send in sends(node.arrive(affinity_key=7)[1]):
+            node.play(AttemptProgressed(send.request_id, 0, send.worker, 1, 0.0))
             sent += [age] * (send.worker == 1)
         capacity = warm * (
             BASE.slow_start_share + (1.0 - BASE.slow_start_share) * age / BASE.slow_start_window_ms
@@ -254,11 +254,11 @@
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=node.now - 4000.0),)))
     drawn = module._fleet.workers[3].budget_threshold
     module._key_counts.by_key[7] = module._key_counts.total = 100  # a hot key: all workers are its homes
-    assert [send.worker for send in sends(node.arrive(key=7)[1])] == [3], drawn
+    assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [3], drawn
     few = Node(replace(CROWD, dispatcher_count=MANY_DISPATCHERS), workers=8)
     few.dispatcher._slow_start.served_rate, few.dispatcher._slow_start.served_rate_at = 100.0, 60_000.0
     few.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=56_000.0),)), at=60_000.0)
-    assert {send.worker for _ in range(7) for send in sends(few.arrive(key=7)[1])} > {3}
+    assert {send.worker for _ in range(7) for send in sends(few.arrive(affinity_key=7)[1])} > {3}
 
 
 CROWD = replace(BASE, dispatcher_count=40, hedging_allowed=False, zone_count=4)
@@ -267,7 +267,7 @@
 def waiting(settings=CROWD, cls=0, workers=8, **more):
     """A node with one job that waits unstarted at a worker, the job's id and that worker."""
     node = Node(settings, workers=workers)
-    id_, actions = node.arrive(cls=cls, key=7, **more)
+    id_, actions = node.arrive(cls=cls, affinity_key=7, **more)
     return node, id_, sends(actions)[0].worker
 
 
@@ -283,7 +283,7 @@
     assert not cancels(node.play(TimerFired(0), at=patience - 2.0))
     assert cancels(node.play(TimerFired(0), at=patience + 2.0)) == [CancelAttempt(id_, 0)]
     again = sends(node.end(id_, 0, worker, Outcome.CANCELLED))
-    assert [send.id for send in again] == [id_]
+    assert [send.request_id for send in again] == [id_]
     assert again[0].worker != worker
     assert not node.dispatcher._selector.is_free(node.dispatcher._fleet.workers[worker], node.now), (
         "the next would wait too"
@@ -305,7 +305,7 @@
     assert node.dispatcher._outliers.mean_wait_ms > 400.0, "what was called off has waited too"
     for _ in range(60):
         node.now += 1000.0
-        other, actions = node.arrive(key=7)
+        other, actions = node.arrive(affinity_key=7)
         for send in sends(actions):
             node.play(AttemptProgressed(other, 0, send.worker, 1, 0.0), at=node.now + 10.0)
             node.end(other, 0, send.worker, Outcome.OK, final=True)
@@ -327,7 +327,7 @@
         node = Node(replace(CROWD, dispatcher_count=balancers), workers=40)
         node.dispatcher._key_counts.by_key.update({1: 800, 2: 200})
         node.dispatcher._key_counts.total = 1000
-        id_, _ = node.arrive(key=2)
+        id_, _ = node.arrive(affinity_key=2)
         job = node.dispatcher._requests[id_]
         job.attempts.clear()
         homes.append(len(node.dispatcher._selector.homes(job, 600.0)))
@@ -345,10 +345,10 @@
     assert node.dispatcher._selector.is_free(full, node.now + 600.0)
     node.now += 600.0
     for _ in range(40):  # a trial comes, and its answer makes an end of the matter
-        for send in sends(node.arrive(key=7)[1]):
-            node.end(send.id, 0, send.worker, Outcome.OK, final=True)
+        for send in sends(node.arrive(affinity_key=7)[1]):
+            node.end(send.request_id, 0, send.worker, Outcome.OK, final=True)
     assert full.ejections == 0
-    assert worker not in node.dispatcher.snapshot(node.now).avoided
+    assert worker not in node.dispatcher.snapshot(node.now).avoided_workers
 
 
 def test_what_is_called_off_unstarted_is_no_repeat_of_what_may_have_run():
@@ -370,7 +370,7 @@
         1000  # beside which the others are rare
     )
     for key in range(2, 20):
-        id_, actions = node.arrive(cls=1, key=key)
+        id_, actions = node.arrive(cls=1, affinity_key=key)
         [first] = sends(actions)
         zone = first.worker % 3
         if all(
@@ -379,7 +379,7 @@
         ):
             break
     node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms + 2.0)
-    [again] = [s for s in sends(node.end(id_, 0, first.worker, Outcome.CANCELLED)) if s.id == id_]
+    [again] = [s for s in sends(node.end(id_, 0, first.worker, Outcome.CANCELLED)) if s.request_id == id_]
     assert again.worker % 3 == zone
     assert again.worker != first.worker
 
@@ -403,7 +403,7 @@
     module = (node := Node(FULL, workers=150)).dispatcher
     jobs = []
     for key in range(1, 26):
-        id_, actions = node.arrive(key=key)
+        id_, actions = node.arrive(affinity_key=key)
         jobs.append(module._requests[id_])
         for send in sends(actions):
             node.play(AttemptProgressed(id_, 0, send.worker, 1, 0.0))  # and so it is free for the next
@@ -439,7 +439,7 @@
         sent, wait = node.now, soon * 2.0**number
         assert not cancels(node.play(TimerFired(0), at=sent + wait - 2.0))
         assert cancels(node.play(TimerFired(0), at=sent + wait + 2.0)) == [CancelAttempt(id_, number)]
-        assert [s.id for s in sends(node.end(id_, number, 0, Outcome.CANCELLED))] == [id_]
+        assert [s.request_id for s in sends(node.end(id_, number, 0, Outcome.CANCELLED))] == [id_]
 
 
 def crowded(settings=FULL, **more):
@@ -458,8 +458,8 @@
         "before the queued mean is over"
     )
     [told] = [a for a in node.end(id_, 0, 0, Outcome.CANCELLED) if isinstance(a, RejectRequest)]
-    assert told.id == id_
-    assert told.retry_after > 0.0
+    assert told.request_id == id_
+    assert told.retry_after_ms > 0.0
 
 
 def test_a_late_job_stays_where_queues_are_short_where_nodes_are_few_and_where_late_answers_have_worth():
@@ -496,7 +496,7 @@
     homes = []
     for balancers in (MANY_DISPATCHERS, MANY_DISPATCHERS + 1):
         node = Node(replace(FULL, dispatcher_count=balancers), workers=12)
-        id_, _ = node.arrive(key=7)
+        id_, _ = node.arrive(affinity_key=7)
         job = node.dispatcher._requests[id_]
         job.attempts.clear()
         homes.append(
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -37,7 +37,7 @@
     node = Node(replace(SITE, dispatcher_count=dispatchers or size, dispatcher_index=me), workers=0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 1, tuple(entries or fleet(size))))
     if keyed:
-        serve(node, key=1)
+        serve(node, affinity_key=1)
     return node
 
 
@@ -108,16 +108,16 @@
 def test_a_request_of_a_known_key_costs_no_walk_over_the_fleet(size, examined):
     node = node_of(size)
     for key in range(100, 1100):
-        serve(node, key=key)
-    assert cost(examined, lambda number: serve(node, key=100 + number)).total() <= 40
+        serve(node, affinity_key=key)
+    assert cost(examined, lambda number: serve(node, affinity_key=100 + number)).total() <= 40
 
 
 @pytest.mark.parametrize(("dispatchers", "size"), [(200, 200), (3200, 3200), (200, 3200)])
 def test_a_request_of_a_new_key_hashes_a_subset_once(dispatchers, size, examined):
     node = node_of(size, dispatchers=dispatchers)
     for key in range(100, 1100):
-        serve(node, key=key)
-    most = cost(examined, lambda number: serve(node, key=2000 + number))
+        serve(node, affinity_key=key)
+    most = cost(examined, lambda number: serve(node, affinity_key=2000 + number))
     assert most["stable_hashes_up_to"] <= KEYED_SUBSET * 1.1
     assert (most - Counter(stable_hashes_up_to=size)).total() <= 40, most
 
@@ -131,7 +131,7 @@
 
 def test_a_hot_key_looks_at_a_bounded_number_of_its_homes(examined):
     node = node_of(3200, dispatchers=1)
-    assert cost(examined, lambda number: serve(node, key=1)).total() <= 6 * EXAMINED
+    assert cost(examined, lambda number: serve(node, affinity_key=1)).total() <= 6 * EXAMINED
 
 
 @pytest.mark.parametrize("size", [200, 3200])
@@ -139,11 +139,11 @@
     """The next wake-up was sought, and silence looked for, over all workers in each turn."""
     node = node_of(size)
     for key in range(100, 1100):
-        serve(node, key=key)
-    busy, _ = node.arrive(key=7)
+        serve(node, affinity_key=key)
+    busy, _ = node.arrive(affinity_key=7)
     for worker in node.dispatcher._fleet.key_orders.first_workers(7, 20)[0]:
         worker.full_until = 1e9
-    waiting = [node.arrive(key=7)[0] for _ in range(4)]
+    waiting = [node.arrive(affinity_key=7)[0] for _ in range(4)]
     assert busy in node.dispatcher._requests
     assert waiting[-1] in node.dispatcher._requests
 
@@ -283,7 +283,7 @@
         new = replace(gone, worker=10_000 + number)
         entries[new.worker] = new
         old.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(gone, state=EndpointState.GONE), new)))
-        serve(old, key=rng.randrange(1, 400))
+        serve(old, affinity_key=rng.randrange(1, 400))
     young = node_of(3200, 0, 3200, entries=list(entries.values()))
     assert members(old) == members(young)
     for key in range(1, 400):
@@ -319,10 +319,10 @@
     node = Node(replace(SITE, classes=(SAFE, cellular), dispatcher_count=3200, dispatcher_index=3), workers=0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 1, tuple(entries)))
     for key in (5, 6, 7, 8):
-        id_, actions = node.arrive(cls=1, key=key if keyed else 0)
+        id_, actions = node.arrive(cls=1, affinity_key=key if keyed else 0)
         [first] = sends(actions)
         [again] = sends(node.end(id_, 0, first.worker, Outcome.RESET))
-        assert again.id == id_
+        assert again.request_id == id_
         assert again.worker != first.worker
         assert (again.worker - 1) // 2 == (first.worker - 1) // 2
         node.end(id_, 1, again.worker, Outcome.OK, final=True)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -88,10 +88,10 @@
     first, second = events(TABLE, update, changed, update)
     assert first[1].kind is EndpointListKind.DELTA
     assert first[1].version == 41
-    assert [e.state for e in first[1].entries] == [EndpointState.READY, EndpointState.READY]
-    assert [e.state for e in second[1].entries] == [EndpointState.DRAINING, EndpointState.READY]
-    assert first[1].entries[1].zone == 1
-    assert first[1].entries[1].weight == 1.5
+    assert [e.state for e in first[1].endpoints] == [EndpointState.READY, EndpointState.READY]
+    assert [e.state for e in second[1].endpoints] == [EndpointState.DRAINING, EndpointState.READY]
+    assert first[1].endpoints[1].zone == 1
+    assert first[1].endpoints[1].weight == 1.5
 
 
 def test_a_failed_list_needs_no_table():
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -219,7 +219,9 @@
 
 @pytest.mark.parametrize("fault", ["refused", "reset", "500", "handed back"])
 def test_a_hedged_request_that_fails_at_once_leaves_the_first_attempt_its_answer(fault):
-    dispatcher = InMemoryDispatcher(replace(SITE, hedging_allowed=True, progress_interval=100.0), workers=2)
+    dispatcher = InMemoryDispatcher(
+        replace(SITE, hedging_allowed=True, progress_interval_ms=100.0), workers=2
+    )
     client, first = may_hedge(dispatcher)
     if fault == "refused":
         dispatcher.dials[0].refuse()
@@ -243,7 +245,7 @@
 
 def test_a_hedged_request_and_the_first_attempt_that_fail_in_one_turn_end_in_one_answer():
     dispatcher = InMemoryDispatcher(
-        replace(SITE, hedging_allowed=True, progress_interval=100.0, max_attempts=2), workers=2
+        replace(SITE, hedging_allowed=True, progress_interval_ms=100.0, max_attempts=2), workers=2
     )
     client, first = may_hedge(dispatcher)
     second = dispatcher.dials[0].up()
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -60,7 +60,7 @@
     first = sends(actions)[0].worker
     node.play(AttemptProgressed(id_, 0, first, 1, 0.0))
     copies = sends(node.play(at=1000.0))
-    assert [(s.id, s.worker) for s in copies] == [(id_, 3 - first)]
+    assert [(s.request_id, s.worker) for s in copies] == [(id_, 3 - first)]
 
 
 def test_a_fleet_that_is_silent_throughout_is_still_served():
@@ -97,7 +97,7 @@
     actions += node.play(at=4999.0)
     allowed = (StartAttempt, SetTimer, RejectRequest, FailRequest, LogMessage, CloseIdleConnections)
     assert all(isinstance(action, allowed) for action in actions)
-    assert all(a.retry_after == 0.0 for a in actions if isinstance(a, RejectRequest))
+    assert all(a.retry_after_ms == 0.0 for a in actions if isinstance(a, RejectRequest))
 
 
 @pytest.mark.parametrize(
@@ -141,7 +141,7 @@
         Dispatcher(Settings(classes=()), 1)
 
 
-NOTED = replace(BASE, hedging_allowed=False, progress_interval=1000.0)
+NOTED = replace(BASE, hedging_allowed=False, progress_interval_ms=1000.0)
 
 
 def started(node, cls=0):
@@ -161,8 +161,10 @@
         node.play(AttemptProgressed(other, 0, 3 - worker, 2, 0.1), at=at)
         node.dispatcher._fleet.workers[worker].record_sign_of_life(at)  # by others of this node's jobs
     assert not [a for a in node.play(at=3500.0) if isinstance(a, CancelAttempt)]
-    assert [(a.id, a.attempt) for a in node.play(at=3650.0) if isinstance(a, CancelAttempt)] == [(id_, 0)]
-    assert [s.id for s in sends(node.end(id_, 0, worker, Outcome.CANCELLED))] == [id_]
+    assert [
+        (a.request_id, a.attempt_number) for a in node.play(at=3650.0) if isinstance(a, CancelAttempt)
+    ] == [(id_, 0)]
+    assert [s.request_id for s in sends(node.end(id_, 0, worker, Outcome.CANCELLED))] == [id_]
 
 
 def test_a_note_swallowed_by_a_pause_calls_nothing_off():
@@ -178,7 +180,7 @@
     node = Node(NOTED, workers=2)
     id_, worker = started(node)
     actions = node.play(at=1700.0)
-    assert [a.id for a in actions if isinstance(a, CancelAttempt)] == [id_]
+    assert [a.request_id for a in actions if isinstance(a, CancelAttempt)] == [id_]
     assert [a.worker for a in actions if isinstance(a, CloseIdleConnections)] == [worker]
     assert [s.worker for s in sends(node.end(id_, 0, worker, Outcome.CANCELLED))] == [3 - worker]
 
@@ -260,7 +262,7 @@
     id_, actions = node.arrive(due=12_000.0)
     worker = sends(actions)[0].worker
     actions = node.play(at=1700.0)
-    assert [a.id for a in actions if isinstance(a, CancelAttempt)] == [id_]
+    assert [a.request_id for a in actions if isinstance(a, CancelAttempt)] == [id_]
     assert [a.worker for a in actions if isinstance(a, CloseIdleConnections)] == [worker]
     node.end(id_, 0, worker, Outcome.CANCELLED)
     node.now = 2300.0  # the pause is over: one trial
