--- a/eiderfield/policy/attempt_outcomes.py
+++ b/eiderfield/policy/attempt_outcomes.py
@@ -10,12 +10,10 @@
 from eiderfield.interface import AttemptEnded, Effect, EndpointState, Outcome
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import MAX_ERROR_SCORE, Worker
-from eiderfield.policy.fleet import Fleet
-from eiderfield.policy.load_reports import LoadReports
+from eiderfield.policy.fleet_state import FleetState
 from eiderfield.policy.outlier_detection import SILENT_RUNS, OutlierDetector
 from eiderfield.policy.request import AttemptRecord
 from eiderfield.policy.selection import EndpointSelector
-from eiderfield.policy.slow_start import SlowStart
 
 FULL_PAUSE_MS = 200.0  # without sends to a worker that is full: a place in its queue frees in about that
 MAX_FULL_PAUSES = 2  # pauses after which a worker that says 'full' again and again is sent a request
@@ -30,16 +28,15 @@
     def __init__(
         self,
         context: Context,
-        fleet: Fleet,
-        slow_start: SlowStart,
-        reports: LoadReports,
+        state: FleetState,
         outliers: OutlierDetector,
         selector: EndpointSelector,
     ) -> None:
+        """Create a recorder for the workers of `state`."""
         self._context = context
-        self._fleet = fleet
-        self._slow_start = slow_start
-        self._reports = reports
+        self._fleet = state.fleet
+        self._slow_start = state.slow_start
+        self._reports = state.reports
         self._outliers = outliers
         self._selector = selector
 
--- a/eiderfield/policy/fleet.py
+++ b/eiderfield/policy/fleet.py
@@ -8,12 +8,14 @@
 
 from collections.abc import Iterable
 from dataclasses import replace
+from math import inf
 
 from eiderfield.interface import Endpoint, EndpointState
 from eiderfield.policy.affinity import KeyOrders
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.ready import ReadyWorkers
+from eiderfield.policy.request import AttemptRecord
 from eiderfield.policy.subsetting import (
     Subset,
     balanced_groups,
@@ -65,6 +67,27 @@
             worker = self.workers[entry.worker] = Worker(replace(entry, state=EndpointState.GONE))
         return worker
 
+    def add_attempt(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
+        """Record at its worker that an attempt has been started."""
+        request = attempt.request
+        worker.open_attempts[request.id, attempt.number] = attempt
+        worker.unstarted += 1
+        worker.own_slots += request.slots
+        worker.slots_free -= request.slots
+        if worker.slow_start_left < inf:
+            worker.recent_sends.append((now, request.budget_cost))
+        self.with_open_attempts[worker.entry.worker] = worker
+
+    def remove_attempt(self, attempt: AttemptRecord, worker: Worker) -> None:
+        """Record at its worker that an attempt has ended."""
+        attempt.open = False
+        worker.own_slots -= attempt.request.slots
+        worker.open_attempts.pop((attempt.request.id, attempt.number), None)
+        worker.unstarted -= attempt.started_at is None
+        if not worker.open_attempts:
+            self.with_open_attempts.pop(worker.entry.worker, None)
+            worker.silent = False  # without open attempts only a new one can show whether it answers
+
     def enable_affinity(self) -> bool:
         """Takes in that a request has a key; returns whether the fleet was split anew."""
         if self.keyed:
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -14,7 +14,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Iterator
 from math import inf
 
 from eiderfield.interface import EndpointState, LogMessage
@@ -35,14 +35,12 @@
 class OutlierDetector:
     """Looks for silent workers and stuck attempts when one may have become so."""
 
-    def __init__(
-        self, context: Context, fleet: Fleet, give_up: Callable[[AttemptRecord, float], None]
-    ) -> None:
+    def __init__(self, context: Context, fleet: Fleet) -> None:
+        """Create a detector that suspects no worker."""
         self.next_check = inf  # nobody is suspect before
         self.mean_wait_ms = 0.0  # of requests, at workers, until they start, in ms
         self._context = context
         self._fleet = fleet
-        self._give_up = give_up
 
     def record_send(self, attempt: AttemptRecord, worker: Worker) -> None:
         """An attempt is out, and may fall silent."""
@@ -53,19 +51,22 @@
         """Takes in how long a request waited at a worker."""
         self.mean_wait_ms += WAIT_WEIGHT * (wait - self.mean_wait_ms)
 
-    def check(self, now: float) -> None:
-        """Strikes workers that have become silent, and gives up what is stuck."""
+    def stalled_attempts(self, now: float) -> Iterator[AttemptRecord]:
+        """Eject workers that have become silent, and yield each attempt that makes no progress.
+
+        The caller handles an attempt before it asks for the next one.
+        """
         if now < self.next_check:
             return
         self.next_check = inf
         for worker in list(self._fleet.with_open_attempts.values()):
             self._check_worker(worker, now)
             for attempt in worker.open_attempts.values():
-                stuck_from = self._stuck_at(attempt, worker)
-                if now >= stuck_from or worker.silent:
-                    self._give_up(attempt, now)
+                stuck_at = self._stuck_at(attempt, worker)
+                if now >= stuck_at or worker.silent:
+                    yield attempt
                 else:
-                    self.next_check = min(self.next_check, stuck_from)
+                    self.next_check = min(self.next_check, stuck_at)
         if self.next_check <= now:
             self.next_check = now + CHECKED_AGAIN_MS
 
--- a/eiderfield/policy/request.py
+++ b/eiderfield/policy/request.py
@@ -52,6 +52,7 @@
     request_class: RequestClass
     budget_cost: float  # work charged to the slow start budget of a worker
     expected_duration_ms: float
+    slack_ms: float  # how long it could wait on arrival and still be answered in time
     latest_useful_start: float  # an attempt sent later can only bring a late answer
     slots: float = 1.0  # of a worker, taken while it runs
     attempts: list[AttemptRecord] = field(default_factory=list)
--- a/eiderfield/policy/selection.py
+++ b/eiderfield/policy/selection.py
@@ -16,12 +16,10 @@
 from eiderfield.policy.affinity import KeyCounts
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import BASE_EJECTION_MS, Worker
-from eiderfield.policy.fleet import EXAMINED, Fleet
-from eiderfield.policy.gossip import Gossip
-from eiderfield.policy.load_reports import LoadReports
+from eiderfield.policy.fleet import EXAMINED
+from eiderfield.policy.fleet_state import FleetState
 from eiderfield.policy.request import QueuedRequest
 from eiderfield.policy.retry_rules import may_resend, retry_group
-from eiderfield.policy.slow_start import SlowStart
 
 SPARE = 1  # requests above its slots that all dispatchers should keep at a worker that doesn't tell starts
 SLOW = 2.3  # how many times longer than usual requests run where a worker counts as slow
@@ -37,17 +35,15 @@
     def __init__(
         self,
         context: Context,
-        fleet: Fleet,
-        slow_start: SlowStart,
-        reports: LoadReports,
-        gossip: Gossip,
+        state: FleetState,
         key_counts: KeyCounts,
     ) -> None:
+        """Create a selector among the workers of `state`."""
         self._context = context
-        self._fleet = fleet
-        self._slow_start = slow_start
-        self._reports = reports
-        self._gossip = gossip
+        self._fleet = state.fleet
+        self._slow_start = state.slow_start
+        self._reports = state.reports
+        self._gossip = state.gossip
         self._key_counts = key_counts
 
     def is_legal(self, request: QueuedRequest, worker: Worker, now: float) -> bool:
--- a/tests/support/wall_clock.py
+++ b/tests/support/wall_clock.py
@@ -87,7 +87,7 @@
     def started(self, name):
         """How long ago a worker started, as the policy knows it; None for long ago."""
         self.dispatcher.settle()
-        worker = self.dispatcher.exchange.dispatcher._fleet.workers[self.dispatcher.ids.worker(name)]
+        worker = self.dispatcher.exchange.dispatcher.workers[self.dispatcher.ids.worker(name)]
         return self.dispatcher.now - worker.entry.ready_at if worker.entry.ready_at > 0.0 else None
 
 
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -92,7 +92,7 @@
         dispatcher.tell((1, "SERVING"), since=started)
     dispatcher.advance(3000.0)
     ask(console, "enable")
-    worker = dispatcher.exchange.dispatcher._fleet.workers[dispatcher.ids.known("w1")]
+    worker = dispatcher.exchange.dispatcher.workers[dispatcher.ids.known("w1")]
     assert worker.entry.ready_at == (started if told else dispatcher.now)
     dispatcher.tell((1, "SERVING"), since=started if told else 0)  # what was told already, once more
     assert worker.entry.ready_at >= started
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -113,7 +113,7 @@
         return
     end = dial.up()
     end.status(503, X_Not_Run="1")
-    [worker] = dispatcher.exchange.dispatcher._fleet.workers.values()
+    [worker] = dispatcher.exchange.dispatcher.workers.values()
     while dispatcher.now < worker.full_until:
         dispatcher.settle()
         dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_at())
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -200,7 +200,7 @@
     dispatcher = harness.dispatcher
     end = dispatcher.dials[0].up()
     end.status(503, X_Not_Run="1")
-    [worker] = dispatcher.exchange.dispatcher._fleet.workers.values()
+    [worker] = dispatcher.exchange.dispatcher.workers.values()
     while True:
         dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_at())
         dispatcher.wheel.advance(dispatcher.now)
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -96,7 +96,7 @@
     consul.answer(8, instance("a", 1), instance("b", 2), instance("c", 3, since_ms="12"))
     since = {
         consul.dispatcher.ids.name(w.entry.worker): w.entry.ready_at
-        for w in consul.dispatcher.exchange.dispatcher._fleet.workers.values()
+        for w in consul.dispatcher.exchange.dispatcher.workers.values()
     }
     assert since == {"n/a": 0.0, "n/b": consul.dispatcher.now, "n/c": 12.0}
 
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -34,7 +34,7 @@
     for _ in range(40):
         actions = node.arrive(cls=cls)[1]
         while found := sends(actions):
-            send, number = found[0], len(node.dispatcher._requests[found[0].request_id].attempts) - 1
+            send, number = found[0], len(node.dispatcher.requests[found[0].request_id].attempts) - 1
             node.now += 1.0
             node.play(AttemptProgressed(send.request_id, number, send.worker, ProgressKind.STARTED, 0.0))
             node.now += 1.0
@@ -42,7 +42,7 @@
             actions = node.play(
                 AttemptEnded(send.request_id, number, send.worker, outcome, 2.0, send.worker == 2)
             )
-        if node.dispatcher._fleet.workers[1].ejections:
+        if node.dispatcher.workers[1].ejections:
             return node
     raise AssertionError("the failing worker was never known for one")
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -111,18 +111,18 @@
     for here, there in ((pair.old, pair.new), (pair.new, pair.old)):
         out = here.dispatcher.exchange.open_attempts_per_worker
         assert sum(out.values()) == 1
-        workers = there.dispatcher.exchange.dispatcher._fleet.workers
+        workers = there.dispatcher.exchange.dispatcher.workers
         assert {w.entry.worker: w.sibling_attempts for w in workers.values() if w.sibling_attempts} == out
     old, new = pair.old.dispatcher.exchange, pair.new.dispatcher.exchange
     assert old.open_attempts_per_worker != new.open_attempts_per_worker, "fewest jobs of both goes first"
     [worker] = pair.new.dispatcher.exchange.open_attempts_per_worker
-    [(_, work)] = pair.old.dispatcher.exchange.dispatcher._fleet.workers[worker].recent_sends
+    [(_, work)] = pair.old.dispatcher.exchange.dispatcher.workers[worker].recent_sends
     assert work > 0.0
 
 
 def test_what_the_module_learnt_goes_along(pair):
     module = pair.old.dispatcher.exchange.dispatcher
-    module._queues.pacers[0].mean_duration, module._queues.pacers[0].rate, module._retry_budget.tokens = (
+    module.pacers[0].mean_duration, module.pacers[0].rate, module._retry_budget.tokens = (
         77.0,
         5.0,
         0.25,
@@ -130,7 +130,7 @@
     module._key_counts.by_key.update({7: 40, 8: 2})
     pair.go()
     heir = pair.new.dispatcher.exchange.dispatcher
-    assert (heir._queues.pacers[0].mean_duration, heir._queues.pacers[0].rate, heir._retry_budget.tokens) == (
+    assert (heir.pacers[0].mean_duration, heir.pacers[0].rate, heir._retry_budget.tokens) == (
         77.0,
         5.0,
         0.25,
@@ -142,11 +142,11 @@
 def test_a_worker_known_to_fail_is_known_to_the_next_process(pair):
     """Each new process of sofia's upgrade day sent jobs that must never run twice to find it out anew."""
     old = pair.old.dispatcher.exchange.dispatcher
-    [id_] = [w for w in old._fleet.workers if w == pair.old.dispatcher.ids.worker("w1")]
-    old._fleet.workers[id_].error_score = 2.0
-    old._fleet.workers[id_].eject(0.0, failing=True)
+    [id_] = [w for w in old.workers if w == pair.old.dispatcher.ids.worker("w1")]
+    old.workers[id_].error_score = 2.0
+    old.workers[id_].eject(0.0, failing=True)
     pair.go()
-    heir = pair.new.dispatcher.exchange.dispatcher._fleet.workers[id_]
+    heir = pair.new.dispatcher.exchange.dispatcher.workers[id_]
     assert (heir.error_score, heir.ejections, heir.failing) == (2.0, 1, True)
 
 
@@ -182,7 +182,7 @@
     assert old.listener.held_by_other_process == 0
     assert bool(heard) == (when == "when all is given")
     old.settle()
-    assert not any(worker.sibling_attempts for worker in old.exchange.dispatcher._fleet.workers.values())
+    assert not any(worker.sibling_attempts for worker in old.exchange.dispatcher.workers.values())
 
 
 def test_the_new_process_is_alone_once_the_old_one_has_ended(pair):
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -141,11 +141,11 @@
     """What the recorder's function of this name does, by the present names."""
     module = dispatcher.exchange.dispatcher
     module._slow_start.served_rate = 0.75
-    pacer = module._queues.pacers[0]
+    pacer = module.pacers[0]
     pacer.mean_duration, pacer.rate = 120.0, 4.0
     pacer.uncut_rate, pacer.next_release_at = 20.0, dispatcher.now + 250.0
-    module._fleet.workers[dispatcher.ids.worker("w3")].recent_sends.append((dispatcher.now - 30.0, 80.0))
-    failing = module._fleet.workers[dispatcher.ids.worker("w1")]
+    module.workers[dispatcher.ids.worker("w3")].recent_sends.append((dispatcher.now - 30.0, 80.0))
+    failing = module.workers[dispatcher.ids.worker("w1")]
     failing.error_score = 2.0
     failing.eject(dispatcher.now, failing=True)
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -11,8 +11,9 @@
 from support.random_events import VARIANTS, EventPlayer, RuleBrokenError
 
 from eiderfield.interface import EndpointState
-from eiderfield.policy import dispatcher, outlier_detection, selection
+from eiderfield.policy import admission, completion, outlier_detection, selection
 from eiderfield.policy.dispatcher import Dispatcher
+from eiderfield.policy.retries import RetryController
 from eiderfield.policy.slow_start import SlowStart
 
 
@@ -42,8 +43,8 @@
         lambda m: (
             m.setattr(selection, "may_resend", lambda *a: True),
             m.setattr(
-                Dispatcher,
-                "_give_up",
+                RetryController,
+                "replace_stalled",
                 lambda self, attempt, now: (
                     self._queues.add_first(attempt.request)
                     if attempt.request.queue is None and not attempt.request.answered
@@ -53,7 +54,12 @@
         ),
     ),
     "rule 2: keyed": ("zones", lambda m: m.setattr(selection, "may_resend", lambda *a: True)),
-    "rule 2: .* refused": ("all unsafe", lambda m: m.setattr(dispatcher, "may_reject", lambda job: True)),
+    "rule 2: .* refused": (
+        "all unsafe",
+        lambda m: [
+            m.setattr(module, "may_reject", lambda request: True) for module in (admission, completion)
+        ],
+    ),
     "rule 3": (
         "plain",
         lambda m: m.setattr(Dispatcher, "_endpoints_updated", ignore_drains(Dispatcher._endpoints_updated)),
@@ -65,8 +71,8 @@
             m.setattr(outlier_detection, "STUCK_RUNS", 0.1),
             m.setattr(selection, "may_resend", lambda *a: True),
             m.setattr(
-                Dispatcher,
-                "_give_up",
+                RetryController,
+                "replace_stalled",
                 lambda self, attempt, now: (
                     self._queues.add_first(attempt.request)
                     if attempt.request.queue is None and not attempt.request.answered
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -118,7 +118,7 @@
     assert client.answers()[0][0] == 400
     assert not dispatcher.dials
     assert not dispatcher.exchange.unanswered
-    assert all(not w.ejections for w in dispatcher.exchange.dispatcher._fleet.workers.values())
+    assert all(not w.ejections for w in dispatcher.exchange.dispatcher.workers.values())
 
 
 @pytest.mark.parametrize("status", [408, 429])
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -57,7 +57,7 @@
 
 def test_the_highest_worth_class_has_the_higher_floor():
     node = Node()
-    assert [p.floor_share for p in node.dispatcher._queues.pacers] == [0.3, 0.7, 0.3]
+    assert [p.floor_share for p in node.dispatcher.pacers] == [0.3, 0.7, 0.3]
 
 
 def test_only_full_counts_as_not_accepted():
@@ -65,9 +65,9 @@
     for outcome, lost in lost_by.items():
         node = Node()
         id_, actions = node.arrive(cls=1)
-        pacer = node.dispatcher._queues.pacers[1]
+        pacer = node.dispatcher.pacers[1]
         worker = sends(actions)[0].worker
-        for other in node.dispatcher._fleet.workers.values():
+        for other in node.dispatcher.workers.values():
             other.full_until = 1000.0 * (other.entry.worker != worker)
         before = pacer.sent_in_window - pacer.accepted_in_window
         node.play(
@@ -83,7 +83,7 @@
     """A worker that took nothing held a class at its floor for ten seconds, with most of the fleet idle."""
     node = Node()
     id_, actions = node.arrive(cls=1)
-    pacer = node.dispatcher._queues.pacers[1]
+    pacer = node.dispatcher.pacers[1]
     node.end(id_, 0, sends(actions)[0].worker, Outcome.FULL)
     assert pacer.sent_in_window - 1 == pacer.accepted_in_window - 1 == 1, (
         "sent again, and neither send counted as not accepted"
@@ -92,7 +92,7 @@
 
 def test_a_worker_that_answers_full_again_is_asked_less_often():
     node = Node(workers=1)
-    worker, waits = node.dispatcher._fleet.workers[1], []
+    worker, waits = node.dispatcher.workers[1], []
     for _ in range(4):
         node.now += 10_000.0
         id_, actions = node.arrive(due=100.0)
@@ -114,7 +114,7 @@
     worker = sends(actions)[0].worker
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(worker, state=EndpointState.DRAINING),)))
     node.end(id_, 0, worker, Outcome.FULL)
-    pacer = node.dispatcher._queues.pacers[0]
+    pacer = node.dispatcher.pacers[0]
     assert pacer.accepted_in_window == pacer.sent_in_window
 
 
@@ -143,7 +143,7 @@
 
 def test_a_paced_class_is_released_in_order_at_its_rate():
     node = Node(workers=8)
-    pacer = node.dispatcher._queues.pacers[0]
+    pacer = node.dispatcher.pacers[0]
     pacer.rate, pacer.uncut_rate, pacer.window_start = 10.0, 10.0, 0.0
     ids = [node.next_id + n for n in range(3)]
     got = sends(node.play(*(RequestReceived(i, 0, 5000.0) for i in ids)))
@@ -194,7 +194,7 @@
     worths = []
     for _ in range(4):
         id_, _ = node.arrive(cls=1)
-        queue_id = node.dispatcher._requests[id_].queue_id
+        queue_id = node.dispatcher.requests[id_].queue_id
         worths.append(node.dispatcher._queues.by_id[queue_id].weight)
     full, reduced = UNSAFE.priority_weight, 0.01 * UNSAFE.priority_weight
     assert worths == [full, full, reduced, reduced]  # a share of 2 a second, saved up for a second
@@ -202,7 +202,7 @@
 
 def test_the_grb_is_bounded_by_count_too():
     node = Node(replace(BASE, classes=(replace(SAFE, latency_objective_ms=4000.0),)), workers=0)
-    node.dispatcher._queues.pacers[0].record_duration(1.0, 0.0)  # jobs of 1 ms: no wait would fill it
+    node.dispatcher.pacers[0].record_duration(1.0, 0.0)  # jobs of 1 ms: no wait would fill it
     answers = [node.arrive()[1] for _ in range(GRB_PER_WORKER * 4 + 1)]
     refused = [any(isinstance(a, RejectRequest) for a in actions) for actions in answers]
     assert refused == [False] * (GRB_PER_WORKER * 4) + [True]
@@ -223,7 +223,7 @@
 def keyed(key):
     pacer = Pacer(0.3, 100.0)
     queue_id = QueueId(class_index=1, tenant_index=0, over_quota=False)
-    return QueuedRequest(0, key, 5000.0, 0.0, queue_id, pacer, UNSAFE, 100.0, 100.0, 5000.0)
+    return QueuedRequest(0, key, 5000.0, 0.0, queue_id, pacer, UNSAFE, 100.0, 100.0, 5000.0, 5000.0)
 
 
 def test_a_home_that_takes_nothing_or_only_trials_gives_way_to_the_keys_next():
@@ -231,7 +231,7 @@
     node = Node(workers=6)
     node.now = 1.0
     first, second = (w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), node.now))
-    workers = node.dispatcher._fleet.workers
+    workers = node.dispatcher.workers
     workers[first].consecutive_fulls, workers[first].full_until = 2, 500.0
     workers[second].ejections = 1
     homes = {w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), node.now)}
@@ -294,7 +294,7 @@
     fresh, _ = node.arrive()
     order = []
     for _ in range(4):
-        worker = node.dispatcher._fleet.workers[1]
+        worker = node.dispatcher.workers[1]
         [(id_, attempt)] = worker.open_attempts
         actions = node.play(AttemptProgressed(id_, attempt, 1, 1, 0.0))
         worker.full_until = 0.0
@@ -334,7 +334,7 @@
             node.end(send.request_id, 0, send.worker, Outcome.OK, final=True, elapsed=40.0)
     assert got
     assert COLD_REST * BASE.slow_start_window_ms <= got[0] < (COLD_REST + 0.1) * BASE.slow_start_window_ms
-    node.dispatcher._fleet.workers[1].recent_sends.append((node.now, inf))
+    node.dispatcher.workers[1].recent_sends.append((node.now, inf))
     assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [2], "its budget is spent"
 
 
@@ -363,6 +363,6 @@
     module, node.now = node.dispatcher, 10_000.0
     module._slow_start.served_rate, module._slow_start.served_rate_at = 1.0, node.now
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, ready_at=node.now - 100.0),)))
-    left = module._slow_start.budget_left(module._fleet.workers[1], node.now)
+    left = module._slow_start.budget_left(module.workers[1], node.now)
     node.play(SiblingReportReceived(1, 1, left))
-    assert module._slow_start.budget_left(module._fleet.workers[1], node.now) == pytest.approx(0.0)
+    assert module._slow_start.budget_left(module.workers[1], node.now) == pytest.approx(0.0)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -102,7 +102,7 @@
     node = Node(replace(BASE, load_report_fields=FIELDS), workers=1)
     id_, _ = node.arrive()
     ended(node, id_, 1, (3.0, 1.0, NAN))
-    assert node.dispatcher._fleet.workers[1].reported_at == -math.inf
+    assert node.dispatcher.workers[1].reported_at == -math.inf
     assert node.dispatcher._reports.slots_per_kind[0] == 2.0
 
 
@@ -115,7 +115,7 @@
 
 def test_a_restarted_worker_owes_nothing_to_its_old_reports_or_faults():
     node = Node(replace(BASE, load_report_fields=FIELDS, slow_start_window_ms=0.0), workers=1)
-    worker = node.dispatcher._fleet.workers[1]
+    worker = node.dispatcher.workers[1]
     node.now = 100.0
     id_, _ = node.arrive()
     ended(node, id_, 1, (0.0, 0.0, 0.0))
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -48,8 +48,8 @@
     lanes = dispatcher.exchange.dispatcher._queues.by_weight
     assert [lane.request_class.name for lane in lanes[:2]] == [SITE.classes[2].name] * 2
     assert (
-        dispatcher.exchange.dispatcher._queues.pacers[2].floor_share
-        > dispatcher.exchange.dispatcher._queues.pacers[0].floor_share
+        dispatcher.exchange.dispatcher.pacers[2].floor_share
+        > dispatcher.exchange.dispatcher.pacers[0].floor_share
     )
 
 
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -46,18 +46,18 @@
 def test_many_nodes_share_the_fleet_evenly():
     """antigua-reparto-later, 152 nodes: each sent to all of 207 workers and knew none of them."""
     nodes = [part(me, 40) for me in range(40)]
-    used = Counter(w.entry.worker for n in nodes for w in n.dispatcher._fleet.subset.workers)
+    used = Counter(w.entry.worker for n in nodes for w in n.dispatcher.subset)
     assert set(used.values()) == {4}
     assert len(used) == 40
     for node in nodes:
-        zones = Counter((w.entry.zone, w.entry.kind) for w in node.dispatcher._fleet.subset.workers)
-        assert len(node.dispatcher._fleet.subset.workers) == 4
+        zones = Counter((w.entry.zone, w.entry.kind) for w in node.dispatcher.subset)
+        assert len(node.dispatcher.subset) == 4
         assert max(zones.values()) == 1
 
 
 def test_a_node_keeps_to_its_part_but_for_repeats_bound_elsewhere():
     node = part(3, 40)
-    mine = {w.entry.worker for w in node.dispatcher._fleet.subset.workers}
+    mine = {w.entry.worker for w in node.dispatcher.subset}
     for _ in range(4):
         id_, actions = node.arrive()
         (sent,) = sends(actions)
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize(("balancers", "fleet"), [(3, FLEET), (40, FLEET[:5])])
 def test_few_nodes_or_workers_are_not_parted(balancers, fleet):
-    assert len(part(0, balancers, fleet).dispatcher._fleet.subset.workers) == len(fleet)
+    assert len(part(0, balancers, fleet).dispatcher.subset) == len(fleet)
 
 
 def test_keyed_jobs_have_homes_in_the_whole_fleet():
@@ -79,7 +79,7 @@
             used.add(sent.worker)
             node.end(id_, 0, sent.worker, Outcome.OK, final=True)
     assert len(used) > 20
-    assert len(node.dispatcher._fleet.subset.workers) == 40
+    assert len(node.dispatcher.subset) == 40
 
 
 def test_keys_spread_evenly_over_workers():
@@ -106,7 +106,7 @@
     node = part(0, 40, gossip_allowed=True)
     assert len(node.dispatcher._gossip.peers) == 9
     node.play(EndpointsUpdated(EndpointListKind.FULL, 3, FLEET[:4]))
-    assert len(node.dispatcher._fleet.subset.workers) == 4
+    assert len(node.dispatcher.subset) == 4
     assert not node.dispatcher._gossip.peers
 
 
@@ -152,7 +152,7 @@
 def silent(**more):
     """A node of eight that cannot talk, its part of eight workers, and the ids of these four."""
     node = Node(replace(SILENT, **more), workers=8)
-    return node, [w.entry.worker for w in node.dispatcher._fleet.subset.workers]
+    return node, [w.entry.worker for w in node.dispatcher.subset]
 
 
 def test_a_job_waits_for_probes_and_goes_where_a_slot_is_free():
@@ -217,11 +217,11 @@
     for turn in range(int(rate * 8.0)):
         age, node = 1000.0 * turn / rate, many[turn % nodes]
         node.now = 60_000.0 + age
-        out = [a for w in node.dispatcher._fleet.subset.workers for a in w.open_attempts.values()]
+        out = [a for w in node.dispatcher.subset for a in w.open_attempts.values()]
         for attempt in [a for a in out if node.now >= a.sent_at + work]:
             node.end(attempt.request.id, 0, 0, Outcome.OK, final=True, elapsed=work)
         node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_rate_at = each, node.now
-        node.dispatcher._queues.pacers[0].mean_duration = work
+        node.dispatcher.pacers[0].mean_duration = work
         for send in sends(node.arrive(affinity_key=7)[1]):
             node.play(AttemptProgressed(send.request_id, 0, send.worker, 1, 0.0))
             sent += [age] * (send.worker == 1)
@@ -252,7 +252,7 @@
     module, node.now = node.dispatcher, 60_000.0
     module._slow_start.served_rate, module._slow_start.served_rate_at = 100.0, node.now
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=node.now - 4000.0),)))
-    drawn = module._fleet.workers[3].budget_threshold
+    drawn = module.workers[3].budget_threshold
     module._key_counts.by_key[7] = module._key_counts.total = 100  # a hot key: all workers are its homes
     assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [3], drawn
     few = Node(replace(CROWD, dispatcher_count=MANY_DISPATCHERS), workers=8)
@@ -285,7 +285,7 @@
     again = sends(node.end(id_, 0, worker, Outcome.CANCELLED))
     assert [send.request_id for send in again] == [id_]
     assert again[0].worker != worker
-    assert not node.dispatcher._selector.is_free(node.dispatcher._fleet.workers[worker], node.now), (
+    assert not node.dispatcher._selector.is_free(node.dispatcher.workers[worker], node.now), (
         "the next would wait too"
     )
 
@@ -317,7 +317,7 @@
     that jobs went where their data was not."""
     node, id_, worker = waiting()
     node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=50.0)
-    assert node.dispatcher._fleet.workers[worker].full_until == 50.0 + MAX_WAIT_PAUSES * 50.0
+    assert node.dispatcher.workers[worker].full_until == 50.0 + MAX_WAIT_PAUSES * 50.0
 
 
 def test_among_many_nodes_a_key_keeps_closer_to_its_homes():
@@ -328,7 +328,7 @@
         node.dispatcher._key_counts.by_key.update({1: 800, 2: 200})
         node.dispatcher._key_counts.total = 1000
         id_, _ = node.arrive(affinity_key=2)
-        job = node.dispatcher._requests[id_]
+        job = node.dispatcher.requests[id_]
         job.attempts.clear()
         homes.append(len(node.dispatcher._selector.homes(job, 600.0)))
     assert homes[0] > homes[1] >= 10, homes
@@ -340,7 +340,7 @@
     [again] = sends(node.end(id_, 0, worker, Outcome.CONNECT_FAILED))
     assert again.worker != worker, "the job goes elsewhere at once"
     node.end(id_, 1, again.worker, Outcome.OK, final=True)
-    full = node.dispatcher._fleet.workers[worker]
+    full = node.dispatcher.workers[worker]
     assert not node.dispatcher._selector.is_free(full, node.now + 400.0)
     assert node.dispatcher._selector.is_free(full, node.now + 600.0)
     node.now += 600.0
@@ -375,7 +375,7 @@
         zone = first.worker % 3
         if all(
             w.entry.zone != zone
-            for w in node.dispatcher._selector.homes(node.dispatcher._requests[id_], node.now)
+            for w in node.dispatcher._selector.homes(node.dispatcher.requests[id_], node.now)
         ):
             break
     node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms + 2.0)
@@ -390,7 +390,7 @@
     id_, _ = node.arrive()
     node.play(AttemptProgressed(id_, 0, 1, 1, 0.0))
     node.end(id_, 0, 1, Outcome.OK, final=True)
-    assert node.dispatcher._fleet.workers[1].unstarted == 0
+    assert node.dispatcher.workers[1].unstarted == 0
     assert sends(node.arrive()[1])
 
 
@@ -404,7 +404,7 @@
     jobs = []
     for key in range(1, 26):
         id_, actions = node.arrive(affinity_key=key)
-        jobs.append(module._requests[id_])
+        jobs.append(module.requests[id_])
         for send in sends(actions):
             node.play(AttemptProgressed(id_, 0, send.worker, 1, 0.0))  # and so it is free for the next
         jobs[-1].attempts.clear()
@@ -453,7 +453,7 @@
     """calm+mass: after a burst 85% of what was served was late, for 15 s at half the burst's load: late jobs
     kept the workers so busy that the next were late too."""
     node, id_ = crowded()
-    timely = node.dispatcher._requests[id_].latest_useful_start
+    timely = node.dispatcher.requests[id_].latest_useful_start
     assert cancels(node.play(TimerFired(0), at=timely + 1.0)) == [CancelAttempt(id_, 0)], (
         "before the queued mean is over"
     )
@@ -477,7 +477,7 @@
         module._outliers.mean_wait_ms, node.now = queued, 2000.0
         told = node.end(id_, 2, worker, Outcome.CONNECT_FAILED)
         assert not [a for a in told if isinstance(a, RejectRequest)]
-        assert id_ in module._requests
+        assert id_ in module.requests
 
 
 def test_a_repeat_is_as_old_as_its_clients_first_try():
@@ -485,7 +485,7 @@
     node = Node(FULL, workers=8)
     first, _ = node.arrive(due=5000.0)
     again, _ = node.arrive(due=4400.0, is_client_retry=True)
-    jobs = node.dispatcher._requests
+    jobs = node.dispatcher.requests
     assert jobs[first].latest_useful_start - jobs[again].latest_useful_start == pytest.approx(600.0)
     short, _ = node.arrive(due=4400.0)  # no repeat: only less patient
     assert jobs[short].latest_useful_start == jobs[first].latest_useful_start
@@ -497,7 +497,7 @@
     for balancers in (MANY_DISPATCHERS, MANY_DISPATCHERS + 1):
         node = Node(replace(FULL, dispatcher_count=balancers), workers=12)
         id_, _ = node.arrive(affinity_key=7)
-        job = node.dispatcher._requests[id_]
+        job = node.dispatcher.requests[id_]
         job.attempts.clear()
         homes.append(
             len(node.dispatcher._selector.homes(job, 0.0)) + 1
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -49,7 +49,7 @@
 
 
 def members(node):
-    return {worker.entry.worker for worker in node.dispatcher._fleet.subset.workers}
+    return {worker.entry.worker for worker in node.dispatcher.subset}
 
 
 @pytest.fixture
@@ -144,8 +144,8 @@
     for worker in node.dispatcher._fleet.key_orders.first_workers(7, 20)[0]:
         worker.full_until = 1e9
     waiting = [node.arrive(affinity_key=7)[0] for _ in range(4)]
-    assert busy in node.dispatcher._requests
-    assert waiting[-1] in node.dispatcher._requests
+    assert busy in node.dispatcher.requests
+    assert waiting[-1] in node.dispatcher.requests
 
     def wake(number):
         node.play(at=100.0 + number)
@@ -222,7 +222,7 @@
             node.play(
                 EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(gone, state=EndpointState.GONE), new))
             )
-    zones = [Counter(worker.entry.zone for worker in node.dispatcher._fleet.subset.workers) for node in nodes]
+    zones = [Counter(worker.entry.zone for worker in node.dispatcher.subset) for node in nodes]
     assert sum(max(each.values()) <= 2 for each in zones) >= 0.8 * len(zones)
 
 
@@ -238,7 +238,7 @@
     nodes = [node_of(size, me, dispatchers) for me in one_of_each.values()]
     assert sorted(worker for node in nodes for worker in members(node)) == list(range(1, size + 1))
     for node in nodes:
-        subset = node.dispatcher._fleet.subset.workers
+        subset = node.dispatcher.subset
         assert 0.9 * size / groups <= len(subset) <= 1.1 * size / groups
         parts = Counter((worker.entry.zone, worker.entry.kind) for worker in subset)
         even = len(subset) / 8
--- a/tests/test_wall_clock_handover.py
+++ b/tests/test_wall_clock_handover.py
@@ -17,14 +17,14 @@
     old = takeover.old.dispatcher
     old.advance(500.0)
     module = old.exchange.dispatcher
-    module._queues.pacers[0].rate, module._queues.pacers[0].next_release_at = 4.0, old.now + 250.0
+    module.pacers[0].rate, module.pacers[0].next_release_at = 4.0, old.now + 250.0
     module._slow_start.served_rate, module._slow_start.served_rate_at = 0.5, old.now - 100.0
-    module._fleet.workers[old.ids.worker("slow")].recent_sends.append((old.now - 30.0, 80.0))
+    module.workers[old.ids.worker("slow")].recent_sends.append((old.now - 30.0, 80.0))
     heir = takeover.go().module()
-    assert takeover.age(heir._queues.pacers[0].next_release_at) == pytest.approx(-250.0)
+    assert takeover.age(heir.pacers[0].next_release_at) == pytest.approx(-250.0)
     assert takeover.age(heir._slow_start.served_rate_at) == pytest.approx(100.0)
     assert heir._slow_start.served_rate == 0.5
-    [(at, work)] = heir._fleet.workers[old.ids.worker("slow")].recent_sends
+    [(at, work)] = heir.workers[old.ids.worker("slow")].recent_sends
     assert takeover.age(at) == pytest.approx(30.0)
     assert work == 80.0
 
@@ -32,7 +32,7 @@
 def test_slow_start_goes_on_over_a_step_between_two_starts(takeover):
     takeover.old.dispatcher.advance(3000.0)
     heir = takeover.go().module()
-    worker = heir._fleet.workers[takeover.old.dispatcher.ids.worker("slow")]
+    worker = heir.workers[takeover.old.dispatcher.ids.worker("slow")]
     assert takeover.age(worker.entry.ready_at) == pytest.approx(3000.0)
     takeover.new.dispatcher.table.load(takeover.list)
     takeover.new.dispatcher.settle()
@@ -49,7 +49,7 @@
     endpoint = {"name": "new", "address": "127.0.0.1:3", "status": "SERVING", "since_ms": since}
     new.table.load({"index": 5, "snapshot": False, "endpoints": [endpoint]})
     new.settle()
-    entry = takeover.module()._fleet.workers[new.ids.worker("new")].entry
+    entry = takeover.module().workers[new.ids.worker("new")].entry
     assert entry.ready_at == new.now
 
 
@@ -63,7 +63,7 @@
     new.advance(COLD)
     new.table.unban("banned")
     new.settle()
-    entry = takeover.module()._fleet.workers[new.ids.worker("banned")].entry
+    entry = takeover.module().workers[new.ids.worker("banned")].entry
     assert entry.ready_at == new.now, "it may have been restarted meanwhile"
 
 
@@ -75,7 +75,7 @@
     old.table.unban("banned")
     old.advance(200.0)
     new = takeover.go().new.dispatcher
-    entry = takeover.module()._fleet.workers[new.ids.worker("banned")].entry
+    entry = takeover.module().workers[new.ids.worker("banned")].entry
     assert takeover.age(entry.ready_at) == pytest.approx(200.0)
 
 
--- a/tests/test_wall_clock_handover_731b84e.py
+++ b/tests/test_wall_clock_handover_731b84e.py
@@ -46,7 +46,7 @@
     dispatcher = InMemoryDispatcher(workers=0, unix=lambda: STATE_AT + step, start=process.now)
     dispatcher.table.take_over(table, {})
     dispatcher.settle()
-    worker = dispatcher.exchange.dispatcher._fleet.workers[dispatcher.ids.worker("w3")]
+    worker = dispatcher.exchange.dispatcher.workers[dispatcher.ids.worker("w3")]
     assert process.now - worker.entry.ready_at == 140.0
 
 
@@ -60,7 +60,7 @@
     dispatcher = InMemoryDispatcher(workers=0, unix=lambda: unix, start=process.now)
     dispatcher.table.take_over(process.codec.decode(message).table, {})
     dispatcher.settle()
-    worker = dispatcher.exchange.dispatcher._fleet.workers[dispatcher.ids.worker("w3")]
+    worker = dispatcher.exchange.dispatcher.workers[dispatcher.ids.worker("w3")]
     assert process.now - worker.entry.ready_at == 100.0
 
 
--- a/tests/test_wall_clock_slow_start.py
+++ b/tests/test_wall_clock_slow_start.py
@@ -109,7 +109,7 @@
     dispatcher.advance(1000.0)
     wall.step(step)
     consul.answer(9, instance("a", 1), instance("b", 2, since_ms=since), instance("c", 3))
-    workers = dispatcher.exchange.dispatcher._fleet.workers.values()
+    workers = dispatcher.exchange.dispatcher.workers.values()
     ages = {dispatcher.ids.name(w.entry.worker): dispatcher.now - w.entry.ready_at for w in workers}
     assert ages["n/b"] == pytest.approx(1000.0)
     assert ages["n/c"] == pytest.approx(1000.0)
@@ -124,5 +124,5 @@
     consul.answer(7, instance("a", 1))
     dispatcher.advance(100.0)
     consul.answer(8, instance("a", 1), instance("b", 2, since_ms=str(wall() + off)))
-    worker = dispatcher.exchange.dispatcher._fleet.workers[dispatcher.ids.worker("n/b")]
+    worker = dispatcher.exchange.dispatcher.workers[dispatcher.ids.worker("n/b")]
     assert worker.entry.ready_at == dispatcher.now
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -50,7 +50,7 @@
     """An overloaded day with a lost zone: 6 attempts a request went to workers that refused connections."""
     node = Node(workers=3)
     for worker in (1, 2, 3):
-        node.dispatcher._fleet.workers[worker].eject(0.0)
+        node.dispatcher.workers[worker].eject(0.0)
     assert not sends(node.arrive()[1])
 
 
@@ -65,7 +65,7 @@
 
 def test_a_fleet_that_is_silent_throughout_is_still_served():
     node = Node(workers=3)
-    for worker in node.dispatcher._fleet.workers.values():
+    for worker in node.dispatcher.workers.values():
         worker.silent = True
     assert sends(node.arrive()[1])
 
@@ -73,7 +73,7 @@
 def test_only_a_timely_answer_ends_suspicion():
     """Slow days: a start note brought a slow worker straight back."""
     node = Node(workers=1)
-    worker = node.dispatcher._fleet.workers[1]
+    worker = node.dispatcher.workers[1]
     worker.eject(0.0)
     worker.record_sign_of_life(10.0)
     assert worker.ejections == 1
@@ -159,7 +159,7 @@
     other, _ = started(node)
     for at in (1000.0, 2000.0, 3000.0):
         node.play(AttemptProgressed(other, 0, 3 - worker, 2, 0.1), at=at)
-        node.dispatcher._fleet.workers[worker].record_sign_of_life(at)  # by others of this node's jobs
+        node.dispatcher.workers[worker].record_sign_of_life(at)  # by others of this node's jobs
     assert not [a for a in node.play(at=3500.0) if isinstance(a, CancelAttempt)]
     assert [
         (a.request_id, a.attempt_number) for a in node.play(at=3650.0) if isinstance(a, CancelAttempt)
@@ -171,7 +171,7 @@
     node = Node(NOTED, workers=2)
     started(node)
     for at in (500.0, 1000.0, 1500.0, 2500.0):
-        for worker in node.dispatcher._fleet.workers.values():
+        for worker in node.dispatcher.workers.values():
             worker.record_sign_of_life(at)
         assert not [a for a in node.play(at=at) if isinstance(a, CancelAttempt)]
 
@@ -193,14 +193,14 @@
 
 def test_a_single_reset_does_not_rest_a_worker_and_two_in_a_row_do():
     node = Node(workers=2)
-    worker = node.dispatcher._fleet.workers[1]
+    worker = node.dispatcher.workers[1]
     for _ in range(2):
-        node.dispatcher._fleet.workers[2].full_until = node.now + 1.0
+        node.dispatcher.workers[2].full_until = node.now + 1.0
         id_, actions = node.arrive(cls=1)
         assert [s.worker for s in sends(actions)] == [1]
         node.end(id_, 0, 1, Outcome.RESET)
         node.now += 300.0
-        node.dispatcher._fleet.workers[2].full_until = node.now + 1.0
+        node.dispatcher.workers[2].full_until = node.now + 1.0
     assert worker.ejections == 1
     worker.record_sign_of_life(node.now, in_time=True)
     assert worker.consecutive_resets == 0
@@ -209,7 +209,7 @@
 def test_jobs_at_a_slow_worker_count_for_more():
     """It filled up like the others and made its jobs late; and only its last answer would have told."""
     node = Node(NOTED, workers=2)
-    slow, usual = node.dispatcher._fleet.workers[1], node.dispatcher._fleet.workers[2]
+    slow, usual = node.dispatcher.workers[1], node.dispatcher.workers[2]
     usual.full_until = 1.0
     id_, _ = started(node)  # which runs on at worker 1 for ten times its usual time
     node.play(AttemptProgressed(id_, 0, 1, 2, 0.1), at=1000.0)
@@ -229,7 +229,7 @@
 def test_a_worker_that_fails_its_jobs_at_once_does_not_draw_all_others_in():
     """It held fewest jobs at any time, so that every third job of a day failed there."""
     node = Node(workers=2)
-    bad = node.dispatcher._fleet.workers[1]
+    bad = node.dispatcher.workers[1]
     at_bad = 0
     for _ in range(40):
         node.now += 20.0
@@ -246,7 +246,7 @@
 
 def test_one_answer_does_not_clear_a_worker_that_fails_every_third_job():
     node = Node(workers=1)
-    worker = node.dispatcher._fleet.workers[1]
+    worker = node.dispatcher.workers[1]
     worker.error_score = 3.0
     worker.eject(0.0)
     worker.record_sign_of_life(1.0, in_time=True)
