--- a/eiderfield/program/core.py
+++ b/eiderfield/program/core.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Core:
-    """What most parts work with."""
+    """The objects that most parts use."""
 
     driver: Driver
     ids: IdMap
@@ -41,7 +41,7 @@
 def make_core(
     config: Config, driver: Driver, limits: ConnectionLimits, run_in_thread: OperationRunner
 ) -> Core:
-    """Joins exchange, workers and endpoint list; a `ConfigError` if the static endpoints are faulty."""
+    """Join exchange, workers and endpoint list. Raises `ConfigError` if the static endpoints are faulty."""
     wall = WallClock(driver.clock)
     ids = IdMap(config.zones, config.kinds)
     exchange = Exchange(config.policy_settings, config.seed, driver.wheel, driver.wake, log)
@@ -72,18 +72,20 @@
     except ValueError as error:
         if config.discovery.kind == "static":
             raise ConfigError(f"known: {error}") from None
-        log(f"known: {error}; waiting for discovery")  # an old list is no reason not to serve
+        log(
+            f"known: list ignored, waiting for discovery (error={error})"
+        )  # an old list is no reason not to serve
 
 
 class CorePart(Part):
     """Requests and attempts, and the connections to workers."""
 
     def __init__(self, core: Core) -> None:
-        """Takes over the settings and the end of the core."""
+        """Reload and stop `core`."""
         self._core = core
 
     def reload(self, old: Config, new: Config) -> None:
-        """Gives the policy its settings and the worker side its timeouts."""
+        """Apply the policy's settings and the timeouts of the worker side."""
         if new.policy_settings != old.policy_settings:
             self._core.exchange.apply_settings(new.policy_settings)
         self._core.workers.set_timeouts(new.dial_timeout_ms, new.worker_idle_timeout_ms)
@@ -94,5 +96,5 @@
         return bool(self._core.exchange.unanswered)
 
     def stop(self) -> None:
-        """Closes the connections to workers."""
+        """Close the connections to workers."""
         self._core.workers.close()
--- a/eiderfield/program/discovery.py
+++ b/eiderfield/program/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: whom the endpoint list is taken from, and how long a start waits for it."""
+"""Follows the source of the endpoint list, and bounds how long a start waits for it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from eiderfield.program.log import log
 from eiderfield.program.part import Part
 
-FIRST_LIST_TIMEOUT = 5000.0  # ms: half of the time in which a process has to be ready
+FIRST_LIST_TIMEOUT_MS = 5000.0  # half of the time in which a process has to be ready
 
 
 class DiscoveryPart(Part):
@@ -31,39 +31,39 @@
         self._active_watch = ActiveWatch()
 
     async def start(self) -> None:
-        """Follows the source, and waits for its first list where there is none of a process before."""
+        """Follow the source, and wait for its first list unless one was handed over."""
         # That list may be of another source, which may have counted on its own.
         self._active_watch.follow(self._watch(self._config, needs_snapshot=self._took_over()))
         if not self._took_over():
             await self.first_list()
 
     async def first_list(self) -> None:
-        """Waits for discovery's first list before anybody is served.
+        """Wait for the first list of discovery before clients are accepted.
 
-        What the agent holds counts as told from a process's first moment, and the list that the configuration
-        names is as old as that. A drain binds after its grace: an agent that is silent for so long can't be
-        asked, and the known list has to do. However long the grace is, a process has to be ready in time.
+        What the agent knows is binding from the start of the process, while the list in the configuration is
+        older. A drain binds after its grace period: then a silent agent is no longer waited for, and the
+        list of the configuration is used. The wait is bounded, since a process must be ready in time.
         """
         if self._config.discovery.address is None:
             return
         listed = asyncio.Event()
         self._core.table.on_list_applied = listed.set
-        wait = min(self._config.policy_settings.drain_grace_ms, FIRST_LIST_TIMEOUT)
+        wait = min(self._config.policy_settings.drain_grace_ms, FIRST_LIST_TIMEOUT_MS)
         self._core.driver.wheel.at(self._core.clock() + wait, listed.set)
         await listed.wait()
 
     def reload(self, old: Config, new: Config) -> None:
-        """Moves to another source if there is one."""
+        """Follow another source if the configuration names one."""
         self._config = new
         if new.discovery != old.discovery:
             self._active_watch.follow(self._watch(new, needs_snapshot=True))
 
     def stop(self) -> None:
-        """Ends all watches."""
+        """Stop all watches."""
         self._active_watch.stop()
 
     def _watch(self, config: Config, needs_snapshot: bool) -> Watch | None:
-        """What follows the source; `needs_snapshot` for one whose lists need not continue the table's."""
+        """Return a watch of the source; `needs_snapshot` if its lists do not continue those of the table."""
         source = config.discovery
         if source.address is None:
             return None
--- a/eiderfield/program/listeners.py
+++ b/eiderfield/program/listeners.py
@@ -21,7 +21,7 @@
 from eiderfield.program.log import log
 from eiderfield.program.part import Figures, Part
 
-CLIENTS = "listen "  # how the name of the listener for requests begins
+CLIENTS = "listen "  # prefix of the name of the listener for requests
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,7 +39,7 @@
 
 
 def make_client_listener(config: Config, core: Core, front: Front, connections: int) -> Listener:
-    """A listener for clients, of which it takes so many connections."""
+    """Return a listener for clients that accepts up to `connections`."""
     listener = Listener(
         front,
         core.driver.wheel,
@@ -58,15 +58,15 @@
     """Opens listeners that no other process has handed over."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, socket_path: Path) -> None:
-        """`socket_path` is that of the process before, if there is one."""
+        """`socket_path` is that of the previous process, if there is one."""
         self._loop = loop
         self._process_before = socket_path.exists()
 
     async def open(self, bound: BoundListener, may_share: bool = True) -> None:
-        """Opens a listener unless it is open; a `ConfigError` if the system refuses.
+        """Open a listener unless it is open. Raises `ConfigError` if the system refuses.
 
-        It may share its address with a process that left its socket and does not hand over: that must not
-        block the start. Nor does a shortage of this host (`net/faults.py`) end it: that may pass.
+        With `may_share` it may share its address with a process that left its socket and does not hand over,
+        which must not block the start. A shortage of this host (`net/faults.py`) is waited out.
         """
         host, port = bound.address
         waiting = False
@@ -101,16 +101,16 @@
 
     @property
     def listeners(self) -> list[Listener]:
-        """The listeners themselves."""
+        """The listeners without their addresses."""
         return [bound.listener for bound in self._bound]
 
     @property
     def accepting(self) -> bool:
-        """Whether all of them take clients."""
+        """Whether all listeners accept clients."""
         return all(listener.listening and not listener.draining for listener in self.listeners)
 
     async def start(self) -> None:
-        """Opens those that were not handed over."""
+        """Open the listeners that were not handed over."""
         for bound in self._bound:
             await self._opener.open(bound)
 
@@ -126,7 +126,7 @@
         return any(listener.connections for listener in self.listeners)
 
     def figures(self) -> Figures:
-        """Connections, and who was admitted, at all of them together."""
+        """Return the figures of connections and admission, summed over the listeners."""
         connections: Counter[str] = Counter()
         admission: Counter[str] = Counter()
         for listener in self.listeners:
@@ -148,7 +148,7 @@
         figures: Callable[[], Figures],
         settings: Callable[[], dict[str, object]],
     ) -> None:
-        """`ready`, `figures` and `settings` give what the calls of the console answer."""
+        """`ready`, `figures` and `settings` return what the console responds with."""
         front = ConsoleFront(core.exchange, core.table, core.clock, ready, figures, settings)
         self._opener = opener
         self._listener = Listener(front, core.driver.wheel, core.clock, CONSOLE_DESCRIPTORS, CALL_TIMEOUT_MS)
@@ -157,10 +157,10 @@
             self.bound = BoundListener("console", self._listener, config.console)
 
     async def start(self) -> None:
-        """Opens it, and before anything that a start waits for."""
+        """Open the console's listener; the program starts it before parts that wait."""
         if self.bound is not None:
             await self._opener.open(self.bound, may_share=False)
 
     def stop(self) -> None:
-        """Closes it."""
+        """Close the console's listener."""
         self._listener.close()
--- a/eiderfield/program/log.py
+++ b/eiderfield/program/log.py
@@ -7,6 +7,6 @@
 
 
 def log(text: str) -> None:
-    """A line for the operators. On a full disk it is lost: what is being done must not be lost with it."""
+    """Write a line for the operators to standard error; errors are ignored, such as that of a full disk."""
     with suppress(OSError):
         print(f"eiderfield: {text}", file=sys.stderr, flush=True)
--- a/eiderfield/program/part.py
+++ b/eiderfield/program/part.py
@@ -1,4 +1,4 @@
-"""What the program asks of each of its parts.
+"""The interface between the program and each of its parts.
 
     made ──(start)──> running ──(drain)──> draining ──(nothing is busy any more: stop)──> stopped
                          └──(reload, any number of times)──> running
@@ -18,24 +18,24 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainTimes:
-    """When a graceful shutdown does what, on the process's clock."""
+    """The times of a graceful shutdown, on the process's clock in ms."""
 
     close_listeners_at: float  # new connections are accepted until then
     send_away_at: float  # clients may stay on their connections until then
-    answered_by: float  # all that has come is answered by then
+    answered_by: float  # all accepted requests are answered by then
 
 
 class Part:
     """A part that does nothing: each overrides what it needs."""
 
     async def start(self) -> None:
-        """Begins; parts start in the order in which the program lists them."""
+        """Start; parts start in the order in which the program lists them."""
 
     def reload(self, old: Config, new: Config) -> None:
-        """Takes a configuration that was found good."""
+        """Apply a valid configuration."""
 
     def drain(self, times: DrainTimes) -> None:
-        """The process has been told to end."""
+        """Prepare for the end of the process."""
 
     @property
     def busy(self) -> bool:
@@ -43,8 +43,8 @@
         return False
 
     def stop(self) -> None:
-        """Ends: nothing is busy any more."""
+        """Stop; called once no part is busy."""
 
     def figures(self) -> Figures:
-        """What the console tells of this part."""
+        """Return the figures of this part by section of the console's metrics."""
         return {}
--- a/eiderfield/program/peers.py
+++ b/eiderfield/program/peers.py
@@ -13,28 +13,28 @@
 
 
 class PeersPart(Part):
-    """Tells the other dispatchers, and hears them."""
+    """Exchanges load reports with the other dispatchers."""
 
     def __init__(self, peers: PeerPort) -> None:
         """`peers` is not open yet."""
         self.peers = peers
 
     async def start(self) -> None:
-        """Opens the port unless it was handed over."""
+        """Open the port unless it was handed over."""
         if self.peers.sock is None:
             self.peers.open()
 
     def stop(self) -> None:
-        """Closes the port."""
+        """Close the port."""
         self.peers.close()
 
     def figures(self) -> Figures:
-        """Messages by what became of them."""
+        """Return counts of messages by what happened to them."""
         return {"peers": dict(self.peers.figures)}
 
 
 def make_peers(config: Config, core: Core, loop: asyncio.AbstractEventLoop) -> PeersPart | None:
-    """The part, if the configuration asks for it."""
+    """Return the part, or None if the configuration does not use it."""
     settings = config.peers
     if settings is None:
         return None
--- a/eiderfield/program/program.py
+++ b/eiderfield/program/program.py
@@ -1,4 +1,4 @@
-"""One dispatcher: its parts, joined.
+"""One dispatcher: builds its parts and joins them.
 
 A further part is made in `Program.__init__` and put into `_before_clients`, which start before anybody is
 served, or into `_with_clients`, which start once the endpoint list is known.
@@ -40,10 +40,10 @@
 
 
 class Program:
-    """The parts of one dispatcher: they start, take a new configuration and end together."""
+    """Starts, reloads and stops the parts of one dispatcher together."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, clock: Callable[[], float]) -> None:
-        """Makes all parts; a `ConfigError` where the configuration cannot be used."""
+        """Build all parts. Raises `ConfigError` where the configuration cannot be used."""
         self.ended = asyncio.Event()
         self._settled = False  # whether all parts have started
         limits = _connection_limits(config)
@@ -81,7 +81,7 @@
         return [*self._before_clients, *self._with_clients]
 
     async def start(self) -> None:
-        """Takes over from a process that serves already, if there is one, and opens the listeners."""
+        """Take over from a process that serves already, if there is one, and open the listeners."""
         for part in self._before_clients:
             await part.start()
         if self.shutdown.begun:  # told to end before it served anybody
@@ -91,17 +91,17 @@
         self._settled = True
 
     def reload(self, load: Callable[[], Config]) -> None:
-        """Takes a new configuration: the endpoint list and every request stay, whatever it says or lacks."""
+        """Apply a new configuration. The endpoint list and all requests stay, whatever it contains."""
         old = self.settings.current
         if not self.settings.take(load, self._apply_static_endpoints):
             return
         new = self.settings.current
         for part in self._parts:
             part.reload(old, new)
-        log(f"the configuration was read again; discovery is at {new.discovery.address}")
+        log(f"configuration: reloaded (discovery={new.discovery.address})")
 
     def stop(self) -> None:
-        """Begins the end: taken requests are answered, and clients are asked to go elsewhere."""
+        """Begin the graceful shutdown: accepted requests are answered, idle clients are disconnected."""
         classes = self.settings.current.policy_settings.classes
         self.shutdown.begin(max(each.deadline_ms for each in classes))
 
@@ -110,7 +110,7 @@
             self.core.table.load(config.known_endpoints)
 
     def is_ready(self) -> bool:
-        """Whether this process takes clients."""
+        """Whether this process accepts clients."""
         return self._settled and self.core.table.index is not None and self._clients.accepting
 
     def _figures(self) -> Figures:
@@ -118,7 +118,7 @@
 
 
 def _present(part: PartType | None) -> list[PartType]:
-    """A part that the configuration may leave out."""
+    """Return a list of the part, empty if the configuration leaves it out."""
     return [] if part is None else [part]
 
 
@@ -126,8 +126,8 @@
     limits = ConnectionLimits.of(config, allowed_descriptors())
     if limits.clients < config.client_connections:
         log(
-            f"the system allows fewer descriptors than limits.sockets: at most {limits.clients} "
-            f"connections of clients and {limits.workers} to workers are held"
+            "descriptors: system limit is below limits.sockets "
+            f"(client_connections={limits.clients} worker_connections={limits.workers})"
         )
     return limits
 
@@ -135,7 +135,7 @@
 def _bind_listeners(
     config: Config, core: Core, durable: DurableRequests | None, limits: ConnectionLimits
 ) -> list[BoundListener]:
-    """The listeners for clients, which share the connections that clients may have."""
+    """Return the listeners for clients, which share the limit of client connections."""
     intake = None if durable is None else durable.coordinator.intake
     lookup = None if durable is None else durable.coordinator.lookup
     share = limits.clients if config.batch is None else max(1, limits.clients // 2)
--- a/eiderfield/program/settings.py
+++ b/eiderfield/program/settings.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and the one that was refused last."""
+"""The configuration in force, and the one that was rejected last."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.program.log import log
 
-# What only a new process takes up, with the keys that name it in the log.
+# Fields that only a new process can change, with their keys in the file.
 FIXED = {
     "name": "name",
     "listen": "listen",
@@ -30,23 +30,23 @@
 
 
 class RunningSettings:
-    """What the process runs with.
+    """Holds the configuration in force and decides what of a new one is applied.
 
-    An operator's file is taken whole or not at all. The platform's may name what cannot be changed: the rest
-    of it is taken, for a discovery that has moved has to be followed whatever else the file says.
+    An operator's file is applied as a whole or not at all. Of the platform's file, fields that need a new
+    process are ignored and the rest is applied: a new address of discovery must be followed in any case.
     """
 
     def __init__(self, config: Config, exchange: Exchange) -> None:
-        """`exchange` says which settings of the policy a running process can take."""
+        """`exchange` checks which settings of the policy a running process can change."""
         self.current = config
         self._exchange = exchange
-        self._generation = 1  # how often a configuration was taken
-        self._refused: dict[str, object] | None = None  # the one that was given last, if it was not taken
+        self._generation = 1  # number of configurations applied
+        self._refused: dict[str, object] | None = None  # the last one read, if it was rejected
 
     def take(self, load: Callable[[], Config], apply_known: Callable[[Config], None]) -> bool:
-        """Reads the configuration again; whether it was taken.
+        """Read the configuration again and return whether it was applied.
 
-        `apply_known` may still refuse it, by a `ValueError`, for the endpoints that it names.
+        `apply_known` may still reject it with a `ValueError`, for the endpoints that it lists.
         """
         source: object = None
         try:
@@ -54,7 +54,7 @@
             source = config.source
             config = self._fitting(config)
             apply_known(config)
-        except (ConfigError, ValueError) as error:  # a slip in the file must not end what runs well
+        except (ConfigError, ValueError) as error:  # a mistake in the file must not end a running process
             self._refuse(error, getattr(error, "source", source) or source)
             return False
         self.current = config
@@ -63,7 +63,7 @@
         return True
 
     def report(self) -> dict[str, object]:
-        """What the console's `/-/config` says."""
+        """Return the body of the console's `/-/config`."""
         source = self.current.source
         return {
             "name": self.current.name,
@@ -76,10 +76,13 @@
 
     def _refuse(self, error: Exception, source: object) -> None:
         self._refused = {"why": str(error), "digest": source_digest(source), "settings": redact(source)}
-        log(f"the new configuration is not taken: {error}")
+        log(f"configuration: rejected (error={error})")
 
     def _fitting(self, config: Config) -> Config:
-        """A configuration as it can be taken; `ConfigError` where it is the operator's and cannot be."""
+        """Return the configuration with fixed fields as they are.
+
+        Raises `ConfigError` if an operator's file changes a fixed field.
+        """
         old = self.current
         kept = {name: getattr(old, name) for name in FIXED if getattr(config, name) != getattr(old, name)}
         why = ", ".join(sorted({FIXED[name] for name in kept}))
@@ -91,5 +94,5 @@
         if why and config.is_operator_file:
             raise ConfigError(why)
         if why:
-            log(why)
+            log(f"configuration: {why}")
         return replace(config, **kept)
--- a/eiderfield/program/shutdown.py
+++ b/eiderfield/program/shutdown.py
@@ -3,10 +3,10 @@
     running ──(begin)──> accepting ──(close_listeners_at)──> no new connections ──┐
                             └──(send_away_at, or nobody is connected)─────────────┴──> ending ──> ended
 
-    ending: connections on which nothing is owed are closed or passed on, until no part is busy
+    ending: connections without a pending response are closed or passed on, until no part is busy
 
-What must never happen: a request that was taken and is not answered; a listener that is closed while somebody
-waits whom a full listener has not accepted, though there will be room.
+What must never happen: an accepted request without an answer; a listener that is closed while a client waits
+that a full listener could still accept.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from eiderfield.net.shutdown_times import ShutdownTimes
 from eiderfield.program.part import DrainTimes, Part
 
-CHECK_INTERVAL = 50.0  # ms between checks of what is left to do
+CHECK_INTERVAL_MS = 50.0  # between checks of what is left to do
 
 
 class Shutdown:
-    """Ends a process once all that it has taken is answered."""
+    """Ends a process once all accepted requests are answered."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         return any(listener.draining for listener in self._listeners)
 
     def begin(self, longest_deadline: float) -> None:
-        """Begins the end: taken requests are answered, and clients are asked to go elsewhere."""
+        """Begin the shutdown; `longest_deadline` is that of the classes, in ms."""
         if self.begun:
             return
         now = self._driver.clock()
@@ -104,4 +104,4 @@
         self._ended()
 
     def _again(self, call: Callable[[], None]) -> None:
-        self._driver.wheel.at(self._driver.clock() + CHECK_INTERVAL, call)
+        self._driver.wheel.at(self._driver.clock() + CHECK_INTERVAL_MS, call)
--- a/eiderfield/program/takeover.py
+++ b/eiderfield/program/takeover.py
@@ -1,4 +1,4 @@
-"""Taking over from the process before, and letting the next one take over from this one."""
+"""Takes over from the previous process, and lets the next one take over from this one."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self._socket_path = socket_path
 
     async def start(self) -> None:
-        """Waits until the process before has handed over, or does not answer."""
+        """Wait until the previous process has handed over, or does not answer."""
         link = connect_link(self._loop, self._socket_path)
         if link is None:
             return
@@ -48,31 +48,31 @@
         handover.on_successor_lost = self.listen
 
     async def start(self) -> None:
-        """Lets the next process find this one."""
+        """Listen for the next process."""
         self.listen()
 
     def listen(self) -> None:
-        """Listens for the next process, also after one that had taken over is gone."""
+        """Listen for the next process, also after one that had taken over is gone."""
         if self._peers is not None:
             self._peers.resume()
         self._link_listener.close(unlink=False)
         try:
             self._link_listener.open()
-        except OSError as error:  # it serves without; only an upgrade would be rough
-            log(f"no process can take over from this one: {self._socket_path}: {error}")
+        except OSError as error:  # the process serves without it; only a later upgrade loses connections
+            log(f"handover: cannot listen for the next process (path={self._socket_path} error={error})")
 
     def drain(self, _times: DrainTimes) -> None:
-        """Passes clients on to a process that has taken over."""
+        """Pass clients on to a process that has taken over."""
         if self._handover.handed_over:
             names = self._handover.listeners
             self._handover.pass_clients([name for name in names if name.startswith(CLIENTS)])
 
     @property
     def busy(self) -> bool:
-        """Whether the next process has not been sent all that it is owed."""
+        """Whether messages to the next process are still unsent."""
         return not self._handover.flushed
 
     def stop(self) -> None:
-        """Ends the links; the socket goes unless the next process has put its own there."""
+        """Close the links, and remove the socket unless the next process has replaced it."""
         self._link_listener.close(unlink=not self._handover.handed_over)
         self._handover.close()
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -74,7 +74,7 @@
     with running_program(path / "config.json", command, wait=False) as process:
         lines = log_until_listening(process)
         target = Dispatcher(process, port)
-        target.shrunk = any("allows fewer descriptors" in line for line in lines)
+        target.shrunk = any("system limit is below limits.sockets" in line for line in lines)
         yield target
         assert process.poll() is None
 
--- a/tests/test_program_parts.py
+++ b/tests/test_program_parts.py
@@ -12,7 +12,7 @@
 from eiderfield.net.shutdown_times import ShutdownTimes
 from eiderfield.program.part import DrainTimes, Part
 from eiderfield.program.program import Program
-from eiderfield.program.shutdown import CHECK_INTERVAL
+from eiderfield.program.shutdown import CHECK_INTERVAL_MS
 
 NOW = 1e6
 DEADLINE = 5000.0  # of the one class in the configuration
@@ -135,13 +135,13 @@
     assert not joined.names("stop")
     assert not joined.program.ended.is_set()
     joined.last.still_busy = False
-    joined.pass_time(2.0 * CHECK_INTERVAL)
+    joined.pass_time(2.0 * CHECK_INTERVAL_MS)
     assert joined.names("stop") == ["first", "last"]
     assert joined.program.ended.is_set()
 
 
 def test_a_process_whom_nobody_keeps_ends_when_its_listeners_close(joined):
     joined.program.stop()
-    joined.pass_time(ShutdownTimes.of(DEADLINE).close_listeners + CHECK_INTERVAL)
+    joined.pass_time(ShutdownTimes.of(DEADLINE).close_listeners + CHECK_INTERVAL_MS)
     assert joined.names("stop") == ["first", "last"]
     assert joined.program.ended.is_set()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -192,7 +192,7 @@
             assert worker.came.wait(30)
             path.write_text(json.dumps({**told, "discovery": 5}))
             process.send_signal(signal.SIGHUP)
-            assert "not taken: discovery is not a table" in process.stderr.readline()
+            assert "configuration: rejected (error=discovery is not a table" in process.stderr.readline()
             path.write_text(json.dumps({**told, "discovery": f"127.0.0.1:{new.port}"}))
             process.send_signal(signal.SIGHUP)
             assert b"watch=1" in new.asked.get(timeout=30)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -23,7 +23,7 @@
 
 from eiderfield.config.loader import read
 from eiderfield.lab.ports import free_port
-from eiderfield.program.discovery import FIRST_LIST_TIMEOUT
+from eiderfield.program.discovery import FIRST_LIST_TIMEOUT_MS
 from eiderfield.program.program import Program
 
 JOB = b"POST /echo/a HTTP/1.1\r\nX-Request-Id: 1\r\nContent-Length: 3\r\n\r\nabc"
@@ -101,7 +101,7 @@
     loop.run_until_complete(program.discovery.first_list())
     loop.close()
     assert config.policy_settings.drain_grace_ms == LONG
-    assert waits == [1e6 + FIRST_LIST_TIMEOUT]
+    assert waits == [1e6 + FIRST_LIST_TIMEOUT_MS]
 
 
 def test_a_process_that_is_told_to_end_before_it_is_up_ends(tmp_path):
@@ -132,7 +132,7 @@
             anew.write_text(json.dumps(program_config(port, f"127.0.0.1:{new.port}")))
             anew.replace(path)
         assert b"watch=1" in new.asked.get(timeout=30)
-        assert "read again" in process.stderr.readline()
+        assert "configuration: reloaded" in process.stderr.readline()
         assert "listens on" in process.stderr.readline()
 
 
@@ -178,10 +178,10 @@
         assert b"watch=1" in silent.asked.get(timeout=30)
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
-        assert "not taken: LB_CONFIG" in process.stderr.readline()
+        assert "configuration: rejected (error=LB_CONFIG" in process.stderr.readline()
         path.write_text(json.dumps({**config, "discovery": f"127.0.0.1:{other.port}"}))
         process.send_signal(signal.SIGHUP)
-        assert "read again" in process.stderr.readline()
+        assert "configuration: reloaded" in process.stderr.readline()
         assert b"watch=1" in other.asked.get(timeout=30)
         assert "listens on" in process.stderr.readline()
         with socket.create_connection(("127.0.0.1", port)) as sock:
