--- a/eiderfield/durable_requests/thread_events.py
+++ b/eiderfield/durable_requests/thread_events.py
@@ -76,7 +76,7 @@
         """
         ids = self._context.services.ids
         worker = ids.worker(attempt.worker)
-        known = self._context.exchange.endpoint(worker)
+        known = self._context.exchange.endpoints.endpoint(worker)
         endpoint = Endpoint(worker, ids.zone(attempt.zone), known.kind, attempt.cell, known.state)
         return endpoint, attempt.sent_at + offset
 
--- a/eiderfield/exchange/attempt_table.py
+++ b/eiderfield/exchange/attempt_table.py
@@ -8,6 +8,7 @@
 from eiderfield.exchange.context import Context
 from eiderfield.exchange.event_queue import EventQueue
 from eiderfield.exchange.metrics import Metrics
+from eiderfield.exchange.other_process import OtherProcessState
 from eiderfield.exchange.request import Attempt, PendingRequest
 from eiderfield.exchange.request_table import RequestTable
 from eiderfield.interface import (
@@ -33,13 +34,19 @@
     """Open attempts by request and number, also those of answered requests, and their number per worker."""
 
     def __init__(
-        self, context: Context, events: EventQueue, requests: RequestTable, metrics: Metrics
+        self,
+        context: Context,
+        events: EventQueue,
+        requests: RequestTable,
+        other_process: OtherProcessState,
+        metrics: Metrics,
     ) -> None:
         """Create an empty table; ends of attempts are posted to `events`."""
         self.open: dict[tuple[int, int], Attempt] = {}
         self._context = context
         self._events = events
         self._requests = requests
+        self._other_process = other_process
         self._metrics = metrics
         self._open_per_worker: Counter[int] = Counter()
 
@@ -96,8 +103,8 @@
         )
 
     def _notify_other_process(self, worker: int, work: float = 0.0) -> None:
-        if self._context.other_process is not None:
-            self._context.other_process.attempts_changed(worker, self._open_per_worker[worker], work)
+        if self._other_process.process is not None:
+            self._other_process.process.attempts_changed(worker, self._open_per_worker[worker], work)
 
 
 def latest_start(attempt: Attempt, cls: RequestClass) -> float:
--- a/eiderfield/exchange/context.py
+++ b/eiderfield/exchange/context.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from eiderfield.exchange.protocols import DurableRequests, OtherProcess, PeerChannel, WorkerSide
+from eiderfield.exchange.protocols import DurableRequests, PeerChannel, WorkerSide
 from eiderfield.exchange.timers import Timers
 from eiderfield.interface import Settings
 
@@ -19,5 +19,4 @@
     log: Callable[[str], None]
     worker_side: WorkerSide | None = None
     durable_requests: DurableRequests | None = None
-    other_process: OtherProcess | None = None
     peer_channel: PeerChannel | None = None
--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -17,7 +17,7 @@
 from eiderfield.exchange.event_queue import EventQueue
 from eiderfield.exchange.metrics import Metrics
 from eiderfield.exchange.other_process import OtherProcessState
-from eiderfield.exchange.protocols import DurableRequests, OtherProcess, PeerChannel, WorkerSide
+from eiderfield.exchange.protocols import DurableRequests, PeerChannel, WorkerSide
 from eiderfield.exchange.request import (
     Answer,
     Attempt,
@@ -54,7 +54,14 @@
 
 
 class Exchange:
-    """Joins the client side, the worker side and the policy."""
+    """Joins the client side, the worker side and the policy.
+
+    Attributes:
+        metrics: Counters of requests and attempts.
+        dispatcher: The policy.
+        endpoints: The endpoint list; change it by `update_endpoints`.
+        other_process: What the previous or next process of this dispatcher has in flight.
+    """
 
     def __init__(
         self,
@@ -70,12 +77,14 @@
         self._wake = wake
         self._context = Context(settings, timers, log)
         self._events = EventQueue(wake)
-        self._endpoints = EndpointTable()
-        self._other_process = OtherProcessState(self._events)
-        self._requests = RequestTable(self._context, self.metrics, self._other_process)
-        self._attempts = AttemptTable(self._context, self._events, self._requests, self.metrics)
+        self.endpoints = EndpointTable()
+        self.other_process = OtherProcessState(self._events)
+        self._requests = RequestTable(self._context, self.metrics, self.other_process)
+        self._attempts = AttemptTable(
+            self._context, self._events, self._requests, self.other_process, self.metrics
+        )
         self._actions = ActionExecutor(
-            self._context, self._events, self._endpoints, self._requests, self._attempts, self.metrics
+            self._context, self._events, self.endpoints, self._requests, self._attempts, self.metrics
         )
 
     def attach_worker_side(self, worker_side: WorkerSide) -> None:
@@ -95,16 +104,6 @@
         """The settings in force."""
         return self._context.settings
 
-    @property
-    def knows_workers(self) -> bool:
-        """Whether the endpoint list has a worker that accepts requests."""
-        return self._endpoints.any_ready
-
-    @property
-    def endpoint_states(self) -> Mapping[int, EndpointState]:
-        """The state of each worker that was ever listed."""
-        return self._endpoints.states
-
     @property
     def pending_requests(self) -> Mapping[int, PendingRequest]:
         """The requests without a final answer, by number."""
@@ -249,34 +248,13 @@
         except (ValueError, TypeError, LookupError, AttributeError) as error:
             self._context.log(f"handover: ignoring learned state of the previous process (error={error!r})")
 
-    def attach_other_process(self, other_process: OtherProcess) -> None:
-        """Set what notifies the other process of ids and attempts of this one."""
-        self._context.other_process = other_process
-
-    def update_other_process_ids(self, accepted: Iterable[str], released: Iterable[str]) -> None:
-        """Apply the ids of requests that the other process accepted, and those that it released."""
-        self._other_process.update_request_ids(accepted, released)
-
-    def update_other_process_attempts(self, worker: int, count: int, work: float) -> None:
-        """Set the other process's open attempts at a worker, and add the work that it just sent there."""
-        self._other_process.update_attempts(worker, count, work)
-
-    def other_process_ended(self) -> None:
-        """Forget the other process: it has ended."""
-        self._context.other_process = None
-        self._other_process.clear()
-
     # Called by the worker side and by discovery.
 
     def update_endpoints(self, kind: EndpointListKind, version: int, endpoints: tuple[Endpoint, ...]) -> None:
         """Apply a change of the endpoint list, in force at once for every attempt that has not started."""
-        self._endpoints.update(kind, endpoints)
+        self.endpoints.update(kind, endpoints)
         self._events.post_endpoint_update(EndpointsUpdated(kind, version, endpoints))
 
-    def endpoint(self, worker: int) -> Endpoint:
-        """Return a worker as last listed; an endpoint without a place, and gone, if it never was."""
-        return self._endpoints.endpoint(worker)
-
     def may_write(self, attempt: Attempt, now: float) -> bool:
         """Return whether an attempt whose connection is established may still start.
 
@@ -286,7 +264,7 @@
         pending = attempt.pending
         if not attempt.open or pending.answered:
             return False
-        if self._endpoints.states.get(attempt.worker) != EndpointState.READY:
+        if self.endpoints.states.get(attempt.worker) != EndpointState.READY:
             return False
         if now > latest_start(attempt, self._context.settings.classes[pending.request.class_index]):
             return False
--- a/eiderfield/exchange/other_process.py
+++ b/eiderfield/exchange/other_process.py
@@ -5,18 +5,29 @@
 from collections.abc import Iterable
 
 from eiderfield.exchange.event_queue import EventQueue
+from eiderfield.exchange.protocols import OtherProcess
 from eiderfield.interface import SiblingReportReceived
 
 
 class OtherProcessState:
-    """The request ids and the attempts of the other process, as it last reported them."""
+    """The request ids and the attempts of the other process, as it last reported them.
+
+    Attributes:
+        process: What notifies the other process of the ids and attempts of this one; None if there is none.
+        request_ids: The ids in use there.
+    """
 
     def __init__(self, events: EventQueue) -> None:
         """Post changes of attempts to `events`."""
+        self.process: OtherProcess | None = None
         self.request_ids: set[str] = set()
         self._events = events
         self._workers: set[int] = set()  # at which it has open attempts
 
+    def attach(self, process: OtherProcess) -> None:
+        """Notify the other process of each change of this one from now on."""
+        self.process = process
+
     def update_request_ids(self, accepted: Iterable[str], released: Iterable[str]) -> None:
         """Apply the ids of requests that it accepted, and those that it released."""
         self.request_ids.update(accepted)
@@ -30,8 +41,9 @@
             self._workers.discard(worker)
         self._events.post(SiblingReportReceived(worker, count, work))
 
-    def clear(self) -> None:
-        """Forget its requests and attempts: it has ended."""
+    def ended(self) -> None:
+        """Forget the other process, its requests and its attempts."""
+        self.process = None
         self.request_ids.clear()
         for worker in list(self._workers):
             self.update_attempts(worker, 0, 0.0)
--- a/eiderfield/exchange/request_table.py
+++ b/eiderfield/exchange/request_table.py
@@ -47,8 +47,8 @@
         self.pending[pending.id] = pending
         self.ids.add(id_)
         self._new.append(pending)
-        if self._context.other_process is not None:
-            self._context.other_process.request_taken(id_)
+        if self._other_process.process is not None:
+            self._other_process.process.request_taken(id_)
         return pending
 
     def timestamp(self, now: float) -> None:
@@ -80,5 +80,5 @@
         """Release the request's id if it is answered and its last attempt has ended."""
         if pending.answered and not any(attempt.open for attempt in pending.attempts):
             self.ids.discard(pending.request.id)
-            if self._context.other_process is not None:
-                self._context.other_process.id_released(pending.request.id)
+            if self._other_process.process is not None:
+                self._other_process.process.id_released(pending.request.id)
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -74,7 +74,7 @@
         return self._take(connection, request)
 
     def _answer_readiness(self, listener: ListenerStatus, connection: Responder) -> None:
-        ready = self._exchange.knows_workers and listener.listening and not listener.draining
+        ready = self._exchange.endpoints.any_ready and listener.listening and not listener.draining
         if listener.draining:
             connection.reject(503, "not ready")
         else:
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -66,10 +66,10 @@
         self._adopt_listeners(state.listeners, descriptors)
         context = self._context
         context.table.take_over(state.table, state.bans)
-        context.exchange.update_other_process_ids(state.request_ids, ())
+        context.exchange.other_process.update_request_ids(state.request_ids, ())
         for attempts in state.attempts:
             worker = context.table.ids.worker(attempts.worker)
-            context.exchange.update_other_process_attempts(worker, attempts.count, 0.0)
+            context.exchange.other_process.update_attempts(worker, attempts.count, 0.0)
         if state.learned is not None:
             context.exchange.resume(to_policy(state.learned), context.clock())
         self._share_updates()
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -168,7 +168,7 @@
             self._channel.receive_fields(fields, [])
 
     def _share_updates(self) -> None:
-        self._context.exchange.attach_other_process(self._updates)
+        self._context.exchange.other_process.attach(self._updates)
         self._context.table.on_ban = self._send_ban
 
     def _send_ban(self, worker: str, since: float | None) -> None:
@@ -178,10 +178,10 @@
         exchange, ids = self._context.exchange, self._context.table.ids
         taken = [id_ for id_, is_taken in message.request_ids.items() if is_taken]
         released = [id_ for id_, is_taken in message.request_ids.items() if not is_taken]
-        exchange.update_other_process_ids(taken, released)
+        exchange.other_process.update_request_ids(taken, released)
         for attempts in message.attempts:
             worker = ids.worker(attempts.worker)
-            exchange.update_other_process_attempts(worker, attempts.count, attempts.work)
+            exchange.other_process.update_attempts(worker, attempts.count, attempts.work)
 
     def _ban_changed(self, message: BanChanged) -> None:
         self._context.table.apply_ban(message.worker, message.since)
@@ -190,7 +190,7 @@
         """Continue alone: the other process is gone or was not understood."""
         context = self._context
         had_handed_over = self._old.take_back()
-        context.exchange.other_process_ended()
+        context.exchange.other_process.ended()
         context.table.on_ban = None
         context.workers.share_connections(False)
         for listener in self.listeners.values():
--- a/tests/support/consul.py
+++ b/tests/support/consul.py
@@ -70,6 +70,6 @@
         names = self.dispatcher.ids
         return {
             names.name(w): s
-            for w, s in self.dispatcher.exchange.endpoint_states.items()
+            for w, s in self.dispatcher.exchange.endpoints.states.items()
             if s != EndpointState.GONE
         }
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -187,11 +187,11 @@
 @pytest.mark.parametrize("bad", [b"garbage\n", b'{"index":1}\n', b'{"index":"x","endpoints":[]}\n', b"[]\n"])
 def test_garbage_changes_nothing_and_is_followed_by_a_drawn_wait_that_the_log_names(bad):
     dispatcher = follow(0, 3)
-    before = dict(dispatcher.exchange.endpoint_states)
+    before = dict(dispatcher.exchange.endpoints.states)
     feed = dispatcher.dials[-1].up()
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     feed.pipe.send(head + b"%x\r\n%s\r\n" % (len(bad), bad))
-    assert dispatcher.exchange.endpoint_states == before
+    assert dispatcher.exchange.endpoints.states == before
     assert not feed.pipe.open
     assert "watch reopened after index 3 in " in dispatcher.logged[-1], json.dumps(dispatcher.logged)
     dispatcher.advance(40.0 * WAIT_PER_SHARER + 5.0)
@@ -288,7 +288,7 @@
     while not drained:
         for dial in [dial for dial in dispatcher.dials if dial not in hung]:
             dial.up().pipe.send(HEAD + chunk(told("DRAINING")))
-        drained = [*dispatcher.exchange.endpoint_states.values()] == [EndpointState.DRAINING]
+        drained = [*dispatcher.exchange.endpoints.states.values()] == [EndpointState.DRAINING]
         dispatcher.advance(10.0)
         assert dispatcher.now - reachable <= NOTIFIED_AFTER
 
@@ -306,7 +306,7 @@
     feed.pipe.break_off()
     dispatcher.advance(FIRST_CALLS_SHARE * 500.0 + TICK_MS)
     dispatcher.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING")))
-    assert [*dispatcher.exchange.endpoint_states.values()] == [EndpointState.DRAINING]
+    assert [*dispatcher.exchange.endpoints.states.values()] == [EndpointState.DRAINING]
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
@@ -350,4 +350,4 @@
 def test_a_watch_takes_an_indented_list(indent):
     dispatcher = follow(0, 3)
     dispatcher.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING", indent=indent)))
-    assert [*dispatcher.exchange.endpoint_states.values()] == [EndpointState.DRAINING]
+    assert [*dispatcher.exchange.endpoints.states.values()] == [EndpointState.DRAINING]
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -10,7 +10,7 @@
 
 
 def state(dispatcher, worker):
-    return dispatcher.exchange.endpoint_states[dispatcher.ids.known(f"w{worker}")]
+    return dispatcher.exchange.endpoints.states[dispatcher.ids.known(f"w{worker}")]
 
 
 def sent_to(dispatcher):
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -105,7 +105,7 @@
     assert console.figures()["hosts_down"] == 1
     dispatcher.tell((1, "SERVING"), (3, "SERVING"), snapshot=True)
     assert console.figures()["hosts_listed"] == 2
-    assert EndpointState.READY in dispatcher.exchange.endpoint_states.values()
+    assert EndpointState.READY in dispatcher.exchange.endpoints.states.values()
 
 
 def test_a_rest_that_is_over_counts_no_more_though_nothing_happened_since():
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -21,7 +21,7 @@
     assert consul.query() == "/v1/health/service/claim%20workers?index=7&wait=30s"
     consul.answer(9, instance("b", 2))
     assert consul.states() == {"n/b": EndpointState.READY}
-    assert consul.dispatcher.exchange.knows_workers
+    assert consul.dispatcher.exchange.endpoints.any_ready
 
 
 def test_the_catalogue_knows_of_no_checks():
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -36,7 +36,7 @@
 
 
 def state(side, worker):
-    return side.dispatcher.exchange.endpoint_states.get(side.dispatcher.ids.known(f"w{worker}"))
+    return side.dispatcher.exchange.endpoints.states.get(side.dispatcher.ids.known(f"w{worker}"))
 
 
 def test_the_new_process_takes_port_list_and_bans_and_the_old_one_accepts_no_more(pair):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -46,7 +46,7 @@
 
     @property
     def states(self):
-        return list(self.dispatcher.exchange.endpoint_states.values())
+        return list(self.dispatcher.exchange.endpoints.states.values())
 
 
 def news(status="SERVING", index=7, snapshot=True):
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -353,14 +353,14 @@
         "endpoints": [{"name": "w1", "address": "127.0.0.1:1", "status": "DRAINING", "since_ms": 3}],
     }
     end.say(line)
-    assert list(dispatcher.exchange.endpoint_states.values()) == [EndpointState.DRAINING]
+    assert list(dispatcher.exchange.endpoints.states.values()) == [EndpointState.DRAINING]
     for _ in range(3):  # empty lines are signs of life
         dispatcher.advance(2000.0)
         end.pipe.send(b"1\r\n\n\r\n")
     assert end.pipe.open
     dispatcher.advance(SILENCE + 500.0)
     assert not end.pipe.open
-    assert list(dispatcher.exchange.endpoint_states.values()) == [EndpointState.DRAINING]
+    assert list(dispatcher.exchange.endpoints.states.values()) == [EndpointState.DRAINING]
     again = dispatcher.dials[-1].up()
     assert b"after=5 " in again.pipe.written
 
@@ -382,7 +382,7 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n" % (len(line) + 1, line)
     )
     assert not end.pipe.open
-    assert dispatcher.exchange.knows_workers
+    assert dispatcher.exchange.endpoints.any_ready
     dispatcher.advance(300.0)
     assert dispatcher.dials
 
@@ -398,6 +398,6 @@
         end.pipe.send(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
         dispatcher.advance(100.0)
     assert not end.pipe.open
-    assert dispatcher.exchange.knows_workers
+    assert dispatcher.exchange.endpoints.any_ready
     dispatcher.advance(300.0)
     assert dispatcher.dials
--- a/tests/test_wall_clock_bans.py
+++ b/tests/test_wall_clock_bans.py
@@ -46,7 +46,7 @@
     second = Machine(bans=tmp_path / "bans.json", start=77e9)
     second.wall.step(step)
     second.tell(("w", started), snapshot=True)
-    entry = second.dispatcher.exchange.endpoint_states[second.dispatcher.ids.worker("w")]
+    entry = second.dispatcher.exchange.endpoints.states[second.dispatcher.ids.worker("w")]
     assert entry == EndpointState.DRAINING
     second.dispatcher.table.unban("w")
     assert second.started("w") == 0.0
