--- a/eiderfield/__init__.py
+++ b/eiderfield/__init__.py
@@ -1,6 +1,6 @@
 """eiderfield: the decisions of a dispatcher that pushes jobs to workers, without any I/O."""
 
 from eiderfield.policy.dispatcher import Dispatcher
-from eiderfield.wire import parse_settings
+from eiderfield.settings_text import parse_settings
 
 __all__ = ["Dispatcher", "parse_settings"]
--- a/eiderfield/adapter.py
+++ b/eiderfield/adapter.py
@@ -2,71 +2,94 @@
 
 from __future__ import annotations
 
+import logging
 import sys
 from typing import BinaryIO
 
 from eiderfield.interface import Event
 from eiderfield.policy.dispatcher import Dispatcher
-from eiderfield.wire import (
-    HEADER,
-    Create,
-    Decoder,
-    Retire,
-    WireError,
-    encode,
-    encode_fatal,
-    parse_settings,
-    reply,
-)
+from eiderfield.settings_text import SettingsError, parse_settings
+from eiderfield.wire import HEADER, Create, Decoder, Retire, WireError, encode, encode_fatal, encode_reply
+
+logger = logging.getLogger(__name__)
 
 
 class Host:
-    """The instances of one process. They share the decoder and nothing else."""
+    """Dispatchers of one process, by node. They share the decoder and nothing else."""
 
     def __init__(self) -> None:
+        """Start without any dispatcher."""
         self._decoder = Decoder()
-        self._nodes: dict[int, Dispatcher] = {}
-
-    def batch(self, now: float, body: bytes, count: int) -> bytes:
-        """Plays one batch and returns the reply frame."""
-        out: list[bytes] = []
-        waiting: dict[int, list[Event]] = {}
-        for node, event in self._decoder.records(body, count):
-            if isinstance(event, Create | Retire):
-                waiting.pop(node, None)  # a killed node answers nothing any more
-                self._nodes.pop(node, None)
-                if isinstance(event, Create):
-                    try:
-                        self._nodes[node] = Dispatcher(parse_settings(event.text), event.seed)
-                    except Exception as error:
-                        out.append(encode_fatal(node, f"{error}"))
-                continue
-            waiting.setdefault(node, []).append(event)
-        for node, events in waiting.items():
-            dispatcher = self._nodes.get(node)
-            if dispatcher is None:
-                continue
-            try:
-                out.extend([encode(node, action) for action in dispatcher.handle(now, events)])
-            except Exception as error:
-                del self._nodes[node]
-                out.append(encode_fatal(node, f"{type(error).__name__}: {error}"))
-        return reply(out)
+        self._dispatchers: dict[int, Dispatcher] = {}
+
+    def handle_batch(self, now: float, body: bytes, count: int) -> bytes:
+        """Pass the events of a batch to their dispatchers; return the reply frame.
+
+        A failure of one dispatcher is reported in the reply and ends this dispatcher alone.
+
+        Args:
+            now: The clock of the batch, in ms.
+            body: The frame without its header.
+            count: The number of its records.
+
+        Raises:
+            WireError: The frame is malformed.
+        """
+        replies: list[bytes] = []
+        events_by_node: dict[int, list[Event]] = {}
+        for node, record in self._decoder.records(body, count):
+            if isinstance(record, Create | Retire):
+                events_by_node.pop(node, None)  # a node that was killed no longer replies
+                self._dispatchers.pop(node, None)
+                if isinstance(record, Create):
+                    replies += self._create(node, record)
+            else:
+                events_by_node.setdefault(node, []).append(record)
+        for node, events in events_by_node.items():
+            replies += self._handle_events(node, now, events)
+        return encode_reply(replies)
+
+    def _create(self, node: int, record: Create) -> list[bytes]:
+        """Create a dispatcher; return what this adds to the reply."""
+        try:
+            self._dispatchers[node] = Dispatcher(parse_settings(record.text), record.seed)
+        except SettingsError as error:
+            return [encode_fatal(node, f"{error}")]
+        except Exception as error:
+            logger.exception("adapter: dispatcher not created (node=%d)", node)
+            return [encode_fatal(node, f"{error}")]
+        return []
+
+    def _handle_events(self, node: int, now: float, events: list[Event]) -> list[bytes]:
+        """Return the actions of a dispatcher as records, none if there is no such dispatcher."""
+        dispatcher = self._dispatchers.get(node)
+        if dispatcher is None:
+            return []
+        try:
+            return [encode(node, action) for action in dispatcher.handle(now, events)]
+        except Exception as error:
+            logger.exception("adapter: dispatcher failed (node=%d)", node)
+            del self._dispatchers[node]
+            return [encode_fatal(node, f"{type(error).__name__}: {error}")]
 
 
 def read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """Reads `size` bytes, fewer only at the end of the input."""
+    """Read `size` bytes, fewer only at the end of the input."""
     data = stream.read(size)
     while len(data) < size:
-        more = stream.read(size - len(data))
-        if not more:
+        chunk = stream.read(size - len(data))
+        if not chunk:
             break
-        data += more
+        data += chunk
     return data
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers every batch until the input ends."""
+    """Answer every batch of `source` on `sink` until the input ends.
+
+    Raises:
+        WireError: A frame is malformed.
+    """
     host = Host()
     while header := read_exactly(source, HEADER.size):
         if len(header) < HEADER.size:
@@ -77,12 +100,12 @@
         body = read_exactly(source, size - HEADER.size)
         if len(body) < size - HEADER.size:
             raise WireError(f"frame of {size} bytes is cut short after {len(body) + HEADER.size}")
-        sink.write(host.batch(now, body, count))
+        sink.write(host.handle_batch(now, body, count))
         sink.flush()
 
 
 def main() -> int:
-    """Runs the adapter; 0 at the end of input, 1 with one plain line on a malformed frame."""
+    """Run the adapter; return 0 at the end of input, 1 after one line on a malformed frame."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/eiderfield/config/policy.py
+++ b/eiderfield/config/policy.py
@@ -7,15 +7,16 @@
 from eiderfield.config.errors import ConfigError
 from eiderfield.idmap import plain
 from eiderfield.interface import Settings
-from eiderfield.wire import parse_settings
+from eiderfield.settings_text import SettingsError, parse_settings
 
 
 def read_policy_settings(data: object) -> Settings:
     """Return the settings of the policy from the nested table `settings`."""
     try:
         return parse_settings("\n".join(settings_lines(data)))
-    except ValueError as error:
-        raise ConfigError(str(error).replace("setting ", "settings.", 1)) from None
+    except SettingsError as error:
+        key = f"settings.{error.key}"
+        raise ConfigError(f"{key} {error.problem}", key=key) from None
 
 
 def settings_lines(value: object, path: str = "") -> list[str]:
--- a/eiderfield/errors.py
+++ b/eiderfield/errors.py
@@ -4,7 +4,8 @@
 
     EiderfieldError
     ├── ConfigError               config/errors.py: a setting is missing or wrong
-    ├── WireError                 wire.py: a message of the deterministic adapter is malformed
+    ├── SettingsError             settings_text.py: a setting of the policy is missing or wrong
+    ├── WireError                 wire.py: a frame of the simulator is malformed
     ├── ExchangeError             exchange/errors.py: a call that the exchange refuses
     ├── HandoverError             net/handover/errors.py: the handover to the next process failed
     ├── EndpointListError         net/discovery/endpoint_list.py: an endpoint list is malformed
--- a/eiderfield/wire.py
+++ b/eiderfield/wire.py
@@ -1,13 +1,14 @@
-"""The simulator's wire: frames of binary records, and settings as text.
+"""Codec of the simulator's wire: a frame is a header and records, one record for each event or action.
 
-Everything on the wire is little-endian without padding. A fault in a frame raises `WireError` with its place.
+Everything is little-endian without padding. A record starts with its code (u8) and the node (u16), the
+number of the dispatcher that it is for or from; `Decoder` reads events, `encode` writes actions.
 """
 
 from __future__ import annotations
 
-import math
 import struct
 from collections.abc import Callable, Iterator
+from dataclasses import dataclass
 from typing import Any
 
 from eiderfield.errors import EiderfieldError
@@ -18,7 +19,6 @@
     CancelAttempt,
     ClientDisconnected,
     CloseIdleConnections,
-    Effect,
     Endpoint,
     EndpointListKind,
     EndpointState,
@@ -32,443 +32,356 @@
     ProbeWorker,
     ProgressKind,
     RejectRequest,
-    RequestClass,
     RequestReceived,
-    Scope,
     SendPeerReport,
     SetTimer,
-    Settings,
     StartAttempt,
     StreamStarted,
-    Tenant,
     TimerFired,
     WatchEndpoints,
 )
 
-HEADER = struct.Struct("<IId")
-REPLY = struct.Struct("<II")
-ENTRY = struct.Struct("<IHHHBfd")
-
-# Codes of what the simulator sends, and of what is sent to it.
-CREATE, UPDATE, QUERY, FLOWING, ENDED, GONE, DUE, PROBED, PEER, RETIRE, TABLE, NOTE = range(12)
-CLOSE_IDLE, CANCEL, LOG, FETCH, WATCH, PROBE, SEND, TIMER, REFUSE, FATAL, TELL, FAIL = range(12)
-
-_MOST_TEXT = 0xFFFF  # bytes of a line of text
-_ALL_PEERS = 0xFFFF
-
+HEADER = struct.Struct("<IId")  # of a batch: count of records, bytes of the frame, clock
+REPLY_HEADER = struct.Struct("<II")  # count of records, bytes of the frame
+
+
+class EventCode:
+    """Codes of records that are received; plain integers, which pack faster than members of an enum."""
+
+    CREATE = 0
+    ENDPOINTS_UPDATED = 1
+    REQUEST_RECEIVED = 2
+    STREAM_STARTED = 3
+    ATTEMPT_ENDED = 4
+    CLIENT_DISCONNECTED = 5
+    TIMER_FIRED = 6
+    PROBE_COMPLETED = 7
+    PEER_REPORT_RECEIVED = 8
+    RETIRE = 9
+    ENDPOINT_TABLE = 10
+    ATTEMPT_PROGRESSED = 11
+
+
+class ActionCode:
+    """Codes of records that are sent, see `EventCode`."""
+
+    CLOSE_IDLE_CONNECTIONS = 0
+    CANCEL_ATTEMPT = 1
+    LOG_MESSAGE = 2
+    FETCH_ENDPOINTS = 3
+    WATCH_ENDPOINTS = 4
+    PROBE_WORKER = 5
+    START_ATTEMPT = 6
+    SET_TIMER = 7
+    REJECT_REQUEST = 8
+    FATAL = 9
+    SEND_PEER_REPORT = 10
+    FAIL_REQUEST = 11
+
+
+# Fields of received records after the code, and of the entries of an endpoint table.
 _CREATE = struct.Struct("<HQI")
-_UPDATE = struct.Struct("<HBQI")
-_QUERY = struct.Struct("<HQBHQddffB")
-_FLOWING = struct.Struct("<HQHId")
-_ENDED = struct.Struct("<HQIHBdHBB")
-_GONE = struct.Struct("<HQ")
-_DUE = struct.Struct("<HQ")
-_PROBED = struct.Struct("<HIHdB")
-_PEER = struct.Struct("<HHH")
+_ENDPOINTS_UPDATED = struct.Struct("<HBQI")
+_REQUEST_RECEIVED = struct.Struct("<HQBHQddffB")
+_STREAM_STARTED = struct.Struct("<HQHId")
+_ATTEMPT_ENDED = struct.Struct("<HQIHBdHBB")
+_CLIENT_DISCONNECTED = struct.Struct("<HQ")
+_TIMER_FIRED = struct.Struct("<HQ")
+_PROBE_COMPLETED = struct.Struct("<HIHdB")
+_PEER_REPORT_RECEIVED = struct.Struct("<HHH")
 _RETIRE = struct.Struct("<H")
-_TABLE = struct.Struct("<II")
-_NOTE = struct.Struct("<HQHIBf")
-_LOADS = [struct.Struct(f"<{n}f") for n in range(17)]
+_ENDPOINT_TABLE = struct.Struct("<II")
+_ENDPOINT = struct.Struct("<IHHHBfd")
+_ATTEMPT_PROGRESSED = struct.Struct("<HQHIBf")
+_LOAD_REPORTS = [struct.Struct(f"<{size}f") for size in range(17)]  # by the number of figures
 
-# Flags of a query.
+# Flags of a received request.
 _WORK_IS_KNOWN = 1  # the expected work may be relied on
 _IS_CLIENT_RETRY = 2
 
-_NODE_ID = struct.Struct("<BHQ")
-_CANCEL = struct.Struct("<BHQH")
-_SEND = struct.Struct("<BHQId")
-_TIMER = struct.Struct("<BHdQ")
-_REFUSE = struct.Struct("<BHQd")
+# Fields of sent records, the code included.
+_NODE = struct.Struct("<BH")
+_REQUEST = struct.Struct("<BHQ")
 _WORKER = struct.Struct("<BHI")
-_TELL = struct.Struct("<BHHH")
 _TEXT = struct.Struct("<BHH")
-_WATCH = struct.Struct("<BHB")
-_FETCH = struct.Struct("<BH")
+_CANCEL_ATTEMPT = struct.Struct("<BHQH")
+_START_ATTEMPT = struct.Struct("<BHQId")
+_SET_TIMER = struct.Struct("<BHdQ")
+_REJECT_REQUEST = struct.Struct("<BHQd")
+_SEND_PEER_REPORT = struct.Struct("<BHHH")
+_WATCH_ENDPOINTS = struct.Struct("<BHB")
+
+_MAX_TEXT_BYTES = 0xFFFF
+_ALL_PEERS = 0xFFFF
 
-_STATES = {s.value: s for s in EndpointState}
-_KINDS = {k.value: k for k in EndpointListKind}
-_PROGRESS_KINDS = {k.value: k for k in ProgressKind}
+_STATES = {state.value: state for state in EndpointState}
+_LIST_KINDS = {kind.value: kind for kind in EndpointListKind}
+_PROGRESS_KINDS = {kind.value: kind for kind in ProgressKind}
 
 
 class WireError(EiderfieldError, ValueError):
-    """A frame that cannot be understood: what is wrong, and at which byte of it."""
+    """A frame cannot be decoded; the message tells what is wrong, and at which byte of it."""
 
 
+@dataclass(slots=True)
 class Create:
-    """A node comes up with its seed and its settings text."""
-
-    __slots__ = ("seed", "text")
+    """A node starts, with the seed of its random numbers and the text of its settings."""
 
-    def __init__(self, seed: int, text: str) -> None:
-        self.seed = seed
-        self.text = text
+    seed: int
+    text: str
 
 
+@dataclass(slots=True)
 class Retire:
-    """A node has been killed."""
+    """A node was killed."""
+
 
-    __slots__ = ()
+Record = Event | Create | Retire
 
 
 class Decoder:
-    """Decodes batches; holds the tables, which the wire sends once for each process."""
+    """Decodes the records of batches; stores the endpoint tables, which later records refer to by number."""
 
     def __init__(self) -> None:
+        """Start without any table."""
         self._tables: dict[int, tuple[Endpoint, ...]] = {}
-        self._decoders: dict[int, Callable[[bytes, int], tuple[int, Event | Create | Retire, int]]] = {
-            CREATE: self._create,
-            UPDATE: self._update,
-            QUERY: self._query,
-            FLOWING: self._flowing,
-            ENDED: self._ended,
-            GONE: self._gone,
-            DUE: self._due,
-            PROBED: self._probed,
-            PEER: self._peer_said,
-            RETIRE: self._retire,
-            NOTE: self._noted,
+        self._decoders: dict[int, Callable[[bytes, int], tuple[int, Record, int]]] = {
+            EventCode.CREATE: self._create,
+            EventCode.ENDPOINTS_UPDATED: self._endpoints_updated,
+            EventCode.REQUEST_RECEIVED: self._request_received,
+            EventCode.STREAM_STARTED: self._stream_started,
+            EventCode.ATTEMPT_ENDED: self._attempt_ended,
+            EventCode.CLIENT_DISCONNECTED: self._client_disconnected,
+            EventCode.TIMER_FIRED: self._timer_fired,
+            EventCode.PROBE_COMPLETED: self._probe_completed,
+            EventCode.PEER_REPORT_RECEIVED: self._peer_report_received,
+            EventCode.RETIRE: self._retire,
+            EventCode.ATTEMPT_PROGRESSED: self._attempt_progressed,
         }
 
-    def records(self, body: bytes, count: int) -> Iterator[tuple[int, Event | Create | Retire]]:
-        """Yields each record with its node, in order. `body` is the frame without its header."""
-        at, end = 0, len(body)
+    def records(self, body: bytes, count: int) -> Iterator[tuple[int, Record]]:
+        """Yield each record with its node, in order.
+
+        Args:
+            body: The frame without its header.
+            count: The number of records that the header gives.
+
+        Raises:
+            WireError: The frame is malformed.
+        """
+        offset, end = 0, len(body)
         for index in range(count):
             try:
-                code = body[at]
-                at += 1
-                if code == TABLE:
-                    number, size = _TABLE.unpack_from(body, at)
-                    at += _TABLE.size
-                    self._tables[number], at = self._entries(body, at, size)
+                code = body[offset]
+                offset += 1
+                if code == EventCode.ENDPOINT_TABLE:
+                    offset = self._store_table(body, offset)
                     continue
-                node, event, at = self._event(code, body, at)
+                node, record, offset = self._decode(code, body, offset)
             except (struct.error, IndexError):
-                raise WireError(f"record {index} is cut short (frame byte {at + HEADER.size})") from None
-            if at > end:
-                raise WireError(f"record {index} is cut short (frame byte {end + HEADER.size})")
-            yield node, event
-        if at != end:
-            raise WireError(f"{end - at} bytes left over after the records (frame byte {at + HEADER.size})")
-
-    @staticmethod
-    def _entries(body: bytes, at: int, size: int) -> tuple[tuple[Endpoint, ...], int]:
-        end = at + size * ENTRY.size
+                raise _error(f"record {index} is cut short", offset) from None
+            if offset > end:
+                raise _error(f"record {index} is cut short", end)
+            yield node, record
+        if offset != end:
+            raise _error(f"{end - offset} bytes left over after the records", offset)
+
+    def _store_table(self, body: bytes, offset: int) -> int:
+        """Store an endpoint table; return where the next record starts."""
+        number, size = _ENDPOINT_TABLE.unpack_from(body, offset)
+        offset += _ENDPOINT_TABLE.size
+        end: int = offset + size * _ENDPOINT.size
         if end > len(body):
-            raise WireError(f"table of {size} entries is cut short (frame byte {at + HEADER.size})")
-        entries = []
-        for worker, zone, kind, cell, state, weight, ready in ENTRY.iter_unpack(body[at:end]):
+            raise _error(f"table of {size} entries is cut short", offset)
+        endpoints = []
+        for worker, zone, kind, cell, state, weight, ready_at in _ENDPOINT.iter_unpack(body[offset:end]):
             if state not in _STATES:
-                raise WireError(f"unknown worker state {state} (frame byte {at + HEADER.size})")
-            entries.append(Endpoint(worker, zone, kind, cell, _STATES[state], weight, ready))
-        return tuple(entries), end
+                raise _error(f"unknown worker state {state}", offset)
+            endpoints.append(Endpoint(worker, zone, kind, cell, _STATES[state], weight, ready_at))
+        self._tables[number] = tuple(endpoints)
+        return end
 
-    def _event(self, code: int, body: bytes, at: int) -> tuple[int, Event | Create | Retire, int]:
-        """Decodes the record of a code: its node, what it says, and where the next one begins."""
+    def _decode(self, code: int, body: bytes, offset: int) -> tuple[int, Record, int]:
+        """Return the node of a record, what it holds, and where the next one starts, as do all decoders."""
         decode = self._decoders.get(code)
         if decode is None:
-            raise WireError(f"unknown event code {code} (frame byte {at - 1 + HEADER.size})")
-        return decode(body, at)
-
-    def _create(self, body: bytes, at: int) -> tuple[int, Create, int]:
-        node, seed, size = _CREATE.unpack_from(body, at)
-        at += _CREATE.size
-        return node, Create(seed, self._bytes(body, at, size).decode("utf-8", "replace")), at + size
-
-    def _retire(self, body: bytes, at: int) -> tuple[int, Retire, int]:
-        (node,) = _RETIRE.unpack_from(body, at)
-        return node, Retire(), at + _RETIRE.size
-
-    def _update(self, body: bytes, at: int) -> tuple[int, EndpointsUpdated, int]:
-        node, how, version, table = _UPDATE.unpack_from(body, at)
-        if how not in _KINDS:
-            raise WireError(f"unknown list kind {how} (frame byte {at + HEADER.size})")
-        entries: tuple[Endpoint, ...] = ()
-        if how != EndpointListKind.FAILED:
+            raise _error(f"unknown event code {code}", offset - 1)
+        return decode(body, offset)
+
+    def _create(self, body: bytes, offset: int) -> tuple[int, Create, int]:
+        node, seed, size = _CREATE.unpack_from(body, offset)
+        offset += _CREATE.size
+        text = self._bytes(body, offset, size).decode("utf-8", "replace")
+        return node, Create(seed, text), offset + size
+
+    def _retire(self, body: bytes, offset: int) -> tuple[int, Retire, int]:
+        (node,) = _RETIRE.unpack_from(body, offset)
+        return node, Retire(), offset + _RETIRE.size
+
+    def _endpoints_updated(self, body: bytes, offset: int) -> tuple[int, EndpointsUpdated, int]:
+        node, kind, version, table = _ENDPOINTS_UPDATED.unpack_from(body, offset)
+        if kind not in _LIST_KINDS:
+            raise _error(f"unknown list kind {kind}", offset)
+        endpoints: tuple[Endpoint, ...] = ()
+        if kind != EndpointListKind.FAILED:
             if table not in self._tables:
-                raise WireError(f"table {table} was never sent (frame byte {at + HEADER.size})")
-            entries = self._tables[table]
-        return node, EndpointsUpdated(_KINDS[how], version, entries), at + _UPDATE.size
-
-    def _query(self, body: bytes, at: int) -> tuple[int, RequestReceived, int]:
-        node, id_, cls, tenant, key, due, work, slots, memory, flags = _QUERY.unpack_from(body, at)
-        work = work if flags & _WORK_IS_KNOWN else 0.0
-        return (
-            node,
-            RequestReceived(id_, cls, due, tenant, key, work, slots, memory, bool(flags & _IS_CLIENT_RETRY)),
-            at + _QUERY.size,
+                raise _error(f"table {table} was never sent", offset)
+            endpoints = self._tables[table]
+        event = EndpointsUpdated(_LIST_KINDS[kind], version, endpoints)
+        return node, event, offset + _ENDPOINTS_UPDATED.size
+
+    def _request_received(self, body: bytes, offset: int) -> tuple[int, RequestReceived, int]:
+        fields = _REQUEST_RECEIVED.unpack_from(body, offset)
+        node, request_id, class_index, tenant_index, key, deadline, work, slots, memory, flags = fields
+        event = RequestReceived(
+            request_id,
+            class_index,
+            deadline,
+            tenant_index,
+            key,
+            work if flags & _WORK_IS_KNOWN else 0.0,
+            slots,
+            memory,
+            bool(flags & _IS_CLIENT_RETRY),
         )
+        return node, event, offset + _REQUEST_RECEIVED.size
+
+    def _stream_started(self, body: bytes, offset: int) -> tuple[int, StreamStarted, int]:
+        node, request_id, attempt_number, worker, elapsed_ms = _STREAM_STARTED.unpack_from(body, offset)
+        event = StreamStarted(request_id, attempt_number, worker, elapsed_ms)
+        return node, event, offset + _STREAM_STARTED.size
+
+    def _attempt_ended(self, body: bytes, offset: int) -> tuple[int, AttemptEnded, int]:
+        fields = _ATTEMPT_ENDED.unpack_from(body, offset)
+        node, request_id, worker, outcome, info, elapsed_ms, attempt_number, is_final, size = fields
+        load_report, offset = self._load_report(body, offset + _ATTEMPT_ENDED.size, size)
+        event = AttemptEnded(
+            request_id, attempt_number, worker, outcome, elapsed_ms, bool(is_final), info, load_report
+        )
+        return node, event, offset
 
-    def _flowing(self, body: bytes, at: int) -> tuple[int, StreamStarted, int]:
-        node, id_, attempt, worker, elapsed = _FLOWING.unpack_from(body, at)
-        return node, StreamStarted(id_, attempt, worker, elapsed), at + _FLOWING.size
-
-    def _ended(self, body: bytes, at: int) -> tuple[int, AttemptEnded, int]:
-        node, id_, worker, outcome, info, elapsed, attempt, final, figures = _ENDED.unpack_from(body, at)
-        load, at = self._load(body, at + _ENDED.size, figures)
-        return node, AttemptEnded(id_, attempt, worker, outcome, elapsed, bool(final), info, load), at
-
-    def _gone(self, body: bytes, at: int) -> tuple[int, ClientDisconnected, int]:
-        node, id_ = _GONE.unpack_from(body, at)
-        return node, ClientDisconnected(id_), at + _GONE.size
+    def _client_disconnected(self, body: bytes, offset: int) -> tuple[int, ClientDisconnected, int]:
+        node, request_id = _CLIENT_DISCONNECTED.unpack_from(body, offset)
+        return node, ClientDisconnected(request_id), offset + _CLIENT_DISCONNECTED.size
 
-    def _due(self, body: bytes, at: int) -> tuple[int, TimerFired, int]:
-        node, token = _DUE.unpack_from(body, at)
-        return node, TimerFired(token), at + _DUE.size
+    def _timer_fired(self, body: bytes, offset: int) -> tuple[int, TimerFired, int]:
+        node, token = _TIMER_FIRED.unpack_from(body, offset)
+        return node, TimerFired(token), offset + _TIMER_FIRED.size
 
-    def _probed(self, body: bytes, at: int) -> tuple[int, ProbeCompleted, int]:
-        node, worker, outcome, elapsed, figures = _PROBED.unpack_from(body, at)
-        load, at = self._load(body, at + _PROBED.size, figures)
-        return node, ProbeCompleted(worker, outcome, elapsed, load), at
+    def _probe_completed(self, body: bytes, offset: int) -> tuple[int, ProbeCompleted, int]:
+        node, worker, outcome, elapsed_ms, size = _PROBE_COMPLETED.unpack_from(body, offset)
+        load_report, offset = self._load_report(body, offset + _PROBE_COMPLETED.size, size)
+        return node, ProbeCompleted(worker, outcome, elapsed_ms, load_report), offset
 
-    def _peer_said(self, body: bytes, at: int) -> tuple[int, PeerReportReceived, int]:
-        node, origin, size = _PEER.unpack_from(body, at)
-        at += _PEER.size
-        return node, PeerReportReceived(origin, self._bytes(body, at, size)), at + size
+    def _peer_report_received(self, body: bytes, offset: int) -> tuple[int, PeerReportReceived, int]:
+        node, peer, size = _PEER_REPORT_RECEIVED.unpack_from(body, offset)
+        offset += _PEER_REPORT_RECEIVED.size
+        return node, PeerReportReceived(peer, self._bytes(body, offset, size)), offset + size
 
-    def _noted(self, body: bytes, at: int) -> tuple[int, AttemptProgressed, int]:
-        node, id_, attempt, worker, code, share = _NOTE.unpack_from(body, at)
+    def _attempt_progressed(self, body: bytes, offset: int) -> tuple[int, AttemptProgressed, int]:
+        node, request_id, attempt_number, worker, code, share = _ATTEMPT_PROGRESSED.unpack_from(body, offset)
         kind = _PROGRESS_KINDS.get(code, ProgressKind.UNKNOWN)
-        return node, AttemptProgressed(id_, attempt, worker, kind, share), at + _NOTE.size
+        event = AttemptProgressed(request_id, attempt_number, worker, kind, share)
+        return node, event, offset + _ATTEMPT_PROGRESSED.size
 
     @staticmethod
-    def _bytes(body: bytes, at: int, size: int) -> bytes:
-        if at + size > len(body):
+    def _bytes(body: bytes, offset: int, size: int) -> bytes:
+        if offset + size > len(body):
             raise IndexError
-        return body[at : at + size]
+        return body[offset : offset + size]
 
     @staticmethod
-    def _load(body: bytes, at: int, n: int) -> tuple[tuple[float, ...], int]:
-        if n == 0:
-            return (), at
-        shape = _LOADS[n] if n < len(_LOADS) else struct.Struct(f"<{n}f")
-        return shape.unpack_from(body, at), at + shape.size
+    def _load_report(body: bytes, offset: int, size: int) -> tuple[tuple[float, ...], int]:
+        if size == 0:
+            return (), offset
+        figures = _LOAD_REPORTS[size] if size < len(_LOAD_REPORTS) else struct.Struct(f"<{size}f")
+        return figures.unpack_from(body, offset), offset + figures.size
+
+
+def _error(problem: str, offset: int) -> WireError:
+    """Return an error at an offset of the frame's body; its message counts bytes of the whole frame."""
+    return WireError(f"{problem} (frame byte {offset + HEADER.size})")
 
 
 def encode(node: int, action: Action) -> bytes:
-    """One action as a record."""
+    """Return an action as a record."""
     return _ENCODERS[type(action)](node, action)
 
 
 def encode_fatal(node: int, text: str) -> bytes:
-    """The record by which a node declares that its decisions have failed."""
-    return _encode_text(FATAL, node, text)
+    """Return the record by which a node reports that its decisions have failed."""
+    return _encode_text(ActionCode.FATAL, node, text)
 
 
-def reply(records: list[bytes]) -> bytes:
-    """A whole reply frame."""
+def encode_reply(records: list[bytes]) -> bytes:
+    """Return the reply frame of the records."""
     body = b"".join(records)
-    return REPLY.pack(len(records), REPLY.size + len(body)) + body
+    return REPLY_HEADER.pack(len(records), REPLY_HEADER.size + len(body)) + body
 
 
 def _encode_text(code: int, node: int, text: str) -> bytes:
-    data = text.encode("utf-8")[:_MOST_TEXT]
+    data = text.encode("utf-8")[:_MAX_TEXT_BYTES]
     return _TEXT.pack(code, node, len(data)) + data
 
 
-def _encode_close_idle(node: int, action: CloseIdleConnections) -> bytes:
-    return _WORKER.pack(CLOSE_IDLE, node, action.worker)
+def _encode_close_idle_connections(node: int, action: CloseIdleConnections) -> bytes:
+    return _WORKER.pack(ActionCode.CLOSE_IDLE_CONNECTIONS, node, action.worker)
 
 
-def _encode_cancel(node: int, action: CancelAttempt) -> bytes:
-    return _CANCEL.pack(CANCEL, node, action.request_id, action.attempt_number)
+def _encode_cancel_attempt(node: int, action: CancelAttempt) -> bytes:
+    return _CANCEL_ATTEMPT.pack(ActionCode.CANCEL_ATTEMPT, node, action.request_id, action.attempt_number)
 
 
-def _encode_log(node: int, action: LogMessage) -> bytes:
-    return _encode_text(LOG, node, action.text)
+def _encode_log_message(node: int, action: LogMessage) -> bytes:
+    return _encode_text(ActionCode.LOG_MESSAGE, node, action.text)
 
 
-def _encode_fetch(node: int, action: FetchEndpoints) -> bytes:
-    return _FETCH.pack(FETCH, node)
+def _encode_fetch_endpoints(node: int, _action: FetchEndpoints) -> bytes:
+    return _NODE.pack(ActionCode.FETCH_ENDPOINTS, node)
 
 
-def _encode_watch(node: int, action: WatchEndpoints) -> bytes:
-    return _WATCH.pack(WATCH, node, action.enabled)
+def _encode_watch_endpoints(node: int, action: WatchEndpoints) -> bytes:
+    return _WATCH_ENDPOINTS.pack(ActionCode.WATCH_ENDPOINTS, node, action.enabled)
 
 
-def _encode_probe(node: int, action: ProbeWorker) -> bytes:
-    return _WORKER.pack(PROBE, node, action.worker)
+def _encode_probe_worker(node: int, action: ProbeWorker) -> bytes:
+    return _WORKER.pack(ActionCode.PROBE_WORKER, node, action.worker)
 
 
-def _encode_send(node: int, action: StartAttempt) -> bytes:
-    return _SEND.pack(SEND, node, action.request_id, action.worker, action.timeout_ms)
+def _encode_start_attempt(node: int, action: StartAttempt) -> bytes:
+    return _START_ATTEMPT.pack(
+        ActionCode.START_ATTEMPT, node, action.request_id, action.worker, action.timeout_ms
+    )
 
 
-def _encode_timer(node: int, action: SetTimer) -> bytes:
-    return _TIMER.pack(TIMER, node, action.fires_at, action.token)
+def _encode_set_timer(node: int, action: SetTimer) -> bytes:
+    return _SET_TIMER.pack(ActionCode.SET_TIMER, node, action.fires_at, action.token)
 
 
-def _encode_refuse(node: int, action: RejectRequest) -> bytes:
-    return _REFUSE.pack(REFUSE, node, action.request_id, action.retry_after_ms)
+def _encode_reject_request(node: int, action: RejectRequest) -> bytes:
+    return _REJECT_REQUEST.pack(ActionCode.REJECT_REQUEST, node, action.request_id, action.retry_after_ms)
 
 
-def _encode_tell(node: int, action: SendPeerReport) -> bytes:
+def _encode_send_peer_report(node: int, action: SendPeerReport) -> bytes:
     peer = _ALL_PEERS if action.peer < 0 else action.peer
-    return _TELL.pack(TELL, node, peer, len(action.data)) + action.data
+    header = _SEND_PEER_REPORT.pack(ActionCode.SEND_PEER_REPORT, node, peer, len(action.data))
+    return header + action.data
 
 
-def _encode_fail(node: int, action: FailRequest) -> bytes:
-    return _NODE_ID.pack(FAIL, node, action.request_id)
+def _encode_fail_request(node: int, action: FailRequest) -> bytes:
+    return _REQUEST.pack(ActionCode.FAIL_REQUEST, node, action.request_id)
 
 
 _ENCODERS: dict[type[Action], Callable[[int, Any], bytes]] = {
-    CloseIdleConnections: _encode_close_idle,
-    CancelAttempt: _encode_cancel,
-    LogMessage: _encode_log,
-    FetchEndpoints: _encode_fetch,
-    WatchEndpoints: _encode_watch,
-    ProbeWorker: _encode_probe,
-    StartAttempt: _encode_send,
-    SetTimer: _encode_timer,
-    RejectRequest: _encode_refuse,
-    SendPeerReport: _encode_tell,
-    FailRequest: _encode_fail,
+    CloseIdleConnections: _encode_close_idle_connections,
+    CancelAttempt: _encode_cancel_attempt,
+    LogMessage: _encode_log_message,
+    FetchEndpoints: _encode_fetch_endpoints,
+    WatchEndpoints: _encode_watch_endpoints,
+    ProbeWorker: _encode_probe_worker,
+    StartAttempt: _encode_start_attempt,
+    SetTimer: _encode_set_timer,
+    RejectRequest: _encode_reject_request,
+    SendPeerReport: _encode_send_peer_report,
+    FailRequest: _encode_fail_request,
 }
-
-
-class _Pairs:
-    """Settings text as typed look-ups whose errors name the key."""
-
-    def __init__(self, text: str) -> None:
-        self._pairs: dict[str, str] = {}
-        for line in text.splitlines():
-            path, eq, value = line.partition("=")
-            if eq:
-                self._pairs[path.strip()] = value.strip()
-
-    def text(self, path: str, default: str | None = None) -> str:
-        value = self._pairs.get(path)
-        if value is None:
-            if default is None:
-                raise ValueError(f"setting {path} is missing")
-            return default
-        return value
-
-    def number(self, path: str, default: float | None = None, low: float = 0.0) -> float:
-        raw = self._pairs.get(path)
-        if raw is None:
-            if default is None:
-                raise ValueError(f"setting {path} is missing")
-            return default
-        try:
-            value = float(raw)
-        except ValueError:
-            raise ValueError(f"setting {path} is not a number: {raw}") from None
-        if not math.isfinite(value) or value < low:
-            raise ValueError(f"setting {path} must be at least {low:g}: {raw}")
-        return value
-
-    def whole(self, path: str, default: int | None = None, low: int = 0) -> int:
-        value = self.number(path, default, low)
-        if value != int(value):
-            raise ValueError(f"setting {path} is not a whole number: {value}")
-        return int(value)
-
-    def flag(self, path: str, default: bool = False) -> bool:
-        raw = self._pairs.get(path)
-        if raw is None:
-            return default
-        if raw not in ("true", "false"):
-            raise ValueError(f"setting {path} must be true or false: {raw}")
-        return raw == "true"
-
-    def words(self, path: str) -> list[str]:
-        raw = self._pairs.get(path, "")
-        return [word for word in raw.split(",") if word]
-
-    def choice(self, path: str, choices: dict[str, int], default: str | None = None) -> int:
-        raw = self.text(path, default)
-        if raw not in choices:
-            raise ValueError(f"setting {path} must be one of {', '.join(choices)}: {raw}")
-        return choices[raw]
-
-
-_EFFECTS = {"retryable": 0, "dedup": 1, "fragile": 2}
-_SCOPES = {"all": 0, "zone": 1, "cell": 2}
-
-
-def parse_settings(text: str) -> Settings:
-    """Settings from `path=value` lines; unknown keys are ignored, wrong ones named in a `ValueError`."""
-    pairs = _Pairs(text)
-    count = pairs.whole("classes.count", low=1)
-    kinds = pairs.words("family_info.class_kind")
-    stretches = pairs.words("family_info.class_stretch")
-    priorities = pairs.words("family_info.class_priority")
-    classes = []
-    for n in range(count):
-        at = f"classes.{n}."
-        stretch = pairs.number(at + "aim_stretch", _nth(stretches, n, "family_info.class_stretch"))
-        cls = RequestClass(
-            name=pairs.text(at + "name", str(n)),
-            priority_weight=pairs.number(at + "value"),
-            latency_objective_ms=pairs.number(at + "goal_time"),
-            deadline_ms=pairs.number(at + "give_up"),
-            effect=Effect(pairs.choice(at + "idempotency", _EFFECTS)),
-            scope=Scope(pairs.choice(at + "key_scope", _SCOPES, "all")),
-            repeat_window_ms=pairs.number(at + "repeat_window", 0.0),
-            late_weight=pairs.number(at + "late_value", 0.0),
-            objective_stretch=stretch,
-            streamed=pairs.flag(at + "streamed"),
-            kind=int(_nth(kinds, n, "family_info.class_kind", -1.0)),
-            priority=int(_nth(priorities, n, "family_info.class_priority")),
-        )
-        if cls.latency_objective_ms > cls.deadline_ms:
-            raise ValueError(f"setting {at}goal_time is longer than {at}give_up")
-        classes.append(cls)
-    tenants = tuple(
-        Tenant(
-            name=pairs.text(f"projects.{n}.name", str(n)),
-            quota_per_s=pairs.number(f"projects.{n}.quota_per_s"),
-            share=pairs.number(f"projects.{n}.fraction", 0.0),
-        )
-        for n in range(pairs.whole("projects.count", 0))
-    )
-    zones = max(1, len(pairs.words("zones")))
-    balancers = pairs.whole("balancers", 1, low=1)
-    me = pairs.whole("me", 0)
-    if me >= balancers:
-        raise ValueError(f"setting me is not below balancers: {me}")
-    limits = "policy_limits."
-    return Settings(
-        classes=tuple(classes),
-        tenants=tenants,
-        dispatcher_count=balancers,
-        dispatcher_index=me,
-        zone_index=pairs.whole("locality", 0),
-        zone_count=zones,
-        clock_resolution_ms=pairs.number("tick", 1.0),
-        weight_by_work=bool(pairs.choice("counted_by", {"request": 0, "work": 1}, "request")),
-        over_quota_weight=pairs.number("over_share_worth", 1.0),
-        subscribes_to_endpoints=bool(
-            pairs.choice("discovery", {"automatic": 0, "subscribe": 1}, "automatic")
-        ),
-        load_report_fields=()
-        if pairs.text("load_info.how", "none") == "none"
-        else tuple(pairs.words("load_info.columns")),
-        workers_report_start=pairs.flag("family_info.tells_start"),
-        progress_interval_ms=pairs.number("family_info.progress", 0.0),
-        cancellation_allowed=pairs.flag(limits + "cancel"),
-        probing_allowed=pairs.flag(limits + "probes"),
-        gossip_allowed=pairs.flag(limits + "may_tell"),
-        hedging_allowed=pairs.flag(limits + "may_duplicate"),
-        retry_advice_allowed=pairs.flag(limits + "retry_after"),
-        max_attempts=pairs.whole(limits + "max_attempts", 1, low=1),
-        max_open_attempts=pairs.whole(limits + "max_open", 1_000_000, low=1),
-        max_retry_after_ms=pairs.number(limits + "max_retry_after", 0.0),
-        answer_slack_ms=pairs.number("rules.answer_slack", 0.0),
-        drain_grace_ms=pairs.number("rules.drain_grace", 0.0),
-        recovery_ramp_multiple=pairs.number("rules.fall_multiple", 1.0),
-        recovery_ramp_ms=pairs.number("rules.fall", 1000.0),
-        slow_start_window_ms=pairs.number("rules.cold", 0.0),
-        slow_start_share=pairs.number("rules.start_capacity", 1.0),
-        poll_interval_ms=pairs.number("rules.ask_within", 0.0),
-        cross_zone_cost=pairs.number("penalties.cross_zone", 0.0),
-    )
-
-
-def _nth(words: list[str], n: int, path: str, default: float = 0.0) -> float:
-    if n >= len(words):
-        return default
-    try:
-        return float(words[n])
-    except ValueError:
-        raise ValueError(f"setting {path} is not a list of numbers: {words[n]}") from None
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -33,6 +33,7 @@
     TimerFired,
     WatchEndpoints,
 )
+from eiderfield.settings_text import parse_settings
 
 JOB, WORKER = 0x7C755D7A91C4, 0x03124A07
 
@@ -146,12 +147,12 @@
 
 
 def test_reply_counts_records_and_bytes():
-    assert wire.reply([]) == struct.pack("<II", 0, 8)
-    assert wire.reply([b"ab", b"c"]) == struct.pack("<II", 2, 11) + b"abc"
+    assert wire.encode_reply([]) == struct.pack("<II", 0, 8)
+    assert wire.encode_reply([b"ab", b"c"]) == struct.pack("<II", 2, 11) + b"abc"
 
 
 def test_settings():
-    settings = wire.parse_settings(GOOD)
+    settings = parse_settings(GOOD)
     assert settings.classes[1].effect is Effect.KEYED
     assert settings.classes[1].scope is Scope.CELL
     assert [c.objective_stretch for c in settings.classes] == [2.0, 2.5]
@@ -184,4 +185,4 @@
 )
 def test_wrong_settings_name_their_key(old, new, key):
     with pytest.raises(ValueError, match=key.replace(".", r"\.")):
-        wire.parse_settings(GOOD.replace(old, new))
+        parse_settings(GOOD.replace(old, new))
