--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any
 
 from eiderfield.exchange.actions import ActionExecutor
 from eiderfield.exchange.attempt_table import AttemptTable, StopReason, latest_start
@@ -48,6 +47,7 @@
     Settings,
     Snapshot,
 )
+from eiderfield.model.learned_state import LearnedState
 from eiderfield.policy.dispatcher import Dispatcher
 
 LOGGED_STALL_MS = 1000.0  # event loop stalls from this length on are logged
@@ -236,15 +236,15 @@
         """The number of open attempts of each worker that has any."""
         return self._attempts.open_per_worker
 
-    def memory(self) -> dict[str, Any]:
-        """Return the state that the policy has learned, in plain values."""
-        return self.dispatcher.memory()
+    def learned_state(self) -> LearnedState:
+        """Return the state that the policy has learned."""
+        return self.dispatcher.learned_state()
 
-    def resume(self, memory: dict[str, Any], now: float) -> None:
-        """Continue from the learned state of another process, leaving out what is malformed."""
+    def resume(self, learned: LearnedState, now: float) -> None:
+        """Continue from the learned state of another process; one that does not fit is ignored."""
         self.turn(now)  # passes on the endpoint list, to which the learned state refers
         try:
-            self.dispatcher.resume(memory)
+            self.dispatcher.resume(learned)
         except (ValueError, TypeError, LookupError, AttributeError) as error:
             self._context.log(f"handover: ignoring learned state of the previous process (error={error!r})")
 
--- /dev/null
+++ b/eiderfield/model/learned_state.py
@@ -0,0 +1,71 @@
+"""What a policy has learned and spent, which the next process in its place continues with.
+
+All times are in milliseconds of the clock of the process that holds the state.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+
+class SentWork(NamedTuple):
+    """Work that was sent to a worker."""
+
+    at: float
+    work: float
+
+
+class KeyCount(NamedTuple):
+    """How many requests of a routing key were received."""
+
+    key: int
+    requests: int
+
+
+class KindSlots(NamedTuple):
+    """The most slots that were seen at a worker of a machine kind."""
+
+    kind: int
+    slots: float
+
+
+@dataclass(slots=True, frozen=True)
+class PacerState:
+    """The release rate of a request class."""
+
+    mean_duration: float  # ms, or ms per unit of work; see `Pacer`
+    rate: float | None  # requests a second, None for no limit
+    uncut_rate: float  # requests a second, before the rate was cut
+    next_release_at: float
+
+
+@dataclass(slots=True, frozen=True)
+class RecentWork:
+    """The work that was sent to a worker in slow start."""
+
+    worker: int
+    sent: tuple[SentWork, ...]
+
+
+@dataclass(slots=True, frozen=True)
+class OutlierState:
+    """A worker that fails requests."""
+
+    worker: int
+    error_score: float
+    ejections: int
+
+
+@dataclass(slots=True, frozen=True)
+class LearnedState:
+    """What the policy of a process has learned and spent."""
+
+    pacers: tuple[PacerState, ...]  # by class
+    retry_tokens: float
+    served_rate: float  # work served in a ms, averaged
+    served_at: float  # the end of the time that the average covers
+    recent_work: tuple[RecentWork, ...]
+    key_counts: tuple[KeyCount, ...]
+    slots: tuple[KindSlots, ...]
+    outliers: tuple[OutlierState, ...]
--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable, Mapping
 
 from eiderfield.connections.settings import IDLE_TIMEOUT_MS, MESSAGE_TIMEOUT_MS
+from eiderfield.model.learned_state import LearnedState
 from eiderfield.net.clock import WallClock
 from eiderfield.net.handover.errors import MalformedMessageError
 from eiderfield.net.handover.fields import Fields, integer, number, text
@@ -14,7 +15,6 @@
     BanChanged,
     ConnectionPassed,
     DispatcherState,
-    LearnedState,
     ListenersReleased,
     LoadChanged,
     Message,
--- a/eiderfield/net/handover/learned_state.py
+++ b/eiderfield/net/handover/learned_state.py
@@ -1,6 +1,6 @@
-"""Conversion of the policy's learned state: the policy's own values, messages, wire form.
+"""Codec of the policy's learned state.
 
-The wire form, which is also the form of the policy's own values:
+The wire form:
 
     pacers    by class: [mean run time, rate, uncut rate, next release]
     spent     [retry tokens, served rate, its time]
@@ -12,9 +12,18 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Sequence
 from typing import Any
 
+from eiderfield.model.learned_state import (
+    KeyCount,
+    KindSlots,
+    LearnedState,
+    OutlierState,
+    PacerState,
+    RecentWork,
+    SentWork,
+)
 from eiderfield.net.handover.errors import MalformedMessageError
 from eiderfield.net.handover.fields import (
     Fields,
@@ -25,42 +34,11 @@
     row,
     sequence,
 )
-from eiderfield.net.handover.messages import (
-    KeyCount,
-    KindSlots,
-    LearnedState,
-    OutlierState,
-    PacerState,
-    RecentWork,
-    SentWork,
-)
 from eiderfield.net.handover.sender_clock import SenderClock
 
 MS_PER_SECOND = 1000.0
 
 
-def from_policy(memory: Mapping[str, Any]) -> LearnedState:
-    """Return what `Exchange.memory` returns in typed form."""
-    retry_tokens, served_rate, served_at = memory["spent"]
-    return LearnedState(
-        pacers=tuple(PacerState(*pacer) for pacer in memory["pacers"]),
-        retry_tokens=retry_tokens,
-        served_rate=served_rate,
-        served_at=served_at,
-        recent_work=tuple(
-            RecentWork(worker, tuple(SentWork(*sent) for sent in work)) for worker, work in memory["cold"]
-        ),
-        key_counts=tuple(KeyCount(*entry) for entry in memory["keys"]),
-        slots=tuple(KindSlots(*entry) for entry in memory["slots"]),
-        outliers=tuple(OutlierState(*outlier) for outlier in memory["erring"]),
-    )
-
-
-def to_policy(learned: LearnedState) -> dict[str, Any]:
-    """Return the form that `Exchange.resume` takes."""
-    return encode_learned_state(learned, offset=0.0)
-
-
 def encode_learned_state(learned: LearnedState, offset: float) -> dict[str, Any]:
     """Return the wire form, with `offset` ms added to all times."""
     return {
@@ -69,12 +47,12 @@
         "cold": [_encode_recent_work(recent, offset) for recent in learned.recent_work],
         "keys": [[entry.key, entry.requests] for entry in learned.key_counts],
         "slots": [[entry.kind, entry.slots] for entry in learned.slots],
-        "erring": [[outlier.worker, outlier.faults, outlier.strikes] for outlier in learned.outliers],
+        "erring": [[outlier.worker, outlier.error_score, outlier.ejections] for outlier in learned.outliers],
     }
 
 
 def _encode_pacer(pacer: PacerState, offset: float) -> list[object]:
-    return [pacer.mean_run_time, pacer.rate, pacer.uncut_rate, pacer.next_release_at + offset]
+    return [pacer.mean_duration, pacer.rate, pacer.uncut_rate, pacer.next_release_at + offset]
 
 
 def _encode_recent_work(recent: RecentWork, offset: float) -> list[object]:
@@ -110,11 +88,11 @@
 
 
 def _decode_pacer(values: Sequence[object], sender: SenderClock) -> PacerState:
-    mean_run_time, rate, uncut_rate, next_release_at = values
+    mean_duration, rate, uncut_rate, next_release_at = values
     limit = optional_number(rate, "pacers")
     interval = MS_PER_SECOND / limit if limit else 0.0  # from one release to the next
     return PacerState(
-        mean_run_time=number(mean_run_time, "pacers"),
+        mean_duration=number(mean_duration, "pacers"),
         rate=limit,
         uncut_rate=number(uncut_rate, "pacers"),
         next_release_at=sender.upcoming(number(next_release_at, "pacers"), interval),
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -17,7 +17,6 @@
 from eiderfield.net.clients import ConnectionHandover
 from eiderfield.net.handover.channel import Channel
 from eiderfield.net.handover.context import HandoverContext
-from eiderfield.net.handover.learned_state import to_policy
 from eiderfield.net.handover.messages import (
     PROTOCOL_VERSION,
     ConnectionPassed,
@@ -71,7 +70,7 @@
             worker = context.table.ids.worker(attempts.worker)
             context.exchange.other_process.update_attempts(worker, attempts.count, 0.0)
         if state.learned is not None:
-            context.exchange.resume(to_policy(state.learned), context.clock())
+            context.exchange.resume(state.learned, context.clock())
         self._share_updates()
         for name in self._adopted:
             context.listeners[name].parking.on_departure = partial(self._report_departed, name)
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -21,7 +21,6 @@
 from eiderfield.net.handover.channel import Channel
 from eiderfield.net.handover.context import HandoverContext
 from eiderfield.net.handover.errors import UnsupportedVersionError
-from eiderfield.net.handover.learned_state import from_policy
 from eiderfield.net.handover.messages import (
     PROTOCOL_VERSION,
     ConnectionPassed,
@@ -81,7 +80,7 @@
             bans=table.bans.since,
             request_ids=tuple(exchange.request_ids),
             attempts=tuple(OpenAttempts(table.ids.name(worker), count) for worker, count in open_attempts),
-            learned=from_policy(exchange.memory()),
+            learned=exchange.learned_state(),
             with_peers=with_peers,
         )
 
--- a/eiderfield/policy/affinity.py
+++ b/eiderfield/policy/affinity.py
@@ -18,6 +18,7 @@
 from math import ceil
 
 from eiderfield.interface import stable_hash, stable_hashes_up_to
+from eiderfield.model.learned_state import KeyCount
 from eiderfield.policy.endpoint import Worker
 
 HOMES = 2  # workers to which the requests of a key go first, at least: one may be busy
@@ -151,11 +152,11 @@
         room = HOME_ROOM_OF_MANY if many else HOME_ROOM
         return max(HOMES, ceil(room * share * workers))
 
-    def most_common(self) -> list[tuple[int, int]]:
-        """The counts of the keys that the next process should know."""
-        return self.by_key.most_common(KEYS_TOLD)
+    def most_common(self) -> tuple[KeyCount, ...]:
+        """Return the counts of the most frequent keys, which the next process should know."""
+        return tuple(KeyCount(key, requests) for key, requests in self.by_key.most_common(KEYS_TOLD))
 
-    def resume(self, counts: Iterable[tuple[int, int]]) -> None:
-        """Goes on from the counts of the process before."""
-        self.by_key.update(dict(counts))
+    def resume(self, counts: Iterable[KeyCount]) -> None:
+        """Continue with the counts of the previous process."""
+        self.by_key.update({count.key: count.requests for count in counts})
         self.total = self.by_key.total()
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -41,6 +41,7 @@
     TimerFired,
     WatchEndpoints,
 )
+from eiderfield.model.learned_state import LearnedState
 from eiderfield.policy.admission import AdmissionController
 from eiderfield.policy.affinity import KeyCounts
 from eiderfield.policy.attempt_outcomes import AttemptOutcomes
@@ -168,27 +169,33 @@
         self._fleet.apply_settings()
         self._state.update_after_repartition()
 
-    def memory(self) -> dict[str, Any]:
-        """Return what the next process needs to continue, in plain values."""
-        slow_start = self._slow_start
-        return {
-            "pacers": self._queues.learnt(),
-            "spent": (self._retry_budget.tokens, slow_start.served_rate, slow_start.served_rate_at),
-            "cold": self._fleet.recent_work(),
-            "keys": self._key_counts.most_common(),
-            "slots": list(self._reports.slots_per_kind.items()),
-            "erring": self._fleet.erring(),
-        }
+    def learned_state(self) -> LearnedState:
+        """Return what the next process in this dispatcher's place needs to continue."""
+        return LearnedState(
+            pacers=self._queues.pacer_states(),
+            retry_tokens=self._retry_budget.tokens,
+            served_rate=self._slow_start.served_rate,
+            served_at=self._slow_start.served_rate_at,
+            recent_work=self._fleet.recent_work(),
+            key_counts=self._key_counts.most_common(),
+            slots=self._reports.slots_by_kind(),
+            outliers=self._fleet.failing_workers(),
+        )
 
-    def resume(self, memory: dict[str, Any]) -> None:
-        """Continue with what the previous process has learned. The endpoint list must be known."""
-        self._queues.resume(memory["pacers"])
-        slow_start = self._slow_start
-        self._retry_budget.tokens, slow_start.served_rate, slow_start.served_rate_at = memory["spent"]
-        self._reports.slots_per_kind.update(memory["slots"])
-        self._key_counts.resume(memory["keys"])
-        self._fleet.resume_recent_work(memory["cold"])
-        self._fleet.resume_erring(memory.get("erring", ()))
+    def resume(self, learned: LearnedState) -> None:
+        """Continue with what the previous process has learned. The endpoint list must be known.
+
+        Raises:
+            ValueError: the state is that of another number of classes.
+        """
+        self._queues.resume(learned.pacers)
+        self._retry_budget.tokens = learned.retry_tokens
+        self._slow_start.served_rate = learned.served_rate
+        self._slow_start.served_rate_at = learned.served_at
+        self._reports.resume(learned.slots)
+        self._key_counts.resume(learned.key_counts)
+        self._fleet.resume_recent_work(learned.recent_work)
+        self._fleet.resume_failing_workers(learned.outliers)
         if self._key_counts.total and self._fleet.enable_affinity():
             self._state.update_after_repartition()
 
--- a/eiderfield/policy/fleet.py
+++ b/eiderfield/policy/fleet.py
@@ -11,6 +11,7 @@
 from math import inf
 
 from eiderfield.interface import Endpoint, EndpointState
+from eiderfield.model.learned_state import OutlierState, RecentWork, SentWork
 from eiderfield.policy.affinity import KeyOrders
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import Worker
@@ -138,29 +139,36 @@
         here = [worker for worker in self.pausing.values() if worker in self.subset]
         return [time for worker in here for time in (worker.full_until, worker.ejected_until)]
 
-    def recent_work(self) -> list[tuple[int, list[tuple[float, float]]]]:
-        """The attempts that warming workers were sent lately, in plain values, for the next process."""
-        sent = [worker for worker in self.workers.values() if worker.recent_sends]
-        return [(worker.entry.worker, list(worker.recent_sends)) for worker in sent]
-
-    def resume_recent_work(self, told: Iterable[tuple[int, list[tuple[float, float]]]]) -> None:
-        """Goes on from the attempts that the process before had sent to warming workers."""
-        for number, recent in told:
-            if number in self.workers:
-                self.workers[number].recent_sends.extend((at, work) for at, work in recent)
-
-    def erring(self) -> list[tuple[int, float, int]]:
-        """The workers that fail their requests at once, in plain values, for the next process."""
-        failing = [worker for worker in self.workers.values() if worker.failing]
-        return [(worker.entry.worker, worker.error_score, worker.ejections) for worker in failing]
-
-    def resume_erring(self, told: Iterable[tuple[int, float, int]]) -> None:
-        """Goes on from the workers that the process before knew to fail their requests at once."""
-        for number, faults, strikes in told:
-            worker = self.workers.get(number)
+    def recent_work(self) -> tuple[RecentWork, ...]:
+        """Return the work that workers have been sent lately while they warmed up."""
+        return tuple(
+            RecentWork(worker.entry.worker, tuple(SentWork(at, work) for at, work in worker.recent_sends))
+            for worker in self.workers.values()
+            if worker.recent_sends
+        )
+
+    def resume_recent_work(self, recent_work: Iterable[RecentWork]) -> None:
+        """Continue with the work that the previous process had sent to warming workers."""
+        for recent in recent_work:
+            if recent.worker in self.workers:
+                sends = self.workers[recent.worker].recent_sends
+                sends.extend((sent.at, sent.work) for sent in recent.sent)
+
+    def failing_workers(self) -> tuple[OutlierState, ...]:
+        """Return the workers that fail some requests at once."""
+        return tuple(
+            OutlierState(worker.entry.worker, worker.error_score, worker.ejections)
+            for worker in self.workers.values()
+            if worker.failing
+        )
+
+    def resume_failing_workers(self, outliers: Iterable[OutlierState]) -> None:
+        """Continue with the workers that the previous process knew to be failing."""
+        for outlier in outliers:
+            worker = self.workers.get(outlier.worker)
             if worker is not None:
-                worker.error_score = faults
-                worker.ejections = strikes
+                worker.error_score = outlier.error_score
+                worker.ejections = outlier.ejections
                 worker.failing = True
 
     def _apply_entry(self, entry: Endpoint, now: float, first: bool) -> None:
--- a/eiderfield/policy/load_reports.py
+++ b/eiderfield/policy/load_reports.py
@@ -8,8 +8,10 @@
 from __future__ import annotations
 
 from collections import defaultdict
+from collections.abc import Iterable
 
 from eiderfield.interface import ProbeWorker
+from eiderfield.model.learned_state import KindSlots
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.fleet import Fleet
@@ -53,6 +55,14 @@
         worker.reported_at = now
         self._raise_slots(worker, worker.slots_free)
 
+    def slots_by_kind(self) -> tuple[KindSlots, ...]:
+        """Return the slots that workers of each kind are assumed to have."""
+        return tuple(KindSlots(kind, slots) for kind, slots in self.slots_per_kind.items())
+
+    def resume(self, slots: Iterable[KindSlots]) -> None:
+        """Continue with the slots that the previous process had seen."""
+        self.slots_per_kind.update({entry.kind: entry.slots for entry in slots})
+
     def record_start(self, worker: Worker) -> None:
         """Record that an attempt has started at a worker."""
         self._raise_slots(
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -17,6 +17,7 @@
 from itertools import islice
 
 from eiderfield.interface import RequestClass, Settings
+from eiderfield.model.learned_state import PacerState
 from eiderfield.policy.rate_control import FLOOR_REST, FLOOR_TOP, Pacer
 from eiderfield.policy.request import QueuedRequest, QueueId
 
@@ -90,17 +91,24 @@
             queue.pacer.floor_share = new.pacer.floor_share
         self._sort()
 
-    def learnt(self) -> list[tuple[float, float | None, float, float]]:
-        """Return what rate control has learned of each class, in plain values, for the next process."""
-        return [
-            (pacer.mean_duration, pacer.rate, pacer.uncut_rate, pacer.next_release_at)
+    def pacer_states(self) -> tuple[PacerState, ...]:
+        """Return what rate control has learned of each class."""
+        return tuple(
+            PacerState(pacer.mean_duration, pacer.rate, pacer.uncut_rate, pacer.next_release_at)
             for pacer in self.pacers
-        ]
+        )
 
-    def resume(self, learnt: Iterable[tuple[float, float | None, float, float]]) -> None:
-        """Continue with what rate control of the previous process had learned."""
-        for pacer, values in zip(self.pacers, learnt, strict=True):
-            pacer.mean_duration, pacer.rate, pacer.uncut_rate, pacer.next_release_at = values
+    def resume(self, states: Iterable[PacerState]) -> None:
+        """Continue with what rate control of the previous process had learned, class by class.
+
+        Raises:
+            ValueError: the number of classes is another one.
+        """
+        for pacer, state in zip(self.pacers, states, strict=True):
+            pacer.mean_duration = state.mean_duration
+            pacer.rate = state.rate
+            pacer.uncut_rate = state.uncut_rate
+            pacer.next_release_at = state.next_release_at
 
     def add(self, request: QueuedRequest, queue: OrderedDict[int, QueuedRequest]) -> None:
         """Append a request to a buffer."""
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -10,6 +10,7 @@
 from support.handover import LISTEN, Side, Wire
 from support.memory_dispatcher import InMemoryDispatcher
 
+from eiderfield.model.learned_state import OutlierState, PacerState, RecentWork
 from eiderfield.net.clients import ConnectionHandover, DetachedConnection
 from eiderfield.net.clock import WallClock
 from eiderfield.net.handover import messages as m
@@ -112,13 +113,13 @@
         ("w1", "w2", "w3", "w6"), "SERVING"
     )
     learned = state.learned
-    assert learned.pacers[0] == m.PacerState(120.0, 4.0, 20.0, START + 290.0)
-    assert learned.pacers[1] == learned.pacers[2] == m.PacerState(0.0, None, 0.0, 0.0)
+    assert learned.pacers[0] == PacerState(120.0, 4.0, 20.0, START + 290.0)
+    assert learned.pacers[1] == learned.pacers[2] == PacerState(0.0, None, 0.0, 0.0)
     assert (learned.retry_tokens, learned.served_rate, learned.served_at) == (5.0, 0.75, STATE_AT)
-    assert learned.recent_work == (m.RecentWork(964320697, ((START + 10.0, 80.0),)),)
+    assert learned.recent_work == (RecentWork(964320697, ((START + 10.0, 80.0),)),)
     assert learned.key_counts == ((11087761916137914656, 4), (11534753796086380509, 1))
     assert learned.slots == ((0, 2.0),)
-    assert learned.outliers == (m.OutlierState(797615265, 2.0, 1),)
+    assert learned.outliers == (OutlierState(797615265, 2.0, 1),)
 
 
 @revisions
