--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -25,18 +25,16 @@
 from typing import Protocol
 
 from eiderfield.config.address import Address
-from eiderfield.exchange.exchange import Exchange
 from eiderfield.exchange.request import Attempt
 from eiderfield.exchange.timers import Timer, Timers
 from eiderfield.interface import Outcome, ProgressKind
 from eiderfield.net.dialing import Dial, PendingDial
 from eiderfield.net.faults import Cause, cause_of_loss
 from eiderfield.net.http import End, Head
-from eiderfield.net.reports import from_object, from_text
+from eiderfield.net.worker_loads import LoadReporter
 from eiderfield.net.worker_messages import (
     AttemptStatus,
     Failure,
-    HealthCheck,
     Load,
     Progress,
     Result,
@@ -68,32 +66,20 @@
     """What a connection requires of the pool that opens it.
 
     Attributes:
-        exchange: receives the events of attempts.
+        loads: encodes the requests of loads and reports their ends.
         timers: schedules the time limits of the connection.
         clock: returns the current time, in ms.
         reads: the number of times that any connection has received bytes.
     """
 
-    exchange: Exchange
+    loads: LoadReporter
     timers: Timers
     clock: Callable[[], float]
     reads: int
 
-    def may_write(self, attempt: Attempt) -> bool:
-        """Return whether an attempt may still be written."""
-
-    def request_for(self, load: Load) -> bytes:
-        """Return the HTTP request of a load."""
-
     def received_from_others(self, worker: int, since: int) -> bool:
         """Return whether another worker's connection received bytes after `reads` was `since`."""
 
-    def report_failure(self, load: Load | None, outcome: Outcome) -> None:
-        """Record that a load ended without a response."""
-
-    def report_health(self, check: HealthCheck, status: int, body: bytes) -> None:
-        """Record the response to a health check."""
-
     def add_idle(self, connection: WorkerConnection) -> None:
         """Take back a connection that carries nothing."""
 
@@ -114,7 +100,8 @@
         self.load: Load | None = load
         self.last_read = 0  # the owner's count of reads when this connection last received bytes
         self._owner = owner
-        self._exchange = owner.exchange
+        self._loads = owner.loads
+        self._exchange = owner.loads.exchange
         self._reader = ResponseReader()
         self._transport: asyncio.Transport | None = None
         self._pending_dial: PendingDial | None = None
@@ -195,7 +182,7 @@
         assert transport is not None
         self._cancel_timer()
         self.load = load
-        if isinstance(load, Attempt) and not self._owner.may_write(load):
+        if isinstance(load, Attempt) and not self._loads.may_write(load):
             # During the dial the worker may have begun to drain, or the request have ended.
             self.load = None
             self._owner.add_idle(self)
@@ -204,7 +191,7 @@
         self.state = ConnectionState.BUSY
         self._reader.start(load.pending.request.id if isinstance(load, Attempt) else None)
         self._flushed = True
-        transport.write(self._owner.request_for(load))
+        transport.write(self._loads.request_for(load))
         if transport.is_closing():  # the write failed: the request has not left completely
             self._flushed = False
         elif self._flushed and isinstance(load, Attempt):
@@ -249,7 +236,7 @@
             load = self.load
             self.close()
             outcome = Outcome.MOOT if self._delayed_locally else Outcome.CONNECT_FAILED
-            self._owner.report_failure(load, outcome)
+            self._loads.report_failure(load, outcome)
 
     def _dial_delayed(self, cause: Cause) -> None:
         """Record that a fault of this host delays the dial, which is retried until its timeout."""
@@ -292,7 +279,7 @@
             self._exchange.record_rejection(attempt)
         elif status is not AttemptStatus.ACCEPTED:
             outcome = Outcome.FULL if status is AttemptStatus.NOT_RUN else Outcome.ERROR
-            self._end_attempt(attempt, outcome, self._load_report(None))
+            self._end_attempt(attempt, outcome)
 
     def _apply_update(self, attempt: Attempt, update: Update) -> None:
         match update:
@@ -302,20 +289,15 @@
                 self._exchange.record_progress(attempt, ProgressKind.SHARE_DONE, share)
             case Result(body, report):
                 self._await_end()
-                self._exchange.record_result(attempt, body, self._load_report(report))
+                self._exchange.record_result(
+                    attempt, body, self._loads.load_report(self._reader.head, report)
+                )
             case Failure(outcome, report):
-                self._end_attempt(attempt, outcome, self._load_report(report))
-
-    def _load_report(self, report: object) -> tuple[float, ...]:
-        """Return the load report of an attempt's last update, or else that of the response's head."""
-        fields = self._exchange.settings.load_report_fields
-        head = self._reader.head
-        if not fields or head is None:
-            return ()
-        return from_object(report, fields) or from_text(head.get("x-load"), fields)
+                self._end_attempt(attempt, outcome, report)
 
-    def _end_attempt(self, attempt: Attempt, outcome: Outcome, load_report: tuple[float, ...]) -> None:
+    def _end_attempt(self, attempt: Attempt, outcome: Outcome, report: object = None) -> None:
         self._await_end()
+        load_report = self._loads.load_report(self._reader.head, report)
         self._exchange.attempt_ended(attempt, outcome, load_report)
 
     def _await_end(self) -> None:
@@ -340,7 +322,7 @@
             self.close()
         head = self._reader.head
         if load is not None and head is not None:
-            self._owner.report_health(load, head.status, bytes(self._reader.body))
+            self._loads.report_health(load, head.status, bytes(self._reader.body))
 
     def _break_off(self, cause: Cause = Cause.CONNECTION) -> None:
         """Close a connection that was lost or whose response is malformed, and report its load as failed.
@@ -354,6 +336,6 @@
         if load is None:
             return
         if cause is Cause.LOCAL:
-            self._owner.report_failure(load, Outcome.CANCELLED if flushed else Outcome.MOOT)
+            self._loads.report_failure(load, Outcome.CANCELLED if flushed else Outcome.MOOT)
         else:
-            self._owner.report_failure(load, Outcome.RESET if flushed else Outcome.CONNECT_FAILED)
+            self._loads.report_failure(load, Outcome.RESET if flushed else Outcome.CONNECT_FAILED)
--- /dev/null
+++ b/eiderfield/net/worker_loads.py
@@ -0,0 +1,58 @@
+"""Loads of connections to workers: their requests, load reports, and the reporting of their ends."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.request import Attempt
+from eiderfield.interface import Outcome
+from eiderfield.net.http import Head
+from eiderfield.net.http.status import OK
+from eiderfield.net.reports import from_body, from_object, from_text
+from eiderfield.net.worker_messages import HealthCheck, Load, attempt_request, health_check_request
+
+
+class LoadReporter:
+    """Encodes the requests of loads, and reports to the exchange how loads end."""
+
+    def __init__(self, exchange: Exchange, clock: Callable[[], float]) -> None:
+        """Create a reporter; `clock` returns the process's time, in ms."""
+        self.exchange = exchange
+        self._clock = clock
+
+    def health_check(self, worker: int) -> HealthCheck:
+        """Return a new health check, which requests a load report if the settings name its fields."""
+        return HealthCheck(worker, self._clock(), bool(self.exchange.settings.load_report_fields))
+
+    def may_write(self, attempt: Attempt) -> bool:
+        """Return whether an attempt may still be written."""
+        return self.exchange.may_write(attempt, self._clock())
+
+    def request_for(self, load: Load) -> bytes:
+        """Return the HTTP request of an attempt or a health check."""
+        if isinstance(load, HealthCheck):
+            return health_check_request(load.wants_report)
+        return attempt_request(load.pending.request, self._clock())
+
+    def load_report(self, head: Head | None, report: object) -> tuple[float, ...]:
+        """Return the load report of an attempt's last update, or else that of its response's head."""
+        fields = self.exchange.settings.load_report_fields
+        if not fields or head is None:
+            return ()
+        return from_object(report, fields) or from_text(head.get("x-load"), fields)
+
+    def report_failure(self, load: Load | None, outcome: Outcome) -> None:
+        """Report that an attempt or a health check, if there is one, ended without a response."""
+        if isinstance(load, Attempt):
+            self.exchange.attempt_ended(load, outcome)
+        elif load is not None:
+            self.exchange.probe_completed(load.worker, outcome, self._clock() - load.sent_at)
+
+    def report_health(self, check: HealthCheck, status: int, body: bytes) -> None:
+        """Report the response to a health check."""
+        report: tuple[float, ...] = ()
+        if check.wants_report and status == OK:
+            report = from_body(body, self.exchange.settings.load_report_fields)
+        outcome = Outcome.OK if status == OK else Outcome.ERROR
+        self.exchange.probe_completed(check.worker, outcome, self._clock() - check.sent_at, report)
--- a/eiderfield/net/worker_pool.py
+++ b/eiderfield/net/worker_pool.py
@@ -18,11 +18,10 @@
 from eiderfield.exchange.timers import Timers
 from eiderfield.interface import Outcome
 from eiderfield.net.dialing import Dial
-from eiderfield.net.http.status import OK
-from eiderfield.net.reports import from_body
 from eiderfield.net.worker_connection import ConnectionState, WorkerConnection
 from eiderfield.net.worker_idle import IdleWorkerConnections
-from eiderfield.net.worker_messages import HealthCheck, Load, attempt_request, health_check_request
+from eiderfield.net.worker_loads import LoadReporter
+from eiderfield.net.worker_messages import Load
 
 
 class WorkerPool:
@@ -39,7 +38,7 @@
         max_connections: int,
     ) -> None:
         """Attach an empty pool to `exchange`; workers close connections that are idle for `idle_timeout`."""
-        self.exchange = exchange
+        self.loads = LoadReporter(exchange, clock)
         self.timers = timers
         self.clock = clock
         self.reads = 0  # how often any connection has received bytes
@@ -125,7 +124,7 @@
         for connection in dialling:
             load = connection.load
             connection.close()
-            self.report_failure(load, Outcome.MOOT)
+            self.loads.report_failure(load, Outcome.MOOT)
 
     # Calls by the exchange.
 
@@ -140,8 +139,7 @@
 
     def probe(self, worker: int) -> None:
         """Check a worker's health, and request a load report if the settings name its fields."""
-        wants_report = bool(self.exchange.settings.load_report_fields)
-        self._send(worker, HealthCheck(worker, self.clock(), wants_report))
+        self._send(worker, self.loads.health_check(worker))
 
     def close_idle(self, worker: int) -> None:
         """Close the idle connections to a worker."""
@@ -150,36 +148,11 @@
 
     # Calls by connections.
 
-    def may_write(self, attempt: Attempt) -> bool:
-        """Return whether an attempt may still be written."""
-        return self.exchange.may_write(attempt, self.clock())
-
-    def request_for(self, load: Load) -> bytes:
-        """Return the HTTP request of an attempt or a health check."""
-        if isinstance(load, HealthCheck):
-            return health_check_request(load.wants_report)
-        return attempt_request(load.pending.request, self.clock())
-
     def received_from_others(self, worker: int, since: int) -> bool:
         """Return whether another worker's connection received bytes after `reads` was `since`."""
         others = (connection for connection in self._connections if connection.worker != worker)
         return any(connection.last_read > since for connection in others)
 
-    def report_failure(self, load: Load | None, outcome: Outcome) -> None:
-        """Record that an attempt or a health check ended without a response."""
-        if isinstance(load, Attempt):
-            self.exchange.attempt_ended(load, outcome)
-        elif load is not None:
-            self.exchange.probe_completed(load.worker, outcome, self.clock() - load.sent_at)
-
-    def report_health(self, check: HealthCheck, status: int, body: bytes) -> None:
-        """Record the response to a health check."""
-        report: tuple[float, ...] = ()
-        if check.wants_report and status == OK:
-            report = from_body(body, self.exchange.settings.load_report_fields)
-        outcome = Outcome.OK if status == OK else Outcome.ERROR
-        self.exchange.probe_completed(check.worker, outcome, self.clock() - check.sent_at, report)
-
     def add_idle(self, connection: WorkerConnection) -> None:
         """Keep a connection that carries nothing for reuse, unless its worker is distrusted."""
         if self._idle.add(connection, self.clock()):
@@ -210,7 +183,7 @@
     def _send(self, worker: int, load: Load) -> None:
         address = self._addresses.get(worker)
         if address is None:
-            self.report_failure(load, Outcome.MOOT)
+            self.loads.report_failure(load, Outcome.MOOT)
             return
         connection = self._idle.take(worker, self.clock())
         if connection is not None:
@@ -220,7 +193,7 @@
             self._connections.add(connection)
             connection.open(self._dial, address, self._dial_timeout)
         else:
-            self.report_failure(load, Outcome.MOOT)
+            self.loads.report_failure(load, Outcome.MOOT)
 
     def _make_room(self) -> bool:
         """Return whether another connection may be opened, after closing an idle one at the limit."""
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -12,6 +12,7 @@
 from eiderfield.interface import Outcome
 from eiderfield.net import worker_response
 from eiderfield.net.clients import ClientConnection
+from eiderfield.net.worker_loads import LoadReporter
 from eiderfield.net.worker_messages import Result
 from eiderfield.net.worker_pool import WorkerPool
 
@@ -199,7 +200,9 @@
     "answered twice|after the end": lambda m: m.setattr(
         ClientConnection, "answer", twice(ClientConnection.answer)
     ),
-    "may have run": lambda m: m.setattr(WorkerPool, "report_failure", sure_of_it(WorkerPool.report_failure)),
+    "may have run": lambda m: m.setattr(
+        LoadReporter, "report_failure", sure_of_it(LoadReporter.report_failure)
+    ),
     "two legs|may have run": lambda m: m.setattr(WorkerPool, "start", doubled(WorkerPool.start)),
     "never answered": lambda m: m.setattr(ClientConnection, "answer", deaf(ClientConnection.answer)),
 }
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -23,7 +23,8 @@
         self.dispatcher = dispatcher
         self.sent = []  # how much longer than its client waits each worker was told that it would
         self.gives_up = {}  # by request, when its client gives up
-        message, dispatcher.side.request_for = dispatcher.side.request_for, self.message
+        loads = dispatcher.side.loads
+        message, loads.request_for = loads.request_for, self.message
         self._message = message
 
     def message(self, load):
