--- a/eiderfield/net/clock.py
+++ b/eiderfield/net/clock.py
@@ -1,8 +1,8 @@
-"""The monotonic clock that all deadlines, windows and waits are measured with, and its relation to Unix time.
+"""The monotonic clock of all deadlines, windows and waits, and its conversion from and to Unix time.
 
-The wall clock may be stepped by seconds or by an hour at any moment, forward or back. So no time inside a
-process is Unix time: a time that comes from outside is converted into an age when it is read, and a time that
-goes outside is converted when it is written. Nothing remembers the difference between the two clocks.
+The wall clock may be stepped by seconds or by an hour at any moment, forward or back. Therefore no time
+within a process is Unix time: a received Unix time is converted when it is read, and a time for others when
+it is written. The difference between the two clocks is never stored.
 """
 
 from __future__ import annotations
@@ -11,33 +11,33 @@
 
 from eiderfield.machine import offset_between, steady_ms, unix_ms
 
-ORIGIN = float(1 << 40)  # ms at the machine's start: what began before that still lies above 0, "unknown"
+ORIGIN_MS = float(1 << 40)  # at the machine's start: earlier times are above 0 as well, which means "unknown"
 
 
 class MonotonicClock:
-    """Milliseconds that never run backwards and that no step of the wall clock moves."""
+    """Milliseconds that never decrease and are independent of steps of the wall clock."""
 
     def __call__(self) -> float:
-        """The time now."""
-        return steady_ms() + ORIGIN
+        """Return the current time."""
+        return steady_ms() + ORIGIN_MS
 
 
 class WallClock:
-    """Converts between a process's clock and Unix time, by what the wall clock shows in that moment."""
+    """Converts between a process's clock and Unix time, by the current difference of the clocks."""
 
     def __init__(self, clock: Callable[[], float], unix: Callable[[], float] = unix_ms) -> None:
-        """`clock` is the process's clock, `unix` reads the wall clock; both are in ms."""
+        """Create a converter; `clock` is the process's clock, `unix` the wall clock, both in ms."""
         self._clock = clock
         self._unix = unix
 
     def offset(self) -> float:
-        """What Unix time is ahead of the process's clock now, in ms."""
+        """Return by how much Unix time is ahead of the process's clock now, in ms."""
         return offset_between(self._clock, self._unix)
 
     def to_unix(self, at: float) -> float:
-        """The Unix time of a time of the process's clock."""
+        """Convert a time of the process's clock to Unix time."""
         return at + self.offset()
 
     def from_unix(self, unix: float) -> float:
-        """The time on the process's clock of a Unix time. It may lie ahead, if the wall clock was stepped."""
+        """Convert a Unix time to the process's clock; after a step the result may be in the future."""
         return unix - self.offset()
--- a/eiderfield/net/departures.py
+++ b/eiderfield/net/departures.py
@@ -37,7 +37,7 @@
     """Watches the connections of one event loop that are not being read."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Creates an empty watch."""
+        """Create an empty watch."""
         self._loop = loop
         self._poll: select.epoll | None = None
         self._watched: dict[int, Callable[[], None]] = {}
--- a/eiderfield/net/descriptors.py
+++ b/eiderfield/net/descriptors.py
@@ -1,9 +1,9 @@
-"""How many connections fit within the descriptors that the system allows this process.
+"""Limits of connections within the file descriptors that the system allows this process.
 
-The settings say how many descriptors the dispatcher may take (`limits.sockets`). The system may allow it
-fewer (RLIMIT_NOFILE). Clients would then fill all of them, since a listener accepts up to its own bound, and
-no connection to a worker could come up for those who wait: so both bounds shrink by the same share, and what
-is reserved for the loop, the listeners and discovery stays.
+The settings limit the dispatcher's descriptors (`limits.sockets`), but the system may allow fewer
+(RLIMIT_NOFILE). Clients would then use all of them, since a listener accepts connections up to its own
+limit, and no connection to a worker could be opened. Therefore both limits are reduced by the same share,
+while the descriptors reserved for the loop, the listeners and discovery remain.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLimits:
-    """How many connections there may be at once, at least one of each kind."""
+    """The number of connections of clients and to workers, at least one of each."""
 
     clients: int
     workers: int
 
     @classmethod
     def of(cls, config: Config, allowed: float) -> ConnectionLimits:
-        """The limits of a configuration where the system allows `allowed` descriptors."""
+        """Return the limits of a configuration if the system allows `allowed` descriptors."""
         wanted = config.client_connections + config.worker_connections
         reserved = reserved_descriptors(config.console is not None, config.durable_requests is not None)
         free = int(max(2, min(wanted, allowed - reserved)))
@@ -34,6 +34,6 @@
 
 
 def allowed_descriptors() -> float:
-    """How many descriptors the system allows this process now."""
+    """Return how many descriptors the system allows this process now; infinity for no limit."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return inf if soft == resource.RLIM_INFINITY else soft
--- a/eiderfield/net/shutdown_times.py
+++ b/eiderfield/net/shutdown_times.py
@@ -1,43 +1,51 @@
-"""When a process that was told to end does what, from its settings. Knows no socket and no clock.
+"""Timetable of a shutdown, calculated from the settings. Performs no I/O and reads no clock.
 
-    SIGTERM ──(close_listeners)──> no new connections; a request from now on is answered by `answered`
-            ──(send_away)────────> clients are sent away: with their next answer, or at once when idle
-            ──(answered)─────────> every request that came is answered
-            ──(a kill may follow: the longest deadline, 3 s at the most, and 0.7 s)
+    SIGTERM ──(close_listeners_after)─────> no new connections; later requests have their response in time
+            ──(disable_keep_alive_after)──> connections close after their next response, or at once if idle
+            ──(answered_after)────────────> every received request is answered
+            ──(longest deadline, at most 3 s, and 0.7 s)──> the process may be killed
 
-What must never happen: a request unanswered when the kill comes, other than one that came within the first
-0.7 s and whose own time is longer than that.
+Invariant: every request is answered before the process may be killed, except one that arrived in the first
+0.7 s and whose own deadline is later.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-TO_KILL = 700.0  # ms between the longest deadline and a kill (protocol page)
-LONGEST = 3000.0  # ms that a longer deadline counts for there
-MARGIN = 500.0  # ms between the last answer and a kill, and
-MARGIN_SHARE = 0.2  # this share of the time until the kill, where that is short
-ACCEPTING = 700.0  # ms for which new connections are taken: what comes later must have its answer by the kill
-STAYING = 1500.0  # ms for which clients stay: where others restart too, they would have nowhere to go
-ACCEPTING_SHARE = 0.5  # of the time until the last answer, at most
-STAYING_SHARE = 0.75
+KILL_DELAY_MS = 700.0  # between the longest deadline and a kill (protocol page)
+MAX_DEADLINE_MS = 3000.0  # that a longer deadline counts for in that rule
+KILL_MARGIN_MS = 500.0  # between the last response and a kill
+KILL_MARGIN_SHARE = 0.2  # of the time until a kill, in place of the margin if that is shorter
+ACCEPT_TIME_MS = 700.0  # for new connections: later ones must have their response before the kill
+ACCEPT_TIME_SHARE = 0.5  # of the time until the last response, at most
+KEEP_ALIVE_TIME_MS = (
+    1500.0  # for connections: clients may have no alternative while other dispatchers restart
+)
+KEEP_ALIVE_TIME_SHARE = 0.75  # of the time until the last response, at most
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownTimes:
-    """Times after SIGTERM, in ms."""
+    """Times after SIGTERM, in ms.
 
-    close_listeners: float
-    send_away: float
-    answered: float
+    Attributes:
+        close_listeners_after: when listeners accept no more connections.
+        disable_keep_alive_after: when clients are asked to connect elsewhere.
+        answered_after: when every request is answered.
+    """
+
+    close_listeners_after: float
+    disable_keep_alive_after: float
+    answered_after: float
 
     @classmethod
     def of(cls, longest_deadline: float) -> ShutdownTimes:
-        """The times where the longest deadline of a class is `longest_deadline`."""
-        kill = min(longest_deadline, LONGEST) + TO_KILL
-        answered = kill - min(MARGIN, MARGIN_SHARE * kill)
+        """Return the times for the longest deadline of a class of requests, in ms."""
+        kill_after = min(longest_deadline, MAX_DEADLINE_MS) + KILL_DELAY_MS
+        answered_after = kill_after - min(KILL_MARGIN_MS, KILL_MARGIN_SHARE * kill_after)
         return cls(
-            close_listeners=min(ACCEPTING, ACCEPTING_SHARE * answered),
-            send_away=min(STAYING, STAYING_SHARE * answered),
-            answered=answered,
+            close_listeners_after=min(ACCEPT_TIME_MS, ACCEPT_TIME_SHARE * answered_after),
+            disable_keep_alive_after=min(KEEP_ALIVE_TIME_MS, KEEP_ALIVE_TIME_SHARE * answered_after),
+            answered_after=answered_after,
         )
--- a/eiderfield/program/shutdown.py
+++ b/eiderfield/program/shutdown.py
@@ -56,7 +56,11 @@
             return
         now = self._driver.clock()
         after = ShutdownTimes.of(longest_deadline)
-        times = DrainTimes(now + after.close_listeners, now + after.send_away, now + after.answered)
+        times = DrainTimes(
+            now + after.close_listeners_after,
+            now + after.disable_keep_alive_after,
+            now + after.answered_after,
+        )
         for listener in self._listeners:
             listener.draining = True
         self._driver.wheel.at(times.close_listeners_at, partial(self.close_listeners, times.answered_by))
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -11,7 +11,13 @@
 from eiderfield.lab.ports import free_port
 from eiderfield.net.clients import Phase
 from eiderfield.net.clients.connection import EVICTION_GRACE, LINGER_TIME
-from eiderfield.net.shutdown_times import ACCEPTING, LONGEST, MARGIN, TO_KILL, ShutdownTimes
+from eiderfield.net.shutdown_times import (
+    ACCEPT_TIME_MS,
+    KILL_DELAY_MS,
+    KILL_MARGIN_MS,
+    MAX_DEADLINE_MS,
+    ShutdownTimes,
+)
 from eiderfield.net.wheel import TICK_MS
 from eiderfield.program.program import Program
 
@@ -190,12 +196,12 @@
     """SIGKILL follows SIGTERM after the longest deadline, 3 s at the most, and 0.7 s: the times of the end
     were those of deadlines of 3 s and more, whatever the settings said."""
     end = ShutdownTimes.of(longest)
-    kill = min(longest, LONGEST) + TO_KILL
-    assert 0.0 < end.close_listeners <= end.send_away < end.answered < kill
-    assert kill - end.answered >= min(MARGIN, 0.2 * kill)
-    assert end.close_listeners <= ACCEPTING
-    if longest >= LONGEST:
-        assert (end.close_listeners, end.send_away, end.answered) == (700.0, 1500.0, 3200.0)
+    kill = min(longest, MAX_DEADLINE_MS) + KILL_DELAY_MS
+    assert 0.0 < end.close_listeners_after <= end.disable_keep_alive_after < end.answered_after < kill
+    assert kill - end.answered_after >= min(KILL_MARGIN_MS, 0.2 * kill)
+    assert end.close_listeners_after <= ACCEPT_TIME_MS
+    if longest >= MAX_DEADLINE_MS:
+        assert end == ShutdownTimes(700.0, 1500.0, 3200.0)
 
 
 class Port:
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -22,7 +22,7 @@
     StartAttempt,
 )
 from eiderfield.net.backoff import DIAL_TIMEOUT, FIRST_LIST_TIME, NOTIFIED_AFTER, Backoff
-from eiderfield.net.shutdown_times import LONGEST, TO_KILL, ShutdownTimes
+from eiderfield.net.shutdown_times import KILL_DELAY_MS, MAX_DEADLINE_MS, ShutdownTimes
 from eiderfield.net.worker_messages import attempt_request
 from eiderfield.policy import endpoint, slow_start
 from eiderfield.policy.dispatcher import Dispatcher
@@ -191,5 +191,5 @@
 @pytest.mark.parametrize("deadline", [0.0, 200.0, 1000.0, 3000.0, 300_000.0])
 def test_every_answer_comes_before_a_kill(deadline):
     times = ShutdownTimes.of(deadline)
-    kill = min(deadline, LONGEST) + TO_KILL
-    assert 0.0 < times.close_listeners < times.send_away < times.answered < kill
+    kill = min(deadline, MAX_DEADLINE_MS) + KILL_DELAY_MS
+    assert 0.0 < times.close_listeners_after < times.disable_keep_alive_after < times.answered_after < kill
--- a/tests/test_program_parts.py
+++ b/tests/test_program_parts.py
@@ -122,7 +122,11 @@
 
 def test_each_part_hears_once_when_the_end_has_begun_and_what_binds(joined):
     ending = ShutdownTimes.of(DEADLINE)
-    times = DrainTimes(NOW + ending.close_listeners, NOW + ending.send_away, NOW + ending.answered)
+    times = DrainTimes(
+        NOW + ending.close_listeners_after,
+        NOW + ending.disable_keep_alive_after,
+        NOW + ending.answered_after,
+    )
     joined.program.stop()
     joined.program.stop()
     assert joined.calls == [("first", "drain", times), ("last", "drain", times)]
@@ -142,6 +146,6 @@
 
 def test_a_process_whom_nobody_keeps_ends_when_its_listeners_close(joined):
     joined.program.stop()
-    joined.pass_time(ShutdownTimes.of(DEADLINE).close_listeners + CHECK_INTERVAL_MS)
+    joined.pass_time(ShutdownTimes.of(DEADLINE).close_listeners_after + CHECK_INTERVAL_MS)
     assert joined.names("stop") == ["first", "last"]
     assert joined.program.ended.is_set()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,7 +13,7 @@
 from eiderfield.config.loader import read
 from eiderfield.lab.ports import free_port
 from eiderfield.net.http import END, Head, Parser
-from eiderfield.net.shutdown_times import ACCEPTING, LONGEST, TO_KILL
+from eiderfield.net.shutdown_times import ACCEPT_TIME_MS, KILL_DELAY_MS, MAX_DEADLINE_MS
 
 STEP = 10.0  # ms of the driven clock in one step
 ROUNDS = 6  # turns of the loop in a step: what comes in, its turn, and what that writes
@@ -150,10 +150,10 @@
     for _ in range(4):
         running.connect()
     told_at = running.now
-    kill = told_at + min(longest, LONGEST) + TO_KILL
+    kill = told_at + min(longest, MAX_DEADLINE_MS) + KILL_DELAY_MS
     running.program.stop()
     while running.now < kill:
-        if running.now < told_at + min(COMING, ACCEPTING) and running.listener.listening:
+        if running.now < told_at + min(COMING, ACCEPT_TIME_MS) and running.listener.listening:
             running.connect()
         for client in running.clients:
             if client.open and not client.waits:
@@ -165,8 +165,8 @@
         assert asked, "each had its turn"
         late = asked > answered and client.sent_at[-1] > told_at + 700.0
         assert not late, "it came long after SIGTERM and SIGKILL finds it unanswered"
-        assert asked == answered or (client.open and longest > LONGEST), "closed without an answer"
-    assert not running.program.core.exchange.unanswered or longest > LONGEST
+        assert asked == answered or (client.open and longest > MAX_DEADLINE_MS), "closed without an answer"
+    assert not running.program.core.exchange.unanswered or longest > MAX_DEADLINE_MS
 
 
 @pytest.mark.parametrize(
@@ -203,7 +203,7 @@
     for client in clients:
         client.sock.close()
         client.open = False
-    while not running.program.ended.is_set() and running.now < told_at + LONGEST + TO_KILL:
+    while not running.program.ended.is_set() and running.now < told_at + MAX_DEADLINE_MS + KILL_DELAY_MS:
         running.step()
     assert running.program.ended.is_set()
     assert all(gone(sock) for sock in running.worker.connections), "their attempts were given up"
