--- a/eiderfield/net/clients/__init__.py
+++ b/eiderfield/net/clients/__init__.py
@@ -10,9 +10,11 @@
 | `connection_timer` | the time limits of a connection |
 | `connection_admission` | the place of a connection in admission control |
 | `flow_control` | pauses and resumes reading, and watches a paused connection for its client's departure |
+| `connection_table` | open connections, and the order in which they may be evicted |
 | `connection` | one client's connection, and its states |
 | `parking` | the idle connections of a listener, also on their way to the next process |
-| `listener` | a listening socket, its capacity and its evictions |
+| `acceptor` | a listening socket and the loop that accepts from it |
+| `listener` | the connections of a listening socket, their capacity and admission |
 
 Each module imports only modules above it in this table.
 """
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -28,6 +28,7 @@
 from eiderfield.connections.admission import Rejection
 from eiderfield.connections.idle_connections import unread_bytes, unsent_bytes
 from eiderfield.net.clients.connection_admission import ConnectionAdmission
+from eiderfield.net.clients.connection_table import ConnectionTable
 from eiderfield.net.clients.connection_timer import ConnectionTimer, TimerSettings
 from eiderfield.net.clients.detached import ConnectionHandover, Detach, DetachedConnection
 from eiderfield.net.clients.flow_control import FlowControl
@@ -65,6 +66,10 @@
     def front(self) -> Front:
         """Handles the messages."""
 
+    @property
+    def open_connections(self) -> ConnectionTable[ClientConnection]:
+        """The connections of the listener, by the order of their eviction."""
+
     @property
     def departures(self) -> DepartureWatch | None:
         """Watches connections that are not read; None before the listener is open."""
@@ -77,15 +82,6 @@
     def successor(self) -> Callable[[Detach], bool] | None:
         """Takes connections over between requests while the process hands over, else None."""
 
-    def mark_active(self, connection: ClientConnection) -> None:
-        """Record that more of a message has come."""
-
-    def mark_busy(self, connection: ClientConnection) -> None:
-        """Record that a message waits for its response."""
-
-    def mark_idle(self, connection: ClientConnection) -> None:
-        """Record that a response was written."""
-
     def remove(self, connection: ClientConnection) -> None:
         """Release what a closed connection holds."""
 
@@ -173,7 +169,7 @@
             return
         self._reader.feed(_READ_BUFFER[:nbytes], self.listener.clock())
         if self.phase == Phase.READING:
-            self.listener.mark_active(self)
+            self.listener.open_connections.mark_active(self)
             self._read_messages()
         elif self._reader.buffered > PIPELINED_BYTES:
             self._flow.pause()
@@ -230,7 +226,7 @@
             return
         self.phase = Phase.READING
         self.since = self.listener.clock()
-        self.listener.mark_idle(self)
+        self.listener.open_connections.mark_idle(self, self.proven)
         if self._flow.paused and not self._throttled:
             self._resume_reading()
         self._timer.restart(self.proven, self.since, self._reader.first_byte_at())
@@ -341,7 +337,7 @@
         now = self.listener.clock()
         self._timer.started_at = now
         self.admission.end_message()
-        self.listener.mark_idle(self)
+        self.listener.open_connections.mark_idle(self, proven=False)
         if self._transport is not None and not self._transport.is_closing():
             with suppress(OSError):
                 self._transport.write_eof()
@@ -443,7 +439,7 @@
             return
         if self.phase == Phase.WAITING:  # else the response is written
             self._on_departure = on_departure
-            self.listener.mark_busy(self)
+            self.listener.open_connections.mark_busy(self)
 
     def _begin_message(self) -> None:
         """Limit a message of which a part has arrived, and count it with admission control."""
--- a/eiderfield/program/listeners.py
+++ b/eiderfield/program/listeners.py
@@ -88,7 +88,7 @@
         except OSError as error:
             if is_shortage(error) or not (may_share and self._process_before):
                 raise
-            bound.listener.listen(self._loop, bound.address, beside=True)
+            bound.listener.listen(self._loop, bound.address, share=True)
 
 
 class ClientListeners(Part):
--- a/tests/support/handover.py
+++ b/tests/support/handover.py
@@ -74,7 +74,7 @@
         self.done = True
 
     def takes(self):
-        return self.dispatcher.listener._socket in self.loop.reads
+        return self.dispatcher.listener.acceptor.listening_socket in self.loop.reads
 
 
 class Pair:
@@ -107,5 +107,5 @@
 
     def close(self):
         for side in (self.old, self.new):
-            if side.dispatcher.listener._socket is not None:
-                side.dispatcher.listener._socket.close()
+            if side.dispatcher.listener.acceptor.listening_socket is not None:
+                side.dispatcher.listener.acceptor.listening_socket.close()
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -89,7 +89,7 @@
     def __init__(self, dispatcher, listener=None, handover=None):
         self.dispatcher = dispatcher
         self.connection = ClientConnection(listener or dispatcher.listener, handover=handover)
-        (listener or dispatcher.listener).add(self.connection)
+        (listener or dispatcher.listener).open_connections.add(self.connection)
         self.pipe = Pipe(self.connection)
         self.connection.connection_made(self.pipe)
         self._parser = Parser(responses=True)
--- a/tests/support/real_sockets.py
+++ b/tests/support/real_sockets.py
@@ -46,8 +46,8 @@
         if handover is not None:
             harness.listener.adopt_connection(theirs, handover)
         else:
-            harness.listener._socket.waiting.append((theirs, (address, 1)))
-            harness.listener._accept()
+            harness.listener.acceptor.listening_socket.waiting.append((theirs, (address, 1)))
+            harness.listener.acceptor.accept()
         harness.turn()
 
     def send(self, data):
@@ -97,9 +97,11 @@
         self.memory = 0.0
         self.admission = self.listener.admission = AdmissionControl(AdmissionSettings(**admission), most)
         self.listener._memory = lambda: self.memory
-        self.listener._loop = self.loop
-        self.listener._socket = ListeningSocket()
-        self.listener._client_waits_in_backlog = lambda: bool(getattr(self.listener._socket, "waiting", ()))
+        self.listener._loop = self.listener.acceptor._loop = self.loop
+        self.listener.acceptor._socket = ListeningSocket()
+        self.listener.acceptor.client_waits_in_backlog = lambda: bool(
+            getattr(self.listener.acceptor.listening_socket, "waiting", ())
+        )
         self.listener.set_idle_limits(idling)
 
     def turn(self, turns=8):
@@ -136,7 +138,7 @@
             assert clients[-1].ask(f"first{number}") == [200]
         self.pass_time(IDLING.park_after + 2 * TICK_MS)
         assert self.listener.parked == count
-        assert not self.listener._connections
+        assert not self.listener.open_connections
         return clients
 
     def close(self):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -41,8 +41,8 @@
     ours.send(message("r1") * 20)
     SocketClient.__init__(late, ListenerHarness())  # for its parser
     late.sock = ours
-    harness.listener._socket.waiting.append((theirs, ("192.0.2.1", 1)))
-    harness.listener._accept()
+    harness.listener.acceptor.listening_socket.waiting.append((theirs, ("192.0.2.1", 1)))
+    harness.listener.acceptor.accept()
     harness.turn()
     assert late.statuses() == [503]
     assert first.open
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -39,8 +39,8 @@
         theirs.setblocking(False)
         ours.send(message(f"r{number + 1}"))
         ours.close()
-        harness.listener._socket.waiting.append((theirs, ("192.0.2.1", 1)))
-        harness.listener._accept()
+        harness.listener.acceptor.listening_socket.waiting.append((theirs, ("192.0.2.1", 1)))
+        harness.listener.acceptor.accept()
         harness.turn(12)
     assert not harness.dispatcher.dials
     assert end.take() == []
@@ -64,7 +64,7 @@
     while client_takes(client, message(f"more{number}")) and number < 2 * PIPELINED_BYTES // len(message()):
         number += 1
         harness.turn(1)
-    [connection] = harness.listener._connections
+    [connection] = harness.listener.open_connections
     assert not connection._transport.is_reading()
     if how == "closes":
         client.sock.close()
@@ -75,7 +75,7 @@
     harness.turn()
     assert not end.pipe.open
     assert not harness.dispatcher.exchange.unanswered
-    assert not harness.listener._connections
+    assert not harness.listener.open_connections
     harness.pass_time(2000.0)
     assert not harness.dispatcher.dials
     assert end.came == ["r0"]
@@ -105,7 +105,7 @@
     assert not harness.listener.departures._watched
     client.sock.close()
     harness.turn()
-    assert not harness.listener._connections
+    assert not harness.listener.open_connections
 
 
 def test_a_client_that_leaves_its_answer_unread_and_goes_is_noticed(harness):
@@ -114,11 +114,11 @@
     client.send(message("r0"))
     harness.turn()
     end = harness.dispatcher.dials[0].up()
-    [connection] = harness.listener._connections
+    [connection] = harness.listener.open_connections
     connection.pause_writing()
     client.sock.close()
     harness.turn()
-    assert not harness.listener._connections
+    assert not harness.listener.open_connections
     assert not harness.dispatcher.exchange.unanswered
     assert not end.pipe.open
 
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -64,7 +64,7 @@
         harness.listener.set_admission(harness.admission.settings)
         harness.dispatcher.wheel.advance(harness.dispatcher.now)
     else:
-        [connection] = harness.listener._connections
+        [connection] = harness.listener.open_connections
         harness.dispatcher.now += KEPT.idle_timeout
         connection._time_limit_reached()
     client.send(message("r1"))  # after the look, before the loop's next turn
@@ -75,7 +75,7 @@
     assert harness.listener.figures()["discarded"] == 1
     client.sock.close()
     harness.turn()
-    assert not harness.listener._connections, "the client's own close ends it"
+    assert not harness.listener.open_connections, "the client's own close ends it"
 
 
 @pytest.mark.parametrize("why", ["idle", "make room", "end", "crowded"])
@@ -106,9 +106,9 @@
     client = served(harness)
     harness.listener.close_idle()
     harness.turn()
-    assert harness.listener._connections
+    assert harness.listener.open_connections
     harness.pass_time(LINGER_TIME + 2 * TICK_MS)
-    assert not harness.listener._connections
+    assert not harness.listener.open_connections
     assert rest(client).startswith(b"HTTP/1.1 200 ")
 
 
@@ -118,7 +118,7 @@
     client = SocketClient(harness)
     client.send(b"POST /none HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
     harness.turn()
-    [connection] = harness.listener._connections
+    [connection] = harness.listener.open_connections
     assert connection.phase == Phase.LINGERING
     assert not harness.listener.make_room(), "its answer has not arrived"
     harness.pass_time(EVICTION_GRACE + 2 * TICK_MS)
@@ -242,12 +242,12 @@
     harness = ListenerHarness(KEPT, most=1)
     client = served(harness)
     assert not harness.listener.has_waiting_clients, "nobody is there"
-    harness.listener._socket.waiting.append(None)
+    harness.listener.acceptor.listening_socket.waiting.append(None)
     assert harness.listener.has_waiting_clients
     client.sock.close()
     harness.turn()
     assert not harness.listener.has_waiting_clients, "there is room"
-    harness.listener._socket.waiting.clear()
+    harness.listener.acceptor.listening_socket.waiting.clear()
     harness.close()
 
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -218,7 +218,7 @@
         self.following.follow(watcher)
         self.listener = Listener(RequestFront(self.exchange, ids, self.clock), wheel, self.clock, 64)
         self.listener.listen(self.loop, ("127.0.0.1", 0))
-        self.port = self.listener._socket.getsockname()[1]
+        self.port = self.listener.acceptor.listening_socket.getsockname()[1]
 
     def clock(self) -> float:
         return time.monotonic() * 1000.0
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -16,7 +16,7 @@
 
 from eiderfield.config.errors import ConfigError
 from eiderfield.interface import Outcome
-from eiderfield.net.clients.listener import ACCEPTED_PER_TURN
+from eiderfield.net.clients.acceptor import ACCEPTED_PER_TURN
 from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept, cause_of_dial, cause_of_loss
 from eiderfield.net.link import Link
 from eiderfield.net.link_socket import LinkListener
@@ -174,7 +174,7 @@
             self.loop = new_event_loop()
             self.listener = self.dispatcher.listener
             self.listener.listen(self.loop, ("127.0.0.1", 0))
-            self.client = socket.create_connection(self.listener._socket.getsockname())
+            self.client = socket.create_connection(self.listener.acceptor.listening_socket.getsockname())
 
         def turn(self, count=8):
             turns(self.loop, count)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,7 +20,7 @@
 from eiderfield.idmap import IdMap
 from eiderfield.interface import EndpointState, decode_peer_report, encode_peer_report
 from eiderfield.lab.ports import free_port
-from eiderfield.net.clients.listener import ACCEPTED_PER_TURN
+from eiderfield.net.clients.acceptor import ACCEPTED_PER_TURN
 from eiderfield.net.handover.new_process import ANSWER_TIMEOUT_MS, DELAYED_ANSWER_TIMEOUT_MS
 from eiderfield.net.link_socket import LinkListener, connect_link
 
@@ -154,7 +154,7 @@
     kept = [Client(pair.old.dispatcher) for _ in range(5)]
     pair.go()
     assert pair.new.dispatcher.listener.held_by_other_process == len(kept)
-    pair.new.dispatcher.listener._most = len(kept)
+    pair.new.dispatcher.listener.max_connections = len(kept)
     assert not pair.new.dispatcher.listener.make_room()
     assert (
         pair.old.dispatcher.side.connection_limit
@@ -258,7 +258,7 @@
     assert third.takes()
     assert not pair.new.takes()
     assert pair.new.handover.handed_over
-    third.dispatcher.listener._socket.close()
+    third.dispatcher.listener.acceptor.listening_socket.close()
 
 
 def test_a_process_that_waits_waits_no_longer_than_its_patience(pair):
@@ -357,7 +357,7 @@
     assert new.dispatcher.exchange.has_request("held")
     assert state(new, 1) == EndpointState.READY
     assert new.dispatcher.table.bans.since == {"w2": 5.0}
-    new.dispatcher.listener._socket.close()
+    new.dispatcher.listener.acceptor.listening_socket.close()
 
 
 def test_an_old_process_hands_over_to_one_of_the_first_form():
@@ -379,7 +379,7 @@
     old.dispatcher.settle()
     old.dispatcher.advance(8.0)
     assert {told["is"] for told, _ in wire.sent} <= {"state", "yours", "news"}, "no words that it lacks"
-    old.dispatcher.listener._socket.close()
+    old.dispatcher.listener.acceptor.listening_socket.close()
 
 
 def test_a_socket_that_nobody_listens_at_is_no_process(tmp_path):
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -27,10 +27,10 @@
         self.old = ListenerHarness(idling, most=1000, loop=self.loop)
         self.new = ListenerHarness(idling, most=room, loop=self.loop)
         self.harnesses = [self.old, self.new]
-        self.old.listener._socket = socket.create_server(("127.0.0.1", 0))
-        self.old.listener._socket.setblocking(False)
-        self.new.listener._socket.close()
-        self.new.listener._socket = None
+        self.old.listener.acceptor._socket = socket.create_server(("127.0.0.1", 0))
+        self.old.listener.acceptor.listening_socket.setblocking(False)
+        self.new.listener.acceptor.listening_socket.close()
+        self.new.listener.acceptor._socket = None
         self.clients = [
             SocketClient(self.old, handover=ConnectionHandover(True, self.old.dispatcher.now))
             for _ in range(count)
@@ -84,7 +84,7 @@
         dead = self.harnesses[which]
         self.wires[which].close()
         dead.listener.parking.on_departure = lambda keys: None
-        for connection in list(dead.listener._connections):
+        for connection in dead.listener.open_connections:
             connection.abort()
         dead.listener.close()
         dead.turn()
@@ -328,7 +328,7 @@
     @rule()
     def die(self):
         self.dead = True
-        held = {a._sock.fileno() for a in self.removal.new.listener._connections}
+        held = {a._sock.fileno() for a in self.removal.new.listener.open_connections}
         lost = len(held)
         self.removal.kill(1)
         self.removal.settle()
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -8,8 +8,8 @@
 
 from eiderfield.connections.settings import IDLE_TIMEOUT_MS, MESSAGE_TIMEOUT_MS
 from eiderfield.net.clients import ClientConnection, Phase
+from eiderfield.net.clients.acceptor import ACCEPT_RETRY, ACCEPTED_PER_TURN
 from eiderfield.net.clients.connection import EVICTION_GRACE, LINGER_BYTES, LINGER_TIME
-from eiderfield.net.clients.listener import ACCEPT_RETRY, ACCEPTED_PER_TURN
 from eiderfield.net.wheel import TICK_MS, Wheel
 
 OWED = 3000.0  # ms from connecting within which a rude client must have an error or a close
@@ -181,7 +181,7 @@
     """Its descriptor leaked, until none was left and accepting failed on and on."""
     dispatcher = InMemoryDispatcher(most=1)
     connection = ClientConnection(dispatcher.listener)
-    dispatcher.listener.add(connection)
+    dispatcher.listener.open_connections.add(connection)
     assert dispatcher.listener.make_room()
     assert connection.phase == Phase.CLOSED
 
@@ -255,8 +255,9 @@
 
 def test_a_lack_of_descriptors_does_not_spin_the_loop():
     dispatcher = InMemoryDispatcher()
-    dispatcher.listener._loop, dispatcher.listener._socket = loop, listener = Loop(), Port(fault=errno.EMFILE)
-    dispatcher.listener._accept()
+    loop, listener = Loop(), Port(fault=errno.EMFILE)
+    dispatcher.listener.adopt(loop, listener)
+    dispatcher.listener.acceptor.accept()
     assert listener.asked == 1
     assert not loop.reading
     dispatcher.advance(ACCEPT_RETRY + TICK_MS)
@@ -265,16 +266,17 @@
 
 def test_a_burst_of_connections_is_taken_in_turns_and_a_full_house_waits():
     dispatcher = InMemoryDispatcher(most=ACCEPTED_PER_TURN + 2)
-    dispatcher.listener._loop, dispatcher.listener._socket = loop, _ = Loop(), Port(waiting=500)
-    dispatcher.listener._client_waits_in_backlog = lambda: True
+    loop = Loop()
+    dispatcher.listener.adopt(loop, Port(waiting=500))
+    dispatcher.listener.acceptor.client_waits_in_backlog = lambda: True
     busy = [dispatcher.client(id_=f"r{n}") for n in range(2)]
-    dispatcher.listener._accept()
+    dispatcher.listener.acceptor.accept()
     assert len(loop.tasks) == ACCEPTED_PER_TURN
     assert loop.reading
-    dispatcher.listener._most = 2
-    for connection in list(dispatcher.listener._unproven):
+    dispatcher.listener.max_connections = 2
+    for connection in dispatcher.listener.open_connections.between_requests():
         connection.abort()
-    dispatcher.listener._accept()
+    dispatcher.listener.acceptor.accept()
     assert not loop.reading
     assert all(client.pipe.open for client in busy)
     busy[0].pipe.break_off()
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -68,7 +68,7 @@
     """The poll set tells levels: what came before the descriptor was in it is told of all the same."""
     client = SocketClient(harness)
     assert client.ask("r1") == [200]
-    [connection] = harness.listener._connections
+    [connection] = harness.listener.open_connections
     client.send(message("r2"))  # unread, and the timer comes first
     assert not connection.is_idle
     connection._time_limit_reached()
@@ -156,7 +156,7 @@
     """A parked connection has no buffer: what was not written yet would be lost."""
     client = SocketClient(harness)
     assert client.ask("r1") == [200]
-    [connection] = harness.listener._connections
+    [connection] = harness.listener.open_connections
     connection._transport.write(b"x" * 4_000_000)
     assert not harness.listener.parking.park(connection)
     harness.pass_time(IDLING.park_after * 3)
@@ -255,10 +255,10 @@
     for name in ("dup", "open", "pipe"):
         monkeypatch.setattr(os, name, none)
     monkeypatch.setattr(socket.socket, "dup", none)
-    before = len(harness.listener._connections)
+    before = len(harness.listener.open_connections)
     client.send(message("r2"))
     harness.turn()
-    assert len(harness.listener._connections) == before + 1
+    assert len(harness.listener.open_connections) == before + 1
     monkeypatch.undo()
     harness.work()
     assert client.statuses() == [200]
@@ -335,7 +335,7 @@
     harness.pass_time(900.0)
     client.send(message("r2")[:20])
     harness.turn()
-    [connection] = harness.listener._connections
+    [connection] = harness.listener.open_connections
     harness.dispatcher.now += 30_000.0  # a dispatcher that stood still
     connection._timer.started_at = harness.dispatcher.now - 100.0
     detached = connection.detach()
@@ -442,10 +442,10 @@
     @invariant()
     def counted(self):
         listener = self.harness.listener
-        assert listener.connections == len(listener._connections) + listener.parked
+        assert listener.connections == len(listener.open_connections) + listener.parked
         assert sum(self.harness.admission.addresses.connections) == listener.connections
         assert sum(self.harness.admission.addresses.incomplete_messages) == sum(
-            a.admission.message_counted for a in listener._connections
+            a.admission.message_counted for a in listener.open_connections
         )
 
     def teardown(self):
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -227,7 +227,7 @@
     assert client.ask("GET", "/ready")[0][0] == 503
     dispatcher.tell((1, "SERVING"))
     assert client.ask("GET", "/ready")[0][0] == 503  # the port is not open
-    dispatcher.listener._socket = object()
+    dispatcher.listener.acceptor._socket = object()
     assert client.ask("GET", "/ready")[0][0] == 200
     dispatcher.listener.draining = True
     [(status, head, _)] = client.ask("GET", "/ready")
