--- a/eiderfield/rollout/canary_analysis.py
+++ b/eiderfield/rollout/canary_analysis.py
@@ -190,7 +190,7 @@
         return None
 
     def _run_tests(self, observations: Sequence[Observation]) -> str | None:
-        """Add a window to all tests. Returns what is worse, None if no test says so."""
+        """Add a window to all tests. Returns what is worse; None if no test rejects H0."""
         for (class_name, measure), test in self._tests.items():
             test.add_window(class_name, observations)
             if test.log_likelihood_ratio >= self._upper_bound:
@@ -204,7 +204,7 @@
         return f"slower by about {self._settings.latency_increase:.0%}"
 
     def _assess_open_tests(self) -> Assessment:
-        """Return the decision where no test says "worse"."""
+        """Return the decision where no test rejects H0."""
         tests = self._applicable_tests()
         open_tests = [key for key, test in tests.items() if not test.cleared]
         if not open_tests and not self._is_over and self._needs_costs():
--- a/eiderfield/rollout/console.py
+++ b/eiderfield/rollout/console.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsoleAnswer:
-    """What a console says of its process."""
+    """What a console reports of its process."""
 
     ready: bool
     figures: Mapping[str, Any]  # as `/-/metrics` gives them
@@ -57,7 +57,7 @@
 
 
 def query_console(address: Address) -> ConsoleAnswer | None:
-    """Return what the console at `address` says; None if it does not answer, or not as a console would."""
+    """Return the report of the console at `address`; None if there is none, or it is malformed."""
     try:
         ready = call_console(address, "/-/ready").status == HTTPStatus.OK
         figures = json.loads(call_console(address, "/-/metrics").body)
--- a/eiderfield/rollout/controller.py
+++ b/eiderfield/rollout/controller.py
@@ -49,7 +49,7 @@
 
 
 class _Position(NamedTuple):
-    """What of a state is worth writing down as soon as it changes."""
+    """The part of a state that is written as soon as it changes."""
 
     phase: Phase
     stage: int
@@ -57,6 +57,7 @@
 
     @classmethod
     def of(cls, state: RolloutState) -> _Position:
+        """Return the position of a state."""
         return cls(state.phase, state.stage, state.reason)
 
 
@@ -214,7 +215,7 @@
             return
         refusal = self.state_machine.apply_command(command)
         self._log.info("word", word=command, refused=refusal)
-        if self._write_journal(refusal or f"{command}, as asked"):
+        if self._write_journal(refusal or f"{command}: command of an operator"):
             self.commands.mark_handled()
 
     def _write_journal(self, note: str = "") -> bool:
--- a/eiderfield/rollout/journal.py
+++ b/eiderfield/rollout/journal.py
@@ -65,7 +65,7 @@
         return self.content.processes
 
     def write(self, now: float, note: str = "") -> None:
-        """Write the journal, with an entry for the present state if the last one does not say the same.
+        """Write the journal, with an entry for the present state unless it would repeat the last one.
 
         Args:
             now: Unix time in s, for people alone.
--- a/eiderfield/rollout/journal_codec.py
+++ b/eiderfield/rollout/journal_codec.py
@@ -28,7 +28,7 @@
     reason: str
 
     def repeats(self, other: JournalEntry) -> bool:
-        """Return whether it says the same as `other`, at another time."""
+        """Return whether the entries differ in their times alone."""
         return (self.phase, self.stage, self.reason) == (other.phase, other.stage, other.reason)
 
 
--- a/eiderfield/rollout/observation.py
+++ b/eiderfield/rollout/observation.py
@@ -47,7 +47,7 @@
 
     dispatcher: str
     is_new: bool
-    alive: bool | None = True  # None: its console did not answer, which does not say that it is gone
+    alive: bool | None = True  # None: its console did not answer; the process may still run
     ready: bool = True
     age: float = 1e9  # s since the process started, or could be observed again
     completed: Mapping[str, int] = field(default_factory=dict)
--- a/eiderfield/rollout/power_analysis.py
+++ b/eiderfield/rollout/power_analysis.py
@@ -131,7 +131,7 @@
 def decision_shares(
     rollouts: int, worse: float, unlike: float, settings: WatchSettings | None = None
 ) -> dict[str, dict[str, float]]:
-    """Return the shares of simulated rollouts that each test undid, held and let go on, by test."""
+    """Return the share of simulated rollouts with each decision, by test."""
     settings = settings or WatchSettings()
     stage = SimulatedStage(worse=worse, unlike=unlike)
     words = (Decision.UNDO.value, Decision.HOLD.value, Decision.GO.value)
--- a/eiderfield/rollout/processes.py
+++ b/eiderfield/rollout/processes.py
@@ -2,7 +2,7 @@
 
 A process of a change carries a mark in its environment from its start on, so that the next controller knows
 it even if the one that started it was lost before it could write that down. A process whose console does not
-answer is not taken for one that is gone: whether a process is there, the operating system says.
+answer is not taken for one that is gone: the operating system knows whether a process exists.
 """
 
 from __future__ import annotations
@@ -116,7 +116,7 @@
         self._pool.shutdown(cancel_futures=True)
 
     def query(self, _member: str, console: Address) -> ConsoleAnswer | None:
-        """Return what a console of a member says; None if it does not answer."""
+        """Return the report of a console of a member; None if it does not answer."""
         return query_console(console)
 
     def poll(self) -> dict[str, list[ProcessReport]]:
--- a/eiderfield/rollout/state_machine.py
+++ b/eiderfield/rollout/state_machine.py
@@ -143,10 +143,10 @@
         if state.paused and not self.is_over:
             state.paused = False
         elif state.phase is Phase.HELD:
-            self._watch("watched anew, as asked")
+            self._watch("watched anew by an operator's command")
         elif state.phase in _PHASES_GOING_BACK:
             state.unreachable.clear()
-            self._enter(Phase.MOVING, "forward again, as asked")
+            self._enter(Phase.MOVING, "resumed by an operator's command")
         else:
             return False
         return True
@@ -154,11 +154,11 @@
     def _undo(self) -> bool:
         state = self.state
         if state.phase is Phase.BEFORE:
-            self._enter(Phase.UNDONE, "called off before anything changed")
+            self._enter(Phase.UNDONE, "cancelled by an operator before anything changed")
         elif state.phase not in (Phase.REFUSED, Phase.UNDONE):
             state.paused = False
             state.unreachable.clear()
-            self._enter(Phase.UNDOING, "as asked")
+            self._enter(Phase.UNDOING, "undone by an operator's command")
         else:
             return False
         return True
@@ -178,14 +178,14 @@
         self._baseline.add_window(observations)
         state.baseline = self._baseline.counts
         if now - self._healthy_since >= self.plan.watch.baseline_duration and not state.paused:
-            self._enter(Phase.MOVING, "all are well")
+            self._enter(Phase.MOVING, "all dispatchers are ready")
 
     def _refuse_after_timeout(self, now: float, unhealthy: Sequence[str]) -> None:
         self._healthy_since = None
         if self._unhealthy_since is None:
             self._unhealthy_since = now
         if now - self._unhealthy_since > self.plan.watch.ready_timeout:
-            self._enter(Phase.REFUSED, f"ill before the start: {', '.join(unhealthy)}")
+            self._enter(Phase.REFUSED, f"not ready before the start: {', '.join(unhealthy)}")
 
     def _step_forward(self, duration: float, observations: Sequence[Observation]) -> None:
         new = [observation for observation in observations if observation.is_new]
