--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
 
 import eiderfield
 
-pytest_plugins = ["support.known_red", "support.schedule"]
+pytest_plugins = ["support.durable_members", "support.known_red", "support.schedule"]
 
 
 def pytest_configure() -> None:
--- a/tests/support/failing_files.py
+++ b/tests/support/failing_files.py
@@ -118,6 +118,11 @@
         return call
 
 
+def raise_io_error(*_arguments: object) -> None:
+    """Fail as a call on a broken disk does, in the place of a method."""
+    raise OSError(BROKEN, os.strerror(BROKEN))
+
+
 @contextmanager
 def failing_files(folder: Path, monkeypatch: Any) -> Iterator[FailingFiles]:
     """The shim over one folder, with nothing failing yet."""
--- a/tests/test_durable_requests_jobs.py
+++ b/tests/test_durable_requests_jobs.py
@@ -9,7 +9,7 @@
 
 import pytest
 from click.testing import CliRunner
-from test_durable_requests_members import DECLINED, SERVED, Host, leg, one, record
+from support.durable_members import DECLINED, SERVED, Host, apply_one, attempt_record, record
 
 from eiderfield.batch.client import Session
 from eiderfield.batch.drmaa import ControlAction, JobState
@@ -36,11 +36,11 @@
     host = Host(tmp_path)
     a, b = host.member("a"), host.member("b")
     for id_ in ("open", "out", "served", "failed", "declined"):
-        one(a, Accept(record(id_, key=f"k-{id_}")))
-    one(a, Claim("out", leg()))
-    one(a, Finish("served", SERVED))
-    one(a, Finish("failed", Answer(Verdict.FAILED, may_have_run=True, attempts=1)))
-    one(a, Finish("declined", DECLINED))
+        apply_one(a, Accept(record(id_, key=f"k-{id_}")))
+    apply_one(a, Claim("out", attempt_record()))
+    apply_one(a, Finish("served", SERVED))
+    apply_one(a, Finish("failed", Answer(Verdict.FAILED, may_have_run=True, attempts=1)))
+    apply_one(a, Finish("declined", DECLINED))
     host.outlive(b)
     b.take_over()
     yield host, a, b
@@ -121,10 +121,10 @@
     assert run("cancel", host.settings.folder, "open") == "asked for\n"
     assert "is over: served" in run("cancel", host.settings.folder, "served", code=1)
     assert b.requested_ends() == ["open"]
-    assert one(b, RequestEnd("served")) == Written()
+    assert apply_one(b, RequestEnd("served")) == Written()
     assert b.requested_ends() == ["open"]
     assert SharedFolder(host.settings.folder).end_requests.all() == ["open"]
-    one(b, Finish("open", Answer(Verdict.TERMINATED)))
+    apply_one(b, Finish("open", Answer(Verdict.TERMINATED)))
     assert b.requested_ends() == []
     assert SharedFolder(host.settings.folder).end_requests.all() == []
 
--- /dev/null
+++ b/tests/test_durable_requests_store.py
@@ -0,0 +1,123 @@
+"""Records and the stores that hold them."""
+
+from __future__ import annotations
+
+import sqlite3
+from dataclasses import replace
+
+import pytest
+from support.durable_members import attempt_record, record
+
+from eiderfield.durable_requests.errors import StoreError
+from eiderfield.durable_requests.record import Stage, record_of, request_of
+from eiderfield.durable_requests.schema import APPLICATION_ID, SCHEMA_VERSION
+from eiderfield.durable_requests.store import RecordStore
+from eiderfield.exchange.request import Request
+
+
+def test_a_record_becomes_the_same_authorisation_with_its_first_deadline():
+    a = Request("j", 0, 5000.0, "/r/x", "h", b"\x00body", "k", 7, False, 2, 3.0, 4.0)
+    kept = record_of(a, "r", now=1000.0, accepted_at=50.0)
+    again = request_of(kept, 0, now=91_000.0, monotonic=1050.0)
+    assert again == replace(a, deadline=91_000.0 + 3000.0, is_client_retry=True)
+
+
+def test_a_leg_that_never_ran_is_taken_off_and_the_rest_are_numbered_anew_by_the_heir():
+    kept = (
+        record()
+        .with_attempt(attempt_record(0))
+        .with_attempt(attempt_record(1))
+        .with_attempt(attempt_record(2))
+        .without_attempt(1)
+    )
+    assert [each.number for each in kept.taken_over().attempts] == [0, 1]
+    assert kept.taken_over().takeovers == 1
+    assert kept.without_attempt(0).without_attempt(2).stage == Stage.ACCEPTED
+
+
+def test_a_store_keeps_what_was_committed_and_shows_it_to_readers(tmp_path):
+    store = RecordStore(tmp_path / "a.db")
+    reader = RecordStore(tmp_path / "a.db", read_only=True)
+    store.begin()
+    store.put(record(key="k").with_attempt(attempt_record()))
+    assert reader.get("j") is None
+    store.commit()
+    assert reader.get("j") == record(key="k").with_attempt(attempt_record())
+    assert list(reader.open_records()) == [("j", "report", 0.0)]
+    assert reader.verify() == ""
+    assert reader.counts() == (1, 0, 1)
+
+    def write_to_reader():
+        reader.begin()
+        reader.put(record())
+
+    with pytest.raises(StoreError):
+        write_to_reader()
+    store.copy_to(tmp_path / "copy.db")
+    assert RecordStore(tmp_path / "copy.db", read_only=True).get("j") == store.get("j")
+
+
+OLD = """CREATE TABLE jobs (
+    id TEXT PRIMARY KEY, cls TEXT NOT NULL, stage INTEGER NOT NULL, due REAL NOT NULL,
+    accepted REAL NOT NULL, finished REAL NOT NULL, head TEXT NOT NULL, body BLOB NOT NULL,
+    legs TEXT NOT NULL, verdict TEXT NOT NULL, result BLOB NOT NULL, retry_after REAL NOT NULL,
+    may_have_run INTEGER NOT NULL, legs_in_all INTEGER NOT NULL, why TEXT NOT NULL, taken INTEGER NOT NULL
+) WITHOUT ROWID;
+CREATE INDEX open_jobs ON jobs (stage, accepted);
+INSERT INTO jobs VALUES ('j', 'report', 1, 9.0, 1.0, 0.0, '{"key": ""}', x'62',
+    '[[0, "w0", "here", 1, 2.0]]', '', x'', 0.0, 0, 0, '', 0);
+PRAGMA application_id = 1701078386; PRAGMA user_version = 1;"""
+
+
+def test_a_store_of_the_first_schema_is_read_as_it_is_and_brought_up_by_its_writer(tmp_path):
+    path = tmp_path / "a.db"
+    with sqlite3.connect(path) as db:
+        db.executescript(OLD)
+    db.close()
+    before = RecordStore(path, read_only=True).get("j")
+    assert before.attempts == (attempt_record(at=2.0),)
+    assert before.front == "platform"
+    assert before.generation == 1
+    store = RecordStore(path)
+    assert store.version == SCHEMA_VERSION
+    assert store.get("j") == before
+
+
+@pytest.mark.parametrize(
+    ("make", "why"),
+    [
+        (
+            lambda db: db.executescript(
+                f"PRAGMA application_id = {APPLICATION_ID}; PRAGMA user_version = 99"
+            ),
+            "newer",
+        ),
+        (lambda db: db.execute("CREATE TABLE mine (x)"), "not a store"),
+        (None, "not a database"),
+        ("torn", "malformed|disk image|not a database|integrity|file is"),
+    ],
+)
+def test_a_store_that_is_foreign_newer_or_torn_is_refused_by_name(make, why, tmp_path):
+    path = tmp_path / "x.db"
+    if make is None:
+        path.write_bytes(b"poems\n" * 2000)
+    elif make == "torn":
+        store = RecordStore(path)
+        store.begin()
+        for number in range(300):
+            store.put(record(f"j{number}", body=b"x" * 500))
+        store.commit()
+        store.compact()
+        store.close()
+        data = bytearray(path.read_bytes())
+        data[4096:] = b"\xff" * (len(data) - 4096)
+        path.write_bytes(bytes(data))
+        assert RecordStore(path, read_only=True).verify() != ""
+        return
+    else:
+        with sqlite3.connect(path) as db:
+            make(db)
+        db.close()
+    with pytest.raises(StoreError, match=why) as error:
+        RecordStore(path)
+    assert "x.db" in str(error.value)
--- /dev/null
+++ b/tests/test_durable_requests_torn_files.py
@@ -0,0 +1,135 @@
+"""Files that a kill or a loss of power left torn, empty or outdated: nothing is lost or done twice."""
+
+from __future__ import annotations
+
+import pytest
+from support.durable_members import SERVED, Host, apply_one, attempt_record, record
+from support.failing_files import BROKEN, failing_files, raise_io_error
+
+from eiderfield.durable_requests import store as store_module
+from eiderfield.durable_requests.inspection import Inspection
+from eiderfield.durable_requests.messages import (
+    Accept,
+    Accepted,
+    AlreadyAccepted,
+    Claim,
+    Claimed,
+    Finish,
+)
+from eiderfield.durable_requests.ownership import ownership_chain
+from eiderfield.durable_requests.record import Stage
+from eiderfield.durable_requests.store import RecordStore
+
+
+def test_a_record_that_was_refused_and_came_back_with_a_kill_is_not_run_beside_its_next_taking(tmp_path):
+    """A sync that fails after the write: the asker was told that nothing is taken, and asks elsewhere."""
+    host = Host(tmp_path)
+    a, b, c = (host.member(name) for name in "abc")
+    fences = {"a.1": ("b.1", "c.1")}
+    id_ = next(id_ for id_ in map(str, range(99)) if ownership_chain(id_, "a.1", fences)[-1] == "c.1")
+    a.current.store.begin()
+    a.current.store.put(record(id_))
+    a.current.store.commit()  # as recovered from the journal of a killed process, whose asker was refused
+    assert apply_one(b, Accept(record(id_))) == Accepted()
+    host.outlive(b, c)
+    assert (b.take_over(), c.take_over(), len(b.open_records)) == ([], [], 1)
+    for member in (a, b, c):
+        member.close()
+
+
+def test_an_heir_that_was_lost_before_it_wrote_anything_passes_its_jobs_on(tmp_path):
+    """Its store is empty, which is not to say that it cannot be read."""
+    host = Host(tmp_path)
+    a, b, c = (host.member(name) for name in "abc")
+    fences = {"a.1": ("b.1", "c.1"), "b.1": ("c.1",)}
+    id_ = next(id_ for id_ in map(str, range(99)) if "b.1" in ownership_chain(id_, "a.1", fences))
+    assert apply_one(a, Accept(record(id_))) == Accepted()
+    b.end_incarnation()
+    for end in ("", "-wal", "-shm"):
+        (host.settings.folder / "lives" / f"b.1.db{end}").unlink(missing_ok=True)
+    (host.settings.folder / "lives" / "b.1.db").touch()
+    c.folder.fences.create("a.1", ["b.1", "c.1"], "c.1", "test")
+    host.outlive(c)
+    assert [each.id for each in c.take_over()] == [id_]
+    assert Inspection(host.settings.folder).verify() == []
+    for member in (a, c):
+        member.close()
+
+
+def test_the_id_of_a_forgotten_record_is_not_taken_from_who_took_it_anew(host_with_two, monkeypatch):
+    """A record whose id was let go may stay in its store after a refusal, and is forgotten again."""
+    host, a, b = host_with_two
+    apply_one(a, Accept(record("j")))
+    apply_one(a, Finish("j", SERVED))
+    [over] = a.current.store.expired(host.now + 1.0, 0, 0)
+    with monkeypatch.context() as refused:
+        refused.setattr(a.current.store, "delete", raise_io_error)
+        a.retention.delete(a.current, [over])
+    assert apply_one(b, Accept(record("j"))) == Accepted()
+    a.retention.delete(a.current, [over])
+    assert b.folder.ids.holder("j") == (1, "b.1")
+    assert apply_one(a, Accept(record("j"))) == AlreadyAccepted("j")
+
+
+def test_a_member_file_that_cannot_be_read_ends_no_job(host_with_two, tmp_path, monkeypatch):
+    """Accepted for one of another boot, its times would lie in the past."""
+    host, a, b = host_with_two
+    apply_one(a, Accept(record("j", deadline=host.now + 60_000.0)))
+    host.outlive(b)
+    with failing_files(tmp_path, monkeypatch) as faults:
+        faults.fail("open", BROKEN)
+        assert b.take_over() == []
+        assert faults.failed == 1
+    host.live(1500.0, b)
+    assert [(each.id, each.deadline) for each in b.take_over()] == [("j", 61_000.0)]
+
+
+def test_a_store_cut_at_any_byte_of_its_last_record_keeps_all_that_was_told_before(tmp_path, monkeypatch):
+    """A kill leaves half a record: what was written down before is owed, and the rest was never told."""
+    monkeypatch.setattr(store_module, "PAGE_SIZE", 512)  # fewer bytes to cut at
+    host = Host(tmp_path / "whole")
+    member = host.member("a")
+    assert apply_one(member, Accept(record("kept"))) == Accepted()
+    assert isinstance(apply_one(member, Claim("kept", attempt_record())), Claimed)
+    journal = host.settings.folder / "lives" / "a.1.db-wal"
+    before = journal.stat().st_size
+    assert apply_one(member, Accept(record("last"))) == Accepted()
+    whole, base = journal.read_bytes(), (host.settings.folder / "lives" / "a.1.db").read_bytes()
+    member.close()
+    assert len(whole) > before
+    for size in range(before, len(whole) + 1):
+        path = tmp_path / "cut.db"
+        for end in ("", "-wal", "-shm"):
+            path.with_name(f"cut.db{end}").unlink(missing_ok=True)
+        path.write_bytes(base)
+        path.with_name("cut.db-wal").write_bytes(whole[:size])
+        store = RecordStore(path, read_only=True)
+        found = {each.id: each.stage for each in store.records()}
+        store.close()
+        assert found.pop("kept") == Stage.CLAIMED
+        assert found == ({"last": Stage.ACCEPTED} if size == len(whole) else {})
+
+
+@pytest.mark.parametrize("part", ["members/a.1", "fences/a.1", "wishes"])
+def test_a_small_file_cut_at_any_byte_stops_nobody(part, tmp_path):
+    """A loss of power may tear what was not flushed: the other members go on."""
+    host = Host(tmp_path)
+    a, b = host.member("a"), host.member("b")
+    apply_one(a, Accept(record("j")))
+    apply_one(a, Accept(record("wished")))
+    a.folder.end_requests.add("wished")
+    if part.startswith("fences"):
+        a.leave()
+    path = host.settings.folder / part
+    path = next(path.iterdir()) if path.is_dir() else path
+    whole = path.read_bytes()
+    for size in range(len(whole)):
+        path.write_bytes(whole[:size])
+        fresh = host.member(f"n{size}")
+        assert fresh.tick()
+        assert apply_one(fresh, Accept(record(f"job-{size}"))) == Accepted()
+        fresh.close()
+    path.write_bytes(whole)
+    assert not [line for line in host.said if "Error" in line]
+    a.close()
+    b.close()
