--- a/Makefile
+++ b/Makefile
@@ -19,7 +19,7 @@
 lint:
 	$(BIN)/ruff format --check .
 	$(BIN)/ruff check .
-	$(BIN)/mypy --strict eiderfield
+	$(BIN)/mypy --strict eiderfield tests/support
 
 # CONFIG names an operator's file; without it the LB_* variables tell all.
 run:
--- a/tests/support/consul.py
+++ b/tests/support/consul.py
@@ -3,15 +3,16 @@
 from __future__ import annotations
 
 import json
+from typing import Any
 
 from eiderfield.interface import EndpointState
 from eiderfield.net.discovery.consul import ConsulWatch
-from eiderfield.net.discovery.settings import DiscoverySettings
+from eiderfield.net.discovery.settings import DiscoveryKind, DiscoverySettings
 from eiderfield.net.http import END, Head, Parser
 from support.memory_dispatcher import InMemoryDispatcher, Pipe
 
 
-def instance(id_, port, status="passing", node="n", **meta):
+def instance(id_: str, port: int, status: str = "passing", node: str = "n", **meta: str) -> dict[str, Any]:
     return {
         "Node": {"Node": node, "Address": "127.0.0.9", "Datacenter": "dc1"},
         "Service": {
@@ -28,9 +29,11 @@
 class Consul:
     """The stand-in: answers one query at a time."""
 
-    def __init__(self, api="health"):
+    def __init__(self, api: str = "health") -> None:
         self.dispatcher = InMemoryDispatcher(workers=0)
-        place = DiscoverySettings("consul", ("127.0.0.1", 8500), "claim workers", api, "secret", 30_000.0)
+        place = DiscoverySettings(
+            DiscoveryKind.CONSUL, ("127.0.0.1", 8500), "claim workers", api, "secret", 30_000.0
+        )
         dispatcher = self.dispatcher
         self.follower = ConsulWatch(
             dispatcher.table,
@@ -43,13 +46,13 @@
         self.follower.connect()
         self.connect()
 
-    def connect(self):
+    def connect(self) -> None:
         dial = self.dispatcher.dials.pop()
         self.pipe = Pipe(dial.connection)
         dial.connection.connection_made(self.pipe)
         self.parser = Parser()
 
-    def query(self):
+    def query(self) -> str | None:
         """The query that is out, taken once."""
         self.parser.feed(bytes(self.pipe.written))
         self.pipe.written.clear()
@@ -60,13 +63,13 @@
         assert got[0].get("x-consul-token") == "secret"
         return got[0].target
 
-    def answer(self, index, *instances, raw=None):
+    def answer(self, index: int, *instances: object, raw: bytes | None = None) -> None:
         body = json.dumps(instances).encode() if raw is None else raw
         head = f"HTTP/1.1 200 OK\r\nX-Consul-Index: {index}\r\nContent-Length: {len(body)}\r\n\r\n"
         self.pipe.send(head.encode() + body)
         self.dispatcher.settle()
 
-    def states(self):
+    def states(self) -> dict[str, EndpointState]:
         names = self.dispatcher.ids
         return {
             names.name(w): s
--- a/tests/support/driven_fleet.py
+++ b/tests/support/driven_fleet.py
@@ -10,8 +10,10 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
+from functools import partial
 from itertools import count
 from math import sqrt
+from typing import Any
 
 from eiderfield.interface import (
     NEVER_RAN,
@@ -138,7 +140,7 @@
         if unanswered:
             raise RuleBrokenError(f"never answered: {unanswered}")
 
-    def list_workers(self, *numbers: int, **changes: object) -> None:
+    def list_workers(self, *numbers: int, **changes: Any) -> None:
         """Changes some entries of the list and tells all dispatchers."""
         for number in numbers:
             worker = self.workers[number]
@@ -286,7 +288,7 @@
             attempt.running = True
             worker.running.append(attempt)
             self._tell_start(attempt)
-            self.at(self.now + self.load.run, lambda attempt=attempt: self._complete(attempt))
+            self.at(self.now + self.load.run, partial(self._complete, attempt))
 
     def _tell_start(self, attempt: ModelledAttempt) -> None:
         if self.settings.workers_report_start:
@@ -299,11 +301,11 @@
             self._note(attempt, ProgressKind.SHARE_DONE)
             self.at(self.now + self.settings.progress_interval_ms, lambda: self._progress(attempt))
 
-    def _note(self, attempt: ModelledAttempt, what: int) -> None:
+    def _note(self, attempt: ModelledAttempt, kind: ProgressKind) -> None:
         if attempt.open:
             request, worker = attempt.request, attempt.worker
             self._post(
-                request.node, AttemptProgressed(request.id, attempt.number, worker.entry.worker, what, 0.5)
+                request.node, AttemptProgressed(request.id, attempt.number, worker.entry.worker, kind, 0.5)
             )
 
     def _complete(self, attempt: ModelledAttempt) -> None:
--- a/tests/support/extreme_settings.py
+++ b/tests/support/extreme_settings.py
@@ -7,6 +7,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
+from typing import Any
 
 from eiderfield.interface import EndpointState, RequestClass, Scope, Settings
 from support.driven_fleet import DrivenFleet, Load
@@ -21,7 +22,7 @@
 )
 
 
-def settings_of(*classes: RequestClass, **changes: object) -> Settings:
+def settings_of(*classes: RequestClass, **changes: Any) -> Settings:
     """Settings without hedging for some classes."""
     base = replace(
         BASE, classes=classes, hedging_allowed=False, recovery_ramp_ms=1500.0, recovery_ramp_multiple=2.5
@@ -134,7 +135,7 @@
 
 
 def _three_effects(aim: float, deadline: float, window: float) -> tuple[RequestClass, ...]:
-    times = {"latency_objective_ms": aim, "deadline_ms": deadline, "objective_stretch": 0.0}
+    times: dict[str, Any] = {"latency_objective_ms": aim, "deadline_ms": deadline, "objective_stretch": 0.0}
     keyed = replace(KEYED, repeat_window_ms=window, scope=Scope.ZONE, **times)
     return replace(SAFE, **times), keyed, replace(UNSAFE, **times)
 
--- a/tests/support/failing_calls.py
+++ b/tests/support/failing_calls.py
@@ -13,9 +13,13 @@
 import selectors
 import socket
 import threading
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager, suppress
 from dataclasses import dataclass
 from enum import Enum
+from typing import Any
+
+import pytest
 
 
 class Call(Enum):
@@ -55,6 +59,7 @@
         self.calls = dict.fromkeys(Call, 0)
         self.failed: list[frozenset[int]] = []  # of each call that failed: the ports of its socket's two ends
         self._thread = threading.get_ident()
+        self.start: Callable[[], None] = lambda: None  # begins to count, and to fail calls
 
     def due(self, call: Call, sock: socket.socket | None = None, address: object = None) -> bool:
         """Counts a call; whether it is to fail."""
@@ -71,6 +76,10 @@
         self.failed.append(_ports(sock, address))
         return True
 
+    def fails_with(self, error: int) -> bool:
+        """Return whether the chosen calls fail with `error`."""
+        return self.failure is not None and self.failure.error == error
+
     def error(self) -> OSError:
         """The error of a call that fails."""
         assert self.failure is not None
@@ -109,7 +118,7 @@
 
 
 @contextmanager
-def failing_calls(monkeypatch, failure: Failure | None):
+def failing_calls(monkeypatch: pytest.MonkeyPatch, failure: Failure | None) -> Iterator[FailingCalls]:
     """Installs the shim for sockets, and for poll sets made from now on, and takes it away again.
 
     Counting begins with `start`: what a test does before that to set the scene is not touched.
@@ -127,39 +136,41 @@
         yield failing
 
 
-def _wrap_sockets(patch, failing: FailingCalls) -> None:
+def _wrap_sockets(patch: pytest.MonkeyPatch, failing: FailingCalls) -> None:
     kind = socket.socket
     init, accept, connect = kind.__init__, kind.accept, kind.connect
     receive, send = kind.recv_into, kind.send
 
-    def failing_init(sock, family=-1, type=-1, proto=-1, fileno=None):
+    def failing_init(
+        sock: socket.socket, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None
+    ) -> None:
         if fileno is None and family in (-1, socket.AF_INET) and failing.due(Call.SOCKET):
             raise failing.error()
         init(sock, family, type, proto, fileno)
 
-    def failing_accept(sock):
+    def failing_accept(sock: socket.socket) -> tuple[socket.socket, Any]:
         if failing.due(Call.ACCEPT, sock):
             raise failing.error()
         return accept(sock)
 
-    def failing_connect(sock, address):
+    def failing_connect(sock: socket.socket, address: Any) -> None:
         if failing.due(Call.CONNECT, sock, address):
-            if failing.failure.error == errno.EINTR:  # the connection is made in the background then
+            if failing.fails_with(errno.EINTR):  # the connection is made in the background then
                 with suppress(BlockingIOError):
                     connect(sock, address)
             raise failing.error()
         return connect(sock, address)
 
-    def failing_receive(sock, buffer, size=0, flags=0):
+    def failing_receive(sock: socket.socket, buffer: Any, size: int = 0, flags: int = 0) -> int:
         if failing.due(Call.RECEIVE, sock):
-            if failing.failure.error != SHORT:
+            if not failing.fails_with(SHORT):
                 raise failing.error()
             size = 1
         return receive(sock, buffer, size, flags)
 
-    def failing_send(sock, data, flags=0):
+    def failing_send(sock: socket.socket, data: Any, flags: int = 0) -> int:
         if failing.due(Call.SEND, sock):
-            if failing.failure.error != SHORT:
+            if not failing.fails_with(SHORT):
                 raise failing.error()
             data = memoryview(data)[:1]
         return send(sock, data, flags)
--- a/tests/support/failing_files.py
+++ b/tests/support/failing_files.py
@@ -224,9 +224,10 @@
     def opened(vfs: int, name: int, file: Any, flags: int, out: Any) -> int:
         if _database_fails("database open"):
             return _CANTOPEN
-        result = open_file(ctypes.cast(default, ctypes.c_void_p).value, name, file, flags, out)
+        result: int = open_file(ctypes.cast(default, ctypes.c_void_p).value, name, file, flags, out)
         if result == _OK and file.contents.methods:
             address = ctypes.cast(file.contents.methods, ctypes.c_void_p).value
+            assert address is not None
             if address not in methods:
                 methods[address] = _wrapped_methods(file.contents.methods.contents)
             file.contents.methods = ctypes.pointer(methods[address])
@@ -250,7 +251,8 @@
     def writes(file: Any, data: int, size: int, offset: int) -> int:
         faults = _database_fails("database write")
         if faults is None:
-            return write(file, data, size, offset)
+            written: int = write(file, data, size, offset)
+            return written
         if faults.partly:
             write(file, data, size // 2, offset)
         return _FULL if faults.code == FULL else _IOERR_WRITE
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -5,14 +5,21 @@
 import asyncio
 import json
 from collections import deque
+from collections.abc import Callable
 from dataclasses import replace
+from pathlib import Path
+from typing import Any
 
+from eiderfield.config.address import Address
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.idmap import IdMap
+from eiderfield.interface import Settings
 from eiderfield.net.bans import Bans
 from eiderfield.net.clients import ClientConnection, Listener, RequestFront
+from eiderfield.net.clients.detached import ConnectionHandover
 from eiderfield.net.clock import WallClock
 from eiderfield.net.discovery.routing_table import RoutingTable
+from eiderfield.net.faults import Cause
 from eiderfield.net.http import END, Head, Parser
 from eiderfield.net.wheel import Wheel
 from eiderfield.net.worker_pool import WorkerPool
@@ -21,10 +28,14 @@
 SITE = replace(BASE, classes=(SAFE, UNSAFE, KEYED), hedging_allowed=False)
 
 
+def ignore_delay(_cause: Cause) -> None:
+    """Ignore that a dial is delayed."""
+
+
 class Pipe(asyncio.Transport):
     """A connection in memory. What the program writes is kept; what the other side sends is handed in."""
 
-    def __init__(self, protocol, stuck=False):
+    def __init__(self, protocol: Any, stuck: bool = False) -> None:
         super().__init__()
         self.protocol = protocol
         self.stuck = stuck  # whether what is written stays in this process
@@ -33,42 +44,42 @@
         self.ended = False
         self.paused = False
 
-    def write(self, data):
+    def write(self, data: Any) -> None:
         assert not self.ended, "written after the end of sending"
         if self.open:
             self.written += data
             if self.stuck:
                 self.protocol.pause_writing()
 
-    def write_eof(self):
+    def write_eof(self) -> None:
         self.ended = True
 
-    def get_write_buffer_size(self):
+    def get_write_buffer_size(self) -> int:
         return len(self.written) if self.stuck else 0
 
-    def set_write_buffer_limits(self, high=None, low=None):
+    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         pass
 
-    def is_closing(self):
+    def is_closing(self) -> bool:
         return not self.open
 
-    def pause_reading(self):
+    def pause_reading(self) -> None:
         self.paused = True
 
-    def resume_reading(self):
+    def resume_reading(self) -> None:
         self.paused = False
 
-    def abort(self):
+    def abort(self) -> None:
         self.open = False
 
     close = abort
 
-    def unstick(self):
+    def unstick(self) -> None:
         if self.stuck:
             self.stuck = False
             self.protocol.resume_writing()
 
-    def send(self, data):
+    def send(self, data: bytes) -> None:
         """The other side sends."""
         for start in range(0, len(data), 65536):
             piece = data[start : start + 65536]
@@ -76,7 +87,7 @@
                 self.protocol.get_buffer(-1)[: len(piece)] = piece
                 self.protocol.buffer_updated(len(piece))
 
-    def break_off(self):
+    def break_off(self) -> None:
         """The other side resets the connection."""
         if self.open:
             self.open = False
@@ -86,7 +97,12 @@
 class Client:
     """A client's connection."""
 
-    def __init__(self, dispatcher, listener=None, handover=None):
+    def __init__(
+        self,
+        dispatcher: InMemoryDispatcher,
+        listener: Listener | None = None,
+        handover: ConnectionHandover | None = None,
+    ) -> None:
         self.dispatcher = dispatcher
         self.connection = ClientConnection(listener or dispatcher.listener, handover=handover)
         (listener or dispatcher.listener).open_connections.add(self.connection)
@@ -94,50 +110,56 @@
         self.connection.connection_made(self.pipe)
         self._parser = Parser(responses=True)
 
-    def post(self, path="/safe/k1", id_="r1", wait=5000, body=b"b", **headers):
+    def post(
+        self, path: str = "/safe/k1", id_: str = "r1", wait: int = 5000, body: bytes = b"b", **headers: str
+    ) -> None:
         lines = [f"POST {path} HTTP/1.1", "Host: h", f"X-Request-Id: {id_}", f"X-Deadline-Ms: {wait}"]
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
         self.send("\r\n".join([*lines, f"Content-Length: {len(body)}", "", ""]).encode() + body)
 
-    def ask(self, method, path, told=None):
+    def ask(self, method: str, path: str, told: object = None) -> list[tuple[int, Head, bytes]]:
         body = b"" if told is None else json.dumps(told).encode()
         head = f"{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(body)}\r\n\r\n"
         self.send(head.encode() + body)
         return self.answers()
 
-    def send(self, data):
+    def send(self, data: bytes) -> None:
         self.pipe.send(data)
         self.dispatcher.settle()
 
-    def answers(self):
+    def answers(self) -> list[tuple[int, Head, bytes]]:
         """The whole answers so far, as status, headers and body."""
-        found, head, body = [], None, b""
+        found: list[tuple[int, Head, bytes]] = []
+        head, body = None, b""
         self._parser.feed(bytes(self.pipe.written))
         self.pipe.written.clear()
         while (got := self._parser.poll()) is not None:
             if isinstance(got, Head):
                 head, body = got, b""
-            elif got is END:
-                found.append((head.status, head, body))
-            else:
+            elif isinstance(got, bytes):
                 body += got
+            else:
+                assert head is not None
+                found.append((head.status, head, body))
         return found
 
 
 class WorkerEnd:
     """A worker's end of a connection."""
 
-    def __init__(self, dispatcher, connection, worker, stuck=False):
+    def __init__(
+        self, dispatcher: InMemoryDispatcher, connection: Any, worker: int, stuck: bool = False
+    ) -> None:
         self.dispatcher = dispatcher
         self.connection = connection
         self.worker = worker
         self.pipe = Pipe(connection, stuck)
-        self.requests = deque()
-        self.came = []  # the ids of all whole requests so far
+        self.requests: deque[Head] = deque()
+        self.came: list[str | None] = []  # the ids of all whole requests so far
         self._parser = Parser()
         connection.connection_made(self.pipe)
 
-    def take(self):
+    def take(self) -> list[str | None]:
         """The ids of the unanswered requests that have come whole; what is stuck has not."""
         if self.pipe.stuck:
             return []
@@ -150,7 +172,7 @@
                 self.came.append(self.requests[-1].get("x-request-id"))
         return [head.get("x-request-id") for head in self.requests]
 
-    def say(self, *lines, head=True, end=False):
+    def say(self, *lines: object, head: bool = True, end: bool = False) -> None:
         data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" if head else b""
         for line in lines:
             text = json.dumps(line).encode() + b"\n"
@@ -158,7 +180,7 @@
         self.pipe.send(data + (b"0\r\n\r\n" if end else b""))
         self.dispatcher.settle()
 
-    def finish(self, state="done", result="ok"):
+    def finish(self, state: str = "done", result: str = "ok") -> None:
         """Answers the oldest request."""
         self.take()
         id_ = self.requests.popleft().get("x-request-id")
@@ -167,7 +189,7 @@
             told["result"] = result
         self.say({"id": id_, "from": "w", "state": "started"}, told, end=True)
 
-    def status(self, status, **headers):
+    def status(self, status: int, **headers: str) -> None:
         self.take()
         self.requests.popleft()
         lines = [f"HTTP/1.1 {status} X", "Content-Length: 0"]
@@ -179,24 +201,31 @@
 class PendingConnection:
     """A connection that is coming up."""
 
-    def __init__(self, dispatcher, connection, address, failed, delayed):
+    def __init__(
+        self,
+        dispatcher: InMemoryDispatcher,
+        connection: Any,
+        address: Address,
+        failed: Callable[[], object],
+        delayed: Callable[[Cause], None] | None,
+    ) -> None:
         self.dispatcher, self.connection, self.address = dispatcher, connection, address
         self.failed, self.delayed = failed, delayed
         self.cancelled = False
 
-    def cancel(self):
+    def cancel(self) -> None:
         self.cancelled = True
         if self in self.dispatcher.dials:
             self.dispatcher.dials.remove(self)
 
-    def up(self, stuck=False):
+    def up(self, stuck: bool = False) -> WorkerEnd:
         self.dispatcher.dials.remove(self)
         end = WorkerEnd(self.dispatcher, self.connection, self.address[1], stuck)
         self.dispatcher.ends.append(end)
         self.dispatcher.settle()
         return end
 
-    def refuse(self):
+    def refuse(self) -> None:
         self.dispatcher.dials.remove(self)
         self.failed()
         self.dispatcher.settle()
@@ -208,45 +237,59 @@
     START = 1_000_000.0  # ms
 
     def __init__(
-        self, site=SITE, workers=2, seed=1, most=64, worker_connections=64, bans=None, unix=None, start=START
-    ):
+        self,
+        site: Settings = SITE,
+        workers: int = 2,
+        seed: int = 1,
+        most: int = 64,
+        worker_connections: int = 64,
+        bans: Path | None = None,
+        unix: Callable[[], float] | None = None,
+        start: float = START,
+    ) -> None:
         self.now = start
         self.wheel = Wheel(self.now)
         self.woken = False
-        self.logged = []
-        self.dials = []
-        self.ends = []
+        self.logged: list[str] = []
+        self.dials: list[PendingConnection] = []
+        self.ends: list[WorkerEnd] = []
         self.ids = IdMap()
         self.exchange = Exchange(site, seed, self.wheel, lambda: self.wake(), self.logged.append)
         self.side = WorkerPool(
             self.exchange, self.wheel, self.clock, self.dial, 100.0, 10_000.0, worker_connections
         )
         self.wall = None if unix is None else WallClock(self.clock, unix)
-        bans = Bans(bans, self.logged.append, self.wheel, self.clock, wall=self.wall)
-        bans.load()
-        self.table = RoutingTable(self.exchange, self.side, self.ids, bans, self.clock, self.wall)
+        ban_store = Bans(bans, self.logged.append, self.wheel, self.clock, wall=self.wall)
+        ban_store.load()
+        self.table = RoutingTable(self.exchange, self.side, self.ids, ban_store, self.clock, self.wall)
         front = RequestFront(self.exchange, self.ids, self.clock)
         self.listener = Listener(front, self.wheel, self.clock, most)
         self.index = 0
         self.tell(*[(w, "SERVING") for w in range(1, workers + 1)], snapshot=True)
 
-    def clock(self):
+    def clock(self) -> float:
         return self.now
 
-    def wake(self):
+    def wake(self) -> None:
         self.woken = True
 
-    def dial(self, connection, address, failed, delayed=None):
-        self.dials.append(PendingConnection(self, connection, address, failed, delayed))
+    def dial(
+        self,
+        protocol: Any,
+        address: Address,
+        failed: Callable[[], object],
+        delayed: Callable[[Cause], None] = ignore_delay,
+    ) -> PendingConnection:
+        self.dials.append(PendingConnection(self, protocol, address, failed, delayed))
         return self.dials[-1]
 
-    def settle(self):
+    def settle(self) -> None:
         """Gives the exchange its turns."""
         while self.woken:
             self.woken = False
             self.exchange.turn(self.now)
 
-    def advance(self, span):
+    def advance(self, span: float) -> None:
         """Lets time pass, timer by timer."""
         end = self.now + span
         while (at := self.wheel.next_at()) <= end:
@@ -255,7 +298,7 @@
             self.settle()
         self.now = end
 
-    def tell(self, *news, snapshot=False, since=0):
+    def tell(self, *news: tuple[int, str], snapshot: bool = False, since: float = 0) -> None:
         """News of the routing table: pairs of a worker's number and its status."""
         self.index += 1
         endpoints = [
@@ -271,7 +314,7 @@
         self.table.load({"index": self.index, "snapshot": snapshot, "endpoints": endpoints})
         self.settle()
 
-    def client(self, **message):
+    def client(self, **message: Any) -> Client:
         """A client that has sent a request."""
         client = Client(self)
         client.post(**message)
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -2,14 +2,18 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import replace
+from typing import Any
 
 from eiderfield.interface import (
+    Action,
     AttemptEnded,
     Effect,
     Endpoint,
     EndpointListKind,
     EndpointsUpdated,
+    Event,
     RequestClass,
     RequestReceived,
     Settings,
@@ -56,23 +60,25 @@
         entries = tuple(Endpoint(w, cell=w % 2, zone=w % 3) for w in range(1, workers + 1))
         self.play(EndpointsUpdated(EndpointListKind.FULL, 1, entries))
 
-    def play(self, *events, at=None):
+    def play(self, *events: Event, at: float | None = None) -> list[Action]:
         """Hands events in at a time and returns the actions."""
         if at is not None:
             self.now = at
         return self.dispatcher.handle(self.now, list(events))
 
-    def arrive(self, cls=0, due=5000.0, **more):
+    def arrive(self, cls: int = 0, due: float = 5000.0, **more: Any) -> tuple[int, list[Action]]:
         """One request; returns its id and the actions."""
         id_ = self.next_id
         self.next_id += 1
         return id_, self.play(RequestReceived(id_, cls, self.now + due, **more))
 
-    def end(self, id_, attempt, worker, outcome, final=False, elapsed=10.0):
+    def end(
+        self, id_: int, attempt: int, worker: int, outcome: int, final: bool = False, elapsed: float = 10.0
+    ) -> list[Action]:
         """The outcome of one attempt."""
         return self.play(AttemptEnded(id_, attempt, worker, outcome, elapsed, final))
 
 
-def sends(actions):
+def sends(actions: Sequence[Action]) -> list[StartAttempt]:
     """The sends among some actions."""
     return [a for a in actions if isinstance(a, StartAttempt)]
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -3,10 +3,14 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import replace
+from random import Random
+from typing import Any
 
 from eiderfield.interface import (
     NEVER_RAN,
+    Action,
     AttemptEnded,
     AttemptProgressed,
     CancelAttempt,
@@ -16,6 +20,7 @@
     EndpointListKind,
     EndpointState,
     EndpointsUpdated,
+    Event,
     FailRequest,
     Outcome,
     ProgressKind,
@@ -23,6 +28,7 @@
     RequestReceived,
     Scope,
     SetTimer,
+    Settings,
     StartAttempt,
     Tenant,
     TimerFired,
@@ -68,23 +74,23 @@
 class EventPlayer:
     """The events that have been played and the ledger that the rules are judged by."""
 
-    def __init__(self, settings, rng):
+    def __init__(self, settings: Settings, rng: Random) -> None:
         self.settings = settings
         self.rng = rng
         self.node = Dispatcher(settings, rng.randrange(1 << 32))
         self.now = 0.0
-        self.timers = []
-        self.jobs = {}  # id: dict of class, due, answered, told, attempts
-        self.out = []  # (id, attempt)
+        self.timers: list[tuple[float, int]] = []
+        self.jobs: dict[int, dict[str, Any]] = {}  # id: dict of class, due, answered, told, attempts
+        self.out: list[tuple[int, int]] = []  # (id, attempt)
         self.entries = {w: Endpoint(w, zone=w % 3, cell=w % 2) for w in range(1, 7)}
-        self.sent_cold = []  # (time, worker)
+        self.sent_cold: list[tuple[float, int]] = []  # (time, worker)
         self.served = 0.0
         self.version = 1
         self.play([EndpointsUpdated(EndpointListKind.FULL, 1, tuple(self.entries.values()))])
 
-    def play(self, events):
+    def play(self, events: Sequence[Event]) -> None:
         """Hands a batch in and judges the reply."""
-        for action in self.node.handle(self.now, events):
+        for action in self.node.handle(self.now, list(events)):
             self.judge(action)
         for id_, job in self.jobs.items():
             waits = job["answered"] is None and not job["gone"]
@@ -92,7 +98,7 @@
             if waits and self.now > job["due"] + late:
                 raise RuleBrokenError(f"rule 1: {id_} unanswered at {self.now}, due {job['due']}")
 
-    def judge(self, action):
+    def judge(self, action: Action) -> None:
         """Checks one action against the rules."""
         if isinstance(action, SetTimer):
             self.timers.append((action.fires_at, action.token))
@@ -114,7 +120,7 @@
         elif isinstance(action, StartAttempt):
             self.judge_send(action)
 
-    def judge_send(self, action):
+    def judge_send(self, action: StartAttempt) -> None:
         """Rules 1 to 4 for a send."""
         job, entry = self.jobs[action.request_id], self.entries[action.worker]
         cls = self.settings.classes[job["cls"]]
@@ -157,7 +163,7 @@
         job["attempts"].append({"sent": self.now, "may": True, "out": True, **place})
         self.out.append((action.request_id, len(job["attempts"]) - 1))
 
-    def lot(self, worker, age):
+    def lot(self, worker: int, age: float) -> float:
         """The share of a job that must be left of this node's part for a whole one: 1 where nodes are few. Of
         many each has less than a job, and whose lot is low enough sends a whole one: the sum over all nodes
         keeps the rule (`tests/test_simulated_fleet.py`), which one node's sends alone cannot show."""
@@ -166,13 +172,13 @@
         draw = stable_hash(worker, int(age / self.settings.recovery_ramp_ms)) / 2.0**64
         return (draw + self.settings.dispatcher_index / self.settings.dispatcher_count) % 1.0
 
-    def step(self):
+    def step(self) -> None:
         """A few events at one time, drawn among those that are legal."""
         rng = self.rng
         self.now += rng.choice([0.0, 1.0, 5.0, 20.0, 60.0])
         due = [t for t in self.timers if t[0] <= self.now]
         self.timers = [t for t in self.timers if t[0] > self.now]
-        events = [TimerFired(token) for _, token in due]
+        events: list[Event] = [TimerFired(token) for _, token in due]
         for _ in range(rng.randrange(4)):
             draw = rng.random()
             if draw < 0.45:
@@ -224,7 +230,7 @@
                     events.append(self.outcome(id_, number, Outcome.TIMEOUT))
         self.play(events)
 
-    def outcome(self, id_, number, how=None):
+    def outcome(self, id_: int, number: int, how: Outcome | None = None) -> AttemptEnded:
         """The end of an attempt, kept in the ledger."""
         job = self.jobs[id_]
         attempt = job["attempts"][number]
@@ -241,7 +247,7 @@
             id_, number, attempt["w"], how, self.now - attempt["sent"], over, load_report=load
         )
 
-    def run(self, steps):
+    def run(self, steps: int) -> None:
         """Plays so many steps, then lets the time of all clients run out."""
         for _ in range(steps):
             self.step()
--- a/tests/support/real_sockets.py
+++ b/tests/support/real_sockets.py
@@ -1,14 +1,19 @@
 """A listener on real sockets, whose event loop is turned by hand and whose clock is the test's."""
 
+from __future__ import annotations
+
 import asyncio
 import socket
 from collections import deque
+from typing import Any
 
 from hypothesis import Phase, settings
-from hypothesis.stateful import run_state_machine_as_test
+from hypothesis.stateful import RuleBasedStateMachine, run_state_machine_as_test
 
 from eiderfield.connections.admission import AdmissionControl
 from eiderfield.connections.settings import AdmissionSettings, IdleSettings
+from eiderfield.interface import Settings
+from eiderfield.net.clients.detached import ConnectionHandover
 from eiderfield.net.http import END, Head, Parser
 from eiderfield.net.wheel import TICK_MS
 from support.memory_dispatcher import SITE, InMemoryDispatcher
@@ -17,27 +22,30 @@
 LEAST_KEEP = 2000.0
 
 
-def message(id_="r1", path="/safe/k1"):
+def message(id_: str = "r1", path: str = "/safe/k1") -> bytes:
     return f"POST {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: {id_}\r\nContent-Length: 1\r\n\r\nb".encode()
 
 
 class ListeningSocket(socket.socket):
     """Who knocks at it is let in with an address of the test's choice."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         super().__init__(socket.AF_UNIX, socket.SOCK_STREAM)
-        self.waiting = deque()
+        self.waiting: deque[Any] = deque()
 
-    def accept(self):
+    def accept(self) -> tuple[socket.socket, Any]:
         if not self.waiting:
             raise BlockingIOError
-        return self.waiting.popleft()
+        client: tuple[socket.socket, Any] = self.waiting.popleft()
+        return client
 
 
 class SocketClient:
     """A client at the other end of a pair of sockets."""
 
-    def __init__(self, harness, handover=None, address="192.0.2.1"):
+    def __init__(
+        self, harness: ListenerHarness, handover: ConnectionHandover | None = None, address: str = "192.0.2.1"
+    ) -> None:
         self.harness = harness
         self.sock, theirs = socket.socketpair()
         self.sock.setblocking(False)
@@ -46,16 +54,16 @@
         if handover is not None:
             harness.listener.adopt_connection(theirs, handover)
         else:
-            harness.listener.acceptor.listening_socket.waiting.append((theirs, (address, 1)))
+            harness.listening_socket.waiting.append((theirs, (address, 1)))
             harness.listener.acceptor.accept()
         harness.turn()
 
-    def send(self, data):
+    def send(self, data: bytes) -> SocketClient:
         self.sock.send(data)
         return self
 
     @property
-    def open(self):
+    def open(self) -> bool:
         """Whether the dispatcher has the connection open."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK) != b""
@@ -64,9 +72,10 @@
         except ConnectionResetError:
             return False
 
-    def statuses(self):
+    def statuses(self) -> list[int | None]:
         """The statuses of the whole answers so far."""
-        found, status = [], None
+        found: list[int | None] = []
+        status = None
         try:
             while data := self.sock.recv(65536):
                 self._parser.feed(data)
@@ -79,7 +88,7 @@
                 found.append(status)
         return found
 
-    def ask(self, id_):
+    def ask(self, id_: str) -> list[int | None]:
         """A whole job, start to end."""
         self.send(message(id_))
         self.harness.turn()
@@ -90,7 +99,15 @@
 class ListenerHarness:
     """A dispatcher whose listener has a lot and real sockets."""
 
-    def __init__(self, idling=IDLING, most=64, loop=None, site=SITE, workers=1, **admission):
+    def __init__(
+        self,
+        idling: IdleSettings = IDLING,
+        most: int = 64,
+        loop: asyncio.AbstractEventLoop | None = None,
+        site: Settings = SITE,
+        workers: int = 1,
+        **admission: Any,
+    ) -> None:
         self.loop = loop or asyncio.new_event_loop()
         self.dispatcher = InMemoryDispatcher(site, workers=workers, most=most)
         self.listener = self.dispatcher.listener
@@ -98,20 +115,22 @@
         self.admission = self.listener.admission = AdmissionControl(AdmissionSettings(**admission), most)
         self.listener._memory = lambda: self.memory
         self.listener._loop = self.listener.acceptor._loop = self.loop
-        self.listener.acceptor._socket = ListeningSocket()
-        self.listener.acceptor.client_waits_in_backlog = lambda: bool(
+        self.listening_socket = ListeningSocket()
+        self.listener.acceptor._socket = self.listening_socket
+        acceptor: Any = self.listener.acceptor
+        acceptor.client_waits_in_backlog = lambda: bool(
             getattr(self.listener.acceptor.listening_socket, "waiting", ())
         )
         self.listener.set_idle_limits(idling)
 
-    def turn(self, turns=8):
+    def turn(self, turns: int = 8) -> None:
         """A few turns of the loop; it never waits."""
         for _ in range(turns):
             self.loop.call_soon(self.loop.stop)
             self.loop.run_forever()
             self.dispatcher.settle()
 
-    def work(self):
+    def work(self) -> None:
         """The worker answers all that it has."""
         for dial in list(self.dispatcher.dials):
             dial.up()
@@ -120,7 +139,7 @@
                 end.finish()
         self.turn()
 
-    def pass_time(self, span):
+    def pass_time(self, span: float) -> None:
         """Lets time pass, with turns of the loop at each timer."""
         end = self.dispatcher.now + span
         while (at := self.dispatcher.wheel.next_at()) <= end:
@@ -130,7 +149,7 @@
             self.turn(3)
         self.dispatcher.now = end
 
-    def parked(self, count=1):
+    def parked(self, count: int = 1) -> list[SocketClient]:
         """So many clients, each served once and then quiet until it was parked."""
         clients = []
         for number in range(count):
@@ -141,7 +160,7 @@
         assert not self.listener.open_connections
         return clients
 
-    def close(self):
+    def close(self) -> None:
         self.listener.close()
         self.turn()
         assert not any(self.admission.addresses.connections)
@@ -149,7 +168,7 @@
         self.loop.close()
 
 
-def play(machine, examples, steps):
+def play(machine: type[RuleBasedStateMachine], examples: int, steps: int) -> None:
     """Random steps of a machine, the same in each run."""
     run_state_machine_as_test(
         machine,
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -9,9 +9,11 @@
 import heapq
 import random
 from collections import Counter, defaultdict, deque
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field, replace
 from itertools import count
 from math import sqrt
+from typing import Any
 
 from eiderfield.interface import (
     NEVER_RAN,
@@ -23,6 +25,7 @@
     EndpointListKind,
     EndpointState,
     EndpointsUpdated,
+    Event,
     FailRequest,
     Outcome,
     ProgressKind,
@@ -43,12 +46,12 @@
 MIXED = {0.25: 0.5, 1.0: 0.25, 2.5: 0.25}  # cost of a request in mean ones: how many are like that
 
 
-def uneven(me):
+def uneven(me: int) -> float:
     """A tenth of the nodes have five times the traffic of the others."""
     return 5.0 if me % 10 == 3 else 1.0
 
 
-def even(me):
+def even(_me: int) -> float:
     """All nodes have the same traffic."""
     return 1.0
 
@@ -92,11 +95,13 @@
 
     entry: Endpoint
     free: int = SLOTS
-    waiting: deque = field(default_factory=deque)
+    waiting: deque[dict[str, Any]] = field(default_factory=deque)
     silent: bool = False
-    sent: list = field(default_factory=list)  # (time, work)
+    sent: list[tuple[float, float, bool]] = field(
+        default_factory=list
+    )  # time, work, and whether the sender knew of its start
 
-    def share(self, now):
+    def share(self, now: float) -> float:
         """The share of its capacity that it has now."""
         if not self.entry.ready_at:
             return 1.0
@@ -109,8 +114,17 @@
 class SimulatedFleet:
     """Nodes, workers and a ledger."""
 
-    def __init__(self, nodes, workers, load, seed=1, traffic=uneven, costs=EQUAL):
-        self.rng, self.now, self.events, self.order = random.Random(seed), 0.0, [], count()
+    def __init__(
+        self,
+        nodes: int,
+        workers: int,
+        load: float,
+        seed: int = 1,
+        traffic: Callable[[int], float] = uneven,
+        costs: dict[float, float] = EQUAL,
+    ) -> None:
+        self.rng, self.now, self.order = random.Random(seed), 0.0, count()
+        self.events: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
         self.nodes = [
             Dispatcher(replace(SITE, dispatcher_count=nodes, dispatcher_index=me), me) for me in range(nodes)
         ]
@@ -120,9 +134,15 @@
         self.rate = load * workers * SLOTS / RUN  # jobs a ms that take this share of all slots
         self.weights = [traffic(me) for me in range(nodes)]
         self.costs = costs  # of a request, as a multiple of the mean, and how often each is met
-        self.starts = {}  # by node and worker: the start that the node was told of
-        self.told = defaultdict(dict)  # by node: the state of each worker, and since when
-        self.jobs, self.answers, self.broken = {}, Counter(), []
+        self.starts: dict[
+            tuple[int, int], float
+        ] = {}  # by node and worker: the start that the node was told of
+        self.told: dict[int, dict[int, tuple[EndpointState, float]]] = defaultdict(
+            dict
+        )  # by node: the state of each worker, and since when
+        self.jobs: dict[tuple[int, int], dict[str, Any]] = {}
+        self.answers: Counter[object] = Counter()
+        self.broken: list[str] = []
         self.ids = count(1)
         for me in range(nodes):
             self.tell(
@@ -130,16 +150,16 @@
             )
         self.at(0.0, self.arrive)
 
-    def at(self, when, call, *more):
+    def at(self, when: float, call: Callable[..., object], *more: Any) -> None:
         heapq.heappush(self.events, (when, next(self.order), call, more))
 
-    def run(self, until):
+    def run(self, until: float) -> None:
         while self.events and self.events[0][0] <= until:
             self.now, _, call, more = heapq.heappop(self.events)
             call(*more)
         self.now = until
 
-    def change(self, *entries):
+    def change(self, *entries: Endpoint) -> None:
         """Workers change, and every node is told within 0.6 s, each at its own time."""
         for entry in entries:
             simulated = self.simulated_workers.setdefault(entry.worker, SimulatedWorker(entry))
@@ -147,12 +167,12 @@
         for me in range(len(self.nodes)):
             self.at(self.now + self.rng.uniform(0.0, 600.0), self.tell, me, entries, EndpointListKind.DELTA)
 
-    def fall_silent(self, workers):
+    def fall_silent(self, workers: Iterable[int]) -> None:
         """Machines vanish without a word: what runs there is lost, and new connections never come up."""
         for worker in workers:
             self.simulated_workers[worker].silent = True
 
-    def wake(self, workers):
+    def wake(self, workers: Iterable[int]) -> None:
         """They are back, with empty hands; the connections of before are reset."""
         for worker in workers:
             simulated = self.simulated_workers[worker]
@@ -165,13 +185,13 @@
                 leg["running"] = False
                 self.at(self.now + DELAY, self.end, leg, Outcome.RESET)
 
-    def tell(self, me, entries, kind):
+    def tell(self, me: int, entries: Sequence[Endpoint], kind: EndpointListKind) -> None:
         for entry in entries:
             self.told[me][entry.worker] = (entry.state, self.now)
             self.starts[me, entry.worker] = entry.ready_at
         self.handle(me, EndpointsUpdated(kind, 1, tuple(entries)))
 
-    def arrive(self):
+    def arrive(self) -> None:
         self.at(self.now + self.rng.expovariate(self.rate), self.arrive)
         [me] = self.rng.choices(range(len(self.nodes)), self.weights)
         cls, id_ = int(self.rng.random() < 0.4), next(self.ids)
@@ -181,7 +201,7 @@
         self.jobs[me, id_] = {"cls": cls, "due": due, "legs": [], "done": None, "run": cost * RUN}
         self.handle(me, RequestReceived(id_, cls, due, affinity_key=key))
 
-    def handle(self, me, *events):
+    def handle(self, me: int, *events: Event) -> None:
         for action in self.nodes[me].handle(self.now, list(events)):
             if isinstance(action, StartAttempt):
                 self.send(me, action)
@@ -192,7 +212,7 @@
             elif isinstance(action, SetTimer):
                 self.at(action.fires_at, self.handle, me, TimerFired(action.token))
 
-    def send(self, me, action):
+    def send(self, me: int, action: Any) -> None:
         job, simulated = self.jobs[me, action.request_id], self.simulated_workers[action.worker]
         state, since = self.told[me][action.worker]
         if state != EndpointState.READY and self.now > since + SITE.drain_grace_ms:
@@ -217,7 +237,7 @@
         simulated.sent.append((self.now, job["run"], self.knows_start(me, simulated)))
         self.at(self.now + DELAY, self.reach, leg)
 
-    def reach(self, leg):
+    def reach(self, leg: dict[str, Any]) -> None:
         if leg["out"] and leg["simulated"].silent:
             self.at(self.now + 100.0, self.end, leg, Outcome.CONNECT_FAILED)
         elif leg["out"] and leg["simulated"].entry.state == EndpointState.GONE:
@@ -226,7 +246,7 @@
             leg["simulated"].waiting.append(leg)
             self.next(leg["simulated"])
 
-    def next(self, simulated):
+    def next(self, simulated: SimulatedWorker) -> None:
         while simulated.free and simulated.waiting and not simulated.silent:
             leg = simulated.waiting.popleft()
             if leg["out"]:
@@ -236,7 +256,7 @@
                 run = self.jobs[leg["me"], leg["id"]]["run"]
                 self.at(self.now + run / simulated.share(self.now), self.finish, leg)
 
-    def note(self, leg):
+    def note(self, leg: dict[str, Any]) -> None:
         if leg["out"]:
             self.handle(
                 leg["me"],
@@ -245,7 +265,7 @@
                 ),
             )
 
-    def finish(self, leg):
+    def finish(self, leg: dict[str, Any]) -> None:
         if leg["running"]:
             leg["running"] = False
             leg["simulated"].free += 1
@@ -253,7 +273,7 @@
             if not leg["simulated"].silent:
                 self.at(self.now + DELAY, self.end, leg, Outcome.OK)
 
-    def end(self, leg, outcome):
+    def end(self, leg: dict[str, Any], outcome: Outcome) -> None:
         if not leg["out"]:
             return
         leg["out"], leg["may"] = False, outcome not in NEVER_RAN
@@ -265,7 +285,7 @@
             me, AttemptEnded(leg["id"], leg["n"], leg["simulated"].entry.worker, outcome, elapsed, over)
         )
 
-    def cancel(self, me, id_, number):
+    def cancel(self, me: int, id_: int, number: int) -> None:
         leg = self.jobs[me, id_]["legs"][number]
         if leg["running"]:  # a running job is stopped, and its slot is free
             leg["running"] = False
@@ -273,7 +293,7 @@
             self.next(leg["simulated"])
         self.at(self.now, self.end, leg, Outcome.CANCELLED)
 
-    def answer(self, me, id_, how):
+    def answer(self, me: int, id_: int, how: object) -> None:
         job = self.jobs[me, id_]
         if job["done"] is not None:
             self.broken.append(f"1: job {id_} of node {me} answered twice")
@@ -282,24 +302,24 @@
         job["done"] = how
         self.answers[how] += 1
 
-    def sent_to(self, workers, since):
+    def sent_to(self, workers: Iterable[int], since: float) -> int:
         """How many legs workers were sent after a time."""
         return sum(at > since for worker in workers for at, *_ in self.simulated_workers[worker].sent)
 
-    def served(self):
+    def served(self) -> float:
         """The share of what is over that was served."""
         return self.answers["served"] / max(1, sum(self.answers.values()))
 
-    def owed(self):
+    def owed(self) -> list[dict[str, Any]]:
         """The jobs whose clients have gone without an answer."""
         late = self.now - SITE.answer_slack_ms
         return [job for job in self.jobs.values() if job["done"] is None and job["due"] < late]
 
-    def knows_start(self, me, simulated):
+    def knows_start(self, me: int, simulated: SimulatedWorker) -> bool:
         """Whether a node was told of the worker's present start."""
         return self.starts.get((me, simulated.entry.worker)) == simulated.entry.ready_at
 
-    def worst(self, worker, until):
+    def worst(self, worker: int, until: float) -> float:
         """The most work that a worker was sent in a window while it warmed up, as a share of what it can do
         by the settings alone, without the rule's slack."""
         simulated, most = self.simulated_workers[worker], 0.0
@@ -314,7 +334,7 @@
                 )
         return most
 
-    def slow_start_use(self, worker, until):
+    def slow_start_use(self, worker: int, until: float) -> float:
         """The most that a worker was sent in a window while it warmed up, as a share of its budget.
 
         Counted are requests of mean work. A window of which a third or more came from nodes that had not
@@ -331,7 +351,7 @@
         return most
 
 
-def slow_start_budget(share):
+def slow_start_budget(share: float) -> float:
     """The calls of mean work that a worker bears at this share of its capacity (STANDING.md of the bench)."""
     allowed = SITE.recovery_ramp_multiple * SLOTS * share * SITE.recovery_ramp_ms / RUN
     slack = 3.0 * sqrt(allowed) + 3.0 if allowed < 30.0 else 2.0 * sqrt(allowed) + 2.0
