--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from eiderfield.exchange.actions import ActionExecutor
-from eiderfield.exchange.attempt_table import AttemptTable, StopReason, latest_start
+from eiderfield.exchange.attempt_table import AttemptTable, StopReason
 from eiderfield.exchange.context import Context
 from eiderfield.exchange.endpoint_table import EndpointTable
 from eiderfield.exchange.event_queue import EventQueue
@@ -29,19 +29,17 @@
 from eiderfield.exchange.request_table import RequestTable
 from eiderfield.exchange.settings_check import check_settings
 from eiderfield.exchange.timers import Timers
+from eiderfield.exchange.worker_reports import WorkerReports
 from eiderfield.interface import (
     AttemptEnded,
     AttemptProgressed,
     ClientDisconnected,
     Endpoint,
     EndpointListKind,
-    EndpointState,
     EndpointsUpdated,
     Event,
     FailRequest,
-    Outcome,
     PeerReportReceived,
-    ProbeCompleted,
     ProgressKind,
     RequestReceived,
     Settings,
@@ -60,6 +58,7 @@
         metrics: Counters of requests and attempts.
         dispatcher: The policy.
         endpoints: The endpoint list; change it by `update_endpoints`.
+        worker_reports: Receives what the worker side reports.
         other_process: What the previous or next process of this dispatcher has in flight.
     """
 
@@ -86,6 +85,9 @@
         self._actions = ActionExecutor(
             self._context, self._events, self.endpoints, self._requests, self._attempts, self.metrics
         )
+        self.worker_reports = WorkerReports(
+            self._context, self._events, self.endpoints, self._requests, self._attempts, self.metrics
+        )
 
     def attach_worker_side(self, worker_side: WorkerSide) -> None:
         """Set the adapter that starts attempts; call it before the first turn."""
@@ -248,80 +250,13 @@
         except (ValueError, TypeError, LookupError, AttributeError) as error:
             self._context.log(f"handover: ignoring learned state of the previous process (error={error!r})")
 
-    # Called by the worker side and by discovery.
+    # Called by discovery and by the peer channel.
 
     def update_endpoints(self, kind: EndpointListKind, version: int, endpoints: tuple[Endpoint, ...]) -> None:
         """Apply a change of the endpoint list, in force at once for every attempt that has not started."""
         self.endpoints.update(kind, endpoints)
         self._events.post_endpoint_update(EndpointsUpdated(kind, version, endpoints))
 
-    def may_write(self, attempt: Attempt, now: float) -> bool:
-        """Return whether an attempt whose connection is established may still start.
-
-        Since the policy decided it, its worker may have started to drain, its client may have left, and its
-        deadline or the window for repeats may have passed.
-        """
-        pending = attempt.pending
-        if not attempt.open or pending.answered:
-            return False
-        if self.endpoints.states.get(attempt.worker) != EndpointState.READY:
-            return False
-        if now > latest_start(attempt, self._context.settings.classes[pending.request.class_index]):
-            return False
-        if pending.client_waits is not None and not pending.client_waits():
-            return False
-        durable_requests = self._context.durable_requests
-        return not pending.durable or durable_requests is None or durable_requests.may_write(attempt)
-
-    def request_written(self, attempt: Attempt) -> None:
-        """Record that the last byte of an attempt was sent."""
-        attempt.may_have_run = True
-        self.metrics.attempts_written += 1
-
-    def record_progress(self, attempt: Attempt, kind: ProgressKind, share: float = 0.0) -> None:
-        """Record that a worker reported the start or the progress of a request."""
-        if attempt.open:
-            pending = attempt.pending
-            pending.running = pending.running or kind == ProgressKind.STARTED
-            self._events.post(AttemptProgressed(pending.id, attempt.number, attempt.worker, kind, share))
-
-    def record_result(self, attempt: Attempt, result: bytes, load: tuple[float, ...] = ()) -> None:
-        """Record a whole result; the first one is the final answer. `load` is the worker's load report."""
-        if not attempt.open:
-            return
-        pending = attempt.pending
-        if not pending.answered:
-            answer = Answer(Verdict.SERVED, result, may_have_run=True, attempts=len(pending.attempts))
-            self._requests.finish(pending, answer)
-        self._attempts.end(attempt, Outcome.OK, load)
-
-    def record_malformed_response(self, worker: int, reason: str) -> None:
-        """Record that a response of a worker is malformed or does not match its request."""
-        self.metrics.malformed_responses += 1
-        self._context.log(f"exchange: malformed response (worker={worker} reason={reason})")
-
-    def record_rejection(self, attempt: Attempt) -> None:
-        """Record that a worker rejected the request itself: the worker is healthy, a retry is useless."""
-        if not attempt.open:
-            return
-        pending = attempt.pending
-        if not pending.answered:
-            answer = Answer(
-                Verdict.REJECTED, may_have_run=may_have_run(pending), attempts=len(pending.attempts)
-            )
-            self._requests.finish(pending, answer)
-        self._attempts.end(attempt, Outcome.ERROR)
-
-    def attempt_ended(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
-        """Record the end of an attempt without a result. `load` is the worker's load report."""
-        self._attempts.end(attempt, outcome, load)
-
-    def probe_completed(
-        self, worker: int, outcome: Outcome, elapsed: float, load: tuple[float, ...] = ()
-    ) -> None:
-        """Record the outcome of a probe."""
-        self._events.post(ProbeCompleted(worker, outcome, elapsed, load))
-
     def peer_report_received(self, peer: int, data: bytes) -> None:
         """Record a report of another dispatcher of the tier."""
         self._events.post(PeerReportReceived(peer, data))
--- a/eiderfield/exchange/protocols.py
+++ b/eiderfield/exchange/protocols.py
@@ -14,14 +14,14 @@
     def start(self, attempt: Attempt) -> None:
         """Start an attempt.
 
-        Its end is reported by `Exchange.attempt_ended`, `record_result` or `record_rejection`.
+        Its end is reported by `WorkerReports.attempt_ended`, `record_result` or `record_rejection`.
         """
 
     def stop(self, attempt: Attempt) -> None:
         """Abort an attempt by closing its connection. Its end is not reported."""
 
     def probe(self, worker: int) -> None:
-        """Probe the health of a worker; the result is reported by `Exchange.probe_completed`."""
+        """Probe the health of a worker; the result is reported by `WorkerReports.probe_completed`."""
 
     def close_idle(self, worker: int) -> None:
         """Close the idle connections to a worker."""
--- /dev/null
+++ b/eiderfield/exchange/worker_reports.py
@@ -0,0 +1,100 @@
+"""Receives what the worker side reports of attempts and probes."""
+
+from __future__ import annotations
+
+from eiderfield.exchange.attempt_table import AttemptTable, latest_start
+from eiderfield.exchange.context import Context
+from eiderfield.exchange.endpoint_table import EndpointTable
+from eiderfield.exchange.event_queue import EventQueue
+from eiderfield.exchange.metrics import Metrics
+from eiderfield.exchange.request import Answer, Attempt, Verdict, may_have_run
+from eiderfield.exchange.request_table import RequestTable
+from eiderfield.interface import AttemptProgressed, EndpointState, Outcome, ProbeCompleted, ProgressKind
+
+
+class WorkerReports:
+    """Records the progress and the end of attempts, and decides whether one may still start."""
+
+    def __init__(
+        self,
+        context: Context,
+        events: EventQueue,
+        endpoints: EndpointTable,
+        requests: RequestTable,
+        attempts: AttemptTable,
+        metrics: Metrics,
+    ) -> None:
+        """Record reports in these parts of an exchange."""
+        self._context = context
+        self._events = events
+        self._endpoints = endpoints
+        self._requests = requests
+        self._attempts = attempts
+        self._metrics = metrics
+
+    def may_write(self, attempt: Attempt, now: float) -> bool:
+        """Return whether an attempt whose connection is established may still start.
+
+        Since the policy decided it, its worker may have started to drain, its client may have left, and its
+        deadline or the window for repeats may have passed.
+        """
+        pending = attempt.pending
+        if not attempt.open or pending.answered:
+            return False
+        if self._endpoints.states.get(attempt.worker) != EndpointState.READY:
+            return False
+        if now > latest_start(attempt, self._context.settings.classes[pending.request.class_index]):
+            return False
+        if pending.client_waits is not None and not pending.client_waits():
+            return False
+        durable_requests = self._context.durable_requests
+        return not pending.durable or durable_requests is None or durable_requests.may_write(attempt)
+
+    def request_written(self, attempt: Attempt) -> None:
+        """Record that the last byte of an attempt was sent."""
+        attempt.may_have_run = True
+        self._metrics.attempts_written += 1
+
+    def record_progress(self, attempt: Attempt, kind: ProgressKind, share: float = 0.0) -> None:
+        """Record that a worker reported the start or the progress of a request."""
+        if attempt.open:
+            pending = attempt.pending
+            pending.running = pending.running or kind == ProgressKind.STARTED
+            self._events.post(AttemptProgressed(pending.id, attempt.number, attempt.worker, kind, share))
+
+    def record_result(self, attempt: Attempt, result: bytes, load: tuple[float, ...] = ()) -> None:
+        """Record a whole result; the first one is the final answer. `load` is the worker's load report."""
+        if not attempt.open:
+            return
+        pending = attempt.pending
+        if not pending.answered:
+            answer = Answer(Verdict.SERVED, result, may_have_run=True, attempts=len(pending.attempts))
+            self._requests.finish(pending, answer)
+        self._attempts.end(attempt, Outcome.OK, load)
+
+    def record_malformed_response(self, worker: int, reason: str) -> None:
+        """Record that a response of a worker is malformed or does not match its request."""
+        self._metrics.malformed_responses += 1
+        self._context.log(f"exchange: malformed response (worker={worker} reason={reason})")
+
+    def record_rejection(self, attempt: Attempt) -> None:
+        """Record that a worker rejected the request itself: the worker is healthy, a retry is useless."""
+        if not attempt.open:
+            return
+        pending = attempt.pending
+        if not pending.answered:
+            answer = Answer(
+                Verdict.REJECTED, may_have_run=may_have_run(pending), attempts=len(pending.attempts)
+            )
+            self._requests.finish(pending, answer)
+        self._attempts.end(attempt, Outcome.ERROR)
+
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
+        """Record the end of an attempt without a result. `load` is the worker's load report."""
+        self._attempts.end(attempt, outcome, load)
+
+    def probe_completed(
+        self, worker: int, outcome: Outcome, elapsed: float, load: tuple[float, ...] = ()
+    ) -> None:
+        """Record the outcome of a probe."""
+        self._events.post(ProbeCompleted(worker, outcome, elapsed, load))
--- a/eiderfield/lab/fleet/failpoints.py
+++ b/eiderfield/lab/fleet/failpoints.py
@@ -22,7 +22,7 @@
 
 from eiderfield.__main__ import main
 from eiderfield.durable_requests.member import Member
-from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.worker_reports import WorkerReports
 
 VARIABLE = "EIDERFIELD_POINT"
 MARKER = "point.json"  # the file that a process leaves in its $TMPDIR just before it fails
@@ -39,15 +39,15 @@
             leave_marker(how, float(seconds))
             os.kill(os.getpid(), signal.SIGKILL if how == "kill" else signal.SIGSTOP)
 
-    exchange_class: Any = Exchange
-    request_written = exchange_class.request_written
+    reports: Any = WorkerReports
+    request_written = reports.request_written
 
-    def request_written_then_point(exchange: Any, attempt: Any) -> None:
-        request_written(exchange, attempt)
+    def request_written_then_point(self: Any, attempt: Any) -> None:
+        request_written(self, attempt)
         point("sent")
 
     Member.point = staticmethod(point)
-    exchange_class.request_written = request_written_then_point
+    reports.request_written = request_written_then_point
 
 
 def leave_marker(how: str, seconds: float) -> None:
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -11,7 +11,7 @@
 
 A load that is given up closes its connection. Invariants:
 
-- The first byte of an attempt is written only if `Exchange.may_write` allows it at that moment.
+- The first byte of an attempt is written only if `WorkerReports.may_write` allows it at that moment.
 - A response that is not about the request in flight is never used as its result.
 - An attempt whose last byte has left is never reported as one that did not run, unless the worker says so.
 """
@@ -101,7 +101,7 @@
         self.last_read = 0  # the owner's count of reads when this connection last received bytes
         self._owner = owner
         self._loads = owner.loads
-        self._exchange = owner.loads.exchange
+        self._reports = owner.loads.exchange.worker_reports
         self._reader = ResponseReader()
         self._transport: asyncio.Transport | None = None
         self._pending_dial: PendingDial | None = None
@@ -167,7 +167,7 @@
         """Record that every written byte has left."""
         self._flushed = True
         if isinstance(self.load, Attempt) and self.state == ConnectionState.BUSY:
-            self._exchange.request_written(self.load)
+            self._reports.request_written(self.load)
 
     # Calls by the owner.
 
@@ -186,7 +186,7 @@
             # During the dial the worker may have begun to drain, or the request have ended.
             self.load = None
             self._owner.add_idle(self)
-            self._exchange.attempt_ended(load, Outcome.MOOT)
+            self._reports.attempt_ended(load, Outcome.MOOT)
             return
         self.state = ConnectionState.BUSY
         self._reader.start(load.pending.request.id if isinstance(load, Attempt) else None)
@@ -195,7 +195,7 @@
         if transport.is_closing():  # the write failed: the request has not left completely
             self._flushed = False
         elif self._flushed and isinstance(load, Attempt):
-            self._exchange.request_written(load)
+            self._reports.request_written(load)
 
     def become_idle(self, timeout: float) -> None:
         """Wait for the next load; the connection closes after `timeout` ms."""
@@ -248,7 +248,7 @@
             return
         self._delayed_locally = True
         if isinstance(self.load, Attempt):  # silence of the worker proves nothing meanwhile
-            self._exchange.record_progress(self.load, ProgressKind.UNKNOWN)
+            self._reports.record_progress(self.load, ProgressKind.UNKNOWN)
 
     # Responses.
 
@@ -260,7 +260,7 @@
                     return
         except (ValueError, RecursionError) as error:
             if self.load is not None:
-                self._exchange.record_malformed_response(self.worker, str(error))
+                self._reports.record_malformed_response(self.worker, str(error))
             self._break_off()
 
     def _handle(self, event: ResponseEvent) -> None:
@@ -276,7 +276,7 @@
         status = attempt_status(head)
         if status is AttemptStatus.REJECTED:
             self._await_end()
-            self._exchange.record_rejection(attempt)
+            self._reports.record_rejection(attempt)
         elif status is not AttemptStatus.ACCEPTED:
             outcome = Outcome.FULL if status is AttemptStatus.NOT_RUN else Outcome.ERROR
             self._end_attempt(attempt, outcome)
@@ -284,21 +284,19 @@
     def _apply_update(self, attempt: Attempt, update: Update) -> None:
         match update:
             case Started():
-                self._exchange.record_progress(attempt, ProgressKind.STARTED)
+                self._reports.record_progress(attempt, ProgressKind.STARTED)
             case Progress(share):
-                self._exchange.record_progress(attempt, ProgressKind.SHARE_DONE, share)
+                self._reports.record_progress(attempt, ProgressKind.SHARE_DONE, share)
             case Result(body, report):
                 self._await_end()
-                self._exchange.record_result(
-                    attempt, body, self._loads.load_report(self._reader.head, report)
-                )
+                self._reports.record_result(attempt, body, self._loads.load_report(self._reader.head, report))
             case Failure(outcome, report):
                 self._end_attempt(attempt, outcome, report)
 
     def _end_attempt(self, attempt: Attempt, outcome: Outcome, report: object = None) -> None:
         self._await_end()
         load_report = self._loads.load_report(self._reader.head, report)
-        self._exchange.attempt_ended(attempt, outcome, load_report)
+        self._reports.attempt_ended(attempt, outcome, load_report)
 
     def _await_end(self) -> None:
         """Wait for the end of a response whose outcome is known; the connection is usable again after it."""
@@ -310,7 +308,7 @@
     def _response_ended(self) -> None:
         load = self.load
         if isinstance(load, Attempt):
-            self._exchange.record_malformed_response(self.worker, "it ended before its last line")
+            self._reports.record_malformed_response(self.worker, "it ended before its last line")
             self._break_off()
             return
         self.load = None
--- a/eiderfield/net/worker_loads.py
+++ b/eiderfield/net/worker_loads.py
@@ -27,7 +27,7 @@
 
     def may_write(self, attempt: Attempt) -> bool:
         """Return whether an attempt may still be written."""
-        return self.exchange.may_write(attempt, self._clock())
+        return self.exchange.worker_reports.may_write(attempt, self._clock())
 
     def request_for(self, load: Load) -> bytes:
         """Return the HTTP request of an attempt or a health check."""
@@ -45,9 +45,9 @@
     def report_failure(self, load: Load | None, outcome: Outcome) -> None:
         """Report that an attempt or a health check, if there is one, ended without a response."""
         if isinstance(load, Attempt):
-            self.exchange.attempt_ended(load, outcome)
+            self.exchange.worker_reports.attempt_ended(load, outcome)
         elif load is not None:
-            self.exchange.probe_completed(load.worker, outcome, self._clock() - load.sent_at)
+            self.exchange.worker_reports.probe_completed(load.worker, outcome, self._clock() - load.sent_at)
 
     def report_health(self, check: HealthCheck, status: int, body: bytes) -> None:
         """Report the response to a health check."""
@@ -55,4 +55,6 @@
         if check.wants_report and status == OK:
             report = from_body(body, self.exchange.settings.load_report_fields)
         outcome = Outcome.OK if status == OK else Outcome.ERROR
-        self.exchange.probe_completed(check.worker, outcome, self._clock() - check.sent_at, report)
+        self.exchange.worker_reports.probe_completed(
+            check.worker, outcome, self._clock() - check.sent_at, report
+        )
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 from support.memory_dispatcher import Client, InMemoryDispatcher
 
-from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.worker_reports import WorkerReports
 from eiderfield.interface import Outcome
 from eiderfield.net import worker_response
 from eiderfield.net.clients import ClientConnection
@@ -195,7 +195,7 @@
 
 
 FAULTS = {
-    "begun after a drain": lambda m: m.setattr(Exchange, "may_write", lambda self, leg, now: True),
+    "begun after a drain": lambda m: m.setattr(WorkerReports, "may_write", lambda self, leg, now: True),
     "served what no worker made": lambda m: m.setattr(worker_response, "parse_update", any_result),
     "answered twice|after the end": lambda m: m.setattr(
         ClientConnection, "answer", twice(ClientConnection.answer)
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -224,14 +224,14 @@
         return time.monotonic() * 1000.0
 
     def _record_outcomes(self) -> None:
-        ended = self.exchange.attempt_ended
+        ended = self.exchange.worker_reports.attempt_ended
 
         def recording(leg, outcome, load=()):
             if leg.open:
                 self.outcomes.append(outcome)
             ended(leg, outcome, load)
 
-        self.exchange.attempt_ended = recording
+        self.exchange.worker_reports.attempt_ended = recording
 
     def endpoint(self, number: int, status: str) -> dict[str, object]:
         address = f"127.0.0.1:{self.workers[number].port}"
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -80,14 +80,14 @@
     """A dispatcher that keeps the outcomes of its attempts."""
     dispatcher = InMemoryDispatcher(workers=2)
     dispatcher.outcomes = []
-    ended = dispatcher.exchange.attempt_ended
+    ended = dispatcher.exchange.worker_reports.attempt_ended
 
     def recording(leg, outcome, load=()):
         if leg.open:
             dispatcher.outcomes.append(outcome)
         ended(leg, outcome, load)
 
-    dispatcher.exchange.attempt_ended = recording
+    dispatcher.exchange.worker_reports.attempt_ended = recording
     return dispatcher
 
 
