--- a/eiderfield/tool.py
+++ b/eiderfield/tool.py
@@ -1,4 +1,4 @@
-"""Writes and checks a sidecar's configuration, one file for each application.
+"""Writes and checks the configuration of a sidecar, one file for each application.
 
 python -m eiderfield.tool init --name app --class lookup:safe:aim=250 --worker HOST:PORT > app.toml
 python -m eiderfield.tool check app.toml
@@ -10,51 +10,86 @@
 import json
 import sys
 from collections.abc import Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
+from typing import Any
 
 from eiderfield.config.address import Address
 from eiderfield.config.errors import ConfigError
 from eiderfield.config.loader import load, read_text
 
-CLASS_HELP = """a class of jobs: NAME:EFFECT[:KEY=VALUE...]. EFFECT is safe (may be repeated freely), keyed
-(workers drop a repeat) or unsafe (never repeated once it may have run). Keys: worth, aim and deadline in ms,
-stretch; for keyed also scope (all, zone or cell) and window in ms"""
+CLASS_HELP = """a class of requests: NAME:EFFECT[:KEY=VALUE...]. EFFECT is safe (may be retried freely), keyed
+(workers discard a repeat) or unsafe (never retried once it may have run). Keys: worth, aim and deadline in
+ms, stretch; for keyed also scope (all, zone or cell) and window in ms"""
 
-_EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
-_NUMBERS = {"worth": 1.0, "aim": 1000.0, "deadline": 10_000.0, "stretch": 0.0, "window": 20_000.0}
-_KEYED = {"scope", "window"}
+IDEMPOTENCY_OF_EFFECT = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+KEYED = "keyed"
+DEFAULT_EFFECT = "safe"
+DEFAULT_LISTEN = "127.0.0.1:8080"
+DEFAULT_ZONE = "here"
 
+# Keys of the command line and the fields that they set.
+NUMBER_KEYS = {
+    "worth": "priority_weight",
+    "aim": "latency_objective_ms",
+    "deadline": "deadline_ms",
+    "stretch": "objective_stretch",
+    "window": "repeat_window_ms",
+}
+SCOPE_KEY = "scope"
+KEYS_OF_KEYED_CLASSES = {SCOPE_KEY, "window"}
 
-def class_of(text: str) -> dict[str, str | float]:
-    """One class from the command line."""
-    name, *rest = text.split(":")
-    effect, parts = (rest[0], rest[1:]) if rest else ("safe", [])
-    if not name or not all(c.isalnum() or c in "-_." for c in name):
+
+@dataclass(frozen=True, slots=True)
+class ClassOptions:
+    """One class of requests as the command line gives it; `effect` is a key of `IDEMPOTENCY_OF_EFFECT`."""
+
+    name: str
+    effect: str
+    priority_weight: float = 1.0
+    latency_objective_ms: float = 1000.0
+    deadline_ms: float = 10_000.0
+    objective_stretch: float = 0.0
+    scope: str = "all"
+    repeat_window_ms: float = 20_000.0
+
+
+def parse_class(text: str) -> ClassOptions:
+    """Return the class of a `--class` option; raise `ConfigError` for what is malformed."""
+    name, *words = text.split(":")
+    effect, assignments = (words[0], words[1:]) if words else (DEFAULT_EFFECT, [])
+    if not name or not all(char.isalnum() or char in "-_." for char in name):
         raise ConfigError(f"class {text!r}: the name is not a plain one")
-    if effect not in _EFFECTS:
-        raise ConfigError(f"class {name}: the effect is not one of {', '.join(_EFFECTS)}: {effect!r}")
-    found: dict[str, str | float] = {"name": name, "effect": effect, "scope": "all", **_NUMBERS}
-    for part in parts:
-        key, _, value = part.partition("=")
-        if key not in found or key in ("name", "effect") or (key in _KEYED and effect != "keyed"):
-            raise ConfigError(f"class {name}: {key} is not a key of a {effect} class")
-        if key == "scope":
-            found[key] = value
-            continue
-        try:
-            found[key] = float(value)
-        except ValueError:
-            raise ConfigError(f"class {name}: {key} is not a number: {value!r}") from None
-    return found
-
-
-@dataclass(frozen=True)
+    if effect not in IDEMPOTENCY_OF_EFFECT:
+        raise ConfigError(
+            f"class {name}: the effect is not one of {', '.join(IDEMPOTENCY_OF_EFFECT)}: {effect!r}"
+        )
+    options = ClassOptions(name, effect)
+    for assignment in assignments:
+        key, _, value = assignment.partition("=")
+        options = _set_class_option(options, key, value)
+    return options
+
+
+def _set_class_option(options: ClassOptions, key: str, value: str) -> ClassOptions:
+    is_known = key in NUMBER_KEYS or key == SCOPE_KEY
+    if not is_known or (key in KEYS_OF_KEYED_CLASSES and options.effect != KEYED):
+        raise ConfigError(f"class {options.name}: {key} is not a key of a {options.effect} class", key=key)
+    if key == SCOPE_KEY:
+        return replace(options, scope=value)
+    try:
+        change: dict[str, Any] = {NUMBER_KEYS[key]: float(value)}
+    except ValueError:
+        raise ConfigError(f"class {options.name}: {key} is not a number: {value!r}", key=key) from None
+    return replace(options, **change)
+
+
+@dataclass(frozen=True, slots=True)
 class Draft:
-    """What a new configuration is written from."""
+    """Contents of a new configuration file. Addresses are `host:port`, empty for what is off."""
 
     name: str
     listen: str
-    classes: Sequence[dict[str, str | float]]
+    classes: Sequence[ClassOptions]
     zones: Sequence[str]
     consul: str = ""
     service: str = ""
@@ -63,26 +98,26 @@
     console: str = ""
 
     def text(self) -> str:
-        """The file. TOML's basic strings are written as JSON's."""
+        """Return the file. Basic strings of TOML are written as those of JSON."""
         tables = [
             self._head(),
             self._discovery(),
             self._batch(),
             self._settings(),
-            *(_class_table(cls) for cls in self.classes),
-            self._known(),
+            *(_class_table(options) for options in self.classes),
+            self._known_endpoints(),
         ]
         return "\n\n".join("\n".join(lines) for lines in tables if lines) + "\n"
 
     def _head(self) -> list[str]:
         lines = [
-            f"# eiderfield's sidecar for {json.dumps(self.name)[1:-1]}. Check it after a change:",
+            f"# Sidecar of {json.dumps(self.name)[1:-1]}. Check this file after a change:",
             "#   python -m eiderfield.tool check FILE",
             f"name = {json.dumps(self.name)}",
-            f"listen = {json.dumps(self.listen)}  # where the application sends its jobs",
+            f"listen = {json.dumps(self.listen)}  # where the application sends its requests",
         ]
         if self.console:
-            lines.append(f"console = {json.dumps(self.console)}  # where operators call")
+            lines.append(f"console = {json.dumps(self.console)}  # for operators")
         return [
             *lines,
             "",
@@ -99,7 +134,7 @@
             'kind = "consul"',
             f"address = {json.dumps(self.consul)}",
             f"service = {json.dumps(self.service or self.name)}",
-            'api = "health"  # or "catalog", which knows of no checks',
+            'api = "health"  # or "catalog", which knows no health checks',
             "wait_ms = 30000  # how long a blocking query may wait",
         ]
 
@@ -117,20 +152,20 @@
         ]
 
     def _settings(self) -> list[str]:
-        stretches = ", ".join(f"{float(cls['stretch']):g}" for cls in self.classes)
+        stretches = ", ".join(f"{options.objective_stretch:g}" for options in self.classes)
         return [
             "[settings]  # times in milliseconds",
             "balancers = 1  # dispatchers that share these workers",
             f"zones = {json.dumps(list(self.zones))}",
-            "locality = 0  # this sidecar's place among them",
+            "locality = 0  # index of the sidecar's zone",
             "",
             "[settings.family_info]",
-            "tells_start = true  # workers tell when a job starts",
-            "progress = 1000  # and how far it is, every so often; 0 for never",
+            "tells_start = true  # workers report when a request starts",
+            "progress = 1000  # interval of their progress reports, 0 for none",
             f"class_stretch = [{stretches}]",
             "",
             "[settings.policy_limits]",
-            "max_attempts = 3  # legs of a job at the most",
+            "max_attempts = 3  # of one request",
             "cancel = true",
             "retry_after = true",
             "max_retry_after = 2000",
@@ -146,7 +181,7 @@
             "start_capacity = 0.5",
         ]
 
-    def _known(self) -> list[str]:
+    def _known_endpoints(self) -> list[str]:
         if self.consul:
             return []
         lines = ["[known]", "index = 1", "snapshot = true"]
@@ -163,59 +198,55 @@
         return lines
 
 
-def _class_table(cls: dict[str, str | float]) -> list[str]:
+def _class_table(options: ClassOptions) -> list[str]:
     lines = [
         "[[settings.classes]]",
-        f"name = {json.dumps(cls['name'])}  # the first part of a job's path",
-        f"value = {float(cls['worth']):g}",
-        f"goal_time = {float(cls['aim']):g}  # an answer within this is worth the value",
-        f"give_up = {float(cls['deadline']):g}",
-        f"idempotency = {json.dumps(_EFFECTS[str(cls['effect'])])}",
+        f"name = {json.dumps(options.name)}  # the first part of a request's path",
+        f"value = {options.priority_weight:g}",
+        f"goal_time = {options.latency_objective_ms:g}  # an answer within this counts the whole value",
+        f"give_up = {options.deadline_ms:g}",
+        f"idempotency = {json.dumps(IDEMPOTENCY_OF_EFFECT[options.effect])}",
     ]
-    if cls["effect"] == "keyed":
-        lines += [f"key_scope = {json.dumps(cls['scope'])}", f"repeat_window = {float(cls['window']):g}"]
+    if options.effect == KEYED:
+        lines += [
+            f"key_scope = {json.dumps(options.scope)}",
+            f"repeat_window = {options.repeat_window_ms:g}",
+        ]
     return lines
 
 
 def _parser() -> argparse.ArgumentParser:
-    parser = argparse.ArgumentParser(prog="eiderfield.tool", description="Writes and checks configurations.")
+    parser = argparse.ArgumentParser(prog="eiderfield.tool", description="Write and check configurations.")
     commands = parser.add_subparsers(dest="command", required=True)
-    init = commands.add_parser("init", help="writes a configuration to standard output")
-    init.add_argument("--name", required=True, help="the application's name")
-    init.add_argument("--listen", default="127.0.0.1:8080", metavar="HOST:PORT")
-    init.add_argument("--class", dest="classes", action="append", required=True, help=CLASS_HELP)
-    source = init.add_mutually_exclusive_group(required=True)
-    source.add_argument("--consul", default="", metavar="HOST:PORT", help="workers come from Consul")
-    source.add_argument("--worker", dest="workers", action="append", default=[], metavar="HOST:PORT")
-    init.add_argument("--zone", dest="zones", action="append", default=[], help="zones, this sidecar's first")
-    init.add_argument("--service", default="", help="the workers' service in Consul; the name if not given")
-    init.add_argument("--batch", default="", metavar="HOST:PORT", help="opens the batch front there")
-    init.add_argument("--console", default="", metavar="HOST:PORT", help="opens the operators' console there")
-    check = commands.add_parser("check", help="checks a configuration")
+    _add_init(commands.add_parser("init", help="write a configuration to standard output"))
+    check = commands.add_parser("check", help="check a configuration")
     check.add_argument("file")
     return parser
 
 
-def _summary(file: str) -> str:
-    """One line on a configuration; ConfigError if it is faulty."""
-    config = load({}, file)
-    return (
-        f"{file}: {config.name} listens on {config.listen[0]}:{config.listen[1]}, "
-        f"{len(config.policy_settings.classes)} classes, workers from {config.discovery.kind}, "
-        f"batch {'on' if config.batch else 'off'}, console {_console_place(config.console)}"
+def _add_init(init: argparse.ArgumentParser) -> None:
+    init.add_argument("--name", required=True, help="name of the application")
+    init.add_argument("--listen", default=DEFAULT_LISTEN, metavar="HOST:PORT")
+    init.add_argument("--class", dest="classes", action="append", required=True, help=CLASS_HELP)
+    source = init.add_mutually_exclusive_group(required=True)
+    source.add_argument("--consul", default="", metavar="HOST:PORT", help="take the workers from Consul")
+    source.add_argument("--worker", dest="workers", action="append", default=[], metavar="HOST:PORT")
+    init.add_argument(
+        "--zone", dest="zones", action="append", default=[], help="a zone, the sidecar's own first"
+    )
+    init.add_argument("--service", default="", help="service of the workers in Consul; default: the name")
+    init.add_argument("--batch", default="", metavar="HOST:PORT", help="accept batch jobs there")
+    init.add_argument(
+        "--console", default="", metavar="HOST:PORT", help="open the console for operators there"
     )
-
-
-def _console_place(address: Address | None) -> str:
-    return "off" if address is None else f"at {address[0]}:{address[1]}"
 
 
 def _draft(options: argparse.Namespace) -> Draft:
     return Draft(
         name=options.name,
         listen=options.listen,
-        classes=[class_of(text) for text in options.classes],
-        zones=options.zones or ["here"],
+        classes=[parse_class(text) for text in options.classes],
+        zones=options.zones or [DEFAULT_ZONE],
         consul=options.consul,
         service=options.service,
         workers=options.workers,
@@ -224,15 +255,31 @@
     )
 
 
+def _summary(file: str) -> str:
+    """Return one line on a configuration; raise `ConfigError` if it is faulty."""
+    config = load({}, file)
+    return (
+        f"{file}: {config.name} listens on {_host_and_port(config.listen)}, "
+        f"{len(config.policy_settings.classes)} classes, workers from {config.discovery.kind}, "
+        f"batch {'on' if config.batch else 'off'}, "
+        f"console {'off' if config.console is None else f'at {_host_and_port(config.console)}'}"
+    )
+
+
+def _host_and_port(address: Address) -> str:
+    host, port = address
+    return f"{host}:{port}"
+
+
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs the tool; 1 with a line that names the faulty key."""
+    """Run a command; return 1 after one line that names a faulty key."""
     options = _parser().parse_args(arguments)
     try:
         if options.command == "check":
             print(_summary(options.file))
             return 0
         text = _draft(options).text()
-        read_text(text)  # nothing is written that the program would not take
+        read_text(text)  # what the dispatcher would refuse is not written
         sys.stdout.write(text)
     except ConfigError as error:
         print(f"eiderfield: {error}", file=sys.stderr)
