--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration: every fault is named by its key, and what the tool writes is what the program reads."""
+"""Loading of the configuration, and the tool that writes it."""
 
 import json
 from math import inf
@@ -22,7 +22,17 @@
 }
 
 
-def test_the_platforms_json_is_read(tmp_path):
+@pytest.fixture
+def batch_file():
+    """The text of the example with a batch front."""
+    return (ROOT / "deploy" / "claims-batch.toml").read_text()
+
+
+def connections(config):
+    return config.client_connections + config.worker_connections
+
+
+def test_the_platforms_file_is_read_beside_the_environment(tmp_path):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(PLAIN))
     config = load({"LB_CONFIG": str(file), "LB_NAME": "n7", "LB_LISTEN": "127.0.0.2:1"})
@@ -68,48 +78,68 @@
         ("limits.sockets", {"console": "127.0.0.1:6", "limits": {"sockets": 64}}),
     ],
 )
-def test_faults_are_named(key, change):
-    with pytest.raises(ConfigError, match=rf"^(setting )?{key.replace('.', '[.]')}\b"):
+def test_a_faulty_setting_raises_an_error_that_names_its_key(key, change):
+    with pytest.raises(ConfigError, match=rf"^{key.replace('.', '[.]')}\b") as caught:
         read({**PLAIN, **change}, {})
+    assert caught.value.key == key
+    assert caught.value.source == {**PLAIN, **change}
 
 
-def test_half_of_the_usual_limits_is_enough():
+def test_half_of_the_usual_limits_leaves_enough_connections():
     """The platform halves them on busy days: a program that then ended with 2 served nobody."""
     config = read({**PLAIN, "limits": {"memory_mb": 40, "sockets": 192}, "console": "127.0.0.1:6"}, {})
     assert config.client_connections >= 192 / 3
     assert config.worker_connections >= 48
+
+
+def test_less_memory_than_a_process_needs_is_refused():
     with pytest.raises(ConfigError, match=r"limits[.]memory_mb"):
         read({**PLAIN, "limits": {"memory_mb": 8}}, {})
 
 
-def test_the_console_is_where_the_platform_says_and_off_where_nobody_says():
-    assert read(PLAIN, {}).console is None
-    told = read({**PLAIN, "console": "127.0.0.1:6"}, {})
-    assert told.console == ("127.0.0.1", 6)
-    assert read({**PLAIN, "console": "127.0.0.1:6"}, {"LB_CONSOLE": "127.0.0.1:5"}).console[1] == 5
-    free = read(PLAIN, {})
-    with_console, without = (c.client_connections + c.worker_connections for c in (told, free))
-    assert with_console < without, "descriptors are kept for its callers"
+@pytest.mark.parametrize(
+    ("settings", "environ", "address"),
+    [
+        ({}, {}, None),
+        ({"console": "127.0.0.1:6"}, {}, ("127.0.0.1", 6)),
+        ({"console": "127.0.0.1:6"}, {"LB_CONSOLE": "127.0.0.1:5"}, ("127.0.0.1", 5)),
+    ],
+    ids=["nowhere", "file", "environment before file"],
+)
+def test_the_console_address_is_that_of_the_environment_or_the_file(settings, environ, address):
+    assert read({**PLAIN, **settings}, environ).console == address
+
+
+def test_a_console_keeps_descriptors_from_clients_and_workers():
+    with_console, without = read({**PLAIN, "console": "127.0.0.1:6"}, {}), read(PLAIN, {})
+    assert connections(with_console) < connections(without)
 
 
-def test_a_house_for_phones_may_give_most_descriptors_to_clients():
+def test_a_small_worker_share_leaves_most_descriptors_to_clients():
     config = read({**PLAIN, "limits": {"sockets": 20_000, "worker_share": 0.03}}, {})
     assert config.client_connections > 19_000
     assert config.worker_connections > 500
 
 
-def test_an_unreadable_file_is_a_plain_message(tmp_path):
-    (tmp_path / "c").write_text("{")
-    for environ in ({}, {"LB_CONFIG": str(tmp_path / "none")}, {"LB_CONFIG": str(tmp_path / "c")}):
-        with pytest.raises(ConfigError, match="LB_CONFIG"):
-            load(environ)
+@pytest.mark.parametrize(
+    "environ",
+    [{}, {"LB_CONFIG": "absent"}, {"LB_CONFIG": "malformed"}],
+    ids=["no file named", "file absent", "not JSON"],
+)
+def test_a_file_that_cannot_be_read_raises_an_error_that_names_the_variable(environ, tmp_path):
+    (tmp_path / "malformed").write_text("{")
+    paths = {name: str(tmp_path / file) for name, file in environ.items()}
+    with pytest.raises(ConfigError, match="LB_CONFIG"):
+        load(paths)
+
+
+def test_the_example_with_a_batch_front_is_read(batch_file):
+    assert read_text(batch_file).batch.listen == ("127.0.0.1", 8090)
 
 
-def test_an_operators_slip_of_the_pen_is_named():
-    text = (ROOT / "deploy" / "claims-batch.toml").read_text()
-    assert read_text(text).batch.listen == ("127.0.0.1", 8090)
+def test_an_unknown_key_of_an_operators_file_is_refused(batch_file):
     with pytest.raises(ConfigError, match=r"batch[.]finnished_most"):
-        read_text(text.replace("finished_most", "finnished_most"))
+        read_text(batch_file.replace("finished_most", "finnished_most"))
 
 
 @pytest.mark.parametrize(
@@ -130,16 +160,22 @@
         ("connections.park_after_ms", "keep_ms = 5000\npark_after_ms = 5000"),
     ],
 )
-def test_an_operators_file_says_how_connections_idle(key, lines):
-    text = (ROOT / "deploy" / "claims-batch.toml").read_text()
-    idling = read_text(text + "\n[connections]\nkeep_ms = 3600000\npark_after_ms = 2000\n").idling
+def test_a_faulty_limit_of_connections_names_its_key(key, lines, batch_file):
+    with pytest.raises(ConfigError, match=f"^{key} ") as caught:
+        read_text(f"{batch_file}\n[connections]\n{lines}\n")
+    assert caught.value.key == key
+
+
+def test_an_operators_file_sets_when_connections_park_and_close(batch_file):
+    idling = read_text(f"{batch_file}\n[connections]\nkeep_ms = 3600000\npark_after_ms = 2000\n").idling
     assert (idling.idle_timeout, idling.park_after) == (3_600_000.0, 2000.0)
-    assert read_text(text + "\n[connections]\npark = false\n").idling.park_after == inf
-    with pytest.raises(ConfigError, match=f"^{key} "):
-        read_text(f"{text}\n[connections]\n{lines}\n")
 
 
-def test_the_file_for_phones_says_what_it_means():
+def test_an_operators_file_turns_parking_off(batch_file):
+    assert read_text(f"{batch_file}\n[connections]\npark = false\n").idling.park_after == inf
+
+
+def test_the_example_for_many_clients_sets_its_limits():
     config = read_text((ROOT / "deploy" / "field-phones.toml").read_text())
     a = config.admission
     assert (
@@ -152,7 +188,7 @@
     assert config.idling.idle_timeout == 1_800_000.0
 
 
-def test_the_tool_writes_what_the_program_reads(tmp_path, capsys):
+def test_the_tool_writes_a_file_that_the_program_reads(tmp_path, capsys):
     line = [
         "--name",
         "app",
@@ -194,7 +230,7 @@
         "x:safe:name=y",
     ],
 )
-def test_the_tool_names_a_faulty_class_and_writes_nothing(text, capsys):
+def test_the_tool_refuses_a_faulty_class_and_writes_nothing(text, capsys):
     assert tool.main(["init", "--name", "a", "--worker", "127.0.0.1:9", "--class", text]) == 1
     out, err = capsys.readouterr()
     assert not out
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,9 +1,9 @@
-"""The codec against the byte strings of the wire's description, and its faults."""
+"""The codec of the simulator's wire, against the byte strings of its description."""
 
 import struct
 
 import pytest
-from support.wire_messages import GOOD, TABLE
+from support.wire_messages import TABLE
 
 from eiderfield import wire
 from eiderfield.interface import (
@@ -12,7 +12,6 @@
     CancelAttempt,
     ClientDisconnected,
     CloseIdleConnections,
-    Effect,
     EndpointListKind,
     EndpointState,
     EndpointsUpdated,
@@ -25,7 +24,6 @@
     ProgressKind,
     RejectRequest,
     RequestReceived,
-    Scope,
     SendPeerReport,
     SetTimer,
     StartAttempt,
@@ -33,60 +31,62 @@
     TimerFired,
     WatchEndpoints,
 )
-from eiderfield.settings_text import parse_settings
 
-JOB, WORKER = 0x7C755D7A91C4, 0x03124A07
+REQUEST, WORKER = 0x7C755D7A91C4, 0x03124A07
 
 
-def events(*hexes):
+def decode(*hexes):
+    """Return the records of a frame with their nodes."""
     return list(wire.Decoder().records(bytes.fromhex("".join(hexes)), len(hexes)))
 
 
-QUERY = "02 0300 c4917a5d757c0000 00 0000 {key} 0000000020e6c040 0000000000002840 00000040 0000c03f {flags}"
+REQUEST_RECORD = (
+    "02 0300 c4917a5d757c0000 00 0000 {key} 0000000020e6c040 0000000000002840 00000040 0000c03f {flags}"
+)
 
 
 @pytest.mark.parametrize(
     ("text", "event"),
     [
         (
-            QUERY.format(key="640ad2557c3bf091", flags="01"),
-            RequestReceived(JOB, 0, 8652.25, 0, 0x91F03B7C55D20A64, 12.0, 2.0, 1.5, False),
+            REQUEST_RECORD.format(key="640ad2557c3bf091", flags="01"),
+            RequestReceived(REQUEST, 0, 8652.25, 0, 0x91F03B7C55D20A64, 12.0, 2.0, 1.5, False),
         ),
         (
-            QUERY.format(key="0000000000000000", flags="00"),
-            RequestReceived(JOB, 0, 8652.25, 0, 0, 0.0, 2.0, 1.5, False),
+            REQUEST_RECORD.format(key="0000000000000000", flags="00"),
+            RequestReceived(REQUEST, 0, 8652.25, 0, 0, 0.0, 2.0, 1.5, False),
         ),
         (
-            QUERY.format(key="0000000000000000", flags="02"),
-            RequestReceived(JOB, 0, 8652.25, 0, 0, 0.0, 2.0, 1.5, True),
+            REQUEST_RECORD.format(key="0000000000000000", flags="02"),
+            RequestReceived(REQUEST, 0, 8652.25, 0, 0, 0.0, 2.0, 1.5, True),
         ),
-        ("03 0300 c4917a5d757c0000 0000 074a1203 0000000000802240", StreamStarted(JOB, 0, WORKER, 9.25)),
+        ("03 0300 c4917a5d757c0000 0000 074a1203 0000000000802240", StreamStarted(REQUEST, 0, WORKER, 9.25)),
         (
             "0b 0300 c4917a5d757c0000 0000 074a1203 01 0000003f",
-            AttemptProgressed(JOB, 0, WORKER, ProgressKind.STARTED, 0.5),
+            AttemptProgressed(REQUEST, 0, WORKER, ProgressKind.STARTED, 0.5),
         ),
         (
             "04 0300 c4917a5d757c0000 074a1203 c800 00 0000000000803240 0000 01 02 0000003f 0000a03f",
-            AttemptEnded(JOB, 0, WORKER, 200, 18.5, True, 0, (0.5, 1.25)),
+            AttemptEnded(REQUEST, 0, WORKER, 200, 18.5, True, 0, (0.5, 1.25)),
         ),
         (
             "04 0300 c4917a5d757c0000 074a1203 9801 00 0000000000803240 0100 00 00",
-            AttemptEnded(JOB, 1, WORKER, 408, 18.5, False, 0, ()),
+            AttemptEnded(REQUEST, 1, WORKER, 408, 18.5, False, 0, ()),
         ),
-        ("05 0300 c4917a5d757c0000", ClientDisconnected(JOB)),
+        ("05 0300 c4917a5d757c0000", ClientDisconnected(REQUEST)),
         ("06 0300 4d00000000000000", TimerFired(77)),
         ("07 0300 074a1203 c800 0000000000803240 00", ProbeCompleted(WORKER, 200, 18.5, ())),
         ("08 0300 0200 0400 68692037", PeerReportReceived(2, b"hi 7")),
     ],
 )
-def test_events(text, event):
-    assert events(text) == [(3, event)]
+def test_an_event_is_decoded_from_its_record(text, event):
+    assert decode(text) == [(3, event)]
 
 
-def test_tables_are_taken_in_order_and_a_number_may_be_used_again():
+def test_an_endpoint_table_that_is_sent_again_replaces_the_earlier_one():
     changed = TABLE.replace("02 0000803f", "01 0000803f")
     update = "01 0300 00 2900000000000000 00000000"
-    first, second = events(TABLE, update, changed, update)
+    first, second = decode(TABLE, update, changed, update)
     assert first[1].kind is EndpointListKind.DELTA
     assert first[1].version == 41
     assert [e.state for e in first[1].endpoints] == [EndpointState.READY, EndpointState.READY]
@@ -95,14 +95,14 @@
     assert first[1].endpoints[1].weight == 1.5
 
 
-def test_a_failed_list_needs_no_table():
-    assert events("01 0300 03 2900000000000000 09000000") == [
+def test_a_failed_endpoint_list_needs_no_table():
+    assert decode("01 0300 03 2900000000000000 09000000") == [
         (3, EndpointsUpdated(EndpointListKind.FAILED, 41, ()))
     ]
 
 
-def test_create_and_retire():
-    (node, create), (_, retire) = events("00 0300 0700000000000000 02000000 613d", "09 0300")
+def test_create_and_retire_are_decoded_with_their_node():
+    (node, create), (_, retire) = decode("00 0300 0700000000000000 02000000 613d", "09 0300")
     assert (node, create.seed, create.text) == (3, 7, "a=")
     assert isinstance(retire, wire.Retire)
 
@@ -120,19 +120,19 @@
         (["04 0300 c4917a5d757c0000 074a1203 c800 00 0000000000803240 0000 01 02 0000003f"], "cut short"),
     ],
 )
-def test_malformed_frames_name_what_and_where(hexes, message):
+def test_a_malformed_frame_raises_an_error_that_names_what_and_where(hexes, message):
     with pytest.raises(wire.WireError, match=f"{message}.*frame byte|{message}"):
-        events(*hexes)
+        decode(*hexes)
 
 
 @pytest.mark.parametrize(
     ("action", "text"),
     [
-        (StartAttempt(JOB, WORKER, 80.0), "06 0300 c4917a5d757c0000 074a1203 0000000000005440"),
+        (StartAttempt(REQUEST, WORKER, 80.0), "06 0300 c4917a5d757c0000 074a1203 0000000000005440"),
         (SetTimer(8656.25, 77), "07 0300 0000000020e8c040 4d00000000000000"),
-        (CancelAttempt(JOB, 0), "01 0300 c4917a5d757c0000 0000"),
-        (RejectRequest(JOB, 251.0), "08 0300 c4917a5d757c0000 0000000000606f40"),
-        (FailRequest(JOB), "0b 0300 c4917a5d757c0000"),
+        (CancelAttempt(REQUEST, 0), "01 0300 c4917a5d757c0000 0000"),
+        (RejectRequest(REQUEST, 251.0), "08 0300 c4917a5d757c0000 0000000000606f40"),
+        (FailRequest(REQUEST), "0b 0300 c4917a5d757c0000"),
         (ProbeWorker(WORKER), "05 0300 074a1203"),
         (CloseIdleConnections(WORKER), "00 0300 074a1203"),
         (SendPeerReport(-1, b"hi 7"), "0a 0300 ffff 0400 68692037"),
@@ -142,47 +142,14 @@
         (LogMessage("two servers known"), "02 0300 1100 74776f2073657276657273206b6e6f776e"),
     ],
 )
-def test_actions(action, text):
+def test_an_action_is_encoded_as_its_record(action, text):
     assert wire.encode(3, action) == bytes.fromhex(text)
 
 
-def test_reply_counts_records_and_bytes():
-    assert wire.encode_reply([]) == struct.pack("<II", 0, 8)
-    assert wire.encode_reply([b"ab", b"c"]) == struct.pack("<II", 2, 11) + b"abc"
-
-
-def test_settings():
-    settings = parse_settings(GOOD)
-    assert settings.classes[1].effect is Effect.KEYED
-    assert settings.classes[1].scope is Scope.CELL
-    assert [c.objective_stretch for c in settings.classes] == [2.0, 2.5]
-    assert [c.kind for c in settings.classes] == [-1, 1]
-    assert (settings.dispatcher_count, settings.dispatcher_index, settings.cancellation_allowed) == (
-        3,
-        2,
-        False,
-    )
-
-
 @pytest.mark.parametrize(
-    ("old", "new", "key"),
-    [
-        ("classes.count=2", "", "classes.count"),
-        ("classes.count=2", "classes.count=0", "classes.count"),
-        ("classes.0.value=1.0", "", "classes.0.value"),
-        ("classes.0.value=1.0", "classes.0.value=-1", "classes.0.value"),
-        ("classes.0.value=1.0", "classes.0.value=nan", "classes.0.value"),
-        ("classes.0.value=1.0", "classes.0.value=much", "classes.0.value"),
-        ("classes.0.goal_time=300.0", "classes.0.goal_time=9000", "classes.0.goal_time"),
-        ("idempotency=dedup", "idempotency=perhaps", "classes.1.idempotency"),
-        ("me=2", "me=3", "me"),
-        ("me=2", "me=0.5", "me"),
-        ("balancers=3", "balancers=0", "balancers"),
-        ("me=2", "me=2\npolicy_limits.cancel=yes", "policy_limits.cancel"),
-        ("me=2", "me=2\nprojects.count=1", "projects.0.quota_per_s"),
-        ("class_stretch=2.0,2.5", "class_stretch=a,b", "class_stretch"),
-    ],
+    ("records", "reply"),
+    [([], struct.pack("<II", 0, 8)), ([b"ab", b"c"], struct.pack("<II", 2, 11) + b"abc")],
+    ids=["no record", "two records"],
 )
-def test_wrong_settings_name_their_key(old, new, key):
-    with pytest.raises(ValueError, match=key.replace(".", r"\.")):
-        parse_settings(GOOD.replace(old, new))
+def test_a_reply_counts_its_records_and_bytes(records, reply):
+    assert wire.encode_reply(records) == reply
