--- a/eiderfield/config/loader.py
+++ b/eiderfield/config/loader.py
@@ -116,7 +116,7 @@
 
 def _read(root: TableReader, data: object, environ: Mapping[str, str], strict: bool, reload: bool) -> Config:
     name = environ.get("LB_NAME") or root.text("name")
-    root.has("name")
+    root.mark_known("name")
     listen = _read_address(environ, "LB_LISTEN", root, "listen")
     console = _read_console(environ, root, listen)
     limits = read_limits(
@@ -158,7 +158,7 @@
 
 def _read_address(environ: Mapping[str, str], variable: str, root: TableReader, name: str) -> Address:
     if variable in environ:
-        root.has(name)
+        root.mark_known(name)
         return parse_address(environ[variable], variable)
     return root.address(name)
 
--- a/eiderfield/config/reader.py
+++ b/eiderfield/config/reader.py
@@ -36,6 +36,10 @@
         key = self.key(name)
         return ConfigError(f"{key} {problem}", key=key)
 
+    def mark_known(self, name: str) -> None:
+        """Accept a key that is not read, since something else has precedence over it."""
+        self._known_keys.add(name)
+
     def has(self, name: str) -> bool:
         """Return whether the key is present."""
         self._known_keys.add(name)
--- a/eiderfield/durable_requests/submission.py
+++ b/eiderfield/durable_requests/submission.py
@@ -12,9 +12,7 @@
 from eiderfield.durable_requests.timing import RECORDING_TIME_MS, RETRY_INTERVAL_MS
 from eiderfield.exchange.errors import RequestIdInUseError
 from eiderfield.exchange.request import Answer, Request, Verdict
-from eiderfield.interface import Endpoint
-
-EarlierAttempts = tuple[tuple[Endpoint, float], ...]  # endpoints, and when each attempt was sent
+from eiderfield.interface import EarlierAttempt
 
 DEADLINE_EXPIRED = "its time was over"  # the reason of an answer, for operators
 
@@ -30,7 +28,7 @@
         self._recorder = recorder
         self._cancellation = cancellation
 
-    def submit(self, request: Request, owned: OwnedRequest, earlier: EarlierAttempts = ()) -> None:
+    def submit(self, request: Request, owned: OwnedRequest, earlier: tuple[EarlierAttempt, ...] = ()) -> None:
         """Submit a request, with the attempts of it that may have run before.
 
         While an attempt of an earlier submission is still open here, submit again later.
@@ -45,7 +43,9 @@
         else:  # its clients may have left meanwhile
             self._cancellation.abandon_unless_waited_for(request.id)
 
-    def _submit_again(self, request: Request, owned: OwnedRequest, earlier: EarlierAttempts) -> None:
+    def _submit_again(
+        self, request: Request, owned: OwnedRequest, earlier: tuple[EarlierAttempt, ...]
+    ) -> None:
         if self._context.owned_requests.get(request.id) is not owned:
             return
         if self._context.now() >= request.deadline - RECORDING_TIME_MS:
--- a/eiderfield/durable_requests/thread_events.py
+++ b/eiderfield/durable_requests/thread_events.py
@@ -13,7 +13,7 @@
 from eiderfield.durable_requests.submission import DEADLINE_EXPIRED, RequestSubmission
 from eiderfield.durable_requests.timing import RECORDING_TIME_MS
 from eiderfield.exchange.request import Answer, Verdict
-from eiderfield.interface import Endpoint
+from eiderfield.interface import EarlierAttempt, Endpoint
 from eiderfield.machine import steady_ms
 
 CLASS_UNKNOWN = "its class is not known here"  # the reason of an answer, for operators
@@ -69,7 +69,7 @@
         answer = Answer(Verdict.FAILED, may_have_run=attempts > 0, attempts=attempts)
         self._recorder.record(record.id, owned, answer, reason)
 
-    def _earlier_attempt(self, attempt: AttemptRecord, offset: float) -> tuple[Endpoint, float]:
+    def _earlier_attempt(self, attempt: AttemptRecord, offset: float) -> EarlierAttempt:
         """Return the endpoint of an earlier attempt and when it was sent, on the process's clock.
 
         `offset` leads from the monotonic clock to the process's clock.
@@ -78,7 +78,7 @@
         worker = ids.worker(attempt.worker)
         known = self._context.exchange.endpoints.endpoint(worker)
         endpoint = Endpoint(worker, ids.zone(attempt.zone), known.kind, attempt.cell, known.state)
-        return endpoint, attempt.sent_at + offset
+        return EarlierAttempt(endpoint, attempt.sent_at + offset)
 
     def on_answer(self, id_: str, record: Record | None) -> None:
         """Answer the waiters of a remote request. Without a record, accept the request again."""
--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -34,6 +34,7 @@
     AttemptEnded,
     AttemptProgressed,
     ClientDisconnected,
+    EarlierAttempt,
     Endpoint,
     EndpointListKind,
     EndpointsUpdated,
@@ -149,7 +150,7 @@
         request: Request,
         answer: Callable[[Answer], None],
         durable: bool = False,
-        earlier_attempts: Iterable[tuple[Endpoint, float]] = (),
+        earlier_attempts: Iterable[EarlierAttempt] = (),
         client_waits: Callable[[], bool] | None = None,
     ) -> int:
         """Accept a request and return its number. `answer` is called once, after this has returned.
--- a/eiderfield/model/events.py
+++ b/eiderfield/model/events.py
@@ -6,18 +6,26 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from eiderfield.model.endpoints import Endpoint, EndpointListKind
 from eiderfield.model.outcomes import ProgressKind
 
 
+class EarlierAttempt(NamedTuple):
+    """Attempt that another dispatcher sent before it failed; it may have run, and may still run."""
+
+    endpoint: Endpoint
+    sent_at: float
+
+
 @dataclass(slots=True)
 class RequestReceived:
     """A request was accepted; it is owed exactly one final answer before `deadline`.
 
     `tenant_index` and `class_index` refer to the settings; `affinity_key` is 0 for none.
     `expected_work` is 0 if unknown. `earlier_attempts` are those of a failed dispatcher from which the
-    request was taken over: the endpoint, and when the attempt was sent.
+    request was taken over.
     """
 
     request_id: int
@@ -29,7 +37,7 @@
     slots: float = 1.0
     memory: float = 0.0
     is_client_retry: bool = False
-    earlier_attempts: tuple[tuple[Endpoint, float], ...] = ()
+    earlier_attempts: tuple[EarlierAttempt, ...] = ()
 
 
 @dataclass(slots=True)
