--- a/eiderfield/policy/affinity.py
+++ b/eiderfield/policy/affinity.py
@@ -1,12 +1,13 @@
-"""Key affinity: the workers to which the requests of one key go, so that they find its data there.
+"""Key affinity: requests with the same key go to the same few workers, the homes of the key.
 
-Theory of operation. Rendezvous hashing: a key's workers, in the order of a hash of both, are the same at
-every dispatcher, and the first few that may be used are its homes. Only the first part of that order is kept
-for a key. A change of the list is written to a log, and a key's order takes in what has changed when it is
-next asked for: a change costs the same however many keys there are, and a key one hash for each change since.
+The homes are found by rendezvous hashing: the workers are ordered by a hash of the key and the worker,
+which is the same at every dispatcher, and the first usable ones are the homes. Only the first part of a
+key's order is kept. A change of the endpoint list is appended to a log, and applied to an order when that
+is used next: a change costs the same however many keys there are, and an order one hash for each change
+since its last use.
 
-What must never happen: an order that lacks one of the first workers, or that depends on which changes came
-in which order.
+Invariants: an order lacks none of the first workers of its key; it does not depend on the sequence of
+changes.
 """
 
 from __future__ import annotations
@@ -21,140 +22,149 @@
 from eiderfield.model.learned_state import KeyCount
 from eiderfield.policy.endpoint import Worker
 
-HOMES = 2  # workers to which the requests of a key go first, at least: one may be busy
-HOME_ROOM = 2.0  # homes of a key, in workers that its share of the requests fills
-HOME_ROOM_OF_MANY = 1.5  # the same where dispatchers are many and call off what waits
-KEY_MEMORY = 5000  # requests with keys that are counted
-KEYS_TOLD = 500  # keys, of those counted, that are told to the next process
-FIRST_KEPT = 12  # workers of an order that are kept at first: two homes, and those that stand in for them
-CHANGES_KEPT = 256  # changes of the list; an order that has missed more is made anew
+MIN_HOMES = 2  # homes of a key at least: one may be busy
+HOME_FACTOR = 2.0  # homes of a key, as a multiple of its share of the requests times the workers
+HOME_FACTOR_OF_MANY = 1.5  # the same with many dispatchers, which cancel requests that wait
+MAX_COUNTED_REQUESTS = 5000  # requests with keys after which all counts are halved
+MAX_KEYS_HANDED_OVER = 500  # most frequent keys that are passed on to the next process
+MIN_ORDER_LENGTH = 12  # workers that a new order holds at least: two homes, and substitutes for them
+MIN_CHANGES_KEPT = 256  # an order that lacks more of the last changes is computed anew
 
 
 @dataclass(slots=True, eq=False)
 class _Change:
-    """A worker has joined or left."""
+    """A worker that has been added or removed."""
 
     worker: Worker
-    joined: bool
+    is_added: bool
 
 
 @dataclass(slots=True, eq=False)
 class _Order:
-    """The first workers of a key: all whose hash is not above `bound`."""
+    """The first workers of a key: those whose hash is not above `bound`."""
 
     hashes: list[int]
     workers: list[Worker]
     bound: int
-    taken_in: int  # changes, of all that ever came
+    applied_changes: int  # of all changes since the start
 
 
-_HIGHEST = (1 << 64) - 1  # of all hashes
+_MAX_HASH = (1 << 64) - 1
 
 
 class KeyOrders:
-    """The orders of the keys that were asked for."""
+    """The orders of the keys that have been used."""
 
     def __init__(self) -> None:
+        """Create orders of no workers."""
         self._workers: dict[int, Worker] = {}
         self._orders: dict[int, _Order] = {}
         self._changes: list[_Change] = []
-        self._dropped_changes = 0  # changes that came before those that are kept
+        self._dropped_changes = 0  # changes before the first that is kept
 
     def __len__(self) -> int:
+        """Return the number of keys whose order is kept."""
         return len(self._orders)
 
     def reset(self, workers: Iterable[Worker]) -> None:
-        """Starts anew with these workers."""
+        """Forget all keys, and set the workers to be ordered."""
         self._workers = {worker.entry.worker: worker for worker in workers}
         self._changes.clear()
         self.clear()
 
     def clear(self) -> None:
-        """Forgets all keys."""
+        """Forget all keys."""
         self._orders.clear()
 
     def add(self, worker: Worker) -> None:
-        """Takes in one more worker."""
+        """Add a worker."""
         self._workers[worker.entry.worker] = worker
         self._append(_Change(worker, True))
 
     def remove(self, worker: Worker) -> None:
-        """Lets a worker go."""
+        """Remove a worker."""
         del self._workers[worker.entry.worker]
         self._append(_Change(worker, False))
 
     def first_workers(self, key: int, count: int) -> tuple[list[Worker], bool]:
-        """At least the first `count` workers of a key, and whether these are all. Not to be changed."""
+        """Return at least the first `count` workers of a key, and whether these are all.
+
+        The list is that of the order itself and must not be modified.
+        """
         order = self._orders.get(key)
-        if order is None or order.taken_in < self._dropped_changes:
-            order = self._orders[key] = self._compute(key, max(count, FIRST_KEPT))
+        if order is None or order.applied_changes < self._dropped_changes:
+            order = self._orders[key] = self._compute(key, max(count, MIN_ORDER_LENGTH))
         else:
             self._catch_up(key, order)
-        if len(order.workers) < count and order.bound < _HIGHEST:
+        if len(order.workers) < count and order.bound < _MAX_HASH:
             order = self._orders[key] = self._compute(key, count)
-        return order.workers, order.bound == _HIGHEST
+        return order.workers, order.bound == _MAX_HASH
 
     def _append(self, change: _Change) -> None:
         self._changes.append(change)
-        if len(self._changes) > 2 * CHANGES_KEPT:
-            self._dropped_changes += CHANGES_KEPT
-            del self._changes[:CHANGES_KEPT]
+        if len(self._changes) > 2 * MIN_CHANGES_KEPT:
+            self._dropped_changes += MIN_CHANGES_KEPT
+            del self._changes[:MIN_CHANGES_KEPT]
 
     def _compute(self, key: int, count: int) -> _Order:
-        """Hashes every worker once and keeps those below a bound, which lets through twice the `count`."""
+        """Hash every worker once and keep those up to a bound, below which twice the `count` are expected."""
         share = 2 * count / max(1, len(self._workers))
-        bound = int(share * _HIGHEST) if share < 1.0 else _HIGHEST
+        bound = int(share * _MAX_HASH) if share < 1.0 else _MAX_HASH
         found = sorted(stable_hashes_up_to(key, self._workers, bound))
-        if len(found) < count and bound < _HIGHEST:
+        if len(found) < count and bound < _MAX_HASH:
             return self._compute(key, 2 * count)
         hashes = [value for value, _ in found]
         workers = [self._workers[number] for _, number in found]
         return _Order(hashes, workers, bound, self._dropped_changes + len(self._changes))
 
     def _catch_up(self, key: int, order: _Order) -> None:
-        """Takes in what has changed since the key was last asked for."""
-        for change in self._changes[order.taken_in - self._dropped_changes :]:
+        """Apply the changes since the order was last used."""
+        for change in self._changes[order.applied_changes - self._dropped_changes :]:
             value = stable_hash(key, change.worker.entry.worker)
             if value > order.bound:
                 continue
             index = bisect_left(order.hashes, value)
-            if change.joined:
+            if change.is_added:
                 order.hashes.insert(index, value)
                 order.workers.insert(index, change.worker)
             else:
                 del order.hashes[index], order.workers[index]
-        order.taken_in = self._dropped_changes + len(self._changes)
+        order.applied_changes = self._dropped_changes + len(self._changes)
 
 
 class KeyCounts:
-    """How many requests there were of each key lately, from which the number of its homes follows."""
+    """Counts of recent requests by key, from which the number of homes of a key follows."""
 
     def __init__(self) -> None:
+        """Create counts of no requests."""
         self.by_key: Counter[int] = Counter()
         self.total = 0
 
     def count(self, key: int) -> bool:
-        """Counts a request; returns whether rare keys were forgotten, or they would fill the memory."""
+        """Count a request; return whether all counts were halved, which forgets keys of one request."""
         self.by_key[key] += 1
         self.total += 1
-        if self.total <= KEY_MEMORY:
+        if self.total <= MAX_COUNTED_REQUESTS:
             return False
-        self.by_key = Counter({key: number // 2 for key, number in self.by_key.items() if number > 1})
+        self.by_key = Counter({key: requests // 2 for key, requests in self.by_key.items() if requests > 1})
         self.total = self.by_key.total()
         return True
 
     def home_count(self, key: int, workers: int, many: bool) -> int:
-        """How many homes a key needs among so many workers (incident ia7713c).
+        """Return how many homes a key needs among so many workers (incident ia7713c).
 
-        One of many dispatchers counts it without the request itself: of few requests each would make a
-        rare key hot."""
+        One of many dispatchers leaves the present request out of the count: each sees so few requests that a
+        single one would make a rare key look frequent.
+        """
         share = (self.by_key[key] - many) / max(1, self.total - many)
-        room = HOME_ROOM_OF_MANY if many else HOME_ROOM
-        return max(HOMES, ceil(room * share * workers))
+        factor = HOME_FACTOR_OF_MANY if many else HOME_FACTOR
+        return max(MIN_HOMES, ceil(factor * share * workers))
 
     def most_common(self) -> tuple[KeyCount, ...]:
         """Return the counts of the most frequent keys, which the next process should know."""
-        return tuple(KeyCount(key, requests) for key, requests in self.by_key.most_common(KEYS_TOLD))
+        return tuple(
+            KeyCount(key, requests) for key, requests in self.by_key.most_common(MAX_KEYS_HANDED_OVER)
+        )
 
     def resume(self, counts: Iterable[KeyCount]) -> None:
         """Continue with the counts of the previous process."""
--- a/eiderfield/policy/attempt_outcomes.py
+++ b/eiderfield/policy/attempt_outcomes.py
@@ -1,8 +1,8 @@
-"""What the start and the end of an attempt tell of its worker, and of its class.
+"""Updates of a worker's health, and of its class's rate control, when an attempt starts or ends.
 
-An answer in time ends all suspicion; a failed connection, a second reset in a row or too many errors rest the
-worker; 'full' holds back further requests for a while, and lowers the rate of the class if no other worker is
-free. Times are milliseconds.
+An answer in time ends an ejection. A failed connection, a second reset in a row or too many errors eject the
+worker. 'Full' holds back further requests for a while, and counts as refused for the rate of the class if no
+other worker is free. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -15,15 +15,13 @@
 from eiderfield.policy.request import AttemptRecord
 from eiderfield.policy.selection import EndpointSelector
 
-FULL_PAUSE_MS = 200.0  # without sends to a worker that is full: a place in its queue frees in about that
-MAX_FULL_PAUSES = 2  # pauses after which a worker that says 'full' again and again is sent a request
-MAX_WAIT_PAUSES = (
-    5.0  # waits for which a worker is left to others, at most: one of many never sees all its slots
-)
+FULL_PAUSE_MS = 200.0  # during which a full worker is sent nothing: about the time until a place is free
+MAX_FULL_PAUSES = 2  # pauses in a row after which a worker that answers 'full' each time is tried again
+MAX_WAIT_PAUSES = 5.0  # longest pause after a wait at a worker, as a multiple of that wait
 
 
 class AttemptOutcomes:
-    """Updates workers and rate control from what becomes of attempts."""
+    """Records the starts and outcomes of attempts."""
 
     def __init__(
         self,
@@ -49,7 +47,7 @@
         worker.unstarted -= 1
         self._outliers.record_wait(waited)
         self._reports.record_start(worker)
-        # One waiting request of each dispatcher is a long queue (i1da742): after a wait others come first.
+        # One waiting request of each dispatcher makes a long queue (i1da742): let the others go first.
         others = self._fleet.subset.dispatchers_per_worker / self._reports.slots_of(worker) - 1.0
         worker.full_until = max(worker.full_until, now + waited * min(MAX_WAIT_PAUSES, others))
         self._fleet.pausing[worker.entry.worker] = worker
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -220,15 +220,15 @@
         self._gossip.send_reports()
         return actions
 
-    def _timer_fired(self, event: TimerFired, now: float) -> None:
+    def _timer_fired(self, event: TimerFired, _now: float) -> None:
         self._timer.fired(event)
 
-    def _client_disconnected(self, event: ClientDisconnected, now: float) -> None:
+    def _client_disconnected(self, event: ClientDisconnected, _now: float) -> None:
         request = self._requests.by_id.get(event.request_id)
         if request is not None:
             self._completion.finish(request)
 
-    def _stream_started(self, event: StreamStarted, now: float) -> None:
+    def _stream_started(self, event: StreamStarted, _now: float) -> None:
         request = self._requests.by_id.get(event.request_id)
         if request is not None:
             request.streaming = True
--- a/eiderfield/policy/fleet.py
+++ b/eiderfield/policy/fleet.py
@@ -1,7 +1,7 @@
-"""The fleet as this dispatcher knows it: all workers of the list, and the ones that it sends to.
+"""The fleet as this dispatcher knows it: all workers of the endpoint list, and its subset of them.
 
-What the list says of one worker is taken in at a cost that does not grow with the fleet. Workers that are
-gone stay known, for an attempt may still be out there, and a worker may come back.
+The cost of a change of one worker does not grow with the size of the fleet. Workers that are gone are kept,
+for they may still have open attempts, and may come back.
 """
 
 from __future__ import annotations
@@ -25,44 +25,45 @@
     place_of,
 )
 
-EXAMINED = 256  # workers that are looked at for what may go to any: of more, so many drawn at random
+MAX_CANDIDATES = 256  # workers considered for a request without a key; of a larger subset, so many at random
 
 
 class Fleet:
-    """All workers that were ever listed, and this dispatcher's subset of those that are ready."""
+    """All workers that have ever been listed, and this dispatcher's subset of those that are ready."""
 
     def __init__(self, context: Context) -> None:
+        """Create a fleet without workers."""
         self.workers: dict[int, Worker] = {}
         self.ready = ReadyWorkers()
         self.key_orders = KeyOrders()  # of the subset
         self.subset = Subset(self.key_orders.add, self.key_orders.remove)
         self.keyed = False  # whether any request so far had a key
-        self.with_open_attempts: dict[int, Worker] = {}  # workers with own attempts out
-        self.pausing: dict[int, Worker] = {}  # workers that may be resting
-        self.warming: dict[int, Worker] = {}  # workers that may be warming up
+        self.with_open_attempts: dict[int, Worker] = {}  # by number
+        self.pausing: dict[int, Worker] = {}  # those that may be ejected or full
+        self.warming: dict[int, Worker] = {}  # those that may be warming up
         self._context = context
-        self._most_silent: bool | None = None  # None: not counted yet
+        self._most_silent: bool | None = None  # of the subset; None: not counted yet
         self.repartition()
 
     def apply_entries(self, entries: Iterable[Endpoint], whole: bool, now: float) -> bool:
-        """Takes in changes, or a whole list; returns whether the fleet was split anew."""
-        first = not self.ready.by_number
-        named = set()
+        """Apply changes, or a `whole` endpoint list; return whether the fleet was repartitioned."""
+        is_first = not self.ready.by_number
+        listed = set()
         for entry in entries:
-            named.add(entry.worker)
-            self._apply_entry(entry, now, first)
+            listed.add(entry.worker)
+            self._apply_entry(entry, now, is_first)
         if whole:
-            for number in self.workers.keys() - named:
+            for number in self.workers.keys() - listed:
                 worker = self.workers[number]
                 if worker.entry.state != EndpointState.GONE:
-                    self._apply_entry(replace(worker.entry, state=EndpointState.GONE), now, first)
-        if first or self._group_count() != self.subset.group_count:
+                    self._apply_entry(replace(worker.entry, state=EndpointState.GONE), now, is_first)
+        if is_first or self._group_count() != self.subset.group_count:
             self.repartition()
             return True
         return False
 
     def worker_of(self, entry: Endpoint) -> Worker:
-        """The worker of an entry; one that was never listed is taken to be gone."""
+        """Return the worker of an entry, and add it as gone if it has never been listed."""
         worker = self.workers.get(entry.worker)
         if worker is None:
             worker = self.workers[entry.worker] = Worker(replace(entry, state=EndpointState.GONE))
@@ -90,7 +91,7 @@
             worker.silent = False  # without open attempts only a new one can show whether it answers
 
     def enable_affinity(self) -> bool:
-        """Takes in that a request has a key; returns whether the fleet was split anew."""
+        """Note that requests have keys; return whether the fleet was repartitioned for it."""
         if self.keyed:
             return False
         self.keyed = True
@@ -98,32 +99,36 @@
         return True
 
     def repartition(self) -> None:
-        """Splits the fleet anew."""
+        """Divide the fleet into groups anew, and take this dispatcher's group as its subset."""
         settings, groups = self._context.settings, self._group_count()
         group = group_of_dispatcher(settings.dispatcher_index, settings.dispatcher_count, groups, self.keyed)
-        sharers = settings.dispatcher_count / groups
-        self.subset.repartition(self.ready.by_number.values(), self.keyed, groups, group, sharers)
+        per_worker = settings.dispatcher_count / groups
+        self.subset.repartition(self.ready.by_number.values(), self.keyed, groups, group, per_worker)
         self.key_orders.reset(self.subset.workers)
 
     def apply_settings(self) -> None:
-        """Takes new settings."""
-        started = {number: w for number, w in self.workers.items() if w.entry.ready_at > 0.0}
-        self.warming = started
+        """Apply new settings, by which other workers may be warming up and the groups may differ."""
+        self.warming = {number: w for number, w in self.workers.items() if w.entry.ready_at > 0.0}
         self.repartition()
 
     def candidates(self) -> list[Worker]:
-        """The workers that are looked at for what may go to any: all of a subset or, of hundreds, some."""
+        """Return the workers to consider for a request without a key: the subset, or a sample of it."""
         workers = self.subset.workers
-        return workers if len(workers) <= EXAMINED else self._context.random.sample(workers, EXAMINED)
+        return (
+            workers
+            if len(workers) <= MAX_CANDIDATES
+            else self._context.random.sample(workers, MAX_CANDIDATES)
+        )
 
     def forget_silence_count(self) -> None:
-        """Lets the silent workers be counted anew."""
+        """Forget whether most workers are silent, so that they are counted again."""
         self._most_silent = None
 
     def is_usable(self, worker: Worker, now: float) -> bool:
-        """Whether the worker is neither silent nor, after a strike, left alone.
+        """Return whether the worker is neither silent nor ejected.
 
-        If most workers are silent, doubt the evidence and keep serving. A failed connection is certain."""
+        If most workers are silent, the cause is probably not theirs, so they are used all the same.
+        """
         if not worker.silent:
             return now >= worker.ejected_until or worker.failing
         if self._most_silent is None:
@@ -132,12 +137,12 @@
         return self._most_silent
 
     def pause_ends(self, now: float) -> list[float]:
-        """The times at which resting workers of the subset may be sent to again."""
-        rested = [n for n, w in self.pausing.items() if max(w.full_until, w.ejected_until) <= now]
-        for number in rested:
+        """Return when full or ejected workers of the subset may be sent requests again."""
+        over = [n for n, w in self.pausing.items() if max(w.full_until, w.ejected_until) <= now]
+        for number in over:
             del self.pausing[number]
-        here = [worker for worker in self.pausing.values() if worker in self.subset]
-        return [time for worker in here for time in (worker.full_until, worker.ejected_until)]
+        pausing = [worker for worker in self.pausing.values() if worker in self.subset]
+        return [time for worker in pausing for time in (worker.full_until, worker.ejected_until)]
 
     def recent_work(self) -> tuple[RecentWork, ...]:
         """Return the work that workers have been sent lately while they warmed up."""
@@ -171,8 +176,8 @@
                 worker.ejections = outlier.ejections
                 worker.failing = True
 
-    def _apply_entry(self, entry: Endpoint, now: float, first: bool) -> None:
-        """Takes in what the list says of one worker. After the `first` list all are dealt anew."""
+    def _apply_entry(self, entry: Endpoint, now: float, is_first: bool) -> None:
+        """Apply one entry; a first list leaves the subset to the repartition that follows it."""
         worker = self.worker_of(entry)
         old = worker.entry
         if entry == old:
@@ -186,16 +191,16 @@
         stays = was_ready and is_ready and in_place
         if was_ready and not stays:
             self.ready.remove(old)
-            if not first:
+            if not is_first:
                 self.subset.remove(old)
         worker.entry = entry
         if is_ready and not stays:
             self.ready.add(worker)
-            if not first:
+            if not is_first:
                 self.subset.add(worker)
 
     def _group_count(self) -> int:
-        """How many groups the fleet should be split into."""
+        """Return the number of groups that the fleet should have."""
         settings, ready = self._context.settings, len(self.ready.by_number)
         if self.keyed:
             return keyed_groups(self.subset.group_count, settings.dispatcher_count, ready)
--- a/eiderfield/policy/gossip.py
+++ b/eiderfield/policy/gossip.py
@@ -10,7 +10,7 @@
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.fleet import Fleet
-from eiderfield.policy.subsetting import SHARERS, group_of_dispatcher
+from eiderfield.policy.subsetting import DISPATCHERS_PER_WORKER_WITH_GOSSIP, group_of_dispatcher
 
 FRESH_MS = 2000.0  # after which a peer's report expires
 
@@ -19,6 +19,7 @@
     """Sends this dispatcher's reports to its peers and records theirs."""
 
     def __init__(self, context: Context, fleet: Fleet) -> None:
+        """Create a sender without peers."""
         self.peers: list[int] = []  # dispatchers that reports are sent to
         self._changed: dict[int, Worker] = {}  # workers whose own slots changed in this call
         self._context = context
@@ -29,7 +30,7 @@
         settings, subset = self._context.settings, self._fleet.subset
         dispatchers, groups, keyed = settings.dispatcher_count, subset.group_count, self._fleet.keyed
         self.peers = []
-        if settings.gossip_allowed and subset.dispatchers_per_worker < 2 * SHARERS[True]:
+        if settings.gossip_allowed and subset.dispatchers_per_worker < 2 * DISPATCHERS_PER_WORKER_WITH_GOSSIP:
             own = group_of_dispatcher(settings.dispatcher_index, dispatchers, groups, keyed)
             members = [
                 index
--- a/eiderfield/policy/load_reports.py
+++ b/eiderfield/policy/load_reports.py
@@ -27,6 +27,7 @@
     """Slots of workers, and the probes that ask for them."""
 
     def __init__(self, context: Context, fleet: Fleet) -> None:
+        """Create a state in which every worker has the default slots."""
         self.slots_per_kind: defaultdict[int, float] = defaultdict(
             lambda: DEFAULT_SLOTS
         )  # the most seen of a kind
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -1,15 +1,18 @@
-"""Outlier detection: workers that fall silent, and attempts that are stuck.
+"""Outlier detection: workers that have become silent, and attempts that are stuck.
 
-Theory of operation. A worker with attempts out shows by answers and notes that it lives. Where none came for
-some intervals of notes (or, where workers send no notes, for some running times) it is silent: it is struck,
-and what is out there is given up. A single attempt is stuck when its own notes stay away, for a connection
-can fall silent under a worker that is well, or when it waits unstarted for much longer than a run. Of many
-dispatchers each sees so little of a worker's queue that an attempt is called off after a short wait, unless
-all queues are long: then leaving one loses the place in it.
+A worker with open attempts shows by answers and progress notes that it is alive. If none arrives for some
+intervals of notes (or some typical durations, where workers send no notes) the worker is silent: it is
+ejected, and its attempts are reported as stalled.
 
-    trusted ──(no sign of life in time)──> silent ──(any sign of life, or nothing left out there)──> trusted
+A single attempt is stuck if its own notes stop, for a connection can break while its worker is healthy, or
+if it has waited at the worker without starting for much longer than a typical duration. With many
+dispatchers, each sees so little of a worker's queue that it reports an attempt after a short wait already;
+but not if all queues are long, when a cancelled request would lose its place in one queue for the end of
+another.
 
-What must never happen: a look at all workers in each turn (incident ic8135f).
+    healthy --(no sign of life in time)--> silent --(a sign of life, or no open attempt left)--> healthy
+
+Invariant: the workers are not all examined in every call (incident ic8135f).
 """
 
 from __future__ import annotations
@@ -23,33 +26,33 @@
 from eiderfield.policy.fleet import Fleet
 from eiderfield.policy.request import AttemptRecord, QueuedRequest
 
-SILENT_NOTES = 1.6  # intervals of notes without any sign of life: a process's pause swallows some
-STUCK_NOTES = 3.6  # intervals without a note of one attempt, at a worker that is well
-SILENT_RUNS = 3.0  # mean running times that may pass where there are no notes
-STUCK_RUNS = 8.0  # mean running times that an attempt may wait unstarted
-STUCK_RUNS_OF_MANY = 0.2  # and among many dispatchers
-WAIT_WEIGHT = 0.1  # of one request's wait in their mean
-CHECKED_AGAIN_MS = 200.0  # after which a suspicion that has come true is looked at again
+SILENT_INTERVALS = 1.6  # intervals of notes without a sign of life: some are lost when a process pauses
+STUCK_INTERVALS = 3.6  # intervals without a note of one attempt, at a healthy worker
+SILENT_RUNS = 3.0  # typical durations without a sign of life, where workers send no notes
+STUCK_RUNS = 8.0  # typical durations that an attempt may wait at a worker
+STUCK_RUNS_OF_MANY = 0.2  # the same with many dispatchers
+WAIT_WEIGHT = 0.1  # of one request in the mean wait
+RECHECK_MS = 200.0  # after which a silent worker or a stuck attempt is examined again
 
 
 class OutlierDetector:
-    """Looks for silent workers and stuck attempts when one may have become so."""
+    """Finds silent workers and stuck attempts, as soon as one can have become so."""
 
     def __init__(self, context: Context, fleet: Fleet) -> None:
-        """Create a detector that suspects no worker."""
-        self.next_check = inf  # nobody is suspect before
-        self.mean_wait_ms = 0.0  # of requests, at workers, until they start, in ms
+        """Create a detector without open attempts."""
+        self.next_check = inf  # the earliest time at which a worker or an attempt can become an outlier
+        self.mean_wait_ms = 0.0  # of requests at workers until they start
         self._context = context
         self._fleet = fleet
 
     def record_send(self, attempt: AttemptRecord, worker: Worker) -> None:
-        """An attempt is out, and may fall silent."""
-        silence, stuck = self._silent_at(worker), self._stuck_at(attempt, worker)
-        self.next_check = min(self.next_check, silence, stuck)
+        """Include an attempt that has been started in the next check."""
+        silent_at, stuck_at = self._silent_at(worker), self._stuck_at(attempt, worker)
+        self.next_check = min(self.next_check, silent_at, stuck_at)
 
-    def record_wait(self, wait: float) -> None:
-        """Takes in how long a request waited at a worker."""
-        self.mean_wait_ms += WAIT_WEIGHT * (wait - self.mean_wait_ms)
+    def record_wait(self, wait_ms: float) -> None:
+        """Update the mean wait with that of a request at a worker."""
+        self.mean_wait_ms += WAIT_WEIGHT * (wait_ms - self.mean_wait_ms)
 
     def stalled_attempts(self, now: float) -> Iterator[AttemptRecord]:
         """Eject workers that have become silent, and yield each attempt that makes no progress.
@@ -68,49 +71,47 @@
                 else:
                     self.next_check = min(self.next_check, stuck_at)
         if self.next_check <= now:
-            self.next_check = now + CHECKED_AGAIN_MS
+            self.next_check = now + RECHECK_MS
 
     def short_wait_ms(self, request: QueuedRequest) -> float:
-        """The wait that one of many dispatchers takes for a short one, in ms."""
+        """Return the wait in ms up to which one of many dispatchers considers a worker's queue short."""
         return STUCK_RUNS_OF_MANY * self._typical_duration_ms(request)
 
     def is_hopeless(self, request: QueuedRequest, now: float) -> bool:
-        """Whether a request that can't be in time would, at queues everywhere, make others late as well."""
+        """Return whether a request will be late and, all queues being long, would make others late too."""
         late = self._context.many_dispatchers and now >= request.latest_useful_start
         return late and self.mean_wait_ms > self.short_wait_ms(request)
 
     def _check_worker(self, worker: Worker, now: float) -> None:
         if worker.silent:
             return
-        silent_from = self._silent_at(worker)
-        if worker.entry.state == EndpointState.READY and now >= silent_from:
+        silent_at = self._silent_at(worker)
+        if worker.entry.state == EndpointState.READY and now >= silent_at:
             worker.silent = True
             worker.eject(now)
             self._fleet.pausing[worker.entry.worker] = worker
             text = f"worker {worker.entry.worker} silent, {len(worker.open_attempts)} jobs out"
             self._context.actions.append(LogMessage(text))
         else:
-            self.next_check = min(self.next_check, silent_from)
+            self.next_check = min(self.next_check, silent_at)
 
     def _silent_at(self, worker: Worker) -> float:
-        """When the worker's silence becomes suspect: measured from its last sign of life."""
+        """Return when a worker counts as silent if nothing is heard from it until then."""
         oldest = next(iter(worker.open_attempts.values()))
-        runs = SILENT_RUNS * self._typical_duration_ms(oldest.request)
-        notes = SILENT_NOTES * self._context.settings.progress_interval_ms
-        return max(worker.last_heard_at, oldest.sent_at) + (notes or runs)
+        without_notes = SILENT_RUNS * self._typical_duration_ms(oldest.request)
+        with_notes = SILENT_INTERVALS * self._context.settings.progress_interval_ms
+        return max(worker.last_heard_at, oldest.sent_at) + (with_notes or without_notes)
 
     def _stuck_at(self, attempt: AttemptRecord, worker: Worker) -> float:
-        """When an attempt is stuck: no note came in time or, if not started, its wait is too long."""
+        """Return when an attempt counts as stuck if nothing is heard of it until then."""
         settings = self._context.settings
         if attempt.given_up or attempt.request.streaming:
             return inf
         if attempt.started_at is not None:
-            notes = SILENT_NOTES if worker.silent else STUCK_NOTES
-            return (
-                attempt.last_heard_at + notes * settings.progress_interval_ms
-                if settings.progress_interval_ms
-                else inf
-            )
+            if not settings.progress_interval_ms:
+                return inf
+            intervals = SILENT_INTERVALS if worker.silent else STUCK_INTERVALS
+            return attempt.last_heard_at + intervals * settings.progress_interval_ms
         if not settings.workers_report_start:
             return inf
         if self._context.many_dispatchers:
@@ -118,13 +119,13 @@
         return attempt.sent_at + STUCK_RUNS / STUCK_RUNS_OF_MANY * self.short_wait_ms(attempt.request)
 
     def _short_wait_over_at(self, attempt: AttemptRecord) -> float:
-        """When one of many dispatchers calls an unstarted attempt off: each wait is twice the last."""
+        """Return until when one of many dispatchers lets an attempt wait: twice as long with each attempt."""
         short = self.short_wait_ms(attempt.request)
-        patient_until = attempt.sent_at + max(short, self.mean_wait_ms) * 2.0**attempt.number
+        wait_until = attempt.sent_at + max(short, self.mean_wait_ms) * 2.0**attempt.number
         if self.mean_wait_ms <= short:
-            return patient_until
-        # Where all queues are long, leaving one loses the place and the data.
-        return min(patient_until, max(attempt.request.latest_useful_start, attempt.sent_at + short))
+            return wait_until
+        # All queues are long: leaving one loses the place in it, and the data that is cached there.
+        return min(wait_until, max(attempt.request.latest_useful_start, attempt.sent_at + short))
 
     def _typical_duration_ms(self, request: QueuedRequest) -> float:
         return max(
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -66,6 +66,7 @@
     """All queues of a dispatcher, and the number and expected running time of the requests in them."""
 
     def __init__(self, settings: Settings) -> None:
+        """Create empty queues for each class and tenant of the settings."""
         floors = {max(cls.priority_weight for cls in settings.classes): FLOOR_TOP}
         durations = [max(MIN_DEFAULT_DURATION_MS, 0.5 * cls.latency_objective_ms) for cls in settings.classes]
         floor_shares = [floors.get(cls.priority_weight, FLOOR_REST) for cls in settings.classes]
--- a/eiderfield/policy/ready.py
+++ b/eiderfield/policy/ready.py
@@ -12,6 +12,7 @@
     """Ready workers by number, zone and cell, each in the order in which they became ready."""
 
     def __init__(self) -> None:
+        """Create an empty index."""
         self.by_number: dict[int, Worker] = {}
         self._by_zone: defaultdict[int, dict[int, Worker]] = defaultdict(dict)
         self._by_cell: defaultdict[int, dict[int, Worker]] = defaultdict(dict)
--- a/eiderfield/policy/retry_rules.py
+++ b/eiderfield/policy/retry_rules.py
@@ -68,6 +68,7 @@
     """A token bucket for retries of requests that may have run; a token pays for one whole run."""
 
     def __init__(self) -> None:
+        """Create a full bucket."""
         self.tokens = RETRY_BURST
 
     def count_attempt(self) -> None:
--- a/eiderfield/policy/selection.py
+++ b/eiderfield/policy/selection.py
@@ -1,36 +1,36 @@
-"""Endpoint selection: the worker that a request goes to.
+"""Endpoint selection: the choice of the worker for a request.
 
-Theory of operation. A request without a key may go to any worker of the subset, one with a key to the key's
-homes, and a retry only to workers that discard a repeat. Of these, the ones that are free and fit the request
-are ranked; the lowest rank wins, and ties are broken at random. The rank is the number of own requests there,
-as the design has it, behind what makes a worker better than others in kind: not slow, not failing, in this
-zone.
+The candidates are the workers of the subset or, for a request with a key, the homes of the key; a retry may
+go only to workers that discard a repeat. The candidates that are free and suit the request are ranked. The
+lowest rank is chosen, and ties are broken at random. As the design has it, the rank is the number of own
+requests at the worker; before that come the properties of which a worker with them is used only if there is
+none without: slow, failing, or in another zone.
 
-What must never happen: a walk over the whole fleet for a request.
+Invariant: no request causes a walk over the whole fleet.
 """
 
 from __future__ import annotations
 
-from math import ceil
+from math import ceil, inf
 
 from eiderfield.policy.affinity import KeyCounts
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import BASE_EJECTION_MS, Worker
-from eiderfield.policy.fleet import EXAMINED
+from eiderfield.policy.fleet import MAX_CANDIDATES
 from eiderfield.policy.fleet_state import FleetState
 from eiderfield.policy.request import QueuedRequest
 from eiderfield.policy.retry_rules import may_resend, retry_group
 
-SPARE = 1  # requests above its slots that all dispatchers should keep at a worker that doesn't tell starts
-SLOW = 2.3  # how many times longer than usual requests run where a worker counts as slow
-COLD_REST = 0.1  # share of the warm-up for which a worker is no home: requests there would mostly be late
-MORE_HOMES = 4  # times as many workers of a key that are looked at, while too few of them may be homes
+EXTRA_REQUESTS = 1  # beyond its slots, at a worker that reports no starts, to keep its slots busy
+SLOW_PACE = 2.3  # pace above which a worker counts as slow
+NO_HOME_SHARE = 0.1  # first share of the warm-up, in which a worker is no home: most requests would be late
+SEARCH_FACTOR = 4  # growth of the part of a key's order that is searched while it holds too few homes
 
-Rank = tuple[float, bool, int]
+Rank = tuple[float, bool, int]  # tier, whether in another zone, own requests; the lowest is best
 
 
 class EndpointSelector:
-    """Chooses workers for requests."""
+    """Chooses workers for requests, and tells which requests could be sent at all."""
 
     def __init__(
         self,
@@ -47,47 +47,46 @@
         self._key_counts = key_counts
 
     def is_legal(self, request: QueuedRequest, worker: Worker, now: float) -> bool:
-        """Whether the retry rules let the request go to this worker (again)."""
+        """Return whether the retry rules allow an attempt of the request at this worker."""
         settings = self._context.settings
         return may_resend(request, worker, now, settings.hedging_allowed, settings.max_attempts)
 
     def may_retry_anywhere(self, request: QueuedRequest, now: float) -> bool:
-        """Whether the retry rules let the request go to any ready worker (again)."""
+        """Return whether the retry rules allow an attempt of the request at any ready worker."""
         group = retry_group(request, self._fleet.ready)
         return any(self.is_legal(request, worker, now) for worker in first_of(group))
 
     def has_alternative(self, request: QueuedRequest, now: float) -> bool:
-        """Whether the request might go to a usable worker, were its present attempt not out."""
+        """Return whether a usable worker could take the request if its open attempt were cancelled."""
         group = retry_group(request, self._fleet.ready)
-        most = self._context.settings.max_attempts
-        if not any(may_resend(request, worker, now, True, most) for worker in first_of(group)):
+        max_attempts = self._context.settings.max_attempts
+        if not any(may_resend(request, worker, now, True, max_attempts) for worker in first_of(group)):
             return False
         return any(self._fleet.is_usable(worker, now) for worker in group.values())
 
     def is_any_free(self, now: float) -> bool:
-        """Whether any worker can take one more own request now."""
+        """Return whether any candidate can take one more own request now."""
         return any(self.is_free(worker, now) for worker in self._fleet.candidates())
 
     def free_workers(self, now: float) -> list[Worker]:
-        """The workers that can take one more own request without a key now."""
+        """Return the candidates that can take one more own request without a key now."""
         return [worker for worker in self._fleet.candidates() if self.is_free(worker, now)]
 
     def is_free(self, worker: Worker, now: float) -> bool:
-        """Whether the worker can take one more own request now. Brings its slow start budget up to date."""
+        """Return whether the worker can take one more own request now; update its slow start budget."""
         half_open = worker.ejections and not worker.failing
-        if (
-            now < worker.full_until
-            or (half_open and worker.open_attempts)
-            or not self._fleet.is_usable(worker, now)
-        ):
+        if now < worker.full_until or (half_open and worker.open_attempts):
             return False
-        if self._is_full(worker, now):
+        if not self._fleet.is_usable(worker, now) or self._is_full(worker, now):
             return False
         self._slow_start.refresh(worker, now)
         return self._slow_start.has_budget(worker)
 
     def select(self, request: QueuedRequest, free: list[Worker], now: float) -> Worker | None:
-        """The best worker for a request; one without a key is to go to one of those that are `free`."""
+        """Return the best worker for a request, None if there is none.
+
+        A request without a key goes to one of the `free` workers.
+        """
         pool = self._pool(request, free, now)
         ranked = [(self._rank(w, request, now), w) for w in pool if self._is_ready(w, request, now)]
         if not ranked:
@@ -96,15 +95,15 @@
         return self._context.random.choice([worker for rank, worker in ranked if rank == lowest])
 
     def homes(self, request: QueuedRequest, now: float) -> list[Worker]:
-        """The free ones of a key's homes, as many as its share of the requests needs."""
+        """Return the free homes of the request's key, which has the more homes the more frequent it is."""
         if not self.may_retry_anywhere(request, now):
             return []
-        most = self._key_counts.home_count(
+        count = self._key_counts.home_count(
             request.key, len(self._fleet.subset), self._context.many_dispatchers
         )
-        if most > EXAMINED:
-            return self._some_homes(request, most, now)
-        homes = self._open_homes(request, most, now)
+        if count > MAX_CANDIDATES:
+            return self._sample_of_homes(request, count, now)
+        homes = self._open_homes(request, count, now)
         if self._must_leave_subset(request, homes):
             return self._free_in_group(request, now)
         return [worker for worker in homes if self.is_free(worker, now)]
@@ -115,47 +114,48 @@
         if request.first_possible_run() is None:
             return free
         legal = [worker for worker in free if self.is_legal(request, worker, now)]
-        return legal or self._free_in_group(request, now)  # which may have no worker in this subset
+        return legal or self._free_in_group(request, now)  # the subset may hold none of the group
 
-    def _some_homes(self, request: QueuedRequest, most: int, now: float) -> list[Worker]:
-        """Some free homes of a key that has so many that a part of them, drawn at random, does as well."""
+    def _sample_of_homes(self, request: QueuedRequest, count: int, now: float) -> list[Worker]:
+        """Return free homes among a random sample, for a key of hundreds of homes."""
         group = retry_group(request, self._fleet.ready)
-        order, _ = self._fleet.key_orders.first_workers(request.key, most)
-        drawn = self._context.random.sample(order[:most], min(EXAMINED, len(order)))
-        legal = [worker for worker in drawn if worker.entry.worker in group]
+        order, _ = self._fleet.key_orders.first_workers(request.key, count)
+        sample = self._context.random.sample(order[:count], min(MAX_CANDIDATES, len(order)))
+        legal = [worker for worker in sample if worker.entry.worker in group]
         return [w for w in legal if self._is_open_home(w, request, now) and self.is_free(w, now)]
 
-    def _open_homes(self, request: QueuedRequest, most: int, now: float) -> list[Worker]:
-        """The first workers of a key that may be its homes.
+    def _open_homes(self, request: QueuedRequest, count: int, now: float) -> list[Worker]:
+        """Return the first workers of the key that can be its homes, `count` of them warm.
 
-        A warming one takes nobody's place: its budget could let nothing through (incident ia7713c)."""
-        count, whole = 2 * most, False
+        Warming workers are homes in addition: their budgets may not cover any request (incident ia7713c).
+        """
+        searched = 2 * count
         while True:
-            order, whole = self._fleet.key_orders.first_workers(request.key, count)
-            homes, warm = self._take_homes(request, order, most, now)
-            if whole or warm == most:
+            order, is_whole = self._fleet.key_orders.first_workers(request.key, searched)
+            homes, warm_count = self._homes_in(order, request, count, now)
+            if is_whole or warm_count == count:
                 return homes
-            count = MORE_HOMES * len(order)
+            searched = SEARCH_FACTOR * len(order)
 
-    def _take_homes(
-        self, request: QueuedRequest, order: list[Worker], most: int, now: float
+    def _homes_in(
+        self, order: list[Worker], request: QueuedRequest, count: int, now: float
     ) -> tuple[list[Worker], int]:
-        """The homes within a part of a key's order, and how many of these are warm."""
+        """Return the homes within a part of a key's order, and how many of them are warm: `count` at most."""
         group = retry_group(request, self._fleet.ready)
         anywhere = group is self._fleet.ready.by_number
         homes: list[Worker] = []
-        warm = 0
+        warm_count = 0
         for worker in order:
             legal = anywhere or worker.entry.worker in group
             if legal and self._is_open_home(worker, request, now):
                 homes.append(worker)
-                warm += not self._slow_start.is_warming(worker, now)
-                if warm == most:
+                warm_count += not self._slow_start.is_warming(worker, now)
+                if warm_count == count:
                     break
-        return homes, warm
+        return homes, warm_count
 
     def _must_leave_subset(self, request: QueuedRequest, homes: list[Worker]) -> bool:
-        """Whether a retry is bound to workers of which this subset has no further one."""
+        """Return whether the subset holds no further worker to which a retry may go."""
         group = retry_group(request, self._fleet.ready)
         if group is self._fleet.ready.by_number or self._fleet.subset.group_count == 1:
             return False
@@ -163,47 +163,44 @@
         return all(worker.entry.worker in tried for worker in homes)
 
     def _free_in_group(self, request: QueuedRequest, now: float) -> list[Worker]:
-        """The free ones of all workers to which a request may go (again), in this subset or not."""
+        """Return the free workers to which a request may go, inside the subset or not."""
         group = retry_group(request, self._fleet.ready).values()
         return [w for w in group if self.is_legal(request, w, now) and self.is_free(w, now)]
 
     def _is_full(self, worker: Worker, now: float) -> bool:
-        """Whether a worker has as many requests as it should, as far as this dispatcher knows."""
-        most = self._reports.slots_of(worker) + SPARE
-        if (
-            self._context.settings.workers_report_start
-        ):  # one may wait there: more would do so unseen and unmovable
-            full = worker.unstarted > 0
+        """Return whether a worker has as many requests as it should have, as far as this dispatcher knows."""
+        limit = self._reports.slots_of(worker) + EXTRA_REQUESTS
+        if self._context.settings.workers_report_start:
+            is_full = worker.unstarted > 0  # one request may wait at the worker, where it cannot be moved
         else:
-            out = (
-                len(worker.open_attempts) + worker.sibling_attempts
-            ) * self._fleet.subset.dispatchers_per_worker
-            full = out >= most and self._reports.free_slot_evidence(worker, now) <= 0.0
-        return full or (bool(self._gossip.peers) and worker.slots_in_use(now) >= most)
+            own = len(worker.open_attempts) + worker.sibling_attempts
+            estimate = own * self._fleet.subset.dispatchers_per_worker
+            is_full = estimate >= limit and self._reports.free_slot_evidence(worker, now) <= 0.0
+        return is_full or (bool(self._gossip.peers) and worker.slots_in_use(now) >= limit)
 
     def _is_open_home(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
-        """Whether requests should wait for this home: not if just started, full, or taking trials alone."""
-        if (worker.consecutive_fulls > 1 and now < worker.full_until) or not self._is_trusted(
-            worker, request, now
-        ):
+        """Return whether requests may wait for this home: not if just started, full or half open."""
+        if worker.consecutive_fulls > 1 and now < worker.full_until:
+            return False
+        if not self._is_trusted(worker, request, now):
             return False
-        soon = now + (1.0 - COLD_REST) * self._context.settings.slow_start_window_ms
+        soon = now + (1.0 - NO_HOME_SHARE) * self._context.settings.slow_start_window_ms
         return self._fleet.is_usable(worker, now) and not self._slow_start.is_warming(worker, soon)
 
     def _is_trusted(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
-        """Whether a request may go to a worker that was struck: trials are of what may best be repeated."""
+        """Return whether the request may try the worker, which after an ejection takes only the safest."""
         if not worker.ejections:
             return True
-        untried = not worker.failing and now >= worker.ejected_until + BASE_EJECTION_MS
-        return untried or request.request_class.effect <= max(self._context.trial_effect, worker.failing)
+        is_overdue = not worker.failing and now >= worker.ejected_until + BASE_EJECTION_MS
+        return is_overdue or request.request_class.effect <= max(self._context.trial_effect, worker.failing)
 
     def _is_ready(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
-        """Whether this worker may take this request: its kind, rule 2's group, and rule 4's budget."""
+        """Return whether a free worker can take this request: its kind, its slots, rule 2 and rule 4."""
         if not self._is_trusted(worker, request, now):
             return False
         if request.request_class.kind >= 0 and worker.entry.kind != request.request_class.kind:
             return False
-        # Who waits for several slots keeps free ones from others; where all is seen, none need wait there.
+        # A request that waits for several slots keeps them empty; if all slots are known, none needs to wait.
         must_fit = request.slots > 1.0 or self._context.sees_all_slots
         if must_fit and worker.slots_in_use(now) and not self._fits(worker, request, now):
             return False
@@ -212,26 +209,26 @@
         return self._slow_start.covers(worker, request.budget_cost) and self.is_legal(request, worker, now)
 
     def _fits(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
-        """Whether the worker has the slots that a request takes, as far as this dispatcher knows."""
+        """Return whether the worker has the slots that a request takes, as far as this dispatcher knows."""
         room = self._reports.slots_of(worker) - worker.slots_in_use(now)
         may_wait = self._context.free_slots_column < 0 or now >= request.latest_useful_start
-        return request.slots <= room + SPARE * may_wait
+        return request.slots <= room + EXTRA_REQUESTS * may_wait
 
     def _rank(self, worker: Worker, request: QueuedRequest, now: float) -> Rank:
-        """Own requests, and before them what makes a worker ready only while no better one is."""
+        """Return the rank of a worker: its tier, whether it is in another zone, and its own requests."""
         settings = self._context.settings
         pace = worker.pace(now) if settings.workers_report_start else 1.0
-        slow = pace > SLOW
-        tight = (self._gossip.peers or request.slots > 1.0) and not self._fits(worker, request, now)
-        tier = 1.0 if tight else -self._reports.free_slot_evidence(worker, now)
-        tier += 2.0 * worker.failing + slow
-        if self._context.many_dispatchers and worker.slow_start_left < float("inf"):
-            tier -= 1.0  # a lot that is drawn is used at once
-        elsewhere = settings.cross_zone_cost > 0.0 and worker.entry.zone != settings.zone_index
-        load = (len(worker.open_attempts) + worker.sibling_attempts + 1) * (pace if slow else 1.0)
-        return tier, elsewhere, ceil(load)
+        is_slow = pace > SLOW_PACE
+        is_tight = (self._gossip.peers or request.slots > 1.0) and not self._fits(worker, request, now)
+        tier = 1.0 if is_tight else -self._reports.free_slot_evidence(worker, now)
+        tier += 2.0 * worker.failing + is_slow
+        if self._context.many_dispatchers and worker.slow_start_left < inf:
+            tier -= 1.0  # a slow start budget that covers a request is used at once
+        in_other_zone = settings.cross_zone_cost > 0.0 and worker.entry.zone != settings.zone_index
+        load = (len(worker.open_attempts) + worker.sibling_attempts + 1) * (pace if is_slow else 1.0)
+        return tier, in_other_zone, ceil(load)
 
 
 def first_of(group: dict[int, Worker]) -> list[Worker]:
-    """One worker of a group, for what is legal at all of them or at none; none of an empty group."""
+    """Return one worker of a group of which all or none may be sent a request; nothing of an empty group."""
     return [next(iter(group.values()))] if group else []
--- a/eiderfield/policy/slow_start.py
+++ b/eiderfield/policy/slow_start.py
@@ -31,6 +31,7 @@
     """The slow start budgets of one dispatcher."""
 
     def __init__(self, context: Context, fleet: Fleet) -> None:
+        """Create budgets of a dispatcher for which nothing has been served."""
         self.served_rate = 0.0  # work served per ms, averaged
         self.served_rate_at = 0.0  # the time up to which it is averaged
         self.rate_per_warm_worker = 0.0  # work that one warm worker serves for this dispatcher per ms
--- a/eiderfield/policy/subsetting.py
+++ b/eiderfield/policy/subsetting.py
@@ -1,18 +1,18 @@
-"""Subsetting: which of the ready workers this dispatcher sends to.
+"""Subsetting: which of the ready workers this dispatcher sends requests to.
 
-Theory of operation. Each of many dispatchers keeps to a part of the fleet: otherwise it meets each worker so
-rarely that it learns nothing of it, and pays for a connection to every one. All dispatchers find their
-subsets from the endpoint list and the settings alone, without talking. The fleet is split into groups, and a
-dispatcher belongs to one of them, with the others whose numbers fall there too:
+Each of many dispatchers uses a part of the fleet only. Otherwise it would use each worker too rarely to learn
+anything about it, and keep a connection to every one. The dispatchers compute their subsets from the endpoint
+list and the settings alone, without communication. The fleet is partitioned into groups, and the subset of a
+dispatcher is one of them, which it shares with some other dispatchers:
 
-    BalancedPartition  a few workers to a group: all groups of one size, and of one mix of zones and kinds. A
-                       worker stays in its group until it leaves; a new one joins the smallest group.
-    HashedPartition    hundreds of workers to a group: each is in the group for which its hash is highest. It
-                       needs no memory of the past, so that all dispatchers of a group agree on its members
-                       whatever they saw before: they have to find the same homes for a key.
+    BalancedPartition  groups of a few workers, of equal size and an equal mix of zones and kinds. A worker
+                       stays in its group until it leaves; a new one is added to the smallest group.
+    HashedPartition    groups of hundreds of workers, for requests with keys. A worker is in the group for
+                       which its hash is highest. This does not depend on earlier changes, so all dispatchers
+                       of a group agree on its members, as they must to find the same homes for a key.
 
-What must never happen: a ready worker in no group; a change of one worker that moves more than itself and, to
-keep the sizes even, one other; a change that costs a walk over the whole fleet.
+Invariants: every ready worker is in a group; a change of one worker moves that worker and, to keep the sizes
+equal, at most one other; no change costs a walk over the whole fleet.
 """
 
 from __future__ import annotations
@@ -27,44 +27,47 @@
 from eiderfield.interface import Endpoint, stable_hash
 from eiderfield.policy.endpoint import Worker
 
-SUBSET = 4  # workers that a dispatcher keeps to at least: enough to bear the loss of some
-SHARERS = (4, 9)  # dispatchers to one worker: of more each sees too little or, if they talk, hears too much
-# Workers that a dispatcher keeps to where requests have keys. The standing test lets a fleet of 3,200 cost
-# 2.5 times the connections of one of 200, plus 40: 540 at a worker each, below which this has to stay.
-KEYED_SUBSET = 500
-SPREAD = 0.1  # part by which the number of groups may be wrong before all workers are dealt anew
-KEYED_SPREAD = 0.5  # and by which one of hundreds may: their homes are lost when the groups change
-DONORS = 8  # groups that are looked at for a worker, when another has become too small
-GOLDEN_RATIO = 0.6180339887498949  # multiples of it, less the whole, lie evenly between 0 and 1
+MIN_SUBSET_SIZE = 4  # workers in a subset at least: enough to tolerate the loss of some
+DISPATCHERS_PER_WORKER = 4  # that share a group; with more, each would see too little of a worker
+DISPATCHERS_PER_WORKER_WITH_GOSSIP = 9  # the same where they report to each other: limits the reports
+# Workers in a subset where requests have keys. A fleet of 3,200 may cost 2.5 times the connections of one of
+# 200, plus 40 (docs/standing.md): that makes 540 with one connection to a worker, the upper bound of this.
+KEYED_SUBSET_SIZE = 500
+GROUP_COUNT_TOLERANCE = 0.1  # share by which the number of groups may deviate before a repartition
+KEYED_SIZE_TOLERANCE = 0.5  # share by which a keyed subset may be too small: a repartition moves homes
+MAX_DONOR_GROUPS = 8  # groups among which a worker is chosen to refill another group
+GOLDEN_RATIO = 0.6180339887498949  # the fractional parts of its multiples are spread evenly over 0 to 1
 
 Place = tuple[int, int, int]  # zone, kind and number of a worker: their order in a subset
 
 
 def place_of(entry: Endpoint) -> Place:
-    """The place of a worker in the order of a subset."""
+    """Return the place of a worker in the order of a subset."""
     return entry.zone, entry.kind, entry.worker
 
 
-def balanced_groups(current: int, dispatchers: int, talk: bool, workers: int) -> int:
-    """How many groups of a few workers there should be, given how many there are."""
-    sharers = SHARERS[talk]
-    wanted = max(1, min(round(dispatchers / sharers), workers // SUBSET))
-    return current if abs(wanted - current) <= SPREAD * current else wanted
+def balanced_groups(current: int, dispatchers: int, gossip: bool, workers: int) -> int:
+    """Return the number of groups of a `BalancedPartition`, given the current one."""
+    per_worker = DISPATCHERS_PER_WORKER_WITH_GOSSIP if gossip else DISPATCHERS_PER_WORKER
+    wanted = max(1, min(round(dispatchers / per_worker), workers // MIN_SUBSET_SIZE))
+    return current if abs(wanted - current) <= GROUP_COUNT_TOLERANCE * current else wanted
 
 
 def keyed_groups(current: int, dispatchers: int, workers: int) -> int:
-    """How many groups of hundreds of workers there should be, given how many there are."""
-    most = max(1, round(dispatchers / SHARERS[False]))
-    wanted = min(most, ceil(workers / KEYED_SUBSET))
+    """Return the number of groups of a `HashedPartition`, given the current one."""
+    max_groups = max(1, round(dispatchers / DISPATCHERS_PER_WORKER))
+    wanted = min(max_groups, ceil(workers / KEYED_SUBSET_SIZE))
     size = workers / max(1, current)
-    if current > most or size > KEYED_SUBSET * (1.0 + SPREAD) or size < KEYED_SUBSET * (1.0 - KEYED_SPREAD):
+    too_large = size > KEYED_SUBSET_SIZE * (1.0 + GROUP_COUNT_TOLERANCE)
+    too_small = size < KEYED_SUBSET_SIZE * (1.0 - KEYED_SIZE_TOLERANCE)
+    if current > max_groups or too_large or too_small:
         return max(1, wanted)
     return current
 
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """A worker has come into a group, left one, or both. None: no group."""
+    """A worker that has changed its group; None is no group."""
 
     place: Place
     source: int | None
@@ -72,27 +75,28 @@
 
 
 class Partition(Protocol):
-    """A split of the ready workers into groups."""
+    """A partition of the ready workers into groups, which are numbered from 0."""
 
     group_count: int
 
-    def repartition(self, places: Iterable[Place], groups: int) -> None:
-        """Splits all ready workers anew into so many groups."""
+    def repartition(self, places: Iterable[Place], groups: int, /) -> None:
+        """Divide all ready workers into so many groups."""
 
     def add(self, place: Place) -> list[Move]:
-        """Takes in one more worker."""
+        """Add a worker; return who has changed its group."""
 
     def remove(self, place: Place) -> list[Move]:
-        """Lets a worker go."""
+        """Remove a worker; return who has changed its group."""
 
     def group_of(self, place: Place) -> int:
-        """The group of a worker that has been taken in."""
+        """Return the group of a worker that has been added."""
 
 
 class BalancedPartition:
-    """Groups whose sizes differ by one at most, each of the same mix of zones and kinds."""
+    """Groups whose sizes differ by one at most, each with the same mix of zones and kinds."""
 
     def __init__(self) -> None:
+        """Create one empty group."""
         self.group_count = 1
         self._group_of: dict[Place, int] = {}
         self._members: list[dict[Place, None]] = [{}]
@@ -100,7 +104,7 @@
         self._sizes_per_kind: Counter[tuple[int, int, int]] = Counter()  # by zone, kind and group
 
     def repartition(self, places: Iterable[Place], groups: int) -> None:
-        """Splits all ready workers anew: in their order each goes to the next group."""
+        """Divide all ready workers: in their order, each goes to the next group."""
         self.group_count = groups
         self._group_of.clear()
         self._members = [{} for _ in range(groups)]
@@ -110,7 +114,7 @@
             self._add_member(place, number % groups)
 
     def add(self, place: Place) -> list[Move]:
-        """Puts a worker into the smallest group, of these the one that has fewest of its zone and kind."""
+        """Add a worker to the smallest group, among equals to that with fewest of its zone and kind."""
         smallest = min(self._sizes)
         candidates = [group for group, size in enumerate(self._sizes) if size == smallest]
         zone, kind, worker = place
@@ -122,7 +126,7 @@
         return [Move(place, None, target)]
 
     def remove(self, place: Place) -> list[Move]:
-        """Takes a worker out. Where its group is then two short, one of the largest gives up a worker."""
+        """Remove a worker; if its group is then two short, one of the largest gives a worker to it."""
         group = self._group_of[place]
         self._remove_member(place)
         moves = [Move(place, group, None)]
@@ -131,24 +135,24 @@
         return moves
 
     def group_of(self, place: Place) -> int:
-        """The group of a worker that has been taken in."""
+        """Return the group of a worker that has been added."""
         return self._group_of[place]
 
     def _refill(self, group: int) -> Move:
-        """Moves a worker to a group from one of the largest: of a zone and kind that the group lacks most."""
+        """Move a worker to a group from one of the largest, of the zone and kind that it lacks most."""
         largest = max(self._sizes)
         donors = [donor for donor, size in enumerate(self._sizes) if size == largest]
         first = bisect_left(donors, group)
-        asked = [donors[(first + step) % len(donors)] for step in range(min(DONORS, len(donors)))]
-        offers = [place for donor in asked for place in self._members[donor]]
+        chosen = [donors[(first + step) % len(donors)] for step in range(min(MAX_DONOR_GROUPS, len(donors)))]
+        offers = [place for donor in chosen for place in self._members[donor]]
 
-        def surplus(place: Place) -> tuple[int, int]:
+        def rank(place: Place) -> tuple[int, int]:
             zone, kind, worker = place
             donor = self._group_of[place]
             excess = self._sizes_per_kind[zone, kind, group] - self._sizes_per_kind[zone, kind, donor]
             return excess, stable_hash(group, worker)
 
-        place = min(offers, key=surplus)
+        place = min(offers, key=rank)
         source = self._group_of[place]
         self._remove_member(place)
         self._add_member(place, group)
@@ -170,25 +174,26 @@
 
 
 class HashedPartition:
-    """Groups by rendezvous hashing: even enough where each has hundreds of workers."""
+    """Groups by rendezvous hashing: of nearly equal size if each has hundreds of workers."""
 
     def __init__(self) -> None:
+        """Create one group."""
         self.group_count = 1
 
-    def repartition(self, places: Iterable[Place], groups: int) -> None:
-        """Sets the number of groups. A worker changes its group only for a new one, or from one that goes."""
+    def repartition(self, _places: Iterable[Place], groups: int) -> None:
+        """Set the number of groups; workers move only to new groups, or from those that are gone."""
         self.group_count = groups
 
     def add(self, place: Place) -> list[Move]:
-        """Takes in one more worker."""
+        """Add a worker; return who has changed its group."""
         return [Move(place, None, self.group_of(place))]
 
     def remove(self, place: Place) -> list[Move]:
-        """Lets a worker go."""
+        """Remove a worker; return who has changed its group."""
         return [Move(place, self.group_of(place), None)]
 
     def group_of(self, place: Place) -> int:
-        """The group for which the worker's hash is highest."""
+        """Return the group for which the worker's hash is highest."""
         _, _, worker = place
         return max(range(self.group_count), key=lambda group: stable_hash(group + 1, worker))
 
@@ -196,42 +201,54 @@
 class Subset:
     """The workers of one dispatcher's group, in the order of their places."""
 
-    def __init__(self, joined: Callable[[Worker], None], left: Callable[[Worker], None]) -> None:
+    def __init__(self, on_added: Callable[[Worker], None], on_removed: Callable[[Worker], None]) -> None:
+        """Create an empty subset, which reports each single change of its workers."""
         self.workers: list[Worker] = []
-        self.dispatchers_per_worker = 1.0  # dispatchers that send to one worker
+        self.dispatchers_per_worker = 1.0  # that use the same group
         self.group_count = 1
         self._group = 0
-        self._places: list[Place] = []  # of `workers`, one by one
+        self._places: list[Place] = []  # of `workers`, in the same order
         self._ready: dict[Place, Worker] = {}
         self._partition: Partition = BalancedPartition()
-        self._joined = joined
-        self._left = left
+        self._on_added = on_added
+        self._on_removed = on_removed
 
     def __len__(self) -> int:
+        """Return the number of workers."""
         return len(self.workers)
 
     def __contains__(self, worker: Worker) -> bool:
-        return self._find(place_of(worker.entry)) is not None
+        """Return whether a worker belongs to the subset."""
+        place = place_of(worker.entry)
+        index = bisect_left(self._places, place)
+        return index < len(self._places) and self._places[index] == place
 
     def repartition(
-        self, ready: Iterable[Worker], keyed: bool, groups: int, group: int, sharers: float
+        self,
+        ready: Iterable[Worker],
+        keyed: bool,
+        groups: int,
+        group: int,
+        dispatchers_per_worker: float,
     ) -> None:
-        """Splits the fleet anew and takes the workers of a group."""
+        """Partition the ready workers and set the subset to one group; reports no single changes."""
         self._ready = {place_of(worker.entry): worker for worker in ready}
         self._partition = HashedPartition() if keyed else BalancedPartition()
         self._partition.repartition(self._ready, groups)
-        self.group_count, self._group, self.dispatchers_per_worker = groups, group, sharers
+        self.group_count = groups
+        self._group = group
+        self.dispatchers_per_worker = dispatchers_per_worker
         self._places = sorted(place for place in self._ready if self._partition.group_of(place) == group)
         self.workers = [self._ready[place] for place in self._places]
 
     def add(self, worker: Worker) -> None:
-        """Takes in a worker that has become ready."""
+        """Add a worker that has become ready, to whatever group it belongs."""
         place = place_of(worker.entry)
         self._ready[place] = worker
         self._apply(self._partition.add(place))
 
     def remove(self, entry: Endpoint) -> None:
-        """Lets a worker go that was ready, at the place that it had then."""
+        """Remove a worker, given the entry with which it was added."""
         place = place_of(entry)
         self._apply(self._partition.remove(place))
         del self._ready[place]
@@ -241,22 +258,20 @@
             if move.source == self._group:
                 index = bisect_left(self._places, move.place)
                 del self._places[index]
-                self._left(self.workers.pop(index))
+                self._on_removed(self.workers.pop(index))
             if move.target == self._group:
                 index = bisect_left(self._places, move.place)
                 self._places.insert(index, move.place)
                 self.workers.insert(index, self._ready[move.place])
-                self._joined(self._ready[move.place])
+                self._on_added(self._ready[move.place])
 
-    def _find(self, place: Place) -> int | None:
-        index = bisect_left(self._places, place)
-        found = index < len(self._places) and self._places[index] == place
-        return index if found else None
 
+def group_of_dispatcher(index: int, dispatchers: int, groups: int, keyed: bool) -> int:
+    """Return the group of a dispatcher.
 
-def group_of_dispatcher(number: int, dispatchers: int, groups: int, keyed: bool) -> int:
-    """The group of a dispatcher. In keyed fleets neighbours in number are spread over the groups, so that a
-    part of the dispatchers, such as one zone's, still serves all groups."""
+    Where requests have keys, dispatchers with neighbouring indices are spread over the groups, so that a part
+    of the dispatchers, such as those of one zone, still serves all groups.
+    """
     if keyed:
-        return int((number * GOLDEN_RATIO) % 1.0 * groups)
-    return number * groups // dispatchers
+        return int((index * GOLDEN_RATIO) % 1.0 * groups)
+    return index * groups // dispatchers
--- a/eiderfield/policy/timer.py
+++ b/eiderfield/policy/timer.py
@@ -12,6 +12,7 @@
     """Requests the `TimerFired` event at the earliest time at which something may change by itself."""
 
     def __init__(self, context: Context) -> None:
+        """Create a timer that is not pending."""
         self._context = context
         self._pending_at = 0.0  # when the pending timer fires, 0 if none is pending
         self._token = 0
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -22,7 +22,7 @@
 from eiderfield.policy.queues import ClassQueue
 from eiderfield.policy.rate_control import Pacer
 from eiderfield.policy.request import QueuedRequest, QueueId
-from eiderfield.policy.selection import COLD_REST
+from eiderfield.policy.selection import NO_HOME_SHARE
 
 
 def window(pacer, start, sent, fulls, waiting=False):
@@ -273,7 +273,7 @@
 
 
 def test_counts_of_keys_do_not_grow_without_end(monkeypatch):
-    monkeypatch.setattr("eiderfield.policy.affinity.KEY_MEMORY", 50)
+    monkeypatch.setattr("eiderfield.policy.affinity.MAX_COUNTED_REQUESTS", 50)
     node = Node(workers=2)
     for key in range(1, 300):
         sent_to(node, key, 1)
@@ -333,7 +333,11 @@
             got += [node.now - started] if send.worker == 1 else []
             node.end(send.request_id, 0, send.worker, Outcome.OK, final=True, elapsed=40.0)
     assert got
-    assert COLD_REST * BASE.slow_start_window_ms <= got[0] < (COLD_REST + 0.1) * BASE.slow_start_window_ms
+    assert (
+        NO_HOME_SHARE * BASE.slow_start_window_ms
+        <= got[0]
+        < (NO_HOME_SHARE + 0.1) * BASE.slow_start_window_ms
+    )
     node.dispatcher.workers[1].recent_sends.append((node.now, inf))
     assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [2], "its budget is spent"
 
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -25,7 +25,7 @@
     encode_peer_report,
     stable_hash,
 )
-from eiderfield.policy.affinity import HOMES
+from eiderfield.policy.affinity import MIN_HOMES
 from eiderfield.policy.attempt_outcomes import MAX_WAIT_PAUSES
 from eiderfield.policy.context import MANY_DISPATCHERS
 from eiderfield.policy.outlier_detection import STUCK_RUNS_OF_MANY
@@ -408,7 +408,7 @@
         for send in sends(actions):
             node.play(AttemptProgressed(id_, 0, send.worker, 1, 0.0))  # and so it is free for the next
         jobs[-1].attempts.clear()
-    assert max(len(module._selector.homes(job, 0.0)) for job in jobs) <= HOMES
+    assert max(len(module._selector.homes(job, 0.0)) for job in jobs) <= MIN_HOMES
 
 
 def test_the_share_of_a_key_that_many_nodes_guess_is_right_on_the_mean():
@@ -502,4 +502,4 @@
         homes.append(
             len(node.dispatcher._selector.homes(job, 0.0)) + 1
         )  # the one that has the job is not free
-    assert homes == [12, HOMES]
+    assert homes == [12, MIN_HOMES]
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -18,12 +18,12 @@
     stable_hash,
 )
 from eiderfield.policy import affinity, subsetting
-from eiderfield.policy.affinity import CHANGES_KEPT, KeyOrders
+from eiderfield.policy.affinity import MIN_CHANGES_KEPT, KeyOrders
 from eiderfield.policy.endpoint import Worker
-from eiderfield.policy.fleet import EXAMINED, Fleet
+from eiderfield.policy.fleet import MAX_CANDIDATES, Fleet
 from eiderfield.policy.selection import EndpointSelector
 from eiderfield.policy.slow_start import SlowStart
-from eiderfield.policy.subsetting import KEYED_SUBSET, SHARERS, SUBSET
+from eiderfield.policy.subsetting import DISPATCHERS_PER_WORKER, KEYED_SUBSET_SIZE, MIN_SUBSET_SIZE
 
 SITE = replace(BASE, hedging_allowed=False, zone_count=4)
 
@@ -101,7 +101,7 @@
         node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(old, state=EndpointState.GONE), new)))
 
     most = cost(examined, change)
-    assert most.total() <= 20 + subsetting.DONORS * (SUBSET + 1), most
+    assert most.total() <= 20 + subsetting.MAX_DONOR_GROUPS * (MIN_SUBSET_SIZE + 1), most
 
 
 @pytest.mark.parametrize("size", [200, 3200])
@@ -118,7 +118,7 @@
     for key in range(100, 1100):
         serve(node, affinity_key=key)
     most = cost(examined, lambda number: serve(node, affinity_key=2000 + number))
-    assert most["stable_hashes_up_to"] <= KEYED_SUBSET * 1.1
+    assert most["stable_hashes_up_to"] <= KEYED_SUBSET_SIZE * 1.1
     assert (most - Counter(stable_hashes_up_to=size)).total() <= 40, most
 
 
@@ -126,12 +126,12 @@
 def test_a_request_without_a_key_looks_at_a_bounded_number_of_workers(keyed, examined):
     """Also where one dispatcher has the whole fleet to itself."""
     node = node_of(3200, dispatchers=1, keyed=keyed)
-    assert cost(examined, lambda number: serve(node)).total() <= 3 * EXAMINED
+    assert cost(examined, lambda number: serve(node)).total() <= 3 * MAX_CANDIDATES
 
 
 def test_a_hot_key_looks_at_a_bounded_number_of_its_homes(examined):
     node = node_of(3200, dispatchers=1)
-    assert cost(examined, lambda number: serve(node, affinity_key=1)).total() <= 6 * EXAMINED
+    assert cost(examined, lambda number: serve(node, affinity_key=1)).total() <= 6 * MAX_CANDIDATES
 
 
 @pytest.mark.parametrize("size", [200, 3200])
@@ -205,9 +205,9 @@
         assert max(sizes) - min(sizes) <= 1, sizes
         sharers = Counter(worker for node in nodes for worker in members(node))
         assert set(sharers) == set(entries)
-        assert min(sharers.values()) >= SHARERS[False]
-        assert max(sharers.values()) <= 2 * SHARERS[False]
-    assert min(sizes) >= SUBSET - 1
+        assert min(sharers.values()) >= DISPATCHERS_PER_WORKER
+        assert max(sharers.values()) <= 2 * DISPATCHERS_PER_WORKER
+    assert min(sizes) >= MIN_SUBSET_SIZE - 1
 
 
 def test_subsets_of_a_few_keep_a_mix_of_zones_and_kinds():
@@ -295,7 +295,7 @@
     rng, orders = random.Random(5), KeyOrders()
     workers = {number: Worker(Endpoint(number)) for number in range(1, 60)}
     orders.reset(workers.values())
-    for number in range(100, 100 + 8 * CHANGES_KEPT):
+    for number in range(100, 100 + 8 * MIN_CHANGES_KEPT):
         if rng.random() < 0.5 and len(workers) > 5:
             orders.remove(workers.pop(rng.choice(sorted(workers))))
         else:
