--- a/eiderfield/durable_requests/answer_recorder.py
+++ b/eiderfield/durable_requests/answer_recorder.py
@@ -60,7 +60,7 @@
         """
         answer = finish.answer
         log = self._context.services.log
-        log(f"durable requests: the answer to {finish.id} is not written down yet: {outcome.reason}")
+        log(f"durable requests: answer not recorded yet, retrying (id={finish.id} reason={outcome.reason})")
         if answer.verdict != Verdict.SERVED:
             answer = Answer(Verdict.FAILED, may_have_run=True, attempts=answer.attempts)
         self._record_later(Finish(finish.id, answer, finish.reason), RETRY_INTERVAL_MS, outcome)
--- a/eiderfield/durable_requests/changes.py
+++ b/eiderfield/durable_requests/changes.py
@@ -38,7 +38,7 @@
 )
 from eiderfield.durable_requests.record import Record, Stage
 
-NO_INCARNATION = "no life could be begun"  # the reason of a `NotWritten`
+NO_INCARNATION = "no incarnation could be begun"  # the reason of a `NotWritten`
 ID_IS_HELD = 0  # in the place of a generation: another incarnation holds the id
 
 
--- a/eiderfield/durable_requests/commit_thread.py
+++ b/eiderfield/durable_requests/commit_thread.py
@@ -232,7 +232,7 @@
         """Report an `Exception` and suppress it."""
         if not isinstance(error, Exception):
             return False
-        self._member.report(f"durable requests: {error!r}")
+        self._member.report(f"durable requests: step failed (error={error!r})")
         return True
 
 
--- a/eiderfield/durable_requests/context.py
+++ b/eiderfield/durable_requests/context.py
@@ -78,7 +78,7 @@
     def count_failure(self, error: Exception) -> None:
         """Count and log an operation that the system refused and that is tried again."""
         self.counters.commits_failed += 1
-        self.log_once(f"durable requests: {error}")
+        self.log_once(f"durable requests: operation refused, retrying (error={error})")
 
     def end_incarnation(self) -> None:
         """End the current incarnation. Its successors own its requests."""
@@ -99,8 +99,8 @@
         self.counters.fenced += 1
         fence = self.folder.fences.read(name)
         self.log(
-            f"durable requests: {name} was taken for lost by {fence.by}: {fence.reason}; "
-            f"{len(self.incarnation.open_records)} requests went to {', '.join(fence.successors)}"
+            f"durable requests: incarnation was fenced (name={name} by={fence.by} reason={fence.reason} "
+            f"open_requests={len(self.incarnation.open_records)} successors={','.join(fence.successors)})"
         )
         self.end_incarnation()
         return True
@@ -115,7 +115,8 @@
             return self.is_over()
         except OSError as error:
             self.log_once(
-                f"durable requests: {self.own_name} ends: whether it is fenced cannot be read: {error}"
+                f"durable requests: incarnation ended, its fence is unreadable (name={self.own_name} "
+                f"error={error})"
             )
             self.end_incarnation()
             return True
--- a/eiderfield/durable_requests/coordinator.py
+++ b/eiderfield/durable_requests/coordinator.py
@@ -86,7 +86,7 @@
             if not error.transient:
                 raise
             self.context.services.log(
-                f"durable requests: no life could be begun, and none is accepted until one is: {error}"
+                f"durable requests: no incarnation could be begun, requests are refused (error={error})"
             )
 
     def start(self) -> None:
@@ -124,7 +124,7 @@
     def _on_left(self, left: bool) -> None:
         if left:
             count = len(self.context.owned_requests)
-            self.context.services.log(f"durable requests: left; {count} requests are the others' now")
+            self.context.services.log(f"durable requests: left the members (open_requests={count})")
             self.thread_events.on_incarnation_over()
 
     def figures(self) -> DurableRequestFigures:
--- a/eiderfield/durable_requests/intake.py
+++ b/eiderfield/durable_requests/intake.py
@@ -139,7 +139,9 @@
             case Conflict():
                 waiter.answer(Answer(Verdict.CONFLICT))
             case NotWritten(reason):
-                self._context.services.log(f"durable requests: {waiter.request.id} is not accepted: {reason}")
+                self._context.services.log(
+                    f"durable requests: request refused (id={waiter.request.id} reason={reason})"
+                )
                 self._reject(waiter)
             case AlreadyAccepted(id_):
                 self._count_joined(waiter)
--- a/eiderfield/durable_requests/member.py
+++ b/eiderfield/durable_requests/member.py
@@ -259,7 +259,7 @@
         try:
             self.begin()
         except DurableRequestsError as error:
-            self._context.log_once(f"durable requests: no life could be begun: {error}")
+            self._context.log_once(f"durable requests: no incarnation could be begun (error={error})")
 
     def _tick(self, own: Incarnation) -> None:
         self.folder.fences.refresh()
--- a/eiderfield/durable_requests/membership.py
+++ b/eiderfield/durable_requests/membership.py
@@ -60,8 +60,8 @@
             if fences.create(name, successors, own.name, reason):
                 self._context.counters.fences += 1
                 self._context.log(
-                    f"durable requests: {name} is lost: {reason}; what it had goes to "
-                    f"{', '.join(sorted(successors))}"
+                    f"durable requests: incarnation is lost (name={name} reason={reason} "
+                    f"successors={','.join(sorted(successors))})"
                 )
 
     def fence_self(self, own: Incarnation) -> bool:
--- a/eiderfield/durable_requests/readers.py
+++ b/eiderfield/durable_requests/readers.py
@@ -54,7 +54,10 @@
     def _log_unreadable(self, incarnation: str, error: StoreError) -> None:
         if incarnation not in self._logged and self._folder.fences.exists(incarnation):
             self._logged.add(incarnation)
-            self._log(f"durable requests: what {incarnation} left cannot be read: {error}")
+            self._log(
+                "durable requests: store of a lost incarnation is unreadable "
+                f"(name={incarnation} error={error})"
+            )
 
     def is_empty(self, incarnation: str) -> bool:
         """Return whether a store could not be opened because nothing was ever written to it."""
