--- a/eiderfield/batch/durable.py
+++ b/eiderfield/batch/durable.py
@@ -1,4 +1,4 @@
-"""What the batch front needs of the store that keeps jobs beyond their dispatcher."""
+"""What the batch front needs of the store of durable jobs."""
 
 from __future__ import annotations
 
@@ -9,47 +9,51 @@
 
 
 class DurableJobs(Protocol):
-    """The store, as the registry hands jobs to it."""
+    """Accepts durable jobs (`durable_requests/intake.py`)."""
 
     @property
-    def full(self) -> bool:
-        """Whether it accepts no new job now."""
+    def is_full(self) -> bool:
+        """Whether no new job is accepted now."""
 
-    def keeps(self, cls: int) -> bool:
-        """Whether it keeps the jobs of a class."""
+    def is_durable(self, class_index: int) -> bool:
+        """Return whether jobs of a class are durable."""
 
-    def take(
+    def accept(
         self,
         request: Request,
-        told: Callable[[Answer], None],
+        on_answer: Callable[[Answer], None],
         front: str,
-        taken: Callable[[], None],
+        on_recorded: Callable[[], None],
     ) -> Callable[[], None]:
-        """Accepts a job; `taken` is called once it is stored, `told` with its answer."""
+        """Accept a job.
+
+        `on_recorded` is called once the job is recorded, `on_answer` with its answer. Returns what to call
+        when the client has left.
+        """
 
 
 class DurableJob(Protocol):
-    """A job that the store knows (`durable_requests/record.py`)."""
+    """A recorded job (`durable_requests/record.py`)."""
 
     @property
     def id(self) -> str:
-        """Its id."""
+        """The job's id."""
 
     @property
     def class_name(self) -> str:
-        """The name of its class."""
+        """The name of the job's class."""
 
     @property
     def accepted_at(self) -> float:
-        """When it was accepted, on the monotonic clock."""
+        """When it was accepted, in ms of the monotonic clock."""
 
     @property
     def finished_at(self) -> float:
-        """When it had its answer, on the monotonic clock."""
+        """When it had its answer, in ms of the monotonic clock."""
 
     @property
     def verdict(self) -> str:
-        """Of its answer, '' without one."""
+        """The verdict of its answer, '' without one."""
 
     @property
     def attempts(self) -> Sequence[object]:
@@ -57,20 +61,20 @@
 
     @property
     def answer(self) -> Answer:
-        """Its answer."""
+        """The answer of a job that has a verdict."""
 
 
 class DurableJobLookup(Protocol):
-    """The store, as it is asked about jobs, wherever they are (`durable_requests/answer_lookup.py`)."""
+    """Looks up jobs of any dispatcher (`durable_requests/answer_lookup.py`)."""
 
-    def find(self, id_: str, then: Callable[[DurableJob | None], None]) -> None:
-        """Looks a job up; `then` is called once, later."""
+    def find(self, id_: str, on_found: Callable[[DurableJob | None], None]) -> None:
+        """Look up a job; `on_found` is called once, later."""
 
-    def wait(self, id_: str, until: float, told: Callable[[Answer], None]) -> Callable[[], None]:
-        """Waits for a job's answer; returns what to call when nobody waits any more."""
+    def wait(self, id_: str, until: float, on_answer: Callable[[Answer], None]) -> Callable[[], None]:
+        """Wait for the answer of a job until a time in ms. Returns what to call to stop waiting."""
 
-    def cancel(self, id_: str, then: Callable[[bool], None]) -> None:
-        """Requests the end of a job; `then` is told whether the request is stored."""
+    def cancel(self, id_: str, on_requested: Callable[[bool], None]) -> None:
+        """Request the end of a job; `on_requested` is called with whether that is recorded."""
 
-    def clock_of(self, at: float) -> float:
-        """A monotonic time on this process's clock."""
+    def from_monotonic(self, at: float) -> float:
+        """Convert a time of the monotonic clock to the process's clock, both in ms."""
--- a/eiderfield/batch/registry.py
+++ b/eiderfield/batch/registry.py
@@ -186,7 +186,7 @@
         if self.unfinished + len(templates) > self._limits.unfinished_jobs:
             raise TryLaterError("too many jobs are unfinished", RETRY_AFTER)
         durable = any(self._is_durable(template) for template in templates)
-        if durable and self._durable is not None and self._durable.full:
+        if durable and self._durable is not None and self._durable.is_full:
             raise TryLaterError("too many jobs are being written down", RETRY_AFTER)
         size = sum(len(template.body.encode()) for template in templates)
         self._free_memory(size)
@@ -214,7 +214,7 @@
         request = self._request_of(job, body)
         self._jobs[job.job_id] = job
         if self._durable is not None and self._is_durable(template):
-            self._durable.take(
+            self._durable.accept(
                 request,
                 lambda answer: self._finish(job, answer),
                 FRONT_NAME,
@@ -248,7 +248,7 @@
         return f"{self._id_prefix}.{self._last_number}"
 
     def _is_durable(self, template: JobTemplate) -> bool:
-        return self._durable is not None and self._durable.keeps(self._classes[template.job_class])
+        return self._durable is not None and self._durable.is_durable(self._classes[template.job_class])
 
     def _accept(self, job: BatchJob) -> None:
         job.accepted = True
--- a/eiderfield/batch/remote.py
+++ b/eiderfield/batch/remote.py
@@ -93,15 +93,15 @@
         error = InvalidJobError(f"job {job_id[:SHOWN_CHARACTERS]!r} is not known")
         send_error(connection, error)
     else:
-        send_status(connection, status_of_durable(job, lookup.clock_of), to_unix)
+        send_status(connection, status_of_durable(job, lookup.from_monotonic), to_unix)
 
 
-def status_of_durable(job: DurableJob, clock_of: Callable[[float], float]) -> JobStatus:
-    """The status of a job of the durable store; `clock_of` converts its times to the process's clock."""
+def status_of_durable(job: DurableJob, from_monotonic: Callable[[float], float]) -> JobStatus:
+    """Return the status of a durable job, with its times converted by `from_monotonic`."""
     state, end = JobState.QUEUED_ACTIVE, None
     if job.verdict:
         state = JobState.DONE if job.verdict == Verdict.SERVED.value else JobState.FAILED
-        end = JobEnd(job.answer, clock_of(job.finished_at))
+        end = JobEnd(job.answer, from_monotonic(job.finished_at))
     elif job.attempts:
         state = JobState.RUNNING
-    return JobStatus(job.id, job.class_name, state, clock_of(job.accepted_at), end)
+    return JobStatus(job.id, job.class_name, state, from_monotonic(job.accepted_at), end)
--- a/eiderfield/durable_requests/answer_lookup.py
+++ b/eiderfield/durable_requests/answer_lookup.py
@@ -11,7 +11,7 @@
 from eiderfield.durable_requests.owned_requests import UNKNOWN_CLASS
 from eiderfield.durable_requests.record import Record
 from eiderfield.durable_requests.remote_waiters import RemoteWaiters
-from eiderfield.durable_requests.waiters import Answered, Waiter
+from eiderfield.durable_requests.waiters import AnswerCallback, Waiter
 from eiderfield.exchange.request import Request
 
 
@@ -26,29 +26,31 @@
         self._remote_waiters = remote_waiters
         self._cancellation = cancellation
 
-    def find(self, id_: str, then: Callable[[Record | None], None]) -> None:
-        """Look up the record of a request. `then` is called once, later."""
-        self._context.commit_thread.write(Find(id_), lambda outcome: then(_record_found(outcome)))
+    def find(self, id_: str, on_found: Callable[[Record | None], None]) -> None:
+        """Look up the record of a request. `on_found` is called once, later."""
+        self._context.commit_thread.write(Find(id_), lambda outcome: on_found(_record_found(outcome)))
 
-    def wait(self, id_: str, until: float, answered: Answered) -> Callable[[], None]:
-        """Wait for the answer of a request; `answered` gets a failure if there is none at `until` (ms).
+    def wait(self, id_: str, until: float, on_answer: AnswerCallback) -> Callable[[], None]:
+        """Wait for the answer of a request; `on_answer` gets a failure if there is none at `until` (ms).
 
-        Returns what to call when nobody waits any more.
+        Returns what to call to stop waiting.
         """
-        waiter = Waiter(Request(id_, UNKNOWN_CLASS, until, ""), answered)
+        waiter = Waiter(Request(id_, UNKNOWN_CLASS, until, ""), on_answer)
         waiter.timer = self._context.services.timers.at(until, waiter.expire)
         self._remote_waiters.add(id_, waiter)
         return partial(self._cancellation.client_left, waiter)
 
-    def cancel(self, id_: str, then: Callable[[bool], None]) -> None:
-        """Request the end of a request, wherever it is; `then` is told whether that is recorded.
+    def cancel(self, id_: str, on_requested: Callable[[bool], None]) -> None:
+        """Request the end of a request of any process; `on_requested` gets whether that is recorded.
 
         The answer says whether the request ended so, or as it would have without it.
         """
-        self._context.commit_thread.write(RequestEnd(id_), lambda outcome: then(isinstance(outcome, Written)))
+        self._context.commit_thread.write(
+            RequestEnd(id_), lambda outcome: on_requested(isinstance(outcome, Written))
+        )
         self._cancellation.cancel([id_])
 
-    def clock_of(self, at: float) -> float:
+    def from_monotonic(self, at: float) -> float:
         """Convert a monotonic time, in ms, to the process's clock."""
         return self._context.from_monotonic(at)
 
--- a/eiderfield/durable_requests/commit_thread.py
+++ b/eiderfield/durable_requests/commit_thread.py
@@ -93,7 +93,7 @@
         return len(self._queue)
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether no new request may be handed in."""
         return len(self._queue) >= self._max_waiting
 
--- a/eiderfield/durable_requests/intake.py
+++ b/eiderfield/durable_requests/intake.py
@@ -31,7 +31,7 @@
 from eiderfield.durable_requests.remote_waiters import RemoteWaiters
 from eiderfield.durable_requests.submission import RequestSubmission
 from eiderfield.durable_requests.timing import RECORDING_TIME_MS, REJECTION_RETRY_AFTER_MS
-from eiderfield.durable_requests.waiters import Answered, Waiter
+from eiderfield.durable_requests.waiters import AnswerCallback, Waiter
 from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.machine import steady_ms
 
@@ -60,37 +60,37 @@
         self._submission = submission
         self._cancellation = cancellation
 
-    def keeps(self, class_index: int) -> bool:
+    def is_durable(self, class_index: int) -> bool:
         """Return whether requests of a class are durable."""
         return class_index in self._context.member.settings.classes
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether no new request is accepted now."""
-        return self._context.commit_thread.full or self._context.member.has_left
+        return self._context.commit_thread.is_full or self._context.member.has_left
 
-    def take(
+    def accept(
         self,
         request: Request,
-        answered: Answered,
+        on_answer: AnswerCallback,
         front: str = DEFAULT_FRONT,
-        accepted: Callable[[], None] = _ignore,
+        on_recorded: Callable[[], None] = _ignore,
     ) -> ClientLeft:
         """Accept a request, or join its client to the request that has its id already.
 
-        `answered` is called once with the answer, `accepted` once the request is recorded, here or elsewhere.
-        Returns what to call when the client has left.
+        `on_answer` is called once with the answer, `on_recorded` once the request is recorded, by this or by
+        another process. Returns what to call when the client has left.
         """
-        waiter = Waiter(request, answered, front, accepted)
+        waiter = Waiter(request, on_answer, front, on_recorded)
         is_here = request.id in self._context.owned_requests
-        if not is_here and self.full and not self._is_known(request.id):
+        if not is_here and self.is_full and not self._is_known(request.id):
             self._reject(waiter)
             return _ignore
         waiter.timer = self._context.services.timers.at(request.deadline - EXPIRY_MARGIN_MS, waiter.expire)
-        if not is_here and self.full:
+        if not is_here and self.is_full:
             self._remote_waiters.add(request.id, waiter)
         else:
-            self.accept(waiter)
+            self.record(waiter)
         return partial(self._cancellation.client_left, waiter)
 
     def _is_known(self, id_: str) -> bool:
@@ -104,7 +104,7 @@
         self._context.member.counters.refused += 1
         waiter.answer(Answer(Verdict.DECLINED, retry_after=REJECTION_RETRY_AFTER_MS))
 
-    def accept(self, waiter: Waiter) -> None:
+    def record(self, waiter: Waiter) -> None:
         """Have a waiter's request recorded, and join the waiter to it."""
         request = waiter.request
         class_name = self._context.class_names[request.class_index]
@@ -118,7 +118,7 @@
         if isinstance(outcome, Accepted) and is_mine:
             owned.waiters.append(waiter)
             owned.is_accepting = False
-            waiter.accepted()
+            waiter.on_recorded()
             self._submission.submit(waiter.request, owned)
             return
         joins_mine = isinstance(outcome, AlreadyAccepted) and outcome.id == id_ and is_mine
@@ -134,7 +134,7 @@
         """Answer a waiter whose request this process does not own, or let it wait for the answer."""
         match outcome:
             case AlreadyFinal(record):
-                waiter.accepted()
+                waiter.on_recorded()
                 waiter.answer(record.answer)
             case Conflict():
                 waiter.answer(Answer(Verdict.CONFLICT))
@@ -151,4 +151,4 @@
 
     def _count_joined(self, waiter: Waiter) -> None:
         self._context.member.counters.joined += 1
-        waiter.accepted()
+        waiter.on_recorded()
--- a/eiderfield/durable_requests/thread_events.py
+++ b/eiderfield/durable_requests/thread_events.py
@@ -88,7 +88,7 @@
             if record is not None:
                 waiter.answer(record.answer)
             elif self._may_accept_again(waiter.request.class_index, waiter.request.deadline):
-                self._intake.accept(waiter)
+                self._intake.record(waiter)
             else:
                 waiter.answer(Answer(Verdict.FAILED))
 
--- a/eiderfield/durable_requests/waiters.py
+++ b/eiderfield/durable_requests/waiters.py
@@ -9,25 +9,25 @@
 from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.exchange.timers import Timer
 
-Answered = Callable[[Answer], None]
+AnswerCallback = Callable[[Answer], None]
 
 
 def _ignore() -> None:
-    """Do nothing: the default of `Waiter.accepted`."""
+    """Do nothing: the default of `Waiter.on_recorded`."""
 
 
 @dataclass(slots=True, eq=False)
 class Waiter:
     """A client that waits for an answer.
 
-    `accepted` is called once the request is recorded, by this process or by another one; `answered` is called
-    once with the answer.
+    `on_recorded` is called once the request is recorded, by this process or by another one; `on_answer` is
+    called once with the answer.
     """
 
     request: Request
-    answered: Answered
+    on_answer: AnswerCallback
     front: str = DEFAULT_FRONT
-    accepted: Callable[[], None] = _ignore
+    on_recorded: Callable[[], None] = _ignore
     timer: Timer | None = None
     is_done: bool = False
 
@@ -35,7 +35,7 @@
         """Pass the answer on, unless the waiter is done."""
         if not self.is_done:
             self.stop()
-            self.answered(answer)
+            self.on_answer(answer)
 
     def expire(self) -> None:
         """Answer that the request failed and may have run: its time is over and no answer is recorded."""
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -23,13 +23,13 @@
 
 
 class DurableIntake(Protocol):
-    """Who records requests of some classes before they are answered (`durable_requests/intake.py`)."""
+    """Accepts requests of durable classes (`durable_requests/intake.py`)."""
 
-    def keeps(self, cls: int) -> bool:
-        """Whether requests of a class are written down."""
+    def is_durable(self, class_index: int) -> bool:
+        """Return whether requests of a class are durable."""
 
-    def take(self, request: Request, told: Callable[[Answer], None]) -> Callable[[], None]:
-        """Takes a request, or joins its client to one that is known; what to call when the client leaves."""
+    def accept(self, request: Request, on_answer: Callable[[Answer], None]) -> Callable[[], None]:
+        """Accept a request, or join its client to a known one; return what to call when it leaves."""
 
 
 class RequestFront:
@@ -81,9 +81,9 @@
             connection.answer(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
 
     def _take(self, connection: Responder, request: Request) -> ClientDeparted | None:
-        if self._durable is not None and self._durable.keeps(request.class_index):
+        if self._durable is not None and self._durable.is_durable(request.class_index):
             connection.proven = True
-            return self._durable.take(request, partial(write_answer, connection, durable=True))
+            return self._durable.accept(request, partial(write_answer, connection, durable=True))
         if self._exchange.has_request(request.id):  # the workers would see the request twice
             connection.reject(409, "X-Request-Id is that of a job which is not over yet")
             return None
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -19,7 +19,7 @@
     def __init__(self, member):
         self.member = member
         self.queue = deque()
-        self.full = False
+        self.is_full = False
 
     def write(self, op, then):
         self.queue.append((op, then))
@@ -64,7 +64,7 @@
     def ask(self, front="platform"):
         """An asker for the job; gives what to call when it leaves."""
         request = Request("j", 0, 1_005_000.0, "/safe/x", body=b"b")
-        return self.coordinator.intake.take(request, self.answers.append, front)
+        return self.coordinator.intake.accept(request, self.answers.append, front)
 
     def take(self, front="platform"):
         """The job is asked for and written down."""
--- a/tests/test_durable_requests_loop_on_failing_disk.py
+++ b/tests/test_durable_requests_loop_on_failing_disk.py
@@ -42,7 +42,7 @@
         self.coordinator.begin()
         self.coordinator.member.tick()
         request = Request("j", cls, dispatcher.now + 4000.0, "/safe/x")
-        self.coordinator.intake.take(request, self.answers.append)
+        self.coordinator.intake.accept(request, self.answers.append)
 
     def play(self, span=200.0):
         """Lets time pass in small steps, with the writer's turns between."""
@@ -153,7 +153,7 @@
         faults.heal()
     assert loop.coordinator.member.incarnation == ""
     loop.coordinator.member.begin()
-    loop.coordinator.intake.take(
+    loop.coordinator.intake.accept(
         Request("k", 0, loop.dispatcher.now + 4000.0, "/safe/x"), loop.answers.append
     )
     loop.play(30.0)
