--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console: what it answers, and that its figures are those of what crossed the sockets."""
+"""The console: its responses, and its figures compared with what was sent and received."""
 
 import pytest
 from support.console import CALLERS, Console
@@ -13,7 +13,7 @@
 from eiderfield.net.wheel import TICK_MS
 
 
-def test_ready_is_what_the_program_says():
+def test_ready_returns_the_state_of_the_program():
     console = Console()
     assert console.call("/-/ready")[0] == 200
     console.ready = False
@@ -24,11 +24,11 @@
     ("method", "path", "status"),
     [("GET", "/", 404), ("GET", "/-/drain", 404), ("POST", "/-/metrics", 405), ("POST", "/safe/a", 404)],
 )
-def test_an_unknown_call_gets_a_4xx(method, path, status):
+def test_unknown_call_is_rejected(method, path, status):
     assert Console().call(path, method)[0] == status
 
 
-def test_what_is_served_within_its_class_s_aim_counts_as_in_time_and_what_is_late_does_not():
+def test_in_time_counts_requests_served_within_the_latency_objective():
     console = Console(workers=1)
     dispatcher, aim = console.dispatcher, console.dispatcher.exchange.settings.classes[0].latency_objective_ms
     for wait, in_time in ((aim / 2.0, 1), (2.0 * aim, 1)):
@@ -41,7 +41,7 @@
     assert console.figures()["success"]["safe"] == 2
 
 
-def test_figures_count_jobs_by_how_they_end_and_legs_as_they_leave():
+def test_figures_count_requests_by_result_and_attempts_as_written():
     console = Console(workers=1)
     dispatcher = console.dispatcher
     none = {"safe": 0, "unsafe": 0, "keyed": 0}
@@ -92,7 +92,7 @@
     assert (told["backend_calls"], told["inflight"]) == (2, 0)
 
 
-def test_hosts_are_those_of_the_list_and_down_those_that_are_left_alone():
+def test_hosts_down_counts_listed_workers_that_are_avoided():
     console = Console(workers=3)
     dispatcher = console.dispatcher
     dispatcher.client()
@@ -108,7 +108,7 @@
     assert EndpointState.READY in dispatcher.exchange.endpoints.states.values()
 
 
-def test_a_rest_that_is_over_counts_no_more_though_nothing_happened_since():
+def test_hosts_down_after_an_ejection_has_ended_does_not_count_the_worker():
     console = Console(workers=1)
     console.dispatcher.client(wait=100)
     console.dispatcher.dials[0].refuse()
@@ -117,7 +117,7 @@
     assert console.figures()["hosts_down"] == 0
 
 
-def test_callers_that_complete_no_call_keep_nobody_out():
+def test_callers_with_incomplete_calls_do_not_block_others():
     console = Console()
     hanging = [Client(console.dispatcher, console.listener) for _ in range(CALLERS)]
     for caller in hanging:
@@ -129,7 +129,7 @@
     assert all(not caller.pipe.open or caller.pipe.ended for caller in hanging)
 
 
-def test_what_was_called_off_and_what_could_not_be_read_is_counted_by_why():
+def test_figures_count_cancelled_attempts_and_malformed_responses_by_reason():
     console = Console(workers=1)
     dispatcher = console.dispatcher
     client, end = dispatcher.client(), dispatcher.dials[0].up()
@@ -152,7 +152,7 @@
     assert any("reason=a line is not about this" in line for line in dispatcher.logged)
 
 
-def test_watches_that_were_lost_are_counted_by_why():
+def test_figures_count_reopened_watches_by_reason():
     console = Console(workers=1)
     dispatcher = console.dispatcher
     watcher = PlatformWatch(
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""What a failed call means, and what becomes of dials, accepts and poll sets that this host holds up."""
+"""Classification of failed calls, and retries of dials, accepts and registrations that fail."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         (socket.gaierror(socket.EAI_NONAME, "unknown"), Cause.CONNECTION),
     ],
 )
-def test_a_dial_speaks_of_this_host_of_its_routes_or_of_the_other_end(error, cause):
+def test_cause_of_dial_distinguishes_host_route_and_connection(error, cause):
     assert cause_of_dial(error) is cause
 
 
@@ -65,11 +65,11 @@
         (errno.ENOMEM, Cause.LOCAL),
     ],
 )
-def test_an_accept_speaks_of_a_connection_or_of_this_host(number, cause):
+def test_cause_of_accept_distinguishes_host_and_connection(number, cause):
     assert cause_of_accept(failed(number)) is cause
 
 
-def test_a_connection_that_ends_without_an_error_was_ended_by_the_other_side():
+def test_cause_of_loss_without_a_local_error_is_the_connection():
     assert cause_of_loss(None) is Cause.CONNECTION
     assert cause_of_loss(failed(errno.EPIPE)) is Cause.CONNECTION
     assert cause_of_loss(failed(errno.ENOBUFS)) is Cause.LOCAL
@@ -91,8 +91,8 @@
     return dispatcher
 
 
-def test_a_worker_that_could_not_be_dialled_for_lack_of_descriptors_is_not_blamed(dispatcher):
-    """After the dial's time limit it was: with descriptors short for a second, every worker was ejected."""
+def test_dial_that_fails_for_lack_of_descriptors_does_not_eject_the_worker(dispatcher):
+    """A shortage of descriptors for a second once ejected every worker."""
     client = dispatcher.client(path="/unsafe/a")
     [dial] = dispatcher.dials
     for _ in range(int(DIAL_TIMEOUT_MS / RETRY_MS)):
@@ -107,7 +107,7 @@
     assert client.answers()[0][0] == 200
 
 
-def test_a_worker_is_not_taken_for_silent_while_this_host_cannot_dial_it(dispatcher):
+def test_worker_is_not_silent_while_this_host_delays_its_dial(dispatcher):
     client = dispatcher.client(path="/unsafe/a", wait=4900)
     dispatcher.side.set_timeouts(5000.0, 10_000.0)
     dispatcher.exchange.cancel_request(1)
@@ -122,8 +122,8 @@
     assert not [line for line in dispatcher.logged if "silent" in line]
 
 
-def test_an_address_without_a_route_counts_against_its_worker_once_others_are_heard(dispatcher):
-    """No route to one address alone would cost each attempt there the whole time of a dial."""
+def test_dial_without_a_route_counts_against_the_worker_once_others_respond(dispatcher):
+    """Without a route to its address, each attempt at a worker would wait for the full timeout of a dial."""
     dispatcher.client(path="/unsafe/a")
     [first] = dispatcher.dials
     first.delayed(Cause.ROUTE)
@@ -147,7 +147,7 @@
         (False, Outcome.CANCELLED, 502),
     ],
 )
-def test_a_connection_lost_for_lack_of_buffers_is_not_the_workers_fault(dispatcher, stuck, outcome, status):
+def test_loss_for_lack_of_buffers_does_not_count_against_the_worker(dispatcher, stuck, outcome, status):
     client = dispatcher.client(path="/unsafe/a")
     end = dispatcher.dials[0].up(stuck)
     end.pipe.open = False
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENOMEM, errno.EBADF])
-def test_an_accept_that_goes_on_failing_pauses_the_listener_and_does_not_end_it(port, monkeypatch, number):
+def test_accept_that_keeps_failing_pauses_the_listener(port, monkeypatch, number):
     with failing_calls(monkeypatch, Failure(Call.ACCEPT, 1, number, count=5)) as failing:
         failing.start()
         for tries in range(1, 6):
@@ -205,7 +205,7 @@
         assert not port.listener.has_waiting_clients
 
 
-def test_accepts_that_fail_for_their_connections_do_not_hold_up_those_behind(port, monkeypatch):
+def test_accept_errors_of_connections_do_not_delay_the_next_ones(port, monkeypatch):
     with failing_calls(
         monkeypatch, Failure(Call.ACCEPT, 1, errno.EPERM, count=ACCEPTED_PER_TURN - 1)
     ) as failing:
@@ -214,7 +214,7 @@
         assert port.listener.connections == 1
 
 
-def test_a_whole_round_of_such_failures_pauses_the_listener(port, monkeypatch):
+def test_accept_errors_of_a_whole_turn_pause_the_listener(port, monkeypatch):
     with failing_calls(monkeypatch, Failure(Call.ACCEPT, 1, errno.EPERM, count=10**6)) as failing:
         failing.start()
         port.turn(40)
@@ -225,7 +225,7 @@
         assert port.listener.connections == 1
 
 
-def test_a_port_that_closes_takes_those_behind_an_aborted_connection(port, monkeypatch):
+def test_closing_listener_accepts_connections_after_an_aborted_one(port, monkeypatch):
     with failing_calls(monkeypatch, Failure(Call.ACCEPT, 1, errno.ECONNABORTED)) as failing:
         failing.start()
         port.listener.stop_listening()
@@ -234,7 +234,7 @@
 
 @pytest.fixture
 def selector(monkeypatch):
-    """A selector whose poll set takes nothing, its clock, and two ends of a connection."""
+    """A selector that cannot register, its clock, and both ends of a connection."""
 
     class Case:
         now = 100.0
@@ -252,7 +252,7 @@
     case.far.close()
 
 
-def test_a_registration_without_room_is_made_again_and_brings_what_had_come(selector):
+def test_register_without_resources_is_retried_and_reports_earlier_data(selector):
     fd = selector.near.fileno()
     selector.selector.register(selector.near, selectors.EVENT_READ, "data")
     assert selector.selector.get_key(fd).data == "data"
@@ -267,7 +267,7 @@
     assert (key.fd, key.data, events) == (fd, "data", selectors.EVENT_READ)
 
 
-def test_a_poll_does_not_wait_past_the_next_try(selector, monkeypatch):
+def test_select_with_a_pending_registration_waits_until_the_next_retry_at_most(selector, monkeypatch):
     waits = []
     monkeypatch.setattr(selectors.EpollSelector, "select", lambda self, timeout: waits.append(timeout) or [])
     selector.selector.register(selector.near, selectors.EVENT_READ)
@@ -276,7 +276,7 @@
     assert waits == [RETRY_MS / 1000.0, RETRY_MS / 1000.0, 0.0]
 
 
-def test_a_pending_registration_can_be_changed_and_withdrawn(selector):
+def test_pending_registration_can_be_modified_and_unregistered(selector):
     selector.selector.register(selector.near, selectors.EVENT_READ, 1)
     selector.selector.modify(selector.near, selectors.EVENT_WRITE, 2)
     assert selector.selector.get_key(selector.near).data == 2
@@ -285,7 +285,7 @@
         selector.selector.get_key(selector.near)
 
 
-def test_a_changed_mask_without_room_waits_too(selector):
+def test_modify_without_resources_is_retried(selector):
     selector.failing.failure, failure = None, selector.failing.failure
     selector.selector.register(selector.near, selectors.EVENT_READ, 1)
     selector.failing.failure = failure
@@ -297,7 +297,7 @@
     assert (key.data, events) == (2, selectors.EVENT_WRITE)
 
 
-def test_a_pending_descriptor_that_was_closed_is_forgotten(selector):
+def test_pending_registration_of_a_closed_descriptor_is_removed(selector):
     selector.selector.register(selector.near.fileno(), selectors.EVENT_READ)
     selector.near.close()
     selector.failing.failure = None
@@ -322,7 +322,7 @@
 
 
 class Later:
-    """A loop's `call_later` by hand."""
+    """Replaces a loop's `call_later`; `run` makes the calls."""
 
     def __init__(self, monkeypatch, loop):
         self.calls = []
@@ -337,9 +337,7 @@
             call(*args)
 
 
-def test_an_upgrade_that_cannot_be_accepted_for_lack_of_descriptors_waits_and_does_not_spin(
-    tmp_path, monkeypatch
-):
+def test_handover_accept_without_free_descriptors_waits_without_spinning(tmp_path, monkeypatch):
     loop, heard = new_event_loop(), []
     later = Later(monkeypatch, loop)
     link_listener = LinkListener(loop, tmp_path / "socket", heard.append)
@@ -361,7 +359,7 @@
 
 
 @pytest.mark.parametrize("number", [errno.ETOOMANYREFS, errno.ENOBUFS])
-def test_a_handover_message_for_which_the_system_has_no_room_is_sent_later(number, monkeypatch):
+def test_link_send_without_resources_is_retried(number, monkeypatch):
     loop, got = new_event_loop(), []
     later = Later(monkeypatch, loop)
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -390,7 +388,7 @@
     loop.close()
 
 
-def test_a_program_runs_on_the_loop_that_outlasts_a_full_poll_set(monkeypatch):
+def test_program_runs_on_the_retrying_selector(monkeypatch):
     from eiderfield import __main__ as program
 
     selectors_used = []
@@ -406,7 +404,7 @@
 
 @pytest.fixture
 def opening(monkeypatch):
-    """A listener that is to be opened on the loop, and how to do that."""
+    """A listener to be opened on the loop, and a function that opens it."""
 
     class Opening:
         def __init__(self):
@@ -430,8 +428,8 @@
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
-def test_a_start_outlasts_a_shortage_of_what_a_listener_needs(opening, monkeypatch, number):
-    """It ended, which is a refusal to start, for what may be over a moment later."""
+def test_start_without_resources_for_a_listener_is_retried(opening, monkeypatch, number):
+    """The program once ended at start because of a shortage that may last for a moment."""
     with failing_calls(monkeypatch, Failure(Call.SOCKET, 1, number, count=3)) as failing:
         failing.start()
         opening.open()
@@ -441,13 +439,13 @@
     assert "trying again" in opening.logged[0]
 
 
-def test_a_start_on_an_address_that_is_taken_ends_at_once(opening):
+def test_start_on_an_address_in_use_fails_at_once(opening):
     with socket.create_server(("127.0.0.1", 0)) as other, pytest.raises(ConfigError, match="cannot listen"):
         opening.open(other.getsockname())
     assert not opening.logged
 
 
-def test_a_start_that_waits_for_descriptors_ends_when_it_is_told_to(opening, monkeypatch):
+def test_start_that_waits_for_descriptors_can_be_stopped(opening, monkeypatch):
     with failing_calls(monkeypatch, Failure(Call.SOCKET, 1, errno.EMFILE, count=10**6)) as failing:
         failing.start()
         told_to_end = partial(setattr, opening.listener, "draining", True)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The parser: the same messages however they are cut, and no input that could be read in two ways."""
+"""The HTTP parser: independent of how input is cut, and strict with ambiguous input."""
 
 import itertools
 
@@ -31,7 +31,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None, database=None)
 @given(st.lists(st.integers(0, len(POST + CHUNKED + POST)), max_size=12))
-def test_cuts_change_nothing(cuts):
+def test_parser_input_cut_anywhere_yields_the_same_messages(cuts):
     data = POST + CHUNKED + POST
     found, parser = read(data, cuts)
     assert found == read(data)[0]
@@ -41,7 +41,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
 @given(st.integers(0, len(CHUNKED) - 1), st.binary(min_size=1, max_size=6), st.booleans())
-def test_damage_is_rejected_or_read_but_never_worse(at, damage, answers):
+def test_parser_damaged_input_is_parsed_or_rejected_with_a_status(at, damage, answers):
     data = ANSWER if answers else CHUNKED
     at = min(at, len(data))
     rejection = None
@@ -76,13 +76,13 @@
         (b"A" * MAX_HEAD_BYTES, 413),
     ],
 )
-def test_what_is_rejected(data, status):
+def test_parser_malformed_request_is_rejected(data, status):
     with pytest.raises(MalformedMessageError) as caught:
         read(data)
     assert caught.value.status == status
 
 
-def test_an_answer_may_end_with_its_connection():
+def test_finish_ends_a_response_without_length_and_rejects_an_incomplete_one():
     found, parser = read(b"HTTP/1.0 200 OK\r\n\r\nabc", answers=True)
     assert len(found) == 1
     assert parser.finish() is END
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""The port to the other dispatchers: over real datagrams on loopback, read by hand."""
+"""The port to the other dispatchers, with datagrams on loopback."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     tier.close()
 
 
-def test_what_is_told_goes_to_one_or_to_all(tier):
+def test_tell_sends_to_one_peer_or_to_all(tier):
     tier.port.send_report(1, b"one")
     tier.port.send_report(-1, b"all")
     tier.port.send_report(7, b"nobody")
@@ -30,7 +30,7 @@
     assert tier.port.figures["sent"] == 3
 
 
-def test_nothing_longer_than_the_protocol_allows_leaves(tier):
+def test_tell_with_a_message_too_long_sends_nothing(tier):
     room = MAX_MESSAGE_BYTES - ENVELOPE.size
     tier.port.send_report(1, b"x" * (room + 1))
     tier.port.send_report(1, b"y" * room)
@@ -38,7 +38,7 @@
     assert tier.port.figures["too_long"] == 1
 
 
-def test_strangers_are_not_heard(tier):
+def test_message_of_an_unknown_sender_is_counted_and_ignored(tier):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         stranger.sendto(ENVELOPE.pack(ENVELOPE_VERSION, 1, 1) + b"x", tier.addresses[0])
     tier.say(1, 1, 1, b"known")
@@ -47,7 +47,7 @@
     assert tier.port.figures["strangers"] == 1
 
 
-def test_repeats_and_what_was_overtaken_are_dropped_by_peer(tier):
+def test_messages_duplicated_or_out_of_order_are_ignored_for_each_peer(tier):
     for number in (1, 3, 2, 3, 4):
         tier.say(1, 9, number, b"%d" % number)
     tier.say(2, 9, 2, b"other")
@@ -56,14 +56,14 @@
     assert tier.port.figures["out_of_order"] == 2
 
 
-def test_numbers_go_round(tier):
+def test_sequence_numbers_wrap_around(tier):
     for number in (65534, 65535, 0, 1, 65535):
         tier.say(1, 9, number, b"%d" % number)
     tier.read()
     assert [data for _, data in tier.heard] == [b"65534", b"65535", b"0", b"1"]
 
 
-def test_an_earlier_life_of_a_peer_is_not_heard_a_later_one_is(tier):
+def test_message_of_an_earlier_incarnation_is_ignored(tier):
     tier.say(1, 100, 50, b"old")
     tier.say(1, 101, 1, b"new")
     tier.say(1, 100, 51, b"late")
@@ -72,7 +72,7 @@
     assert tier.port.figures["earlier_life"] == 1
 
 
-def test_other_forms_and_stumps_are_no_messages(tier):
+def test_messages_of_another_version_or_malformed_are_ignored(tier):
     tier.say(1, 1, 1, version=ENVELOPE_VERSION + 1)
     tier.ends[1].sendto(b"ab", tier.addresses[0])
     tier.ends[1].sendto(b"z" * (MAX_MESSAGE_BYTES + 50), tier.addresses[0])
@@ -82,7 +82,7 @@
     assert tier.port.figures["malformed"] == 2
 
 
-def test_a_peer_that_floods_is_heard_so_often_and_the_others_still_are(tier):
+def test_messages_above_the_rate_are_ignored_for_that_peer_alone(tier):
     for number in range(int(MAX_MESSAGES_PER_S) + 100):
         tier.say(1, 1, number & 0xFFFF)
         if number % 32 == 31:
@@ -98,7 +98,7 @@
     assert tier.heard[-1] == (1, b"again")
 
 
-def test_a_port_that_is_taken_is_named_once_and_served_without(tier):
+def test_open_on_a_port_in_use_is_logged_once(tier):
     second = tier.new()
     second.open()
     second.send_report(1, b"x")
@@ -107,7 +107,7 @@
     assert "peer_listen" in tier.logged[0]
 
 
-def test_the_next_process_goes_on_with_the_port_while_the_one_before_rests(tier):
+def test_port_handed_over_receives_in_the_next_process(tier):
     tier.now += 1000.0
     following = tier.new()
     following.open(tier.port.sock.dup())
@@ -153,12 +153,12 @@
         ({"settings": {**SETTINGS, "policy_limits": {}}}, "peer_listen"),
     ],
 )
-def test_faults_of_peers_name_their_key(change, key):
+def test_read_with_faulty_peers_names_the_key(change, key):
     told = json.loads(json.dumps({**PLAIN, **change}))
     with pytest.raises(ConfigError, match=f"^{key} "):
         read({name: value for name, value in told.items() if value is not None}, {}, strict=True)
 
 
-def test_peers_are_read_and_heeded_only_where_the_settings_allow_them():
+def test_read_without_permission_of_the_settings_ignores_peers():
     assert read(PLAIN, {}).peers.peers == (("127.0.0.1", 3), ("127.0.0.1", 4))
     assert read({**PLAIN, "settings": {**SETTINGS, "policy_limits": {"may_tell": False}}}, {}).peers is None
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -1,4 +1,4 @@
-"""A process that stood still judges nobody by its own absence: it reads what has come first."""
+"""After a pause of the process, received data is read before timers and turns."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Loop:
-    """The part of an event loop that the driver uses, run round by round."""
+    """The part of an event loop that the driver uses, run iteration by iteration."""
 
     def __init__(self):
         self.ready, self.later, self.arrives = [], [], []
@@ -34,7 +34,7 @@
         self.later.clear()
 
     def round(self):
-        """As asyncio's: what is ready at its beginning, after what a poll brings in."""
+        """Run the callbacks that are ready, after those of a poll, as asyncio does."""
         ready, self.ready = self.ready, []
         for call, args in ready:
             call(*args)
@@ -56,7 +56,7 @@
     return world
 
 
-def test_after_a_gap_what_has_come_is_read_before_a_timer_goes_off(world):
+def test_timer_after_a_pause_is_called_once_received_data_is_read(world):
     world.driver.wheel.at(1100.0, lambda: world.log.append("timer"))
     world.loop.round()
     world.now = 5100.0
@@ -68,7 +68,7 @@
     assert world.log == ["read", "absent 4000", "timer", "turn"]
 
 
-def test_a_turn_that_was_asked_for_before_the_gap_waits_too(world):
+def test_turn_scheduled_before_a_pause_is_taken_once_received_data_is_read(world):
     world.driver.wake()
     world.now += 3000.0
     world.loop.arrives = [lambda: world.log.append("read")]
@@ -77,7 +77,7 @@
     assert world.log == ["read", "absent 3000", "turn"]
 
 
-def test_a_small_delay_is_no_gap(world):
+def test_delay_below_the_threshold_is_no_pause(world):
     world.driver.wake()
     world.now += PAUSE_MS - 1.0
     world.loop.round()
@@ -86,15 +86,15 @@
     assert world.log == ["turn"]
 
 
-def test_a_turn_comes_after_the_next_poll(world):
-    """A request and its client's close come in two polls."""
+def test_turn_is_taken_after_the_next_poll(world):
+    """A request and the close of its client are reported by two polls."""
     world.loop.arrives = [lambda: world.driver.wake(), lambda: world.log.append("close")]
     for _ in range(4):
         world.loop.round()
     assert world.log == ["close", "turn"]
 
 
-def test_the_silence_of_a_worker_counts_from_the_end_of_the_gap():
+def test_silence_of_a_worker_counts_from_the_end_of_a_pause():
     dispatcher = InMemoryDispatcher()
     client = dispatcher.client()
     end = dispatcher.dials[0].up()
@@ -110,8 +110,8 @@
 
 
 @pytest.mark.real_time
-def test_a_stopped_program_sends_nothing_again_that_was_answered_meanwhile(tmp_path):
-    """Measured before, with 4 dispatchers and one of them stopped for 4 s: 15 of 240 jobs ran whole twice."""
+def test_resumed_program_does_not_resend_requests_answered_meanwhile(tmp_path):
+    """Measured before, with 4 dispatchers and one of them stopped for 4 s: 15 of 240 requests ran twice."""
     workers = [HoldingWorker(), HoldingWorker()]
     source = DiscoveryServer(*[worker.port for worker in workers])
     served = []
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: read where workers put them, never trusted."""
+"""Load reports of workers: where they are read, and how malformed ones are treated."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         ("TEXT", ()),
     ],
 )
-def test_a_report_as_text(text, told):
+def test_from_text_returns_the_figures(text, told):
     assert repr(from_text(text, FIELDS)) == repr(told)
 
 
@@ -49,19 +49,19 @@
         (None, ()),
     ],
 )
-def test_a_report_as_an_object(found, told):
+def test_from_object_returns_the_figures(found, told):
     assert repr(from_object(found, FIELDS)) == repr(told)
 
 
 @hypothesis_settings(derandomize=True, database=None, deadline=None)
 @given(st.binary(max_size=200))
-def test_no_body_is_more_than_no_report(body):
+def test_from_body_of_any_other_body_returns_no_report(body):
     for value in from_body(body, FIELDS):
         assert math.isnan(value) or 0.0 <= value <= 1e6
 
 
 def told(monkeypatch, how):
-    """What the module hears with the end of a leg."""
+    """The load report that the policy receives with the end of an attempt."""
     loads = []
     real = Dispatcher._attempt_ended
 
@@ -77,7 +77,7 @@
     return loads
 
 
-def test_reports_come_with_every_kind_of_end(monkeypatch):
+def test_load_report_of_every_kind_of_end_reaches_the_policy(monkeypatch):
     load = {"active": 2, "rps": 1, "x0": 3}
     for state in ("done", "failed", "returned", "lost"):
         more = {"result": "r"} if state == "done" else {}
@@ -89,7 +89,7 @@
     assert heard[0] == (2, 1, 3)
 
 
-def test_a_broken_report_does_not_spoil_the_answer_that_it_came_with(monkeypatch):
+def test_malformed_load_report_leaves_its_response_valid(monkeypatch):
     line = {"from": "w", "state": "done", "result": "r", "load": {"x0": "all"}}
     assert told(monkeypatch, lambda end, id_: end.say({"id": id_, **line}, end=True)) == [()]
 
@@ -98,7 +98,7 @@
     return node.play(AttemptEnded(id_, 0, worker, outcome, 1.0, outcome == Outcome.OK, load_report=load))
 
 
-def test_a_report_without_the_free_slots_changes_nothing():
+def test_load_report_without_free_slots_changes_nothing():
     node = Node(replace(BASE, load_report_fields=FIELDS), workers=1)
     id_, _ = node.arrive()
     ended(node, id_, 1, (3.0, 1.0, NAN))
@@ -106,14 +106,14 @@
     assert node.dispatcher._reports.slots_per_kind[0] == 2.0
 
 
-def test_free_slots_are_not_believed_against_full():
+def test_free_slots_reported_by_a_full_worker_are_ignored():
     node = Node(replace(BASE, load_report_fields=FIELDS), workers=1)
     id_, _ = node.arrive()
     ended(node, id_, 1, (0.0, 0.0, 5.0), Outcome.FULL)
     assert not sends(node.arrive()[1]), "it said 'full' a moment ago"
 
 
-def test_a_restarted_worker_owes_nothing_to_its_old_reports_or_faults():
+def test_restarted_worker_is_judged_without_old_reports_and_faults():
     node = Node(replace(BASE, load_report_fields=FIELDS, slow_start_window_ms=0.0), workers=1)
     worker = node.dispatcher.workers[1]
     node.now = 100.0
--- a/tests/test_wheel.py
+++ b/tests/test_wheel.py
@@ -1,4 +1,4 @@
-"""The wheel against a plain list of times."""
+"""The timing wheel, compared with a list of times."""
 
 import gc
 import weakref
@@ -22,7 +22,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
 @given(st.lists(STEP, max_size=40))
-def test_timers_come_once_in_time_and_never_early(steps):
+def test_advance_after_random_steps_calls_each_timer_once_and_never_early(steps):
     now = 1e9
     wheel, fired, wanted, timers = Wheel(now), [], {}, []
     for what, value in steps:
@@ -49,7 +49,7 @@
             assert wheel.next_at() == float("inf"), "nothing wakes a program at rest"
 
 
-def test_timers_are_called_in_the_order_of_ticks_whatever_level_they_came_from():
+def test_advance_with_timers_of_all_levels_calls_them_in_order():
     wheel, seen = Wheel(0.0), []
     for at in (
         SPANS[1] * 2 + 9 * TICK_MS,
@@ -64,7 +64,7 @@
     assert len(seen) == 5
 
 
-def test_a_timer_that_fails_leaves_the_others():
+def test_advance_with_a_failing_timer_calls_the_others():
     failed, seen = [], []
     wheel = Wheel(0.0, failed=failed.append)
     wheel.at(4.0, lambda: 1 / 0)
@@ -74,7 +74,7 @@
     assert isinstance(failed[0], ZeroDivisionError)
 
 
-def test_a_timer_asked_for_by_a_timer_comes_at_a_later_tick():
+def test_timer_scheduled_by_a_timer_is_called_at_a_later_tick():
     wheel, seen = Wheel(0.0), []
     wheel.at(4.0, lambda: wheel.at(0.0, lambda: seen.append(1)))
     wheel.advance(4.0)
@@ -83,8 +83,8 @@
     assert seen
 
 
-def test_one_turn_calls_no_more_than_its_bound_and_jobs_come_before_idlers():
-    """10,000 connections that time out in one tick must not hold up the answer to a job of that tick."""
+def test_advance_with_many_patient_timers_calls_a_bounded_number_after_all_others():
+    """10,000 connections that time out in one tick must not delay the response to a request of that tick."""
     wheel, idle, jobs = Wheel(0.0), [], []
     for number in range(10_000):
         wheel.at(1000.0, lambda number=number: idle.append(number), patient=True)
@@ -101,7 +101,7 @@
     assert turns <= 10_000 / MAX_PATIENT_PER_TURN + 10_000 / MAX_PER_TURN + 2
 
 
-def test_a_job_that_comes_due_while_idlers_wait_is_not_behind_them():
+def test_timer_due_while_patient_timers_wait_is_called_before_them():
     wheel, idle, seen = Wheel(0.0), [], []
     for _ in range(1000):
         wheel.at(4.0, lambda: idle.append(1), patient=True)
@@ -112,8 +112,8 @@
 
 
 @pytest.mark.parametrize("ahead", [100.0, 300_000.0, 3_600_000.0])
-def test_a_cancelled_timer_is_out_of_memory_at_once(ahead):
-    """One of 300 s is set with every message: kept until its time, a busy client would hold thousands."""
+def test_cancelled_timer_is_freed_at_once(ahead):
+    """A timer of 300 s is scheduled with every message: a busy client would keep thousands."""
     wheel = Wheel(0.0)
 
     class Call:
@@ -130,7 +130,7 @@
     assert wheel.next_at() == float("inf")
 
 
-def test_after_a_clock_that_jumped_nothing_is_lost_and_empty_time_costs_nothing():
+def test_advance_over_a_long_time_calls_all_timers_and_skips_empty_ticks():
     wheel, seen = Wheel(0.0), []
     for at in (10.0, SPANS[0] * 3, SPANS[1] * 7, SPANS[2] * 4):
         wheel.at(at, lambda at=at: seen.append(at))
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -1,4 +1,4 @@
-"""What comes between two steps on a connection to a worker."""
+"""Events that interleave with the steps of a connection to a worker."""
 
 import asyncio
 import errno
@@ -19,7 +19,7 @@
 
 
 def renamed(dispatcher, port):
-    """The list names worker 1 again, elsewhere."""
+    """Update the endpoint list with worker 1 at another address."""
     dispatcher.index += 1
     entry = {"name": "w1", "address": f"127.0.0.1:{port}", "status": "SERVING", "since_ms": 0}
     dispatcher.table.load({"index": dispatcher.index, "snapshot": False, "endpoints": [entry]})
@@ -27,8 +27,8 @@
 
 
 @pytest.mark.parametrize("dropped", [False, True])
-def test_a_worker_that_is_named_again_elsewhere_is_not_dialled_at_its_old_place(dropped):
-    """Whoever listens there by now is somebody else."""
+def test_dial_of_a_worker_whose_address_changes_is_cancelled_and_repeated(dropped):
+    """Another process may listen at the old address by now."""
     dispatcher = InMemoryDispatcher(workers=1)
     client = dispatcher.client(path="/unsafe/a")
     [old] = dispatcher.dials
@@ -44,7 +44,7 @@
     assert client.answers()[0][0] == 200
 
 
-def test_a_connection_that_comes_up_after_its_attempt_was_given_up_carries_nothing():
+def test_connection_established_after_its_attempt_was_cancelled_writes_nothing():
     dispatcher = InMemoryDispatcher(workers=1)
     client = dispatcher.client()
     [dial] = dispatcher.dials
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a"])
 @pytest.mark.parametrize("half", [b"", b'20\r\n{"id": "r1", "state"', b'5\r\n{"id"\r\n'])
-def test_half_an_answer_and_then_a_reset_serves_nothing(path, half):
+def test_reset_within_a_response_yields_no_result(path, half):
     dispatcher = InMemoryDispatcher(workers=2)
     client = dispatcher.client(path=path)
     end = dispatcher.dials[0].up()
@@ -75,7 +75,7 @@
         assert not dispatcher.dials, "it may have run"
 
 
-def test_a_second_answer_on_a_connection_that_rests_closes_it():
+def test_unsolicited_response_on_an_idle_connection_closes_it():
     dispatcher = InMemoryDispatcher(workers=1)
     client = dispatcher.client()
     end = dispatcher.dials[0].up()
@@ -86,7 +86,7 @@
     assert not end.pipe.open
 
 
-def test_a_second_answer_that_comes_under_the_next_request_is_never_its_answer():
+def test_unsolicited_response_during_the_next_request_is_not_its_result():
     dispatcher = InMemoryDispatcher(workers=1)
     first = dispatcher.client()
     end = dispatcher.dials[0].up()
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("endless", [b"x" * 4000, line("r1", state="running", share=0.5), b"1\r\n\n\r\n"])
-def test_an_answer_without_end_is_bounded_by_its_length_or_the_clients_time(endless):
+def test_endless_response_ends_at_the_length_limit_or_the_deadline(endless):
     dispatcher = InMemoryDispatcher(workers=1)
     client = dispatcher.client(path="/unsafe/a", wait=2000)
     end = dispatcher.dials[0].up()
@@ -116,7 +116,7 @@
     assert client.answers()[0][0] == 502
 
 
-def test_a_drain_told_while_the_attempt_waits_behind_its_claim_sends_nothing():
+def test_drain_while_a_durable_attempt_waits_for_its_claim_writes_nothing():
     class Claiming:
         def __init__(self):
             self.go = None
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("tail", [b"0\r\n\r\n", b'5\r\n{"id"\r\n0\r\n\r\n', b"2\r\n{\n\r\n0\r\n\r\n"])
-def test_an_answer_that_ends_before_its_last_line_is_no_answer_and_is_logged(tail):
+def test_response_without_its_last_line_is_malformed_and_logged(tail):
     dispatcher = InMemoryDispatcher(workers=1)
     client = dispatcher.client(path="/unsafe/a")
     end = dispatcher.dials[0].up()
@@ -172,8 +172,8 @@
         ([errno.EMFILE, errno.EHOSTUNREACH], ["refused"]),
     ],
 )
-def test_a_dial_that_found_descriptors_short_is_tried_again_and_blames_nobody(faults, failed, monkeypatch):
-    """It ended as if the worker had refused, and rested a worker that was well."""
+def test_dial_without_free_descriptors_is_retried_without_a_failure(faults, failed, monkeypatch):
+    """Such a dial once counted as refused by the worker, which was ejected."""
     loop, calls, heard = asyncio.new_event_loop(), [], []
 
     async def connect(factory, *address):
@@ -190,7 +190,7 @@
     assert len(calls) == len(faults) + (not failed)
 
 
-def test_a_dial_that_waits_for_a_descriptor_can_be_called_off(monkeypatch):
+def test_dial_waiting_for_a_descriptor_can_be_cancelled(monkeypatch):
     loop, heard = asyncio.new_event_loop(), []
 
     async def connect(factory, *address):
@@ -207,7 +207,7 @@
 
 
 def may_hedge(dispatcher, id_="r1"):
-    """A request whose first attempt has started and fallen silent, and the hedged request's connection."""
+    """Return a client whose first attempt has started and is silent, with a hedged attempt being dialled."""
     client = dispatcher.client(id_=id_)
     first = dispatcher.dials[0].up()
     first.take()
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize("fault", ["refused", "reset", "500", "handed back"])
-def test_a_hedged_request_that_fails_at_once_leaves_the_first_attempt_its_answer(fault):
+def test_failure_of_a_hedged_attempt_leaves_the_first_attempt_open(fault):
     dispatcher = InMemoryDispatcher(
         replace(SITE, hedging_allowed=True, progress_interval_ms=100.0), workers=2
     )
@@ -243,7 +243,7 @@
     assert not dispatcher.exchange.unanswered
 
 
-def test_a_hedged_request_and_the_first_attempt_that_fail_in_one_turn_end_in_one_answer():
+def test_failure_of_both_attempts_in_one_turn_yields_one_response():
     dispatcher = InMemoryDispatcher(
         replace(SITE, hedging_allowed=True, progress_interval_ms=100.0, max_attempts=2), workers=2
     )
@@ -260,7 +260,7 @@
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a", "/keyed/a"])
 @pytest.mark.parametrize("fault", ["refused", "handed back", "500", "reset"])
-def test_retries_that_fail_at_once_end_in_one_answer_within_the_attempts_allowed(path, fault):
+def test_retries_that_all_fail_yield_one_response_within_max_attempts(path, fault):
     dispatcher = InMemoryDispatcher(workers=2)
     client = dispatcher.client(path=path, Idempotency_Key="k")
     for _ in range(3 * SITE.max_attempts):
@@ -290,8 +290,8 @@
 @pytest.mark.parametrize("path", ["/safe/a", "/keyed/a", "/unsafe/a"])
 @pytest.mark.parametrize("how", ["closes", "resets", "forgets"])
 @pytest.mark.parametrize("quiet", [10.0, 5000.0])
-def test_a_worker_that_has_let_go_of_an_idle_connection_costs_no_answer(path, how, quiet):
-    """Closed or reset, it is not used again; forgotten, it is reset by the request that is written to it."""
+def test_idle_connection_closed_by_the_worker_costs_no_response(path, how, quiet):
+    """A closed or reset one is not reused; one the worker has forgotten is reset by the next request."""
     dispatcher = InMemoryDispatcher(workers=1)
     first = dispatcher.client(path=path, Idempotency_Key="k1")
     kept = dispatcher.dials[0].up()
