--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The governor at work: who is turned away or ended for slowness; its counts hold at the listener."""
+"""Admission control at a listener: rejected connections, slow messages, and the counts after them."""
 
 import socket
 
@@ -18,7 +18,7 @@
 from eiderfield.net.wheel import TICK_MS
 
 
-def test_one_address_with_many_is_told_to_come_later_and_the_others_are_served():
+def test_address_at_its_limit_receives_503_and_others_are_served():
     harness = ListenerHarness(address_quota=Quota(max_connections=3), retry_after=1500.0)
     greedy = [SocketClient(harness) for _ in range(5)]
     assert [client.statuses() for client in greedy] == [[], [], [], [503], [503]]
@@ -30,8 +30,8 @@
     harness.close()
 
 
-def test_a_refusal_reaches_a_client_that_has_sent_its_message_already():
-    """Closing on unread input would take the answer back."""
+def test_rejection_reaches_a_client_that_has_sent_its_request():
+    """Closing a socket with unread input would discard the response."""
     harness = ListenerHarness(address_quota=Quota(max_connections=1))
     first = SocketClient(harness)
     late = SocketClient.__new__(SocketClient)
@@ -49,7 +49,7 @@
     harness.close()
 
 
-def test_a_flood_is_closed_without_a_word_and_few_at_a_time_are_told():
+def test_rejected_connections_receive_few_responses_at_once_and_none_above_the_rate():
     harness = ListenerHarness(most=1000, address_quota=Quota(max_connections=1))
     flood = [SocketClient(harness)]
     flood += [SocketClient(harness) for _ in range(REJECTIONS_AT_ONCE + 10)]
@@ -68,7 +68,7 @@
     harness.close()
 
 
-def test_parked_connections_count_for_their_address_until_they_end():
+def test_parked_connection_counts_for_its_address_until_it_is_closed():
     harness = ListenerHarness(address_quota=Quota(max_connections=2))
     clients = harness.parked(2)
     assert SocketClient(harness).statuses() == [503]
@@ -85,7 +85,7 @@
     harness.close()
 
 
-def test_half_sent_messages_beyond_the_limit_are_refused_and_whole_ones_are_not():
+def test_incomplete_messages_beyond_the_limit_are_rejected():
     harness = ListenerHarness(address_quota=Quota(max_incomplete_messages=2))
     slow = [SocketClient(harness).send(b"POST /safe") for _ in range(3)]
     harness.turn()
@@ -102,7 +102,7 @@
     harness.close()
 
 
-def test_hundreds_that_drip_just_inside_the_limits_are_all_ended_at_the_same_time():
+def test_slow_heads_are_all_ended_at_their_time_limit():
     harness = ListenerHarness(most=1000, timeouts=MessageTimeouts(head=2000.0))
     drips = [SocketClient(harness) for _ in range(200)]
     for step in range(19):
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(("gap", "answer"), [(10.0, 200), (200.0, 408)])
-def test_a_body_must_flow_at_its_least_rate(gap, answer):
+def test_body_below_the_minimum_rate_is_rejected(gap, answer):
     harness = ListenerHarness(timeouts=MessageTimeouts(min_body_rate=50.0, body_grace=500.0))
     client = SocketClient(harness)
     head = message("r1").replace(b"Length: 1", b"Length: 100").removesuffix(b"b")
@@ -142,7 +142,7 @@
     harness.close()
 
 
-def test_new_limits_count_for_messages_that_have_begun():
+def test_new_limits_apply_to_messages_that_have_begun():
     harness = ListenerHarness()
     client = SocketClient(harness).send(b"POST /safe")
     harness.turn()
@@ -155,7 +155,7 @@
     harness.close()
 
 
-def test_a_crowded_house_lets_parked_ones_idle_for_less_time():
+def test_overloaded_listener_closes_parked_connections_earlier():
     harness = ListenerHarness(
         most=10, descriptors=Watermarks(0.5, 0.3), overloaded_idle_timeout=5000.0, min_overload_time=100.0
     )
@@ -169,7 +169,7 @@
     harness.close()
 
 
-def test_short_memory_keeps_the_house_as_it_is_and_a_newcomer_takes_a_place():
+def test_new_connection_while_memory_is_scarce_replaces_an_idle_one():
     harness = ListenerHarness(most=60)
     quiet = harness.parked(20)
     harness.memory = 0.97
@@ -187,7 +187,7 @@
     harness.close()
 
 
-def test_an_address_that_cannot_be_asked_for_any_more_is_no_reason_to_drop_a_connection():
+def test_adopt_connection_whose_client_has_left_raises_nothing():
     harness = ListenerHarness()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client = socket.create_connection(listener.getsockname())
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""A model of the connections' states: random steps of clients, workers and discovery, judged by the rules."""
+"""A model of the connections' states: random steps of clients, workers and discovery keep the rules."""
 
 from collections import Counter
 
@@ -136,7 +136,7 @@
         self.look()
 
     def look(self):
-        """Takes in what workers got and clients were told."""
+        """Record the requests that workers received and the responses that clients received."""
         self.sound = False
         out = Counter()
         for end in self.dispatcher.ends:
@@ -174,7 +174,7 @@
 
 
 def run(examples):
-    """Plays random days without shrinking, which would take minutes: a failure prints its steps."""
+    """Run random steps without shrinking, which would take minutes; a failure prints its steps."""
     run_state_machine_as_test(
         Connections,
         settings=settings(
@@ -190,7 +190,7 @@
     )
 
 
-def test_random_steps_keep_the_rules():
+def test_model_random_steps_keep_the_rules():
     run(100)
 
 
@@ -233,7 +233,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_broken_program_is_caught(fault, monkeypatch):
+def test_model_detects_a_planted_fault(fault, monkeypatch):
     FAULTS[fault](monkeypatch)
     with pytest.raises(AssertionError, match=fault):
-        run(4000)  # it ends at the first failure; the days drawn differ with the modules loaded
+        run(4000)  # ends at the first failure; the steps drawn depend on the modules loaded
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -1,4 +1,4 @@
-"""One small test for each way in which sockets can break a rule."""
+"""Rules of requests and responses, tested on connections in memory."""
 
 import json
 
@@ -15,7 +15,7 @@
 
 
 def outcomes(dispatcher):
-    """The outcomes that the module hears from now on."""
+    """Return a list that collects the outcomes which the policy receives from now on."""
     heard, real = [], dispatcher.exchange.dispatcher.handle
 
     def handle(now, events):
@@ -26,7 +26,7 @@
     return heard
 
 
-def test_a_drain_told_while_the_connection_comes_up_stops_the_leg():
+def test_drain_during_a_dial_prevents_the_attempt():
     dispatcher = InMemoryDispatcher(workers=1)
     dispatcher.client()
     heard = outcomes(dispatcher)
@@ -35,7 +35,7 @@
     assert heard == [Outcome.MOOT]
 
 
-def test_news_of_a_turn_come_before_its_sends():
+def test_endpoint_updates_of_a_turn_are_applied_before_its_attempts():
     dispatcher = InMemoryDispatcher(workers=1)
     dispatcher.table.load({"index": 9, "snapshot": True, "endpoints": []})
     client = Client(dispatcher)
@@ -61,7 +61,7 @@
         ("done", Outcome.OK),
     ],
 )
-def test_what_proves_that_a_job_never_ran(what, outcome):
+def test_outcome_distinguishes_attempts_that_never_ran(what, outcome):
     dispatcher = InMemoryDispatcher(workers=1)
     dispatcher.client()
     heard = outcomes(dispatcher)
@@ -81,7 +81,7 @@
     assert heard[0] == outcome
 
 
-def test_a_workers_own_503_never_reaches_a_client():
+def test_status_503_of_a_worker_is_not_passed_to_the_client():
     dispatcher = InMemoryDispatcher(workers=1)
     client = dispatcher.client(path="/unsafe/a")
     dispatcher.dials[0].up().status(503, Retry_After="1")
@@ -90,7 +90,7 @@
     assert not head.get("retry-after")
 
 
-def test_a_result_is_served_as_it_is_and_its_connection_used_again():
+def test_result_is_passed_unchanged_and_its_connection_reused():
     dispatcher = InMemoryDispatcher(workers=1)
     client = dispatcher.client(body=b"x" * MAX_BODY_BYTES)
     end = dispatcher.dials[0].up()
@@ -101,7 +101,7 @@
     assert not dispatcher.dials
 
 
-def test_what_passes_to_a_worker_is_unchanged():
+def test_request_is_passed_to_the_worker_unchanged():
     dispatcher = InMemoryDispatcher(workers=1)
     Client(dispatcher).post("/keyed/a%20b?c=d&e", "id-1", 3000, b"\x00body", Idempotency_Key="k1")
     end = dispatcher.dials[0].up()
@@ -114,7 +114,7 @@
     assert head.get("x-deadline-ms") == str(3000 - int(DEADLINE_MARGIN_MS))
 
 
-def test_no_connection_is_used_near_the_time_at_which_workers_close_it():
+def test_idle_connection_is_not_reused_shortly_before_the_worker_closes_it():
     dispatcher = InMemoryDispatcher(workers=1)
     dispatcher.client()
     end = dispatcher.dials[0].up()
@@ -125,8 +125,8 @@
     assert len(dispatcher.dials) == 1
 
 
-def test_idle_connections_take_turns():
-    """The one used last would let the others idle out, and each new one costs the worker a handshake."""
+def test_idle_connections_are_reused_in_turn():
+    """Reusing the last one would let the others expire, and each new one costs the worker a handshake."""
     dispatcher = InMemoryDispatcher(workers=1)
     ends = []
     for id_ in ("r1", "r2"):
@@ -145,8 +145,8 @@
         end.finish()
 
 
-def test_no_leg_is_put_on_a_connection_that_its_worker_has_just_ended():
-    """Its write would fail, and the failed connection would rest a healthy worker."""
+def test_idle_connection_that_the_worker_has_ended_is_not_reused():
+    """The write would fail, and the failure would eject a healthy worker."""
     dispatcher = InMemoryDispatcher(workers=1)
     dispatcher.client()
     end = dispatcher.dials[0].up()
@@ -157,8 +157,8 @@
     assert dispatcher.side.connection_count == 1
 
 
-def test_where_a_kept_connection_proved_dead_the_others_are_not_used():
-    """Every fifth job of a day was lost on connections that their workers had quietly ended."""
+def test_failure_of_a_reused_connection_closes_the_workers_other_idle_ones():
+    """Every fifth request of a day was once lost on connections that workers had closed silently."""
     dispatcher = InMemoryDispatcher(workers=1)
     ends = []
     for id_ in ("r1", "r2"):
@@ -186,7 +186,7 @@
     assert end.pipe.open
 
 
-def test_a_connection_that_breaks_under_an_answer_says_nothing_of_the_others():
+def test_loss_within_a_response_does_not_distrust_idle_connections():
     dispatcher = InMemoryDispatcher(workers=1)
     dispatcher.client()
     end = dispatcher.dials[0].up()
@@ -197,7 +197,7 @@
     assert not dispatcher.side.distrusts_idle(1)
 
 
-def test_a_client_that_leaves_takes_its_leg_along():
+def test_client_disconnect_cancels_its_attempt():
     dispatcher = InMemoryDispatcher(workers=1)
     client = dispatcher.client()
     end = dispatcher.dials[0].up()
@@ -207,7 +207,7 @@
     assert not dispatcher.exchange.unanswered
 
 
-def test_descriptors_stay_bounded_on_both_sides():
+def test_connections_of_clients_and_workers_stay_within_their_limits():
     dispatcher = InMemoryDispatcher(workers=1, most=3, worker_connections=2)
     idle = [Client(dispatcher) for _ in range(3)]
     assert dispatcher.listener.make_room()
@@ -221,7 +221,7 @@
     assert dispatcher.side.connection_count <= 2
 
 
-def test_an_unready_dispatcher_says_so():
+def test_ready_of_a_dispatcher_that_does_not_serve_is_503():
     dispatcher = InMemoryDispatcher(workers=0)
     client = Client(dispatcher)
     assert client.ask("GET", "/ready")[0][0] == 503
@@ -248,7 +248,7 @@
         (b"POST /safe/a HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413),
     ],
 )
-def test_bad_messages_are_answered_and_reach_no_worker(message, status):
+def test_malformed_message_is_answered_and_reaches_no_worker(message, status):
     dispatcher = InMemoryDispatcher()
     client = Client(dispatcher)
     client.send(message)
@@ -257,7 +257,7 @@
     assert not dispatcher.exchange.unanswered
 
 
-def test_thousands_of_pipelined_messages_do_not_nest():
+def test_thousands_of_pipelined_messages_do_not_recurse():
     dispatcher = InMemoryDispatcher()
     client = Client(dispatcher)
     client.send(b"GET /ready HTTP/1.1\r\n\r\n" * 3000)
@@ -266,7 +266,7 @@
     assert len(client.answers()) == 3000 - MESSAGES_PER_TURN
 
 
-def test_a_message_that_never_ends_is_given_up():
+def test_message_without_end_is_rejected():
     dispatcher = InMemoryDispatcher()
     client = Client(dispatcher)
     client.send(b"POST /safe HTTP/1.1\r\n")
@@ -275,7 +275,7 @@
     assert not client.pipe.open
 
 
-def test_only_quiet_connections_are_closed_at_the_end():
+def test_close_idle_keeps_connections_with_a_request():
     dispatcher = InMemoryDispatcher()
     idle, busy, begun = Client(dispatcher), dispatcher.client(), Client(dispatcher)
     begun.send(b"POST /safe")
@@ -289,8 +289,8 @@
     assert busy.pipe.ended
 
 
-def test_while_a_program_ends_its_clients_stay_until_it_leaves_and_later_jobs_are_answered_in_time():
-    """With the other dispatchers restarting too, clients sent away at once found none that took them."""
+def test_shutdown_keeps_clients_for_a_while_and_answers_later_requests_in_time():
+    """While other dispatchers restart too, clients sent away at once would find no other dispatcher."""
     dispatcher = InMemoryDispatcher()
     client = dispatcher.client()
     dispatcher.listener.draining = True
@@ -307,7 +307,7 @@
     assert client.answers()[0][0] == 503
 
 
-def test_a_module_that_forgets_a_job_is_made_good():
+def test_request_that_the_policy_never_answers_fails_at_its_deadline():
     dispatcher = InMemoryDispatcher(workers=0)
     dispatcher.exchange.dispatcher._expire = lambda now: None
     client = dispatcher.client(wait=400)
@@ -316,7 +316,7 @@
     assert dispatcher.logged
 
 
-def test_an_answer_that_cannot_be_given_leaves_the_turns_other_actions(monkeypatch):
+def test_response_that_raises_does_not_prevent_other_actions_of_the_turn(monkeypatch):
     dispatcher = InMemoryDispatcher(workers=0)
     first, second = Client(dispatcher), Client(dispatcher)
     monkeypatch.setattr(first.connection, "answer", lambda *a, **k: 1 / 0)
@@ -343,7 +343,7 @@
     return watcher, dispatcher.dials[-1].up()
 
 
-def test_a_silent_watch_is_opened_anew_after_the_last_index():
+def test_silent_watch_is_reopened_from_the_last_index():
     dispatcher = InMemoryDispatcher(workers=1)
     _, end = watch(dispatcher)
     assert b"after=1 " in end.pipe.written
@@ -375,7 +375,7 @@
         b"[" * 5000,
     ],
 )
-def test_nonsense_from_discovery_leaves_the_table(line):
+def test_malformed_line_of_discovery_leaves_the_table(line):
     dispatcher = InMemoryDispatcher(workers=1)
     _, end = watch(dispatcher)
     end.pipe.send(
@@ -388,9 +388,8 @@
 
 
 @pytest.mark.parametrize("line", [b"{", b"{\n", b'{"index":\n', b"{\n\n\n"])
-def test_a_list_that_never_ends_leaves_the_table_and_its_source(line):
-    """It may be the first line of an indented list; but a source of which no list becomes whole is silent,
-    whatever it dribbles."""
+def test_endless_list_of_discovery_leaves_the_table_and_reopens_the_watch(line):
+    """Such a line may begin an indented list, but a source that completes no list counts as silent."""
     dispatcher = InMemoryDispatcher(workers=1)
     _, end = watch(dispatcher)
     end.pipe.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
