--- a/eiderfield/connections/__init__.py
+++ b/eiderfield/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Client connections without I/O: admission control, and the idle connections at little cost."""
+"""Client connections: admission control, and idle connections, which take a few bytes each."""
