--- a/tests/golden/456c0d9/record_456c0d9.py
+++ b/tests/golden/456c0d9/record_456c0d9.py
@@ -90,7 +90,7 @@
 
     def member(self, name: str) -> Member:
         """Return a member that has begun its first incarnation."""
-        member = Member(self.settings, name, {"report": 3.0}, lambda line: None, lambda: self.now)
+        member = Member(self.settings, name, {"report": 3.0}, lambda _line: None, lambda: self.now)
         member.begin()
         member.tick()
         return member
--- a/tests/support/failing_files.py
+++ b/tests/support/failing_files.py
@@ -221,7 +221,7 @@
     open_file = _OPEN(default.contents.open)
     methods: dict[int, _Methods] = {}
 
-    def opened(vfs: int, name: int, file: Any, flags: int, out: Any) -> int:
+    def opened(_vfs: int, name: int, file: Any, flags: int, out: Any) -> int:
         if _database_fails("database open"):
             return _CANTOPEN
         result: int = open_file(ctypes.cast(default, ctypes.c_void_p).value, name, file, flags, out)
--- a/tests/support/handover.py
+++ b/tests/support/handover.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.reads: set[object] = set()
 
-    def add_reader(self, sock: object, call: object) -> None:
+    def add_reader(self, sock: object, _call: object) -> None:
         self.reads.add(sock)
 
     def remove_reader(self, sock: object) -> None:
--- a/tests/support/wall_clock.py
+++ b/tests/support/wall_clock.py
@@ -146,7 +146,7 @@
 
     def __init__(self, wall: Callable[[], float], now: float) -> None:
         self.now = now
-        self.codec = Codec(lambda: self.now, WallClock(lambda: self.now, wall), lambda line: None)
+        self.codec = Codec(lambda: self.now, WallClock(lambda: self.now, wall), lambda _line: None)
 
 
 def passed_on(message: Message, step: float) -> tuple[Any, float]:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -211,7 +211,7 @@
     return json.dumps(list_, indent=indent).encode() + b"\n"
 
 
-def refuses(dispatcher, dial):
+def refuses(_dispatcher, dial):
     dial.refuse()
 
 
@@ -219,27 +219,35 @@
     """Its connection never comes up."""
 
 
-def says_nothing(dispatcher, dial):
+def says_nothing(_dispatcher, dial):
     dial.up()
 
 
-def ends_early(dispatcher, dial):
+def ends_early(_dispatcher, dial):
     dial.up().pipe.send(HEAD + b"0\r\n\r\n")
 
 
-def is_reset(dispatcher, dial):
+def is_reset(_dispatcher, dial):
     dial.up().pipe.break_off()
 
 
-def answers_503(dispatcher, dial):
+def answers_503(_dispatcher, dial):
     dial.up().pipe.send(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
 
 
-def answers_garbage(dispatcher, dial):
+def answers_garbage(_dispatcher, dial):
     dial.up().pipe.send(HEAD + chunk(b"garbage\n"))
 
 
-def sends_half_a_line(dispatcher, dial):
+def stream_ends(feed):
+    feed.pipe.send(b"0\r\n\r\n")
+
+
+def stream_is_reset(feed):
+    feed.pipe.break_off()
+
+
+def sends_half_a_line(_dispatcher, dial):
     dial.up().pipe.send(HEAD + chunk(told("SERVING")[:40]))
 
 
@@ -294,8 +302,8 @@
 
 
 @pytest.mark.parametrize(("sharers", "number"), [(1, 0), (40, 39), (200, 199)])
-@pytest.mark.parametrize("fault", [ends_early, is_reset, answers_503])
-def test_a_watch_that_breaks_is_open_again_within_the_grace_of_a_drain(fault, sharers, number):
+@pytest.mark.parametrize("breaks", [stream_ends, stream_is_reset])
+def test_a_watch_that_breaks_is_open_again_within_the_grace_of_a_drain(breaks, sharers, number):
     """What the agent holds counts at once: at 20 dispatchers a watch that was reset was opened anew after
     0.5 to 2 s, while a drain binds after half a second."""
     dispatcher = follow(number, 3, sharers)
@@ -303,7 +311,7 @@
     feed = dispatcher.dials[0].up()
     feed.pipe.send(HEAD + chunk(told("SERVING")))
     dispatcher.advance(1000.0)
-    feed.pipe.break_off()
+    breaks(feed)
     dispatcher.advance(FIRST_CALLS_SHARE * 500.0 + TICK_MS)
     dispatcher.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING")))
     assert [*dispatcher.exchange.endpoints.states.values()] == [EndpointState.DRAINING]
--- a/tests/test_batch_client.py
+++ b/tests/test_batch_client.py
@@ -26,7 +26,7 @@
         self.answer = answer
         self.requests = []
 
-    def _request_once(self, method, path, message, wait):
+    def _request_once(self, method, path, message, _wait):
         self.requests.append((method, path, message))
         return self.answer
 
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -254,7 +254,7 @@
 class FailingFront:
     """A front that fails for one kind of message and answers the others."""
 
-    def handle_message(self, listener, connection, head, body):
+    def handle_message(self, _listener, connection, head, _body):
         if head.method == "POST":
             raise OSError("no")
         connection.answer(200, b"well\n")
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -195,7 +195,7 @@
 
 
 FAULTS = {
-    "begun after a drain": lambda m: m.setattr(WorkerReports, "may_write", lambda self, leg, now: True),
+    "begun after a drain": lambda m: m.setattr(WorkerReports, "may_write", lambda _self, _leg, _now: True),
     "served what no worker made": lambda m: m.setattr(worker_response, "parse_update", any_result),
     "answered twice|after the end": lambda m: m.setattr(
         ClientConnection, "answer", twice(ClientConnection.answer)
@@ -208,7 +208,7 @@
 }
 
 
-def any_result(line, request_id):
+def any_result(_line, _request_id):
     return Result(b"wrong")
 
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -54,7 +54,7 @@
 
 
 def test_one_of_many_that_minds_no_cold_worker_is_caught(monkeypatch):
-    monkeypatch.setattr(SlowStart, "budget_left", lambda self, worker, now: inf)
+    monkeypatch.setattr(SlowStart, "budget_left", lambda _self, _worker, _now: inf)
 
     def run_seeds():
         for seed in range(400):
@@ -155,7 +155,7 @@
 
 def execute(dispatcher, action):
     """Lets the policy decide an action in one turn."""
-    dispatcher.exchange.dispatcher.handle = lambda now, events: [action]
+    dispatcher.exchange.dispatcher.handle = lambda _now, _events: [action]
     dispatcher.exchange.turn(dispatcher.now)
     del dispatcher.exchange.dispatcher.handle
     return [line for line in dispatcher.logged if "action failed" in line]
--- a/tests/test_durable_requests_cost.py
+++ b/tests/test_durable_requests_cost.py
@@ -32,7 +32,7 @@
     assert commits(0.2, tmp_path) > 0.0
 
 
-def test_the_commands_print_a_line_for_each_part(tmp_path):
+def test_the_commands_print_a_line_for_each_part():
     words = ["--dispatchers", "2", "--rate", "30", "--seconds", "1", "--rounds", "1"]
     told = CliRunner().invoke(main, ["lab", "durable-requests", "cost", *words])
     assert told.exit_code == 0
--- a/tests/test_durable_requests_members.py
+++ b/tests/test_durable_requests_members.py
@@ -84,7 +84,7 @@
     assert apply_one(a, Claim("kept", attempt_record())) == Claimed("a.1")
 
 
-def test_who_can_write_nothing_lets_an_asker_wait_for_a_job_that_is_somewhere(host, monkeypatch):
+def test_who_can_write_nothing_lets_an_asker_wait_for_a_job_that_is_somewhere(host):
     """Seen: a process without a life declined a keyed job that had begun elsewhere (custody seed 15)."""
     a, b = host.member("a"), host.member("b")
     apply_one(a, Accept(record()))
--- a/tests/test_durable_requests_model.py
+++ b/tests/test_durable_requests_model.py
@@ -38,7 +38,7 @@
     found = explore(1, steps, lambda n: "found" if n == 24 else "")
     assert found.fault == "found"
     assert len(found.trace) == 5
-    assert not explore(1, steps, lambda n: "", max_states=100).complete
+    assert not explore(1, steps, lambda _n: "", max_states=100).complete
 
 
 def test_the_command_counts_states_and_names_a_slip():
--- a/tests/test_durable_requests_takeover.py
+++ b/tests/test_durable_requests_takeover.py
@@ -151,7 +151,7 @@
     a, b = host.member("a"), host.member("b")
     apply_one(a, Accept(record()))
     with monkeypatch.context() as locked:
-        locked.setattr(b._context.readers, "open", lambda incarnation: None)
+        locked.setattr(b._context.readers, "open", lambda _incarnation: None)
         host.outlive(b)
         assert b.take_over() == []
     host.live(1500.0, b)
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -72,13 +72,13 @@
 
 
 def test_the_model_finds_a_missing_answer(monkeypatch):
-    monkeypatch.setattr(Dispatcher, "_expire", lambda self, now: None)
+    monkeypatch.setattr(Dispatcher, "_expire", lambda _self, _now: None)
     with pytest.raises(RuleBrokenError, match="no answer"):
         CASES["no worker for 3 s, objective 20 ms"].play()
 
 
 def test_the_model_finds_too_much_sent_to_a_warming_worker(monkeypatch):
-    monkeypatch.setattr(SlowStart, "budget_left", lambda self, worker, now: float("inf"))
+    monkeypatch.setattr(SlowStart, "budget_left", lambda _self, _worker, _now: float("inf"))
     with pytest.raises(RuleBrokenError, match="warming worker"):
         CASES["one of two restarts, run 5 ms, warm-up 600 s"].play()
 
@@ -86,7 +86,7 @@
 def test_the_model_finds_an_attempt_at_a_draining_worker(monkeypatch):
     fleet = DrivenFleet(settings_of(SHORT), Load(4.0, 5.0))
     fleet.run(100.0)
-    monkeypatch.setattr(fleet.nodes[0], "handle", lambda now, events: [StartAttempt(0, 1)])
+    monkeypatch.setattr(fleet.nodes[0], "handle", lambda _now, _events: [StartAttempt(0, 1)])
     fleet.requests[0].answered = None
     fleet.requests[0].due = fleet.now + 100.0
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -165,7 +165,7 @@
 
 
 @pytest.fixture
-def port(monkeypatch):
+def port():
     """A dispatcher whose listener has a real port, and a client that has connected to it."""
 
     class Port:
@@ -269,7 +269,7 @@
 
 def test_select_with_a_pending_registration_waits_until_the_next_retry_at_most(selector, monkeypatch):
     waits = []
-    monkeypatch.setattr(selectors.EpollSelector, "select", lambda self, timeout: waits.append(timeout) or [])
+    monkeypatch.setattr(selectors.EpollSelector, "select", lambda _self, timeout: waits.append(timeout) or [])
     selector.selector.register(selector.near, selectors.EVENT_READ)
     for timeout in (None, 5.0, 0.0):
         selector.selector.select(timeout)
@@ -364,7 +364,7 @@
     later = Later(monkeypatch, loop)
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sender, receiver = Link(loop, near), Link(loop, far)
-    receiver.receive = lambda message, fds: got.append(message)
+    receiver.receive = lambda message, _fds: got.append(message)
     sender.lost = lambda: got.append("lost")
     errors, send_fds = [failed(number)] * 2, socket.send_fds
 
@@ -449,7 +449,7 @@
     with failing_calls(monkeypatch, Failure(Call.SOCKET, 1, errno.EMFILE, count=10**6)) as failing:
         failing.start()
         told_to_end = partial(setattr, opening.listener, "draining", True)
-        monkeypatch.setattr("eiderfield.program.listeners.log", lambda text: told_to_end())
+        monkeypatch.setattr("eiderfield.program.listeners.log", lambda _text: told_to_end())
         opening.open()
     assert not opening.listener.listening
     assert failing.failed
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -117,7 +117,7 @@
     folder, told = golden_folder
     now = [1000.0]
     settings = DurableRequestSettings(folder, frozenset({0}), lease_ms=LEASE)
-    member = Member(settings, "n9", {"report": 3.0}, lambda line: None, lambda: now[0])
+    member = Member(settings, "n9", {"report": 3.0}, lambda _line: None, lambda: now[0])
     member.begin()
     found = {}
     for _ in range(60):
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -83,7 +83,7 @@
         The kernel closes what it alone holds, and still delivers what it had sent."""
         dead = self.harnesses[which]
         self.wires[which].close()
-        dead.listener.parking.on_departure = lambda keys: None
+        dead.listener.parking.on_departure = lambda _keys: None
         for connection in dead.listener.open_connections:
             connection.abort()
         dead.listener.close()
@@ -216,7 +216,7 @@
 
 
 def test_a_poll_set_that_is_full_refuses_copies_and_takes_up_what_it_alone_has(monkeypatch):
-    def full(self, fd, since, mark=0, lender=None):
+    def full(_self, _fd, _since, _mark=0, _lender=None):
         raise OSError(28, "no space left on device")
 
     for idling, there in ((IDLING, 30), (COPIES, 0)):
@@ -237,7 +237,7 @@
     removal.step()
     removal.step()
 
-    def short(told, fds=()):
+    def short(_told, fds=()):
         if fds:
             raise OSError(24, "too many open files")
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -37,15 +37,15 @@
 
 
 BROKEN = {
-    "rule 1": ("plain", lambda m: m.setattr(Dispatcher, "_expire", lambda self, now: None)),
+    "rule 1": ("plain", lambda m: m.setattr(Dispatcher, "_expire", lambda _self, _now: None)),
     "rule 2: unsafe": (
         "all unsafe",
         lambda m: (
-            m.setattr(selection, "may_resend", lambda *a: True),
+            m.setattr(selection, "may_resend", lambda *_a: True),
             m.setattr(
                 RetryController,
                 "replace_stalled",
-                lambda self, attempt, now: (
+                lambda self, attempt, _now: (
                     self._queues.add_first(attempt.request)
                     if attempt.request.queue is None and not attempt.request.answered
                     else None
@@ -53,27 +53,27 @@
             ),
         ),
     ),
-    "rule 2: keyed": ("zones", lambda m: m.setattr(selection, "may_resend", lambda *a: True)),
+    "rule 2: keyed": ("zones", lambda m: m.setattr(selection, "may_resend", lambda *_a: True)),
     "rule 2: .* refused": (
         "all unsafe",
         lambda m: [
-            m.setattr(module, "may_reject", lambda request: True) for module in (admission, completion)
+            m.setattr(module, "may_reject", lambda _request: True) for module in (admission, completion)
         ],
     ),
     "rule 3": (
         "plain",
         lambda m: m.setattr(Dispatcher, "_endpoints_updated", ignore_drains(Dispatcher._endpoints_updated)),
     ),
-    "rule 4": ("plain", lambda m: m.setattr(SlowStart, "budget_left", lambda self, worker, now: inf)),
+    "rule 4": ("plain", lambda m: m.setattr(SlowStart, "budget_left", lambda _self, _worker, _now: inf)),
     "two attempts at once": (
         "no copies",
         lambda m: (
             m.setattr(outlier_detection, "STUCK_RUNS", 0.1),
-            m.setattr(selection, "may_resend", lambda *a: True),
+            m.setattr(selection, "may_resend", lambda *_a: True),
             m.setattr(
                 RetryController,
                 "replace_stalled",
-                lambda self, attempt, now: (
+                lambda self, attempt, _now: (
                     self._queues.add_first(attempt.request)
                     if attempt.request.queue is None and not attempt.request.answered
                     else None
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -216,10 +216,10 @@
         self.reading = True
         self.tasks = []
 
-    def add_reader(self, listener, call):
+    def add_reader(self, _listener, _call):
         self.reading = True
 
-    def remove_reader(self, listener):
+    def remove_reader(self, _listener):
         self.reading = False
 
     def create_task(self, coroutine):
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -249,7 +249,7 @@
     """With all of them taken, who is parked must still be served."""
     [client] = harness.parked()
 
-    def none(*args, **more):
+    def none(*_args, **_more):
         raise OSError(errno.EMFILE, "too many open files")
 
     for name in ("dup", "open", "pipe"):
@@ -280,7 +280,7 @@
     client = SocketClient(harness)
     assert client.ask("r1") == [200]
 
-    def full(self, fd, since, mark=0):
+    def full(_self, _fd, _since, _mark=0):
         raise OSError(28, "no space left on device")
 
     monkeypatch.setattr(IdleConnections, "park", full)
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -43,7 +43,7 @@
 
 
 def test_a_block_without_a_free_port_is_an_error(block, monkeypatch):
-    monkeypatch.setattr("eiderfield.lab.ports._is_bound", lambda sock, port: False)
+    monkeypatch.setattr("eiderfield.lab.ports._is_bound", lambda _sock, _port: False)
     with pytest.raises(NoPortLeftError, match="all ports of the block"):
         block.take()
     with pytest.raises(NoPortLeftError, match="all blocks"):
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -26,7 +26,7 @@
     def call_soon(self, call, *args):
         self.ready.append((call, args))
 
-    def call_later(self, wait, call):
+    def call_later(self, _wait, call):
         self.later.append(call)
         return self
 
@@ -52,7 +52,7 @@
     world.loop = Loop()
     world.driver = Driver(world.loop, lambda: world.now)
     world.driver.on_pause = lambda span: world.log.append(f"absent {span:.0f}")
-    world.driver.turn = lambda now: world.log.append("turn")
+    world.driver.turn = lambda _now: world.log.append("turn")
     return world
 
 
--- a/tests/test_regression.py
+++ b/tests/test_regression.py
@@ -79,7 +79,7 @@
     (tmp_path / "journal").mkdir()
     left = iter(figures)
 
-    def run(command, cwd, **more):
+    def run(_command, cwd, **_more):
         number = len(list((cwd / "journal").iterdir()))
         if (figure := next(left)) is not None:
             (cwd / "journal" / f"{number}.json").write_text(json.dumps(snapshot(f"s{number}", figure)))
@@ -120,7 +120,7 @@
     low, high = score_of(snapshot("low", 0.2)), score_of(snapshot("high", 0.9))
     words = ["lab", "regression", "--kit", str(tmp_path), "--why", "Why.", str(site)]
     for rows, code in ([Comparison(low, high)], 1), ([Comparison(high, low)], 0):
-        monkeypatch.setattr("eiderfield.lab.regression.run_benches", lambda *args, rows=rows: rows)
+        monkeypatch.setattr("eiderfield.lab.regression.run_benches", lambda *_args, rows=rows: rows)
         result = CliRunner().invoke(main, words)
         assert result.exit_code == code, result.output
         assert "0.200" in result.output
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -85,7 +85,7 @@
         heard = told(monkeypatch, lambda end, id_, line=line: end.say({"id": id_, **line}, end=True))
         assert heard[0] == (2, 1, 3)
     text = "TEXT active=2, rps=1, x0=3"
-    heard = told(monkeypatch, lambda end, id_: end.status(503, X_Not_Run="1", X_Load=text))
+    heard = told(monkeypatch, lambda end, _id: end.status(503, X_Not_Run="1", X_Load=text))
     assert heard[0] == (2, 1, 3)
 
 
--- a/tests/test_rollout_journal.py
+++ b/tests/test_rollout_journal.py
@@ -41,8 +41,8 @@
     [
         (lambda text: text[: len(text) // 2], "journal.json"),
         (lambda text: text.replace("watching", "undoing!"), "checksum"),
-        (lambda text: "", "journal.json"),
-        (lambda text: "[]", "journal.json"),
+        (lambda _text: "", "journal.json"),
+        (lambda _text: "[]", "journal.json"),
         (lambda text: text.replace('\\"form\\": 1', '\\"form\\": 9'), "checksum"),
     ],
 )
--- a/tests/test_rollout_on_failing_disk.py
+++ b/tests/test_rollout_on_failing_disk.py
@@ -56,7 +56,7 @@
 class Processes:
     """Stands in for `ProcessManager`: processes that start, get ready and end as they are told."""
 
-    def __init__(self, plan, id_, base, folder, texts, kept=()):
+    def __init__(self, plan, _id, _base, folder, _texts, _kept=()):
         self.plan, self.folder = plan, folder
         self.known_processes = [ProcessRecord("n0", Version.OLD, ("127.0.0.1", 8070), 1, 1.0)]
         self.running = {
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -309,7 +309,7 @@
 
 def test_request_that_the_policy_never_answers_fails_at_its_deadline():
     dispatcher = InMemoryDispatcher(workers=0)
-    dispatcher.exchange.dispatcher._expire = lambda now: None
+    dispatcher.exchange.dispatcher._expire = lambda _now: None
     client = dispatcher.client(wait=400)
     dispatcher.advance(430.0)
     assert client.answers()[0][0] == 502
@@ -319,7 +319,7 @@
 def test_response_that_raises_does_not_prevent_other_actions_of_the_turn(monkeypatch):
     dispatcher = InMemoryDispatcher(workers=0)
     first, second = Client(dispatcher), Client(dispatcher)
-    monkeypatch.setattr(first.connection, "answer", lambda *a, **k: 1 / 0)
+    monkeypatch.setattr(first.connection, "answer", lambda *_a, **_k: 1 / 0)
     first.post(id_="r1", wait=300)
     second.post(id_="r2", wait=300)
     dispatcher.advance(310.0)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -72,11 +72,11 @@
         (Fleet, "is_usable"),
         (SlowStart, "capacity_share"),
     ):
-        counted(owner, name, lambda args: 1)
-    counted(affinity, "stable_hash", lambda args: 1)
-    counted(subsetting, "stable_hash", lambda args: 1)
+        counted(owner, name, lambda _args: 1)
+    counted(affinity, "stable_hash", lambda _args: 1)
+    counted(subsetting, "stable_hash", lambda _args: 1)
     counted(affinity, "stable_hashes_up_to", lambda args: len(args[1]))
-    counted(subsetting, "place_of", lambda args: 1)
+    counted(subsetting, "place_of", lambda _args: 1)
     return count
 
 
@@ -126,12 +126,12 @@
 def test_a_request_without_a_key_looks_at_a_bounded_number_of_workers(keyed, examined):
     """Also where one dispatcher has the whole fleet to itself."""
     node = node_of(3200, dispatchers=1, keyed=keyed)
-    assert cost(examined, lambda number: serve(node)).total() <= 3 * MAX_CANDIDATES
+    assert cost(examined, lambda _number: serve(node)).total() <= 3 * MAX_CANDIDATES
 
 
 def test_a_hot_key_looks_at_a_bounded_number_of_its_homes(examined):
     node = node_of(3200, dispatchers=1)
-    assert cost(examined, lambda number: serve(node, affinity_key=1)).total() <= 6 * MAX_CANDIDATES
+    assert cost(examined, lambda _number: serve(node, affinity_key=1)).total() <= 6 * MAX_CANDIDATES
 
 
 @pytest.mark.parametrize("size", [200, 3200])
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -121,10 +121,10 @@
         def __init__(self):
             self.go = None
 
-        def claim(self, leg, go):
+        def claim(self, _leg, go):
             self.go = go
 
-        def may_write(self, leg):
+        def may_write(self, _leg):
             return True
 
         def attempt_ended(self, attempt):
@@ -176,7 +176,7 @@
     """Such a dial once counted as refused by the worker, which was ejected."""
     loop, calls, heard = asyncio.new_event_loop(), [], []
 
-    async def connect(factory, *address):
+    async def connect(_factory, *address):
         calls.append(address)
         if len(calls) <= len(faults):
             raise OSError(faults[len(calls) - 1], "no")
@@ -193,7 +193,7 @@
 def test_dial_waiting_for_a_descriptor_can_be_cancelled(monkeypatch):
     loop, heard = asyncio.new_event_loop(), []
 
-    async def connect(factory, *address):
+    async def connect(_factory, *_address):
         raise OSError(errno.EMFILE, "no")
 
     monkeypatch.setattr(loop, "create_connection", connect)
