--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -11,6 +11,7 @@
 from support.memory_dispatcher import SITE, InMemoryDispatcher
 from support.processes import DISPATCHER, log_until_listening, running_program
 
+from eiderfield.exchange.errors import FixedSettingError
 from eiderfield.interface import Tenant
 from eiderfield.lab.fleet.rollout_change import Change
 from eiderfield.lab.fleet.rollout_draw import verdict
@@ -60,6 +61,9 @@
         (replace(SITE, classes=SITE.classes[1:]), "settings.classes"),
         (replace(SITE, tenants=(Tenant("t", 1.0, 1.0),)), "settings.projects"),
         (replace(SITE, load_report_fields=("x0",)), "settings.load_info.columns"),
+        (replace(SITE, zone_count=SITE.zone_count + 1), "settings.zones"),
+        (replace(SITE, subscribes_to_endpoints=not SITE.subscribes_to_endpoints), "settings.discovery"),
+        (replace(SITE, gossip_allowed=not SITE.gossip_allowed), "settings.policy_limits.may_tell"),
         (
             replace(SITE, workers_report_start=not SITE.workers_report_start),
             "settings.family_info.tells_start",
@@ -67,8 +71,9 @@
     ],
 )
 def test_what_only_a_new_process_can_take_is_named_by_its_key(site, key):
-    with pytest.raises(ValueError, match=key):
+    with pytest.raises(FixedSettingError, match=key) as refused:
         InMemoryDispatcher(workers=1).exchange.check_settings(site)
+    assert refused.value.key == key
 
 
 CLASS = {"name": "echo", "value": 1, "goal_time": 300, "give_up": 5000, "idempotency": "retryable"}
