--- a/eiderfield/durable_requests/cancellation.py
+++ b/eiderfield/durable_requests/cancellation.py
@@ -43,7 +43,7 @@
         owned = self._context.owned_requests.get(id_)
         if owned is None or not owned.is_submitted or owned.is_waited_for:
             return
-        if self._context.exchange.request_state(owned.exchange_id) is not RequestState.HELD:
+        if self._context.exchange.request_state(owned.exchange_id) is not RequestState.QUEUED:
             return
         ended = self._context.exchange.cancel_request(owned.exchange_id)
         if ended is None:
--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -148,19 +148,19 @@
     def submit(
         self,
         request: Request,
-        answer: Callable[[Answer], None],
+        on_answer: Callable[[Answer], None],
         durable: bool = False,
         earlier_attempts: Iterable[EarlierAttempt] = (),
         client_waits: Callable[[], bool] | None = None,
     ) -> int:
-        """Accept a request and return its number. `answer` is called once, after this has returned.
+        """Accept a request and return its number. `on_answer` is called once, after this has returned.
 
         `client_waits` returns whether the client is still connected, also if its close has not been read yet.
         `earlier_attempts` are those that a lost dispatcher started: worker, and time of the start.
         Raises `RequestIdInUseError`.
         """
         earlier = tuple(earlier_attempts)
-        pending = self._requests.add(request, answer, durable, client_waits)
+        pending = self._requests.add(request, on_answer, durable, client_waits)
         for number, (endpoint, sent_at) in enumerate(earlier):
             pending.attempts.append(
                 Attempt(pending, number, endpoint.worker, sent_at, open=False, may_have_run=True)
@@ -222,10 +222,10 @@
         if pending is None:
             return None
         if not any(attempt.open for attempt in pending.attempts):
-            return RequestState.HELD
+            return RequestState.QUEUED
         if pending.running or not self.settings.workers_report_start:
             return RequestState.RUNNING
-        return RequestState.OUT
+        return RequestState.SENT
 
     # Called during a handover to or from another process of this dispatcher.
 
--- a/eiderfield/exchange/protocols.py
+++ b/eiderfield/exchange/protocols.py
@@ -69,4 +69,4 @@
         """Persist that an attempt of a durable request ended, and whether it may have run."""
 
     def finish(self, pending: PendingRequest, answer: Answer) -> None:
-        """Persist the final answer of a durable request, then pass it to `pending.answer`."""
+        """Persist the final answer of a durable request, then pass it to `pending.on_answer`."""
--- a/eiderfield/exchange/request.py
+++ b/eiderfield/exchange/request.py
@@ -52,8 +52,8 @@
 class RequestState(Enum):
     """The state of a request without a final answer."""
 
-    HELD = "held"
-    OUT = "out"
+    QUEUED = "queued"  # no attempt is open
+    SENT = "sent"  # an attempt is open, and no worker has reported a start
     RUNNING = "running"
 
 
@@ -79,7 +79,7 @@
 
     id: int
     request: Request
-    answer: Callable[[Answer], None]
+    on_answer: Callable[[Answer], None]
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
     durable: bool = False  # whether `DurableRequests` persists it
--- a/eiderfield/exchange/request_table.py
+++ b/eiderfield/exchange/request_table.py
@@ -32,7 +32,7 @@
     def add(
         self,
         request: Request,
-        answer: Callable[[Answer], None],
+        on_answer: Callable[[Answer], None],
         durable: bool,
         client_waits: Callable[[], bool] | None,
     ) -> PendingRequest:
@@ -42,7 +42,7 @@
             raise RequestIdInUseError(id_)
         self._last_number += 1
         pending = PendingRequest(
-            self._last_number, request, answer, durable=durable, client_waits=client_waits
+            self._last_number, request, on_answer, durable=durable, client_waits=client_waits
         )
         self.pending[pending.id] = pending
         self.ids.add(id_)
@@ -74,7 +74,7 @@
         if pending.durable and self._context.durable_requests is not None:
             self._context.durable_requests.finish(pending, answer)
         else:
-            pending.answer(answer)
+            pending.on_answer(answer)
 
     def release_id(self, pending: PendingRequest) -> None:
         """Release the request's id if it is answered and its last attempt has ended."""
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -309,7 +309,7 @@
     def twice(self, job, answer=None):
         real(self, job, answer)
         if answer is not None:
-            job.answer(answer)
+            job.on_answer(answer)
 
     monkeypatch.setattr(RequestTable, "finish", twice)
     assert set(play_scheduler(100)[2].values()) != {1}
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -131,7 +131,7 @@
             pass
 
         def finish(self, job, answer):
-            job.answer(answer)
+            job.on_answer(answer)
 
     dispatcher = InMemoryDispatcher(workers=1)
     claiming = Claiming()
