--- a/eiderfield/machine.py
+++ b/eiderfield/machine.py
@@ -1,7 +1,7 @@
-"""What the machine says of its boot, its clocks and its processes.
+"""Reads the boot id, the clocks and the processes of this host.
 
-Spans of time are told by clocks that nobody steps. The wall clock is read in `unix_ms` alone: for people, for
-what others tell in Unix time, and to bring times across a reboot, where no steady clock goes on.
+Durations are measured by the monotonic clock. Only `unix_ms` reads the wall clock: for times that people see,
+for times that others give in Unix time, and to keep times across a reboot, which resets the monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,55 +12,58 @@
 from contextlib import suppress
 from pathlib import Path
 
-READING = 1.0  # ms from which on reading two clocks took too long
-READINGS = 5  # of two clocks at the most
+MAX_READING_MS = 1.0  # a reading of two clocks that takes longer is repeated
+MAX_READINGS = 5
 
 _BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
-_TICKS = float(os.sysconf("SC_CLK_TCK"))  # of the kernel's process table, in a second
-_STATE, _STARTED = 0, 19  # fields of /proc/PID/stat after the name
+_TICKS_PER_S = float(os.sysconf("SC_CLK_TCK"))  # of the start times in /proc/PID/stat
+_STATE, _STARTED = 0, 19  # positions in /proc/PID/stat after the process name
 
 
 def boot_id() -> str:
-    """Names this run of the machine: steady clocks and process numbers begin anew with it."""
+    """Return the id of the current boot, '' if unknown. Monotonic times and pids are valid for one boot."""
     with suppress(OSError):
         return _BOOT_ID.read_text().strip()
     return ""
 
 
 def steady_ms() -> float:
-    """The steady clock, which all processes of the machine share, in ms."""
+    """Return the monotonic clock in ms; all processes of the host share it."""
     return time.monotonic() * 1000.0
 
 
 def unix_ms() -> float:
-    """Unix time as the wall clock shows it now, in ms."""
+    """Return the wall clock as Unix time, in ms."""
     return time.time() * 1000.0
 
 
 def unix_offset() -> float:
-    """From the steady clock to Unix time now, in ms: a step of the wall clock changes it."""
+    """Return Unix time less the monotonic clock, in ms; a step of the wall clock changes it."""
     return offset_between(steady_ms, unix_ms)
 
 
 def offset_between(clock: Callable[[], float], other: Callable[[], float]) -> float:
-    """What the second clock is ahead of the first now, in ms.
+    """Return how far `other` is ahead of `clock`, in ms.
 
-    A process may be held up while it reads them: then it reads them again, and the closest reading counts.
+    The process may be preempted between two readings: slow ones are repeated, and the fastest counts.
     """
-    closest, offset = READING, 0.0
-    for reading in range(READINGS):
+    closest, offset = MAX_READING_MS, 0.0
+    for reading in range(MAX_READINGS):
         before = clock()
-        shown = other()
+        other_now = other()
         after = clock()
         if reading == 0 or after - before < closest:
-            closest, offset = after - before, shown - (before + after) / 2.0
-        if closest < READING:
+            closest, offset = after - before, other_now - (before + after) / 2.0
+        if closest < MAX_READING_MS:
             break
     return offset
 
 
 def process_started(pid: int) -> str:
-    """When a process began, in the kernel's ticks since the boot; '' if it is over. Numbers come again."""
+    """Return the start of a process in clock ticks since the boot, '' if it has ended.
+
+    It tells a process from a later one with the same pid.
+    """
     with suppress(OSError, IndexError):
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         return "" if fields[_STATE] in "ZXx" else fields[_STARTED]
@@ -68,8 +71,8 @@
 
 
 def process_age(pid: int) -> float:
-    """How long a process has been there, in s; 0 if it is over."""
+    """Return the age of a process in s, 0 if it has ended."""
     started = process_started(pid)
     if not started:
         return 0.0
-    return max(0.0, time.clock_gettime(time.CLOCK_BOOTTIME) - float(started) / _TICKS)
+    return max(0.0, time.clock_gettime(time.CLOCK_BOOTTIME) - float(started) / _TICKS_PER_S)
