--- a/eiderfield/config/loader.py
+++ b/eiderfield/config/loader.py
@@ -44,8 +44,8 @@
     """Configuration of one dispatcher process.
 
     `known_endpoints` is an endpoint list that is used until discovery sends one. `source` is what the file
-    holds. `is_operator_file` tells an operator's file, which is accepted or rejected as a whole, from the
-    platform's.
+    holds. `is_operator_file` is true for an operator's file, which is accepted or rejected as a whole, and
+    false for the platform's.
     """
 
     name: str
--- a/eiderfield/exchange/actions.py
+++ b/eiderfield/exchange/actions.py
@@ -86,7 +86,7 @@
         # Guards against a fault of the policy, which is notified that the attempt was never sent.
         if len(pending.attempts) > settings.max_attempts or (any_open and not settings.hedging_allowed):
             self.metrics.prevented_violations["attempts"] += 1
-            self.attempts.end(attempt, Outcome.MOOT)
+            self.attempts.end(attempt, Outcome.NOT_SENT)
             return
         deadline = pending.request.deadline
         stop_at = min(deadline, now + action.timeout_ms) if action.timeout_ms > 0.0 else deadline
@@ -105,7 +105,7 @@
             if may_start:
                 self.context.worker_side.start(attempt)
             else:
-                self.attempts.end(attempt, Outcome.MOOT)
+                self.attempts.end(attempt, Outcome.NOT_SENT)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
         """Stop an attempt if it is still open."""
--- a/eiderfield/exchange/attempt_table.py
+++ b/eiderfield/exchange/attempt_table.py
@@ -66,7 +66,7 @@
         if attempt.open and self._context.worker_side is not None:
             self._metrics.cancelled_attempts[reason] += 1
             self._context.worker_side.stop(attempt)
-            self.end(attempt, outcome if attempt.may_have_run else Outcome.MOOT)
+            self.end(attempt, outcome if attempt.may_have_run else Outcome.NOT_SENT)
 
     def stop_all(self, pending: PendingRequest, reason: str) -> None:
         """Abort the open attempts of a request."""
--- a/eiderfield/model/endpoints.py
+++ b/eiderfield/model/endpoints.py
@@ -25,7 +25,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One worker of the endpoint list. `ready_at` is when it last started, 0 if that is long ago."""
+    """One worker of the endpoint list.
+
+    `zone`, `kind` and `cell` are indexes. `weight` is its capacity relative to others. `ready_at` is when it
+    last started, 0 if that is long ago.
+    """
 
     worker: int
     zone: int = 0
--- a/eiderfield/model/events.py
+++ b/eiderfield/model/events.py
@@ -63,7 +63,7 @@
 class AttemptEnded:
     """An attempt ended.
 
-    `outcome` is an `Outcome`, or another status of the worker's. `is_final` tells that the request is over.
+    `outcome` is an `Outcome`, or another status of the worker's. `is_final` is true if the request is over.
     `load_report` is the worker's load report, empty if there is none; it may be old and inexact.
     """
 
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class AttemptProgressed:
-    """There is news of an open attempt. `share_done`, from 0 to 1, is known for the kind `SHARE_DONE`."""
+    """An open attempt started or progressed. `share_done`, from 0 to 1, is set for the kind `SHARE_DONE`."""
 
     request_id: int
     attempt_number: int
--- a/eiderfield/model/peer_report.py
+++ b/eiderfield/model/peer_report.py
@@ -9,7 +9,7 @@
 from struct import Struct
 
 MAX_ENTRIES = 51  # that fit within a message
-MAX_SLOTS = 255  # that an entry can tell
+MAX_SLOTS = 255  # that an entry can hold
 
 _ENTRY = Struct("<IB")
 
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -186,7 +186,7 @@
             # During the dial the worker may have begun to drain, or the request have ended.
             self.load = None
             self._owner.add_idle(self)
-            self._reports.attempt_ended(load, Outcome.MOOT)
+            self._reports.attempt_ended(load, Outcome.NOT_SENT)
             return
         self.state = ConnectionState.BUSY
         self._reader.start(load.pending.request.id if isinstance(load, Attempt) else None)
@@ -235,7 +235,7 @@
         if self.state == ConnectionState.DIALLING:
             load = self.load
             self.close()
-            outcome = Outcome.MOOT if self._delayed_locally else Outcome.CONNECT_FAILED
+            outcome = Outcome.NOT_SENT if self._delayed_locally else Outcome.CONNECT_FAILED
             self._loads.report_failure(load, outcome)
 
     def _dial_delayed(self, cause: Cause) -> None:
@@ -334,6 +334,6 @@
         if load is None:
             return
         if cause is Cause.LOCAL:
-            self._loads.report_failure(load, Outcome.CANCELLED if flushed else Outcome.MOOT)
+            self._loads.report_failure(load, Outcome.CANCELLED if flushed else Outcome.NOT_SENT)
         else:
             self._loads.report_failure(load, Outcome.RESET if flushed else Outcome.CONNECT_FAILED)
--- a/eiderfield/net/worker_pool.py
+++ b/eiderfield/net/worker_pool.py
@@ -124,7 +124,7 @@
         for connection in dialling:
             load = connection.load
             connection.close()
-            self.loads.report_failure(load, Outcome.MOOT)
+            self.loads.report_failure(load, Outcome.NOT_SENT)
 
     # Calls by the exchange.
 
@@ -183,7 +183,7 @@
     def _send(self, worker: int, load: Load) -> None:
         address = self._addresses.get(worker)
         if address is None:
-            self.loads.report_failure(load, Outcome.MOOT)
+            self.loads.report_failure(load, Outcome.NOT_SENT)
             return
         connection = self._idle.take(worker, self.clock())
         if connection is not None:
@@ -193,7 +193,7 @@
             self._connections.add(connection)
             connection.open(self._dial, address, self._dial_timeout)
         else:
-            self.loads.report_failure(load, Outcome.MOOT)
+            self.loads.report_failure(load, Outcome.NOT_SENT)
 
     def _make_room(self) -> bool:
         """Return whether another connection may be opened, after closing an idle one at the limit."""
--- a/eiderfield/tool.py
+++ b/eiderfield/tool.py
@@ -1,4 +1,4 @@
-"""Writes and checks the configuration of a sidecar, one file for each application.
+"""Write and check the configuration of a sidecar, one file for each application.
 
 python -m eiderfield.tool init --name app --class lookup:safe:aim=250 --worker HOST:PORT > app.toml
 python -m eiderfield.tool check app.toml
--- a/eiderfield/wire.py
+++ b/eiderfield/wire.py
@@ -120,7 +120,7 @@
 
 
 class WireError(EiderfieldError, ValueError):
-    """A frame cannot be decoded; the message tells what is wrong, and at which byte of it."""
+    """A frame cannot be decoded; the message names the fault and its byte within the frame."""
 
 
 @dataclass(slots=True)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -100,7 +100,7 @@
         dispatcher.advance(RETRY_MS)
     dispatcher.advance(RETRY_MS)
     assert dial.cancelled
-    assert dispatcher.outcomes == [Outcome.MOOT]
+    assert dispatcher.outcomes == [Outcome.NOT_SENT]
     assert not dispatcher.exchange.snapshot(dispatcher.now).avoided_workers
     dispatcher.advance(RETRY_MS)
     dispatcher.dials[0].up().finish()
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize(
     ("stuck", "outcome", "status"),
     [
-        (True, Outcome.MOOT, None),
+        (True, Outcome.NOT_SENT, None),
         (False, Outcome.CANCELLED, 502),
     ],
 )
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -32,7 +32,7 @@
     heard = outcomes(dispatcher)
     dispatcher.tell((1, "DRAINING"))
     assert not dispatcher.dials[0].up().take()
-    assert heard == [Outcome.MOOT]
+    assert heard == [Outcome.NOT_SENT]
 
 
 def test_endpoint_updates_of_a_turn_are_applied_before_its_attempts():
