--- a/eiderfield/__init__.py
+++ b/eiderfield/__init__.py
@@ -1,4 +1,4 @@
-"""eiderfield: the decisions of a dispatcher that pushes jobs to workers, without any I/O."""
+"""Dispatcher of requests to workers. This module exports its decisions, which perform no I/O."""
 
 from eiderfield.policy.dispatcher import Dispatcher
 from eiderfield.settings_text import parse_settings
--- a/eiderfield/config/discovery.py
+++ b/eiderfield/config/discovery.py
@@ -5,7 +5,6 @@
 from collections.abc import Mapping
 
 from eiderfield.config.address import parse_address
-from eiderfield.config.errors import ConfigError
 from eiderfield.config.reader import TableReader
 from eiderfield.net.discovery.settings import ConsulApi, DiscoveryKind, DiscoverySettings
 
@@ -52,9 +51,7 @@
     return settings
 
 
-def require_static_endpoints(discovery: DiscoverySettings, endpoints: object) -> None:
+def require_static_endpoints(root: TableReader, discovery: DiscoverySettings) -> None:
     """Raise `ConfigError` if the static endpoint list is needed and absent."""
-    if discovery.kind == DiscoveryKind.STATIC and endpoints is None:
-        raise ConfigError(
-            'known is missing: with discovery.kind = "static" it is the routing table', key="known"
-        )
+    if discovery.kind == DiscoveryKind.STATIC and root.raw("known") is None:
+        raise root.error("known", 'is missing: with discovery.kind = "static" it is the routing table')
--- a/eiderfield/config/errors.py
+++ b/eiderfield/config/errors.py
@@ -9,7 +9,8 @@
     """A setting is missing or wrong.
 
     Attributes:
-        key: Full name of the faulty setting, empty if the fault is not that of one setting.
+        key: Full name of the faulty setting, or what names a file that cannot be read; empty if no single
+            setting is at fault.
         source: What the file holds, None if it could not be parsed.
     """
 
--- a/eiderfield/config/loader.py
+++ b/eiderfield/config/loader.py
@@ -76,20 +76,21 @@
     if file is not None:
         return read_text(_read_file(Path(file), file), environ, reload)
     if "LB_CONFIG" not in environ:
-        raise ConfigError("LB_CONFIG is missing, and no file is given")
+        raise ConfigError("LB_CONFIG is missing, and no file is given", key="LB_CONFIG")
     text = _read_file(Path(environ["LB_CONFIG"]), "LB_CONFIG")
     try:
         data: object = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"LB_CONFIG: {error}") from None
+        raise ConfigError(f"LB_CONFIG: {error}", key="LB_CONFIG") from None
     return read(data, environ, reload=reload)
 
 
 def _read_file(path: Path, name: str) -> str:
+    """Return the text of a file, which an error calls `name`: its path, or the variable that gives it."""
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise ConfigError(f"{name}: {type(error).__name__}") from None
+        raise ConfigError(f"{name}: {type(error).__name__}", key=name) from None
 
 
 def read_text(text: str, environ: Mapping[str, str] | None = None, reload: bool = False) -> Config:
@@ -127,7 +128,7 @@
     policy_limits = settings_table.table("policy_limits")
     discovery = read_discovery(root, environ, reload)
     known_endpoints = _read_known_endpoints(root)
-    require_static_endpoints(discovery, known_endpoints)
+    require_static_endpoints(root, discovery)
     config = Config(
         name=name,
         listen=listen,
--- a/eiderfield/config/peers.py
+++ b/eiderfield/config/peers.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from eiderfield.config.address import Address, parse_address
-from eiderfield.config.errors import ConfigError
 from eiderfield.config.reader import TableReader
 from eiderfield.interface import Settings
 from eiderfield.net.peer_settings import PeerSettings
@@ -32,6 +31,6 @@
 
 def _read_peer_addresses(root: TableReader) -> tuple[Address, ...]:
     if root.raw("peers") is None:
-        raise ConfigError("peers is not a list of host:port", key="peers")
+        raise root.error("peers", "is not a list of host:port")
     texts = root.texts("peers", "host:port")
     return tuple(parse_address(text, f"peers.{index}") for index, text in enumerate(texts))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -129,8 +129,9 @@
 def test_a_file_that_cannot_be_read_raises_an_error_that_names_the_variable(environ, tmp_path):
     (tmp_path / "malformed").write_text("{")
     paths = {name: str(tmp_path / file) for name, file in environ.items()}
-    with pytest.raises(ConfigError, match="LB_CONFIG"):
+    with pytest.raises(ConfigError, match="LB_CONFIG") as caught:
         load(paths)
+    assert caught.value.key == "LB_CONFIG"
 
 
 def test_the_example_with_a_batch_front_is_read(batch_file):
