--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -143,6 +143,16 @@
         """The ready workers to which this dispatcher sends requests."""
         return self._fleet.subset.workers
 
+    @property
+    def group_count(self) -> int:
+        """The number of groups into which the fleet is partitioned."""
+        return self._fleet.subset.group_count
+
+    @property
+    def peers(self) -> Sequence[int]:
+        """The dispatchers to which this one reports its slots."""
+        return self._gossip.peers
+
     @property
     def pacers(self) -> Sequence[Pacer]:
         """The rate control of each class, in the order of the settings."""
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -79,6 +79,12 @@
         return self.play(AttemptEnded(id_, attempt, worker, outcome, elapsed, final))
 
 
+def learn(dispatcher: Dispatcher, **learned: Any) -> None:
+    """Let a dispatcher continue with what a previous process has learned: fields of `LearnedState`."""
+    nothing_new = replace(dispatcher.learned_state(), recent_work=(), key_counts=())
+    dispatcher.resume(replace(nothing_new, **learned))
+
+
 def sends(actions: Sequence[Action]) -> list[StartAttempt]:
     """The sends among some actions."""
     return [a for a in actions if isinstance(a, StartAttempt)]
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from support.deployments import DEPLOYMENTS, WORKERS
 from support.memory_dispatcher import InMemoryDispatcher
-from support.policy import Node
+from support.policy import Node, learn
 from support.random_events import EventPlayer, RuleBrokenError
 
 from eiderfield.exchange import exchange as core
@@ -37,6 +37,7 @@
     WatchEndpoints,
     encode_peer_report,
 )
+from eiderfield.model.learned_state import KindSlots
 from eiderfield.policy.slow_start import SlowStart
 
 NAMES = list(DEPLOYMENTS)
@@ -227,7 +228,7 @@
 
 def test_a_peer_that_falls_silent_is_believed_for_two_seconds_and_no_longer():
     node = Node(replace(DEPLOYMENTS["admissions"], tenants=()), workers=1)
-    node.dispatcher._reports.slots_per_kind[0] = 4.0
+    learn(node.dispatcher, slots=(KindSlots(0, 4.0),))
     node.play(PeerReportReceived(1, encode_peer_report([(1, 9)])))
     assert not told(node.arrive(cls=0)[1], StartAttempt)
     node.play(at=1900.0)
@@ -239,22 +240,17 @@
     site = replace(DEPLOYMENTS["admissions"], tenants=())
     nodes = [Node(replace(site, dispatcher_index=me), workers=1, seed=me) for me in (0, 1)]
     for node in nodes:
-        node.dispatcher._reports.slots_per_kind[0] = 2.0
+        learn(node.dispatcher, slots=(KindSlots(0, 2.0),))
     sent = [node.arrive(cls=0, slots=2.0)[1] for node in nodes]
     assert all(told(actions, StartAttempt) for actions in sent), "neither could know: one waits at the worker"
-    for node, actions in zip(nodes, reversed(sent), strict=True):
-        node.play(
-            *[
-                PeerReportReceived(1 - node.dispatcher._context.settings.dispatcher_index, tell.data)
-                for tell in told(actions, SendPeerReport)
-            ]
-        )
+    for index, (node, actions) in enumerate(zip(nodes, reversed(sent), strict=True)):
+        node.play(*[PeerReportReceived(1 - index, tell.data) for tell in told(actions, SendPeerReport)])
     assert not any(told(node.arrive(cls=0, slots=2.0)[1], StartAttempt) for node in nodes)
 
 
 def test_an_older_report_than_the_slots_seen_does_not_shrink_a_worker():
     node = Node(replace(DEPLOYMENTS["admissions"], tenants=(), dispatcher_count=1), workers=1)
-    node.dispatcher._reports.slots_per_kind[0] = 4.0
+    learn(node.dispatcher, slots=(KindSlots(0, 4.0),))
     id_, _ = node.arrive(cls=0)
     node.play(AttemptEnded(id_, 0, 1, Outcome.OK, 1.0, True, load_report=(9.0, 9.0, 0.0)))
     assert told(node.arrive(cls=0)[1], StartAttempt), "what was free seconds ago is no limit"
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from support.policy import BASE, KEYED, SAFE, UNSAFE, Node
+from support.policy import BASE, KEYED, SAFE, UNSAFE, Node, learn
 
 from eiderfield.interface import (
     AttemptEnded,
@@ -20,6 +20,7 @@
     StartAttempt,
     encode_peer_report,
 )
+from eiderfield.model.learned_state import KindSlots
 
 ONE = replace(BASE, dispatcher_count=1, load_report_fields=("inflight", "qps", "x0"))
 
@@ -85,7 +86,7 @@
     id_, actions = node.arrive(cls=0)
     worker = sends(actions)[0].worker
     node.play(AttemptProgressed(id_, 0, worker, ProgressKind.STARTED, 0.0))
-    node.dispatcher._retry_budget.tokens = 0.1
+    learn(node.dispatcher, retry_tokens=0.1)
     ended = node.play(AttemptEnded(id_, 0, worker, Outcome.ERROR, ran, False), at=node.now + ran)
     assert bool(sends(ended)) is again
 
@@ -95,14 +96,14 @@
     id_, actions = node.arrive(cls=0)
     worker = sends(actions)[0].worker
     node.play(AttemptProgressed(id_, 0, worker, ProgressKind.STARTED, 0.0))
-    node.dispatcher._retry_budget.tokens = 0.1
+    learn(node.dispatcher, retry_tokens=0.1)
     assert not sends(node.play(AttemptEnded(id_, 0, worker, Outcome.RESET, 1.0, False), at=node.now + 1.0))
 
 
 def node_with_slots(site, slots=4.0, workers=2):
     """A node whose workers of one kind are known to have so many slots."""
     node = Node(site, workers=workers)
-    node.dispatcher._reports.slots_per_kind[0] = slots
+    learn(node.dispatcher, slots=(KindSlots(0, slots),))
     return node
 
 
@@ -151,6 +152,6 @@
     assert told[0].data[-1] == 3
     other = Node(replace(site, dispatcher_index=1), workers=1)
     other.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1),)))
-    other.dispatcher._reports.slots_per_kind[0] = 4.0
+    learn(other.dispatcher, slots=(KindSlots(0, 4.0),))
     other.play(PeerReportReceived(0, encode_peer_report([(1, 3)])))
     assert not sends(other.arrive(cls=0, slots=3.0)[1])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,11 +15,13 @@
 from hypothesis import strategies as st
 from support.handover import LISTEN, Loop, Pair, Side, Wire
 from support.memory_dispatcher import Client, InMemoryDispatcher
+from support.policy import learn
 from support.processes import CONFIG, ROOT, DiscoveryServer, HoldingWorker, ask, post
 
 from eiderfield.idmap import IdMap
 from eiderfield.interface import EndpointState, decode_peer_report, encode_peer_report
 from eiderfield.lab.ports import free_port
+from eiderfield.model.learned_state import KeyCount
 from eiderfield.net.clients.acceptor import ACCEPTED_PER_TURN
 from eiderfield.net.handover.new_process import ANSWER_TIMEOUT_MS, DELAYED_ANSWER_TIMEOUT_MS
 from eiderfield.net.link_socket import LinkListener, connect_link
@@ -122,21 +124,13 @@
 
 def test_what_the_module_learnt_goes_along(pair):
     module = pair.old.dispatcher.exchange.dispatcher
-    module.pacers[0].mean_duration, module.pacers[0].rate, module._retry_budget.tokens = (
-        77.0,
-        5.0,
-        0.25,
-    )
-    module._key_counts.by_key.update({7: 40, 8: 2})
+    module.pacers[0].mean_duration, module.pacers[0].rate = 77.0, 5.0
+    learn(module, retry_tokens=0.25, key_counts=(KeyCount(7, 40), KeyCount(8, 2)))
     pair.go()
     heir = pair.new.dispatcher.exchange.dispatcher
-    assert (heir.pacers[0].mean_duration, heir.pacers[0].rate, heir._retry_budget.tokens) == (
-        77.0,
-        5.0,
-        0.25,
-    )
-    assert heir._key_counts.total == 42
-    assert heir._key_counts.by_key[7] == 40
+    assert (heir.pacers[0].mean_duration, heir.pacers[0].rate) == (77.0, 5.0)
+    assert heir.learned_state().retry_tokens == 0.25
+    assert heir.learned_state().key_counts == ((7, 40), (8, 2))
 
 
 def test_a_worker_known_to_fail_is_known_to_the_next_process(pair):
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -9,6 +9,7 @@
 from support.golden_messages import FOLDERS, GOLDEN, recorded
 from support.handover import LISTEN, Side, Wire
 from support.memory_dispatcher import InMemoryDispatcher
+from support.policy import learn
 
 from eiderfield.model.learned_state import OutlierState, PacerState, RecentWork
 from eiderfield.net.clients import ConnectionHandover, DetachedConnection
@@ -141,7 +142,7 @@
 def teach(dispatcher):
     """What the recorder's function of this name does, by the present names."""
     module = dispatcher.exchange.dispatcher
-    module._slow_start.served_rate = 0.75
+    learn(module, served_rate=0.75)
     pacer = module.pacers[0]
     pacer.mean_duration, pacer.rate = 120.0, 4.0
     pacer.uncut_rate, pacer.next_release_at = 20.0, dispatcher.now + 250.0
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -4,7 +4,7 @@
 from math import inf
 
 import pytest
-from support.policy import BASE, SAFE, UNSAFE, Node, sends
+from support.policy import BASE, SAFE, UNSAFE, Node, learn, sends
 
 from eiderfield.interface import (
     AttemptProgressed,
@@ -365,7 +365,7 @@
     node.play(SiblingReportReceived(1, 0, 0.0))
     assert [send.worker for send in sends(node.arrive()[1])] == [1]
     module, node.now = node.dispatcher, 10_000.0
-    module._slow_start.served_rate, module._slow_start.served_rate_at = 1.0, node.now
+    learn(module, served_rate=1.0, served_at=node.now)
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, ready_at=node.now - 100.0),)))
     left = module._slow_start.budget_left(module.workers[1], node.now)
     node.play(SiblingReportReceived(1, 1, left))
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -103,7 +103,7 @@
     id_, _ = node.arrive()
     ended(node, id_, 1, (3.0, 1.0, NAN))
     assert node.dispatcher.workers[1].reported_at == -math.inf
-    assert node.dispatcher._reports.slots_per_kind[0] == 2.0
+    assert dict(node.dispatcher.learned_state().slots)[0] == 2.0
 
 
 def test_free_slots_reported_by_a_full_worker_are_ignored():
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from support.policy import BASE, SAFE, Node, sends
+from support.policy import BASE, SAFE, Node, learn, sends
 
 from eiderfield.interface import (
     AttemptProgressed,
@@ -25,6 +25,7 @@
     encode_peer_report,
     stable_hash,
 )
+from eiderfield.model.learned_state import KeyCount
 from eiderfield.policy.affinity import MIN_HOMES
 from eiderfield.policy.attempt_outcomes import MAX_WAIT_PAUSES
 from eiderfield.policy.context import MANY_DISPATCHERS
@@ -104,10 +105,10 @@
 def test_nodes_stop_talking_when_the_fleet_shrinks_below_their_parts():
     """The list of peers outlived the part that it was made for."""
     node = part(0, 40, gossip_allowed=True)
-    assert len(node.dispatcher._gossip.peers) == 9
+    assert len(node.dispatcher.peers) == 9
     node.play(EndpointsUpdated(EndpointListKind.FULL, 3, FLEET[:4]))
     assert len(node.dispatcher.subset) == 4
-    assert not node.dispatcher._gossip.peers
+    assert not node.dispatcher.peers
 
 
 def test_nothing_is_told_where_nodes_may_not_talk():
@@ -195,7 +196,7 @@
 def test_most_of_a_part_back_cold_gets_no_more_for_what_few_warm_ones_serve():
     """A lost zone came back among 49 nodes: what six workers served, over one warm one, allowed too much."""
     node = Node(BASE, workers=6)
-    node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_rate_at = 6.0, 60_000.0
+    learn(node.dispatcher, served_rate=6.0, served_at=60_000.0)
     cold = tuple(Endpoint(w, ready_at=60_000.0) for w in range(2, 7))
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, cold), at=60_000.0)
     node.arrive(expected_work=1.0)
@@ -210,7 +211,7 @@
     many = [Node(replace(settings, dispatcher_index=me), workers=10, seed=me) for me in range(nodes)]
     each = rate * work / 1000.0 / nodes  # what one node has served in a ms
     for node in many:
-        node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_rate_at = each, 60_000.0
+        learn(node.dispatcher, served_rate=each, served_at=60_000.0)
         node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, ready_at=60_000.0),)), at=60_000.0)
     sent, worst, allowed = [], 0.0, 0.0
     warm = rate * work / 1000.0 / 10.0  # one warm worker's work in a ms
@@ -220,7 +221,7 @@
         out = [a for w in node.dispatcher.subset for a in w.open_attempts.values()]
         for attempt in [a for a in out if node.now >= a.sent_at + work]:
             node.end(attempt.request.id, 0, 0, Outcome.OK, final=True, elapsed=work)
-        node.dispatcher._slow_start.served_rate, node.dispatcher._slow_start.served_rate_at = each, node.now
+        learn(node.dispatcher, served_rate=each, served_at=node.now)
         node.dispatcher.pacers[0].mean_duration = work
         for send in sends(node.arrive(affinity_key=7)[1]):
             node.play(AttemptProgressed(send.request_id, 0, send.worker, 1, 0.0))
@@ -250,13 +251,13 @@
     queued at the warm ones."""
     node = Node(CROWD, workers=8)
     module, node.now = node.dispatcher, 60_000.0
-    module._slow_start.served_rate, module._slow_start.served_rate_at = 100.0, node.now
+    learn(module, served_rate=100.0, served_at=node.now)
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=node.now - 4000.0),)))
     drawn = module.workers[3].budget_threshold
-    module._key_counts.by_key[7] = module._key_counts.total = 100  # a hot key: all workers are its homes
+    learn(module, key_counts=(KeyCount(7, 100),))  # a hot key: all workers are its homes
     assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [3], drawn
     few = Node(replace(CROWD, dispatcher_count=MANY_DISPATCHERS), workers=8)
-    few.dispatcher._slow_start.served_rate, few.dispatcher._slow_start.served_rate_at = 100.0, 60_000.0
+    learn(few.dispatcher, served_rate=100.0, served_at=60_000.0)
     few.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=56_000.0),)), at=60_000.0)
     assert {send.worker for _ in range(7) for send in sends(few.arrive(affinity_key=7)[1])} > {3}
 
@@ -325,8 +326,7 @@
     homes = []
     for balancers in (MANY_DISPATCHERS, 40):
         node = Node(replace(CROWD, dispatcher_count=balancers), workers=40)
-        node.dispatcher._key_counts.by_key.update({1: 800, 2: 200})
-        node.dispatcher._key_counts.total = 1000
+        learn(node.dispatcher, key_counts=(KeyCount(1, 800), KeyCount(2, 200)))
         id_, _ = node.arrive(affinity_key=2)
         job = node.dispatcher.requests[id_]
         job.attempts.clear()
@@ -353,11 +353,11 @@
 
 def test_what_is_called_off_unstarted_is_no_repeat_of_what_may_have_run():
     node, id_, worker = waiting()
-    node.dispatcher._retry_budget.tokens = 0.0
+    learn(node.dispatcher, retry_tokens=0.0)
     node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms + 2.0)
     assert sends(node.end(id_, 0, worker, Outcome.CANCELLED)), "it costs no work, and so no budget"
     node, id_, worker = waiting()
-    node.dispatcher._retry_budget.tokens = 0.0
+    learn(node.dispatcher, retry_tokens=0.0)
     node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=10.0)
     assert not sends(node.end(id_, 0, worker, Outcome.RESET))
 
@@ -366,9 +366,7 @@
     """Jobs called off waited for homes in other zones until their clients gave up."""
     zonal = replace(CROWD.classes[2], scope=Scope.ZONE, repeat_window_ms=20_000.0)
     node = Node(replace(CROWD, classes=(SAFE, zonal)), workers=30)
-    node.dispatcher._key_counts.by_key[1] = node.dispatcher._key_counts.total = (
-        1000  # beside which the others are rare
-    )
+    learn(node.dispatcher, key_counts=(KeyCount(1, 1000),))  # beside which the others are rare
     for key in range(2, 20):
         id_, actions = node.arrive(cls=1, affinity_key=key)
         [first] = sends(actions)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -228,7 +228,7 @@
 
 @pytest.mark.parametrize(("dispatchers", "size"), [(200, 3200), (3200, 3200)])
 def test_large_subsets_cover_the_fleet_evenly_by_zone_and_kind(dispatchers, size):
-    groups = node_of(size, 0, dispatchers).dispatcher._fleet.subset.group_count
+    groups = node_of(size, 0, dispatchers).dispatcher.group_count
     group_of = {
         me: subsetting.group_of_dispatcher(me, dispatchers, groups, True) for me in range(dispatchers)
     }
@@ -249,7 +249,7 @@
 @pytest.mark.parametrize("zones", [3, 4, 5])
 def test_the_dispatchers_of_one_zone_still_serve_every_part_of_a_large_fleet(zones):
     """Were a zone's dispatchers all of one group, the loss of the zone would leave its workers idle."""
-    groups = node_of(3200, 0, 200).dispatcher._fleet.subset.group_count
+    groups = node_of(3200, 0, 200).dispatcher.group_count
     seen = {subsetting.group_of_dispatcher(me, 200, groups, keyed=True) for me in range(0, 200, zones)}
     assert groups > 1
     assert seen == set(range(groups))
@@ -263,13 +263,13 @@
 def test_a_large_fleet_that_breathes_is_not_split_anew():
     """Where the number of groups changes, all homes of keys do."""
     node = node_of(3200, 0, 3200)
-    groups = node.dispatcher._fleet.subset.group_count
+    groups = node.dispatcher.group_count
     entries = fleet(3200)
     for away in (600, 1200):
         node.play(EndpointsUpdated(EndpointListKind.FULL, 2, tuple(entries[away:])))
-        assert node.dispatcher._fleet.subset.group_count == groups
+        assert node.dispatcher.group_count == groups
         node.play(EndpointsUpdated(EndpointListKind.FULL, 3, tuple(entries)))
-    assert node.dispatcher._fleet.subset.group_count == groups
+    assert node.dispatcher.group_count == groups
 
 
 # Homes of keys.
--- a/tests/test_wall_clock_handover.py
+++ b/tests/test_wall_clock_handover.py
@@ -2,6 +2,7 @@
 
 import pytest
 from support.handover import LISTEN
+from support.policy import learn
 from support.wall_clock import COLD, HOUR, STEPS, Takeover, passed_on, steps
 
 from eiderfield.net.handover.messages import ConnectionPassed, ParkedBatch
@@ -18,12 +19,12 @@
     old.advance(500.0)
     module = old.exchange.dispatcher
     module.pacers[0].rate, module.pacers[0].next_release_at = 4.0, old.now + 250.0
-    module._slow_start.served_rate, module._slow_start.served_rate_at = 0.5, old.now - 100.0
+    learn(module, served_rate=0.5, served_at=old.now - 100.0)
     module.workers[old.ids.worker("slow")].recent_sends.append((old.now - 30.0, 80.0))
     heir = takeover.go().module()
     assert takeover.age(heir.pacers[0].next_release_at) == pytest.approx(-250.0)
-    assert takeover.age(heir._slow_start.served_rate_at) == pytest.approx(100.0)
-    assert heir._slow_start.served_rate == 0.5
+    assert takeover.age(heir.learned_state().served_at) == pytest.approx(100.0)
+    assert heir.learned_state().served_rate == 0.5
     [(at, work)] = heir.workers[old.ids.worker("slow")].recent_sends
     assert takeover.age(at) == pytest.approx(30.0)
     assert work == 80.0
