--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -132,7 +132,7 @@
 
     def apply_settings(self, settings: Settings) -> None:
         """Apply settings that passed `check_settings`. Pending requests keep their class."""
-        self.dispatcher.adopt(settings)
+        self.dispatcher.apply_settings(settings)
         self._context.settings = settings
         self._wake()
 
--- a/eiderfield/policy/__init__.py
+++ b/eiderfield/policy/__init__.py
@@ -1,1 +1,5 @@
-"""Every decision of the dispatcher, one concept a module. No module does I/O or reads a clock; times: ms."""
+"""The policy of a dispatcher: which request is sent to which worker, and when.
+
+`dispatcher` is the entry point; each other module has one job, described at its start. No module does I/O or
+reads a clock. All times are in milliseconds of the caller's clock.
+"""
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: takes events in, keeps track of requests and attempts, and returns actions.
+"""The dispatcher: handles events, keeps track of requests and attempts, and returns actions.
 
 Types, events and actions: `eiderfield/interface.py`; reasons: `docs/design.md`. No clock, no I/O; times: ms.
 
@@ -61,7 +61,7 @@
 from eiderfield.policy.selection import EndpointSelector
 from eiderfield.policy.timer import Timer
 
-LOOK_AGAIN_MS = 200.0  # after which waiting requests are looked at again, even without an event
+QUEUE_CHECK_INTERVAL_MS = 200.0  # after which waiting requests are released again, even without an event
 DEADLINE_TICKS = 2.0  # clock ticks before its deadline at which a request is answered
 
 
@@ -115,18 +115,7 @@
             state, self._queues, self._selector, self._outliers, self._completion, starter
         )
         state.update_after_repartition()
-        self._handlers: dict[type, Callable[[Any, float], None]] = {
-            RequestReceived: self._request_received,
-            EndpointsUpdated: self._endpoints_updated,
-            StreamStarted: self._stream_started,
-            AttemptEnded: self._attempt_ended,
-            AttemptProgressed: self._attempt_progressed,
-            ClientDisconnected: self._client_disconnected,
-            TimerFired: self._timer_fired,
-            ProbeCompleted: self._probe_completed,
-            PeerReportReceived: self._peer_report_received,
-            SiblingReportReceived: self._sibling_report_received,
-        }
+        self._handlers = self._event_handlers()
 
     @property
     def requests(self) -> Mapping[int, QueuedRequest]:
@@ -169,7 +158,7 @@
         rates = [pacer.rate for pacer in self._queues.pacers]
         return Snapshot(self._queues.held_count, self._requests.open_attempts, rates, frozenset(avoided))
 
-    def adopt(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Apply new settings of the same classes and tenants; accepted requests keep theirs."""
         if not settings.classes:
             raise ValueError("settings.classes is empty")
@@ -230,6 +219,20 @@
         self._gossip.send_reports()
         return actions
 
+    def _event_handlers(self) -> dict[type[Event], Callable[[Any, float], None]]:
+        return {
+            RequestReceived: self._request_received,
+            EndpointsUpdated: self._endpoints_updated,
+            StreamStarted: self._stream_started,
+            AttemptEnded: self._attempt_ended,
+            AttemptProgressed: self._attempt_progressed,
+            ClientDisconnected: self._client_disconnected,
+            TimerFired: self._timer_fired,
+            ProbeCompleted: self._probe_completed,
+            PeerReportReceived: self._peer_report_received,
+            SiblingReportReceived: self._sibling_report_received,
+        }
+
     def _timer_fired(self, event: TimerFired, _now: float) -> None:
         self._timer.fired(event)
 
@@ -346,7 +349,7 @@
         if self._queues.held_count:
             times = [*self._fleet.pause_ends(now), self._reports.probes_pending_until]
             times += [pacer.next_release_at for pacer in self._queues.pacers if pacer.rate is not None]
-            at = min([at, now + LOOK_AGAIN_MS, *[time for time in times if time > now]])
+            at = min([at, now + QUEUE_CHECK_INTERVAL_MS, *[time for time in times if time > now]])
         at = max(at, now + self._context.settings.clock_resolution_ms)
         self._timer.schedule(at)
 
