--- a/eiderfield/net/worker_loads.py
+++ b/eiderfield/net/worker_calls.py
@@ -1,4 +1,4 @@
-"""Loads of connections to workers: their requests, load reports, and the reporting of their ends."""
+"""Calls to workers: their HTTP requests, load reports, and the reporting of their ends to the exchange."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from eiderfield.net.http import Head
 from eiderfield.net.http.status import OK
 from eiderfield.net.reports import from_body, from_object, from_text
-from eiderfield.net.worker_messages import HealthCheck, Load, attempt_request, health_check_request
+from eiderfield.net.worker_messages import HealthCheck, WorkerCall, attempt_request, health_check_request
 
 
-class LoadReporter:
-    """Encodes the requests of loads, and reports to the exchange how loads end."""
+class CallReporter:
+    """Encodes the HTTP requests of calls, and reports to the exchange how calls end."""
 
     def __init__(self, exchange: Exchange, clock: Callable[[], float]) -> None:
         """Create a reporter; `clock` returns the process's time, in ms."""
@@ -29,11 +29,11 @@
         """Return whether an attempt may still be written."""
         return self.exchange.worker_reports.may_write(attempt, self._clock())
 
-    def request_for(self, load: Load) -> bytes:
+    def request_for(self, call: WorkerCall) -> bytes:
         """Return the HTTP request of an attempt or a health check."""
-        if isinstance(load, HealthCheck):
-            return health_check_request(load.wants_report)
-        return attempt_request(load.pending.request, self._clock())
+        if isinstance(call, HealthCheck):
+            return health_check_request(call.wants_report)
+        return attempt_request(call.pending.request, self._clock())
 
     def load_report(self, head: Head | None, report: object) -> tuple[float, ...]:
         """Return the load report of an attempt's last update, or else that of its response's head."""
@@ -42,12 +42,12 @@
             return ()
         return from_object(report, fields) or from_text(head.get("x-load"), fields)
 
-    def report_failure(self, load: Load | None, outcome: Outcome) -> None:
+    def report_failure(self, call: WorkerCall | None, outcome: Outcome) -> None:
         """Report that an attempt or a health check, if there is one, ended without a response."""
-        if isinstance(load, Attempt):
-            self.exchange.worker_reports.attempt_ended(load, outcome)
-        elif load is not None:
-            self.exchange.worker_reports.probe_completed(load.worker, outcome, self._clock() - load.sent_at)
+        if isinstance(call, Attempt):
+            self.exchange.worker_reports.attempt_ended(call, outcome)
+        elif call is not None:
+            self.exchange.worker_reports.probe_completed(call.worker, outcome, self._clock() - call.sent_at)
 
     def report_health(self, check: HealthCheck, status: int, body: bytes) -> None:
         """Report the response to a health check."""
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -1,15 +1,15 @@
-"""A connection to a worker: its states, the load it carries, and what a response means for that load.
+"""A connection to a worker: its states, the call it carries, and what a response means for that call.
 
-A connection carries one load at a time: an attempt of a request, or a health check.
+A connection carries one call at a time: an attempt of a request, or a health check.
 
-    DIALLING ──(established, and the load may still be written)──> BUSY
+    DIALLING ──(established, and the call may still be written)──> BUSY
        └──(refused, too late, or the worker's address has changed)──> CLOSED
     BUSY ──(the outcome of an attempt is known)──> FINISHING ──(the response ends)──> IDLE
        ├──(the response to a health check ends)──> IDLE
        └──(connection lost, or malformed response)──> CLOSED
-    IDLE ──(the next load)──> BUSY
+    IDLE ──(the next call)──> BUSY
 
-A load that is given up closes its connection. Invariants:
+A call that is given up closes its connection. Invariants:
 
 - The first byte of an attempt is written only if `WorkerReports.may_write` allows it at that moment.
 - A response that is not about the request in flight is never used as its result.
@@ -31,15 +31,15 @@
 from eiderfield.net.dialing import Dial, PendingDial
 from eiderfield.net.faults import Cause, cause_of_loss
 from eiderfield.net.http import End, Head
-from eiderfield.net.worker_loads import LoadReporter
+from eiderfield.net.worker_calls import CallReporter
 from eiderfield.net.worker_messages import (
     AttemptStatus,
     Failure,
-    Load,
     Progress,
     Result,
     Started,
     Update,
+    WorkerCall,
     attempt_status,
 )
 from eiderfield.net.worker_response import ResponseEvent, ResponseReader
@@ -66,13 +66,13 @@
     """What a connection requires of the pool that opens it.
 
     Attributes:
-        loads: encodes the requests of loads and reports their ends.
+        calls: encodes the requests of calls and reports their ends.
         timers: schedules the time limits of the connection.
         clock: returns the current time, in ms.
         reads: the number of times that any connection has received bytes.
     """
 
-    loads: LoadReporter
+    calls: CallReporter
     timers: Timers
     clock: Callable[[], float]
     reads: int
@@ -93,36 +93,36 @@
 class WorkerConnection(asyncio.BufferedProtocol):
     """A connection to a worker."""
 
-    def __init__(self, owner: ConnectionOwner, worker: int, load: Load) -> None:
-        """Create a connection that writes `load` once it is established."""
+    def __init__(self, owner: ConnectionOwner, worker: int, call: WorkerCall) -> None:
+        """Create a connection that writes `call` once it is established."""
         self.worker = worker
         self.state = ConnectionState.DIALLING
-        self.load: Load | None = load
+        self.call: WorkerCall | None = call
         self.last_read = 0  # the owner's count of reads when this connection last received bytes
         self._owner = owner
-        self._loads = owner.loads
-        self._reports = owner.loads.exchange.worker_reports
+        self._calls = owner.calls
+        self._reports = owner.calls.exchange.worker_reports
         self._reader = ResponseReader()
         self._transport: asyncio.Transport | None = None
         self._pending_dial: PendingDial | None = None
         self._timer: Timer | None = None
         self._flushed = True  # whether every written byte has left the process
-        self._reused = False  # whether it has carried another load before
+        self._reused = False  # whether it has carried another call before
         self._delayed_locally = False  # whether a fault of this host delays the dial
         self._reads_at_dial = owner.reads
 
     # Calls by asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Write the load, unless the connection was given up meanwhile."""
+        """Write the call, unless the connection was given up meanwhile."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         if self.state == ConnectionState.CLOSED:
             transport.abort()
             return
         transport.set_write_buffer_limits(0)
-        assert self.load is not None
-        self.carry(self.load)
+        assert self.call is not None
+        self.carry(self.call)
 
     def get_buffer(self, _sizehint: int) -> memoryview:
         """Return the buffer for the next received bytes."""
@@ -166,8 +166,8 @@
     def resume_writing(self) -> None:
         """Record that every written byte has left."""
         self._flushed = True
-        if isinstance(self.load, Attempt) and self.state == ConnectionState.BUSY:
-            self._reports.request_written(self.load)
+        if isinstance(self.call, Attempt) and self.state == ConnectionState.BUSY:
+            self._reports.request_written(self.call)
 
     # Calls by the owner.
 
@@ -176,38 +176,38 @@
         self._start_timer(timeout, self._dial_failed)
         self._pending_dial = dial(self, address, self._dial_failed, self._dial_delayed)
 
-    def carry(self, load: Load) -> None:
-        """Write the request of `load`; the connection is established and carries nothing else."""
+    def carry(self, call: WorkerCall) -> None:
+        """Write the request of `call`; the connection is established and carries nothing else."""
         transport = self._transport
         assert transport is not None
         self._cancel_timer()
-        self.load = load
-        if isinstance(load, Attempt) and not self._loads.may_write(load):
+        self.call = call
+        if isinstance(call, Attempt) and not self._calls.may_write(call):
             # During the dial the worker may have begun to drain, or the request have ended.
-            self.load = None
+            self.call = None
             self._owner.add_idle(self)
-            self._reports.attempt_ended(load, Outcome.NOT_SENT)
+            self._reports.attempt_ended(call, Outcome.NOT_SENT)
             return
         self.state = ConnectionState.BUSY
-        self._reader.start(load.pending.request.id if isinstance(load, Attempt) else None)
+        self._reader.start(call.pending.request.id if isinstance(call, Attempt) else None)
         self._flushed = True
-        transport.write(self._loads.request_for(load))
+        transport.write(self._calls.request_for(call))
         if transport.is_closing():  # the write failed: the request has not left completely
             self._flushed = False
-        elif self._flushed and isinstance(load, Attempt):
-            self._reports.request_written(load)
+        elif self._flushed and isinstance(call, Attempt):
+            self._reports.request_written(call)
 
     def become_idle(self, timeout: float) -> None:
-        """Wait for the next load; the connection closes after `timeout` ms."""
+        """Wait for the next call; the connection closes after `timeout` ms."""
         self.state = ConnectionState.IDLE
         self._start_timer(timeout, self.close)
 
     def close(self) -> None:
-        """Close the connection; nothing more is reported about its load."""
+        """Close the connection; nothing more is reported about its call."""
         if self.state == ConnectionState.CLOSED:
             return
         self.state = ConnectionState.CLOSED
-        self.load = None
+        self.call = None
         self._cancel_timer()
         self._owner.remove(self)
         if self._transport is not None:
@@ -233,10 +233,10 @@
     def _dial_failed(self) -> None:
         """Report that the dial was refused or timed out, a fault of this host if that delayed it."""
         if self.state == ConnectionState.DIALLING:
-            load = self.load
+            call = self.call
             self.close()
             outcome = Outcome.NOT_SENT if self._delayed_locally else Outcome.CONNECT_FAILED
-            self._loads.report_failure(load, outcome)
+            self._calls.report_failure(call, outcome)
 
     def _dial_delayed(self, cause: Cause) -> None:
         """Record that a fault of this host delays the dial, which is retried until its timeout."""
@@ -247,8 +247,8 @@
             self._dial_failed()
             return
         self._delayed_locally = True
-        if isinstance(self.load, Attempt):  # silence of the worker proves nothing meanwhile
-            self._reports.record_progress(self.load, ProgressKind.UNKNOWN)
+        if isinstance(self.call, Attempt):  # silence of the worker proves nothing meanwhile
+            self._reports.record_progress(self.call, ProgressKind.UNKNOWN)
 
     # Responses.
 
@@ -259,18 +259,18 @@
                 if self.state not in _READING:
                     return
         except (ValueError, RecursionError) as error:
-            if self.load is not None:
+            if self.call is not None:
                 self._reports.record_malformed_response(self.worker, str(error))
             self._break_off()
 
     def _handle(self, event: ResponseEvent) -> None:
         if isinstance(event, End):
             self._response_ended()
-        elif isinstance(self.load, Attempt):
+        elif isinstance(self.call, Attempt):
             if isinstance(event, Head):
-                self._apply_status(self.load, event)
+                self._apply_status(self.call, event)
             else:
-                self._apply_update(self.load, event)
+                self._apply_update(self.call, event)
 
     def _apply_status(self, attempt: Attempt, head: Head) -> None:
         status = attempt_status(head)
@@ -289,29 +289,29 @@
                 self._reports.record_progress(attempt, ProgressKind.SHARE_DONE, share)
             case Result(body, report):
                 self._await_end()
-                self._reports.record_result(attempt, body, self._loads.load_report(self._reader.head, report))
+                self._reports.record_result(attempt, body, self._calls.load_report(self._reader.head, report))
             case Failure(outcome, report):
                 self._end_attempt(attempt, outcome, report)
 
     def _end_attempt(self, attempt: Attempt, outcome: Outcome, report: object = None) -> None:
         self._await_end()
-        load_report = self._loads.load_report(self._reader.head, report)
+        load_report = self._calls.load_report(self._reader.head, report)
         self._reports.attempt_ended(attempt, outcome, load_report)
 
     def _await_end(self) -> None:
         """Wait for the end of a response whose outcome is known; the connection is usable again after it."""
-        self.load = None
+        self.call = None
         self.state = ConnectionState.FINISHING
         self._reader.ignore_updates()
         self._start_timer(RESPONSE_END_TIMEOUT_MS, self.close)
 
     def _response_ended(self) -> None:
-        load = self.load
-        if isinstance(load, Attempt):
+        call = self.call
+        if isinstance(call, Attempt):
             self._reports.record_malformed_response(self.worker, "it ended before its last line")
             self._break_off()
             return
-        self.load = None
+        self.call = None
         self._reused = True
         self._cancel_timer()
         if self._reader.can_be_reused:
@@ -319,21 +319,21 @@
         else:
             self.close()
         head = self._reader.head
-        if load is not None and head is not None:
-            self._loads.report_health(load, head.status, bytes(self._reader.body))
+        if call is not None and head is not None:
+            self._calls.report_health(call, head.status, bytes(self._reader.body))
 
     def _break_off(self, cause: Cause = Cause.CONNECTION) -> None:
-        """Close a connection that was lost or whose response is malformed, and report its load as failed.
+        """Close a connection that was lost or whose response is malformed, and report its call as failed.
 
         A request is known not to have run only if its last byte has not left.
         """
-        load, flushed = self.load, self._flushed
+        call, flushed = self.call, self._flushed
         if self._reused and self._reader.received_nothing:
             self._owner.distrust_idle(self.worker)
         self.close()
-        if load is None:
+        if call is None:
             return
         if cause is Cause.LOCAL:
-            self._loads.report_failure(load, Outcome.CANCELLED if flushed else Outcome.NOT_SENT)
+            self._calls.report_failure(call, Outcome.CANCELLED if flushed else Outcome.NOT_SENT)
         else:
-            self._loads.report_failure(load, Outcome.RESET if flushed else Outcome.CONNECT_FAILED)
+            self._calls.report_failure(call, Outcome.RESET if flushed else Outcome.CONNECT_FAILED)
--- a/eiderfield/net/worker_messages.py
+++ b/eiderfield/net/worker_messages.py
@@ -51,7 +51,7 @@
     wants_report: bool
 
 
-Load = Attempt | HealthCheck  # what a connection carries
+WorkerCall = Attempt | HealthCheck  # what a connection carries, one at a time
 
 
 @dataclass(slots=True, frozen=True)
--- a/eiderfield/net/worker_pool.py
+++ b/eiderfield/net/worker_pool.py
@@ -1,7 +1,7 @@
 """The pool of connections to workers, within a limit on their number.
 
 An attempt or a health check is sent on an idle connection to its worker, or else on a new one. At the limit
-the connection that has been idle for longest is closed first; if none is idle, the load ends unsent.
+the connection that has been idle for longest is closed first; if none is idle, the call ends unsent.
 
 Invariants: no attempt is dialled at an address that the routing table has dropped, and none is written to a
 connection that the worker may be closing.
@@ -18,10 +18,10 @@
 from eiderfield.exchange.timers import Timers
 from eiderfield.interface import Outcome
 from eiderfield.net.dialing import Dial
+from eiderfield.net.worker_calls import CallReporter
 from eiderfield.net.worker_connection import ConnectionState, WorkerConnection
 from eiderfield.net.worker_idle import IdleWorkerConnections
-from eiderfield.net.worker_loads import LoadReporter
-from eiderfield.net.worker_messages import Load
+from eiderfield.net.worker_messages import WorkerCall
 
 
 class WorkerPool:
@@ -38,7 +38,7 @@
         max_connections: int,
     ) -> None:
         """Attach an empty pool to `exchange`; workers close connections that are idle for `idle_timeout`."""
-        self.loads = LoadReporter(exchange, clock)
+        self.calls = CallReporter(exchange, clock)
         self.timers = timers
         self.clock = clock
         self.reads = 0  # how often any connection has received bytes
@@ -122,9 +122,9 @@
             if connection.worker == worker and connection.state == ConnectionState.DIALLING
         ]
         for connection in dialling:
-            load = connection.load
+            call = connection.call
             connection.close()
-            self.loads.report_failure(load, Outcome.NOT_SENT)
+            self.calls.report_failure(call, Outcome.NOT_SENT)
 
     # Calls by the exchange.
 
@@ -134,12 +134,12 @@
 
     def stop(self, attempt: Attempt) -> None:
         """Give an attempt up by closing its connection."""
-        for connection in [connection for connection in self._connections if connection.load is attempt]:
+        for connection in [connection for connection in self._connections if connection.call is attempt]:
             connection.close()
 
     def probe(self, worker: int) -> None:
         """Check a worker's health, and request a load report if the settings name its fields."""
-        self._send(worker, self.loads.health_check(worker))
+        self._send(worker, self.calls.health_check(worker))
 
     def close_idle(self, worker: int) -> None:
         """Close the idle connections to a worker."""
@@ -180,20 +180,20 @@
 
     # Choice of a connection.
 
-    def _send(self, worker: int, load: Load) -> None:
+    def _send(self, worker: int, call: WorkerCall) -> None:
         address = self._addresses.get(worker)
         if address is None:
-            self.loads.report_failure(load, Outcome.NOT_SENT)
+            self.calls.report_failure(call, Outcome.NOT_SENT)
             return
         connection = self._idle.take(worker, self.clock())
         if connection is not None:
-            connection.carry(load)
+            connection.carry(call)
         elif self._make_room():
-            connection = WorkerConnection(self, worker, load)
+            connection = WorkerConnection(self, worker, call)
             self._connections.add(connection)
             connection.open(self._dial, address, self._dial_timeout)
         else:
-            self.loads.report_failure(load, Outcome.NOT_SENT)
+            self.calls.report_failure(call, Outcome.NOT_SENT)
 
     def _make_room(self) -> bool:
         """Return whether another connection may be opened, after closing an idle one at the limit."""
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -12,7 +12,7 @@
 from eiderfield.interface import Outcome
 from eiderfield.net import worker_response
 from eiderfield.net.clients import ClientConnection
-from eiderfield.net.worker_loads import LoadReporter
+from eiderfield.net.worker_calls import CallReporter
 from eiderfield.net.worker_messages import Result
 from eiderfield.net.worker_pool import WorkerPool
 
@@ -201,7 +201,7 @@
         ClientConnection, "answer", twice(ClientConnection.answer)
     ),
     "may have run": lambda m: m.setattr(
-        LoadReporter, "report_failure", sure_of_it(LoadReporter.report_failure)
+        CallReporter, "report_failure", sure_of_it(CallReporter.report_failure)
     ),
     "two legs|may have run": lambda m: m.setattr(WorkerPool, "start", doubled(WorkerPool.start)),
     "never answered": lambda m: m.setattr(ClientConnection, "answer", deaf(ClientConnection.answer)),
@@ -221,7 +221,7 @@
 
 
 def sure_of_it(real):
-    return lambda self, load, outcome: real(self, load, Outcome.FULL if outcome == Outcome.RESET else outcome)
+    return lambda self, call, outcome: real(self, call, Outcome.FULL if outcome == Outcome.RESET else outcome)
 
 
 def doubled(real):
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -23,12 +23,12 @@
         self.dispatcher = dispatcher
         self.sent = []  # how much longer than its client waits each worker was told that it would
         self.gives_up = {}  # by request, when its client gives up
-        loads = dispatcher.side.loads
-        message, loads.request_for = loads.request_for, self.message
+        calls = dispatcher.side.calls
+        message, calls.request_for = calls.request_for, self.message
         self._message = message
 
-    def message(self, load):
-        data = self._message(load)
+    def message(self, call):
+        data = self._message(call)
         self.dispatcher.now += MAX_WRITE_DELAY_MS
         head = data.split(b"\r\n\r\n")[0].decode().lower()
         fields = dict(line.split(": ") for line in head.split("\r\n")[1:])
