--- a/eiderfield/connections/idle_connections.py
+++ b/eiderfield/connections/idle_connections.py
@@ -47,20 +47,20 @@
 
     Attributes:
         fd: the descriptor, which the owner has to close.
-        since: when the connection became idle, in ms.
-        mark: the value that the owner gave to `park`.
+        idle_since: when the connection became idle, in ms.
+        tag: the number that the owner passed to `park`, of up to 32 bits.
     """
 
     fd: int
-    since: float
-    mark: int
+    idle_since: float
+    tag: int
 
 
 class LentConnection(NamedTuple):
     """A connection for the next process: the descriptor, and when the connection became idle, in ms."""
 
     fd: int
-    since: float
+    idle_since: float
 
 
 def unread_bytes(fd: int) -> int:
@@ -91,8 +91,8 @@
         unreported: keys of borrowed connections that have left, until the lender is told.
     """
 
-    def __init__(self, on_close: Callable[[int], None] = lambda _mark: None) -> None:
-        """Create an empty poll set; `on_close` is called with the mark of each connection closed here."""
+    def __init__(self, on_close: Callable[[int], None] = lambda _tag: None) -> None:
+        """Create an empty poll set; `on_close` is called with the tag of each connection closed here."""
         self.woken = self.expired = self.closed_by_client = self.evicted = 0
         self.unreported: list[int] = []
         self._on_close = on_close
@@ -118,22 +118,22 @@
         """Return the descriptor to watch: it is readable when an idle connection is."""
         return self._poll.fileno()
 
-    def park(self, fd: int, since: float, mark: int = 0, lender: int | None = None) -> None:
-        """Take over a descriptor that has been idle since `since`.
+    def park(self, fd: int, idle_since: float, tag: int = 0, lender: int | None = None) -> None:
+        """Take over a descriptor that has been idle since `idle_since`.
 
         `lender` is its key at the process that lends it. Raises `OSError` if it cannot be polled; it remains
         the caller's then.
         """
         self._poll.register(fd, _WATCHED)
-        self._table.add(fd, since, mark)
+        self._table.add(fd, idle_since, tag)
         if lender is not None:
             self._lender_keys.extend([0] * (fd + 1 - len(self._lender_keys)))
             self._lender_keys[fd] = lender + 1
 
-    def poll_ready(self, most: int = WOKEN_PER_POLL) -> list[WokenConnection]:
-        """Remove and return at most `most` connections with unread bytes; close those the client closed."""
+    def poll_ready(self, limit: int = WOKEN_PER_POLL) -> list[WokenConnection]:
+        """Remove and return at most `limit` connections with unread bytes; close those the client closed."""
         woken = []
-        for fd, _ in self._poll.poll(0, most):
+        for fd, _ in self._poll.poll(0, limit):
             if unread_bytes(fd):
                 self.woken += 1
                 woken.append(self.detach(fd))
@@ -153,20 +153,20 @@
 
     # Expiry and eviction.
 
-    def longest_idle(self, most: int) -> list[int]:
-        """Return at most `most` descriptors, the longest idle first, without removing them."""
-        return self._table.longest_idle(most)
+    def longest_idle(self, limit: int) -> list[int]:
+        """Return at most `limit` descriptors, the longest idle first, without removing them."""
+        return self._table.longest_idle(limit)
 
     def next_expiry(self, idle_timeout: float) -> float:
         """Return when `expire` has a connection to close; infinity if there is none."""
         return self._table.next_expiry(idle_timeout)
 
-    def expire(self, now: float, idle_timeout: float, most: int = EXPIRED_PER_PASS) -> None:
-        """Close at most `most` connections that have been idle for `idle_timeout`.
+    def expire(self, now: float, idle_timeout: float, limit: int = EXPIRED_PER_PASS) -> None:
+        """Close at most `limit` connections that have been idle for `idle_timeout`.
 
         One that has just received bytes stays, and is returned by the next poll.
         """
-        for fd in self._table.expired(now, idle_timeout, most):
+        for fd in self._table.expired(now, idle_timeout, limit):
             if unread_bytes(fd):
                 entry = self._table.remove(fd)
                 self._table.add(fd, max(entry.idle_since, now), entry.tag)  # not to be found here again
@@ -183,9 +183,9 @@
                 return True
         return False
 
-    def close_idle(self, most: int) -> None:
-        """Close at most `most` connections, except those with unread bytes, which the next poll returns."""
-        for fd in self._table.longest_idle(most):
+    def close_idle(self, limit: int) -> None:
+        """Close at most `limit` connections, except those with unread bytes, which the next poll returns."""
+        for fd in self._table.longest_idle(limit):
             if not unread_bytes(fd):
                 self._close(fd)
 
@@ -199,13 +199,13 @@
 
     # Handover.
 
-    def lend(self, most: int) -> list[LentConnection]:
-        """Remove at most `most` connections, the longest idle first, and keep copies of their descriptors."""
+    def lend(self, limit: int) -> list[LentConnection]:
+        """Remove at most `limit` connections, the longest idle first; keep copies of their descriptors."""
         lent = []
-        for fd in self._table.longest_idle(most):
+        for fd in self._table.longest_idle(limit):
             connection = self.detach(fd)
-            self._lent.add(fd, connection.since, connection.mark)
-            lent.append(LentConnection(fd, connection.since))
+            self._lent.add(fd, connection.idle_since, connection.tag)
+            lent.append(LentConnection(fd, connection.idle_since))
         return lent
 
     def close_lent(self, fd: int) -> None:
@@ -221,9 +221,9 @@
             entry = self._lent.remove(fd)
             self.park(fd, entry.idle_since, entry.tag)
 
-    def take_back_lent(self, most: int) -> int:
-        """Take back at most `most` connections after the next process has ended; return how many remain."""
-        for fd in self._lent.longest_idle(most):
+    def take_back_lent(self, limit: int) -> int:
+        """Take back at most `limit` connections after the next process has ended; return how many remain."""
+        for fd in self._lent.longest_idle(limit):
             entry = self._lent.remove(fd)
             try:
                 self.park(fd, entry.idle_since, entry.tag)
@@ -240,4 +240,4 @@
     def _close(self, fd: int) -> None:
         connection = self.detach(fd)
         os.close(fd)
-        self._on_close(connection.mark)
+        self._on_close(connection.tag)
--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -28,13 +28,13 @@
 CLOSED_PER_PASS = 1024  # parked connections closed or taken back in one pass, some 10 ms
 
 
-def _mark_of(ticket: int | None) -> int:
-    """A ticket as the mark of an idle connection; 0 for none."""
+def _tag_of(ticket: int | None) -> int:
+    """A ticket as the tag of an idle connection; 0 for none."""
     return 0 if ticket is None else ticket + 1
 
 
-def _ticket_of(mark: int) -> int | None:
-    return mark - 1 if mark else None
+def _ticket_of(tag: int) -> int | None:
+    return tag - 1 if tag else None
 
 
 class ParkingOwner(Protocol):
@@ -139,7 +139,7 @@
             connection.admission.restore_ticket(ticket)
             return False
         try:
-            self._idle.park(detached.descriptor, detached.state.since, _mark_of(ticket))
+            self._idle.park(detached.descriptor, detached.state.since, _tag_of(ticket))
         except OSError:  # the kernel has no room for it in a poll set
             listener.resume(socket.socket(fileno=detached.descriptor), detached.state, ticket)
         self._arm_if_unarmed()
@@ -194,12 +194,12 @@
         self._listener.resume_accepting()  # some may have closed
 
     def _unpark(self, woken: WokenConnection) -> None:
-        handover = ConnectionHandover(True, woken.since)
-        self._listener.resume(socket.socket(fileno=woken.fd), handover, _ticket_of(woken.mark))
+        handover = ConnectionHandover(True, woken.idle_since)
+        self._listener.resume(socket.socket(fileno=woken.fd), handover, _ticket_of(woken.tag))
 
-    def _release(self, mark: int) -> None:
+    def _release(self, tag: int) -> None:
         """A parked connection is closed."""
-        ticket = _ticket_of(mark)
+        ticket = _ticket_of(tag)
         if ticket is not None:
             self._listener.release_ticket(ticket)
 
@@ -217,8 +217,8 @@
             return None
         woken = self._idle.detach(fd)
         self._report_departures()
-        self._release(woken.mark)
-        return DetachedConnection(fd, ConnectionHandover(True, woken.since))
+        self._release(woken.tag)
+        return DetachedConnection(fd, ConnectionHandover(True, woken.idle_since))
 
     def lend(self, most: int) -> list[LentConnection]:
         """At most `most` parked connections for the next process. Copies stay until it reports otherwise."""
@@ -237,13 +237,13 @@
             return True
         ticket = listener.register(sock)
         try:
-            self._idle.park(fd, min(since, listener.clock()), _mark_of(ticket), key)
+            self._idle.park(fd, min(since, listener.clock()), _tag_of(ticket), key)
         except OSError:  # the kernel has no room for it in a poll set
             if key is None:
                 listener.resume(sock, ConnectionHandover(True, since), ticket)
                 return True
             sock.detach()
-            self._release(_mark_of(ticket))
+            self._release(_tag_of(ticket))
             return False
         sock.detach()
         self._arm_if_unarmed()
