--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -1,4 +1,4 @@
-"""A dispatcher whose sockets and clock are in memory: the tests play clients and workers byte by byte."""
+"""A dispatcher with sockets and a clock in memory; tests act as its clients and workers, byte by byte."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Pipe(asyncio.Transport):
-    """A connection in memory. What the program writes is kept; what the other side sends is handed in."""
+    """A transport in memory: keeps what the program writes, and passes on what the peer sends."""
 
     def __init__(self, protocol: Any, stuck: bool = False) -> None:
         super().__init__()
@@ -80,7 +80,7 @@
             self.protocol.resume_writing()
 
     def send(self, data: bytes) -> None:
-        """The other side sends."""
+        """Pass data of the peer to the protocol."""
         for start in range(0, len(data), 65536):
             piece = data[start : start + 65536]
             if self.open:
@@ -88,14 +88,14 @@
                 self.protocol.buffer_updated(len(piece))
 
     def break_off(self) -> None:
-        """The other side resets the connection."""
+        """Reset the connection by the peer."""
         if self.open:
             self.open = False
             self.protocol.connection_lost(ConnectionResetError())
 
 
 class Client:
-    """A client's connection."""
+    """A client's end of a connection."""
 
     def __init__(
         self,
@@ -128,7 +128,7 @@
         self.dispatcher.settle()
 
     def answers(self) -> list[tuple[int, Head, bytes]]:
-        """The whole answers so far, as status, headers and body."""
+        """Return the complete responses received since the last call, as status, head and body."""
         found: list[tuple[int, Head, bytes]] = []
         head, body = None, b""
         self._parser.feed(bytes(self.pipe.written))
@@ -160,7 +160,7 @@
         connection.connection_made(self.pipe)
 
     def take(self) -> list[str | None]:
-        """The ids of the unanswered requests that have come whole; what is stuck has not."""
+        """Return the ids of the complete requests without a response; buffered writes are not received."""
         if self.pipe.stuck:
             return []
         self._parser.feed(bytes(self.pipe.written))
@@ -181,7 +181,7 @@
         self.dispatcher.settle()
 
     def finish(self, state: str = "done", result: str = "ok") -> None:
-        """Answers the oldest request."""
+        """Respond to the oldest request."""
         self.take()
         id_ = self.requests.popleft().get("x-request-id")
         told = {"id": id_, "from": "w", "state": state}
@@ -199,7 +199,7 @@
 
 
 class PendingConnection:
-    """A connection that is coming up."""
+    """A connection that is being dialled."""
 
     def __init__(
         self,
@@ -232,7 +232,7 @@
 
 
 class InMemoryDispatcher:
-    """The parts of a dispatcher, joined in memory. `unix` reads the wall clock; without it, that is `now`."""
+    """The parts of a dispatcher, connected in memory. `unix` reads the wall clock; by default it is `now`."""
 
     START = 1_000_000.0  # ms
 
@@ -284,13 +284,13 @@
         return self.dials[-1]
 
     def settle(self) -> None:
-        """Gives the exchange its turns."""
+        """Take turns of the exchange until none is scheduled."""
         while self.woken:
             self.woken = False
             self.exchange.turn(self.now)
 
     def advance(self, span: float) -> None:
-        """Lets time pass, timer by timer."""
+        """Advance the clock by `span` ms, calling each timer at its time."""
         end = self.now + span
         while (at := self.wheel.next_at()) <= end:
             self.now = max(self.now, at)
@@ -299,7 +299,7 @@
         self.now = end
 
     def tell(self, *news: tuple[int, str], snapshot: bool = False, since: float = 0) -> None:
-        """News of the routing table: pairs of a worker's number and its status."""
+        """Update the endpoint list with pairs of a worker's number and its status."""
         self.index += 1
         endpoints = [
             {
@@ -315,7 +315,7 @@
         self.settle()
 
     def client(self, **message: Any) -> Client:
-        """A client that has sent a request."""
+        """Return a client that has sent a request."""
         client = Client(self)
         client.post(**message)
         return client
--- a/tests/support/real_sockets.py
+++ b/tests/support/real_sockets.py
@@ -1,4 +1,4 @@
-"""A listener on real sockets, whose event loop is turned by hand and whose clock is the test's."""
+"""A listener on real sockets, with an event loop and a clock that the test advances."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class ListeningSocket(socket.socket):
-    """Who knocks at it is let in with an address of the test's choice."""
+    """A listening socket whose connections have an address that the test chooses."""
 
     def __init__(self) -> None:
         super().__init__(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -64,7 +64,7 @@
 
     @property
     def open(self) -> bool:
-        """Whether the dispatcher has the connection open."""
+        """Whether the dispatcher keeps the connection open."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK) != b""
         except BlockingIOError:
@@ -73,7 +73,7 @@
             return False
 
     def statuses(self) -> list[int | None]:
-        """The statuses of the whole answers so far."""
+        """Return the statuses of the complete responses so far."""
         found: list[int | None] = []
         status = None
         try:
@@ -89,7 +89,7 @@
         return found
 
     def ask(self, id_: str) -> list[int | None]:
-        """A whole job, start to end."""
+        """Send a request, let the worker respond, and return the statuses received."""
         self.send(message(id_))
         self.harness.turn()
         self.harness.work()
@@ -97,7 +97,7 @@
 
 
 class ListenerHarness:
-    """A dispatcher whose listener has a lot and real sockets."""
+    """A dispatcher with a parking listener on real sockets."""
 
     def __init__(
         self,
@@ -124,14 +124,14 @@
         self.listener.set_idle_limits(idling)
 
     def turn(self, turns: int = 8) -> None:
-        """A few turns of the loop; it never waits."""
+        """Run a few iterations of the loop, without waiting."""
         for _ in range(turns):
             self.loop.call_soon(self.loop.stop)
             self.loop.run_forever()
             self.dispatcher.settle()
 
     def work(self) -> None:
-        """The worker answers all that it has."""
+        """Let the worker respond to all its requests."""
         for dial in list(self.dispatcher.dials):
             dial.up()
         for end in self.dispatcher.ends:
@@ -140,7 +140,7 @@
         self.turn()
 
     def pass_time(self, span: float) -> None:
-        """Lets time pass, with turns of the loop at each timer."""
+        """Advance the clock by a time, running the loop at each timer."""
         end = self.dispatcher.now + span
         while (at := self.dispatcher.wheel.next_at()) <= end:
             self.dispatcher.now = max(self.dispatcher.now, at)
@@ -150,7 +150,7 @@
         self.dispatcher.now = end
 
     def parked(self, count: int = 1) -> list[SocketClient]:
-        """So many clients, each served once and then quiet until it was parked."""
+        """Return clients that were each served once and then idle until parked."""
         clients = []
         for number in range(count):
             clients.append(SocketClient(self))
@@ -169,7 +169,7 @@
 
 
 def play(machine: type[RuleBasedStateMachine], examples: int, steps: int) -> None:
-    """Random steps of a machine, the same in each run."""
+    """Run random steps of a state machine, the same in each run."""
     run_state_machine_as_test(
         machine,
         settings=settings(
