--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -3,7 +3,8 @@
 A connection carries one call at a time: an attempt of a request, or a health check.
 
     DIALLING ──(established, and the call may still be written)──> BUSY
-       └──(refused, too late, or the worker's address has changed)──> CLOSED
+       ├──(established, but the call may not be written any more)──> IDLE
+       └──(refused, timed out, or the worker's address has changed)──> CLOSED
     BUSY ──(the outcome of an attempt is known)──> FINISHING ──(the response ends)──> IDLE
        ├──(the response to a health check ends)──> IDLE
        └──(connection lost, or malformed response)──> CLOSED
