--- a/eiderfield/net/clients/__init__.py
+++ b/eiderfield/net/clients/__init__.py
@@ -3,6 +3,7 @@
 | module | what it holds |
 | --- | --- |
 | `front` | the interface between a listener and the protocol that it serves |
+| `request_headers` | the headers of a request in the platform's protocol |
 | `request_front` | the front of the platform's protocol |
 | `detached` | connections that are given away between two requests |
 | `arrivals` | the times at which bytes arrived |
--- a/eiderfield/net/clients/front.py
+++ b/eiderfield/net/clients/front.py
@@ -12,7 +12,7 @@
 from eiderfield.exchange.timers import Timers
 from eiderfield.net.http import Head
 
-ClientDeparted = Callable[[], None]  # called once if the client disconnects before its response
+ClientDeparted = Callable[[], object]  # called once if the client disconnects before its response
 
 
 class ListenerStatus(Protocol):
--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -5,10 +5,10 @@
                                                    └──(lend, hand_over)──> at the next process
 
 The states of a parked connection itself are those of `eiderfield/connections/idle_connections.py`; this
-module joins them to the loop, the clock and the listener's admission control.
+module connects them to the loop, the clock and the listener's admission control.
 
-What must never happen: a byte read from a borrowed connection before its lender was told that it left; a
-ticket of admission control that is released twice, or never.
+What must never happen: a byte read from a borrowed connection before its departure is reported to the lender;
+a ticket of admission control that is released twice, or never.
 """
 
 from __future__ import annotations
@@ -29,14 +29,19 @@
 
 
 def _tag_of(ticket: int | None) -> int:
-    """A ticket as the tag of an idle connection; 0 for none."""
+    """Return a ticket as the tag of an idle connection; 0 for none."""
     return 0 if ticket is None else ticket + 1
 
 
 def _ticket_of(tag: int) -> int | None:
+    """Return the ticket in the mark of an idle connection."""
     return tag - 1 if tag else None
 
 
+def _ignore(*_arguments: object) -> None:
+    """Report to nobody."""
+
+
 class ParkingOwner(Protocol):
     """The listener whose idle connections are parked."""
 
@@ -75,27 +80,31 @@
 
 
 class ConnectionParking:
-    """The parked connections of one listener, if the settings and the system allow any."""
+    """The parked connections of one listener, if the settings and the system allow any.
+
+    Attributes:
+        log: called once when the system refuses a poll set.
+        on_park: called when one more connection is parked.
+        on_departure: called with the lender's keys of borrowed connections that are not parked any more.
+    """
 
     def __init__(self, listener: ParkingOwner) -> None:
-        """Parks nothing until it is opened."""
+        """Park nothing until `open`."""
         self._listener = listener
         self._loop: asyncio.AbstractEventLoop | None = None
         self._idle: IdleConnections | None = None
         self._refusal_logged = False  # whether the system has refused a poll set
         self._expiry: Timer | None = None
-        self.log: Callable[[str], None] = lambda text: None  # told once of what the system refuses
-        self.on_park: Callable[[], None] = lambda: None  # called when one more is parked
-        self.on_departure: Callable[[list[int]], None] = lambda keys: (
-            None
-        )  # the lender's names of those that left
+        self.log: Callable[[str], None] = _ignore
+        self.on_park: Callable[[], None] = _ignore
+        self.on_departure: Callable[[list[int]], None] = _ignore
 
     def __len__(self) -> int:
-        """How many connections are parked."""
+        """Return the number of parked connections."""
         return 0 if self._idle is None else len(self._idle)
 
     def open(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Makes the poll set; without one connections stay as they are, and are served."""
+        """Create the poll set. Without one, idle connections keep their protocol objects and are served."""
         if self._idle is not None:
             return
         try:
@@ -103,20 +112,20 @@
         except OSError as error:
             if not self._refusal_logged:
                 self._refusal_logged = True
-                self.log(f"idle connections are not parked: {error}")
+                self.log(f"parking: poll set refused, idle connections are not parked (error={error})")
             return
         self._loop = loop
         loop.add_reader(self._idle.fileno(), self._wake)
 
     def close(self) -> None:
-        """Closes every parked connection and the poll set."""
+        """Close every parked connection and the poll set."""
         if self._idle is not None and self._loop is not None:
             self._loop.remove_reader(self._idle.fileno())
             self._idle.close()
             self._idle = None
 
     def figures(self) -> dict[str, int]:
-        """How many are parked, and how they went so far."""
+        """Return the console's figures of parked connections, present ones and earlier ones."""
         idle = self._idle
         return {
             "parked": len(self),
@@ -130,11 +139,11 @@
     # Parking and waking.
 
     def park(self, connection: ClientConnection) -> bool:
-        """Parks an idle connection, if that is possible now."""
+        """Park an idle connection; return whether it was possible."""
         listener = self._listener
         if self._idle is None or not listener.may_park:
             return False
-        ticket = connection.admission.take_ticket()  # it keeps its place in admission's counts
+        ticket = connection.admission.take_ticket()  # the parked connection stays counted
         if (detached := connection.detach()) is None:
             connection.admission.restore_ticket(ticket)
             return False
@@ -147,13 +156,13 @@
         return True
 
     def close_idle(self) -> None:
-        """Closes the parked connections on which no request can cross, a bounded number."""
+        """Close a bounded number of the parked connections on which no request can cross."""
         if self._idle is not None:
             self._idle.close_idle(CLOSED_PER_PASS)
             self._report_departures()
 
     def evict_one(self) -> bool:
-        """Closes the one that has idled longest, if there is one that may go."""
+        """Close the longest idle connection that may be evicted; return whether there was one."""
         if self._idle is None:
             return False
         evicted = self._idle.evict_one()
@@ -161,7 +170,7 @@
         return evicted
 
     def expire(self) -> None:
-        """Closes those that have idled for long enough. What is beyond one pass's bound goes in the next."""
+        """Close a bounded number of the connections whose idle time is over; the next pass closes more."""
         if self._idle is not None:
             self._idle.expire(self._listener.clock(), self._listener.idle_limit())
             self._report_departures()
@@ -169,7 +178,7 @@
             self._listener.resume_accepting()
 
     def arm(self) -> None:
-        """Sets the timer of the next expiry: the idle limit, or who is parked, may have changed."""
+        """Set the timer of the next expiry, after the idle limit or the parked connections have changed."""
         if self._expiry is not None:
             self._expiry.cancel()
             self._expiry = None
@@ -184,13 +193,13 @@
             self.arm()
 
     def _wake(self) -> None:
-        """Something came on parked connections: each goes on as if it had never been parked."""
+        """Resume parked connections on which bytes have arrived, as if they had never been parked."""
         if self._idle is None:
             return
         woken = self._idle.poll_ready()
         self._report_departures()
-        for one in woken:
-            self._unpark(one)
+        for connection in woken:
+            self._unpark(connection)
         self._listener.resume_accepting()  # some may have closed
 
     def _unpark(self, woken: WokenConnection) -> None:
@@ -198,21 +207,21 @@
         self._listener.resume(socket.socket(fileno=woken.fd), handover, _ticket_of(woken.tag))
 
     def _release(self, tag: int) -> None:
-        """A parked connection is closed."""
+        """Release what a parked connection holds that is closed."""
         ticket = _ticket_of(tag)
         if ticket is not None:
             self._listener.release_ticket(ticket)
 
-    # The next process, and the one before.
+    # The next process, and the previous one.
 
     def detachers(self, most: int) -> list[Detach]:
-        """What gives at most `most` parked connections away, the longest idle first."""
+        """Return calls that give away one parked connection each, at most `most`, the longest idle first."""
         if self._idle is None:
             return []
         return [partial(self._detach, fd) for fd in self._idle.longest_idle(most)]
 
     def _detach(self, fd: int) -> DetachedConnection | None:
-        """Gives a parked connection away, if it is still parked."""
+        """Give a parked connection away, if it is still parked."""
         if self._idle is None or fd not in self._idle:
             return None
         woken = self._idle.detach(fd)
@@ -221,18 +230,25 @@
         return DetachedConnection(fd, ConnectionHandover(True, woken.idle_since))
 
     def lend(self, most: int) -> list[LentConnection]:
-        """At most `most` parked connections for the next process. Copies stay until it reports otherwise."""
+        """Lend at most `most` parked connections to the next process; copies of them stay here."""
         return [] if self._idle is None else self._idle.lend(most)
 
     def borrow(self, fd: int, since: float, key: int | None) -> bool:
-        """Takes a parked connection of the process before; `key` is its name there if a copy stays there.
+        """Take a parked connection of the previous process.
+
+        Args:
+            fd: its descriptor.
+            since: when it became idle, in ms.
+            key: its key at the previous process if a copy stays there, else None.
 
-        False if there is no capacity for it, which only the lender of a copy need hear."""
+        Returns:
+            Whether it was taken. Without a copy it always is: this process alone has it.
+        """
         listener = self._listener
         if key is not None and (self._idle is None or not listener.has_capacity):
             return False
         sock = socket.socket(fileno=fd)
-        if self._idle is None:  # this process parks nobody, and it is the only one that has this connection
+        if self._idle is None:  # nothing is parked here, and no other process has this connection
             listener.adopt_connection(sock, ConnectionHandover(True, since))
             return True
         ticket = listener.register(sock)
@@ -250,31 +266,31 @@
         return True
 
     def close_lent(self, keys: list[int]) -> None:
-        """Closes the copies of connections that the next process has for good."""
+        """Close the copies of connections that the next process keeps."""
         if self._idle is not None:
             for key in keys:
                 self._idle.close_lent(key)
 
     def take_back(self, keys: list[int]) -> None:
-        """Parks connections again for which the next process has no capacity."""
+        """Park connections again for which the next process has no capacity."""
         if self._idle is not None:
             for key in keys:
                 self._idle.take_back(key)
         self.arm()
 
     def take_back_all(self) -> None:
-        """Parks again what a next process that is gone was lent, a bounded number in a turn."""
+        """Park again what was lent to a next process that is gone, a bounded number in a turn of the loop."""
         if self._idle is not None and self._idle.take_back_lent(CLOSED_PER_PASS):
             self._listener.timers.at(self._listener.clock(), self.take_back_all)
         self.arm()
 
     def forget_lender(self) -> None:
-        """Notes that the process before is gone: what it lent is this one's alone."""
+        """Keep borrowed connections for good: the previous process is gone."""
         if self._idle is not None:
             self._idle.forget_lender()
 
     def _report_departures(self) -> None:
-        """Reports what has left to the lender, before a byte of it is read."""
+        """Report to the lender what is not parked any more, before a byte of it is read."""
         if self._idle is not None and self._idle.unreported:
             keys, self._idle.unreported = self._idle.unreported, []
             self.on_departure(keys)
