--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -34,7 +34,7 @@
 
 
 def _ticket_of(tag: int) -> int | None:
-    """Return the ticket in the mark of an idle connection."""
+    """Return the ticket in the tag of an idle connection."""
     return tag - 1 if tag else None
 
 
