--- a/eiderfield/lab/fleet/fleet.py
+++ b/eiderfield/lab/fleet/fleet.py
@@ -129,6 +129,10 @@
         """Begins a fault, or ends it."""
         self._injector.inject(fault, active)
 
+    def wait_for_restarts(self) -> None:
+        """Wait until the dispatchers that were restarted after a fault are ready, or have failed."""
+        self._injector.wait_for_restarts()
+
     def stop_clients(self) -> None:
         """No more jobs: the run ends once those that were sent are over."""
         with suppress(OSError, ValueError):
--- a/eiderfield/lab/fleet/rollout_supervisor.py
+++ b/eiderfield/lab/fleet/rollout_supervisor.py
@@ -84,7 +84,7 @@
         elif self._decision and at > HELD_AFTER_S and self._is_held():
             send_command(self._folder, self._decision)
             self._decision = ""
-        elif not self._requests and self._has_ended(at):
+        elif not self._requests and not self._fault_ends and self._has_ended(at):
             self.end_controller()
             self._finish(fleet, at)
 
@@ -175,6 +175,7 @@
 
     def _finish(self, fleet: Fleet, at: float) -> None:
         self.over, self.seconds = True, at
+        fleet.wait_for_restarts()  # a dispatcher that starts cannot show yet that it kept the ban
         change_id = read_journal(self._folder).content.change_id
         for dispatcher in fleet.dispatchers.values():
             is_program = bool(self._change.program)
