--- a/eiderfield/lab/fleet/durable_draw.py
+++ b/eiderfield/lab/fleet/durable_draw.py
@@ -1,4 +1,4 @@
-"""Runs of custody drawn from seeds: one to three dispatchers are killed, stopped or cut off from workers."""
+"""Runs of durable requests drawn from seeds: one to three dispatchers are killed, stopped or cut off."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawnDurableRun:
-    """A row: what came of a drawn run. `failed` says why it could not be played."""
+    """The result of a drawn run, as a row. `failed` says why it could not be run."""
 
     seed: int
     what: list[str]
@@ -57,14 +57,14 @@
 
     @property
     def kept(self) -> bool:
-        """Whether it was played and no rule was broken."""
+        """Whether it was run and no rule was broken."""
         return not self.failed and not self.findings
 
 
 def draw_durable(
-    seed: int, dispatchers: int = 4, jobs: int = 300, custody: bool = True
+    seed: int, dispatchers: int = 4, jobs: int = 300, durable: bool = True
 ) -> tuple[Scenario, dict[str, Program]]:
-    """A scenario from a seed, and the dispatchers whose programs fail at points of custody."""
+    """Return a scenario from a seed, and the dispatchers whose programs fail at a named point."""
     rng = Random(f"eiderfield custody {seed}")
     scenario = Scenario(
         name=f"custody-{seed}",
@@ -79,7 +79,7 @@
         retries=10,
         one_id=True,
         job_classes=JOB_CLASSES,
-        custody={"lease_ms": LEASE_MS} if custody else {},
+        custody={"lease_ms": LEASE_MS} if durable else {},
     )
     faults: list[Fault] = []
     programs: dict[str, Program] = {}
@@ -93,7 +93,7 @@
 
 
 def _draw_fault(rng: Random, name: str, jobs: int) -> Fault | Program:
-    """What happens to a dispatcher. The order of the draws decides what a seed gives, and must stay."""
+    """Return what happens to a dispatcher. The order of the draws must stay: it determines the runs."""
     what = rng.choice(["kill", "kill", "kill", "stop", "point", "cut"])
     moment: dict[str, Any] = {"on": f"begun:{rng.randint(20, jobs // 2)}"}
     if what == "cut":
@@ -106,9 +106,9 @@
     )
 
 
-def play_drawn(seed: int, folder: str, custody: bool = True) -> DrawnDurableRun:
-    """Plays the scenario of a seed."""
-    scenario, programs = draw_durable(seed, custody=custody)
+def play_drawn(seed: int, folder: str, durable: bool = True) -> DrawnDurableRun:
+    """Run the scenario of a seed."""
+    scenario, programs = draw_durable(seed, durable=durable)
     what = [f"{fault.what} {fault.who}" for fault in scenario.faults]
     what += [f"{name} {program.failpoint}" for name, program in programs.items()]
     try:
@@ -126,8 +126,8 @@
         begun_twice=result.counts["begun_twice"],
         unanswered=result.unanswered,
         may_have_run=result.may_have_run,
-        taken_over=result.custody.get("taken_over", 0),
-        fenced=result.custody.get("fenced", 0),
+        taken_over=result.figures.get("taken_over", 0),
+        fenced=result.figures.get("fenced", 0),
         findings=[f"{finding.rule}: {finding.text}" for finding in result.findings],
         takeovers=result.takeovers,
         sent_near_kills=result.sent_near_kills,
@@ -136,7 +136,7 @@
 
 
 def summary(runs: Sequence[DrawnDurableRun]) -> list[str]:
-    """What drawn runs showed, in lines."""
+    """Return the lines of a summary of drawn runs."""
     played = [run for run in runs if not run.failed]
     totals = {name: int(sum(getattr(run, name) for run in played)) for name in SUMMED}
     lines = [
--- a/eiderfield/lab/fleet/durable_run.py
+++ b/eiderfield/lab/fleet/durable_run.py
@@ -1,7 +1,7 @@
-"""Jobs in custody on real processes: kills, stops and cuts under load, judged from the event logs.
+"""Durable requests on real processes under load: kills, stops and cuts, judged from the event logs.
 
-`play_durable` plays one scenario and adds up what the dispatchers' consoles say of custody, for the table;
-what is right or wrong is said by the rules alone (`rules.py`).
+`play_durable` runs one scenario and sums the console figures of all dispatchers. Only the rules (`rules.py`)
+decide what is right or wrong.
 """
 
 from __future__ import annotations
@@ -23,24 +23,24 @@
 from eiderfield.lab.fleet.scenario import Scenario
 from eiderfield.lab.processes import LabError
 
-# Jobs are counted that were first sent so long before a kill, and after it.
-COUNTED_BEFORE_KILL_S, COUNTED_AFTER_KILL_S = 0.5, 10.0
-LOST_SLACK_S = 0.5  # by which a client may hear of a kill before it is recorded
-CONSOLE_TIMEOUT_S = 0.3  # one that has just been stopped must not hold the run's other faults up
+COUNTED_BEFORE_KILL_S = 0.5  # jobs are counted that were first sent so long before a kill
+COUNTED_AFTER_KILL_S = 10.0  # and so long after it
+LOST_SLACK_S = 0.5  # by which a client may notice a kill before the kill is recorded
+CONSOLE_TIMEOUT_S = 0.3  # a dispatcher that has just been stopped must not delay the other faults
 CONSOLE_INTERVAL_S = 0.25
 FAILED = 502
 
 
 @dataclass
 class DurableResult:
-    """What came of a run. `custody` adds up the consoles' figures over all processes of the run."""
+    """The result of a run."""
 
     findings: list[Finding]
     faults: list[InjectedFault]
     counts: dict[str, int]
-    custody: dict[str, float]
-    fences: Counter[str]  # by why, how many incarnations were fenced
-    unanswered: int  # jobs that no attempt got an answer for
+    figures: dict[str, float]  # console figures of durable requests, summed over all processes
+    fences: Counter[str]  # by reason, how many incarnations were fenced
+    unanswered: int  # jobs without a final answer
     may_have_run: int  # jobs that ended as failed
     takeovers: list[float] = field(default_factory=list)  # s from a kill to a job's next attempt or answer
     sent_near_kills: int = 0  # jobs first sent shortly before a kill or within 10 s of it
@@ -48,20 +48,21 @@
 
 
 class ConsoleSums:
-    """Adds up custody's counts over processes that come and go: a later process counts anew."""
+    """Sums console figures over processes that come and go: each process counts from zero."""
 
     def __init__(self, dispatchers: Mapping[str, Dispatcher]) -> None:
+        """Poll the consoles of some dispatchers, by name."""
         self._dispatchers = dispatchers
         self._last: dict[tuple[str, int], dict[str, Any]] = {}
         self._next_at = 0.0
 
     def poll(self) -> None:
-        """Asks the dispatchers that run, if it is time."""
+        """Read the figures of all running dispatchers, if the interval has passed."""
         if time.monotonic() >= self._next_at:
             self.poll_now()
 
     def poll_now(self) -> None:
-        """Asks the dispatchers that run."""
+        """Read the figures of all running dispatchers."""
         self._next_at = time.monotonic() + CONSOLE_INTERVAL_S
         for name, dispatcher in self._dispatchers.items():
             if dispatcher.running:
@@ -69,7 +70,7 @@
                     self._last[name, dispatcher.pid] = dispatcher.figures(CONSOLE_TIMEOUT_S)["custody"]
 
     def sums(self) -> dict[str, float]:
-        """All counts, added."""
+        """Return the sums of all figures, by name."""
         total: Counter[str] = Counter()
         for figures in self._last.values():
             total.update({name: value for name, value in figures.items() if isinstance(value, int | float)})
@@ -77,7 +78,7 @@
 
 
 def play_durable(scenario: Scenario, folder: Path, programs: Mapping[str, Program]) -> DurableResult:
-    """Plays a scenario whose dispatchers keep their jobs in custody."""
+    """Run a scenario whose dispatchers have durable requests, and return its result."""
     with Fleet(scenario, folder, programs) as fleet:
         consoles = ConsoleSums(fleet.dispatchers)
         result = fleet.play(consoles.poll, before_rest=consoles.poll_now)
@@ -89,7 +90,7 @@
         findings=result.findings,
         faults=result.faults,
         counts=result.counts,
-        custody=consoles.sums(),
+        figures=consoles.sums(),
         fences=fences(folder / "custody"),
         unanswered=sum(not each for each in statuses.values()),
         may_have_run=sum(each == {FAILED} for each in statuses.values()),
@@ -100,7 +101,7 @@
 
 
 def fences(folder: Path) -> Counter[str]:
-    """By why, how many incarnations were fenced."""
+    """Return how many incarnations were fenced, by reason."""
     if not (folder / "form").exists():
         return Counter()
     shared = SharedFolder(folder, make=False).fences
@@ -108,7 +109,7 @@
 
 
 def final_statuses(clients: Sequence[Event]) -> dict[str, set[int]]:
-    """By job, the final statuses that its attempts got; none for a job that was never answered finally."""
+    """Return the final statuses of each job's tries, an empty set for a job without a final answer."""
     found: dict[str, set[int]] = {event["job"]: set() for event in clients if event["what"] == "asked"}
     for event in clients:
         if event["what"] == "answered" and event["status"] not in REJECTED:
@@ -119,7 +120,7 @@
 def takeovers(
     clients: Sequence[Event], workers: Sequence[Event], faults: Sequence[InjectedFault]
 ) -> list[float]:
-    """For each job whose attempt broke with a dispatcher that was killed: s until it was heard of again."""
+    """Return the seconds until each job that broke with a killed dispatcher was seen again."""
     found = []
     for event in clients:
         if event["what"] != "broke":
@@ -127,16 +128,14 @@
         kills = [fault.since for fault in faults if fault.who == event["at"] and fault.what == "kill"]
         earlier = [since for since in kills if since <= event["t"] + LOST_SLACK_S]
         if earlier:
-            again = heard_again(event, clients, workers, earlier[-1])
+            again = seen_again(event, clients, workers, earlier[-1])
             if again:
                 found.append(min(again) - earlier[-1])
     return found
 
 
-def heard_again(
-    broke: Event, clients: Sequence[Event], workers: Sequence[Event], since: float
-) -> list[float]:
-    """When a job came to a worker from another dispatcher, or was answered to its client."""
+def seen_again(broke: Event, clients: Sequence[Event], workers: Sequence[Event], since: float) -> list[float]:
+    """Return when a job came to a worker from another dispatcher, or was answered to its client."""
     came = [
         event["t"]
         for event in workers
@@ -152,7 +151,7 @@
 
 
 def first_sent(clients: Sequence[Event]) -> dict[str, float]:
-    """When each job was first sent."""
+    """Return when each job was first sent, in s."""
     sent: dict[str, float] = {}
     for event in clients:
         if event["what"] == "asked":
@@ -161,7 +160,7 @@
 
 
 def sent_near_kills(clients: Sequence[Event], faults: Sequence[InjectedFault]) -> set[str]:
-    """Jobs that were first sent shortly before a kill or after it."""
+    """Return the jobs that were first sent shortly before a kill or after it."""
     kills = [fault.since for fault in faults if fault.what == "kill"]
     return {
         job
@@ -171,7 +170,7 @@
 
 
 def served_in_time(scenario: Scenario, clients: Sequence[Event], workers: Sequence[Event]) -> set[str]:
-    """Jobs that were served within their objectives."""
+    """Return the jobs that were served within their objectives."""
     objectives = {each.name: (each.goal / 1000.0, each.stretch / 1000.0) for each in scenario.job_classes}
     runs = {event["job"]: event["run"] for event in workers if event["what"] == "came"}
     sent = first_sent(clients)
--- a/tests/test_durable_requests_fleet.py
+++ b/tests/test_durable_requests_fleet.py
@@ -49,7 +49,7 @@
     found = played(tmp_path, programs=pointed(point, "kill"))
     assert [fault.what for fault in found.faults] == ["kill"]
     assert found.fences["its process is gone"] == 1
-    assert found.custody["taken_over"] > 0 or point == "accept"
+    assert found.figures["taken_over"] > 0 or point == "accept"
 
 
 @pytest.mark.parametrize("point", ["accept", "claim", "claim done", "sent", "finish"])
@@ -57,7 +57,7 @@
     found = played(tmp_path, programs=pointed(point, "stop", 2.5), jobs=150)
     assert [fault.what for fault in found.faults] == ["stop"]
     assert found.fences["it is silent"] == 1, "it is told, and begins anew"
-    assert found.custody["fenced"] == 1, "it is told, and begins anew"
+    assert found.figures["fenced"] == 1, "it is told, and begins anew"
 
 
 @pytest.mark.parametrize("point", ["adopt", "adopt done"])
@@ -94,8 +94,8 @@
 def test_one_that_can_write_nothing_more_keeps_nothing_new_and_its_work_is_taken_over(tmp_path):
     """The register refuses it: it cannot renew its lease, says so to its askers, and others go on."""
     found = played(tmp_path, Fault("disk", "n1", on="begun:30", lasts=3.0), jobs=160)
-    assert found.custody["fenced"] == 1
-    assert found.custody["commits_failed"] > 0
+    assert found.figures["fenced"] == 1
+    assert found.figures["commits_failed"] > 0
     assert found.counts["declined"] > 0
 
 
@@ -107,7 +107,7 @@
 
 def test_a_client_that_asks_two_survivors_at_once_has_one_job(tmp_path):
     found = played(tmp_path, Fault("kill", "n1", on="begun:30", lasts=2.0), asks_both=True, dispatchers=4)
-    assert found.custody["joined"] > 0
+    assert found.figures["joined"] > 0
 
 
 def test_without_custody_the_same_kill_begins_jobs_twice_or_loses_them(tmp_path):
@@ -160,5 +160,5 @@
     found = play_durable(scenario, tmp_path / "run", {})
     assert found.findings == [], (found.findings[:3], found.counts)
     assert found.unanswered == 0, (found.findings[:3], found.counts)
-    assert found.custody["taken_over"] > 0
+    assert found.figures["taken_over"] > 0
     assert found.counts["served"] >= scenario.jobs - found.may_have_run
