--- a/eiderfield/batch/registry.py
+++ b/eiderfield/batch/registry.py
@@ -27,6 +27,7 @@
 )
 from eiderfield.batch.durable import DurableJobs
 from eiderfield.batch.messages import JobEnd, JobStatus, JobTemplate
+from eiderfield.batch.settings import JobLimits
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.exchange.request import Answer, Request, RequestState, Verdict
 from eiderfield.idmap import IdMap
@@ -56,16 +57,6 @@
     waiting: list[Callable[[], None]] = field(default_factory=list)
 
 
-@dataclass(slots=True, frozen=True)
-class RegistryLimits:
-    """How much the registry holds."""
-
-    unfinished_jobs: int
-    finished_jobs: int
-    finished_age: float  # ms for which a finished job is remembered
-    size: int  # bytes of bodies and results
-
-
 class JobRegistry:
     """All batch jobs of this dispatcher. Finished ones are forgotten by age, by count and by memory."""
 
@@ -74,7 +65,7 @@
         exchange: Exchange,
         clock: Callable[[], float],
         name: str,
-        limits: RegistryLimits,
+        limits: JobLimits,
         durable: DurableJobs | None = None,
     ) -> None:
         """`name` is the dispatcher's; `durable` is the store for classes that outlive it, if there is one."""
@@ -174,23 +165,23 @@
 
     def expire(self) -> None:
         """Forgets finished jobs that are too old or too many."""
-        oldest = self._clock() - self._limits.finished_age
+        oldest = self._clock() - self._limits.max_finished_age_ms
         while self._finished:
             job = next(iter(self._finished.values()))
-            if job.finished >= oldest and len(self._finished) <= self._limits.finished_jobs:
+            if job.finished >= oldest and len(self._finished) <= self._limits.max_finished_jobs:
                 return
             self._forget(job)
 
     def _check_capacity(self, templates: Sequence[JobTemplate]) -> None:
         """Raises `TryLaterError` where so many more jobs would be over a limit."""
-        if self.unfinished + len(templates) > self._limits.unfinished_jobs:
+        if self.unfinished + len(templates) > self._limits.max_unfinished_jobs:
             raise TryLaterError("too many jobs are unfinished", RETRY_AFTER)
         durable = any(self._is_durable(template) for template in templates)
         if durable and self._durable is not None and self._durable.is_full:
             raise TryLaterError("too many jobs are being written down", RETRY_AFTER)
         size = sum(len(template.body.encode()) for template in templates)
         self._free_memory(size)
-        if self._size + size > self._limits.size:  # the whole process is killed for memory otherwise
+        if self._size + size > self._limits.max_bytes:  # the whole process is killed for memory otherwise
             raise TryLaterError("unfinished jobs hold too much memory", RETRY_AFTER)
 
     def _check(self, template: JobTemplate) -> None:
@@ -273,7 +264,7 @@
 
     def _free_memory(self, size: int) -> None:
         """Forgets finished jobs until so many more bytes fit, as far as that helps."""
-        while self._finished and self._size + size > self._limits.size:
+        while self._finished and self._size + size > self._limits.max_bytes:
             self._forget(next(iter(self._finished.values())))
 
     def _forget(self, job: BatchJob) -> None:
--- a/eiderfield/batch/settings.py
+++ b/eiderfield/batch/settings.py
@@ -7,12 +7,19 @@
 from eiderfield.config.address import Address
 
 
+@dataclass(frozen=True, slots=True)
+class JobLimits:
+    """How many batch jobs a dispatcher holds, and for how long."""
+
+    max_unfinished_jobs: int
+    max_finished_jobs: int
+    max_finished_age_ms: float  # since the job's end
+    max_bytes: int  # bodies of unfinished jobs and results of finished ones
+
+
 @dataclass(frozen=True, slots=True)
 class BatchSettings:
-    """Where batch jobs are submitted, and how many are kept."""
+    """Address and limits of the batch front."""
 
     listen: Address
-    max_finished_jobs: int
-    max_finished_age_ms: float
-    max_jobs: int
-    max_bytes: int  # of bodies and results
+    limits: JobLimits
--- a/eiderfield/program/program.py
+++ b/eiderfield/program/program.py
@@ -11,7 +11,7 @@
 from typing import TypeVar
 
 from eiderfield.batch.front import BatchFront
-from eiderfield.batch.registry import JobRegistry, RegistryLimits
+from eiderfield.batch.registry import JobRegistry
 from eiderfield.config.loader import Config
 from eiderfield.net.clients import RequestFront
 from eiderfield.net.descriptors import ConnectionLimits, allowed_descriptors
@@ -142,10 +142,7 @@
     front = RequestFront(core.exchange, core.ids, core.clock, intake)
     bound = [BoundListener("listen", make_client_listener(config, core, front, share), config.listen)]
     if (batch := config.batch) is not None:
-        registry_limits = RegistryLimits(
-            batch.max_jobs, batch.max_finished_jobs, batch.max_finished_age_ms, batch.max_bytes
-        )
-        registry = JobRegistry(core.exchange, core.clock, config.name, registry_limits, intake)
+        registry = JobRegistry(core.exchange, core.clock, config.name, batch.limits, intake)
         batch_front = BatchFront(registry, lookup, core.wall.to_unix)
         listener = make_client_listener(config, core, batch_front, share)
         bound.append(BoundListener("batch.listen", listener, batch.listen))
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -11,7 +11,8 @@
 from support.policy import KEYED, SAFE, UNSAFE
 
 from eiderfield.batch.front import BatchFront
-from eiderfield.batch.registry import JobRegistry, RegistryLimits
+from eiderfield.batch.registry import JobRegistry
+from eiderfield.batch.settings import JobLimits
 from eiderfield.exchange.request_table import RequestTable
 from eiderfield.interface import Scope
 from eiderfield.net.clients import Listener
@@ -27,7 +28,7 @@
         self, workers=1, site=SITE, finished_most=100, finished_age=60_000.0, jobs_most=1000, size=10**7
     ):
         self.dispatcher = InMemoryDispatcher(site, workers)
-        limits = RegistryLimits(jobs_most, finished_most, finished_age, size)
+        limits = JobLimits(jobs_most, finished_most, finished_age, size)
         self.registry = JobRegistry(self.dispatcher.exchange, self.dispatcher.clock, "n0", limits)
         self.listener = Listener(BatchFront(self.registry), self.dispatcher.wheel, self.dispatcher.clock, 50)
         self.client = Client(self.dispatcher, self.listener)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -18,7 +18,8 @@
 import eiderfield
 from eiderfield.batch.front import BatchFront
 from eiderfield.batch.messages import JobTemplate
-from eiderfield.batch.registry import JobRegistry, RegistryLimits
+from eiderfield.batch.registry import JobRegistry
+from eiderfield.batch.settings import JobLimits
 from eiderfield.net.clients import Listener
 from eiderfield.net.clock import MonotonicClock, WallClock
 from eiderfield.net.peer_filter import INCARNATION_TIMEOUT_MS
@@ -152,9 +153,7 @@
     wall = Wall()
     dispatcher = InMemoryDispatcher(unix=wall)
     wall.runs_with(dispatcher)
-    registry = JobRegistry(
-        dispatcher.exchange, dispatcher.clock, "n0", RegistryLimits(100, 10, 60_000.0, 1 << 20)
-    )
+    registry = JobRegistry(dispatcher.exchange, dispatcher.clock, "n0", JobLimits(100, 10, 60_000.0, 1 << 20))
     listener = Listener(
         BatchFront(registry, None, dispatcher.wall.to_unix), dispatcher.wheel, dispatcher.clock, 50
     )
@@ -175,6 +174,6 @@
 
 def test_names_of_batch_jobs_do_not_return_if_a_clock_shows_the_same_time_again():
     dispatcher = InMemoryDispatcher()
-    limits = RegistryLimits(9, 9, 1.0, 99)
+    limits = JobLimits(9, 9, 1.0, 99)
     names = {JobRegistry(dispatcher.exchange, dispatcher.clock, "n0", limits)._id_prefix for _ in range(3)}
     assert len(names) == 3
