--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -132,7 +132,7 @@
         self._transport: asyncio.Transport | None = None
         begun = None if handover is None else handover.begun
         self._reader = MessageReader(listener.clock, self.since, begun)
-        self._timer = ConnectionTimer(listener, self._reader, self._time_limit_reached, self.since)
+        self._timer = ConnectionTimer(listener, self._reader, self.time_limit_reached, self.since)
         self._flow = FlowControl(sock, listener.departures, self._client_left)
         self._on_departure: ClientDeparted | None = None
         self._keep_alive = False  # whether the client wants the connection kept open after the response
@@ -359,7 +359,8 @@
         if self.phase == Phase.READING and not self._taking_messages and not self._throttled:
             self._timer.restart(self.proven, self.since, self._timer.started_at)
 
-    def _time_limit_reached(self) -> None:
+    def time_limit_reached(self) -> None:
+        """End a slow message or the idle time; called by the timer."""
         if self.phase == Phase.READING and self._timer.limits_message:
             self._end_slow_message()
         elif self.is_idle:
@@ -370,7 +371,7 @@
     def _end_slow_message(self) -> None:
         limit = self._timer.message_limit()
         if limit.at > self.listener.clock():  # the body arrives fast enough
-            self._timer.call_at(limit.at, self._time_limit_reached)
+            self._timer.call_at(limit.at, self.time_limit_reached)
             return
         if self.listener.admission is not None:
             self.listener.admission.count_slow_message(limit)
--- a/eiderfield/net/clients/detached.py
+++ b/eiderfield/net/clients/detached.py
@@ -19,7 +19,7 @@
 class DetachedConnection:
     """An open connection that no protocol object or poll set of this process holds any more."""
 
-    descriptor: int  # belongs to whoever detached the connection
+    descriptor: int  # the caller of `detach` has to pass it on or close it
     state: ConnectionHandover
 
 
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -30,7 +30,26 @@
 
 
 class Listener:
-    """A listening socket and its connections."""
+    """A listening socket and its connections.
+
+    Attributes:
+        front: handles the messages.
+        timers: timers on `clock`.
+        clock: gives the current time in ms.
+        max_connections: how many connections may be open, parked ones among them.
+        message_timeout: ms for a message from its first byte, where there is no admission control.
+        idling: how long connections may idle.
+        admission: decides which connections are admitted; None admits all.
+        open_connections: the connections that are not parked.
+        parking: the parked connections.
+        acceptor: accepts on the socket.
+        departures: watches connections that are not read; None until the listener is open.
+        draining: whether the process is shutting down.
+        keep_alive_disabled: whether each response closes its connection.
+        response_deadline: when a message that arrives now must be answered, in ms.
+        successor: takes connections over for the next process, None while there is none.
+        held_by_other_process: connections of the other process of an upgrade, which count as open.
+    """
 
     def __init__(
         self,
@@ -43,18 +62,7 @@
         admission: AdmissionControl | None = None,
         memory: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """Create a listener that is not open.
-
-        Args:
-            front: handles the messages.
-            timers: timers on `clock`.
-            clock: gives the current time in ms.
-            max_connections: how many connections may be open, parked ones among them.
-            message_timeout: ms for a message from its first byte, where there is no admission control.
-            idling: how long connections may idle.
-            admission: decides which connections are admitted; None admits all.
-            memory: gives the share of the process's memory that is in use, from 0 to 1.
-        """
+        """Create a listener that is not open; `memory` gives the share of memory in use, from 0 to 1."""
         self.front = front
         self.timers = timers
         self.clock = clock
@@ -62,16 +70,15 @@
         self.message_timeout = message_timeout
         self.idling = idling or IdleSettings()
         self.admission = admission
-        self.draining = False  # whether the process is shutting down
-        self.keep_alive_disabled = False  # whether each response closes its connection
-        self.response_deadline = inf  # when what arrives from now on must be answered
-        # During an upgrade: what takes connections over, and how many connections the other process has.
+        self.draining = False
+        self.keep_alive_disabled = False
+        self.response_deadline = inf
         self.successor: Callable[[Detach], bool] | None = None
         self.held_by_other_process = 0
-        self.open_connections: ConnectionTable[ClientConnection] = ConnectionTable()  # without parked ones
+        self.open_connections: ConnectionTable[ClientConnection] = ConnectionTable()
         self.parking = ConnectionParking(self)
         self.acceptor = Acceptor(self)
-        self.departures: DepartureWatch | None = None  # of connections that are not read at present
+        self.departures: DepartureWatch | None = None
         self._discarded = 0  # closed connections of whose input some was discarded
         self._departed = 0  # clients that disconnected before their response
         self._memory = memory
@@ -271,7 +278,7 @@
 
     @property
     def has_capacity(self) -> bool:
-        """Whether one more connection is within `max_connections`, whatever admission control says."""
+        """Whether one more connection is within `max_connections`; admission control may allow fewer."""
         return self.connections + self.held_by_other_process < self.max_connections
 
     @property
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -66,7 +66,7 @@
     else:
         [connection] = harness.listener.open_connections
         harness.dispatcher.now += KEPT.idle_timeout
-        connection._time_limit_reached()
+        connection.time_limit_reached()
     client.send(message("r1"))  # after the look, before the loop's next turn
     harness.turn()
     assert rest(client).startswith(b"HTTP/1.1 200 ")
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -71,10 +71,10 @@
     [connection] = harness.listener.open_connections
     client.send(message("r2"))  # unread, and the timer comes first
     assert not connection.is_idle
-    connection._time_limit_reached()
+    connection.time_limit_reached()
     assert not harness.listener.parked, "something has come: it stays"
     real, connection.__class__ = connection.__class__, type("Deaf", (ClientConnection,), {"is_idle": True})
-    connection._time_limit_reached()  # the same between the look for unread bytes and the parking
+    connection.time_limit_reached()  # the same between the look for unread bytes and the parking
     connection.__class__ = real
     assert harness.listener.parked == 1
     harness.turn()
