--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -40,6 +40,7 @@
         message_timeout: ms for a message from its first byte, where there is no admission control.
         idling: how long connections may idle.
         admission: decides which connections are admitted; None admits all.
+        memory_usage: gives the share of the process's memory that is in use, from 0 to 1.
         open_connections: the connections that are not parked.
         parking: the parked connections.
         acceptor: accepts on the socket.
@@ -60,9 +61,9 @@
         message_timeout: float = MESSAGE_TIMEOUT_MS,
         idling: IdleSettings | None = None,
         admission: AdmissionControl | None = None,
-        memory: Callable[[], float] = lambda: 0.0,
+        memory_usage: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """Create a listener that is not open; `memory` gives the share of memory in use, from 0 to 1."""
+        """Create a listener that is not open."""
         self.front = front
         self.timers = timers
         self.clock = clock
@@ -81,7 +82,7 @@
         self.departures: DepartureWatch | None = None
         self._discarded = 0  # closed connections of whose input some was discarded
         self._departed = 0  # clients that disconnected before their response
-        self._memory = memory
+        self.memory_usage = memory_usage
         self._usage_updated_at = -inf
         self._rejected = 0  # connections that are being answered 503
         self._loop: asyncio.AbstractEventLoop | None = None
@@ -315,7 +316,7 @@
             return
         self._usage_updated_at = now
         limit = self.idle_limit()
-        self.admission.update_usage(now, held, self._memory())
+        self.admission.update_usage(now, held, self.memory_usage())
         if limit != self.idle_limit():
             self.parking.arm()
 
--- a/tests/support/real_sockets.py
+++ b/tests/support/real_sockets.py
@@ -113,7 +113,7 @@
         self.listener = self.dispatcher.listener
         self.memory = 0.0
         self.admission = self.listener.admission = AdmissionControl(AdmissionSettings(**admission), most)
-        self.listener._memory = lambda: self.memory
+        self.listener.memory_usage = lambda: self.memory
         self.listener._loop = self.listener.acceptor._loop = self.loop
         self.listening_socket = ListeningSocket()
         self.listener.acceptor._socket = self.listening_socket
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -205,7 +205,7 @@
 def test_a_new_process_that_parks_nobody_takes_them_as_they_are():
     """It has the only descriptor of each: refused, they would be closed."""
     removal = Removal(30, IDLING)
-    removal.new.listener.parking._idle = None
+    removal.new.listener.parking.close()
     removal.new.listener.idling = replace(IDLING, park_after=inf)
     removal.go()
     assert removal.new.listener.connections == 30
