--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -126,13 +126,14 @@
         self.rejection = rejection
         self.phase = Phase.READING
         self.proven = handover is not None and handover.proven  # whether the client has sent a request
-        self.since = now if handover is None else min(handover.since, now)  # when connected or last answered
+        # When the client connected or the last response was written.
+        self._idle_since = now if handover is None else min(handover.since, now)
         self.admission = ConnectionAdmission(listener.admission, ticket)
         self._sock = sock
         self._transport: asyncio.Transport | None = None
-        begun = None if handover is None else handover.begun
-        self._reader = MessageReader(listener.clock, self.since, begun)
-        self._timer = ConnectionTimer(listener, self._reader, self.time_limit_reached, self.since)
+        buffered = None if handover is None else handover.buffered
+        self._reader = MessageReader(listener.clock, self._idle_since, buffered)
+        self._timer = ConnectionTimer(listener, self._reader, self.time_limit_reached, self._idle_since)
         self._flow = FlowControl(sock, listener.departures, self._client_left)
         self._on_departure: ClientDeparted | None = None
         self._keep_alive = False  # whether the client wants the connection kept open after the response
@@ -140,7 +141,7 @@
         self._throttled = False  # whether no more messages are taken for now
         self._discarded_bytes = 0
         self._answered = handover is not None  # whether any response was written
-        self._timer.restart(self.proven, self.since, self.since)
+        self._timer.restart(self.proven, self._idle_since, self._idle_since)
 
     # Called by asyncio.
 
@@ -225,13 +226,13 @@
             self._start_lingering()
             return
         self.phase = Phase.READING
-        self.since = self.listener.clock()
+        self._idle_since = self.listener.clock()
         self.listener.open_connections.mark_idle(self, self.proven)
         if self._flow.paused and not self._throttled:
             self._resume_reading()
-        self._timer.restart(self.proven, self.since, self._reader.first_byte_at())
+        self._timer.restart(self.proven, self._idle_since, self._reader.first_byte_at())
         if self.listener.successor is not None:  # the next process serves it once this call is over
-            self.listener.timers.at(self.since, partial(self.listener.hand_over, self))
+            self.listener.timers.at(self._idle_since, partial(self.listener.hand_over, self))
         if not self._taking_messages:  # else the caller's loop goes on: pipelined messages must not nest
             self._read_messages()
 
@@ -288,12 +289,13 @@
         """
         if self.phase != Phase.READING or self._taking_messages or self._throttled:
             return None
-        begun = self._reader.partial_head
-        if begun is None or self._sock is None or self._transport is None:
+        buffered = self._reader.partial_head
+        if buffered is None or self._sock is None or self._transport is None:
             return None
         if self._transport.is_closing() or self._transport.get_write_buffer_size():
             return None
-        state = ConnectionHandover(self.proven, self._timer.started_at if begun else self.since, begun)
+        since = self._timer.started_at if buffered else self._idle_since
+        state = ConnectionHandover(self.proven, since, buffered)
         self.abort()  # the loop forgets the descriptor now and would close it in its next turn
         return DetachedConnection(self._sock.detach(), state)
 
@@ -357,7 +359,7 @@
     def apply_limits(self) -> None:
         """Apply changed limits to what this connection is doing."""
         if self.phase == Phase.READING and not self._taking_messages and not self._throttled:
-            self._timer.restart(self.proven, self.since, self._timer.started_at)
+            self._timer.restart(self.proven, self._idle_since, self._timer.started_at)
 
     def time_limit_reached(self) -> None:
         """End a slow message or the idle time; called by the timer."""
@@ -366,7 +368,7 @@
         elif self.is_idle:
             self._end_idle_time()
         elif self.phase == Phase.READING:  # something arrived at this very moment
-            self._timer.restart(self.proven, self.since)
+            self._timer.restart(self.proven, self._idle_since)
 
     def _end_slow_message(self) -> None:
         limit = self._timer.message_limit()
@@ -378,10 +380,10 @@
         self._reject_message(MalformedMessageError("the message took too long", REQUEST_TIMEOUT))
 
     def _end_idle_time(self) -> None:
-        if not self.proven or self.listener.clock() >= self.since + self.listener.idling.idle_timeout:
+        if not self.proven or self.listener.clock() >= self._idle_since + self.listener.idling.idle_timeout:
             self.close()
         elif not self.listener.park(self):
-            self._timer.restart(self.proven, self.since)
+            self._timer.restart(self.proven, self._idle_since)
 
     # Reading.
 
@@ -445,7 +447,7 @@
     def _begin_message(self) -> None:
         """Limit a message of which a part has arrived, and count it with admission control."""
         if self.proven:  # a new connection's time runs from its start, however slowly bytes arrive
-            self._timer.restart(self.proven, self.since, self._reader.first_byte_at())
+            self._timer.restart(self.proven, self._idle_since, self._reader.first_byte_at())
         self._timer.limits_message = True
         if (rejection := self.admission.begin_message()) is not None:
             self._reject_overload("too many half-sent messages", rejection)
@@ -455,7 +457,7 @@
         if self._transport is not None and self._transport.get_write_buffer_size():
             self._timer.call_at(self.listener.clock(), self._read_more_messages)
             return
-        self._timer.restart(self.proven, self.since)
+        self._timer.restart(self.proven, self._idle_since)
         self._set_throttled(False)
 
     def _set_throttled(self, throttled: bool) -> None:
--- a/eiderfield/net/clients/detached.py
+++ b/eiderfield/net/clients/detached.py
@@ -11,8 +11,8 @@
     """The state of a client's connection that is parked, or handed over to the next process."""
 
     proven: bool  # whether the client has sent a request
-    since: float  # ms; when it was last answered, or when the message that has begun began
-    begun: bytes = b""  # the part of the next message that was read already
+    since: float  # ms; when the first of `buffered` arrived, else when the last response was written
+    buffered: bytes = b""  # the part of the next message that was read already
 
 
 @dataclass(slots=True, frozen=True)
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -159,7 +159,7 @@
             listener=name,
             proven=state.proven,
             since=state.since,
-            buffered=state.begun,
+            buffered=state.buffered,
             connection_counts=self._connection_counts(),
         )
         self._channel.send(message, [detached.descriptor])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -208,7 +208,7 @@
         with socket.socket(fileno=detached.descriptor) as copy:
             assert not client.pipe.open
             assert not old.listener.connections
-            assert detached.state.begun == message[:cut]
+            assert detached.state.buffered == message[:cut]
             there.sendall(b"x")
             assert copy.recv(1) == b"x", "the connection itself is open"
         heir = Client(new, handover=detached.state)
