--- a/eiderfield/batch/front.py
+++ b/eiderfield/batch/front.py
@@ -17,11 +17,13 @@
 
 from eiderfield.batch.drmaa import DrmaaError, ExitTimeoutError, TryLaterError
 from eiderfield.batch.durable import DurableJobLookup
+from eiderfield.batch.job import BatchJob, when_accepted
 from eiderfield.batch.messages import JobTemplate, ToUnix, bulk_from_json, parse_object
 from eiderfield.batch.parameters import require_terminate, wait_of
-from eiderfield.batch.registry import RETRY_AFTER, BatchJob, JobRegistry
+from eiderfield.batch.registry import JobRegistry
 from eiderfield.batch.remote import RemoteWait, send_found
 from eiderfield.batch.replies import CREATED, send_error, send_json, send_status
+from eiderfield.batch.submission import RETRY_AFTER_MS
 from eiderfield.net.clients import ListenerStatus, Responder
 from eiderfield.net.http import Head
 
@@ -73,18 +75,18 @@
 
     def _run_job(self, listener: ListenerStatus, connection: Responder, body: bytes) -> None:
         require_open(listener)
-        job = self._registry.run_job(JobTemplate.from_json(parse_object(body)))
+        job = self._registry.submission.run_job(JobTemplate.from_json(parse_object(body)))
         self._send_once_accepted(connection, [job], {"jobId": job.job_id})
 
     def _run_bulk_jobs(self, listener: ListenerStatus, connection: Responder, body: bytes) -> None:
         require_open(listener)
-        jobs = self._registry.run_bulk_jobs(bulk_from_json(parse_object(body)))
+        jobs = self._registry.submission.run_bulk_jobs(bulk_from_json(parse_object(body)))
         self._send_once_accepted(connection, jobs, {"jobIds": [job.job_id for job in jobs]})
 
     def _send_once_accepted(
         self, connection: Responder, jobs: Sequence[BatchJob], message: dict[str, object]
     ) -> None:
-        self._registry.when_accepted(jobs, partial(send_accepted, connection, message))
+        when_accepted(jobs, partial(send_accepted, connection, message))
 
     def _route_job(
         self,
@@ -120,7 +122,7 @@
         asks_store = not rest or list(rest) == ["control"]
         if asks_store and self._registry.is_durable_and_unfinished(job_id):
             return True
-        return not self._registry.knows(job_id)
+        return job_id not in self._registry.table
 
     def _route_remote(
         self,
@@ -193,8 +195,8 @@
         """Stops waiting: the client has gone, or its time is over."""
         self._over = True
         self._timer.cancel()
-        if self._send_end in self._job.waiting:
-            self._job.waiting.remove(self._send_end)
+        if self._send_end in self._job.end_callbacks:
+            self._job.end_callbacks.remove(self._send_end)
 
     def _send_end(self) -> None:
         if self._over:
@@ -213,7 +215,7 @@
 def require_open(listener: ListenerStatus) -> None:
     """Raises `TryLaterError` where the listener is draining."""
     if listener.draining:
-        raise TryLaterError("this dispatcher is about to end", RETRY_AFTER)
+        raise TryLaterError("this dispatcher is about to end", RETRY_AFTER_MS)
 
 
 def send_accepted(connection: Responder, message: dict[str, object], accepted: bool) -> None:
@@ -221,7 +223,7 @@
     if accepted:
         send_json(connection, CREATED, message)
     else:
-        send_error(connection, TryLaterError("the jobs cannot be written down now", RETRY_AFTER))
+        send_error(connection, TryLaterError("the jobs cannot be written down now", RETRY_AFTER_MS))
 
 
 def send_not_allowed(connection: Responder) -> None:
--- /dev/null
+++ b/eiderfield/batch/job.py
@@ -0,0 +1,70 @@
+"""A batch job, and the callbacks that wait for its acceptance and its end.
+
+The states of a job, and what moves it:
+
+    submitted ──(recorded, or not durable)──> accepted ──(answer)──> finished ──(age, count)──> forgotten
+
+A finished job never changes. Two jobs never have the same id.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass, field
+from functools import partial
+
+from eiderfield.batch.messages import JobTemplate
+from eiderfield.exchange.request import Answer
+
+
+@dataclass(slots=True, eq=False)
+class BatchJob:
+    """A batch job. `answer` is None until its final answer is in."""
+
+    job_id: str
+    template: JobTemplate  # without the body, which goes with the request and is freed with it
+    submitted_at: float  # ms
+    body_size: int  # bytes
+    request_number: int = 0  # the exchange's; 0 for a durable job
+    answer: Answer | None = None
+    finished_at: float = 0.0  # ms
+    accepted: bool = False  # whether the client may be told that it is
+    on_settled: Callable[[], None] | None = None  # called once the job is accepted or can't be
+    end_callbacks: list[Callable[[], None]] = field(default_factory=list)
+
+    def accept(self) -> None:
+        """Mark the job as accepted: it is recorded, or need not be."""
+        self.accepted = True
+        self.settle_acceptance()
+
+    def settle_acceptance(self) -> None:
+        """Call back whoever waits for the job's acceptance, once."""
+        on_settled, self.on_settled = self.on_settled, None
+        if on_settled is not None:
+            on_settled()
+
+    def call_end_callbacks(self) -> None:
+        """Call back all that wait for the job's end, once."""
+        callbacks, self.end_callbacks = self.end_callbacks, []
+        for on_end in callbacks:
+            on_end()
+
+
+def when_accepted(jobs: Sequence[BatchJob], on_settled: Callable[[bool], None]) -> None:
+    """Call `on_settled` once all of `jobs` are accepted or can't be, with whether all are.
+
+    It is called at once where no job is durable.
+    """
+    pending = {job.job_id for job in jobs if not job.accepted}
+    if not pending:
+        on_settled(True)
+        return
+
+    def settle(job: BatchJob) -> None:
+        pending.discard(job.job_id)
+        if not pending:
+            on_settled(all(job.accepted for job in jobs))
+
+    for job in jobs:
+        if not job.accepted:
+            job.on_settled = partial(settle, job)
--- /dev/null
+++ b/eiderfield/batch/job_table.py
@@ -0,0 +1,102 @@
+"""Batch jobs by id, within the limits of count, age and memory. Performs no I/O."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from collections.abc import Callable
+
+from eiderfield.batch.drmaa import InvalidJobError
+from eiderfield.batch.job import BatchJob
+from eiderfield.batch.messages import MAX_NAME_LENGTH
+from eiderfield.batch.settings import JobLimits
+from eiderfield.exchange.request import Answer
+
+
+class JobTable:
+    """All batch jobs of this dispatcher. Finished ones are forgotten by age, by count and by memory."""
+
+    def __init__(self, clock: Callable[[], float], limits: JobLimits) -> None:
+        """Create an empty table; `clock` returns the time in ms."""
+        self._clock = clock
+        self._limits = limits
+        self._held_bytes = 0
+        self._jobs: dict[str, BatchJob] = {}
+        self._finished: OrderedDict[str, BatchJob] = OrderedDict()  # the oldest first
+
+    @property
+    def known(self) -> int:
+        """Number of all jobs that may be asked about."""
+        return len(self._jobs)
+
+    @property
+    def unfinished(self) -> int:
+        """Number of jobs without a final answer."""
+        return len(self._jobs) - len(self._finished)
+
+    @property
+    def held_bytes(self) -> int:
+        """Size of the bodies of unfinished jobs and of the results of finished ones."""
+        return self._held_bytes
+
+    def __contains__(self, job_id: str) -> bool:
+        """Return whether a job was submitted here and is remembered."""
+        self.forget_expired()
+        return job_id in self._jobs
+
+    def get(self, job_id: str) -> BatchJob | None:
+        """Return a job, None if it is not known; forgets nothing."""
+        return self._jobs.get(job_id)
+
+    def find(self, job_id: str) -> BatchJob:
+        """Return a job.
+
+        Raises:
+            InvalidJobError: The job is not known, or was forgotten.
+        """
+        self.forget_expired()
+        job = self._jobs.get(job_id)
+        if job is None:
+            raise InvalidJobError(f"job {job_id[:MAX_NAME_LENGTH]!r} is not known")
+        return job
+
+    def add(self, job: BatchJob) -> None:
+        """Add an unfinished job."""
+        self._held_bytes += job.body_size
+        self._jobs[job.job_id] = job
+
+    def finish(self, job: BatchJob, answer: Answer) -> None:
+        """Record a job's final answer and call back all that wait for it."""
+        self._held_bytes += len(answer.result) - job.body_size
+        job.answer = answer
+        job.finished_at = self._clock()
+        self._finished[job.job_id] = job
+        job.settle_acceptance()  # a job that was never recorded is reported as such
+        job.call_end_callbacks()
+        self.free_memory(0)
+        self.forget_expired()
+
+    def has_slots(self, job_count: int) -> bool:
+        """Return whether so many more unfinished jobs are within the limit."""
+        return self.unfinished + job_count <= self._limits.max_unfinished_jobs
+
+    def free_memory(self, size: int) -> bool:
+        """Forget finished jobs until `size` more bytes fit; return whether they do."""
+        while self._held_bytes + size > self._limits.max_bytes:
+            if not self._finished:
+                return False
+            self._forget(next(iter(self._finished.values())))
+        return True
+
+    def forget_expired(self) -> None:
+        """Forget finished jobs that are too old or too many."""
+        oldest = self._clock() - self._limits.max_finished_age_ms
+        while self._finished:
+            job = next(iter(self._finished.values()))
+            if job.finished_at >= oldest and len(self._finished) <= self._limits.max_finished_jobs:
+                return
+            self._forget(job)
+
+    def _forget(self, job: BatchJob) -> None:
+        del self._finished[job.job_id]
+        del self._jobs[job.job_id]
+        self._held_bytes -= len(job.answer.result) if job.answer is not None else 0
--- a/eiderfield/batch/messages.py
+++ b/eiderfield/batch/messages.py
@@ -13,6 +13,7 @@
 
 TEMPLATE_KEYS = frozenset({"jobClass", "subject", "body", "deadlineMs", "idempotencyKey"})
 TEMPLATE_TEXTS = ("jobClass", "subject", "body", "idempotencyKey")
+MAX_NAME_LENGTH = 200  # characters of a name that a client chooses
 SHOWN_CHARACTERS = 40  # of a client's text in an error message
 
 ToUnix = Callable[[float], float]  # converts a time of the process's clock to Unix time, both in ms
--- a/eiderfield/batch/remote.py
+++ b/eiderfield/batch/remote.py
@@ -12,7 +12,7 @@
 from eiderfield.exchange.request import Verdict
 from eiderfield.net.clients import Responder
 
-RETRY_AFTER = 1000.0  # ms that a client is advised to wait where the store accepts nothing
+RETRY_AFTER_MS = 1000.0  # that a client is advised to wait where the store accepts nothing
 
 
 class RemoteWait:
@@ -63,7 +63,7 @@
         if stored:
             self._wait_if_unfinished(job)
         else:
-            error = TryLaterError("the wish for its end cannot be written down", RETRY_AFTER)
+            error = TryLaterError("the wish for its end cannot be written down", RETRY_AFTER_MS)
             send_error(self._connection, error)
 
     def _send_found(self, job: DurableJob | None) -> None:
--- /dev/null
+++ b/eiderfield/batch/submission.py
@@ -0,0 +1,127 @@
+"""Submission of batch jobs to the exchange or, for durable classes, to the durable store.
+
+A job is submitted once: it is not sent again, and one that the policy rejects stays rejected.
+"""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Callable, Sequence
+from dataclasses import replace
+from functools import partial
+
+from eiderfield.batch.drmaa import InvalidArgumentError, TryLaterError
+from eiderfield.batch.durable import DurableJobs
+from eiderfield.batch.job import BatchJob
+from eiderfield.batch.job_table import JobTable
+from eiderfield.batch.messages import JobTemplate
+from eiderfield.batch.validation import check_template
+from eiderfield.exchange.exchange import Exchange
+from eiderfield.exchange.request import Request
+from eiderfield.idmap import IdMap
+from eiderfield.interface import Effect
+
+RANDOM_ID_BYTES = 8  # in the ids of a process's jobs
+MAX_BULK_JOBS = 1000  # jobs of one bulk submission
+RETRY_AFTER_MS = 1000.0  # that a client is advised to wait where there is no capacity
+FRONT_NAME = "batch"  # by which the durable store knows whose jobs these are
+
+
+class JobSubmission:
+    """Checks job templates against the limits, and submits them as requests."""
+
+    def __init__(
+        self,
+        exchange: Exchange,
+        clock: Callable[[], float],
+        dispatcher_name: str,
+        table: JobTable,
+        durable: DurableJobs | None,
+    ) -> None:
+        """Submit jobs to `exchange` and add them to `table`; `durable` accepts those of durable classes."""
+        self._exchange = exchange
+        self._clock = clock
+        self._table = table
+        self._durable = durable
+        # A job's id must not come again after a restart: workers recognise a repeat by it. Any clock may show
+        # the same time again.
+        self._id_prefix = f"{dispatcher_name}-{os.urandom(RANDOM_ID_BYTES).hex()}"
+        self._last_number = 0
+        classes = exchange.settings.classes
+        self._class_indexes = {each.name: index for index, each in enumerate(classes)}
+
+    def run_job(self, template: JobTemplate) -> BatchJob:
+        """Submit one job; raise as `run_bulk_jobs` does."""
+        return self.run_bulk_jobs([template])[0]
+
+    def run_bulk_jobs(self, templates: Sequence[JobTemplate]) -> list[BatchJob]:
+        """Submit all jobs of `templates` or, where one is faulty or there are too many, none of them.
+
+        Raises:
+            InvalidArgumentError: A template is faulty, or there are none or too many.
+            DeniedByDrmError: A template can't be accepted here.
+            TryLaterError: The dispatcher has no capacity for so many jobs at the moment.
+        """
+        if not templates:
+            raise InvalidArgumentError("no job is given")
+        if len(templates) > MAX_BULK_JOBS:
+            raise InvalidArgumentError(f"more than {MAX_BULK_JOBS} jobs are given")
+        for template in templates:
+            class_index = self._class_indexes.get(template.job_class)
+            classes = self._exchange.settings.classes
+            check_template(template, None if class_index is None else classes[class_index])
+        self._check_capacity(templates)
+        return [self._submit(template) for template in templates]
+
+    def is_durable(self, template: JobTemplate) -> bool:
+        """Return whether jobs of the template's class go to the durable store."""
+        durable = self._durable
+        return durable is not None and durable.is_durable(self._class_indexes[template.job_class])
+
+    def _check_capacity(self, templates: Sequence[JobTemplate]) -> None:
+        """Raise `TryLaterError` where so many more jobs would be over a limit."""
+        if not self._table.has_slots(len(templates)):
+            raise TryLaterError("too many jobs are unfinished", RETRY_AFTER_MS)
+        durable = any(self.is_durable(template) for template in templates)
+        if durable and self._durable is not None and self._durable.is_full:
+            raise TryLaterError("too many jobs are being written down", RETRY_AFTER_MS)
+        size = sum(len(template.body.encode()) for template in templates)
+        if not self._table.free_memory(size):  # the whole process is killed for memory otherwise
+            raise TryLaterError("unfinished jobs hold too much memory", RETRY_AFTER_MS)
+
+    def _submit(self, template: JobTemplate) -> BatchJob:
+        self._table.forget_expired()
+        body = template.body.encode()
+        job = BatchJob(self._next_id(), replace(template, body=""), self._clock(), len(body))
+        request = self._request_for(job, body)
+        self._table.add(job)
+        on_answer = partial(self._table.finish, job)
+        if self._durable is not None and self.is_durable(template):
+            self._durable.accept(request, on_answer, FRONT_NAME, job.accept)
+        else:
+            job.accepted = True
+            job.request_number = self._exchange.submit(request, on_answer)
+        return job
+
+    def _request_for(self, job: BatchJob, body: bytes) -> Request:
+        template = job.template
+        class_index = self._class_indexes[template.job_class]
+        request_class = self._exchange.settings.classes[class_index]
+        key = template.idempotency_key or (job.job_id if request_class.effect == Effect.KEYED else "")
+        path = f"/{request_class.name}"
+        return Request(
+            id=job.job_id,
+            class_index=class_index,
+            deadline=job.submitted_at + (template.deadline or request_class.deadline_ms),
+            target=f"{path}/{template.subject}" if template.subject else path,
+            body=body,
+            idempotency_key=key,
+            subject=IdMap.subject(template.subject),
+        )
+
+    def _next_id(self) -> str:
+        """Return an id that no pending request has, of this front or another."""
+        self._last_number += 1
+        while self._exchange.has_request(f"{self._id_prefix}.{self._last_number}"):
+            self._last_number += 1
+        return f"{self._id_prefix}.{self._last_number}"
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -75,7 +75,7 @@
     [(status, _, body)] = waiter.answers()
     assert status == 408
     assert b"ExitTimeoutException" in body
-    assert not batch.registry._jobs[job].waiting
+    assert not batch.registry.table.find(job).end_callbacks
 
 
 def test_a_cancelled_job_that_never_ran_is_final_and_sent_nowhere():
@@ -174,7 +174,7 @@
     batch = Batch(jobs_most=20)
     got, _, answer = batch.ask(method, path, told)
     assert (got, answer["error"]) == (status, error)
-    assert batch.registry.known == 0
+    assert batch.registry.table.known == 0
 
 
 def test_what_workers_cannot_do_is_denied():
@@ -188,11 +188,11 @@
     jobs = [batch.run() for _ in range(5)]
     for job in jobs:
         batch.terminate(job)
-    assert batch.registry.known == 3
+    assert batch.registry.table.known == 3
     assert batch.ask("GET", f"/v1/jobs/{jobs[0]}")[0] == 404
     batch.dispatcher.advance(5001.0)
     assert batch.ask("GET", f"/v1/jobs/{jobs[4]}")[0] == 404
-    assert batch.registry.known == 0
+    assert batch.registry.table.known == 0
 
 
 def test_bodies_and_results_stay_within_their_memory():
@@ -203,7 +203,7 @@
     status, _, told = batch.ask("POST", "/v1/jobs", {"jobClass": "safe", "body": "z" * 200})
     assert (status, told["error"]) == (503, "TryLaterException")
     assert batch.ask("GET", f"/v1/jobs/{first}")[0] == 404  # the finished one gave way
-    assert batch.registry._size == 120
+    assert batch.registry.table.held_bytes == 120
 
 
 def test_a_batch_that_ends_takes_no_more():
@@ -228,13 +228,13 @@
     batch = Batch(6, MIXED, finished_most=jobs, finished_age=1e9, jobs_most=jobs)
     dispatcher, left, open_jobs, final, answers = batch.dispatcher, jobs, {}, {}, Counter()
     sent, zones, cancelled, doomed, shown = Counter(), {}, 0, [], Counter()
-    finish = batch.registry._finish
+    finish = batch.registry.table.finish
 
     def counted(record, answer):
         answers[record.job_id] += 1
         finish(record, answer)
 
-    batch.registry._finish = counted
+    batch.registry.table.finish = counted
     while left or open_jobs:
         if left and len(open_jobs) < 12:  # a scheduler that heeds declines keeps a window
             classes = [rng.choice(["safe", "unsafe", "keyed"]) for _ in range(min(left, rng.randint(1, 8)))]
@@ -287,7 +287,7 @@
     assert len(final) == JOBS
     assert set(answers.values()) == {1}
     assert len(answers) == JOBS
-    assert batch.registry.unfinished == 0
+    assert batch.registry.table.unfinished == 0
     assert not batch.dispatcher.exchange.unanswered
     verdicts = Counter(told["verdict"] for _, told in final.values())
     assert cancelled > JOBS // 20
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -166,14 +166,16 @@
     assert json.loads(body)["submittedMs"] == int(wall() - 100.0)
     dispatcher.dials[0].up().finish()
     dispatcher.advance(59_000.0)
-    assert registry.known == 1
+    assert registry.table.known == 1
     dispatcher.advance(2_000.0)
-    registry.run_job(JobTemplate("safe", subject="x"))
-    assert registry.known == 1, "the finished one is forgotten by its age"
+    registry.submission.run_job(JobTemplate("safe", subject="x"))
+    assert registry.table.known == 1, "the finished one is forgotten by its age"
 
 
 def test_names_of_batch_jobs_do_not_return_if_a_clock_shows_the_same_time_again():
-    dispatcher = InMemoryDispatcher()
     limits = JobLimits(9, 9, 1.0, 99)
-    names = {JobRegistry(dispatcher.exchange, dispatcher.clock, "n0", limits)._id_prefix for _ in range(3)}
-    assert len(names) == 3
+    job_ids = set()
+    for dispatcher in [InMemoryDispatcher() for _ in range(3)]:
+        registry = JobRegistry(dispatcher.exchange, dispatcher.clock, "n0", limits)
+        job_ids.add(registry.submission.run_job(JobTemplate("safe")).job_id)
+    assert len(job_ids) == 3
