--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -31,85 +31,85 @@
 
 def test_a_good_change_goes_through_though_its_controller_is_lost_again_and_again(tmp_path):
     failpoints = ("before start:1", "after start:1", "written:1", "before end:1", "after end:1")
-    told = change(failpoints=failpoints)
-    found = play_change(SCENARIO, told, tmp_path / "run")
-    assert found.findings == [], found
-    assert verdict(told, found) == "right", found
-    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "new")
-    assert found.controllers == 1 + len(failpoints)
-    assert found.counts["jobs"] == found.counts["served"]
-    assert not found.attempts_to_banned
-    assert found.most_unavailable <= 1
+    planned = change(failpoints=failpoints)
+    result = play_change(SCENARIO, planned, tmp_path / "run")
+    assert result.findings == [], result
+    assert verdict(planned, result) == "right", result
+    assert result.versions == dict.fromkeys(("n0", "n1", "n2"), "new")
+    assert result.controllers == 1 + len(failpoints)
+    assert result.counts["jobs"] == result.counts["served"]
+    assert not result.attempts_to_banned
+    assert result.most_unavailable <= 1
 
 
 @pytest.mark.parametrize(
     ("kind", "why"), [("crashes", "n0"), ("forgets", "forgot the ban of w5"), ("one-class", "class confirm")]
 )
 def test_a_worse_program_is_undone_at_the_canary(kind, why, tmp_path):
-    told = change(program=kind)
-    found = play_change(SCENARIO, told, tmp_path / "run")
-    assert (found.phase, found.stage) == ("undone", 0), found
-    assert why in found.why, found
-    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "old")
-    assert found.bans_kept
+    planned = change(program=kind)
+    result = play_change(SCENARIO, planned, tmp_path / "run")
+    assert (result.phase, result.stage) == ("undone", 0), result
+    assert why in result.why, result
+    assert result.versions == dict.fromkeys(("n0", "n1", "n2"), "old")
+    assert result.bans_kept
 
 
 def test_a_canary_that_is_killed_is_brought_back_and_no_other_is_touched(tmp_path):
     faults = (FaultInPhase("watching", Fault("kill", "n0", at=0.0)),)
-    found = play_change(SCENARIO, change(faults=faults), tmp_path / "run")
-    assert found.phase == "undone", found
-    assert "n0 is gone" in found.why, found
-    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "old")
+    result = play_change(SCENARIO, change(faults=faults), tmp_path / "run")
+    assert result.phase == "undone", result
+    assert "n0 is gone" in result.why, result
+    assert result.versions == dict.fromkeys(("n0", "n1", "n2"), "old")
 
 
 def test_a_canary_that_stands_still_for_a_while_is_not_taken_for_worse(tmp_path):
     faults = (FaultInPhase("watching", Fault("stop", "n0", at=0.0, lasts=2.0)),)
-    told = change(faults=faults)
-    found = play_change(SCENARIO, told, tmp_path / "run")
-    assert found.phase == "done", found
-    assert found.findings == [], found
-    assert found.counts["begun_twice"] == 0
-    assert found.bans_kept
+    planned = change(faults=faults)
+    result = play_change(SCENARIO, planned, tmp_path / "run")
+    assert result.phase == "done", result
+    assert result.findings == [], result
+    assert result.counts["begun_twice"] == 0
+    assert result.bans_kept
 
 
 def test_an_old_process_that_is_killed_as_its_successor_starts_leaves_a_fleet_of_one_side(tmp_path):
     """Its successor finds nobody to take over from, and begins by itself; bans are on file."""
     faults = (FaultInPhase("moving", Fault("kill", "n0", at=0.0)),)
-    found = play_change(SCENARIO, change(faults=faults, decision="undo"), tmp_path / "run")
-    version = {"done": "new", "undone": "old"}[found.phase]
-    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), version), found
-    assert found.bans_kept, found
-    assert found.findings == []
-    assert not found.attempts_to_banned
+    result = play_change(SCENARIO, change(faults=faults, decision="undo"), tmp_path / "run")
+    version = {"done": "new", "undone": "old"}[result.phase]
+    assert result.versions == dict.fromkeys(("n0", "n1", "n2"), version), result
+    assert result.bans_kept, result
+    assert result.findings == []
+    assert not result.attempts_to_banned
 
 
 def test_a_fleet_that_is_told_to_end_in_mid_stage_is_undone_and_no_job_taken_is_lost(tmp_path):
     """The old ones are started again by whoever starts them; the canary is the controller's to bring back."""
-    told = (FaultInPhase("watching", Fault("term", "n0", at=0.0)),)
-    told += tuple(FaultInPhase("watching", Fault("term", n, at=0.0, lasts=1.0)) for n in ("n1", "n2"))
-    found = play_change(SCENARIO, change(faults=told), tmp_path / "run")
-    assert found.phase == "undone", found
-    assert "n0 is gone" in found.why, found
-    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), "old"), found
-    assert found.bans_kept, found
-    assert found.findings == [], "what was taken before the end was answered"
+    faults = (FaultInPhase("watching", Fault("term", "n0", at=0.0)),)
+    faults += tuple(FaultInPhase("watching", Fault("term", n, at=0.0, lasts=1.0)) for n in ("n1", "n2"))
+    result = play_change(SCENARIO, change(faults=faults), tmp_path / "run")
+    assert result.phase == "undone", result
+    assert "n0 is gone" in result.why, result
+    assert result.versions == dict.fromkeys(("n0", "n1", "n2"), "old"), result
+    assert result.bans_kept, result
+    assert result.findings == [], "what was taken before the end was answered"
 
 
 def test_a_change_that_is_worse_in_one_zone_alone_is_undone_once_it_comes_there(tmp_path):
     scenario = replace(SCENARIO, dispatchers=4, zones=2, workers=8, cell=2, rate=130.0, jobs=9000)
-    found = play_change(scenario, change(program="one-zone", shares=(0.75,)), tmp_path / "run")
-    assert found.phase == "undone", found
-    assert found.stage == 2, found
-    assert found.versions == dict.fromkeys(("n0", "n1", "n2", "n3"), "old"), found
-    assert found.bans_kept, found
-    assert {finding.rule for finding in found.findings} <= {"declined"}, "the worse program alone did harm"
+    result = play_change(scenario, change(program="one-zone", shares=(0.75,)), tmp_path / "run")
+    assert result.phase == "undone", result
+    assert result.stage == 2, result
+    assert result.versions == dict.fromkeys(("n0", "n1", "n2", "n3"), "old"), result
+    assert result.bans_kept, result
+    assert {finding.rule for finding in result.findings} <= {"declined"}, "the worse program alone did harm"
 
 
 def test_a_flood_in_the_middle_of_a_good_change_stops_nothing(tmp_path):
     scenario = replace(SCENARIO, floods=((2.0, 5.0, 2.0),))
-    found = play_change(scenario, change(), tmp_path / "run")
-    assert found.phase == "done", found
-    assert found.findings == [], found
+    result = play_change(scenario, change(), tmp_path / "run")
+    assert result.phase == "done", result
+    assert result.findings == [], result
 
 
 def during(phase, *faults):
@@ -132,23 +132,25 @@
 @pytest.mark.parametrize("name", LOST)
 def test_whatever_is_lost_meanwhile_the_fleet_ends_on_one_side_and_keeps_the_rules(name, tmp_path):
     faults, requests = LOST[name]
-    found = play_change(SCENARIO, change(faults=faults, requests=requests, decision="undo"), tmp_path / "run")
-    version = {"done": "new", "undone": "old"}[found.phase]
-    assert found.versions == dict.fromkeys(("n0", "n1", "n2"), version), found
-    assert found.bans_kept, found
-    assert found.findings == [], found
-    assert not found.attempts_to_banned, found
+    result = play_change(
+        SCENARIO, change(faults=faults, requests=requests, decision="undo"), tmp_path / "run"
+    )
+    version = {"done": "new", "undone": "old"}[result.phase]
+    assert result.versions == dict.fromkeys(("n0", "n1", "n2"), version), result
+    assert result.bans_kept, result
+    assert result.findings == [], result
+    assert not result.attempts_to_banned, result
 
 
 def test_a_controller_that_cannot_see_its_canary_holds_and_ends_nobody(tmp_path):
-    told = Change(
+    planned = Change(
         watch={**QUICK, "seconds": 3.0, "ready": 600.0}, lost_contacts=(LostContact("watching", 600.0, "n0"),)
     )
-    found = play_change(SCENARIO, told, tmp_path / "run")
-    assert found.phase == "held", found
-    assert "can be seen" in found.why, found
-    assert found.findings == []
-    assert found.versions["n1"] == found.versions["n2"] == "old"
+    result = play_change(SCENARIO, planned, tmp_path / "run")
+    assert result.phase == "held", result
+    assert "can be seen" in result.why, result
+    assert result.findings == []
+    assert result.versions["n1"] == result.versions["n2"] == "old"
 
 
 def test_the_marks_tell_whose_processes_are_there(tmp_path):
@@ -156,8 +158,8 @@
         [dispatcher] = fleet.dispatchers.values()
         assert version_of(dispatcher, "any") == "old"
         assert len(dispatcher.processes()) == 1
-        told = json.loads((tmp_path / "run" / "scenario.json").read_text())
-        assert told["dispatchers"] == 1
+        stored = json.loads((tmp_path / "run" / "scenario.json").read_text())
+        assert stored["dispatchers"] == 1
         assert START_ARGUMENTS[-1] == "--config"
 
 
@@ -183,18 +185,32 @@
     assert wilson(0, 0) == (0.0, 1.0)
 
 
-def test_the_commands_of_a_change_say_what_is_wrong(tmp_path):
-    run = CliRunner()
-    told = run.invoke(main, ["rollout", "status", str(tmp_path)])
-    assert told.exit_code == 1
-    assert "holds no change" in told.output
+@pytest.fixture
+def run():
+    """Run the command line with some arguments, and return its result."""
+
+    def run_command(*arguments):
+        return CliRunner().invoke(main, arguments)
+
+    return run_command
+
+
+def test_status_of_a_folder_without_a_change_is_an_error(run, tmp_path):
+    result = run("rollout", "status", str(tmp_path))
+    assert result.exit_code == 1
+    assert "holds no change" in result.output
+
+
+def test_start_with_a_missing_program_names_its_key(run, tmp_path):
     plan = tmp_path / "plan.toml"
     plan.write_text(
         'name = "x"\n[change]\nprogram = "p"\nbefore = "o"\n[[dispatcher]]\nname = "n0"\n'
         'console = "127.0.0.1:1"\nspare = "127.0.0.1:2"\nstart = ["s"]\n'
     )
-    told = run.invoke(main, ["rollout", "start", str(plan), "--folder", str(tmp_path / "c")])
-    assert told.exit_code == 2
-    assert "change.program" in told.output
-    told = run.invoke(main, ["lab", "fleet", "rollouts", "--seeds", "x"])
-    assert told.exit_code == 2
+    result = run("rollout", "start", str(plan), "--folder", str(tmp_path / "c"))
+    assert result.exit_code == 2
+    assert "change.program" in result.output
+
+
+def test_faulty_range_of_seeds_is_a_usage_error(run):
+    assert run("lab", "fleet", "rollouts", "--seeds", "x").exit_code == 2
--- a/tests/test_rollout_on_failing_disk.py
+++ b/tests/test_rollout_on_failing_disk.py
@@ -25,9 +25,9 @@
 
 NAMES = ("n0", "n1", "n2")
 KINDS = ("open", "write", "sync", "rename", "unlink")
-TURNS = 120  # of a healthy change, and some more
+POLLS = 120  # of a healthy change, and some more
 POSITIONS = 6  # of the first operation that fails, spread over those of a healthy change
-SHORT, LONG = 3, 15  # turns for which the disk fails
+SHORT, LONG = 3, 15  # polls for which the disk fails
 
 PLAN = """\
 name = "change"
@@ -53,44 +53,47 @@
 )
 
 
-class Processes:
-    """Stands in for `ProcessManager`: processes that start, get ready and end as they are told."""
+class StandInManager:
+    """Stands in for `ProcessManager`: processes that start, get ready and stop at once."""
 
-    def __init__(self, plan, _id, _base, folder, _texts, _kept=()):
+    def __init__(self, plan, _change_id, _base, folder, _files, _known_processes=()):
         self.plan, self.folder = plan, folder
         self.known_processes = [ProcessRecord("n0", Version.OLD, ("127.0.0.1", 8070), 1, 1.0)]
         self.running = {
             member.name: {number: (Version.OLD, member.console)} for number, member in enumerate(plan.members)
         }
-        self.next_pid, self.jobs = 100, Counter()
+        self.next_pid, self.served = 100, Counter()
 
     def close(self):
         """Nothing is held."""
 
     def poll(self):
         return {
-            name: [self.told(pid, *one) for pid, one in there.items()] for name, there in self.running.items()
+            name: [self.report(pid, *process) for pid, process in processes.items()]
+            for name, processes in self.running.items()
         }
 
-    def told(self, pid, side, console):
-        self.jobs[pid] += 200
-        figures = {"success": {"a": self.jobs[pid]}, "busy": {"a": 0}, "failure": {"a": 0}}
-        return ProcessReport(ProcessStatus(side, pid, console, True), 100.0, figures, {"a": self.jobs[pid]})
-
-    def execute(self, move):
-        there = self.running[move.member]
-        if isinstance(move, StartProcess):
-            assert move.console not in [console for _, console in there.values()], "two starts"
-            there[self.next_pid] = (move.version, move.console)
+    def report(self, pid, version, console):
+        self.served[pid] += 200
+        outcomes = {"success": {"a": self.served[pid]}, "busy": {"a": 0}, "failure": {"a": 0}}
+        return ProcessReport(
+            ProcessStatus(version, pid, console, True), 100.0, outcomes, {"a": self.served[pid]}
+        )
+
+    def execute(self, action):
+        processes = self.running[action.member]
+        if isinstance(action, StartProcess):
+            assert action.console not in [console for _, console in processes.values()], "two starts"
+            processes[self.next_pid] = (action.version, action.console)
             self.next_pid += 1
-        if isinstance(move, StopProcess):
-            del there[move.pid]
-            assert there, "nobody serves"
+        if isinstance(action, StopProcess):
+            del processes[action.pid]
+            assert processes, "nobody serves"
         return "told"
 
 
 class Change:
-    """A change that is led turn by turn on a clock of its own."""
+    """A change that is led poll by poll on a clock of its own."""
 
     def __init__(self, folder, faults):
         self.now, self.faults, self.folder = 0.0, faults, folder / "change"
@@ -101,20 +104,20 @@
 
     def begin(self):
         begin_change(self.base / "plan.toml", self.folder)
-        self.controller = Controller(self.folder, manager=Processes, clock=lambda: self.now)
+        self.controller = Controller(self.folder, manager=StandInManager, clock=lambda: self.now)
         processes = self.controller.processes
         self.execute, processes.execute = processes.execute, self.checked
 
-    def checked(self, move):
-        """Nothing is done before it is on the disk that it may be done."""
+    def checked(self, action):
+        """Carry out an action once its decision is found on the disk."""
         with self.faults.paused():
             on_disk = read_journal(self.folder).state
         assert on_disk.phase == self.controller.state_machine.state.phase
         assert on_disk.stage == self.controller.state_machine.state.stage
-        return self.execute(move)
+        return self.execute(action)
 
     def lead(self, heals_after=None):
-        for _ in range(TURNS):
+        for _ in range(POLLS):
             self.now += 1.0
             self.controller.poll()
             with self.faults.paused():
@@ -127,9 +130,9 @@
                 break
         return self.controller.state_machine.state.phase
 
-    def sides(self):
+    def versions(self):
         running = self.controller.processes.running
-        return [side for there in running.values() for side, _ in there.values()]
+        return [version for processes in running.values() for version, _ in processes.values()]
 
 
 @pytest.fixture
@@ -138,24 +141,24 @@
         yield faults
 
 
-@pytest.mark.parametrize("turns", [SHORT, LONG], ids=["short", "long"])
+@pytest.mark.parametrize("polls", [SHORT, LONG], ids=["short", "long"])
 @pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_change_goes_to_its_end_whatever_the_disk_refuses_for_a_while(kind, code, turns, tmp_path, faults):
+def test_a_change_goes_to_its_end_whatever_the_disk_refuses_for_a_while(kind, code, polls, tmp_path, faults):
     healthy = Change(tmp_path / "healthy", faults)
     healthy.begin()
     faults.counts.clear()
     assert healthy.lead() == "done"
-    assert set(healthy.sides()) == {Version.NEW}
+    assert set(healthy.versions()) == {Version.NEW}
     healthy.controller.close()
     many = faults.counts[kind]
     for first in range(1, many + 1, max(1, many // POSITIONS)):
         change = Change(tmp_path / f"{first}", faults)
         change.begin()
         faults.fail(kind, code, first)
-        assert change.lead(turns) == "done", f"operation {first} of {many}"
+        assert change.lead(polls) == "done", f"operation {first} of {many}"
         faults.heal()
-        assert change.sides() == [Version.NEW] * len(NAMES)
+        assert change.versions() == [Version.NEW] * len(NAMES)
         assert read_journal(change.folder, change.controller.plan).state.phase == "done"
         change.controller.close()
 
@@ -180,7 +183,7 @@
 
 
 @pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
-def test_a_word_is_heeded_once_although_its_file_stays(code, tmp_path, faults):
+def test_command_is_handled_once_although_its_file_stays(code, tmp_path, faults):
     change = Change(tmp_path, faults)
     change.begin()
     for _ in range(5):
@@ -198,11 +201,11 @@
     for _ in range(3):
         change.now += 1.0
         change.controller.poll()
-    assert not change.controller.state_machine.state.paused, "the earlier word came back"
+    assert not change.controller.state_machine.state.paused, "the earlier command came back"
 
 
 @pytest.mark.parametrize("kind", ["open", "write", "sync", "rename"])
-def test_a_word_that_cannot_be_left_says_so(kind, tmp_path, faults):
+def test_command_that_cannot_be_written_is_an_error(kind, tmp_path, faults):
     faults.fail(kind, FULL)
     with pytest.raises(JournalWriteError, match=r"wish\.json"):
         send_command(tmp_path, "undo")
@@ -253,12 +256,12 @@
     except JournalError:
         begin_change(tmp_path / "plan.toml", folder)
     plan, base = load_plan(folder)
-    [texts] = prepare_settings(plan, base, folder).values()
-    assert texts.texts[Version.OLD] == FILE
-    assert texts.texts[Version.NEW] != FILE
-    for side in (Version.NEW, Version.OLD):
-        texts.install(side)
-        assert texts.installed_version() is side
+    [file] = prepare_settings(plan, base, folder).values()
+    assert file.texts[Version.OLD] == FILE
+    assert file.texts[Version.NEW] != FILE
+    for version in (Version.NEW, Version.OLD):
+        file.install(version)
+        assert file.installed_version() is version
 
 
 # Wall clocks that are stepped.
@@ -267,13 +270,13 @@
 @pytest.mark.parametrize("step", [5.0, 3600.0, -5.0, -3600.0])
 def test_a_process_is_as_old_as_it_is_whatever_the_wall_clock_says(step, tmp_path, monkeypatch):
     with socket.create_server(("127.0.0.1", 0)) as console:
-        plan, kept = hands_of(console, created=psutil.Process().create_time())
-        hands = ProcessManager(plan, "id", tmp_path, tmp_path, {}, [kept])
-        before = hands.poll()["n0"][0].age
+        plan, record = plan_and_record(console, created=psutil.Process().create_time())
+        manager = ProcessManager(plan, "id", tmp_path, tmp_path, {}, [record])
+        before = manager.poll()["n0"][0].age
         real = time.time
         monkeypatch.setattr(time, "time", lambda: real() + step)
-        [after] = hands.poll()["n0"]
-        hands.close()
+        [after] = manager.poll()["n0"]
+        manager.close()
     assert after.status.pid == os.getpid()
     assert 0.0 <= after.age - before < 4.0
 
@@ -281,19 +284,19 @@
 @pytest.mark.parametrize("step", [5.0, 3600.0, -5.0, -3600.0])
 def test_a_controller_after_a_step_knows_the_process_that_listens_at_its_console(step, tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as console:
-        plan, kept = hands_of(console, created=psutil.Process().create_time() + step)
-        hands = ProcessManager(plan, "id", tmp_path, tmp_path, {}, [kept])
-        assert [known.pid for known in hands.known_processes] == [os.getpid()]
-        hands.close()
-    hands = ProcessManager(plan, "id", tmp_path, tmp_path, {}, [kept])
-    assert hands.known_processes == [], "another process may have the number by now"
-    hands.close()
+        plan, record = plan_and_record(console, created=psutil.Process().create_time() + step)
+        manager = ProcessManager(plan, "id", tmp_path, tmp_path, {}, [record])
+        assert [known.pid for known in manager.known_processes] == [os.getpid()]
+        manager.close()
+    manager = ProcessManager(plan, "id", tmp_path, tmp_path, {}, [record])
+    assert manager.known_processes == [], "another process may have the number by now"
+    manager.close()
 
 
-def hands_of(console, created):
-    """A plan of one dispatcher, whose console is this process's, and what a journal says of it."""
+def plan_and_record(console, created):
+    """Return a plan of one dispatcher, whose console is this process's, and its record in a journal."""
     address = console.getsockname()
     text = 'name = "c"\n[change]\nsettings = "s"\n[[dispatcher]]\nname = "n0"\nconfig = "n0.toml"\n'
     plan = parse_plan(f'{text}console = "127.0.0.1:{address[1]}"\nstart = ["run"]\n')
-    kept = ProcessRecord("n0", Version.OLD, address, os.getpid(), created)
-    return plan, kept
+    record = ProcessRecord("n0", Version.OLD, address, os.getpid(), created)
+    return plan, record
