--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -1,4 +1,4 @@
-"""Workers that fail jobs at once, jobs of several slots, and what a repeat costs of the budget."""
+"""Workers that fail requests at once, requests of several slots, and what a repeat costs of the budget."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def failing(site, cls):
-    """A node whose worker 1 of two fails every job at once, until the module knows."""
+    """A node whose worker 1 of two fails every request at once, until the module knows."""
     node = Node(site, workers=2)
     for _ in range(40):
         actions = node.arrive(cls=cls)[1]
@@ -48,7 +48,7 @@
     raise AssertionError("the failing worker was never known for one")
 
 
-def test_a_worker_that_fails_at_once_is_used_only_while_no_other_is_free():
+def test_failing_worker_is_used_only_while_no_other_is_free():
     node = failing(BASE, 0)
     _, first = node.arrive(cls=0)
     assert [s.worker for s in sends(first)] == [2]
@@ -57,13 +57,13 @@
 
 
 @pytest.mark.parametrize(("cls", "there"), [(0, True), (2, True), (1, False)])
-def test_what_must_never_run_twice_is_kept_from_a_worker_that_fails(cls, there):
+def test_unsafe_requests_are_kept_from_a_failing_worker(cls, there):
     node = failing(replace(BASE, classes=(SAFE, UNSAFE, KEYED)), 0)
     assert [s.worker for s in sends(node.arrive(cls=cls)[1])] == [2]
     assert bool(sends(node.arrive(cls=cls)[1])) is there
 
 
-def test_where_all_is_never_twice_the_worker_rests_and_is_tried_again():
+def test_failing_worker_is_ejected_and_tried_again_where_all_classes_are_unsafe():
     node = failing(replace(BASE, classes=(UNSAFE,)), 0)
     node.arrive()
     assert not node.play()
@@ -71,7 +71,7 @@
     assert sends(node.play(at=node.now + 4001.0)), "one trial once its pause is over"
 
 
-def test_a_refused_connection_puts_a_failing_worker_out_of_use():
+def test_refused_connection_ejects_a_failing_worker():
     node = failing(BASE, 0)
     node.arrive(cls=0)
     id_, actions = node.arrive(cls=0)
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(("ran", "again"), [(1.0, True), (600.0, False)])
-def test_a_failure_costs_the_budget_what_it_ran(ran, again):
+def test_error_costs_the_retry_budget_the_time_that_it_ran(ran, again):
     node = Node(BASE)
     id_, actions = node.arrive(cls=0)
     worker = sends(actions)[0].worker
@@ -91,7 +91,7 @@
     assert bool(sends(ended)) is again
 
 
-def test_a_broken_connection_costs_a_whole_run_for_the_job_may_go_on():
+def test_broken_connection_costs_the_retry_budget_a_whole_run():
     node = Node(BASE)
     id_, actions = node.arrive(cls=0)
     worker = sends(actions)[0].worker
@@ -107,7 +107,7 @@
     return node
 
 
-def test_a_job_of_several_slots_waits_here_and_not_before_a_worker_that_lacks_them():
+def test_request_of_several_slots_waits_in_the_dispatcher_until_they_are_free():
     node = node_with_slots(BASE, workers=1)
     first, actions = node.arrive(cls=0, slots=2.0)
     assert sends(actions), "an empty worker always takes one"
@@ -120,7 +120,7 @@
     assert [s.request_id for s in sends(node.play(AttemptEnded(first, 0, 1, Outcome.OK, 5.0, True)))] == [2]
 
 
-def test_a_large_job_does_not_starve_it_waits_at_a_worker_once_it_would_be_late():
+def test_request_of_several_slots_waits_at_a_worker_once_it_would_be_late():
     node = node_with_slots(replace(ONE, classes=(replace(SAFE, late_weight=0.0),)), slots=2.0, workers=1)
     first, _ = node.arrive(cls=0)
     node.play(AttemptProgressed(first, 0, 1, ProgressKind.STARTED, 0.0))
@@ -129,7 +129,7 @@
     assert [s.request_id for s in sends(node.play(at=500.0))] == [large]
 
 
-def test_alone_and_with_reports_nothing_waits_unseen_at_a_worker():
+def test_nothing_waits_at_a_worker_with_one_dispatcher_and_reports():
     node = node_with_slots(ONE, slots=2.0, workers=1)
     for expected in (True, True, False):
         id_, actions = node.arrive(cls=0)
@@ -138,7 +138,7 @@
             node.play(AttemptProgressed(id_, 0, 1, ProgressKind.STARTED, 0.0))
 
 
-def test_without_reports_one_may_wait_there_or_more_slots_would_never_be_found():
+def test_one_request_may_wait_at_a_worker_without_reports():
     node = node_with_slots(replace(ONE, load_report_fields=()), slots=1.0, workers=1)
     for expected in (True, True, False):  # the third finds the second waiting, and so the slots are known
         assert bool(sends(node.arrive(cls=0)[1])) is expected
@@ -146,7 +146,7 @@
             node.play(AttemptProgressed(1, 0, 1, ProgressKind.STARTED, 0.0))
 
 
-def test_peers_are_told_slots_and_heed_them():
+def test_peers_report_slots_and_respect_those_reported():
     site = replace(BASE, dispatcher_count=2, gossip_allowed=True)
     told = [a for a in Node(site, workers=2).arrive(cls=0, slots=3.0)[1] if isinstance(a, SendPeerReport)]
     assert told[0].data[-1] == 3
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -32,7 +32,7 @@
     pacer.close_window(start + 1000.0, waiting)
 
 
-def test_contribution_cut_floor_and_raise():
+def test_rate_is_reduced_by_the_contribution_formula_down_to_its_floor_and_raised_again():
     pacer = Pacer(0.3, 100.0)
     window(pacer, 0.0, 40, 0)
     assert pacer.rate is None
@@ -49,13 +49,13 @@
     assert pacer.rate is None  # above 40 with nothing waiting: unpaced again
 
 
-def test_late_full_in_a_window_without_sends_cuts_nothing():
+def test_late_full_in_a_window_without_attempts_reduces_no_rate():
     pacer = Pacer(0.3, 100.0)
     window(pacer, 0.0, 0, 3)
     assert pacer.rate is None
 
 
-def test_the_highest_worth_class_has_the_higher_floor():
+def test_class_of_the_highest_weight_has_the_higher_floor():
     node = Node()
     assert [p.floor_share for p in node.dispatcher.pacers] == [0.3, 0.7, 0.3]
 
@@ -79,7 +79,7 @@
         assert pacer.sent_in_window - pacer.accepted_in_window - before == lost
 
 
-def test_one_workers_full_cuts_nothing_while_others_are_free():
+def test_full_reduces_no_rate_while_another_worker_is_free():
     """A worker that took nothing held a class at its floor for ten seconds, with most of the fleet idle."""
     node = Node()
     id_, actions = node.arrive(cls=1)
@@ -90,7 +90,7 @@
     )
 
 
-def test_a_worker_that_answers_full_again_is_asked_less_often():
+def test_worker_that_answers_full_repeatedly_is_tried_less_often():
     node = Node(workers=1)
     worker, waits = node.dispatcher.workers[1], []
     for _ in range(4):
@@ -108,7 +108,7 @@
     assert worker.consecutive_fulls == 0
 
 
-def test_a_draining_workers_full_cuts_nothing():
+def test_full_of_a_draining_worker_reduces_no_rate():
     node = Node()
     id_, actions = node.arrive()
     worker = sends(actions)[0].worker
@@ -118,30 +118,30 @@
     assert pacer.accepted_in_window == pacer.sent_in_window
 
 
-def test_the_top_class_buffer_grows_as_it_is_cut():
-    lane = ClassQueue(SAFE, Pacer(0.7, 100.0), 1.0)
+def test_slb_of_the_highest_weight_grows_while_its_rate_is_reduced():
+    queue = ClassQueue(SAFE, Pacer(0.7, 100.0), 1.0)
     for n in range(6):
-        lane.slb[n] = None
-    assert not lane.has_room()  # 6 of 8 is near-full
-    lane.pacer.rate, lane.pacer.uncut_rate = 20.0, 40.0
-    assert lane.has_room()  # 6 of 16
+        queue.slb[n] = None
+    assert not queue.has_room()  # 6 of 8 is near-full
+    queue.pacer.rate, queue.pacer.uncut_rate = 20.0, 40.0
+    assert queue.has_room()  # 6 of 16
     rest = ClassQueue(SAFE, Pacer(0.3, 100.0), 1.0)
     rest.slb.update(dict.fromkeys(range(6)))
     rest.pacer.rate, rest.pacer.uncut_rate = 20.0, 40.0
     assert not rest.has_room()
 
 
-def test_a_near_full_buffer_holds_its_class_in_the_grb_and_no_other():
+def test_nearly_full_slb_keeps_only_its_own_class_in_the_grb():
     node = Node(workers=0)
     for _ in range(8):
         node.arrive(cls=0)
     node.arrive(cls=1)
-    lanes = node.dispatcher._queues.by_id
-    first, second = lanes[0, 0, False], lanes[1, 0, False]
+    queues = node.dispatcher._queues.by_id
+    first, second = queues[0, 0, False], queues[1, 0, False]
     assert [len(x) for x in (first.slb, first.grb, second.slb, second.grb)] == [6, 2, 1, 0]
 
 
-def test_a_paced_class_is_released_in_order_at_its_rate():
+def test_class_with_a_rate_limit_is_released_in_order_at_its_rate():
     node = Node(workers=8)
     pacer = node.dispatcher.pacers[0]
     pacer.rate, pacer.uncut_rate, pacer.window_start = 10.0, 10.0, 0.0
@@ -153,7 +153,7 @@
     assert [s.request_id for s in sends(node.play(at=200.0))] == ids[2:]
 
 
-def test_the_pick_is_the_ready_worker_with_fewest_own_jobs():
+def test_ready_worker_with_the_fewest_own_requests_is_selected():
     node = Node(workers=3)
     used = []
     for _ in range(3):
@@ -165,16 +165,16 @@
     assert sends(node.arrive()[1])[0].worker == used[0]
 
 
-def test_jobs_go_to_workers_of_their_kind_only():
+def test_requests_go_to_workers_of_their_kind_only():
     node = Node(replace(BASE, classes=(replace(SAFE, kind=1),)), workers=0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 2, (Endpoint(1, kind=0), Endpoint(2, kind=1))))
     assert [s.worker for s in sends(node.arrive()[1])] == [2]
     assert not sends(node.arrive()[1])
 
 
-def test_a_full_grb_refuses_the_lowest_worth_with_retry_after():
+def test_full_grb_rejects_the_lowest_weight_with_retry_advice():
     node = Node(workers=0)
-    room = 12  # at 150 ms a job, a 13th would wait over 4 times a slack of 300 + 2 * 150 - 150 ms
+    room = 12  # at 150 ms a request, a 13th would wait over 4 times a slack of 300 + 2 * 150 - 150 ms
     low = [node.arrive(cls=0)[0] for _ in range(4)]
     for _ in range(room - 4):
         assert not [a for a in node.arrive(cls=1)[1] if isinstance(a, RejectRequest)]
@@ -186,7 +186,7 @@
     assert all(0.0 < r[1] <= 2000.0 for r in refused)
 
 
-def test_over_share_traffic_goes_before_worthier_classes_in_share():
+def test_traffic_over_quota_has_a_reduced_weight():
     from eiderfield.interface import Tenant
 
     tenants = (Tenant("a", 2.0, 1.0),)
@@ -200,16 +200,16 @@
     assert worths == [full, full, reduced, reduced]  # a share of 2 a second, saved up for a second
 
 
-def test_the_grb_is_bounded_by_count_too():
+def test_grb_is_bounded_by_count():
     node = Node(replace(BASE, classes=(replace(SAFE, latency_objective_ms=4000.0),)), workers=0)
-    node.dispatcher.pacers[0].record_duration(1.0, 0.0)  # jobs of 1 ms: no wait would fill it
+    node.dispatcher.pacers[0].record_duration(1.0, 0.0)  # requests of 1 ms: no wait would fill it
     answers = [node.arrive()[1] for _ in range(GRB_PER_WORKER * 4 + 1)]
     refused = [any(isinstance(a, RejectRequest) for a in actions) for actions in answers]
     assert refused == [False] * (GRB_PER_WORKER * 4) + [True]
 
 
 def sent_to(node, key, count):
-    """The workers that took jobs of one key, each ended at once."""
+    """The workers that took requests of one key, each ended at once."""
     used = set()
     for _ in range(count):
         id_, actions = node.arrive(affinity_key=key)
@@ -226,7 +226,7 @@
     return QueuedRequest(0, key, 5000.0, 0.0, queue_id, pacer, UNSAFE, 100.0, 100.0, 5000.0, 5000.0)
 
 
-def test_a_home_that_takes_nothing_or_only_trials_gives_way_to_the_keys_next():
+def test_home_that_is_full_or_half_open_is_replaced_by_the_next_worker_of_the_key():
     """Jobs waited for such homes while other workers were idle."""
     node = Node(workers=6)
     node.now = 1.0
@@ -240,7 +240,7 @@
     assert first in {w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), 600.0)}
 
 
-def test_a_rare_key_has_two_homes_the_same_at_every_node():
+def test_rare_key_has_the_same_two_homes_at_every_dispatcher():
     first, second = Node(workers=8, seed=1), Node(workers=8, seed=2)
     for node in (first, second):
         for key in range(100, 140):
@@ -252,13 +252,13 @@
     assert len(homes[0]) == 2
 
 
-def test_a_hot_key_gets_as_many_homes_as_its_share_fills():
+def test_frequent_key_has_as_many_homes_as_its_share_needs():
     """Incident ia7713c: two homes for a key that fills more than two workers."""
     node = Node(workers=8)
     assert len(sent_to(node, 7, 60)) > 2  # all the traffic: every worker
 
 
-def test_a_cold_worker_is_no_home():
+def test_worker_in_its_first_warm_up_is_no_home():
     """Incident ia7713c: new workers took over keys' homes and their cold budget let nothing through."""
     node = Node(workers=4)
     node.now = 100_000.0
@@ -272,7 +272,7 @@
         assert sent_to(node, key, 1)
 
 
-def test_counts_of_keys_do_not_grow_without_end(monkeypatch):
+def test_key_counts_are_bounded(monkeypatch):
     monkeypatch.setattr("eiderfield.policy.affinity.MAX_COUNTED_REQUESTS", 50)
     node = Node(workers=2)
     for key in range(1, 300):
@@ -285,8 +285,8 @@
     return replace(BASE, classes=(replace(SAFE, late_weight=0.0, objective_stretch=0.0), UNSAFE))
 
 
-def test_a_job_that_can_be_in_time_no_more_lets_the_others_go_first():
-    """On overloaded days jobs went in their order, so that each made the next one late as well."""
+def test_late_request_is_released_after_those_in_time():
+    """On overloaded days requests went in their order, so that each made the next one late as well."""
     node = Node(late_site(), workers=1)
     node.arrive()
     late = [node.arrive()[0] for _ in range(3)]
@@ -303,7 +303,7 @@
     assert order == [fresh, *late], "and what is late is sent all the same once nothing else waits"
 
 
-def test_what_is_late_is_declined_first_and_a_late_answer_of_worth_changes_no_order():
+def test_late_request_is_shed_first_unless_late_answers_are_useful():
     node = Node(late_site(), workers=1)
     node.arrive(cls=1)
     late = [node.arrive()[0] for _ in range(3)]
@@ -315,10 +315,10 @@
     node.arrive()
     node.arrive()
     node.play(at=400.0)
-    assert not any(lane.late for lane in node.dispatcher._queues.by_weight)
+    assert not any(queue.late for queue in node.dispatcher._queues.by_weight)
 
 
-def test_a_cold_worker_is_a_home_again_after_the_first_part_of_its_warm_up_and_within_its_budget():
+def test_warming_worker_is_a_home_within_its_budget_after_the_first_part_of_its_warm_up():
     """Passed by until it is warm, a worker that operators gave back stood idle for many seconds."""
     node = Node(replace(BASE, hedging_allowed=False), workers=1)
     for _ in range(40):  # what a worker serves is learnt from what it served
@@ -342,7 +342,7 @@
     assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [2], "its budget is spent"
 
 
-def test_cold_homes_whose_budgets_let_nothing_through_hold_up_no_key():
+def test_warming_homes_without_budget_delay_no_key():
     node = Node(workers=4)
     node.now = 100_000.0
     started = node.now - 0.5 * BASE.slow_start_window_ms
@@ -354,7 +354,7 @@
     assert all(sent_to(node, key, 1) for key in range(1, 20))
 
 
-def test_what_stands_beside_counts_in_the_pick_and_in_a_cold_workers_budget():
+def test_attempts_of_the_other_process_count_in_selection_and_slow_start():
     """In an upgrade two processes are one node: both would fill the same worker, and push a cold one over."""
     node = Node(replace(BASE, hedging_allowed=False), workers=2)
     node.play(SiblingReportReceived(1, 2, 0.0))
@@ -364,9 +364,9 @@
         node.play(AttemptProgressed(send.request_id, 0, 2, ProgressKind.STARTED, 0.0))
     node.play(SiblingReportReceived(1, 0, 0.0))
     assert [send.worker for send in sends(node.arrive()[1])] == [1]
-    module, node.now = node.dispatcher, 10_000.0
-    learn(module, served_rate=1.0, served_at=node.now)
+    dispatcher, node.now = node.dispatcher, 10_000.0
+    learn(dispatcher, served_rate=1.0, served_at=node.now)
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, ready_at=node.now - 100.0),)))
-    left = module._slow_start.budget_left(module.workers[1], node.now)
+    left = dispatcher._slow_start.budget_left(dispatcher.workers[1], node.now)
     node.play(SiblingReportReceived(1, 1, left))
-    assert module._slow_start.budget_left(module.workers[1], node.now) == pytest.approx(0.0)
+    assert dispatcher._slow_start.budget_left(dispatcher.workers[1], node.now) == pytest.approx(0.0)
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -23,7 +23,7 @@
     return [type(a) for a in actions]
 
 
-def test_a_held_job_is_refused_just_before_its_time_ends():
+def test_waiting_request_is_rejected_just_before_its_deadline():
     node = Node(workers=0)
     id_, actions = node.arrive(due=100.0)
     assert not sends(actions)
@@ -31,7 +31,7 @@
     assert [a.request_id for a in actions if isinstance(a, RejectRequest)] == [id_]
 
 
-def test_an_unsafe_job_that_is_out_fails_at_its_end_and_is_not_refused(node):
+def test_unsafe_request_in_progress_is_failed_at_its_deadline_and_not_rejected(node):
     _, actions = node.arrive(cls=1, due=100.0)
     assert len(sends(actions)) == 1
     actions = node.play(at=97.0)
@@ -40,7 +40,7 @@
     assert CancelAttempt in kinds(actions)
 
 
-def test_an_unsafe_job_is_repeated_only_when_it_never_ran():
+def test_unsafe_request_is_retried_only_if_it_never_ran():
     for outcome, again in (
         (Outcome.FULL, True),
         (Outcome.CONNECT_FAILED, True),
@@ -57,7 +57,7 @@
         assert RejectRequest not in kinds(actions)
 
 
-def test_a_keyed_job_that_may_have_run_stays_in_its_cell_and_window():
+def test_keyed_request_that_may_have_run_is_retried_in_its_cell_and_window_only():
     keyed = replace(KEYED, scope=Scope.CELL)
     for workers, later, again in ((4, 10.0, True), (2, 10.0, False), (4, 2500.0, False)):
         node = Node(replace(BASE, classes=(keyed,)), workers=workers)
@@ -74,7 +74,7 @@
             assert (FailRequest in kinds(actions)) is (later > keyed.repeat_window_ms)
 
 
-def test_nothing_goes_to_a_worker_that_drains(node):
+def test_draining_worker_is_sent_nothing(node):
     node.play(
         EndpointsUpdated(
             EndpointListKind.DELTA, 2, tuple(Endpoint(w, state=EndpointState.DRAINING) for w in (1, 2, 3))
@@ -84,12 +84,12 @@
         assert not sends(node.arrive()[1])
 
 
-def test_what_a_full_list_leaves_out_is_gone(node):
+def test_worker_missing_from_a_full_list_is_gone(node):
     node.play(EndpointsUpdated(EndpointListKind.FULL, 2, (Endpoint(2),)))
     assert {s.worker for _ in range(4) for s in sends(node.arrive()[1])} == {2}
 
 
-def test_client_gone_in_the_same_batch_prevents_a_repeat(node):
+def test_client_disconnect_in_the_same_batch_prevents_a_retry(node):
     id_, actions = node.arrive()
     worker = sends(actions)[0].worker
     actions = node.play(AttemptEnded(id_, 0, worker, Outcome.RESET, 5.0, False), ClientDisconnected(id_))
@@ -97,7 +97,7 @@
     assert FailRequest not in kinds(actions)
 
 
-def test_late_outcomes_after_the_final_answer_change_nothing(node):
+def test_outcome_after_the_final_answer_changes_nothing(node):
     id_, actions = node.arrive(cls=1, due=100.0)
     worker = sends(actions)[0].worker
     node.play(at=97.0)
@@ -107,7 +107,7 @@
     assert node.dispatcher.snapshot().open_attempts == 0
 
 
-def test_a_cold_worker_gets_nothing_while_nothing_has_been_served():
+def test_warming_worker_is_sent_nothing_while_nothing_has_been_served():
     node = Node(replace(BASE, classes=(UNSAFE,)), workers=0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 2, (Endpoint(1, ready_at=1.0),)), at=2.0)
     assert not sends(node.arrive()[1])
@@ -115,7 +115,7 @@
     assert sends(node.arrive()[1])
 
 
-def test_a_start_in_the_future_at_a_site_without_cold_workers():
+def test_start_in_the_future_without_slow_start_is_harmless():
     node = Node(replace(BASE, slow_start_window_ms=0.0), workers=0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 2, (Endpoint(1, ready_at=500.0),)), at=2.0)
     assert sends(node.arrive()[1])
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -44,7 +44,7 @@
     return node
 
 
-def test_many_nodes_share_the_fleet_evenly():
+def test_subsets_of_many_dispatchers_share_the_fleet_evenly():
     """antigua-reparto-later, 152 nodes: each sent to all of 207 workers and knew none of them."""
     nodes = [part(me, 40) for me in range(40)]
     used = Counter(w.entry.worker for n in nodes for w in n.dispatcher.subset)
@@ -56,7 +56,7 @@
         assert max(zones.values()) == 1
 
 
-def test_a_node_keeps_to_its_part_but_for_repeats_bound_elsewhere():
+def test_dispatcher_leaves_its_subset_only_for_retries_bound_elsewhere():
     node = part(3, 40)
     mine = {w.entry.worker for w in node.dispatcher.subset}
     for _ in range(4):
@@ -67,11 +67,11 @@
 
 
 @pytest.mark.parametrize(("balancers", "fleet"), [(3, FLEET), (40, FLEET[:5])])
-def test_few_nodes_or_workers_are_not_parted(balancers, fleet):
+def test_fleet_of_few_dispatchers_or_workers_is_one_group(balancers, fleet):
     assert len(part(0, balancers, fleet).dispatcher.subset) == len(fleet)
 
 
-def test_keyed_jobs_have_homes_in_the_whole_fleet():
+def test_keyed_requests_have_homes_in_the_whole_fleet():
     node = part(3, 40)
     used = set()
     for key in range(1, 60):
@@ -90,7 +90,7 @@
     assert max(first.values()) < 1.5 * min(first.values())
 
 
-def test_counts_are_told_to_every_peer_as_jobs_come_and_go():
+def test_slots_are_reported_to_every_peer_as_requests_start_and_end():
     node = Node(TALKING, workers=1)
     id_, actions = node.arrive()
     told = [a for a in actions if isinstance(a, SendPeerReport)]
@@ -102,7 +102,7 @@
     ] * 2
 
 
-def test_nodes_stop_talking_when_the_fleet_shrinks_below_their_parts():
+def test_peers_are_dropped_when_the_fleet_becomes_one_group():
     """The list of peers outlived the part that it was made for."""
     node = part(0, 40, gossip_allowed=True)
     assert len(node.dispatcher.peers) == 9
@@ -111,12 +111,12 @@
     assert not node.dispatcher.peers
 
 
-def test_nothing_is_told_where_nodes_may_not_talk():
+def test_nothing_is_reported_where_gossip_is_not_allowed():
     node = Node(replace(TALKING, gossip_allowed=False), workers=1)
     assert not [a for a in node.arrive()[1] if isinstance(a, SendPeerReport)]
 
 
-def test_a_worker_full_of_peers_jobs_comes_last_and_then_not_at_all():
+def test_worker_full_of_peers_requests_is_chosen_last_and_then_not_at_all():
     """xela-reparto-later: a node that sees a sixth of what waits at a worker sent there as to an idle one."""
     node = Node(TALKING, workers=3)
     node.play(PeerReportReceived(1, encode_peer_report([(1, 2), (2, 2)])))
@@ -127,7 +127,7 @@
     assert [s.worker for s in sends(got)] == [1]
 
 
-def test_a_peers_counts_are_forgotten_in_time():
+def test_peer_report_expires():
     """A node that died with its zone would else keep workers full for ever."""
     node = Node(TALKING, workers=1)
     node.play(PeerReportReceived(1, encode_peer_report([(1, 3)])))
@@ -138,13 +138,13 @@
 @pytest.mark.parametrize(
     "data", [b"", b"\x01", b"\x01\x00\x00\x00", encode_peer_report([(99, 1)]), b"\xff" * 256]
 )
-def test_odd_messages_change_nothing(data):
+def test_malformed_peer_report_changes_nothing(data):
     node = Node(TALKING, workers=2)
     node.play(PeerReportReceived(7, data))
     assert sends(node.arrive()[1])
 
 
-def test_a_message_holds_what_the_wire_takes():
+def test_peer_report_fits_into_a_message():
     data = encode_peer_report([(n, 1000) for n in range(80)])
     assert len(data) <= 256
     assert next(iter(decode_peer_report(data))) == (0, 255)
@@ -156,7 +156,7 @@
     return node, [w.entry.worker for w in node.dispatcher.subset]
 
 
-def test_a_job_waits_for_probes_and_goes_where_a_slot_is_free():
+def test_request_waits_for_probes_and_goes_where_a_slot_is_free():
     """antigua-reparto-later: without starts nothing else shows that a worker's slots are taken."""
     node, mine = silent()
     _, actions = node.arrive()
@@ -169,7 +169,7 @@
     assert [s.worker for s in sends(got)] == [probed[1]]
 
 
-def test_unanswered_probes_hold_a_job_for_a_moment_only():
+def test_unanswered_probes_delay_a_request_for_a_short_time_only():
     node, _ = silent()
     node.arrive()
     assert not sends(node.play(TimerFired(0), at=11.0))  # the fourth of the part is asked
@@ -179,21 +179,21 @@
 @pytest.mark.parametrize(
     "more", [{"workers_report_start": True}, {"probing_allowed": False}, {"dispatcher_count": 3}]
 )
-def test_no_probes_where_starts_are_told_probes_not_allowed_or_nodes_are_few(more):
+def test_no_probes_where_starts_are_reported_or_probes_not_allowed_or_dispatchers_few(more):
     node, _ = silent(**more)
     _, actions = node.arrive()
     assert len(sends(actions)) == 1
     assert not [a for a in actions if isinstance(a, ProbeWorker)]
 
 
-def test_a_fresh_report_spares_the_probes():
+def test_fresh_report_makes_probes_unnecessary():
     node, mine = silent()
     node.play(ProbeCompleted(mine[2], Outcome.OK, 1.0, (2.0,)))
     _, actions = node.arrive()
     assert [a.worker for a in actions if isinstance(a, StartAttempt | ProbeWorker)] == [mine[2]]
 
 
-def test_most_of_a_part_back_cold_gets_no_more_for_what_few_warm_ones_serve():
+def test_rate_per_warm_worker_is_bounded_when_most_of_a_subset_is_warming():
     """A lost zone came back among 49 nodes: what six workers served, over one warm one, allowed too much."""
     node = Node(BASE, workers=6)
     learn(node.dispatcher, served_rate=6.0, served_at=60_000.0)
@@ -204,9 +204,10 @@
 
 
 def cold_day(nodes, rate, work):
-    """Nodes that serve `rate` jobs a second all together on ten workers, of which one starts cold at 60 s.
+    """Play dispatchers that together serve `rate` requests per second on ten workers, one started at 60 s.
 
-    Returns the most that was sent to it in a window, and all that was, as shares of what rule 4 allows."""
+    Returns the most that was sent to that one in a window, and all that was, as shares of what rule 4 allows.
+    """
     settings = replace(BASE, classes=(SAFE,), dispatcher_count=nodes)
     many = [Node(replace(settings, dispatcher_index=me), workers=10, seed=me) for me in range(nodes)]
     each = rate * work / 1000.0 / nodes  # what one node has served in a ms
@@ -238,23 +239,24 @@
 @pytest.mark.parametrize(
     ("nodes", "rate", "work"), [(40, 100.0, 500.0), (40, 60.0, 900.0), (100, 100.0, 500.0)]
 )
-def test_many_nodes_together_neither_starve_a_cold_worker_nor_push_it_over(nodes, rate, work):
-    """Six in ten workers replaced among forty nodes: each one's part of the budget was a fifth of a job, so
-    that nobody sent any, and new workers stood idle until they were warm."""
+def test_many_dispatchers_together_neither_starve_nor_overload_a_warming_worker(nodes, rate, work):
+    """Each of forty dispatchers had a fifth of a request as its part of the budget, and none sent any.
+
+    Six in ten workers had been replaced; the new ones were idle until the end of their slow start.
+    """
     worst, used = cold_day(nodes, rate, work)
     assert worst <= 1.0, (worst, used)
     assert used >= 0.4, (worst, used)
 
 
-def test_whoever_drew_a_lot_for_a_cold_worker_uses_it():
-    """Most lots were drawn by nodes that then sent elsewhere: half of the cold workers stood empty while jobs
-    queued at the warm ones."""
+def test_slow_start_budget_that_covers_a_request_is_used_first():
+    """Dispatchers whose threshold allowed a request sent it elsewhere; half of the new workers were idle."""
     node = Node(CROWD, workers=8)
-    module, node.now = node.dispatcher, 60_000.0
-    learn(module, served_rate=100.0, served_at=node.now)
+    dispatcher, node.now = node.dispatcher, 60_000.0
+    learn(dispatcher, served_rate=100.0, served_at=node.now)
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=node.now - 4000.0),)))
-    drawn = module.workers[3].budget_threshold
-    learn(module, key_counts=(KeyCount(7, 100),))  # a hot key: all workers are its homes
+    drawn = dispatcher.workers[3].budget_threshold
+    learn(dispatcher, key_counts=(KeyCount(7, 100),))  # a hot key: all workers are its homes
     assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [3], drawn
     few = Node(replace(CROWD, dispatcher_count=MANY_DISPATCHERS), workers=8)
     learn(few.dispatcher, served_rate=100.0, served_at=60_000.0)
@@ -266,7 +268,7 @@
 
 
 def waiting(settings=CROWD, cls=0, workers=8, **more):
-    """A node with one job that waits unstarted at a worker, the job's id and that worker."""
+    """A node with one request that waits unstarted at a worker, the request's id and that worker."""
     node = Node(settings, workers=workers)
     id_, actions = node.arrive(cls=cls, affinity_key=7, **more)
     return node, id_, sends(actions)[0].worker
@@ -276,9 +278,11 @@
     return [a for a in actions if isinstance(a, CancelAttempt)]
 
 
-def test_among_many_nodes_a_job_that_does_not_start_soon_goes_to_another_worker():
-    """Forty nodes see a fortieth of a worker's queue each: up to 18 jobs waited at one worker, a second long,
-    while slots were free at others."""
+def test_request_that_does_not_start_soon_is_moved_with_many_dispatchers():
+    """Up to 18 requests waited at one worker for a second while slots were free at others.
+
+    Each of forty dispatchers sees a fortieth of a worker's queue.
+    """
     node, id_, worker = waiting()
     patience = STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms
     assert not cancels(node.play(TimerFired(0), at=patience - 2.0))
@@ -291,13 +295,13 @@
     )
 
 
-def test_few_nodes_know_the_queue_that_they_made_and_leave_a_job_in_its_place():
+def test_request_that_does_not_start_soon_is_not_moved_with_few_dispatchers():
     node, _, _ = waiting(replace(CROWD, dispatcher_count=MANY_DISPATCHERS))
     assert not cancels(node.play(TimerFired(0), at=2.0 * SAFE.latency_objective_ms))
 
 
-def test_where_all_queues_are_long_a_job_keeps_its_place():
-    """While workers fetched for a fleet replaced, every job went from queue to queue, four legs each."""
+def test_request_is_not_moved_while_all_queues_are_long():
+    """While workers fetched for a fleet replaced, every request went from queue to queue, four legs each."""
     node, id_, worker = waiting()
     node.dispatcher._outliers.mean_wait_ms = 400.0
     assert not cancels(node.play(TimerFired(0), at=395.0))
@@ -313,32 +317,32 @@
     assert node.dispatcher._outliers.mean_wait_ms < STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms
 
 
-def test_a_wait_at_one_worker_does_not_keep_one_of_many_nodes_away_for_twenty_waits():
+def test_pause_after_a_wait_is_bounded_with_many_dispatchers():
     """One node of forty sees two slots at most where there are six, and left the worker to the others so long
-    that jobs went where their data was not."""
+    that requests went where their data was not."""
     node, id_, worker = waiting()
     node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=50.0)
     assert node.dispatcher.workers[worker].full_until == 50.0 + MAX_WAIT_PAUSES * 50.0
 
 
-def test_among_many_nodes_a_key_keeps_closer_to_its_homes():
-    """Called off where they wait, jobs need fewer homes to choose from, and find their data more often."""
+def test_key_has_fewer_homes_with_many_dispatchers():
+    """Requests that are cancelled where they wait need fewer homes, and find their data more often."""
     homes = []
     for balancers in (MANY_DISPATCHERS, 40):
         node = Node(replace(CROWD, dispatcher_count=balancers), workers=40)
         learn(node.dispatcher, key_counts=(KeyCount(1, 800), KeyCount(2, 200)))
         id_, _ = node.arrive(affinity_key=2)
-        job = node.dispatcher.requests[id_]
-        job.attempts.clear()
-        homes.append(len(node.dispatcher._selector.homes(job, 600.0)))
+        request = node.dispatcher.requests[id_]
+        request.attempts.clear()
+        homes.append(len(node.dispatcher._selector.homes(request, 600.0)))
     assert homes[0] > homes[1] >= 10, homes
 
 
-def test_a_worker_at_its_cap_of_connections_rests_for_a_moment_and_is_not_taken_for_dead():
+def test_worker_that_refuses_a_connection_at_its_limit_pauses_and_is_not_ejected():
     """Forty dispatchers fill a worker's table of connections; the next dial fails though it serves."""
     node, id_, worker = waiting()
     [again] = sends(node.end(id_, 0, worker, Outcome.CONNECT_FAILED))
-    assert again.worker != worker, "the job goes elsewhere at once"
+    assert again.worker != worker, "the request goes elsewhere at once"
     node.end(id_, 1, again.worker, Outcome.OK, final=True)
     full = node.dispatcher.workers[worker]
     assert not node.dispatcher._selector.is_free(full, node.now + 400.0)
@@ -351,7 +355,7 @@
     assert worker not in node.dispatcher.snapshot(node.now).avoided_workers
 
 
-def test_what_is_called_off_unstarted_is_no_repeat_of_what_may_have_run():
+def test_cancelled_unstarted_attempt_costs_no_retry_tokens():
     node, id_, worker = waiting()
     learn(node.dispatcher, retry_tokens=0.0)
     node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms + 2.0)
@@ -362,7 +366,7 @@
     assert not sends(node.end(id_, 0, worker, Outcome.RESET))
 
 
-def test_a_keyed_repeat_whose_homes_lie_outside_its_group_goes_to_another_of_the_group():
+def test_keyed_retry_without_home_in_its_group_goes_to_another_worker_of_the_group():
     """Jobs called off waited for homes in other zones until their clients gave up."""
     zonal = replace(CROWD.classes[2], scope=Scope.ZONE, repeat_window_ms=20_000.0)
     node = Node(replace(CROWD, classes=(SAFE, zonal)), workers=30)
@@ -382,8 +386,8 @@
     assert again.worker != first.worker
 
 
-def test_a_job_that_starts_at_clock_zero_has_started():
-    """A start time of 0 was taken for none, and the worker's count of unstarted jobs went below none."""
+def test_request_that_starts_at_clock_zero_has_started():
+    """A start time of 0 was taken for none, and the worker's count of unstarted requests went below none."""
     node = Node(workers=1)
     id_, _ = node.arrive()
     node.play(AttemptProgressed(id_, 0, 1, 1, 0.0))
@@ -395,22 +399,24 @@
 FULL = replace(CROWD, dispatcher_count=200, classes=(replace(SAFE, late_weight=0.0),))
 
 
-def test_the_few_jobs_that_one_of_many_nodes_sees_do_not_make_rare_keys_hot():
-    """calm+mass, 218 dispatchers: counted with itself a key's first job of 25 is 4% of all, six homes. In 9 s
-    a key of 48 jobs was sent to 33 of 150 workers, which fetched for it anew and runs took twice as long."""
-    module = (node := Node(FULL, workers=150)).dispatcher
-    jobs = []
+def test_few_requests_do_not_make_rare_keys_frequent_with_many_dispatchers():
+    """A key of 48 requests was sent to 33 of 150 workers in 9 s, and took twice as long (calm+mass).
+
+    Counted with itself, the first request of a key made 4% of the 25 that each of 218 dispatchers had seen.
+    """
+    dispatcher = (node := Node(FULL, workers=150)).dispatcher
+    requests = []
     for key in range(1, 26):
         id_, actions = node.arrive(affinity_key=key)
-        jobs.append(module.requests[id_])
+        requests.append(dispatcher.requests[id_])
         for send in sends(actions):
             node.play(AttemptProgressed(id_, 0, send.worker, 1, 0.0))  # and so it is free for the next
-        jobs[-1].attempts.clear()
-    assert max(len(module._selector.homes(job, 0.0)) for job in jobs) <= MIN_HOMES
+        requests[-1].attempts.clear()
+    assert max(len(dispatcher._selector.homes(request, 0.0)) for request in requests) <= MIN_HOMES
 
 
-def test_the_share_of_a_key_that_many_nodes_guess_is_right_on_the_mean():
-    """A hot key keeps the homes that its share fills, summed over nodes that saw twenty jobs each."""
+def test_share_of_a_key_estimated_by_many_dispatchers_is_right_on_average():
+    """A hot key keeps the homes that its share fills, summed over nodes that saw twenty requests each."""
     guesses = []
     for me in range(200):
         node = Node(replace(FULL, dispatcher_index=me), workers=2, seed=me)
@@ -424,9 +430,11 @@
     assert sum(guesses) / len(guesses) == pytest.approx(0.2, abs=0.03)
 
 
-def test_each_wait_of_a_job_is_twice_the_last_so_that_queues_do_not_use_up_its_attempts():
-    """split+mass: 278 of 900 declined jobs had spent five attempts in under a second, four of them called off
-    after 0.06 s each, so that one refused connection was the end."""
+def test_each_wait_of_a_request_is_twice_the_last():
+    """278 of 900 rejected requests had used their five attempts in under a second (split+mass).
+
+    Four of them were cancelled after 0.06 s each, so that one refused connection was the end.
+    """
     node, id_, _ = waiting(FULL)
     soon = STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms
     for number in range(3):
@@ -441,15 +449,17 @@
 
 
 def crowded(settings=FULL, **more):
-    """A node that has learnt of long queues everywhere, and one job that waits unstarted."""
+    """A node that has learnt of long queues everywhere, and one request that waits unstarted."""
     node, id_, _ = waiting(settings, **more)
     node.dispatcher._outliers.mean_wait_ms = 2.0 * SAFE.latency_objective_ms
     return node, id_
 
 
-def test_in_long_queues_a_job_that_cannot_be_in_time_is_given_up_with_advice():
-    """calm+mass: after a burst 85% of what was served was late, for 15 s at half the burst's load: late jobs
-    kept the workers so busy that the next were late too."""
+def test_late_request_is_rejected_with_advice_while_all_queues_are_long():
+    """Late requests kept the workers so busy that the next ones were late as well (calm+mass).
+
+    For 15 s after a burst, at half its load, 85% of what was served was late.
+    """
     node, id_ = crowded()
     timely = node.dispatcher.requests[id_].latest_useful_start
     assert cancels(node.play(TimerFired(0), at=timely + 1.0)) == [CancelAttempt(id_, 0)], (
@@ -460,44 +470,44 @@
     assert told.retry_after_ms > 0.0
 
 
-def test_a_late_job_stays_where_queues_are_short_where_nodes_are_few_and_where_late_answers_have_worth():
+def test_late_request_is_kept_where_queues_are_short_or_dispatchers_few_or_late_answers_useful():
     for settings, queued in (
         (FULL, 0.0),
         (replace(FULL, dispatcher_count=MANY_DISPATCHERS), 600.0),
         (CROWD, 600.0),
     ):
         node, id_, worker = waiting(settings)
-        module = node.dispatcher
-        module._outliers.mean_wait_ms = queued
+        dispatcher = node.dispatcher
+        dispatcher._outliers.mean_wait_ms = queued
         for number, wait in enumerate((5.0, 5.0)):
             node.play(TimerFired(0), at=node.now + wait)
             node.end(id_, number, worker, Outcome.CONNECT_FAILED)
-        module._outliers.mean_wait_ms, node.now = queued, 2000.0
+        dispatcher._outliers.mean_wait_ms, node.now = queued, 2000.0
         told = node.end(id_, 2, worker, Outcome.CONNECT_FAILED)
         assert not [a for a in told if isinstance(a, RejectRequest)]
-        assert id_ in module.requests
+        assert id_ in dispatcher.requests
 
 
-def test_a_repeat_is_as_old_as_its_clients_first_try():
-    """Refused jobs came back with what was left of 5 s and were taken to be in time for another aim."""
+def test_client_retry_counts_its_objective_from_the_first_try():
+    """Refused requests came back with what was left of 5 s and were taken to be in time for another aim."""
     node = Node(FULL, workers=8)
     first, _ = node.arrive(due=5000.0)
     again, _ = node.arrive(due=4400.0, is_client_retry=True)
-    jobs = node.dispatcher.requests
-    assert jobs[first].latest_useful_start - jobs[again].latest_useful_start == pytest.approx(600.0)
+    requests = node.dispatcher.requests
+    assert requests[first].latest_useful_start - requests[again].latest_useful_start == pytest.approx(600.0)
     short, _ = node.arrive(due=4400.0)  # no repeat: only less patient
-    assert jobs[short].latest_useful_start == jobs[first].latest_useful_start
+    assert requests[short].latest_useful_start == requests[first].latest_useful_start
 
 
-def test_few_nodes_count_a_key_with_the_job_itself():
+def test_key_is_counted_with_the_request_itself_with_few_dispatchers():
     """Without it, an overloaded day of four nodes fell from 0.84 to 0.77 in the simulator."""
     homes = []
     for balancers in (MANY_DISPATCHERS, MANY_DISPATCHERS + 1):
         node = Node(replace(FULL, dispatcher_count=balancers), workers=12)
         id_, _ = node.arrive(affinity_key=7)
-        job = node.dispatcher.requests[id_]
-        job.attempts.clear()
+        request = node.dispatcher.requests[id_]
+        request.attempts.clear()
         homes.append(
-            len(node.dispatcher._selector.homes(job, 0.0)) + 1
-        )  # the one that has the job is not free
+            len(node.dispatcher._selector.homes(request, 0.0)) + 1
+        )  # the one that has the request is not free
     assert homes == [12, MIN_HOMES]
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("part", ["one", "third", "six in ten"])
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
-def test_cold_workers_are_not_pushed_over_by_all_together(nodes, workers, part):
+def test_warming_workers_are_not_overloaded_by_all_dispatchers_together(nodes, workers, part):
     """Six in ten replaced at once were sent 1.11 of rule 4 by forty nodes and 1.04 by two hundred: what the
     whole fleet had served lately was divided by the few that were still warm."""
     fleet = SimulatedFleet(nodes, workers, load=0.9)
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
-def test_a_drained_worker_gets_nothing_new_from_any_node_that_was_told(nodes, workers):
+def test_drained_worker_gets_nothing_from_a_dispatcher_that_was_notified(nodes, workers):
     fleet = SimulatedFleet(nodes, workers, load=0.8)
     fleet.run(3000.0)
     fleet.change(replace(fleet.simulated_workers[1].entry, state=EndpointState.DRAINING))
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
-def test_a_zone_that_is_lost_and_comes_back_cold_is_not_pushed_over(nodes, workers):
+def test_zone_that_returns_after_a_loss_is_not_overloaded(nodes, workers):
     fleet = SimulatedFleet(nodes, workers, load=0.65)
     zone = lost_zone_returns(fleet)
     fleet.run(18_000.0)
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
-def test_a_silent_fifth_costs_no_job_its_answer_and_comes_back_into_use(nodes, workers):
+def test_silent_fifth_of_the_fleet_costs_no_answer_and_is_used_again(nodes, workers):
     """Nobody tells of it, and one of two hundred nodes meets a given worker every few seconds."""
     fleet = SimulatedFleet(nodes, workers, load=0.6)
     fleet.run(4000.0)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("size", [200, 3200])
 @pytest.mark.parametrize("keyed", [False, True])
-def test_a_change_of_the_list_costs_no_walk_over_the_fleet(size, keyed, examined):
+def test_list_change_costs_no_walk_over_the_fleet(size, keyed, examined):
     """22 ms for each change at 3,200 workers, 1.5 ms at 200: all was compared and sorted anew."""
     node = node_of(size, keyed=keyed)
 
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("size", [200, 3200])
-def test_a_request_of_a_known_key_costs_no_walk_over_the_fleet(size, examined):
+def test_request_of_a_known_key_costs_no_walk_over_the_fleet(size, examined):
     node = node_of(size)
     for key in range(100, 1100):
         serve(node, affinity_key=key)
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize(("dispatchers", "size"), [(200, 200), (3200, 3200), (200, 3200)])
-def test_a_request_of_a_new_key_hashes_a_subset_once(dispatchers, size, examined):
+def test_request_of_a_new_key_hashes_a_subset_once(dispatchers, size, examined):
     node = node_of(size, dispatchers=dispatchers)
     for key in range(100, 1100):
         serve(node, affinity_key=key)
@@ -123,13 +123,13 @@
 
 
 @pytest.mark.parametrize("keyed", [False, True])
-def test_a_request_without_a_key_looks_at_a_bounded_number_of_workers(keyed, examined):
+def test_request_without_a_key_considers_a_bounded_number_of_workers(keyed, examined):
     """Also where one dispatcher has the whole fleet to itself."""
     node = node_of(3200, dispatchers=1, keyed=keyed)
     assert cost(examined, lambda _number: serve(node)).total() <= 3 * MAX_CANDIDATES
 
 
-def test_a_hot_key_looks_at_a_bounded_number_of_its_homes(examined):
+def test_frequent_key_considers_a_bounded_number_of_its_homes(examined):
     node = node_of(3200, dispatchers=1)
     assert cost(examined, lambda _number: serve(node, affinity_key=1)).total() <= 6 * MAX_CANDIDATES
 
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize("keyed", [False, True])
-def test_one_workers_coming_or_going_changes_one_place_of_a_subset_and_of_few_subsets(keyed):
+def test_one_change_of_a_worker_changes_one_place_in_few_subsets(keyed):
     """Each change shifted the subset of every dispatcher, whose connections were made anew: 692 in 30 s."""
     size, dispatchers = 400, 400
     if keyed:
@@ -187,7 +187,7 @@
     assert set().union(*before) <= set(entries)
 
 
-def test_subsets_of_a_few_stay_even_and_cover_the_fleet_whatever_comes_and_goes():
+def test_small_subsets_stay_even_and_cover_the_fleet_through_changes():
     size, rng = 120, random.Random(2)
     nodes = [node_of(size, me, size, keyed=False) for me in range(size)]
     entries = {entry.worker: entry for entry in fleet(size)}
@@ -210,7 +210,7 @@
     assert min(sizes) >= MIN_SUBSET_SIZE - 1
 
 
-def test_subsets_of_a_few_keep_a_mix_of_zones_and_kinds():
+def test_small_subsets_keep_a_mix_of_zones_and_kinds():
     size, rng = 160, random.Random(3)
     nodes = [node_of(size, me, size, keyed=False) for me in range(0, size, 4)]
     entries = {entry.worker: entry for entry in fleet(size)}
@@ -260,7 +260,7 @@
     assert len(members(node_of(size, 0, dispatchers))) == size
 
 
-def test_a_large_fleet_that_breathes_is_not_split_anew():
+def test_large_fleet_of_varying_size_is_not_repartitioned():
     """Where the number of groups changes, all homes of keys do."""
     node = node_of(3200, 0, 3200)
     groups = node.dispatcher.group_count
@@ -275,7 +275,7 @@
 # Homes of keys.
 
 
-def test_all_dispatchers_of_a_group_find_the_same_homes_whatever_they_saw_before():
+def test_all_dispatchers_of_a_group_find_the_same_homes_after_any_history():
     old, rng = node_of(3200, 0, 3200), random.Random(4)
     entries = {entry.worker: entry for entry in fleet(3200)}
     for number in range(300):
@@ -291,7 +291,7 @@
         assert [w.entry.worker for w in homes[0]] == [w.entry.worker for w in homes[1]]
 
 
-def test_an_order_that_takes_changes_in_is_the_one_made_anew():
+def test_key_order_updated_by_changes_equals_one_computed_anew():
     rng, orders = random.Random(5), KeyOrders()
     workers = {number: Worker(Endpoint(number)) for number in range(1, 60)}
     orders.reset(workers.values())
@@ -312,7 +312,7 @@
 
 
 @pytest.mark.parametrize("keyed", [0, 5])
-def test_a_repeat_bound_to_workers_outside_the_subset_still_finds_one(keyed):
+def test_retry_bound_to_workers_outside_the_subset_finds_one(keyed):
     """A cell may have no other worker in this dispatcher's subset."""
     cellular = replace(KEYED, scope=Scope.CELL, repeat_window_ms=20_000.0)
     entries = [Endpoint(1 + n, zone=n % 4, cell=n // 2) for n in range(3200)]
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -33,7 +33,7 @@
 from eiderfield.policy.selection import SLOW_PACE
 
 
-def test_a_failed_connection_sends_the_job_elsewhere_and_rests_the_worker():
+def test_failed_connection_retries_the_request_elsewhere_and_ejects_the_worker():
     node = Node(workers=2)
     id_, actions = node.arrive(cls=1)
     bad = sends(actions)[0].worker
@@ -46,7 +46,7 @@
     assert [s.worker for s in sends(node.arrive(cls=0)[1])] == [bad]
 
 
-def test_lost_workers_are_not_hammered_when_most_are_lost():
+def test_lost_workers_are_not_tried_repeatedly_when_most_are_lost():
     """An overloaded day with a lost zone: 6 attempts a request went to workers that refused connections."""
     node = Node(workers=3)
     for worker in (1, 2, 3):
@@ -54,7 +54,7 @@
     assert not sends(node.arrive()[1])
 
 
-def test_jobs_at_a_silent_worker_get_a_second_copy_elsewhere():
+def test_requests_at_a_silent_worker_are_hedged_elsewhere():
     node = Node(workers=2)
     id_, actions = node.arrive()
     first = sends(actions)[0].worker
@@ -63,14 +63,14 @@
     assert [(s.request_id, s.worker) for s in copies] == [(id_, 3 - first)]
 
 
-def test_a_fleet_that_is_silent_throughout_is_still_served():
+def test_fleet_that_is_silent_altogether_is_still_used():
     node = Node(workers=3)
     for worker in node.dispatcher.workers.values():
         worker.silent = True
     assert sends(node.arrive()[1])
 
 
-def test_only_a_timely_answer_ends_suspicion():
+def test_only_an_answer_in_time_ends_an_ejection():
     """Slow days: a start note brought a slow worker straight back."""
     node = Node(workers=1)
     worker = node.dispatcher.workers[1]
@@ -89,7 +89,7 @@
     assert [a for a in node.handle(3.0, []) if isinstance(a, WatchEndpoints)] == [WatchEndpoints(True)]
 
 
-def test_nothing_that_a_site_does_not_offer_is_used():
+def test_what_the_settings_do_not_allow_is_not_used():
     bare = Settings(classes=(SAFE,))
     node = Node(bare, workers=2)
     actions = [a for _ in range(20) for a in node.arrive()[1]]
@@ -118,7 +118,7 @@
     ],
     ids=repr,
 )
-def test_odd_events_change_nothing(event):
+def test_unexpected_events_change_nothing(event):
     node = Node()
     _, actions = node.arrive()
     node.end(1, 0, sends(actions)[0].worker, Outcome.OK, final=True)
@@ -128,7 +128,7 @@
     assert sends(node.arrive()[1])
 
 
-def test_bad_calls_are_named():
+def test_invalid_calls_raise_value_errors():
     node = Node()
     node.play(at=10.0)
     with pytest.raises(ValueError, match="backwards"):
@@ -145,21 +145,21 @@
 
 
 def started(node, cls=0):
-    """A job that has started; gives its id and its worker."""
+    """A request that has started; gives its id and its worker."""
     id_, actions = node.arrive(cls=cls, due=20_000.0)
     worker = sends(actions)[0].worker
     node.play(AttemptProgressed(id_, 0, worker, 1, 0.0))
     return id_, worker
 
 
-def test_a_job_whose_connection_fell_silent_is_called_off_and_sent_on():
-    """Its worker was well, and the job kept its place there until its time ended."""
+def test_request_on_a_silent_connection_is_cancelled_and_retried():
+    """Its worker was well, and the request kept its place there until its time ended."""
     node = Node(NOTED, workers=2)
     id_, worker = started(node)
     other, _ = started(node)
     for at in (1000.0, 2000.0, 3000.0):
         node.play(AttemptProgressed(other, 0, 3 - worker, 2, 0.1), at=at)
-        node.dispatcher.workers[worker].record_sign_of_life(at)  # by others of this node's jobs
+        node.dispatcher.workers[worker].record_sign_of_life(at)  # by others of this node's requests
     assert not [a for a in node.play(at=3500.0) if isinstance(a, CancelAttempt)]
     assert [
         (a.request_id, a.attempt_number) for a in node.play(at=3650.0) if isinstance(a, CancelAttempt)
@@ -167,7 +167,7 @@
     assert [s.request_id for s in sends(node.end(id_, 0, worker, Outcome.CANCELLED))] == [id_]
 
 
-def test_a_note_swallowed_by_a_pause_calls_nothing_off():
+def test_progress_note_lost_in_a_pause_cancels_nothing():
     node = Node(NOTED, workers=2)
     started(node)
     for at in (500.0, 1000.0, 1500.0, 2500.0):
@@ -176,7 +176,7 @@
         assert not [a for a in node.play(at=at) if isinstance(a, CancelAttempt)]
 
 
-def test_a_silent_worker_keeps_neither_its_started_jobs_nor_its_idle_connections():
+def test_silent_worker_loses_its_started_requests_and_idle_connections():
     node = Node(NOTED, workers=2)
     id_, worker = started(node)
     actions = node.play(at=1700.0)
@@ -185,13 +185,13 @@
     assert [s.worker for s in sends(node.end(id_, 0, worker, Outcome.CANCELLED))] == [3 - worker]
 
 
-def test_what_may_not_be_repeated_stays_at_a_silent_worker():
+def test_request_that_may_not_be_repeated_stays_at_a_silent_worker():
     node = Node(NOTED, workers=2)
     started(node, cls=1)
     assert not [a for a in node.play(at=4000.0) if isinstance(a, CancelAttempt)]
 
 
-def test_a_single_reset_does_not_rest_a_worker_and_two_in_a_row_do():
+def test_worker_is_ejected_by_two_resets_in_a_row_and_not_by_one():
     node = Node(workers=2)
     worker = node.dispatcher.workers[1]
     for _ in range(2):
@@ -206,8 +206,8 @@
     assert worker.consecutive_resets == 0
 
 
-def test_jobs_at_a_slow_worker_count_for_more():
-    """It filled up like the others and made its jobs late; and only its last answer would have told."""
+def test_requests_at_a_slow_worker_count_for_more():
+    """It filled up like the others and made its requests late; and only its last answer would have told."""
     node = Node(NOTED, workers=2)
     slow, usual = node.dispatcher.workers[1], node.dispatcher.workers[2]
     usual.full_until = 1.0
@@ -226,8 +226,8 @@
     assert slow.pace(20_000.0) == 1.0, "an old pace is forgotten: another program may have passed"
 
 
-def test_a_worker_that_fails_its_jobs_at_once_does_not_draw_all_others_in():
-    """It held fewest jobs at any time, so that every third job of a day failed there."""
+def test_worker_that_fails_fast_does_not_attract_all_requests():
+    """It held fewest requests at any time, so that every third request of a day failed there."""
     node = Node(workers=2)
     bad = node.dispatcher.workers[1]
     at_bad = 0
@@ -244,7 +244,7 @@
     assert bad.ejections
 
 
-def test_one_answer_does_not_clear_a_worker_that_fails_every_third_job():
+def test_one_answer_does_not_clear_a_worker_that_fails_every_third_request():
     node = Node(workers=1)
     worker = node.dispatcher.workers[1]
     worker.error_score = 3.0
@@ -256,8 +256,8 @@
     assert not worker.ejections
 
 
-def test_a_job_that_never_started_does_not_keep_its_silent_worker_out():
-    """Half of a fleet was left alone for ten seconds, each behind one job on a connection that had died."""
+def test_unstarted_request_does_not_keep_a_silent_worker_ejected():
+    """Half of a fleet was not used for ten seconds, each worker for one request on a broken connection."""
     node = Node(NOTED, workers=2)
     id_, actions = node.arrive(due=12_000.0)
     worker = sends(actions)[0].worker
