--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -1,5 +1,7 @@
-"""Plays legal event sequences on one node and checks the four rules on its actions. It models no server:
-outcomes are drawn, not simulated."""
+"""Plays valid random event sequences on one dispatcher and checks the four rules on its actions.
+
+No worker is simulated: outcomes are drawn at random.
+"""
 
 from __future__ import annotations
 
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -1,7 +1,8 @@
-"""Many nodes, the module alone, on a clock that a heap of events drives: workers with slots and warm-ups.
+"""A simulation of many dispatchers' policies and their workers, with slots and slow start.
 
-It models what the rules are judged by (who was sent what, and when) and no network but a fixed delay. Its
-ledger is kept from the actions themselves and shares no code with the module.
+A heap of events drives the clock. The simulation models what the rules are about (who was sent what, and
+when), and of the network a fixed delay only. Its own record of requests is made from the actions and shares
+no code with the policy.
 """
 
 from __future__ import annotations
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""The same tests of the module and of the network code over every deployment of the table."""
+"""The same tests of the policy and of the network code for every deployment of the table."""
 
 from __future__ import annotations
 
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -30,7 +30,7 @@
 
 
 def failing(site, cls):
-    """A node whose worker 1 of two fails every request at once, until the module knows."""
+    """Return a dispatcher whose worker 1 of two has failed requests until it counts as failing."""
     node = Node(site, workers=2)
     for _ in range(40):
         actions = node.arrive(cls=cls)[1]
@@ -101,7 +101,7 @@
 
 
 def node_with_slots(site, slots=4.0, workers=2):
-    """A node whose workers of one kind are known to have so many slots."""
+    """Return a dispatcher that knows how many slots the workers of its one kind have."""
     node = Node(site, workers=workers)
     learn(node.dispatcher, slots=(KindSlots(0, slots),))
     return node
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -259,7 +259,7 @@
 
 
 def test_worker_in_its_first_warm_up_is_no_home():
-    """Incident ia7713c: new workers took over keys' homes and their cold budget let nothing through."""
+    """New workers replaced the homes of keys, and their slow start budgets covered no request (ia7713c)."""
     node = Node(workers=4)
     node.now = 100_000.0
     node.play(
@@ -355,7 +355,7 @@
 
 
 def test_attempts_of_the_other_process_count_in_selection_and_slow_start():
-    """In an upgrade two processes are one node: both would fill the same worker, and push a cold one over."""
+    """Two processes of one dispatcher during an upgrade would both fill a worker, or overload a new one."""
     node = Node(replace(BASE, hedging_allowed=False), workers=2)
     node.play(SiblingReportReceived(1, 2, 0.0))
     for _ in range(2):
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -1,4 +1,4 @@
-"""What acts where many nodes share workers: parts of the fleet, told counts, probes for free slots."""
+"""Many dispatchers that share workers: subsets, reports between peers, probes for free slots."""
 
 from collections import Counter
 from dataclasses import replace
@@ -45,7 +45,7 @@
 
 
 def test_subsets_of_many_dispatchers_share_the_fleet_evenly():
-    """antigua-reparto-later, 152 nodes: each sent to all of 207 workers and knew none of them."""
+    """Each of 152 dispatchers sent to all of 207 workers and learned of none (antigua-reparto-later)."""
     nodes = [part(me, 40) for me in range(40)]
     used = Counter(w.entry.worker for n in nodes for w in n.dispatcher.subset)
     assert set(used.values()) == {4}
@@ -117,7 +117,7 @@
 
 
 def test_worker_full_of_peers_requests_is_chosen_last_and_then_not_at_all():
-    """xela-reparto-later: a node that sees a sixth of what waits at a worker sent there as to an idle one."""
+    """A dispatcher that sees a sixth of a worker's queue took it for idle (xela-reparto-later)."""
     node = Node(TALKING, workers=3)
     node.play(PeerReportReceived(1, encode_peer_report([(1, 2), (2, 2)])))
     assert sends(node.arrive()[1])[0].worker == 3
@@ -128,7 +128,7 @@
 
 
 def test_peer_report_expires():
-    """A node that died with its zone would else keep workers full for ever."""
+    """Otherwise a dispatcher that is lost with its zone would keep workers full for ever."""
     node = Node(TALKING, workers=1)
     node.play(PeerReportReceived(1, encode_peer_report([(1, 3)])))
     assert not sends(node.arrive()[1])
@@ -151,7 +151,7 @@
 
 
 def silent(**more):
-    """A node of eight that cannot talk, its part of eight workers, and the ids of these four."""
+    """Return one of eight dispatchers without gossip, and the four of eight workers in its subset."""
     node = Node(replace(SILENT, **more), workers=8)
     return node, [w.entry.worker for w in node.dispatcher.subset]
 
@@ -194,7 +194,7 @@
 
 
 def test_rate_per_warm_worker_is_bounded_when_most_of_a_subset_is_warming():
-    """A lost zone came back among 49 nodes: what six workers served, over one warm one, allowed too much."""
+    """A returning zone was sent too much: the work of six workers was divided by the one warm worker."""
     node = Node(BASE, workers=6)
     learn(node.dispatcher, served_rate=6.0, served_at=60_000.0)
     cold = tuple(Endpoint(w, ready_at=60_000.0) for w in range(2, 7))
@@ -268,7 +268,7 @@
 
 
 def waiting(settings=CROWD, cls=0, workers=8, **more):
-    """A node with one request that waits unstarted at a worker, the request's id and that worker."""
+    """Return a dispatcher with one request that waits at a worker, the request's id, and that worker."""
     node = Node(settings, workers=workers)
     id_, actions = node.arrive(cls=cls, affinity_key=7, **more)
     return node, id_, sends(actions)[0].worker
@@ -301,7 +301,7 @@
 
 
 def test_request_is_not_moved_while_all_queues_are_long():
-    """While workers fetched for a fleet replaced, every request went from queue to queue, four legs each."""
+    """While new workers loaded their data, each request moved from queue to queue, four attempts each."""
     node, id_, worker = waiting()
     node.dispatcher._outliers.mean_wait_ms = 400.0
     assert not cancels(node.play(TimerFired(0), at=395.0))
@@ -367,7 +367,7 @@
 
 
 def test_keyed_retry_without_home_in_its_group_goes_to_another_worker_of_the_group():
-    """Jobs called off waited for homes in other zones until their clients gave up."""
+    """Cancelled requests waited for homes in other zones until their clients gave up."""
     zonal = replace(CROWD.classes[2], scope=Scope.ZONE, repeat_window_ms=20_000.0)
     node = Node(replace(CROWD, classes=(SAFE, zonal)), workers=30)
     learn(node.dispatcher, key_counts=(KeyCount(1, 1000),))  # beside which the others are rare
@@ -416,7 +416,7 @@
 
 
 def test_share_of_a_key_estimated_by_many_dispatchers_is_right_on_average():
-    """A hot key keeps the homes that its share fills, summed over nodes that saw twenty requests each."""
+    """A frequent key keeps the homes that it needs, with dispatchers that saw twenty requests each."""
     guesses = []
     for me in range(200):
         node = Node(replace(FULL, dispatcher_index=me), workers=2, seed=me)
@@ -449,7 +449,7 @@
 
 
 def crowded(settings=FULL, **more):
-    """A node that has learnt of long queues everywhere, and one request that waits unstarted."""
+    """Return a dispatcher that has seen long queues at all workers, and a request that waits at one."""
     node, id_, _ = waiting(settings, **more)
     node.dispatcher._outliers.mean_wait_ms = 2.0 * SAFE.latency_objective_ms
     return node, id_
@@ -500,7 +500,7 @@
 
 
 def test_key_is_counted_with_the_request_itself_with_few_dispatchers():
-    """Without it, an overloaded day of four nodes fell from 0.84 to 0.77 in the simulator."""
+    """Without it, an overloaded day of four dispatchers fell from 0.84 to 0.77 in the simulator."""
     homes = []
     for balancers in (MANY_DISPATCHERS, MANY_DISPATCHERS + 1):
         node = Node(replace(FULL, dispatcher_count=balancers), workers=12)
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Many nodes with uneven traffic, on a driven clock: what none of them sees alone."""
+"""Many dispatchers with uneven traffic on a simulated clock: the effects of all of them together."""
 
 from dataclasses import replace
 
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("part", ["one", "third", "six in ten"])
 @pytest.mark.parametrize(("nodes", "workers"), OTHER_SIZES)
 def test_warming_workers_stay_within_the_slow_start_budget_with_mixed_costs(nodes, workers, part):
-    """Requests of a quarter to two and a half mean ones, a tenth of the nodes with five times the traffic."""
+    """Requests cost 0.25 to 2.5 of the mean; a tenth of the dispatchers have five times the traffic."""
     fleet = SimulatedFleet(nodes, workers, load=0.9, traffic=uneven, costs=MIXED)
     fleet.run(4000.0)
     new = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[part]
@@ -88,7 +88,7 @@
 
 
 def replaced(fleet, workers):
-    """Workers go and cold ones take their places; the ids of the new ones."""
+    """Replace workers by newly started ones; return the numbers of the new ones."""
     places = [fleet.simulated_workers[worker].entry for worker in workers]
     gone = [replace(entry, state=EndpointState.GONE) for entry in places]
     cold = [replace(entry, worker=1000 + entry.worker, ready_at=fleet.now) for entry in places]
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
 def test_silent_fifth_of_the_fleet_costs_no_answer_and_is_used_again(nodes, workers):
-    """Nobody tells of it, and one of two hundred nodes meets a given worker every few seconds."""
+    """No list change announces it, and one of 200 dispatchers uses a given worker every few seconds."""
     fleet = SimulatedFleet(nodes, workers, load=0.6)
     fleet.run(4000.0)
     silent = list(range(1, workers // 5 + 1))
