--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -1,4 +1,4 @@
-"""A kept job that was cancelled, or whose clients have left: no attempt is begun for it."""
+"""A durable request that is cancelled, or whose clients have left: no further attempt starts."""
 
 from collections import deque
 
--- a/tests/test_durable_requests_cost.py
+++ b/tests/test_durable_requests_cost.py
@@ -1,4 +1,4 @@
-"""The measurements of custody run, and show that nobody waits for a process that stands still."""
+"""The measurements of durable requests run, and show that no process waits for one that is stopped."""
 
 from __future__ import annotations
 
--- a/tests/test_durable_requests_fleet.py
+++ b/tests/test_durable_requests_fleet.py
@@ -1,4 +1,4 @@
-"""Work in hand on real processes that are killed and stopped, judged by workers' and clients' event logs."""
+"""Durable requests on real processes that are killed and stopped, judged by the event logs."""
 
 from __future__ import annotations
 
--- a/tests/test_durable_requests_jobs.py
+++ b/tests/test_durable_requests_jobs.py
@@ -1,4 +1,4 @@
-"""What operators and batch clients see of kept jobs: the commands, and several real dispatchers."""
+"""What operators and batch clients see of durable jobs: the commands, and several real dispatchers."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 from eiderfield.cli import main
 from eiderfield.durable_requests.folder import SharedFolder
 from eiderfield.durable_requests.messages import Accept, Claim, Finish, RequestEnd, Written
+from eiderfield.durable_requests.record import Stage
 from eiderfield.exchange.request import Answer, Verdict
 from eiderfield.lab.fleet.durable_draw import JOB_CLASSES
 from eiderfield.lab.fleet.fleet import Fleet
@@ -85,7 +86,7 @@
     host, _, b = kept
     assert run("verify", host.settings.folder) == "in order\n"
     b.current.store.begin()
-    b.current.store._database.execute("UPDATE jobs SET stage = 2, verdict = '' WHERE id = 'open'")
+    b.current.store.put(replace(b.find("open"), stage=Stage.FINAL, verdict=""))
     b.current.store.commit()
     assert "b.1.db: job open is final without a verdict" in run("verify", host.settings.folder, code=1)
     (host.settings.folder / "lives" / "c.1.db").write_bytes(b"x" * 5000)
--- a/tests/test_durable_requests_model.py
+++ b/tests/test_durable_requests_model.py
@@ -1,4 +1,4 @@
-"""Custody's protocol over all interleavings of a few members, jobs and faults; planted slips are found."""
+"""The protocol over all interleavings of a few members, jobs and faults; planted slips are found."""
 
 from __future__ import annotations
 
--- a/tests/test_durable_requests_on_failing_disk.py
+++ b/tests/test_durable_requests_on_failing_disk.py
@@ -1,4 +1,4 @@
-"""Kept jobs while the disk fails for a while: what was taken is still owed, and comes back, once.
+"""Durable requests while the disk fails for a while: what was accepted is answered, once.
 
 One sequence is played over and over: three members begin, take jobs, claim attempts, answer some; one of them
 is lost, and the others take over what it had and answer it. In each play the n-th operation of a kind and all
--- a/tests/test_durable_requests_takeover.py
+++ b/tests/test_durable_requests_takeover.py
@@ -14,6 +14,7 @@
     Finish,
     NotOwned,
 )
+from eiderfield.durable_requests.readers import StoreReaders
 from eiderfield.durable_requests.record import Stage
 
 
@@ -151,7 +152,7 @@
     a, b = host.member("a"), host.member("b")
     apply_one(a, Accept(record()))
     with monkeypatch.context() as locked:
-        locked.setattr(b._context.readers, "open", lambda _incarnation: None)
+        locked.setattr(StoreReaders, "open", lambda _readers, _incarnation: None)
         host.outlive(b)
         assert b.take_over() == []
     host.live(1500.0, b)
