--- a/eiderfield/net/backoff.py
+++ b/eiderfield/net/backoff.py
@@ -15,8 +15,8 @@
 
     MAX_WAIT (a wait that has just begun) + DIAL_TIMEOUT + FIRST_LIST_TIME = NOTIFIED_AFTER
 
-and after a watch that fell silent, SILENCE (`discovery/watch`) + DIAL_TIMEOUT + FIRST_LIST_TIME, which is
-less.
+and after a watch that fell silent, HEARTBEAT_TIMEOUT_MS (`discovery/watch`) + DIAL_TIMEOUT +
+FIRST_LIST_TIME, which is less.
 
 A silent source has no queue that another call would lengthen: the agent on the dispatcher's own machine
 is silent while discovery is down, answers at once and at no cost when it is back, and what it then holds
--- a/eiderfield/net/discovery/__init__.py
+++ b/eiderfield/net/discovery/__init__.py
@@ -1,6 +1,6 @@
-"""Where the list of workers comes from.
+"""Discovery: the sources of the list of workers.
 
-`endpoint_list` is what a source tells, in typed form; `routing_table` applies it. `watch` keeps one source
-followed, `platform` and `consul` are the two kinds of sources, and `active_watch` moves from one source to
-the next.
+`endpoint_list` holds the list in typed form and `routing_table` applies it. `watch` follows one source over
+`watch_connection`, `platform` and `consul` are the two kinds of sources, and `active_watch` switches from
+one source to the next.
 """
--- a/eiderfield/net/discovery/active_watch.py
+++ b/eiderfield/net/discovery/active_watch.py
@@ -1,11 +1,11 @@
-"""The move from one source of workers to the next.
+"""Switch from one source of workers to the next.
 
-The old source is followed, and opened anew where it breaks, until the new one has told a list: in between a
-drain may be told, and the new one may never speak.
+The old source is followed, and its watch reopened after losses, until the new source has sent a list:
+meanwhile the old one may announce a drain, and the new one may never answer.
 
     idle ──(follow)──> one watch ──(follow another)──> two watches ──(the new one's first list)──> one watch
 
-What must never happen: a time in which no source is followed though one is configured.
+Invariant: while a source is configured, one is followed.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 
 class ActiveWatch:
-    """The watch in force and, after a new configuration, the one that is to take its place."""
+    """The watch in use and, after a change of the configuration, the one that replaces it."""
 
     def __init__(self) -> None:
-        """Nothing is followed yet."""
+        """Follows no source yet."""
         self._current: Watch | None = None
         self._next: Watch | None = None
 
     def follow(self, watch: Watch | None) -> None:
-        """Moves to another source; None for none."""
-        if self._next is not None:  # a further configuration came before that one had told anything
+        """Switch to another source; None stops discovery."""
+        if self._next is not None:  # the configuration changed again before its source sent a list
             self._next.stop()
             self._next = None
         if self._current is None or watch is None:
@@ -33,10 +33,10 @@
             self._next = watch
             watch.on_first_list = self._promote_next
         if watch is not None:
-            watch.start_in_turn()
+            watch.start()
 
     def stop(self) -> None:
-        """Ends all watches."""
+        """Stop all watches."""
         for watch in (self._current, self._next):
             if watch is not None:
                 watch.stop()
--- a/eiderfield/net/discovery/consul_instances.py
+++ b/eiderfield/net/discovery/consul_instances.py
@@ -1,8 +1,7 @@
-"""Instances in the answers of Consul's health and catalogue API, as endpoints.
+"""Parser of the instances in responses of Consul's health and catalogue API.
 
-An instance is serving while its checks pass or warn, draining while one is critical (maintenance is a
-critical check) and gone once it is not listed. Service metadata may hold `zone`, `type`, `group` and
-`since_ms`.
+An instance is serving while its checks pass or warn, draining while one is critical (as in maintenance),
+and gone once it is not listed. Service metadata may hold `zone`, `type`, `group` and `since_ms`.
 """
 
 from __future__ import annotations
@@ -11,6 +10,7 @@
 from dataclasses import dataclass
 from math import isfinite
 
+from eiderfield.config.address import PORT_COUNT
 from eiderfield.net.discovery.endpoint_list import EndpointListError, EndpointStatus, ListedEndpoint
 
 JsonObject = Mapping[str, object]
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Instance:
-    """The fields that the two APIs name differently."""
+    """The fields of an instance, which the two APIs name differently."""
 
     node: object
     service_id: object
@@ -31,7 +31,7 @@
 
 
 def endpoint_of_health(entry: object) -> ListedEndpoint:
-    """An entry of `/v1/health/service`."""
+    """Parse an entry of `/v1/health/service`; raises `EndpointListError`."""
     node, service = _object_at(entry, "Node"), _object_at(entry, "Service")
     checks = entry.get("Checks") if isinstance(entry, Mapping) else None
     if not isinstance(checks, list) or not all(isinstance(check, Mapping) for check in checks):
@@ -54,7 +54,7 @@
 
 
 def endpoint_of_catalog(entry: object) -> ListedEndpoint:
-    """An entry of `/v1/catalog/service`, which knows no checks."""
+    """Parse an entry of `/v1/catalog/service`, which has no checks; raises `EndpointListError`."""
     if not isinstance(entry, Mapping):
         raise EndpointListError("an instance is not an object")
     return _endpoint(
@@ -75,9 +75,9 @@
     node, service_id, host, port = instance.node, instance.service_id, instance.host, instance.port
     if not isinstance(node, str) or not isinstance(service_id, str) or not service_id:
         raise EndpointListError("an instance has no Node or no ID")
-    name = f"{node}/{service_id}"  # an ID is unique on its node alone
-    if not isinstance(host, str) or not host or not isinstance(port, int) or not 0 < port < 65536:
-        raise EndpointListError(f"{name}: no address or port")
+    name = f"{node}/{service_id}"  # an ID is unique only on its node
+    if not isinstance(host, str) or not host or not isinstance(port, int) or not 0 < port < PORT_COUNT:
+        raise EndpointListError("no address or port", endpoint=name)
     meta, weight = instance.meta, instance.weight
     return ListedEndpoint(
         name=name,
@@ -101,7 +101,7 @@
 
 
 def _parse_since(text: object, name: str) -> float:
-    """The start in an instance's metadata, which are texts; 0 where there is none."""
+    """Return the start in an instance's metadata, 0 if there is none; metadata values are texts."""
     if text is None:
         return 0.0
     try:
@@ -109,5 +109,5 @@
     except ValueError:
         since = -1.0
     if not isfinite(since) or since < 0.0:
-        raise EndpointListError(f"{name}: since_ms is not a number")
+        raise EndpointListError("since_ms is not a number", endpoint=name)
     return since
--- a/eiderfield/net/discovery/endpoint_list.py
+++ b/eiderfield/net/discovery/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The list of workers as a source of workers tells it, in typed form, and the platform's JSON form of it.
+"""List of workers in typed form, and the parser of the platform's JSON form.
 
-A list is read whole before anything of it is applied: one that cannot be understood changes nothing.
+A list is parsed as a whole before any of it is applied: a malformed one changes nothing.
 """
 
 from __future__ import annotations
@@ -16,11 +16,20 @@
 
 
 class EndpointListError(EiderfieldError, ValueError):
-    """A list that cannot be understood. The text names the endpoint and the field."""
+    """A list is malformed.
+
+    Attributes:
+        endpoint: Name of the faulty endpoint, empty if it has none or the list itself is faulty.
+    """
+
+    def __init__(self, problem: str, *, endpoint: str = "") -> None:
+        """Creates an error; the text begins with the endpoint if there is one."""
+        super().__init__(f"endpoint {endpoint}: {problem}" if endpoint else problem)
+        self.endpoint = endpoint
 
 
 class EndpointStatus(Enum):
-    """What a source says of a worker."""
+    """Status of a worker, by the platform's words."""
 
     SERVING = "SERVING"
     DRAINING = "DRAINING"
@@ -33,18 +42,18 @@
 
     name: str
     status: EndpointStatus
-    address: Address | None  # None for a deleted one
+    address: Address | None  # None if deleted
     zone: str = ""
     kind: str = ""
     group: int | str = 0
     weight: float = 1.0
-    since_ms: float = 0.0  # Unix time of its start; 0 for long ago or unknown
-    first_seen: float = 0.0  # where `since_ms` is 0: when it appeared, on this process's clock
+    since_ms: float = 0.0  # Unix time of the start; 0 for long ago or unknown
+    first_seen: float = 0.0  # if `since_ms` is 0: when it was first listed, on this process's clock
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """All endpoints at a version (`snapshot`), or those that changed up to it."""
+    """All endpoints at version `index` (`snapshot`), or those that changed up to it."""
 
     index: int
     snapshot: bool
@@ -52,7 +61,7 @@
 
 
 def parse_endpoint_list(document: object) -> EndpointList:
-    """A list in the platform's form; raises `EndpointListError` for anything else."""
+    """Parse a list in the platform's form; raises `EndpointListError`."""
     if not isinstance(document, dict) or not isinstance(document.get("endpoints"), list):
         raise EndpointListError("a list without endpoints")
     index = document.get("index")
@@ -77,8 +86,8 @@
         zone=str(fields.get("zone", "")),
         kind=str(fields.get("type", "")),
         group=group if isinstance(group, int) else str(group),
-        weight=_parse_number(fields.get("weight", 1.0), f"endpoint {name}: weight"),
-        since_ms=_parse_number(fields.get("since_ms", 0), f"endpoint {name}: since_ms"),
+        weight=_parse_number(fields.get("weight", 1.0), "weight", name),
+        since_ms=_parse_number(fields.get("since_ms", 0), "since_ms", name),
     )
 
 
@@ -86,17 +95,17 @@
     try:
         return EndpointStatus(value)
     except ValueError:
-        raise EndpointListError(f"endpoint {name}: unknown status {value!r}") from None
+        raise EndpointListError(f"unknown status {value!r}", endpoint=name) from None
 
 
 def _parse_address(value: object, name: str) -> Address:
     try:
-        return parse_address(str(value), f"endpoint {name}: address")
+        return parse_address(str(value), "address")
     except ConfigError as error:
-        raise EndpointListError(str(error)) from None
+        raise EndpointListError(str(error), endpoint=name) from None
 
 
-def _parse_number(value: object, key: str) -> float:
+def _parse_number(value: object, field: str, name: str) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value):
-        raise EndpointListError(f"{key} is not a number")
+        raise EndpointListError(f"{field} is not a number", endpoint=name)
     return float(value)
--- a/eiderfield/net/discovery/json_stream.py
+++ b/eiderfield/net/discovery/json_stream.py
@@ -1,7 +1,7 @@
-"""Cuts a stream of bytes into JSON values and the empty lines between them.
+"""Splitter of a byte stream into JSON values and the empty lines between them.
 
-A value may stand on several lines, for lists come indented, and is whole with its last bracket, whether or
-not its line has ended: a line feed that comes with the next sign of life, 2 s later, would delay a drain.
+A value may span several lines, since lists may be indented. It is complete with its last bracket, whether
+or not its line has ended: a line feed that comes with the next heartbeat, 2 s later, would delay a drain.
 """
 
 from __future__ import annotations
@@ -16,17 +16,20 @@
 
 
 class JsonStream:
-    """Values are handed out as text, undecoded, as soon as they are whole."""
+    """Splits a stream; returns each value undecoded as soon as it is complete."""
 
     def __init__(self, max_bytes: int) -> None:
-        """`max_bytes` bounds what is kept of a value that is not whole."""
+        """Creates an empty stream; an incomplete value may have `max_bytes`."""
         self._max_bytes = max_bytes
-        self._value = bytearray()  # the lines, all ended, of a value that is not whole
-        self._line = bytearray()  # a line that has not ended
+        self._value = bytearray()  # the complete lines of an incomplete value
+        self._line = bytearray()  # the incomplete last line
         self._depth = 0  # brackets open in `_value`
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The values that this completes, and an empty text for each empty line between two."""
+        """Return the values that `data` completes, and b"" for each empty line between values.
+
+        Raises `MalformedMessageError` if a value exceeds the bounds on its length or depth.
+        """
         values: list[bytes] = []
         self._line += data
         while (end := self._line.find(b"\n")) >= 0:
@@ -41,16 +44,16 @@
         return values
 
     def _add_line(self, line: bytes) -> list[bytes]:
-        """The value that a line completes, if it does, or the empty text of an empty line."""
+        """Return the value that a line completes, b"" for an empty line between values, or nothing."""
         if not self._depth and not line.strip():
             return [b""]
         self._value += line
         self._depth += _open_brackets(line)
-        # Below 0 it is no JSON at all, which whoever decodes it finds out.
+        # A negative depth is no JSON: decoding the value reports that.
         return [self._take_value()] if self._depth <= 0 else []
 
     def _closes_value(self) -> bool:
-        """Whether the line that has not ended closes all that is open, and not within a string."""
+        """Return whether the incomplete line closes all brackets and ends outside a string."""
         return b'"' not in _STRING.sub(b"", self._line) and self._depth + _open_brackets(self._line) == 0
 
     def _take_value(self) -> bytes:
@@ -67,7 +70,7 @@
 
 
 def _open_brackets(line: bytes | bytearray) -> int:
-    """How many brackets a line leaves open; below 0, closes."""
+    """Return how many brackets a line opens minus how many it closes, outside strings."""
     bare = _STRING.sub(b"", line)
     opened = bare.count(b"{") + bare.count(b"[")
     return opened - bare.count(b"}") - bare.count(b"]")
--- a/eiderfield/net/discovery/platform.py
+++ b/eiderfield/net/discovery/platform.py
@@ -1,47 +1,48 @@
-"""The platform's discovery as a source of workers: one answer that stays open, a line for each change."""
+"""The platform's discovery as a source of workers: one open response with a line for each change."""
 
 from __future__ import annotations
 
 import json
 
 from eiderfield.net.discovery.json_stream import JsonStream
-from eiderfield.net.discovery.watch import MAX_LIST, Watch
+from eiderfield.net.discovery.watch import MAX_LIST_BYTES, Watch
 from eiderfield.net.http import MalformedMessageError, request_bytes
 
 
 class PlatformWatch(Watch):
     """A watch of the platform's discovery.
 
-    Another source may count its versions on its own, so that `needs_snapshot` asks for a whole list first;
-    the table stands until that has come.
+    Attributes:
+        needs_snapshot: Whether to request a whole list first, since another source may number its versions
+            differently. The table stays as it is until that list comes.
     """
 
     needs_snapshot = False
+    _stream: JsonStream  # of the present connection
 
     def next_request(self) -> bytes:
-        """The request for what has changed since the last version, or for everything."""
+        """Return the request for the changes after the last version, or for a whole list."""
         everything = self.needs_snapshot or self.table.index is None
         after = "" if everything else f"&after={self.table.index}"
         host, port = self.address
         return request_bytes("GET", f"/v1/endpoints?watch=1{after}", f"{host}:{port}")
 
     def connect(self) -> None:
-        """Opens a connection, whose stream begins with a new value."""
-        self._stream = JsonStream(MAX_LIST)
+        """Open a connection, whose stream begins with a new value."""
+        self._stream = JsonStream(MAX_LIST_BYTES)
         super().connect()
 
     def on_body(self, data: bytes) -> None:
-        """Applies each list as it is complete; an empty line is only a sign of life. Bytes alone are none: a
-        source that dribbles tells nobody anything."""
+        """Apply each list once it is complete. An empty line is a heartbeat; an incomplete one is none."""
         for text in self._stream.feed(data):
             if text:
                 self.table.load(json.loads(text))
                 self.needs_snapshot = False
             self.table.start_times.record_source_contact()
-            self.source_alive()
+            self.record_heartbeat()
             if text:
                 self.list_applied()
 
     def on_end(self) -> None:
-        """A watch has no end of its own."""
+        """Reject the end of the response, which never ends by itself."""
         raise MalformedMessageError("the watch has ended")
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -24,7 +24,7 @@
 from eiderfield.net.discovery.active_watch import ActiveWatch
 from eiderfield.net.discovery.json_stream import JsonStream
 from eiderfield.net.discovery.platform import PlatformWatch
-from eiderfield.net.discovery.watch import SILENCE
+from eiderfield.net.discovery.watch import HEARTBEAT_TIMEOUT_MS
 from eiderfield.net.http import MalformedMessageError
 from eiderfield.net.wheel import TICK_MS
 
@@ -103,7 +103,7 @@
     But a change counts as told 6 s after the source could be reached, whatever calls failed before that."""
     to_list = DIAL_TIMEOUT + FIRST_LIST_TIME
     assert MAX_WAIT + to_list == NOTIFIED_AFTER
-    assert SILENCE + to_list < NOTIFIED_AFTER
+    assert HEARTBEAT_TIMEOUT_MS + to_list < NOTIFIED_AFTER
     backoff, now = Backoff(sharers, sharers - 1, Random(1)), 0.0
     for failure in range(200):
         if failure % 50 == 49:
@@ -193,7 +193,9 @@
     feed.pipe.send(head + b"%x\r\n%s\r\n" % (len(bad), bad))
     assert dispatcher.exchange.endpoints.states == before
     assert not feed.pipe.open
-    assert "watch reopened after index 3 in " in dispatcher.logged[-1], json.dumps(dispatcher.logged)
+    assert (
+        "watch reopened (reason=" in dispatcher.logged[-1] and "index=3 wait_ms=" in dispatcher.logged[-1]
+    ), json.dumps(dispatcher.logged)
     dispatcher.advance(40.0 * WAIT_PER_SHARER + 5.0)
     assert len(dispatcher.dials) == 1, "and it comes back"
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,7 +9,7 @@
 from eiderfield.net.clients.connection import EVICTION_GRACE
 from eiderfield.net.console import CALL_TIMEOUT_MS
 from eiderfield.net.discovery.platform import PlatformWatch
-from eiderfield.net.discovery.watch import SILENCE
+from eiderfield.net.discovery.watch import HEARTBEAT_TIMEOUT_MS
 from eiderfield.net.wheel import TICK_MS
 
 
@@ -163,7 +163,7 @@
         ("127.0.0.1", 8500),
         dispatcher.logged.append,
     )
-    watcher.start_in_turn()
+    watcher.start()
     dispatcher.dials[0].refuse()
     dispatcher.advance(1000.0)
     dispatcher.dials[0].up().pipe.break_off()
@@ -171,7 +171,7 @@
     dispatcher.dials[0].up().pipe.send(b"nonsense\r\n\r\n")
     dispatcher.advance(1000.0)
     dispatcher.dials[0].up()
-    dispatcher.advance(SILENCE + 10.0)
+    dispatcher.advance(HEARTBEAT_TIMEOUT_MS + 10.0)
     dispatcher.advance(DIAL_TIMEOUT + 10.0)
     assert console.figures()["watches_reopened"] == {
         "refused": 1,
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -6,7 +6,7 @@
 from support.consul import Consul, instance
 
 from eiderfield.interface import EndpointState
-from eiderfield.net.discovery.consul import ANSWER_SLACK
+from eiderfield.net.discovery.consul import ANSWER_SLACK_MS
 
 
 def test_health_is_followed_by_blocking_queries():
@@ -84,7 +84,7 @@
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1))
-    consul.dispatcher.advance(30_000.0 * 17 / 16 + ANSWER_SLACK + 50.0)
+    consul.dispatcher.advance(30_000.0 * 17 / 16 + ANSWER_SLACK_MS + 50.0)
     assert not consul.pipe.open
     assert consul.states() == {"n/a": EndpointState.READY}
 
@@ -157,7 +157,10 @@
     consul.answer(2)
     assert len(consul.states()) == 3
     assert consul.dispatcher.table.unconfirmed_removals == 3
-    assert any("in doubt" in line or "leaves out 3 of 3" in line for line in consul.dispatcher.logged)
+    assert any(
+        "discovery: list omits ready workers" in line and "omitted=3 ready=3" in line
+        for line in consul.dispatcher.logged
+    )
     consul.dispatcher.advance(1100.0)
     assert consul.query() == "/v1/health/service/claim%20workers"
     consul.answer(9, instance("a", 1), instance("b", 2), instance("c", 3))
@@ -188,7 +191,7 @@
             consul.dispatcher.settle()
     assert consul.states() == {"n/a": EndpointState.READY}
     assert consul.dispatcher.table.unconfirmed_removals == 0
-    assert any("is applied now" in line for line in consul.dispatcher.logged)
+    assert any("discovery: unconfirmed list applied" in line for line in consul.dispatcher.logged)
 
 
 def test_a_shorter_list_with_a_leader_and_a_going_index_is_no_doubt():
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -8,7 +8,7 @@
 from eiderfield.interface import EndpointState, Outcome
 from eiderfield.net.clients.connection import MESSAGES_PER_TURN
 from eiderfield.net.discovery.platform import PlatformWatch
-from eiderfield.net.discovery.watch import SILENCE
+from eiderfield.net.discovery.watch import HEARTBEAT_TIMEOUT_MS
 from eiderfield.net.http import MAX_BODY_BYTES
 from eiderfield.net.worker_idle import DISTRUST_MS, IDLE_MARGIN_MS
 from eiderfield.net.worker_messages import DEADLINE_MARGIN_MS
@@ -358,7 +358,7 @@
         dispatcher.advance(2000.0)
         end.pipe.send(b"1\r\n\n\r\n")
     assert end.pipe.open
-    dispatcher.advance(SILENCE + 500.0)
+    dispatcher.advance(HEARTBEAT_TIMEOUT_MS + 500.0)
     assert not end.pipe.open
     assert list(dispatcher.exchange.endpoints.states.values()) == [EndpointState.DRAINING]
     again = dispatcher.dials[-1].up()
@@ -393,7 +393,7 @@
     dispatcher = InMemoryDispatcher(workers=1)
     _, end = watch(dispatcher)
     end.pipe.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    for _ in range(int(SILENCE / 100.0) + 1):
+    for _ in range(int(HEARTBEAT_TIMEOUT_MS / 100.0) + 1):
         end.pipe.send(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
         dispatcher.advance(100.0)
     assert not end.pipe.open
