--- a/eiderfield/batch/deprecation.py
+++ b/eiderfield/batch/deprecation.py
@@ -10,26 +10,26 @@
 Owner = TypeVar("Owner", bound=type)
 Function = TypeVar("Function", bound=Callable[..., Any])
 
-CALLER = 3  # stack level of the code that used the old name, seen from `warn_renamed`
+CALLER_STACK_LEVEL = 3  # of the code that used the old name, seen from `warn_renamed`
 
 
 class DeprecatedAlias:
     """A descriptor that stands for an attribute under its old name."""
 
     def __init__(self, owner: str, old: str, new: str) -> None:
-        """Names both attributes as users of `owner` know them."""
+        """Create an alias of the attribute `new` of the class named `owner`."""
         self._owner = owner
         self._old = old
         self._new = new
 
     def __get__(self, instance: object, owner: type | None = None) -> Any:
-        """The attribute under its new name, with a warning."""
+        """Return the value of the renamed attribute, with a warning."""
         warn_renamed(f"{self._owner}.{self._old}", f"{self._owner}.{self._new}")
         return getattr(owner if instance is None else instance, self._new)
 
 
 def deprecated_aliases(**new_names: str) -> Callable[[Owner], Owner]:
-    """A class decorator that adds old names, each with the name that replaces it."""
+    """Return a class decorator that adds old names of attributes, each mapped to its new one."""
 
     def add_aliases(owner: Owner) -> Owner:
         for old, new in new_names.items():
@@ -40,7 +40,7 @@
 
 
 def deprecated_keywords(**new_names: str) -> Callable[[Function], Function]:
-    """A decorator for functions some of whose arguments were renamed."""
+    """Return a decorator that accepts old names of keyword arguments, each mapped to its new one."""
 
     def accept_old(function: Function) -> Function:
         @functools.wraps(function)
@@ -57,5 +57,5 @@
 
 
 def warn_renamed(old: str, new: str) -> None:
-    """Warns the code that used an old name."""
-    warnings.warn(f"{old} is deprecated, use {new}", DeprecationWarning, stacklevel=CALLER)
+    """Warn about the use of an old name, at the line that used it."""
+    warnings.warn(f"{old} is deprecated, use {new}", DeprecationWarning, stacklevel=CALLER_STACK_LEVEL)
--- a/eiderfield/batch/drmaa.py
+++ b/eiderfield/batch/drmaa.py
@@ -6,9 +6,11 @@
 
 from eiderfield.errors import EiderfieldError
 
+RETRY_AFTER_MS = 1000.0  # that a client is advised to wait where there is no capacity
+
 
 class JobState(Enum):
-    """Where a job stands."""
+    """The state of a job."""
 
     UNDETERMINED = "undetermined"
     QUEUED_ACTIVE = "queued_active"
@@ -23,7 +25,7 @@
 
 
 class ControlAction(Enum):
-    """What may be asked of a job. Only TERMINATE can be done to a job that workers run."""
+    """The actions that DRMAA applies to a job. Only TERMINATE can be carried out here."""
 
     SUSPEND = "suspend"
     RESUME = "resume"
@@ -39,13 +41,13 @@
     status = 500
 
     def __init__(self, message: str, retry_after: float = 0.0) -> None:
-        """`retry_after` is the advised wait in milliseconds, 0 for no advice."""
+        """Create an error; `retry_after` is the advised wait in ms, 0 for none."""
         super().__init__(message)
         self.retry_after = retry_after
 
 
 class InvalidJobError(DrmaaError):
-    """No such job is known (any more)."""
+    """The job is not known, or was forgotten."""
 
     name = "InvalidJobException"
     status = 404
@@ -66,14 +68,14 @@
 
 
 class TryLaterError(DrmaaError):
-    """The dispatcher has no capacity for this at the moment."""
+    """The dispatcher has no capacity at the moment; the same submission may succeed later."""
 
     name = "TryLaterException"
     status = 503
 
 
 class ExitTimeoutError(DrmaaError):
-    """The time of a wait is over and the job is not."""
+    """The job did not end within the time of the wait."""
 
     name = "ExitTimeoutException"
     status = 408
@@ -86,7 +88,7 @@
     status = 502
 
     def __init__(self, message: str, retry_after: float = 0.0, *, sent: bool = False) -> None:
-        """`sent` says whether the request may have arrived."""
+        """Create an error; `sent` is whether the request may have arrived."""
         super().__init__(message, retry_after)
         self.sent = sent
 
--- a/eiderfield/batch/job.py
+++ b/eiderfield/batch/job.py
@@ -43,6 +43,11 @@
         if on_settled is not None:
             on_settled()
 
+    def remove_end_callback(self, on_end: Callable[[], None]) -> None:
+        """Remove a callback, if it is still there."""
+        if on_end in self.end_callbacks:
+            self.end_callbacks.remove(on_end)
+
     def call_end_callbacks(self) -> None:
         """Call back all that wait for the job's end, once."""
         callbacks, self.end_callbacks = self.end_callbacks, []
--- a/eiderfield/batch/messages.py
+++ b/eiderfield/batch/messages.py
@@ -1,4 +1,4 @@
-"""The messages of the batch protocol, each with its one codec. Their JSON keys are part of the protocol."""
+"""The messages of the batch protocol and their JSON codecs. The keys are part of the protocol."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 from math import isfinite
-from typing import Any
 
 from eiderfield.batch.drmaa import InvalidArgumentError, JobState
 from eiderfield.exchange.request import Answer, Verdict
@@ -21,7 +20,10 @@
 
 @dataclass(slots=True, frozen=True)
 class JobTemplate:
-    """A job as a client submits it. `deadline` is in milliseconds from the submission, 0 for its class's."""
+    """A job as a client submits it.
+
+    `deadline` is in ms from the submission, 0 for the deadline of the class.
+    """
 
     job_class: str
     subject: str = ""
@@ -30,7 +32,7 @@
     idempotency_key: str = ""
 
     def to_json(self) -> dict[str, object]:
-        """The template in plain values, without what is not set."""
+        """Return the template as a JSON object, without the values that are not set."""
         message: dict[str, object] = {"jobClass": self.job_class}
         if self.subject:
             message["subject"] = self.subject
@@ -44,7 +46,7 @@
 
     @classmethod
     def from_json(cls, message: object) -> JobTemplate:
-        """The template of a client's message; raises `InvalidArgumentError` with the faulty key."""
+        """Return the template of a client's message; raise `InvalidArgumentError` with the faulty key."""
         if not isinstance(message, Mapping):
             raise InvalidArgumentError("a job template is not an object")
         for key in message:
@@ -58,23 +60,23 @@
             job_class=texts["jobClass"],
             subject=texts["subject"],
             body=texts["body"],
-            deadline=_deadline(message),
+            deadline=_read_deadline(message),
             idempotency_key=texts["idempotencyKey"],
         )
 
 
 @dataclass(slots=True, frozen=True)
 class JobEnd:
-    """How a job ended, and when."""
+    """The answer of a finished job, and its time."""
 
     answer: Answer
-    finished: float  # ms of the process's clock
+    finished_at: float  # ms of the process's clock
 
     def to_json(self, to_unix: ToUnix) -> dict[str, object]:
-        """The end in plain values."""
+        """Return the end as the keys that it adds to a status."""
         message: dict[str, object] = {
             "verdict": self.answer.verdict.value,
-            "finishedMs": int(to_unix(self.finished)),
+            "finishedMs": int(to_unix(self.finished_at)),
             "mayHaveRun": self.answer.may_have_run,
             "legs": self.answer.attempts,
         }
@@ -87,21 +89,21 @@
 
 @dataclass(slots=True, frozen=True)
 class JobStatus:
-    """Where a job stands, and how it ended once it has."""
+    """The state of a job, and its end once it is finished."""
 
     job_id: str
     job_class: str
     state: JobState
-    submitted: float  # ms of the process's clock
+    submitted_at: float  # ms of the process's clock
     end: JobEnd | None = None
 
     def to_json(self, to_unix: ToUnix) -> dict[str, object]:
-        """The status in plain values."""
+        """Return the status as a JSON object."""
         message: dict[str, object] = {
             "jobId": self.job_id,
             "jobClass": self.job_class,
             "state": self.state.value,
-            "submittedMs": int(to_unix(self.submitted)),
+            "submittedMs": int(to_unix(self.submitted_at)),
         }
         if self.end is not None:
             message |= self.end.to_json(to_unix)
@@ -109,20 +111,20 @@
 
 
 def bulk_to_json(templates: Sequence[JobTemplate]) -> dict[str, object]:
-    """A bulk submission in plain values."""
+    """Return a bulk submission as a JSON object."""
     return {"jobs": [template.to_json() for template in templates]}
 
 
 def bulk_from_json(message: Mapping[str, object]) -> list[JobTemplate]:
-    """The templates of a bulk submission; raises `InvalidArgumentError`."""
+    """Return the templates of a bulk submission; raise `InvalidArgumentError`."""
     jobs = message.get("jobs")
     if not isinstance(jobs, list):
         raise InvalidArgumentError("jobs is not a list")
     return [JobTemplate.from_json(job) for job in jobs]
 
 
-def parse_object(body: bytes) -> Mapping[str, Any]:
-    """The JSON object of a request's body; raises `InvalidArgumentError`."""
+def parse_object(body: bytes) -> Mapping[str, object]:
+    """Return the JSON object of a message's body; raise `InvalidArgumentError` if it is none."""
     try:
         message: object = json.loads(body)
     except (ValueError, RecursionError):
@@ -132,7 +134,7 @@
     return message
 
 
-def _deadline(message: Mapping[object, object]) -> float:
+def _read_deadline(message: Mapping[object, object]) -> float:
     deadline = message.get("deadlineMs", 0.0)
     if isinstance(deadline, bool) or not isinstance(deadline, int | float) or not isfinite(deadline):
         raise InvalidArgumentError("deadlineMs is not a number")
--- a/eiderfield/batch/parameters.py
+++ b/eiderfield/batch/parameters.py
@@ -1,4 +1,4 @@
-"""The parameters of the batch front's requests."""
+"""Parsers of the parameters in messages of the batch protocol."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from eiderfield.batch.drmaa import ControlAction, DeniedByDrmError, InvalidArgumentError
 from eiderfield.batch.messages import SHOWN_CHARACTERS
 
-LONGEST_WAIT = 600_000.0  # ms
+MAX_WAIT_MS = 600_000.0
 
 
-def wait_of(query: str) -> float:
-    """For how long a client waits for a job's end, in ms."""
-    text = parse_qs(query).get("timeoutMs", [f"{LONGEST_WAIT}"])[-1]
+def parse_wait_timeout(query: str) -> float:
+    """Return for how many ms a client waits for a job's end; raise `InvalidArgumentError`."""
+    text = parse_qs(query).get("timeoutMs", [f"{MAX_WAIT_MS}"])[-1]
     try:
-        wait = min(float(text), LONGEST_WAIT)
+        wait = min(float(text), MAX_WAIT_MS)
     except ValueError:
         raise InvalidArgumentError(f"timeoutMs is not a number: {text[:SHOWN_CHARACTERS]!r}") from None
     if not wait >= 0.0:  # this holds for NaN too
@@ -23,7 +23,12 @@
 
 
 def require_terminate(action: object) -> None:
-    """Raises where a control action is not the one that workers can carry out."""
+    """Check that a control action is the one that can be carried out.
+
+    Raises:
+        InvalidArgumentError: There is no such action.
+        DeniedByDrmError: The action is another one of DRMAA's.
+    """
     try:
         requested = ControlAction(action)
     except ValueError:
--- a/eiderfield/batch/remote.py
+++ b/eiderfield/batch/remote.py
@@ -1,22 +1,26 @@
-"""Requests about jobs of other dispatchers or of an earlier process: the durable store answers them."""
+"""Messages about durable jobs of any dispatcher, answered from the durable store."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from functools import partial
 
-from eiderfield.batch.drmaa import ExitTimeoutError, InvalidJobError, JobState, TryLaterError
+from eiderfield.batch.drmaa import (
+    RETRY_AFTER_MS,
+    ExitTimeoutError,
+    InvalidJobError,
+    JobState,
+    TryLaterError,
+)
 from eiderfield.batch.durable import DurableJob, DurableJobLookup
 from eiderfield.batch.messages import SHOWN_CHARACTERS, JobEnd, JobStatus, ToUnix
 from eiderfield.batch.replies import send_error, send_status
 from eiderfield.exchange.request import Verdict
-from eiderfield.net.clients import Responder
-
-RETRY_AFTER_MS = 1000.0  # that a client is advised to wait where the store accepts nothing
+from eiderfield.net.clients.front import Responder
 
 
 class RemoteWait:
-    """A client's request that waits for a job which another dispatcher has."""
+    """A client's wait for the end of a durable job. Sends one response."""
 
     def __init__(
         self,
@@ -26,7 +30,7 @@
         until: float,
         to_unix: ToUnix,
     ) -> None:
-        """`until` is when the wait is over, on this process's clock."""
+        """Prepare to wait until `until`, in ms of the process's clock."""
         self._to_unix = to_unix
         self._lookup = lookup
         self._connection = connection
@@ -34,16 +38,16 @@
         self._until = until
         self._stop_waiting: Callable[[], None] | None = None
 
-    def begin(self) -> None:
-        """Answers with the job's status once it is final, or with an error once the time is over."""
+    def start(self) -> None:
+        """Send the job's status once it is final, or an error once the time is over."""
         self._lookup.find(self._job_id, self._wait_if_unfinished)
 
     def cancel_job(self) -> None:
-        """Requests the job's end, and waits for it."""
+        """Request the job's termination, and wait for its end."""
         self._lookup.find(self._job_id, self._cancel_if_unfinished)
 
     def abandon(self) -> None:
-        """Stops waiting: the client has gone."""
+        """Stop waiting: the client has left."""
         if self._stop_waiting is not None:
             self._stop_waiting()
 
@@ -57,10 +61,10 @@
         if job is None or job.verdict:
             self._send_found(job)
             return
-        self._lookup.cancel(self._job_id, partial(self._wait_once_stored, job))
+        self._lookup.cancel(self._job_id, partial(self._wait_once_requested, job))
 
-    def _wait_once_stored(self, job: DurableJob, stored: bool) -> None:
-        if stored:
+    def _wait_once_requested(self, job: DurableJob, recorded: bool) -> None:
+        if recorded:
             self._wait_if_unfinished(job)
         else:
             error = TryLaterError("the wish for its end cannot be written down", RETRY_AFTER_MS)
@@ -70,7 +74,7 @@
         send_found(self._connection, self._lookup, self._job_id, self._to_unix, job)
 
     def _look_up_end(self) -> None:
-        """The wait is over by the job's answer or by its time, which the store tells apart."""
+        """Look up whether the wait ended by the job's answer or by its time."""
         self._lookup.find(self._job_id, self._send_end)
 
     def _send_end(self, job: DurableJob | None) -> None:
@@ -88,7 +92,7 @@
     to_unix: ToUnix,
     job: DurableJob | None,
 ) -> None:
-    """Answers with what the store knows of a job."""
+    """Send the status of a job that was looked up, an error if it is not known."""
     if job is None:
         error = InvalidJobError(f"job {job_id[:SHOWN_CHARACTERS]!r} is not known")
         send_error(connection, error)
--- a/eiderfield/batch/submission.py
+++ b/eiderfield/batch/submission.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from functools import partial
 
-from eiderfield.batch.drmaa import InvalidArgumentError, TryLaterError
+from eiderfield.batch.drmaa import RETRY_AFTER_MS, InvalidArgumentError, TryLaterError
 from eiderfield.batch.durable import DurableJobs
 from eiderfield.batch.job import BatchJob
 from eiderfield.batch.job_table import JobTable
@@ -23,7 +23,6 @@
 
 RANDOM_ID_BYTES = 8  # in the ids of a process's jobs
 MAX_BULK_JOBS = 1000  # jobs of one bulk submission
-RETRY_AFTER_MS = 1000.0  # that a client is advised to wait where there is no capacity
 FRONT_NAME = "batch"  # by which the durable store knows whose jobs these are
 
 
