--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -6,13 +6,13 @@
 from __future__ import annotations
 
 import json
-import os
 import resource
 import socket
 import sys
 import threading
 from contextlib import contextmanager, suppress
 from math import inf
+from pathlib import Path
 
 import pytest
 from support.processes import (
@@ -52,7 +52,7 @@
 
     @property
     def descriptors(self):
-        return len(os.listdir(f"/proc/{self.process.pid}/fd"))
+        return len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
 
     def allow(self, count):
         _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE)
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -3,6 +3,7 @@
 import socket
 import subprocess
 import sys
+from pathlib import Path
 
 import pytest
 from support.processes import ROOT
@@ -25,7 +26,7 @@
 
 
 def test_ports_lie_below_the_range_that_the_kernel_gives_out(block):
-    with open("/proc/sys/net/ipv4/ip_local_port_range") as file:
+    with Path("/proc/sys/net/ipv4/ip_local_port_range").open() as file:
         kernel_first = int(file.read().split()[0])
     assert FIRST_PORT < block.take() < END_PORT <= kernel_first
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -41,7 +41,7 @@
 
 
 def plan(**more):
-    usual = DayPlan(8, 24.0, 30.0, 0.25, seed=1, checkout=Path("."))
+    usual = DayPlan(8, 24.0, 30.0, 0.25, seed=1, checkout=Path())
     return replace(usual, **more)
 
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -126,7 +126,7 @@
     anew = tmp_path / "anew.json"
     os.mkfifo(path)
     with running_program(path, wait=False, LB_DISCOVERY=f"127.0.0.1:{old.port}") as process:
-        with open(path, "w") as file:  # it stands at reading it now, and until this is closed
+        with path.open("w") as file:  # it stands at reading it now, and until this is closed
             process.send_signal(signal.SIGHUP)
             file.write(json.dumps(program_config(port, f"127.0.0.1:{old.port}")))
             anew.write_text(json.dumps(program_config(port, f"127.0.0.1:{new.port}")))
@@ -137,7 +137,7 @@
 
 
 def test_a_process_begun_as_deployed_survives_hang_ups_from_its_first_moment(tmp_path):
-    with open(ROOT / "deploy" / "balancer.toml", "rb") as file:
+    with (ROOT / "deploy" / "balancer.toml").open("rb") as file:
         run = tomllib.load(file)["run"]
     command = run.replace(".venv/bin/python", sys.executable)
     assert command != run
