--- a/tests/support/handover.py
+++ b/tests/support/handover.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any, cast
 
+from eiderfield.interface import EndpointState
 from eiderfield.net.handover import Handover, HandoverContext
 from eiderfield.net.link import Link
 from support.memory_dispatcher import InMemoryDispatcher
@@ -120,3 +121,9 @@
         for side in (self.old, self.new):
             if side.dispatcher.listener.acceptor.listening_socket is not None:
                 side.dispatcher.listener.acceptor.listening_socket.close()
+
+
+def endpoint_state(side: Side, worker: int) -> EndpointState | None:
+    """Return the state in which a side's exchange holds worker `w<worker>`."""
+    number = side.dispatcher.ids.known(f"w{worker}")
+    return None if number is None else side.dispatcher.exchange.endpoints.states.get(number)
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import json
+import socket
 from collections import deque
 from collections.abc import Callable
 from dataclasses import replace
@@ -102,9 +103,10 @@
         dispatcher: InMemoryDispatcher,
         listener: Listener | None = None,
         handover: ConnectionHandover | None = None,
+        sock: socket.socket | None = None,
     ) -> None:
         self.dispatcher = dispatcher
-        self.connection = ClientConnection(listener or dispatcher.listener, handover=handover)
+        self.connection = ClientConnection(listener or dispatcher.listener, sock, handover=handover)
         (listener or dispatcher.listener).open_connections.add(self.connection)
         self.pipe = Pipe(self.connection)
         self.connection.connection_made(self.pipe)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,33 +1,15 @@
-"""One process of a dispatcher hands over to the next: two joined in memory, and two real processes."""
-
-import json
-import os
-import signal
-import socket
-import subprocess
-import sys
-import threading
-from struct import Struct
-from typing import ClassVar
+"""Handover from one process of a dispatcher to the next, joined in memory: state, updates, lost links."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from support.handover import LISTEN, Loop, Pair, Side, Wire
-from support.memory_dispatcher import Client, InMemoryDispatcher
+from support.handover import Pair, Side, Wire, endpoint_state
+from support.memory_dispatcher import Client
 from support.policy import learn
-from support.processes import CONFIG, ROOT, DiscoveryServer, HoldingWorker, ask, post
 
-from eiderfield.idmap import IdMap
-from eiderfield.interface import EndpointState, decode_peer_report, encode_peer_report
-from eiderfield.lab.ports import free_port
+from eiderfield.interface import EndpointState
 from eiderfield.model.learned_state import KeyCount
-from eiderfield.net.clients.acceptor import ACCEPTED_PER_TURN
 from eiderfield.net.handover.new_process import ANSWER_TIMEOUT_MS, DELAYED_ANSWER_TIMEOUT_MS
-from eiderfield.net.link_socket import LinkListener, connect_link
-
-ENVELOPE = Struct("<BIH")  # of messages between dispatchers
-PATIENT = {**CONFIG["settings"]["classes"][0], "give_up": 300_000}  # however long a process takes to start
 
 
 @pytest.fixture
@@ -37,10 +19,6 @@
     pair.close()
 
 
-def state(side, worker):
-    return side.dispatcher.exchange.endpoints.states.get(side.dispatcher.ids.known(f"w{worker}"))
-
-
 def test_the_new_process_takes_port_list_and_bans_and_the_old_one_accepts_no_more(pair):
     pair.old.dispatcher.table.ban("w2")
     pair.old.dispatcher.tell((3, "SERVING"), (3, "DELETED"))
@@ -51,7 +29,7 @@
     assert pair.new.takes()
     assert not pair.old.takes()
     assert pair.old.handover.handed_over
-    assert [state(pair.new, w) for w in (1, 2)] == [EndpointState.READY, EndpointState.DRAINING]
+    assert [endpoint_state(pair.new, w) for w in (1, 2)] == [EndpointState.READY, EndpointState.DRAINING]
     assert pair.new.dispatcher.table.ban("w3"), "ids that were ever listed are remembered"
     assert pair.new.dispatcher.table.ban("w4") is False
     assert pair.new.dispatcher.table.listed_workers == pair.old.dispatcher.table.listed_workers
@@ -97,10 +75,10 @@
     side = getattr(pair, who)
     side.dispatcher.table.ban("w1")
     pair.go()
-    assert state(pair.old, 1) == state(pair.new, 1) == EndpointState.DRAINING
+    assert endpoint_state(pair.old, 1) == endpoint_state(pair.new, 1) == EndpointState.DRAINING
     side.dispatcher.table.unban("w1")
     pair.go()
-    assert state(pair.old, 1) == state(pair.new, 1) == EndpointState.READY
+    assert endpoint_state(pair.old, 1) == endpoint_state(pair.new, 1) == EndpointState.READY
     assert not pair.old.dispatcher.table.bans.since
     assert not pair.new.dispatcher.table.bans.since
 
@@ -190,40 +168,6 @@
     assert new.side.connection_limit == new.side.configured_limit
 
 
-@pytest.mark.parametrize("cut", [0, 20, -1])
-def test_a_client_goes_along_with_what_of_its_next_message_was_read(cut):
-    """Closed on instead, its job would be lost at the listener."""
-    old, new = InMemoryDispatcher(), InMemoryDispatcher()
-    client = Client(old)
-    here, there = socket.socketpair()
-    with here, there:
-        client.connection._sock = here
-        client.connection.proven = True
-        message = post("r1")
-        client.send(message[:cut])
-        if cut == -1:
-            assert client.connection.detach() is None, "its head is whole: this process takes the job"
-            return
-        detached = client.connection.detach()
-        with socket.socket(fileno=detached.descriptor) as copy:
-            assert not client.pipe.open
-            assert not old.listener.connections
-            assert detached.state.buffered == message[:cut]
-            there.sendall(b"x")
-            assert copy.recv(1) == b"x", "the connection itself is open"
-        heir = Client(new, handover=detached.state)
-        heir.send(message[cut:])
-        assert heir.connection.proven, "it is one message"
-        assert heir.answers()[0][0] == 404, "it is one message"
-
-
-def test_what_owes_an_answer_is_not_given_away():
-    dispatcher = InMemoryDispatcher()
-    client = dispatcher.client()
-    assert client.connection.detach() is None
-    assert client.pipe.open
-
-
 def test_a_process_that_says_nothing_is_not_waited_for(pair):
     pair.new.dispatcher.advance(ANSWER_TIMEOUT_MS + 8.0)
     assert pair.new.done
@@ -261,17 +205,6 @@
     assert pair.new.done
 
 
-def test_connections_pass_on_a_few_at_a_time():
-    """All at once, each would hold a descriptor in both processes, more than the two may have."""
-    dispatcher = InMemoryDispatcher(most=64)
-    clients = [Client(dispatcher) for _ in range(ACCEPTED_PER_TURN + 5)]
-    dispatcher.listener.successor = lambda let_go: let_go.__self__.abort() is None
-    dispatcher.listener.hand_over_some()
-    assert sum(client.pipe.open for client in clients) == 5
-    dispatcher.listener.hand_over_some()
-    assert not dispatcher.listener.connections
-
-
 WORDS = st.sampled_from(["ask", "state", "taken", "yours", "news", "ban", "client", "wait", "none"])
 VALUES = st.recursive(st.none() | st.integers(-9, 9) | st.text(max_size=3), lambda v: st.lists(v, max_size=2))
 KEYS = ["form", "doors", "table", "bans", "ids", "legs", "memory", "open", "worker", "since", "door", "begun"]
@@ -286,308 +219,3 @@
         assert side.dispatcher.listener.listening
     pair.old.dispatcher.settle()
     pair.close()
-
-
-class FirstForm:
-    """A process of the first revision that handed over: what it said, written out. It knows no peers, no
-    parked connections and no failing workers, and passes over what it does not know of a message."""
-
-    ASK: ClassVar = {"is": "ask", "form": 1}
-    TAKEN: ClassVar = {"is": "taken", "doors": [LISTEN]}
-    STATE: ClassVar = {
-        "is": "state",
-        "doors": [LISTEN],
-        "ids": ["held"],
-        "legs": [["w1", 2]],
-        "table": {
-            "index": 7,
-            "snapshot": True,
-            "cold": [],
-            "endpoints": [
-                {
-                    "name": "w1",
-                    "address": "127.0.0.1:9",
-                    "status": "SERVING",
-                    "zone": "here",
-                    "type": "std",
-                    "group": 0,
-                    "weight": 1.0,
-                    "since_ms": 0.0,
-                }
-            ],
-        },
-        "bans": {"banned": {"w2": 5.0}},
-        "memory": {
-            "pacers": [[120.0, None, 0.0, 0.0]],
-            "spent": [5.0, 0.1, 1.0],
-            "cold": [],
-            "keys": [[9, 3]],
-            "slots": [[0, 4.0]],
-        },
-    }
-    YOURS: ClassVar = {"is": "yours", "open": {LISTEN: 3}}
-
-
-def test_a_new_process_takes_over_from_one_of_the_first_form():
-    new = Side(workers=0)
-    wire, here = Wire(), Wire()
-    wire.peer = here
-    new.handover.take_over(wire, new.settle)
-    [(asked, _)] = wire.sent
-    assert {**asked, **FirstForm.ASK} == asked, "what the first form asks for is said as it was"
-    with socket.create_server(("127.0.0.1", 0)) as listener:
-        classes = len(new.dispatcher.exchange.settings.classes)
-        memory = {**FirstForm.STATE["memory"], "pacers": FirstForm.STATE["memory"]["pacers"] * classes}
-        wire.receive({**FirstForm.STATE, "memory": memory}, [os.dup(listener.fileno())])
-        new.dispatcher.settle()
-        assert wire.sent[1][0]["is"] == "taken"
-        assert wire.sent[1][0]["doors"] == [LISTEN]
-        wire.receive(FirstForm.YOURS, [])
-    assert new.done
-    assert new.takes()
-    assert wire.open
-    assert [line for line in new.dispatcher.logged if line.startswith("handover:")] == []
-    assert new.dispatcher.listener.held_by_other_process == 3
-    assert new.dispatcher.exchange.has_request("held")
-    assert state(new, 1) == EndpointState.READY
-    assert new.dispatcher.table.bans.since == {"w2": 5.0}
-    new.dispatcher.listener.acceptor.listening_socket.close()
-
-
-def test_an_old_process_hands_over_to_one_of_the_first_form():
-    old = Side()
-    old.dispatcher.listener.adopt(old.loop, socket.create_server(("127.0.0.1", 0)))
-    wire, there = Wire(), Wire()
-    wire.peer = there
-    old.handover.accept(wire)
-    wire.receive(FirstForm.ASK, [])
-    [(told, fds)] = wire.sent
-    assert told.keys() >= FirstForm.STATE.keys()
-    assert told["memory"].keys() >= FirstForm.STATE["memory"].keys()
-    assert len(fds) == 1, "a socket that it does not know of would leak in it"
-    os.close(fds[0])
-    wire.receive(FirstForm.TAKEN, [])
-    assert old.handover.handed_over
-    assert not old.takes()
-    old.dispatcher.client(id_="a")
-    old.dispatcher.settle()
-    old.dispatcher.advance(8.0)
-    assert {told["is"] for told, _ in wire.sent} <= {"state", "yours", "news"}, "no words that it lacks"
-    old.dispatcher.listener.acceptor.listening_socket.close()
-
-
-def test_a_socket_that_nobody_listens_at_is_no_process(tmp_path):
-    deep = tmp_path / ("d" * 120)  # longer than a Unix address holds
-    deep.mkdir()
-    assert connect_link(Loop(), deep / "s") is None
-    ear = LinkListener(Loop(), deep / "s", lambda _link: None)
-    ear.open()
-    link = connect_link(Loop(), deep / "s")
-    assert link is not None
-    link.close()
-    ear.close(unlink=False)
-    assert (deep / "s").exists()
-    assert connect_link(Loop(), deep / "s") is None
-    again = LinkListener(Loop(), deep / "s", lambda _link: None)
-    again.open()  # in the place of the dead one
-    again.close(unlink=True)
-    assert not list(deep.iterdir())
-
-
-def call(port, path, method="GET"):
-    with socket.create_connection(("127.0.0.1", port), 30) as sock:
-        return ask(sock, f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
-
-
-class Releases:
-    """Versions of a program that start beside each other, as the platform starts them."""
-
-    def __init__(self, folder, discovery):
-        self.folder, self.discovery, self.port = folder, discovery, free_port()
-        self.running, self.more = [], {}
-
-    def start(self):
-        return self.up(*self.launch())
-
-    def launch(self):
-        console = free_port()
-        told = {
-            **CONFIG,
-            "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{self.discovery}",
-            "console": f"127.0.0.1:{console}",
-            "settings": {"classes": [PATIENT]},
-            **self.more,
-        }
-        path = self.folder / f"config-{console}.json"
-        path.write_text(json.dumps(told))
-        environ = {**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(self.folder)}
-        process = subprocess.Popen(
-            [sys.executable, "-m", "eiderfield"], cwd=ROOT, env=environ, stderr=subprocess.PIPE, text=True
-        )
-        self.running.append(process)
-        return process, console
-
-    def up(self, process, console):
-        while "listens on" not in (line := process.stderr.readline()):
-            assert line, "it ended"
-        threading.Thread(target=process.stderr.read, daemon=True).start()
-        return process, console
-
-    def end(self):
-        for process in self.running:
-            process.kill()
-            process.wait()
-
-
-@pytest.fixture
-def releases(tmp_path):
-    worker = HoldingWorker()
-    source = DiscoveryServer(worker.port)
-    releases = Releases(tmp_path, source.port)
-    releases.worker, releases.source = worker, source
-    yield releases
-    releases.end()
-
-
-def test_an_upgrade_loses_no_job_and_no_ban(releases):
-    old, console = releases.start()
-    releases.source.asked.get(timeout=30)
-    kept, half, busy = [socket.create_connection(("127.0.0.1", releases.port), 30) for _ in range(3)]
-    releases.worker.let.set()
-    for sock in (kept, half):  # a connection that has brought a job may idle
-        assert ask(sock, post("r0"))[0] == 200
-    releases.worker.let.clear()
-    releases.worker.came.clear()
-    busy.sendall(post("r1"))
-    assert releases.worker.came.wait(30)
-    assert call(console, "/-/workers/w/disable", "POST")[0] == 200
-
-    new, later = releases.start()
-    assert call(later, "/-/ready")[0] == 200
-    assert json.loads(call(later, "/-/metrics")[1])["hosts_down"] == 1
-    assert call(later, "/-/workers/w/enable", "POST")[0] == 200
-    half.sendall(post("r2")[:20])
-    old.send_signal(signal.SIGTERM)
-    releases.worker.let.set()
-    assert ask(busy, b"") == (200, b"cba"), "what the old process has taken it answers"
-    assert old.wait(30) == 0
-    for sock, data in ((half, post("r2")[20:]), (kept, post("r3")), (busy, post("r4"))):
-        assert ask(sock, data) == (200, b"cba"), "its connection went on to the new process"
-    assert json.loads(call(later, "/-/metrics")[1])["success"] == {"echo": 3}
-    with socket.create_connection(("127.0.0.1", releases.port), 30) as sock:
-        assert ask(sock, post("r5")) == (200, b"cba")
-    for sock in (kept, busy, half):
-        sock.close()
-    new.send_signal(signal.SIGTERM)
-    assert new.wait(30) == 0
-    assert not list(releases.folder.glob("*.sock*"))
-
-
-def test_in_an_upgrade_peers_are_heard_and_told_by_one_process_without_a_gap(releases):
-    peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    peer.bind(("127.0.0.1", 0))
-    peer.settimeout(30)
-    ours, theirs = f"127.0.0.1:{free_port()}", f"127.0.0.1:{peer.getsockname()[1]}"
-    policy = {"may_tell": True, "retry_after": True}
-    releases.more = {
-        "settings": {"classes": [PATIENT], "balancers": 2, "me": 0, "policy_limits": policy},
-        "peer_listen": ours,
-        "peers": [ours, theirs],
-    }
-    host, port = ours.split(":")
-    numbers = iter(range(1, 1000))
-
-    def say():
-        message = ENVELOPE.pack(1, 7, next(numbers)) + encode_peer_report([(releases.number, 1)])
-        peer.sendto(message, (host, int(port)))
-
-    def heard(console, most):
-        while (figures := json.loads(call(console, "/-/metrics")[1])["peers"]).get("heard", 0) < most:
-            pass
-        return figures["heard"]
-
-    releases.number = IdMap().worker("w")
-    old, console = releases.start()
-    releases.source.asked.get(timeout=30)
-    say()
-    heard(console, 1)
-    busy = socket.create_connection(("127.0.0.1", releases.port), 30)
-    busy.sendall(post("r1"))
-    assert releases.worker.came.wait(30)
-    first = ENVELOPE.unpack_from(message := peer.recv(300))
-    assert list(decode_peer_report(message[ENVELOPE.size :])) == [(releases.number, 1)], (
-        "its job at the worker"
-    )
-    _, later = releases.start()
-    for _ in range(5):
-        say()
-    assert heard(later, 5) == 5, "all of them by the next process"
-    assert heard(console, 1) == 1, "all of them by the next process"
-    old.send_signal(signal.SIGTERM)
-    releases.worker.let.set()
-    assert ask(busy, b"") == (200, b"cba")
-    assert old.wait(30) == 0
-    while list(decode_peer_report((message := peer.recv(300))[ENVELOPE.size :])) != [(releases.number, 0)]:
-        pass  # told by the next process, whose life is later, though the job was the old one's
-    assert ENVELOPE.unpack_from(message)[1] > first[1]
-    say()
-    heard(later, 6)
-    busy.close()
-    peer.close()
-
-
-def test_upgrades_that_follow_each_other_closely_lose_no_job(releases):
-    first, _ = releases.start()
-    releases.source.asked.get(timeout=30)
-    busy = socket.create_connection(("127.0.0.1", releases.port), 30)
-    busy.sendall(post("r1"))
-    assert releases.worker.came.wait(30)
-    second, later = releases.start()
-    assert call(later, "/-/ready")[0] == 200
-    first.send_signal(signal.SIGTERM)  # it stays for its job
-    third = releases.launch()
-    releases.worker.let.set()
-    assert ask(busy, b"") == (200, b"cba")
-    assert first.wait(30) == 0
-    _, last = releases.up(*third)
-    assert call(last, "/-/ready")[0] == 200
-    second.send_signal(signal.SIGTERM)
-    assert ask(busy, post("r2")) == (200, b"cba")
-    assert second.wait(30) == 0
-    assert ask(busy, post("r3")) == (200, b"cba")
-    assert json.loads(call(last, "/-/metrics")[1])["success"]["echo"] >= 1
-    busy.close()
-
-
-def test_a_process_that_was_killed_blocks_no_start(releases):
-    releases.worker.let.set()
-    old, _ = releases.start()
-    old.kill()
-    old.wait()
-    assert list(releases.folder.glob("*.sock"))
-    _, console = releases.start()
-    releases.source.asked.get(timeout=30)
-    with socket.create_connection(("127.0.0.1", releases.port), 30) as sock:
-        assert ask(sock, post("r1")) == (200, b"cba")
-    assert call(console, "/-/ready")[0] == 200
-
-
-def test_a_process_that_stands_still_blocks_no_start(releases):
-    releases.worker.let.set()
-    old, _ = releases.start()
-    old.send_signal(signal.SIGSTOP)
-    try:
-        _, console = releases.start()
-        assert call(console, "/-/ready")[0] in (200, 503)  # it is there, whatever it knows by now
-    finally:
-        old.send_signal(signal.SIGCONT)
-
-
-def test_a_second_program_at_an_address_by_mistake_fails(releases, tmp_path):
-    releases.start()
-    other = tmp_path / "other"
-    other.mkdir()
-    releases.folder = other  # which shares no folder, so is no upgrade
-    with pytest.raises(AssertionError, match="it ended"):
-        releases.start()
--- /dev/null
+++ b/tests/test_handover_connections.py
@@ -0,0 +1,53 @@
+"""Client connections that one process passes to the next."""
+
+import socket
+
+import pytest
+from support.memory_dispatcher import Client, InMemoryDispatcher
+from support.processes import post
+
+from eiderfield.net.clients.acceptor import ACCEPTED_PER_TURN
+
+
+@pytest.mark.parametrize("cut", [0, 20, -1])
+def test_a_client_goes_along_with_what_of_its_next_message_was_read(cut):
+    """Closed on instead, its job would be lost at the listener."""
+    old, new = InMemoryDispatcher(), InMemoryDispatcher()
+    here, there = socket.socketpair()
+    with here, there:
+        client = Client(old, sock=here)
+        client.connection.proven = True
+        message = post("r1")
+        client.send(message[:cut])
+        if cut == -1:
+            assert client.connection.detach() is None, "its head is whole: this process takes the job"
+            return
+        detached = client.connection.detach()
+        with socket.socket(fileno=detached.descriptor) as copy:
+            assert not client.pipe.open
+            assert not old.listener.connections
+            assert detached.state.buffered == message[:cut]
+            there.sendall(b"x")
+            assert copy.recv(1) == b"x", "the connection itself is open"
+        heir = Client(new, handover=detached.state)
+        heir.send(message[cut:])
+        assert heir.connection.proven, "it is one message"
+        assert heir.answers()[0][0] == 404, "it is one message"
+
+
+def test_what_owes_an_answer_is_not_given_away():
+    dispatcher = InMemoryDispatcher()
+    client = dispatcher.client()
+    assert client.connection.detach() is None
+    assert client.pipe.open
+
+
+def test_connections_pass_on_a_few_at_a_time():
+    """All at once, each would hold a descriptor in both processes, more than the two may have."""
+    dispatcher = InMemoryDispatcher(most=64)
+    clients = [Client(dispatcher) for _ in range(ACCEPTED_PER_TURN + 5)]
+    dispatcher.listener.successor = lambda let_go: let_go.__self__.abort() is None
+    dispatcher.listener.hand_over_some()
+    assert sum(client.pipe.open for client in clients) == 5
+    dispatcher.listener.hand_over_some()
+    assert not dispatcher.listener.connections
--- /dev/null
+++ b/tests/test_handover_first_form.py
@@ -0,0 +1,97 @@
+"""Handover from and to a process of the first revision that had one."""
+
+import os
+import socket
+from typing import ClassVar
+
+from support.handover import LISTEN, Side, Wire, endpoint_state
+
+from eiderfield.interface import EndpointState
+
+
+class FirstForm:
+    """A process of the first revision that handed over: what it said, written out. It knows no peers, no
+    parked connections and no failing workers, and passes over what it does not know of a message."""
+
+    ASK: ClassVar = {"is": "ask", "form": 1}
+    TAKEN: ClassVar = {"is": "taken", "doors": [LISTEN]}
+    STATE: ClassVar = {
+        "is": "state",
+        "doors": [LISTEN],
+        "ids": ["held"],
+        "legs": [["w1", 2]],
+        "table": {
+            "index": 7,
+            "snapshot": True,
+            "cold": [],
+            "endpoints": [
+                {
+                    "name": "w1",
+                    "address": "127.0.0.1:9",
+                    "status": "SERVING",
+                    "zone": "here",
+                    "type": "std",
+                    "group": 0,
+                    "weight": 1.0,
+                    "since_ms": 0.0,
+                }
+            ],
+        },
+        "bans": {"banned": {"w2": 5.0}},
+        "memory": {
+            "pacers": [[120.0, None, 0.0, 0.0]],
+            "spent": [5.0, 0.1, 1.0],
+            "cold": [],
+            "keys": [[9, 3]],
+            "slots": [[0, 4.0]],
+        },
+    }
+    YOURS: ClassVar = {"is": "yours", "open": {LISTEN: 3}}
+
+
+def test_a_new_process_takes_over_from_one_of_the_first_form():
+    new = Side(workers=0)
+    wire, here = Wire(), Wire()
+    wire.peer = here
+    new.handover.take_over(wire, new.settle)
+    [(asked, _)] = wire.sent
+    assert {**asked, **FirstForm.ASK} == asked, "what the first form asks for is said as it was"
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        classes = len(new.dispatcher.exchange.settings.classes)
+        memory = {**FirstForm.STATE["memory"], "pacers": FirstForm.STATE["memory"]["pacers"] * classes}
+        wire.receive({**FirstForm.STATE, "memory": memory}, [os.dup(listener.fileno())])
+        new.dispatcher.settle()
+        assert wire.sent[1][0]["is"] == "taken"
+        assert wire.sent[1][0]["doors"] == [LISTEN]
+        wire.receive(FirstForm.YOURS, [])
+    assert new.done
+    assert new.takes()
+    assert wire.open
+    assert [line for line in new.dispatcher.logged if line.startswith("handover:")] == []
+    assert new.dispatcher.listener.held_by_other_process == 3
+    assert new.dispatcher.exchange.has_request("held")
+    assert endpoint_state(new, 1) == EndpointState.READY
+    assert new.dispatcher.table.bans.since == {"w2": 5.0}
+    new.dispatcher.listener.acceptor.listening_socket.close()
+
+
+def test_an_old_process_hands_over_to_one_of_the_first_form():
+    old = Side()
+    old.dispatcher.listener.adopt(old.loop, socket.create_server(("127.0.0.1", 0)))
+    wire, there = Wire(), Wire()
+    wire.peer = there
+    old.handover.accept(wire)
+    wire.receive(FirstForm.ASK, [])
+    [(told, fds)] = wire.sent
+    assert told.keys() >= FirstForm.STATE.keys()
+    assert told["memory"].keys() >= FirstForm.STATE["memory"].keys()
+    assert len(fds) == 1, "a socket that it does not know of would leak in it"
+    os.close(fds[0])
+    wire.receive(FirstForm.TAKEN, [])
+    assert old.handover.handed_over
+    assert not old.takes()
+    old.dispatcher.client(id_="a")
+    old.dispatcher.settle()
+    old.dispatcher.advance(8.0)
+    assert {told["is"] for told, _ in wire.sent} <= {"state", "yours", "news"}, "no words that it lacks"
+    old.dispatcher.listener.acceptor.listening_socket.close()
--- /dev/null
+++ b/tests/test_handover_upgrade.py
@@ -0,0 +1,219 @@
+"""Upgrades on real processes: requests, bans and clients across one or more handovers."""
+
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+import threading
+from struct import Struct
+
+import pytest
+from support.processes import CONFIG, ROOT, DiscoveryServer, HoldingWorker, ask, post
+
+from eiderfield.idmap import IdMap
+from eiderfield.interface import decode_peer_report, encode_peer_report
+from eiderfield.lab.ports import free_port
+
+ENVELOPE = Struct("<BIH")  # of messages between dispatchers
+PATIENT = {**CONFIG["settings"]["classes"][0], "give_up": 300_000}  # however long a process takes to start
+
+
+def call(port, path, method="GET"):
+    with socket.create_connection(("127.0.0.1", port), 30) as sock:
+        return ask(sock, f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
+
+
+class Releases:
+    """Versions of a program that start beside each other, as the platform starts them."""
+
+    def __init__(self, folder, discovery):
+        self.folder, self.discovery, self.port = folder, discovery, free_port()
+        self.running, self.more = [], {}
+
+    def start(self):
+        return self.up(*self.launch())
+
+    def launch(self):
+        console = free_port()
+        told = {
+            **CONFIG,
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": f"127.0.0.1:{self.discovery}",
+            "console": f"127.0.0.1:{console}",
+            "settings": {"classes": [PATIENT]},
+            **self.more,
+        }
+        path = self.folder / f"config-{console}.json"
+        path.write_text(json.dumps(told))
+        environ = {**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(self.folder)}
+        process = subprocess.Popen(
+            [sys.executable, "-m", "eiderfield"], cwd=ROOT, env=environ, stderr=subprocess.PIPE, text=True
+        )
+        self.running.append(process)
+        return process, console
+
+    def up(self, process, console):
+        while "listens on" not in (line := process.stderr.readline()):
+            assert line, "it ended"
+        threading.Thread(target=process.stderr.read, daemon=True).start()
+        return process, console
+
+    def end(self):
+        for process in self.running:
+            process.kill()
+            process.wait()
+
+
+@pytest.fixture
+def releases(tmp_path):
+    worker = HoldingWorker()
+    source = DiscoveryServer(worker.port)
+    releases = Releases(tmp_path, source.port)
+    releases.worker, releases.source = worker, source
+    yield releases
+    releases.end()
+
+
+def test_an_upgrade_loses_no_job_and_no_ban(releases):
+    old, console = releases.start()
+    releases.source.asked.get(timeout=30)
+    kept, half, busy = [socket.create_connection(("127.0.0.1", releases.port), 30) for _ in range(3)]
+    releases.worker.let.set()
+    for sock in (kept, half):  # a connection that has brought a job may idle
+        assert ask(sock, post("r0"))[0] == 200
+    releases.worker.let.clear()
+    releases.worker.came.clear()
+    busy.sendall(post("r1"))
+    assert releases.worker.came.wait(30)
+    assert call(console, "/-/workers/w/disable", "POST")[0] == 200
+
+    new, later = releases.start()
+    assert call(later, "/-/ready")[0] == 200
+    assert json.loads(call(later, "/-/metrics")[1])["hosts_down"] == 1
+    assert call(later, "/-/workers/w/enable", "POST")[0] == 200
+    half.sendall(post("r2")[:20])
+    old.send_signal(signal.SIGTERM)
+    releases.worker.let.set()
+    assert ask(busy, b"") == (200, b"cba"), "what the old process has taken it answers"
+    assert old.wait(30) == 0
+    for sock, data in ((half, post("r2")[20:]), (kept, post("r3")), (busy, post("r4"))):
+        assert ask(sock, data) == (200, b"cba"), "its connection went on to the new process"
+    assert json.loads(call(later, "/-/metrics")[1])["success"] == {"echo": 3}
+    with socket.create_connection(("127.0.0.1", releases.port), 30) as sock:
+        assert ask(sock, post("r5")) == (200, b"cba")
+    for sock in (kept, busy, half):
+        sock.close()
+    new.send_signal(signal.SIGTERM)
+    assert new.wait(30) == 0
+    assert not list(releases.folder.glob("*.sock*"))
+
+
+def test_in_an_upgrade_peers_are_heard_and_told_by_one_process_without_a_gap(releases):
+    peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    peer.bind(("127.0.0.1", 0))
+    peer.settimeout(30)
+    ours, theirs = f"127.0.0.1:{free_port()}", f"127.0.0.1:{peer.getsockname()[1]}"
+    policy = {"may_tell": True, "retry_after": True}
+    releases.more = {
+        "settings": {"classes": [PATIENT], "balancers": 2, "me": 0, "policy_limits": policy},
+        "peer_listen": ours,
+        "peers": [ours, theirs],
+    }
+    host, port = ours.split(":")
+    numbers = iter(range(1, 1000))
+
+    def say():
+        message = ENVELOPE.pack(1, 7, next(numbers)) + encode_peer_report([(releases.number, 1)])
+        peer.sendto(message, (host, int(port)))
+
+    def heard(console, most):
+        while (figures := json.loads(call(console, "/-/metrics")[1])["peers"]).get("heard", 0) < most:
+            pass
+        return figures["heard"]
+
+    releases.number = IdMap().worker("w")
+    old, console = releases.start()
+    releases.source.asked.get(timeout=30)
+    say()
+    heard(console, 1)
+    busy = socket.create_connection(("127.0.0.1", releases.port), 30)
+    busy.sendall(post("r1"))
+    assert releases.worker.came.wait(30)
+    first = ENVELOPE.unpack_from(message := peer.recv(300))
+    assert list(decode_peer_report(message[ENVELOPE.size :])) == [(releases.number, 1)], (
+        "its job at the worker"
+    )
+    _, later = releases.start()
+    for _ in range(5):
+        say()
+    assert heard(later, 5) == 5, "all of them by the next process"
+    assert heard(console, 1) == 1, "all of them by the next process"
+    old.send_signal(signal.SIGTERM)
+    releases.worker.let.set()
+    assert ask(busy, b"") == (200, b"cba")
+    assert old.wait(30) == 0
+    while list(decode_peer_report((message := peer.recv(300))[ENVELOPE.size :])) != [(releases.number, 0)]:
+        pass  # told by the next process, whose life is later, though the job was the old one's
+    assert ENVELOPE.unpack_from(message)[1] > first[1]
+    say()
+    heard(later, 6)
+    busy.close()
+    peer.close()
+
+
+def test_upgrades_that_follow_each_other_closely_lose_no_job(releases):
+    first, _ = releases.start()
+    releases.source.asked.get(timeout=30)
+    busy = socket.create_connection(("127.0.0.1", releases.port), 30)
+    busy.sendall(post("r1"))
+    assert releases.worker.came.wait(30)
+    second, later = releases.start()
+    assert call(later, "/-/ready")[0] == 200
+    first.send_signal(signal.SIGTERM)  # it stays for its job
+    third = releases.launch()
+    releases.worker.let.set()
+    assert ask(busy, b"") == (200, b"cba")
+    assert first.wait(30) == 0
+    _, last = releases.up(*third)
+    assert call(last, "/-/ready")[0] == 200
+    second.send_signal(signal.SIGTERM)
+    assert ask(busy, post("r2")) == (200, b"cba")
+    assert second.wait(30) == 0
+    assert ask(busy, post("r3")) == (200, b"cba")
+    assert json.loads(call(last, "/-/metrics")[1])["success"]["echo"] >= 1
+    busy.close()
+
+
+def test_a_process_that_was_killed_blocks_no_start(releases):
+    releases.worker.let.set()
+    old, _ = releases.start()
+    old.kill()
+    old.wait()
+    assert list(releases.folder.glob("*.sock"))
+    _, console = releases.start()
+    releases.source.asked.get(timeout=30)
+    with socket.create_connection(("127.0.0.1", releases.port), 30) as sock:
+        assert ask(sock, post("r1")) == (200, b"cba")
+    assert call(console, "/-/ready")[0] == 200
+
+
+def test_a_process_that_stands_still_blocks_no_start(releases):
+    releases.worker.let.set()
+    old, _ = releases.start()
+    old.send_signal(signal.SIGSTOP)
+    try:
+        _, console = releases.start()
+        assert call(console, "/-/ready")[0] in (200, 503)  # it is there, whatever it knows by now
+    finally:
+        old.send_signal(signal.SIGCONT)
+
+
+def test_a_second_program_at_an_address_by_mistake_fails(releases, tmp_path):
+    releases.start()
+    other = tmp_path / "other"
+    other.mkdir()
+    releases.folder = other  # which shares no folder, so is no upgrade
+    with pytest.raises(AssertionError, match="it ended"):
+        releases.start()
--- /dev/null
+++ b/tests/test_link_socket.py
@@ -0,0 +1,23 @@
+"""The Unix socket over which two processes of a dispatcher find each other."""
+
+from support.handover import Loop
+
+from eiderfield.net.link_socket import LinkListener, connect_link
+
+
+def test_a_socket_that_nobody_listens_at_is_no_process(tmp_path):
+    deep = tmp_path / ("d" * 120)  # longer than a Unix address holds
+    deep.mkdir()
+    assert connect_link(Loop(), deep / "s") is None
+    ear = LinkListener(Loop(), deep / "s", lambda _link: None)
+    ear.open()
+    link = connect_link(Loop(), deep / "s")
+    assert link is not None
+    link.close()
+    ear.close(unlink=False)
+    assert (deep / "s").exists()
+    assert connect_link(Loop(), deep / "s") is None
+    again = LinkListener(Loop(), deep / "s", lambda _link: None)
+    again.open()  # in the place of the dead one
+    again.close(unlink=True)
+    assert not list(deep.iterdir())
