--- a/tests/test_handover_connections.py
+++ b/tests/test_handover_connections.py
@@ -10,8 +10,8 @@
 
 
 @pytest.mark.parametrize("cut", [0, 20, -1])
-def test_a_client_goes_along_with_what_of_its_next_message_was_read(cut):
-    """Closed on instead, its job would be lost at the listener."""
+def test_passed_connection_keeps_the_part_of_a_request_that_was_read(cut):
+    """If it were closed instead, the request would be lost."""
     old, new = InMemoryDispatcher(), InMemoryDispatcher()
     here, there = socket.socketpair()
     with here, there:
@@ -35,15 +35,15 @@
         assert heir.answers()[0][0] == 404, "it is one message"
 
 
-def test_what_owes_an_answer_is_not_given_away():
+def test_connection_with_a_pending_response_is_not_passed():
     dispatcher = InMemoryDispatcher()
     client = dispatcher.client()
     assert client.connection.detach() is None
     assert client.pipe.open
 
 
-def test_connections_pass_on_a_few_at_a_time():
-    """All at once, each would hold a descriptor in both processes, more than the two may have."""
+def test_connections_are_passed_in_limited_numbers_at_a_time():
+    """Each holds a descriptor in both processes: all at once would exceed their limit."""
     dispatcher = InMemoryDispatcher(most=64)
     clients = [Client(dispatcher) for _ in range(ACCEPTED_PER_TURN + 5)]
     dispatcher.listener.successor = lambda let_go: let_go.__self__.abort() is None
--- a/tests/test_handover_first_form.py
+++ b/tests/test_handover_first_form.py
@@ -10,8 +10,10 @@
 
 
 class FirstForm:
-    """A process of the first revision that handed over: what it said, written out. It knows no peers, no
-    parked connections and no failing workers, and passes over what it does not know of a message."""
+    """The messages of the first revision with a handover.
+
+    It has no peers, parked connections or outlier state, and ignores fields that it does not know.
+    """
 
     ASK: ClassVar = {"is": "ask", "form": 1}
     TAKEN: ClassVar = {"is": "taken", "doors": [LISTEN]}
@@ -49,7 +51,7 @@
     YOURS: ClassVar = {"is": "yours", "open": {LISTEN: 3}}
 
 
-def test_a_new_process_takes_over_from_one_of_the_first_form():
+def test_new_process_takes_over_from_one_of_the_first_form():
     new = Side(workers=0)
     wire, here = Wire(), Wire()
     wire.peer = here
@@ -75,7 +77,7 @@
     new.dispatcher.listener.acceptor.listening_socket.close()
 
 
-def test_an_old_process_hands_over_to_one_of_the_first_form():
+def test_old_process_hands_over_to_one_of_the_first_form():
     old = Side()
     old.dispatcher.listener.adopt(old.loop, socket.create_server(("127.0.0.1", 0)))
     wire, there = Wire(), Wire()
--- a/tests/test_handover_upgrade.py
+++ b/tests/test_handover_upgrade.py
@@ -26,7 +26,7 @@
 
 
 class Releases:
-    """Versions of a program that start beside each other, as the platform starts them."""
+    """Processes of a program that are started beside each other, as the platform does."""
 
     def __init__(self, folder, discovery):
         self.folder, self.discovery, self.port = folder, discovery, free_port()
@@ -76,7 +76,7 @@
     releases.end()
 
 
-def test_an_upgrade_loses_no_job_and_no_ban(releases):
+def test_upgrade_loses_no_request_and_no_ban(releases):
     old, console = releases.start()
     releases.source.asked.get(timeout=30)
     kept, half, busy = [socket.create_connection(("127.0.0.1", releases.port), 30) for _ in range(3)]
@@ -110,7 +110,7 @@
     assert not list(releases.folder.glob("*.sock*"))
 
 
-def test_in_an_upgrade_peers_are_heard_and_told_by_one_process_without_a_gap(releases):
+def test_upgrade_leaves_exactly_one_process_in_touch_with_peers(releases):
     peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     peer.bind(("127.0.0.1", 0))
     peer.settimeout(30)
@@ -163,7 +163,7 @@
     peer.close()
 
 
-def test_upgrades_that_follow_each_other_closely_lose_no_job(releases):
+def test_upgrades_in_close_succession_lose_no_request(releases):
     first, _ = releases.start()
     releases.source.asked.get(timeout=30)
     busy = socket.create_connection(("127.0.0.1", releases.port), 30)
@@ -186,7 +186,7 @@
     busy.close()
 
 
-def test_a_process_that_was_killed_blocks_no_start(releases):
+def test_start_after_a_killed_process_succeeds(releases):
     releases.worker.let.set()
     old, _ = releases.start()
     old.kill()
@@ -199,7 +199,7 @@
     assert call(console, "/-/ready")[0] == 200
 
 
-def test_a_process_that_stands_still_blocks_no_start(releases):
+def test_start_beside_a_stopped_process_succeeds(releases):
     releases.worker.let.set()
     old, _ = releases.start()
     old.send_signal(signal.SIGSTOP)
@@ -210,7 +210,7 @@
         old.send_signal(signal.SIGCONT)
 
 
-def test_a_second_program_at_an_address_by_mistake_fails(releases, tmp_path):
+def test_second_program_at_the_same_address_fails_without_a_shared_folder(releases, tmp_path):
     releases.start()
     other = tmp_path / "other"
     other.mkdir()
--- a/tests/test_link_socket.py
+++ b/tests/test_link_socket.py
@@ -5,7 +5,7 @@
 from eiderfield.net.link_socket import LinkListener, connect_link
 
 
-def test_a_socket_that_nobody_listens_at_is_no_process(tmp_path):
+def test_socket_without_a_listener_gives_no_link_and_is_replaced(tmp_path):
     deep = tmp_path / ("d" * 120)  # longer than a Unix address holds
     deep.mkdir()
     assert connect_link(Loop(), deep / "s") is None
