--- a/eiderfield/batch/client.py
+++ b/eiderfield/batch/client.py
@@ -1,6 +1,6 @@
 """A client of the batch front, with the operations of DRMAA's session.
 
-A `Session` holds one connection, opened when first needed. It never repeats a submission whose answer is
+A `Session` has one connection, opened when first needed. It never repeats a submission whose response is
 lost: the dispatcher may have accepted it.
 
 DRMAA's own camelCase names (`runJob`, `jobId`, ...) are deprecated aliases of the names here.
@@ -13,7 +13,7 @@
 import time
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from eiderfield.batch.deprecation import deprecated_aliases, deprecated_keywords
 from eiderfield.batch.drmaa import (
@@ -30,11 +30,12 @@
 TIMEOUT_WAIT_FOREVER = -1.0
 JOB_IDS_SESSION_ALL = "DRMAA_JOB_IDS_SESSION_ALL"
 
-LONGEST_WAIT_S = 60.0  # of one request that waits for a job's end
-ANSWER_TIMEOUT_S = 10.0  # for connecting, and for an answer beyond the wait that was asked for
+MAX_WAIT_S = 60.0  # of one message that waits for a job's end
+RESPONSE_TIMEOUT_S = 10.0  # to connect, and for a response beyond the wait that it asks for
 CLOCK_SLACK_S = 0.001  # by which a wait may end before its time
 READ_SIZE = 65536
 FIRST_ERROR_STATUS = 300
+MS_PER_SECOND = 1000.0
 
 
 @deprecated_aliases(
@@ -48,7 +49,7 @@
 )
 @dataclass(frozen=True, slots=True)
 class JobInfo:
-    """How a job ended. `retry_after` is in seconds and set where the job was rejected."""
+    """The end of a job. `retry_after` is in seconds, None unless the job was rejected."""
 
     job_id: str
     has_exited: bool
@@ -62,7 +63,7 @@
 
     @classmethod
     def from_json(cls, message: Mapping[str, Any]) -> JobInfo:
-        """The end that a final status tells of."""
+        """Return the end of a job from its final status."""
         served = message.get("verdict") == "served"
         retry_after_ms = message.get("retryAfterMs")
         return cls(
@@ -74,63 +75,71 @@
             verdict=str(message.get("verdict")),
             may_have_run=bool(message.get("mayHaveRun")),
             attempts=int(message.get("legs", 0)),
-            retry_after=None if retry_after_ms is None else float(retry_after_ms) / 1000.0,
+            retry_after=None if retry_after_ms is None else float(retry_after_ms) / MS_PER_SECOND,
         )
 
 
+class Response(NamedTuple):
+    """A dispatcher's response, with its body read as JSON."""
+
+    head: Head
+    content: object
+
+
 @deprecated_aliases(runJob="run_job", runBulkJobs="run_bulk_jobs", jobStatus="job_status")
 class Session:
-    """A DRMAA session with one dispatcher, or with several that share their jobs. All times are in seconds.
+    """A DRMAA session with one dispatcher, or with several that share a durable store. Times are in seconds.
 
-    Where a dispatcher cannot be reached, the next one is asked about jobs that were submitted; a submission
-    goes to the next one only if it was not sent.
+    If a dispatcher cannot be reached, messages go to the next one; a submission does so only if it was not
+    sent. Each method raises the `DrmaaError` that a dispatcher responds with, and `DrmCommunicationError` if
+    none can be reached.
     """
 
     def __init__(self, host: str, port: int, others: Iterable[tuple[str, int]] = ()) -> None:
-        """Opens no connection yet. `others` are the addresses of the further dispatchers."""
+        """Create a session, without a connection yet; `others` are the addresses of further dispatchers."""
         self._address = (host, port)
         self._others = list(others)
         self._socket: socket.socket | None = None
         self._job_ids: dict[str, None] = {}  # of this session, in the order of their submission
 
     def __enter__(self) -> Session:
-        """Begins the session, which its `with` block ends."""
+        """Return the session, which the end of the `with` block closes."""
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Closes the session."""
+        """Close the session."""
         self.exit()
 
     def exit(self) -> None:
-        """Closes the session. Its jobs go on."""
+        """Close the connection. The jobs of the session continue."""
         if self._socket is not None:
             self._socket.close()
             self._socket = None
 
     def run_job(self, template: JobTemplate) -> str:
-        """Submits a job; returns its id."""
+        """Submit a job; return its id."""
         message = self._request("POST", "/v1/jobs", template.to_json())
         return self._remember([str(message.get("jobId"))])[0]
 
     def run_bulk_jobs(self, templates: Iterable[JobTemplate]) -> list[str]:
-        """Submits all of some jobs or none of them; returns their ids."""
+        """Submit all of some jobs or, if one is refused, none of them; return their ids."""
         message = self._request("POST", "/v1/bulk-jobs", bulk_to_json(list(templates)))
         return self._remember([str(job_id) for job_id in message.get("jobIds", [])])
 
     @deprecated_keywords(jobId="job_id")
     def job_status(self, job_id: str) -> JobState:
-        """Where a job stands."""
+        """Return the state of a job."""
         return _state_of(self._request("GET", f"/v1/jobs/{job_id}"))
 
     @deprecated_keywords(jobId="job_id")
     def wait(self, job_id: str, timeout: float = TIMEOUT_WAIT_FOREVER) -> JobInfo:
-        """Waits for a job's end. `ExitTimeoutError` if that does not come in time."""
+        """Wait for a job's end and return it; raise `ExitTimeoutError` after `timeout`."""
         end = time.monotonic() + timeout
         while True:
-            remaining = LONGEST_WAIT_S
+            remaining = MAX_WAIT_S
             if timeout >= 0:
-                remaining = min(LONGEST_WAIT_S, max(0.0, end - time.monotonic()))
-            path = f"/v1/jobs/{job_id}/wait?timeoutMs={int(remaining * 1000)}"
+                remaining = min(MAX_WAIT_S, max(0.0, end - time.monotonic()))
+            path = f"/v1/jobs/{job_id}/wait?timeoutMs={int(remaining * MS_PER_SECOND)}"
             try:
                 message = self._request("GET", path, wait=remaining)
             except ExitTimeoutError:
@@ -143,7 +152,10 @@
     def synchronize(
         self, job_ids: Iterable[str] | str, timeout: float = TIMEOUT_WAIT_FOREVER, dispose: bool = False
     ) -> list[JobInfo]:
-        """Waits for the ends of several jobs, or of all of this session; `dispose` forgets them here."""
+        """Wait for the ends of several jobs, or of all of this session, and return them.
+
+        `dispose` removes the jobs from the session. Raises `ExitTimeoutError` after `timeout`.
+        """
         wanted = list(self._job_ids) if job_ids == JOB_IDS_SESSION_ALL else list(job_ids)
         end = time.monotonic() + timeout
         infos = []
@@ -157,12 +169,12 @@
 
     @deprecated_keywords(jobId="job_id")
     def control(self, job_id: str, action: ControlAction) -> JobState:
-        """Applies an action to a job; returns the state that it is in then."""
+        """Apply an action to a job; return its state after that."""
         return _state_of(self._request("POST", f"/v1/jobs/{job_id}/control", {"action": action.value}))
 
     @deprecated_keywords(jobId="job_id")
     def info(self, job_id: str) -> JobInfo | None:
-        """How a job ended, None if it has not."""
+        """Return the end of a job, None if it is not finished."""
         message = self._request("GET", f"/v1/jobs/{job_id}")
         return JobInfo.from_json(message) if _state_of(message).final else None
 
@@ -173,7 +185,7 @@
     def _request(
         self, method: str, path: str, message: object = None, wait: float = 0.0
     ) -> Mapping[str, Any]:
-        """The answer of the first dispatcher that can be reached."""
+        """Return the JSON object with which the first reachable dispatcher responds."""
         for _ in self._others:
             try:
                 return self._request_once(method, path, message, wait)
@@ -186,35 +198,36 @@
         return self._request_once(method, path, message, wait)
 
     def _request_once(self, method: str, path: str, message: object, wait: float) -> Mapping[str, Any]:
-        head, body = self._exchange(method, path, message, wait)
-        if not isinstance(body, dict):
+        head, content = self._send_and_receive(method, path, message, wait)
+        if not isinstance(content, dict):
             raise DrmCommunicationError("the answer is not an object")
         if head.status >= FIRST_ERROR_STATUS:
-            error = ERRORS_BY_NAME.get(str(body.get("error")), DrmaaError)
-            raise error(str(body.get("message")), _seconds(head.get("retry-after")) * 1000.0)
-        return body
-
-    def _exchange(self, method: str, path: str, message: object, wait: float) -> tuple[Head, object]:
-        """Sends a request and reads its answer, on a new connection where there is none."""
-        content = b"" if message is None else json.dumps(message).encode()
+            error_class = ERRORS_BY_NAME.get(str(content.get("error")), DrmaaError)
+            retry_after = _parse_seconds(head.get("retry-after")) * MS_PER_SECOND
+            raise error_class(str(content.get("message")), retry_after)
+        return content
+
+    def _send_and_receive(self, method: str, path: str, message: object, wait: float) -> Response:
+        """Send a message and read the response, on a new connection if there is none."""
+        body = b"" if message is None else json.dumps(message).encode()
         sent = False
         try:
             if self._socket is None:
-                self._socket = socket.create_connection(self._address, ANSWER_TIMEOUT_S)
+                self._socket = socket.create_connection(self._address, RESPONSE_TIMEOUT_S)
             sent = True
-            self._socket.settimeout(wait + ANSWER_TIMEOUT_S)
-            self._socket.sendall(request_bytes(method, path, "{}:{}".format(*self._address), content))
-            head, answer = _read_answer(self._socket)
+            self._socket.settimeout(wait + RESPONSE_TIMEOUT_S)
+            self._socket.sendall(request_bytes(method, path, "{}:{}".format(*self._address), body))
+            head, response_body = _read_response(self._socket)
             if not head.keep_alive:
                 self.exit()
-            body: object = json.loads(answer)
+            content: object = json.loads(response_body)
         except (OSError, ValueError, RecursionError) as error:
             self.exit()
             raise DrmCommunicationError(f"{type(error).__name__}: {error}", sent=sent) from error
-        return head, body
+        return Response(head, content)
 
 
-def _read_answer(sock: socket.socket) -> tuple[Head, bytes]:
+def _read_response(sock: socket.socket) -> tuple[Head, bytes]:
     parser, head, body = Parser(responses=True, max_body=0), Head(), bytearray()
     while True:
         part = parser.poll()
@@ -231,7 +244,7 @@
             body += part
 
 
-def _seconds(text: str) -> float:
+def _parse_seconds(text: str) -> float:
     try:
         return float(text or 0.0)
     except ValueError:
--- a/eiderfield/batch/front.py
+++ b/eiderfield/batch/front.py
@@ -25,7 +25,6 @@
 from eiderfield.batch.registry import JobRegistry
 from eiderfield.batch.remote import RemoteWait, send_found
 from eiderfield.batch.replies import (
-    CREATED,
     send_error,
     send_json,
     send_not_allowed,
@@ -34,6 +33,7 @@
 )
 from eiderfield.net.clients.front import ClientDeparted, ListenerStatus, Responder
 from eiderfield.net.http import Head
+from eiderfield.net.http import status as http_status
 
 CANCEL_TIMEOUT_MS = 5000.0  # wait for the end of a job that another dispatcher terminates
 
@@ -182,6 +182,6 @@
 def send_accepted(connection: Responder, response: dict[str, object], accepted: bool) -> None:
     """Send the response to a submission, or an error if it was not accepted."""
     if accepted:
-        send_json(connection, CREATED, response)
+        send_json(connection, http_status.CREATED, response)
     else:
         send_error(connection, TryLaterError("the jobs cannot be written down now", RETRY_AFTER_MS))
--- a/tests/test_batch_client.py
+++ b/tests/test_batch_client.py
@@ -1,5 +1,7 @@
-"""The batch client's operations and their deprecated names, without a connection."""
+"""The batch client's operations and their deprecated names, over a scripted connection."""
 
+import json
+import socket
 import warnings
 
 import pytest
@@ -7,8 +9,10 @@
 from eiderfield.batch.client import JOB_IDS_SESSION_ALL, JobInfo, Session
 from eiderfield.batch.drmaa import ControlAction, DrmCommunicationError, JobState
 from eiderfield.batch.messages import JobTemplate
+from eiderfield.net.http import END, Parser, response_bytes
 
-END = {
+HOST = "127.0.0.1"
+FINAL_STATUS = {
     "jobId": "n0-1.1",
     "state": "failed",
     "verdict": "declined",
@@ -18,31 +22,57 @@
 }
 
 
-class ScriptedSession(Session):
-    """A session whose dispatcher gives one answer to everything."""
+class ScriptedConnection:
+    """A session's socket whose dispatcher gives one response to every message, and records them all."""
 
-    def __init__(self, answer):
-        super().__init__("127.0.0.1", 1)
-        self.answer = answer
-        self.requests = []
+    def __init__(self, response):
+        self.messages = []  # method, path and JSON value of each
+        self._response = response_bytes(200, json.dumps(response).encode())
+        self._unread = b""
 
-    def _request_once(self, method, path, message, _wait):
-        self.requests.append((method, path, message))
-        return self.answer
+    def settimeout(self, seconds):
+        assert seconds > 0.0
 
+    def sendall(self, data):
+        parser, body = Parser(), b""
+        parser.feed(data)
+        head = parser.poll()
+        while (part := parser.poll()) is not END:
+            body += part
+        self.messages.append((head.method, head.target, json.loads(body) if body else None))
+        self._unread += self._response
 
-def test_messages_keep_their_keys():
+    def recv(self, size):
+        data, self._unread = self._unread[:size], self._unread[size:]
+        return data
+
+
+@pytest.fixture
+def connect(monkeypatch):
+    """Return a function that makes a session and its scripted connection."""
+    connections = {}
+    monkeypatch.setattr(socket, "create_connection", lambda address, _timeout: connections[address])
+
+    def make_session(response):
+        address = (HOST, 1 + len(connections))
+        connections[address] = ScriptedConnection(response)
+        return Session(*address), connections[address]
+
+    return make_session
+
+
+def test_bulk_submission_sends_each_template_under_the_protocols_keys(connect):
     template = JobTemplate("echo", subject="s", body="b", deadline=800.0, idempotency_key="k")
-    session = ScriptedSession({"jobIds": ["a", "b"]})
+    session, connection = connect({"jobIds": ["a", "b"]})
     assert session.run_bulk_jobs([template, JobTemplate("echo")]) == ["a", "b"]
     whole = {"jobClass": "echo", "subject": "s", "body": "b", "deadlineMs": 800.0, "idempotencyKey": "k"}
-    assert session.requests == [("POST", "/v1/bulk-jobs", {"jobs": [whole, {"jobClass": "echo"}]})]
+    assert connection.messages == [("POST", "/v1/bulk-jobs", {"jobs": [whole, {"jobClass": "echo"}]})]
     assert JobTemplate.from_json(whole) == template
 
 
-def test_an_end_is_read_into_a_job_info():
-    info = ScriptedSession(END).wait("n0-1.1")
-    assert info == JobInfo(
+def test_wait_for_a_finished_job_returns_its_end(connect):
+    session, _ = connect(FINAL_STATUS)
+    assert session.wait("n0-1.1") == JobInfo(
         job_id="n0-1.1",
         has_exited=False,
         was_aborted=True,
@@ -67,49 +97,54 @@
         ("legs", "attempts"),
     ],
 )
-def test_the_old_fields_of_a_job_info_are_deprecated(old, new):
-    info = JobInfo.from_json(END)
+def test_job_info_read_by_an_old_field_name_warns_and_returns_the_new_field(old, new):
+    info = JobInfo.from_json(FINAL_STATUS)
     with pytest.warns(DeprecationWarning, match=f"JobInfo.{old} is deprecated, use JobInfo.{new}") as caught:
         assert getattr(info, old) == getattr(info, new)
     assert caught[0].filename == __file__
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "argument", "answer"),
+    ("old", "new", "argument", "response"),
     [
         ("runJob", "run_job", JobTemplate("echo"), {"jobId": "a"}),
         ("runBulkJobs", "run_bulk_jobs", [JobTemplate("echo")], {"jobIds": ["a"]}),
         ("jobStatus", "job_status", "a", {"state": "running"}),
     ],
 )
-def test_the_old_methods_of_a_session_are_deprecated(old, new, argument, answer):
-    old_session, new_session = ScriptedSession(answer), ScriptedSession(answer)
+def test_session_called_by_an_old_method_name_warns_and_sends_the_same(connect, old, new, argument, response):
+    old_session, old_connection = connect(response)
+    new_session, new_connection = connect(response)
     with pytest.warns(DeprecationWarning, match=f"Session.{old} is deprecated, use Session.{new}") as caught:
         old_result = getattr(old_session, old)(argument)
     assert caught[0].filename == __file__
     assert old_result == getattr(new_session, new)(argument)
-    assert old_session.requests == new_session.requests != []
-
-
-def test_the_old_arguments_of_a_session_are_deprecated():
-    calls = [
-        lambda session: session.job_status(jobId="a"),
-        lambda session: session.wait(jobId="a"),
-        lambda session: session.control(jobId="a", action=ControlAction.TERMINATE),
-        lambda session: session.info(jobId="a"),
-        lambda session: session.synchronize(jobIds=["a"]),
-    ]
-    for call in calls:
-        session = ScriptedSession(END)
-        with pytest.warns(DeprecationWarning, match="the argument jobIds? is deprecated") as caught:
-            call(session)
-        assert caught[0].filename == __file__
-        [(_, path, _)] = session.requests
-        assert path.startswith("/v1/jobs/a")
-
-
-def test_the_new_names_warn_of_nothing():
-    session = ScriptedSession({**END, "jobIds": ["a"]})
+    assert old_connection.messages == new_connection.messages != []
+
+
+@pytest.mark.parametrize(
+    "call",
+    [
+        pytest.param(lambda session: session.job_status(jobId="a"), id="job_status"),
+        pytest.param(lambda session: session.wait(jobId="a"), id="wait"),
+        pytest.param(
+            lambda session: session.control(jobId="a", action=ControlAction.TERMINATE), id="control"
+        ),
+        pytest.param(lambda session: session.info(jobId="a"), id="info"),
+        pytest.param(lambda session: session.synchronize(jobIds=["a"]), id="synchronize"),
+    ],
+)
+def test_session_called_with_an_old_argument_name_warns_and_asks_about_the_job(connect, call):
+    session, connection = connect(FINAL_STATUS)
+    with pytest.warns(DeprecationWarning, match="the argument jobIds? is deprecated") as caught:
+        call(session)
+    assert caught[0].filename == __file__
+    [(_, path, _)] = connection.messages
+    assert path.startswith("/v1/jobs/a")
+
+
+def test_session_called_by_new_names_does_not_warn(connect):
+    session, _ = connect({**FINAL_STATUS, "jobIds": ["a"]})
     with warnings.catch_warnings():
         warnings.simplefilter("error")
         session.run_job(JobTemplate("echo"))
@@ -121,6 +156,7 @@
         assert session.synchronize(JOB_IDS_SESSION_ALL) == []
 
 
-def test_an_unknown_state_is_an_error_of_communication():
+def test_response_with_an_unknown_state_raises_a_communication_error(connect):
+    session, _ = connect({"state": "lost"})
     with pytest.raises(DrmCommunicationError, match="no such state: 'lost'"):
-        ScriptedSession({"state": "lost"}).job_status("a")
+        session.job_status("a")
