--- a/eiderfield/batch/client.py
+++ b/eiderfield/batch/client.py
@@ -217,17 +217,16 @@
             sent = True
             self._socket.settimeout(wait + RESPONSE_TIMEOUT_S)
             self._socket.sendall(request_bytes(method, path, "{}:{}".format(*self._address), body))
-            head, response_body = _read_response(self._socket)
-            if not head.keep_alive:
+            response = _read_response(self._socket)
+            if not response.head.keep_alive:
                 self.exit()
-            content: object = json.loads(response_body)
         except (OSError, ValueError, RecursionError) as error:
             self.exit()
             raise DrmCommunicationError(f"{type(error).__name__}: {error}", sent=sent) from error
-        return Response(head, content)
+        return response
 
 
-def _read_response(sock: socket.socket) -> tuple[Head, bytes]:
+def _read_response(sock: socket.socket) -> Response:
     parser, head, body = Parser(responses=True, max_body=0), Head(), bytearray()
     while True:
         part = parser.poll()
@@ -237,7 +236,7 @@
                 raise MalformedMessageError("the connection ended within an answer")
             parser.feed(data)
         elif part is END:
-            return head, bytes(body)
+            return Response(head, json.loads(body))
         elif isinstance(part, Head):
             head = part
         elif isinstance(part, bytes):
--- a/eiderfield/batch/deprecation.py
+++ b/eiderfield/batch/deprecation.py
@@ -5,10 +5,11 @@
 import functools
 import warnings
 from collections.abc import Callable
-from typing import Any, TypeVar
+from typing import Any, ParamSpec, TypeVar
 
 Owner = TypeVar("Owner", bound=type)
-Function = TypeVar("Function", bound=Callable[..., Any])
+Parameters = ParamSpec("Parameters")
+Result = TypeVar("Result")
 
 CALLER_STACK_LEVEL = 3  # of the code that used the old name, seen from `warn_renamed`
 
@@ -39,19 +40,21 @@
     return add_aliases
 
 
-def deprecated_keywords(**new_names: str) -> Callable[[Function], Function]:
+def deprecated_keywords(
+    **new_names: str,
+) -> Callable[[Callable[Parameters, Result]], Callable[Parameters, Result]]:
     """Return a decorator that accepts old names of keyword arguments, each mapped to its new one."""
 
-    def accept_old(function: Function) -> Function:
+    def accept_old(function: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
         @functools.wraps(function)
-        def renamed(*args: Any, **kwargs: Any) -> Any:
+        def renamed(*args: Parameters.args, **kwargs: Parameters.kwargs) -> Result:
             for old, new in new_names.items():
                 if old in kwargs:
                     warn_renamed(f"the argument {old}", new)
                     kwargs[new] = kwargs.pop(old)
             return function(*args, **kwargs)
 
-        return renamed  # type: ignore[return-value]  # wraps() keeps the signature, which mypy can't see
+        return renamed
 
     return accept_old
 
