--- a/eiderfield/batch/job.py
+++ b/eiderfield/batch/job.py
@@ -28,7 +28,7 @@
     request_number: int = 0  # the exchange's; 0 for a durable job
     answer: Answer | None = None
     finished_at: float = 0.0  # ms
-    accepted: bool = False  # whether the client may be told that it is
+    accepted: bool = False  # whether the job is recorded, or need not be
     on_settled: Callable[[], None] | None = None  # called once the job is accepted or can't be
     end_callbacks: list[Callable[[], None]] = field(default_factory=list)
 
@@ -38,7 +38,7 @@
         self.settle_acceptance()
 
     def settle_acceptance(self) -> None:
-        """Call back whoever waits for the job's acceptance, once."""
+        """Call and remove the callback that waits for the job's acceptance, if there is one."""
         on_settled, self.on_settled = self.on_settled, None
         if on_settled is not None:
             on_settled()
@@ -49,7 +49,7 @@
             self.end_callbacks.remove(on_end)
 
     def call_end_callbacks(self) -> None:
-        """Call back all that wait for the job's end, once."""
+        """Call and remove the callbacks that wait for the job's end."""
         callbacks, self.end_callbacks = self.end_callbacks, []
         for on_end in callbacks:
             on_end()
--- a/eiderfield/batch/job_table.py
+++ b/eiderfield/batch/job_table.py
@@ -65,7 +65,7 @@
         self._jobs[job.job_id] = job
 
     def finish(self, job: BatchJob, answer: Answer) -> None:
-        """Record a job's final answer and call back all that wait for it."""
+        """Record a job's final answer, call its callbacks, and forget finished jobs over the limits."""
         self._held_bytes += len(answer.result) - job.body_size
         job.answer = answer
         job.finished_at = self._clock()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -149,7 +149,7 @@
 
 
 @steps
-def test_the_status_of_a_batch_job_shows_the_time_of_day_and_its_age_is_kept(step):
+def test_batch_job_after_a_clock_step_shows_the_time_of_day_and_keeps_its_age(step):
     wall = Wall()
     dispatcher = InMemoryDispatcher(unix=wall)
     wall.runs_with(dispatcher)
@@ -172,7 +172,7 @@
     assert registry.table.known == 1, "the finished one is forgotten by its age"
 
 
-def test_names_of_batch_jobs_do_not_return_if_a_clock_shows_the_same_time_again():
+def test_batch_job_ids_of_dispatchers_of_one_name_started_at_the_same_time_differ():
     limits = JobLimits(9, 9, 1.0, 99)
     job_ids = set()
     for dispatcher in [InMemoryDispatcher() for _ in range(3)]:
