--- a/Makefile
+++ b/Makefile
@@ -42,7 +42,7 @@
 bench:
 	$(BIN)/python -m eiderfield.cli lab regression --kit $(KIT) --why "$(WHY)" $(SITES)
 
-# The stand-in scheduler's whole batch; `test` plays a smaller one.
+# A simulated scheduler with 10,000 jobs; `test` plays a smaller one.
 batch:
 	BATCH_JOBS=10000 $(BIN)/python -m pytest -q -p no:cacheprovider tests/test_batch.py -k scheduler
 
