--- a/tests/test_durable_requests_fleet.py
+++ b/tests/test_durable_requests_fleet.py
@@ -60,10 +60,16 @@
     assert found.figures["fenced"] == 1, "it is told, and begins anew"
 
 
+LONG_RUNS = tuple(replace(job_class, run=(600.0, 1000.0)) for job_class in JOB_CLASSES)
+
+
 @pytest.mark.parametrize("point", ["adopt", "adopt done"])
 def test_a_taker_that_is_killed_while_taking_over_passes_it_on(point, tmp_path):
+    """Long runs leave seven or eight open requests, three of them to n2: with none it would have no takeover."""
     programs = {"n2": Program(failpoint=f"{point}:1:kill:2.0")}
-    found = played(tmp_path, Fault("kill", "n1", on="begun:30", lasts=2.5), programs=programs, dispatchers=4)
+    load = {"job_classes": LONG_RUNS, "slots": 8}
+    killed = Fault("kill", "n1", on="begun:30", lasts=2.5)
+    found = played(tmp_path, killed, programs=programs, dispatchers=4, **load)
     assert found.fences["its process is gone"] == 2
 
 
