--- a/tests/test_durable_requests_fleet.py
+++ b/tests/test_durable_requests_fleet.py
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("point", ["adopt", "adopt done"])
 def test_a_taker_that_is_killed_while_taking_over_passes_it_on(point, tmp_path):
-    """Long runs leave seven or eight open requests, three of them to n2: with none it would have no takeover."""
+    """Long runs leave seven or eight open requests; n2 owns three of them, and so is killed in a takeover."""
     programs = {"n2": Program(failpoint=f"{point}:1:kill:2.0")}
     load = {"job_classes": LONG_RUNS, "slots": 8}
     killed = Fault("kill", "n1", on="begun:30", lasts=2.5)
