--- a/eiderfield/lab/scale/plan.py
+++ b/eiderfield/lab/scale/plan.py
@@ -49,8 +49,35 @@
     return requests
 
 
+REQUEST_CLASS: dict[str, Any] = {
+    "name": CLASS_NAME,
+    "value": 5,
+    "goal_time": 250,
+    "give_up": DEADLINE_MS,
+    "idempotency": "retryable",
+}
+POLICY_LIMITS: dict[str, Any] = {
+    "cancel": True,
+    "max_attempts": 5,
+    "may_duplicate": False,
+    "may_tell": False,
+    "retry_after": True,
+    "max_retry_after": 2000.0,
+    "dial_timeout": 100.0,
+    "conn_idle": 60_000.0,
+}
+RULES: dict[str, Any] = {
+    "drain_grace": DRAIN_GRACE_MS,
+    "cold": 5000.0,
+    "start_capacity": 0.33,
+    "fall": 1500.0,
+    "fall_multiple": 2.5,
+    "answer_slack": 8.0,
+}
+
+
 def dispatcher_config(plan: DayPlan, listen: str, discovery: str) -> dict[str, Any]:
-    """The configuration of one dispatcher out of as many as there are workers."""
+    """Return the configuration of one dispatcher out of as many as there are workers."""
     return {
         "name": "n0",
         "listen": listen,
@@ -63,33 +90,9 @@
             "zones": list(ZONES),
             "kinds": ["std"],
             "locality": 0,
-            "classes": [
-                {
-                    "name": CLASS_NAME,
-                    "value": 5,
-                    "goal_time": 250,
-                    "give_up": DEADLINE_MS,
-                    "idempotency": "retryable",
-                }
-            ],
+            "classes": [REQUEST_CLASS],
             "family_info": {"tells_start": True, "progress": 1000.0, "class_stretch": [2.5]},
-            "policy_limits": {
-                "cancel": True,
-                "max_attempts": 5,
-                "may_duplicate": False,
-                "may_tell": False,
-                "retry_after": True,
-                "max_retry_after": 2000.0,
-                "dial_timeout": 100.0,
-                "conn_idle": 60_000.0,
-            },
-            "rules": {
-                "drain_grace": DRAIN_GRACE_MS,
-                "cold": 5000.0,
-                "start_capacity": 0.33,
-                "fall": 1500.0,
-                "fall_multiple": 2.5,
-                "answer_slack": 8.0,
-            },
+            "policy_limits": POLICY_LIMITS,
+            "rules": RULES,
         },
     }
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -93,8 +93,14 @@
         self._admission = AdmissionController(
             context, self._fleet, self._requests, self._queues, self._completion
         )
-        self._retries = RetryController(
-            context,
+        self._retries = self._create_retries()
+        self._releaser = self._create_releaser()
+        state.update_after_repartition()
+        self._handlers = self._event_handlers()
+
+    def _create_retries(self) -> RetryController:
+        return RetryController(
+            self._context,
             self._fleet,
             self._queues,
             self._selector,
@@ -102,20 +108,20 @@
             self._retry_budget,
             self._completion,
         )
+
+    def _create_releaser(self) -> RequestReleaser:
         starter = AttemptStarter(
-            context,
-            state,
+            self._context,
+            self._state,
             self._requests,
             self._queues,
             self._selector,
             self._outliers,
             self._retry_budget,
         )
-        self._releaser = RequestReleaser(
-            state, self._queues, self._selector, self._outliers, self._completion, starter
+        return RequestReleaser(
+            self._state, self._queues, self._selector, self._outliers, self._completion, starter
         )
-        state.update_after_repartition()
-        self._handlers = self._event_handlers()
 
     @property
     def requests(self) -> Mapping[int, QueuedRequest]:
