--- a/eiderfield/lab/fleet/rollout_supervisor.py
+++ b/eiderfield/lab/fleet/rollout_supervisor.py
@@ -115,9 +115,11 @@
             )
 
     def _has_ended(self, at: float) -> bool:
-        """Whether the controller has ended the change, or it stays held."""
+        """Whether the controller has ended the change, or it stays held with no decision left to send."""
         assert self._child is not None
-        return self._child.poll() == 0 or (at > HELD_AFTER_S and self._is_held())
+        if self._child.poll() == 0:
+            return True
+        return not self._decision and at > HELD_AFTER_S and self._is_held()
 
     def _measure_controller(self) -> None:
         """What the controller has used so far; one that has ended says nothing more."""
