--- a/tests/test_rollout_supervisor.py
+++ b/tests/test_rollout_supervisor.py
@@ -30,8 +30,8 @@
     return phases
 
 
-def test_a_decision_is_sent_when_the_change_is_held_between_two_reads_of_the_journal(phases, tmp_path):
-    """Seen: the run ended as held, for the first read found the change watched and the second found it held."""
+def test_decision_for_a_change_held_between_two_journal_reads_is_sent(phases, tmp_path):
+    """Seen: the run ended as held. The first read found the change watched, and the second found it held."""
     supervisor = ControllerSupervisor(tmp_path, Change(decision="undo"))
     fleet = SimpleNamespace()
     supervisor.step(fleet)  # starts the controller
