--- a/eiderfield/__main__.py
+++ b/eiderfield/__main__.py
@@ -25,25 +25,25 @@
 
 
 async def serve(config: Config, load_again: Callable[[], Config], hung_up: list[int] | None = None) -> None:
-    """Runs one dispatcher until it is told to end. `hung_up` holds each SIGHUP that came before."""
+    """Run one dispatcher until SIGTERM or SIGINT. `hung_up` holds each SIGHUP received before."""
     loop = asyncio.get_running_loop()
-    # One bad peer or one slip must not end the program: what reaches the loop is logged.
+    # An error that reaches the event loop is logged and does not end the program.
     loop.set_exception_handler(lambda _, at: log(f"{at.get('message')}: {at.get('exception')!r}"))
     program = Program(config, loop, MonotonicClock())
     loop.add_signal_handler(signal.SIGTERM, program.stop)
     loop.add_signal_handler(signal.SIGINT, program.stop)
     loop.add_signal_handler(signal.SIGHUP, program.reload, load_again)
-    if hung_up:  # the file may have been read before it was written anew
+    if hung_up:  # the file may have been read before it changed
         program.reload(load_again)
     await program.start()
     gc.collect()
-    gc.freeze()  # what lives for ever need not be looked through again
+    gc.freeze()  # objects that live as long as the process need no further collection
     log(f"{config.name} listens on {config.listen[0]}:{config.listen[1]}")
     await program.ended.wait()
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs the program; 2 with one plain line if the configuration is faulty."""
+    """Run the program; return 2 after one line on standard error if the configuration is faulty."""
     parser = argparse.ArgumentParser(prog="eiderfield", description="A dispatcher of requests to workers.")
     parser.add_argument("--config", metavar="FILE", help="an operator's TOML file instead of LB_CONFIG")
     options = parser.parse_args(arguments)
--- a/eiderfield/lab/experiment.py
+++ b/eiderfield/lab/experiment.py
@@ -100,7 +100,7 @@
         self.signal(signal.SIGHUP)
 
     def figures(self) -> dict[str, Any]:
-        """What its console says."""
+        """Return the figures of the dispatcher's console."""
         figures: dict[str, Any] = json.loads(call_console(self.console, "/-/metrics")[1])
         return figures
 
--- a/eiderfield/lab/fleet/commands.py
+++ b/eiderfield/lab/fleet/commands.py
@@ -49,7 +49,7 @@
     discovery_kind: str
     workers: list[str]
     ports: dict[str, dict[str, str]]  # by dispatcher and worker: where the worker listens for it
-    addresses: dict[str, dict[str, str]]  # by dispatcher and worker: what discovery tells it
+    addresses: dict[str, dict[str, str]]  # by dispatcher and worker: its state as discovery announced it
     discovery_ports: dict[str, str]  # by dispatcher
 
     @classmethod
@@ -170,7 +170,7 @@
 
 
 def announce(word: str) -> None:
-    """Tells whoever started this process something, in a line."""
+    """Send one line to the process that started this one."""
     sys.stdout.write(word + "\n")
     sys.stdout.flush()
 
--- a/eiderfield/lab/fleet/discovery.py
+++ b/eiderfield/lab/fleet/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's discovery: each dispatcher's agent tells it the addresses of that dispatcher's links."""
+"""A stand-in for the platform's discovery; each dispatcher's agent announces that dispatcher's own links."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 KEEPALIVE_S = 2.0  # between two empty lines on a watch
 SILENCE_POLL_S = 0.05
-LATE_POLL_S = 0.1  # after which a change is told again while discovery is silent
+LATE_POLL_S = 0.1  # until a change is announced again while discovery is silent
 
 Addresses = dict[str, dict[str, str]]  # by dispatcher and worker
 
@@ -24,7 +24,7 @@
     def __init__(self, workers: dict[str, Worker], addresses: Addresses, log: EventLogWriter) -> None:
         self.workers = workers
         self.index = 1
-        self.delay = 0.0  # s by which changes are told late
+        self.delay = 0.0  # s by which announcements are delayed
         self.is_silent = False
         self._addresses = addresses
         self._log = log
@@ -50,7 +50,7 @@
         writer.close()
 
     def worker_changed(self, name: str) -> None:
-        """Tells of a worker's state, after the delay."""
+        """Announce the state of a worker, after the delay."""
         asyncio.get_running_loop().call_later(self.delay, self._tell_change, name)
 
     def entries(self, dispatcher: str, names: Iterable[str]) -> list[dict[str, Any]]:
@@ -58,7 +58,7 @@
         return [self._entry(dispatcher, self.workers[name]) for name in names]
 
     def log_told(self, dispatcher: str, statuses: dict[str, str]) -> None:
-        """Writes down which states a dispatcher was told."""
+        """Log which states were announced to a dispatcher."""
         self._log.write("told", to=dispatcher, workers=statuses)
 
     async def _wait_while_silent(self) -> None:
--- a/eiderfield/lab/fleet/dispatcher.py
+++ b/eiderfield/lab/fleet/dispatcher.py
@@ -109,7 +109,7 @@
             self.descriptors_at_start = self.descriptors()
 
     def find_process(self) -> None:
-        """Turns to the process that was started last, whoever started it; a controller may have done so."""
+        """Adopt the process that was started last, which a controller may have started."""
         found = sorted(self.processes(), key=lambda process: process.create_time())
         if self._child is not None:
             self._child.poll()
@@ -141,7 +141,7 @@
         return False
 
     def figures(self, timeout: float = CONSOLE_TIMEOUT_S) -> dict[str, Any]:
-        """What its console says within `timeout` s."""
+        """Return the figures of its console; waits for `timeout` s at most."""
         figures: dict[str, Any] = json.loads(call_console(self.console, "/-/metrics", timeout=timeout)[1])
         return figures
 
--- a/eiderfield/lab/fleet/proxy.py
+++ b/eiderfield/lab/fleet/proxy.py
@@ -100,7 +100,7 @@
         await writer.drain()
 
     async def _send_end(self, writer: asyncio.StreamWriter, direction: str) -> None:
-        while self.is_cut[direction]:  # an end is told once the link is back
+        while self.is_cut[direction]:  # an end is forwarded once the link is back
             await asyncio.sleep(TICK_S)
         if writer.can_write_eof():
             writer.write_eof()
@@ -126,7 +126,7 @@
             _reset(writer)
 
     def close_half(self) -> None:
-        """Ends one direction of every connection: whoever is behind the target hears an end."""
+        """Shut down one direction of every connection: the process behind the target reads an end of file."""
         for writer in list(self.writers):
             with suppress(OSError, RuntimeError):
                 if writer.can_write_eof() and not writer.is_closing():
@@ -166,7 +166,7 @@
 
 
 async def serve() -> None:
-    """Opens links, and does to them what it is told, until the input ends."""
+    """Open links and carry out commands on them until the input ends."""
     proxy = Proxy()
     announce(READY)
     await serve_commands(proxy.carry_out)
--- a/eiderfield/lab/fleet/rollout_change.py
+++ b/eiderfield/lab/fleet/rollout_change.py
@@ -17,7 +17,7 @@
 from eiderfield.lab.fleet.rules import Finding
 from eiderfield.lab.fleet.scenario import Fault
 
-# The plan's `watch` table, where a change says nothing else; times in s.
+# The plan's `watch` table, unless a change sets it; times in s.
 USUAL_WATCH = {
     "seconds": 60.0,
     "before": 4.0,
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LostContact:
-    """For a while from a phase on, the controller cannot reach a dispatcher's console."""
+    """A time from a phase on in which the controller cannot reach a dispatcher's console."""
 
     phase: str
     seconds: float
--- a/eiderfield/lab/fleet/rollout_supervisor.py
+++ b/eiderfield/lab/fleet/rollout_supervisor.py
@@ -34,7 +34,7 @@
 from eiderfield.rollout.state import Phase
 
 HELD_AFTER_S = 2.0  # from the start of a change, before which nobody takes it for held
-MAX_CONTROLLERS = 40  # of one change, before the run is given up
+MAX_CONTROLLERS = 40  # of one change, before the run fails
 MEGABYTE = 2**20
 UNREACHABLE_FILE = "blind.json"  # read by `controller_process.py`
 VERSIONS = ("old", "new")
@@ -122,7 +122,7 @@
         return not self._decision and at > HELD_AFTER_S and self._is_held()
 
     def _measure_controller(self) -> None:
-        """What the controller has used so far; one that has ended says nothing more."""
+        """Record the memory and CPU time that the controller has used so far."""
         if self._child is None:
             return
         with suppress(psutil.Error):
--- a/eiderfield/lab/fleet/workers.py
+++ b/eiderfield/lab/fleet/workers.py
@@ -104,7 +104,7 @@
             self.close()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Tells the worker of the attempt that is out on it."""
+        """Report the open attempt on this connection to the worker."""
         self._worker.connections.discard(self)
         if self.attempt is not None:
             self._worker.connection_broke(self.attempt)
@@ -152,7 +152,7 @@
         self.since = 0.0  # its last start, as Unix time in ms
         self.status = SERVING
         self.is_away = False  # its process is not there
-        self.is_silent = False  # its machine says nothing
+        self.is_silent = False  # its machine does not respond
         self.fails = False  # it fails all that comes
         self.slowness = 1.0  # how many times longer jobs run
         self._settings = settings
--- a/eiderfield/lab/idle_clients.py
+++ b/eiderfield/lab/idle_clients.py
@@ -42,7 +42,7 @@
 
 AT_ONCE = 8  # connections that are being opened at one time
 DEADLINE_MS = 10_000.0  # that each job may take
-EVENT_TIMEOUT_S = 30.0  # without any event for which a command waits before it gives up
+EVENT_TIMEOUT_S = 30.0  # without any event until a command ends
 CONNECT_TIMEOUT_S = 10.0
 CLOSED_POLL_S = 0.02
 LEAST_RETRY_AFTER_S = 0.02
@@ -163,7 +163,7 @@
         return replace(self._report(), last=last)
 
     def connect_silently(self, command: ConnectSilently) -> Report:
-        """Opens connections that say nothing; how many of them were closed, and when the last was."""
+        """Open connections that send nothing; return how many were closed, and when the last one was."""
         self._begin()
         clients = self._open_many(command.count)
         start, last = time.monotonic(), 0.0
@@ -325,7 +325,7 @@
 @click.option("--name", default="idle", help="the beginning of each job's id")
 @click.option("--seed", default=1)
 def main(target: str, base: str, addresses: int, cls: str, name: str, seed: int) -> None:
-    """Opens and holds connections as it is told on standard input."""
+    """Open and hold connections as commanded on standard input."""
     clients = IdleClients(parse_address(target, "--target"), sources(base, addresses), cls, name, seed)
     for line in sys.stdin:
         click.echo(encode_report(clients.carry_out(decode_command(line))))
--- a/eiderfield/lab/idle_commands.py
+++ b/eiderfield/lab/idle_commands.py
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectSilently:
-    """Opens connections that say nothing."""
+    """Open connections that send nothing."""
 
     count: int
     seconds: float
--- a/eiderfield/program/program.py
+++ b/eiderfield/program/program.py
@@ -84,7 +84,7 @@
         """Take over from a process that serves already, if there is one, and open the listeners."""
         for part in self._before_clients:
             await part.start()
-        if self.shutdown.begun:  # told to end before it served anybody
+        if self.shutdown.begun:  # the shutdown began before a client was accepted
             return
         for part in self._with_clients:
             await part.start()
--- a/eiderfield/program/shutdown.py
+++ b/eiderfield/program/shutdown.py
@@ -47,7 +47,7 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the process has been told to end."""
+        """Whether the shutdown has begun."""
         return any(listener.draining for listener in self._listeners)
 
     def begin(self, longest_deadline: float) -> None:
