--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -64,7 +64,7 @@
         self.settings = Custody(path, frozenset({0}), lease=LEASE)
 
     def member(self, name: str) -> Member:
-        member = Member(self.settings, name, {"report": 3.0}, lambda _line: None, lambda: self.now)
+        member = Member(self.settings, name, {"report": 3.0}, lambda line: None, lambda: self.now)
         member.begin()
         member.look()
         return member
--- a/tests/golden/handover/record.py
+++ b/tests/golden/handover/record.py
@@ -41,7 +41,7 @@
 
 def teach(dispatcher):
     """Lets the decisions of a process have learnt something that the next one goes on from."""
-    module = dispatcher.exchange._dispatcher
+    module = dispatcher.exchange._module
     module._served_rate = 0.75
     pacer = module._pacers[0]
     pacer.run, pacer.rate, pacer.uncut, pacer.next_at = 120.0, 4.0, 20.0, dispatcher.now + 250.0
@@ -172,8 +172,8 @@
 def accept_all(side, room):
     """Lets a listener, which has no loop here, take what it is given; without `room`, no batches."""
     listener = side.dispatcher.listener
-    listener.borrow = lambda fd, _since, _key: room and os.close(fd) is None
-    listener.admit = lambda sock, _given: sock.close()
+    listener.borrow = lambda fd, since, key: room and os.close(fd) is None
+    listener.admit = lambda sock, given: sock.close()
 
 
 def park(side, copies):
@@ -183,7 +183,7 @@
     listener = side.dispatcher.listener
     listener.idling = replace(listener.idling, copies=copies)
     batches = [[(here.fileno(), listener.clock() - 1500.0)]]
-    listener.lend = lambda _most: batches.pop() if batches else []
+    listener.lend = lambda most: batches.pop() if batches else []
 
 
 def give(side, proven, begun):
