--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -31,7 +31,7 @@
 ROLLOUT = ("before", "watching", "paused", "stuck")
 
 
-@pytest.fixture(params=["731b84e", "456c0d9"])
+@pytest.fixture(params=["731b84e", "456c0d9", "3888fce"])
 def golden(request):
     """The recorded files of a revision."""
     return GOLDEN if request.param == "731b84e" else GOLDEN / request.param
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -1,4 +1,4 @@
-"""The handover's messages against those that two earlier revisions wrote."""
+"""The handover's messages against those that three earlier revisions wrote."""
 
 import importlib.util
 import json
@@ -24,10 +24,11 @@
 STATE_AT = START + 40.0  # when the recorded state was written
 LATER = START + 200.0
 # Fields that were added after a revision.
-ADDED = {"731b84e": frozenset({"now", "started", "heard"}), "456c0d9": frozenset()}
+ADDED = {"731b84e": frozenset({"now", "started", "heard"}), "456c0d9": frozenset(), "3888fce": frozenset()}
 TIMED = ("state", "ban", "client", "parked")  # kinds of messages that hold times
 
 revisions = pytest.mark.parametrize("revision", FOLDERS)
+revisions_of_this_form = pytest.mark.parametrize("revision", ["456c0d9", "3888fce"])
 
 
 def read_at(revision, name):
@@ -87,12 +88,13 @@
     assert decode("731b84e", name) == SHORT[name]
 
 
+@revisions_of_this_form
 @pytest.mark.parametrize("name", SHORT)
-def test_a_message_of_456c0d9_is_read(name):
+def test_a_message_of_a_revision_with_this_form_is_read(revision, name):
     expected = SHORT[name]
     if name == "parked-copies":  # keys are numbers of descriptors, which differ from run to run
-        expected = replace(expected, keys=tuple(recorded("456c0d9", name)[0]["keys"]))
-    assert decode("456c0d9", name) == expected
+        expected = replace(expected, keys=tuple(recorded(revision, name)[0]["keys"]))
+    assert decode(revision, name) == expected
 
 
 @revisions
@@ -132,10 +134,11 @@
     assert ("now" in again) == (message["is"] in TIMED)
 
 
+@revisions_of_this_form
 @pytest.mark.parametrize("name", NAMES)
-def test_a_message_of_456c0d9_is_written_byte_for_byte_as_before(name):
-    message, _ = recorded("456c0d9", name)
-    again = codec(read_at("456c0d9", name)).encode(decode("456c0d9", name))
+def test_a_message_of_a_revision_with_this_form_is_written_byte_for_byte_as_before(revision, name):
+    message, _ = recorded(revision, name)
+    again = codec(read_at(revision, name)).encode(decode(revision, name))
     assert json.dumps(again) == json.dumps(message)
 
 
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,7 +1,7 @@
-"""The decisions of seeded event sequences, as two earlier revisions made them.
+"""The decisions of seeded event sequences, as three earlier revisions made them.
 
-`BEFORE_THE_PACKAGE` are those from before the decisions became a package; those of 456c0d9 are in
-`tests/golden/456c0d9/decisions`.
+`BEFORE_THE_PACKAGE` are those from before the decisions became a package; those of 456c0d9 and 3888fce are in
+`tests/golden/REVISION/decisions`.
 
 A digest covers every action in its order, in the simulator's wire form with the expected work of each
 attempt, so that it outlasts names. A change of behaviour that is meant changes digests: the commit says
@@ -55,9 +55,10 @@
     },
     "fleets": {"4x12": "a027f7bd3630faf5", "12x24": "fe1cd6a9f2887527"},
 }
-RECORDED = {
-    "before the package": BEFORE_THE_PACKAGE,
-    "456c0d9": json.loads((Path(__file__).parent / "golden/456c0d9/decisions/digests.json").read_text()),
+GOLDEN = Path(__file__).parent / "golden"
+RECORDED = {"before the package": BEFORE_THE_PACKAGE} | {
+    revision: json.loads((GOLDEN / revision / "decisions" / "digests.json").read_text())
+    for revision in ("456c0d9", "3888fce")
 }
 FLEETS = {"4x12": (4, 12), "12x24": (12, 24)}  # dispatchers, workers
 
