--- a/eiderfield/policy/admission.py
+++ b/eiderfield/policy/admission.py
@@ -17,10 +17,10 @@
 from eiderfield.policy.request_table import RequestTable
 from eiderfield.policy.retry_rules import may_reject
 
-GRB_PER_WORKER = 4  # requests in the GRB for each worker
-GRB_WAIT = 4.0  # the GRB is full when the wait exceeds this multiple of the newest request's slack
-MIN_WORKERS = 4  # for which the GRB has room, even if there are fewer
-QUOTA_SECONDS = 2.0  # of a tenant's quota that can be saved up
+GRB_REQUESTS_PER_WORKER = 4  # requests in the GRB for each worker
+MAX_GRB_WAIT_FACTOR = 4.0  # the GRB is full when the wait exceeds this multiple of the newest request's slack
+MIN_GRB_WORKERS = 4  # for which the GRB has room, even if there are fewer
+QUOTA_BURST_S = 2.0  # of a tenant's quota that can be saved up
 MS_PER_S = 1000.0
 
 
@@ -48,7 +48,7 @@
         if tenant >= len(self._shares):
             return bool(self._shares)  # a tenant that the settings do not list has no quota
         share, (since, tokens) = self._shares[tenant], self._credit[tenant]
-        tokens = min(QUOTA_SECONDS * share, tokens + (now - since) * share / MS_PER_S)
+        tokens = min(QUOTA_BURST_S * share, tokens + (now - since) * share / MS_PER_S)
         is_over = tokens < 1.0
         self._credit[tenant] = (now, tokens if is_over or client_retry else tokens - 1.0)
         return is_over
@@ -61,8 +61,8 @@
 
 def is_full(queues: ClassQueues, wait: float, slack: float, workers: int) -> bool:
     """Return whether a request has to be shed, given the slack and the expected wait of the newest one."""
-    most = GRB_PER_WORKER * max(MIN_WORKERS, workers)
-    return queues.held_count > most or (queues.held_count > SLB_SIZE and wait > GRB_WAIT * slack)
+    most = GRB_REQUESTS_PER_WORKER * max(MIN_GRB_WORKERS, workers)
+    return queues.held_count > most or (queues.held_count > SLB_SIZE and wait > MAX_GRB_WAIT_FACTOR * slack)
 
 
 class AdmissionController:
--- a/eiderfield/policy/affinity.py
+++ b/eiderfield/policy/affinity.py
@@ -24,7 +24,7 @@
 
 MIN_HOMES = 2  # homes of a key at least: one may be busy
 HOME_FACTOR = 2.0  # homes of a key, as a multiple of its share of the requests times the workers
-HOME_FACTOR_OF_MANY = 1.5  # the same with many dispatchers, which cancel requests that wait
+HOME_FACTOR_MANY_DISPATCHERS = 1.5  # the same with many dispatchers, which cancel requests that wait
 MAX_COUNTED_REQUESTS = 5000  # requests with keys after which all counts are halved
 MAX_KEYS_HANDED_OVER = 500  # most frequent keys that are passed on to the next process
 MIN_ORDER_LENGTH = 12  # workers that a new order holds at least: two homes, and substitutes for them
@@ -157,7 +157,7 @@
         single one would make a rare key look frequent.
         """
         share = (self.by_key[key] - many) / max(1, self.total - many)
-        factor = HOME_FACTOR_OF_MANY if many else HOME_FACTOR
+        factor = HOME_FACTOR_MANY_DISPATCHERS if many else HOME_FACTOR
         return max(MIN_HOMES, ceil(factor * share * workers))
 
     def most_common(self) -> tuple[KeyCount, ...]:
--- a/eiderfield/policy/attempt_outcomes.py
+++ b/eiderfield/policy/attempt_outcomes.py
@@ -11,13 +11,13 @@
 from eiderfield.policy.context import Context
 from eiderfield.policy.endpoint import MAX_ERROR_SCORE, Worker
 from eiderfield.policy.fleet_state import FleetState
-from eiderfield.policy.outlier_detection import SILENT_RUNS, OutlierDetector
+from eiderfield.policy.outlier_detection import SILENT_DURATIONS, OutlierDetector
 from eiderfield.policy.request import AttemptRecord
 from eiderfield.policy.selection import EndpointSelector
 
 FULL_PAUSE_MS = 200.0  # during which a full worker is sent nothing: about the time until a place is free
 MAX_FULL_PAUSES = 2  # pauses in a row after which a worker that answers 'full' each time is tried again
-MAX_WAIT_PAUSES = 5.0  # longest pause after a wait at a worker, as a multiple of that wait
+MAX_PAUSE_PER_WAIT = 5.0  # longest pause after a wait at a worker, as a multiple of that wait
 
 
 class AttemptOutcomes:
@@ -49,7 +49,7 @@
         self._reports.record_start(worker)
         # One waiting request of each dispatcher makes a long queue (i1da742): let the others go first.
         others = self._fleet.subset.dispatchers_per_worker / self._reports.slots_of(worker) - 1.0
-        worker.full_until = max(worker.full_until, now + waited * min(MAX_WAIT_PAUSES, others))
+        worker.full_until = max(worker.full_until, now + waited * min(MAX_PAUSE_PER_WAIT, others))
         self._fleet.pausing[worker.entry.worker] = worker
 
     def record_end(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
@@ -77,7 +77,7 @@
 
     def _record_answer(self, attempt: AttemptRecord, worker: Worker, event: AttemptEnded, now: float) -> None:
         request, pacer = attempt.request, attempt.request.pacer
-        late = event.elapsed_ms >= SILENT_RUNS * max(
+        late = event.elapsed_ms >= SILENT_DURATIONS * max(
             pacer.expected_duration_ms(request.expected_work), request.request_class.latency_objective_ms
         )
         worker.record_sign_of_life(now, not late)
--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -25,9 +25,9 @@
 MAX_EJECTION_MS = 4000.0
 ERROR_DECAY = 0.8  # factor on the error score with each attempt that ends
 MAX_ERROR_SCORE = 1.5  # above it a worker is ejected: two errors in a row, or one in three
-PACE_PRIOR_REQUESTS = 3.0  # requests of typical duration that a worker is credited with in its pace
-PACE_MEMORY_MS = 5000.0  # after which what has run at a worker no longer counts in its pace
-RECENT_ATTEMPTS = 1024  # sends to a warming worker that are remembered: no more are made in one window
+SLOWDOWN_PRIOR_REQUESTS = 3.0  # requests of typical duration that a worker is credited with in its pace
+SLOWDOWN_MEMORY_MS = 5000.0  # after which what has run at a worker no longer counts in its pace
+MAX_RECENT_SENDS = 1024  # sends to a warming worker that are remembered: no more are made in one window
 
 
 @dataclass(slots=True, eq=False)
@@ -55,7 +55,7 @@
     silent: bool = False
     failing: bool = False  # fails some requests at once and answers others well
     recent_sends: deque[tuple[float, float]] = field(
-        default_factory=lambda: deque(maxlen=RECENT_ATTEMPTS)
+        default_factory=lambda: deque(maxlen=MAX_RECENT_SENDS)
     )  # times and work of sends while it warms up
     slow_start_left: float = inf  # work that it may still be sent while it warms up
     budget_threshold: float = 1.0  # share of a request's cost that must be left of the slow start budget
@@ -96,7 +96,7 @@
 
     def record_duration(self, now: float, duration: float, completed: bool) -> None:
         """Update the pace with a started request that has ended after `duration` typical durations."""
-        kept = max(0.0, 1.0 - (now - self.pace_updated_at) / PACE_MEMORY_MS)
+        kept = max(0.0, 1.0 - (now - self.pace_updated_at) / SLOWDOWN_MEMORY_MS)
         self.recent_durations = self.recent_durations * kept + duration
         self.recent_completions = self.recent_completions * kept + completed
         self.pace_updated_at = now
@@ -107,7 +107,7 @@
         Requests in progress count with the time that they have run so far: they are the first to show that a
         worker has become slow.
         """
-        kept = max(0.0, 1.0 - (now - self.pace_updated_at) / PACE_MEMORY_MS)
+        kept = max(0.0, 1.0 - (now - self.pace_updated_at) / SLOWDOWN_MEMORY_MS)
         in_progress = sum(
             [
                 (now - attempt.started_at) / attempt.request.expected_duration_ms
@@ -115,8 +115,8 @@
                 if attempt.started_at is not None
             ]
         )
-        durations = PACE_PRIOR_REQUESTS + self.recent_durations * kept + in_progress
-        return durations / (PACE_PRIOR_REQUESTS + self.recent_completions * kept)
+        durations = SLOWDOWN_PRIOR_REQUESTS + self.recent_durations * kept + in_progress
+        return durations / (SLOWDOWN_PRIOR_REQUESTS + self.recent_completions * kept)
 
     def eject(self, now: float, failing: bool = False) -> None:
         """Send nothing to the worker for a while; `failing` marks it instead, see the module's docstring."""
--- a/eiderfield/policy/gossip.py
+++ b/eiderfield/policy/gossip.py
@@ -1,7 +1,7 @@
 """Gossip: dispatchers that share workers report to each other the slots that their requests take there.
 
-Reports are not acknowledged. One that is lost is replaced by the next, and each expires after `FRESH_MS`, for
-its sender may have died.
+Reports are not acknowledged. One that is lost is replaced by the next. Each expires after
+`PEER_REPORT_TTL_MS`, because its sender may have died.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from eiderfield.policy.fleet import Fleet
 from eiderfield.policy.subsetting import DISPATCHERS_PER_WORKER_WITH_GOSSIP, group_of_dispatcher
 
-FRESH_MS = 2000.0  # after which a peer's report expires
+PEER_REPORT_TTL_MS = 2000.0  # after which a peer's report expires
 
 
 class Gossip:
@@ -49,9 +49,11 @@
             worker = self._fleet.workers.get(number)
             if worker is not None:
                 worker.peer_reports[peer] = (now, count)
-                worker.peer_slots_until = now + FRESH_MS
+                worker.peer_slots_until = now + PEER_REPORT_TTL_MS
                 reports = worker.peer_reports.values()
-                worker.peer_slots = sum([slots for sent_at, slots in reports if sent_at > now - FRESH_MS])
+                worker.peer_slots = sum(
+                    [slots for sent_at, slots in reports if sent_at > now - PEER_REPORT_TTL_MS]
+                )
 
     def send_reports(self) -> None:
         """Report to the peers the workers at which own slots have changed in this call."""
--- a/eiderfield/policy/load_reports.py
+++ b/eiderfield/policy/load_reports.py
@@ -17,8 +17,8 @@
 from eiderfield.policy.fleet import Fleet
 
 DEFAULT_SLOTS = 2.0  # assumed of a worker until it shows more
-FRESH_MS = 500.0  # after which a report of free slots expires: less than a short request takes
-PROBES = 3  # workers probed at a time, when no report shows a free slot
+LOAD_REPORT_TTL_MS = 500.0  # after which a report of free slots expires: less than a short request takes
+PROBES_PER_ROUND = 3  # workers probed at a time, when no report shows a free slot
 PROBE_WAIT_MS = 10.0  # for which requests wait for the probes' answers
 PROBE_INTERVAL_MS = 200.0  # between two probes of one worker, at least
 
@@ -76,7 +76,7 @@
 
     def free_slot_evidence(self, worker: Worker, now: float) -> float:
         """Return 1 if a fresh report shows a free slot, -1 if it shows none, 0 without a fresh report."""
-        if not self.probing or now > worker.reported_at + FRESH_MS:
+        if not self.probing or now > worker.reported_at + LOAD_REPORT_TTL_MS:
             return 0.0
         return 1.0 if worker.slots_free >= 1 else -1.0
 
@@ -85,7 +85,7 @@
         old = now - PROBE_INTERVAL_MS
         unreported = [w for w in self._fleet.subset.workers if max(w.reported_at, w.probed_at) < old]
         usable = [worker for worker in unreported if self._fleet.is_usable(worker, now)]
-        for worker in self._context.random.sample(usable, min(PROBES, len(usable))):
+        for worker in self._context.random.sample(usable, min(PROBES_PER_ROUND, len(usable))):
             worker.probed_at = now
             self.probes_pending_until = now + PROBE_WAIT_MS
             self._context.actions.append(ProbeWorker(worker.entry.worker))
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -28,9 +28,9 @@
 
 SILENT_INTERVALS = 1.6  # intervals of notes without a sign of life: some are lost when a process pauses
 STUCK_INTERVALS = 3.6  # intervals without a note of one attempt, at a healthy worker
-SILENT_RUNS = 3.0  # typical durations without a sign of life, where workers send no notes
-STUCK_RUNS = 8.0  # typical durations that an attempt may wait at a worker
-STUCK_RUNS_OF_MANY = 0.2  # the same with many dispatchers
+SILENT_DURATIONS = 3.0  # typical durations without a sign of life, where workers send no notes
+STUCK_DURATIONS = 8.0  # typical durations that an attempt may wait at a worker
+SHORT_WAIT_DURATIONS = 0.2  # the same with many dispatchers
 WAIT_WEIGHT = 0.1  # of one request in the mean wait
 RECHECK_MS = 200.0  # after which a silent worker or a stuck attempt is examined again
 
@@ -75,7 +75,7 @@
 
     def short_wait_ms(self, request: QueuedRequest) -> float:
         """Return the wait in ms up to which one of many dispatchers considers a worker's queue short."""
-        return STUCK_RUNS_OF_MANY * self._typical_duration_ms(request)
+        return SHORT_WAIT_DURATIONS * self._typical_duration_ms(request)
 
     def is_hopeless(self, request: QueuedRequest, now: float) -> bool:
         """Return whether a request will be late and, all queues being long, would make others late too."""
@@ -98,7 +98,7 @@
     def _silent_at(self, worker: Worker) -> float:
         """Return when a worker counts as silent if nothing is heard from it until then."""
         oldest = next(iter(worker.open_attempts.values()))
-        without_notes = SILENT_RUNS * self._typical_duration_ms(oldest.request)
+        without_notes = SILENT_DURATIONS * self._typical_duration_ms(oldest.request)
         with_notes = SILENT_INTERVALS * self._context.settings.progress_interval_ms
         return max(worker.last_heard_at, oldest.sent_at) + (with_notes or without_notes)
 
@@ -116,7 +116,7 @@
             return inf
         if self._context.many_dispatchers:
             return self._short_wait_over_at(attempt)
-        return attempt.sent_at + STUCK_RUNS / STUCK_RUNS_OF_MANY * self.short_wait_ms(attempt.request)
+        return attempt.sent_at + STUCK_DURATIONS / SHORT_WAIT_DURATIONS * self.short_wait_ms(attempt.request)
 
     def _short_wait_over_at(self, attempt: AttemptRecord) -> float:
         """Return until when one of many dispatchers lets an attempt wait: twice as long with each attempt."""
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -18,12 +18,12 @@
 
 from eiderfield.interface import RequestClass, Settings
 from eiderfield.model.learned_state import PacerState
-from eiderfield.policy.rate_control import FLOOR_REST, FLOOR_TOP, Pacer
+from eiderfield.policy.rate_control import OTHER_CLASS_FLOOR_SHARE, TOP_CLASS_FLOOR_SHARE, Pacer
 from eiderfield.policy.request import QueuedRequest, QueueId
 
 MIN_DEFAULT_DURATION_MS = 1.0  # of a class before any request has run: a latency objective may be 0
 SLB_SIZE = 8  # requests in a second-level buffer: enough to keep workers busy between two events
-NEAR_FULL = 0.75  # share of the SLB's size at which the class stays in the GRB
+NEARLY_FULL_SHARE = 0.75  # share of the SLB's size at which the class stays in the GRB
 
 
 @dataclass(slots=True, eq=False)
@@ -40,9 +40,9 @@
     def has_room(self) -> bool:
         """Return whether the SLB is not nearly full. With a high floor it grows as the rate is reduced."""
         size = float(SLB_SIZE)
-        if self.pacer.rate is not None and self.pacer.floor_share == FLOOR_TOP:
+        if self.pacer.rate is not None and self.pacer.floor_share == TOP_CLASS_FLOOR_SHARE:
             size *= max(1.0, self.pacer.uncut_rate / self.pacer.rate)
-        return len(self.slb) < NEAR_FULL * size
+        return len(self.slb) < NEARLY_FULL_SHARE * size
 
     def move_late_requests(self, now: float) -> None:
         """Move requests that can no longer be answered in time to the buffer of late ones."""
@@ -67,9 +67,9 @@
 
     def __init__(self, settings: Settings) -> None:
         """Create empty queues for each class and tenant of the settings."""
-        floors = {max(cls.priority_weight for cls in settings.classes): FLOOR_TOP}
+        floors = {max(cls.priority_weight for cls in settings.classes): TOP_CLASS_FLOOR_SHARE}
         durations = [max(MIN_DEFAULT_DURATION_MS, 0.5 * cls.latency_objective_ms) for cls in settings.classes]
-        floor_shares = [floors.get(cls.priority_weight, FLOOR_REST) for cls in settings.classes]
+        floor_shares = [floors.get(cls.priority_weight, OTHER_CLASS_FLOOR_SHARE) for cls in settings.classes]
         self.pacers = [Pacer(*figures) for figures in zip(floor_shares, durations, strict=True)]
         self.by_id: dict[QueueId, ClassQueue] = {}
         for class_index, (request_class, pacer) in enumerate(zip(settings.classes, self.pacers, strict=True)):
--- a/eiderfield/policy/rate_control.py
+++ b/eiderfield/policy/rate_control.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass
 
 WINDOW_MS = 1000.0  # the design's delta-T: long enough for some answers of each class, shorter than a burst
-RAISE = 1.25  # factor on a reduced rate after a window without 'full'
-FLOOR_TOP = 0.7  # share of its uncut rate that the class of highest priority weight keeps
-FLOOR_REST = 0.3  # the same for each other class
-MIN_RATE = 0.5  # requests per second: enough to notice that workers accept requests again
+RATE_INCREASE_FACTOR = 1.25  # factor on a reduced rate after a window without 'full'
+TOP_CLASS_FLOOR_SHARE = 0.7  # share of its uncut rate that the class of highest priority weight keeps
+OTHER_CLASS_FLOOR_SHARE = 0.3  # the same for each other class
+MIN_RATE_PER_S = 0.5  # requests per second: enough to notice that workers accept requests again
 DURATION_WEIGHT = 0.05  # of one request in the mean running time
 MS_PER_S = 1000.0
 
@@ -73,7 +73,7 @@
         if sent and accepted < sent:
             self._cut(sent, accepted)
         elif self.rate is not None:
-            self.rate *= RAISE
+            self.rate *= RATE_INCREASE_FACTOR
             if self.rate >= self.uncut_rate and not waiting:
                 self.rate = None  # the limit no longer has an effect
         self.window_start = now
@@ -86,4 +86,4 @@
             self.rate = self.uncut_rate = sent
         contribution = self.rate / sent
         rate = self.rate + contribution * (accepted - sent)
-        self.rate = max(rate, self.floor_share * self.uncut_rate, MIN_RATE)
+        self.rate = max(rate, self.floor_share * self.uncut_rate, MIN_RATE_PER_S)
--- a/eiderfield/policy/selection.py
+++ b/eiderfield/policy/selection.py
@@ -22,8 +22,10 @@
 from eiderfield.policy.retry_rules import may_resend, retry_group
 
 EXTRA_REQUESTS = 1  # beyond its slots, at a worker that reports no starts, to keep its slots busy
-SLOW_PACE = 2.3  # pace above which a worker counts as slow
-NO_HOME_SHARE = 0.1  # first share of the warm-up, in which a worker is no home: most requests would be late
+SLOW_WORKER_SLOWDOWN = 2.3  # pace above which a worker counts as slow
+NO_HOME_WARM_UP_SHARE = (
+    0.1  # first share of the warm-up, in which a worker is no home: most requests would be late
+)
 SEARCH_FACTOR = 4  # growth of the part of a key's order that is searched while it holds too few homes
 
 Rank = tuple[float, bool, int]  # tier, whether in another zone, own requests; the lowest is best
@@ -184,7 +186,7 @@
             return False
         if not self._is_trusted(worker, request, now):
             return False
-        soon = now + (1.0 - NO_HOME_SHARE) * self._context.settings.slow_start_window_ms
+        soon = now + (1.0 - NO_HOME_WARM_UP_SHARE) * self._context.settings.slow_start_window_ms
         return self._fleet.is_usable(worker, now) and not self._slow_start.is_warming(worker, soon)
 
     def _is_trusted(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
@@ -218,7 +220,7 @@
         """Return the rank of a worker: its tier, whether it is in another zone, and its own requests."""
         settings = self._context.settings
         pace = worker.pace(now) if settings.workers_report_start else 1.0
-        is_slow = pace > SLOW_PACE
+        is_slow = pace > SLOW_WORKER_SLOWDOWN
         is_tight = (self._gossip.peers or request.slots > 1.0) and not self._fits(worker, request, now)
         tier = 1.0 if is_tight else -self._reports.free_slot_evidence(worker, now)
         tier += 2.0 * worker.failing + is_slow
--- a/eiderfield/policy/slow_start.py
+++ b/eiderfield/policy/slow_start.py
@@ -17,13 +17,15 @@
 
 from eiderfield.interface import EndpointState, stable_hash
 from eiderfield.policy.context import Context
-from eiderfield.policy.endpoint import RECENT_ATTEMPTS, Worker
+from eiderfield.policy.endpoint import MAX_RECENT_SENDS, Worker
 from eiderfield.policy.fleet import Fleet
 
 SERVED_RATE_MS = 4000.0  # over which the rate of served work is averaged
 RATE_INTERVAL_MS = 200.0  # between two updates of the rate per warm worker
 BUDGET_MARGIN = 0.5  # share of the allowance that is used
-BUDGET_MARGIN_OF_MANY = 0.6  # the same with many dispatchers, each of which a threshold keeps to its part
+BUDGET_MARGIN_MANY_DISPATCHERS = (
+    0.6  # the same with many dispatchers, each of which a threshold keeps to its part
+)
 HASH_RANGE = 2.0**64
 
 
@@ -84,14 +86,14 @@
         if not self.is_warming(worker, now) or not settings.recovery_ramp_ms:  # without a window: no rule 4
             return inf
         self._update_rate_per_worker(now)
-        margin = BUDGET_MARGIN_OF_MANY if many else BUDGET_MARGIN
+        margin = BUDGET_MARGIN_MANY_DISPATCHERS if many else BUDGET_MARGIN
         allowed = (
             margin * settings.recovery_ramp_multiple * self.rate_per_warm_worker * settings.recovery_ramp_ms
         )
         allowed *= self.capacity_share(worker, now)
         while worker.recent_sends and worker.recent_sends[0][0] <= now - settings.recovery_ramp_ms:
             worker.recent_sends.popleft()
-        if len(worker.recent_sends) == RECENT_ATTEMPTS:  # more may have been sent in this window
+        if len(worker.recent_sends) == MAX_RECENT_SENDS:  # more may have been sent in this window
             return -inf
         if many:  # rounding parts of a request would starve or overload the worker
             worker.budget_threshold = self._draw_threshold(worker, now)
--- a/eiderfield/policy/subsetting.py
+++ b/eiderfield/policy/subsetting.py
@@ -32,9 +32,9 @@
 DISPATCHERS_PER_WORKER_WITH_GOSSIP = 9  # the same where they report to each other: limits the reports
 # Workers in a subset where requests have keys. A fleet of 3,200 may cost 2.5 times the connections of one of
 # 200, plus 40 (docs/standing.md): that makes 540 with one connection to a worker, the upper bound of this.
-KEYED_SUBSET_SIZE = 500
+AFFINITY_SUBSET_SIZE = 500
 GROUP_COUNT_TOLERANCE = 0.1  # share by which the number of groups may deviate before a repartition
-KEYED_SIZE_TOLERANCE = 0.5  # share by which a keyed subset may be too small: a repartition moves homes
+AFFINITY_SIZE_TOLERANCE = 0.5  # share by which a keyed subset may be too small: a repartition moves homes
 MAX_DONOR_GROUPS = 8  # groups among which a worker is chosen to refill another group
 GOLDEN_RATIO = 0.6180339887498949  # the fractional parts of its multiples are spread evenly over 0 to 1
 
@@ -56,10 +56,10 @@
 def keyed_groups(current: int, dispatchers: int, workers: int) -> int:
     """Return the number of groups of a `HashedPartition`, given the current one."""
     max_groups = max(1, round(dispatchers / DISPATCHERS_PER_WORKER))
-    wanted = min(max_groups, ceil(workers / KEYED_SUBSET_SIZE))
+    wanted = min(max_groups, ceil(workers / AFFINITY_SUBSET_SIZE))
     size = workers / max(1, current)
-    too_large = size > KEYED_SUBSET_SIZE * (1.0 + GROUP_COUNT_TOLERANCE)
-    too_small = size < KEYED_SUBSET_SIZE * (1.0 - KEYED_SIZE_TOLERANCE)
+    too_large = size > AFFINITY_SUBSET_SIZE * (1.0 + GROUP_COUNT_TOLERANCE)
+    too_small = size < AFFINITY_SUBSET_SIZE * (1.0 - AFFINITY_SIZE_TOLERANCE)
     if current > max_groups or too_large or too_small:
         return max(1, wanted)
     return current
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -102,8 +102,8 @@
 
 
 def test_a_warming_worker_gets_nothing_beyond_the_attempts_that_are_remembered(monkeypatch):
-    monkeypatch.setattr(endpoint, "RECENT_ATTEMPTS", 8)
-    monkeypatch.setattr(slow_start, "RECENT_ATTEMPTS", 8)
+    monkeypatch.setattr(endpoint, "MAX_RECENT_SENDS", 8)
+    monkeypatch.setattr(slow_start, "MAX_RECENT_SENDS", 8)
     settings = replace(
         BASE,
         slow_start_window_ms=600_000.0,
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -68,7 +68,7 @@
     "two attempts at once": (
         "no copies",
         lambda m: (
-            m.setattr(outlier_detection, "STUCK_RUNS", 0.1),
+            m.setattr(outlier_detection, "STUCK_DURATIONS", 0.1),
             m.setattr(selection, "may_resend", lambda *_a: True),
             m.setattr(
                 RetryController,
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -18,11 +18,11 @@
     RequestReceived,
     SiblingReportReceived,
 )
-from eiderfield.policy.admission import GRB_PER_WORKER
+from eiderfield.policy.admission import GRB_REQUESTS_PER_WORKER
 from eiderfield.policy.queues import ClassQueue
 from eiderfield.policy.rate_control import Pacer
 from eiderfield.policy.request import QueuedRequest, QueueId
-from eiderfield.policy.selection import NO_HOME_SHARE
+from eiderfield.policy.selection import NO_HOME_WARM_UP_SHARE
 
 
 def window(pacer, start, sent, fulls, waiting=False):
@@ -203,9 +203,9 @@
 def test_grb_is_bounded_by_count():
     node = Node(replace(BASE, classes=(replace(SAFE, latency_objective_ms=4000.0),)), workers=0)
     node.dispatcher.pacers[0].record_duration(1.0, 0.0)  # requests of 1 ms: no wait would fill it
-    answers = [node.arrive()[1] for _ in range(GRB_PER_WORKER * 4 + 1)]
+    answers = [node.arrive()[1] for _ in range(GRB_REQUESTS_PER_WORKER * 4 + 1)]
     refused = [any(isinstance(a, RejectRequest) for a in actions) for actions in answers]
-    assert refused == [False] * (GRB_PER_WORKER * 4) + [True]
+    assert refused == [False] * (GRB_REQUESTS_PER_WORKER * 4) + [True]
 
 
 def sent_to(node, key, count):
@@ -334,9 +334,9 @@
             node.end(send.request_id, 0, send.worker, Outcome.OK, final=True, elapsed=40.0)
     assert got
     assert (
-        NO_HOME_SHARE * BASE.slow_start_window_ms
+        NO_HOME_WARM_UP_SHARE * BASE.slow_start_window_ms
         <= got[0]
-        < (NO_HOME_SHARE + 0.1) * BASE.slow_start_window_ms
+        < (NO_HOME_WARM_UP_SHARE + 0.1) * BASE.slow_start_window_ms
     )
     node.dispatcher.workers[1].recent_sends.append((node.now, inf))
     assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [2], "its budget is spent"
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -27,9 +27,9 @@
 )
 from eiderfield.model.learned_state import KeyCount
 from eiderfield.policy.affinity import MIN_HOMES
-from eiderfield.policy.attempt_outcomes import MAX_WAIT_PAUSES
+from eiderfield.policy.attempt_outcomes import MAX_PAUSE_PER_WAIT
 from eiderfield.policy.context import MANY_DISPATCHERS
-from eiderfield.policy.outlier_detection import STUCK_RUNS_OF_MANY
+from eiderfield.policy.outlier_detection import SHORT_WAIT_DURATIONS
 
 FLEET = tuple(Endpoint(w, zone=w % 2, kind=w // 2 % 2) for w in range(1, 41))
 TALKING = replace(BASE, dispatcher_count=3, gossip_allowed=True)
@@ -284,7 +284,7 @@
     Each of forty dispatchers sees a fortieth of a worker's queue.
     """
     node, id_, worker = waiting()
-    patience = STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms
+    patience = SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms
     assert not cancels(node.play(TimerFired(0), at=patience - 2.0))
     assert cancels(node.play(TimerFired(0), at=patience + 2.0)) == [CancelAttempt(id_, 0)]
     again = sends(node.end(id_, 0, worker, Outcome.CANCELLED))
@@ -314,7 +314,7 @@
         for send in sends(actions):
             node.play(AttemptProgressed(other, 0, send.worker, 1, 0.0), at=node.now + 10.0)
             node.end(other, 0, send.worker, Outcome.OK, final=True)
-    assert node.dispatcher._outliers.mean_wait_ms < STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms
+    assert node.dispatcher._outliers.mean_wait_ms < SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms
 
 
 def test_pause_after_a_wait_is_bounded_with_many_dispatchers():
@@ -322,7 +322,7 @@
     that requests went where their data was not."""
     node, id_, worker = waiting()
     node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=50.0)
-    assert node.dispatcher.workers[worker].full_until == 50.0 + MAX_WAIT_PAUSES * 50.0
+    assert node.dispatcher.workers[worker].full_until == 50.0 + MAX_PAUSE_PER_WAIT * 50.0
 
 
 def test_key_has_fewer_homes_with_many_dispatchers():
@@ -358,7 +358,7 @@
 def test_cancelled_unstarted_attempt_costs_no_retry_tokens():
     node, id_, worker = waiting()
     learn(node.dispatcher, retry_tokens=0.0)
-    node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms + 2.0)
+    node.play(TimerFired(0), at=SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms + 2.0)
     assert sends(node.end(id_, 0, worker, Outcome.CANCELLED)), "it costs no work, and so no budget"
     node, id_, worker = waiting()
     learn(node.dispatcher, retry_tokens=0.0)
@@ -380,7 +380,7 @@
             for w in node.dispatcher._selector.homes(node.dispatcher.requests[id_], node.now)
         ):
             break
-    node.play(TimerFired(0), at=STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms + 2.0)
+    node.play(TimerFired(0), at=SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms + 2.0)
     [again] = [s for s in sends(node.end(id_, 0, first.worker, Outcome.CANCELLED)) if s.request_id == id_]
     assert again.worker % 3 == zone
     assert again.worker != first.worker
@@ -436,7 +436,7 @@
     Four of them were cancelled after 0.06 s each, so that one refused connection was the end.
     """
     node, id_, _ = waiting(FULL)
-    soon = STUCK_RUNS_OF_MANY * SAFE.latency_objective_ms
+    soon = SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms
     for number in range(3):
         node.dispatcher._key_counts.by_key[7] = node.dispatcher._key_counts.total = (
             100  # all workers are its homes
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -23,7 +23,7 @@
 from eiderfield.policy.fleet import MAX_CANDIDATES, Fleet
 from eiderfield.policy.selection import EndpointSelector
 from eiderfield.policy.slow_start import SlowStart
-from eiderfield.policy.subsetting import DISPATCHERS_PER_WORKER, KEYED_SUBSET_SIZE, MIN_SUBSET_SIZE
+from eiderfield.policy.subsetting import AFFINITY_SUBSET_SIZE, DISPATCHERS_PER_WORKER, MIN_SUBSET_SIZE
 
 SITE = replace(BASE, hedging_allowed=False, zone_count=4)
 
@@ -118,7 +118,7 @@
     for key in range(100, 1100):
         serve(node, affinity_key=key)
     most = cost(examined, lambda number: serve(node, affinity_key=2000 + number))
-    assert most["stable_hashes_up_to"] <= KEYED_SUBSET_SIZE * 1.1
+    assert most["stable_hashes_up_to"] <= AFFINITY_SUBSET_SIZE * 1.1
     assert (most - Counter(stable_hashes_up_to=size)).total() <= 40, most
 
 
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -30,7 +30,7 @@
     WatchEndpoints,
 )
 from eiderfield.policy.dispatcher import Dispatcher
-from eiderfield.policy.selection import SLOW_PACE
+from eiderfield.policy.selection import SLOW_WORKER_SLOWDOWN
 
 
 def test_failed_connection_retries_the_request_elsewhere_and_ejects_the_worker():
@@ -217,7 +217,7 @@
     for at in (1500.0, 1501.0):
         node.now = at
         picked.append(started(node)[1])
-    assert slow.pace(1500.0) > SLOW_PACE
+    assert slow.pace(1500.0) > SLOW_WORKER_SLOWDOWN
     assert picked == [2, 2]
     for _ in range(20):
         slow.record_duration(1502.0, 1.0, True)
