--- a/eiderfield/policy/affinity.py
+++ b/eiderfield/policy/affinity.py
@@ -150,14 +150,14 @@
         self.total = self.by_key.total()
         return True
 
-    def home_count(self, key: int, workers: int, many: bool) -> int:
+    def home_count(self, key: int, workers: int, many_dispatchers: bool) -> int:
         """Return how many homes a key needs among so many workers (incident ia7713c).
 
         One of many dispatchers leaves the present request out of the count: each sees so few requests that a
         single one would make a rare key look frequent.
         """
-        share = (self.by_key[key] - many) / max(1, self.total - many)
-        factor = HOME_FACTOR_MANY_DISPATCHERS if many else HOME_FACTOR
+        share = (self.by_key[key] - many_dispatchers) / max(1, self.total - many_dispatchers)
+        factor = HOME_FACTOR_MANY_DISPATCHERS if many_dispatchers else HOME_FACTOR
         return max(MIN_HOMES, ceil(factor * share * workers))
 
     def most_common(self) -> tuple[KeyCount, ...]:
--- a/eiderfield/policy/attempt_outcomes.py
+++ b/eiderfield/policy/attempt_outcomes.py
@@ -44,13 +44,13 @@
         waited = now - attempt.sent_at
         attempt.started_at = now
         worker.consecutive_fulls = 0
-        worker.unstarted -= 1
+        worker.unstarted_attempts -= 1
         self._outliers.record_wait(waited)
         self._reports.record_start(worker)
         # One waiting request of each dispatcher makes a long queue (i1da742): let the others go first.
         others = self._fleet.subset.dispatchers_per_worker / self._reports.slots_of(worker) - 1.0
         worker.full_until = max(worker.full_until, now + waited * min(MAX_PAUSE_PER_WAIT, others))
-        self._fleet.pausing[worker.entry.worker] = worker
+        self._fleet.paused_workers[worker.entry.worker] = worker
 
     def record_end(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
         """Update the worker's health, and its class's rate control, from the outcome of an attempt."""
@@ -68,7 +68,7 @@
             if worker.consecutive_resets > 1 and now >= worker.ejected_until:
                 worker.eject(now)
         elif outcome == Outcome.ERROR:
-            worker.record_sign_of_life(now)
+            worker.record_activity(now)
             # A worker that fails fast has the fewest requests in flight and would attract even more.
             if worker.error_score > MAX_ERROR_SCORE:
                 worker.eject(now, failing=self._context.trial_effect != Effect.UNSAFE)
@@ -80,7 +80,7 @@
         late = event.elapsed_ms >= SILENT_DURATIONS * max(
             pacer.expected_duration_ms(request.expected_work), request.request_class.latency_objective_ms
         )
-        worker.record_sign_of_life(now, not late)
+        worker.record_activity(now, not late)
         pacer.record_duration(
             event.elapsed_ms if attempt.started_at is None else now - attempt.started_at,
             request.expected_work,
@@ -88,7 +88,7 @@
         self._slow_start.record_served(request.budget_cost, now)
 
     def _record_full(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
-        worker.record_sign_of_life(now)
+        worker.record_activity(now)
         worker.consecutive_fulls += 1
         worker.full_until = now + FULL_PAUSE_MS * min(worker.consecutive_fulls, MAX_FULL_PAUSES)
         # Neither a draining worker's refusal nor one worker's, while others are free, is a sign of overload.
--- a/eiderfield/policy/attempt_starter.py
+++ b/eiderfield/policy/attempt_starter.py
@@ -48,7 +48,7 @@
             return
         if not self._slow_start.covers(worker, request.budget_cost):
             return
-        if not self._selector.is_legal(request, worker, now):
+        if not self._selector.is_attempt_allowed(request, worker, now):
             return
         self._queues.remove(request)
         attempt = AttemptRecord(request, len(request.attempts), worker.entry, now, now)
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -282,7 +282,7 @@
         answer_by = request.deadline - DEADLINE_TICKS * self._context.settings.clock_resolution_ms
         self._requests.add(request, answer_by)
         for entry, sent_at in event.earlier_attempts:  # of a lost dispatcher: they may have run or still run
-            self._fleet.worker_of(entry)  # adds a worker that was never listed, for the attempt names it
+            self._fleet.get_or_add(entry)  # adds a worker that was never listed, for the attempt names it
             attempt = AttemptRecord(request, len(request.attempts), entry, sent_at, sent_at, open=False)
             request.attempts.append(attempt)
         self._queues.add(request, self._queues.by_id[request.queue_id].grb)
@@ -312,7 +312,7 @@
         self._gossip.mark_changed(worker)
         self._reports.record_report(worker, event.load_report, now)
         attempt.may_have_run = outcome not in NEVER_RAN
-        self._fleet.pausing[worker.entry.worker] = worker
+        self._fleet.paused_workers[worker.entry.worker] = worker
         if outcome in (Outcome.OK, Outcome.ERROR):
             worker.record_outcome(outcome == Outcome.ERROR)
         if attempt.started_at is not None:
@@ -330,8 +330,8 @@
         _, attempt = self._requests.find_attempt(event.request_id, event.attempt_number)
         if attempt is None or not attempt.open:
             return
-        attempt.last_heard_at = now
-        self._fleet.workers[attempt.entry.worker].record_sign_of_life(now)
+        attempt.last_activity_at = now
+        self._fleet.workers[attempt.entry.worker].record_activity(now)
         if attempt.started_at is None and event.kind == ProgressKind.STARTED:
             self._outcomes.record_start(attempt, now)
 
--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -25,8 +25,8 @@
 MAX_EJECTION_MS = 4000.0
 ERROR_DECAY = 0.8  # factor on the error score with each attempt that ends
 MAX_ERROR_SCORE = 1.5  # above it a worker is ejected: two errors in a row, or one in three
-SLOWDOWN_PRIOR_REQUESTS = 3.0  # requests of typical duration that a worker is credited with in its pace
-SLOWDOWN_MEMORY_MS = 5000.0  # after which what has run at a worker no longer counts in its pace
+SLOWDOWN_PRIOR_REQUESTS = 3.0  # requests of typical duration that a worker is credited with in its slowdown
+SLOWDOWN_MEMORY_MS = 5000.0  # after which what has run at a worker no longer counts in its slowdown
 MAX_RECENT_SENDS = 1024  # sends to a warming worker that are remembered: no more are made in one window
 
 
@@ -39,15 +39,15 @@
 
     entry: Endpoint
     open_attempts: dict[tuple[int, int], AttemptRecord] = field(default_factory=dict)  # own, oldest first
-    unstarted: int = 0  # own open attempts that have not started
+    unstarted_attempts: int = 0  # own open attempts that have not started
     own_slots: float = 0.0  # slots taken by own open attempts
     sibling_attempts: int = 0  # open attempts of the other process of this dispatcher during an upgrade
-    last_heard_at: float = 0.0
+    last_activity_at: float = 0.0
     full_until: float = 0.0
     ejections: int = 0  # since the last answer in time
     recent_durations: float = 0.0  # of ended requests, in typical durations; decays
     recent_completions: float = 0.0  # number of those that completed; decays
-    pace_updated_at: float = 0.0
+    slowdown_updated_at: float = 0.0
     error_score: float = 0.0  # decaying sum of errors
     consecutive_fulls: int = 0  # without a start in between
     consecutive_resets: int = 0  # without a sign of life in between
@@ -71,12 +71,12 @@
         peer_slots = self.peer_slots if now < self.peer_slots_until else 0
         return self.own_slots + self.sibling_attempts + peer_slots
 
-    def record_sign_of_life(self, now: float, in_time: bool = False) -> None:
+    def record_activity(self, now: float, in_time: bool = False) -> None:
         """End silence and, after an answer in time, the ejection.
 
         Any other sign of life leaves the ejection as it is, or a slow worker would never be ejected.
         """
-        self.last_heard_at = now
+        self.last_activity_at = now
         self.silent = False
         self.consecutive_resets = 0
         if in_time and self.error_score <= MAX_ERROR_SCORE:
@@ -88,26 +88,26 @@
         """Reset the health of a worker whose process has been started anew."""
         self.error_score = 0.0
         self.reported_at = -inf
-        self.record_sign_of_life(now, True)
+        self.record_activity(now, True)
 
     def record_outcome(self, failed: bool) -> None:
         """Update the error score with an attempt that was answered, `failed` with an error."""
         self.error_score = self.error_score * ERROR_DECAY + failed
 
     def record_duration(self, now: float, duration: float, completed: bool) -> None:
-        """Update the pace with a started request that has ended after `duration` typical durations."""
-        kept = max(0.0, 1.0 - (now - self.pace_updated_at) / SLOWDOWN_MEMORY_MS)
+        """Update the slowdown with a started request that has ended after `duration` typical durations."""
+        kept = max(0.0, 1.0 - (now - self.slowdown_updated_at) / SLOWDOWN_MEMORY_MS)
         self.recent_durations = self.recent_durations * kept + duration
         self.recent_completions = self.recent_completions * kept + completed
-        self.pace_updated_at = now
+        self.slowdown_updated_at = now
 
-    def pace(self, now: float) -> float:
+    def slowdown(self, now: float) -> float:
         """Return how many times longer than typical requests run here.
 
         Requests in progress count with the time that they have run so far: they are the first to show that a
         worker has become slow.
         """
-        kept = max(0.0, 1.0 - (now - self.pace_updated_at) / SLOWDOWN_MEMORY_MS)
+        kept = max(0.0, 1.0 - (now - self.slowdown_updated_at) / SLOWDOWN_MEMORY_MS)
         in_progress = sum(
             [
                 (now - attempt.started_at) / attempt.request.expected_duration_ms
--- a/eiderfield/policy/fleet.py
+++ b/eiderfield/policy/fleet.py
@@ -19,9 +19,9 @@
 from eiderfield.policy.request import AttemptRecord
 from eiderfield.policy.subsetting import (
     Subset,
-    balanced_groups,
+    balanced_group_count,
     group_of_dispatcher,
-    keyed_groups,
+    hashed_group_count,
     place_of,
 )
 
@@ -37,12 +37,12 @@
         self.ready = ReadyWorkers()
         self.key_orders = KeyOrders()  # of the subset
         self.subset = Subset(self.key_orders.add, self.key_orders.remove)
-        self.keyed = False  # whether any request so far had a key
+        self.has_affinity = False  # whether any request so far had a key
         self.with_open_attempts: dict[int, Worker] = {}  # by number
-        self.pausing: dict[int, Worker] = {}  # those that may be ejected or full
-        self.warming: dict[int, Worker] = {}  # those that may be warming up
+        self.paused_workers: dict[int, Worker] = {}  # those that may be ejected or full
+        self.warming_workers: dict[int, Worker] = {}  # those that may be warming up
         self._context = context
-        self._most_silent: bool | None = None  # of the subset; None: not counted yet
+        self._majority_silent: bool | None = None  # of the subset; None: not counted yet
         self.repartition()
 
     def apply_entries(self, entries: Iterable[Endpoint], whole: bool, now: float) -> bool:
@@ -62,7 +62,7 @@
             return True
         return False
 
-    def worker_of(self, entry: Endpoint) -> Worker:
+    def get_or_add(self, entry: Endpoint) -> Worker:
         """Return the worker of an entry, and add it as gone if it has never been listed."""
         worker = self.workers.get(entry.worker)
         if worker is None:
@@ -73,7 +73,7 @@
         """Record at its worker that an attempt has been started."""
         request = attempt.request
         worker.open_attempts[request.id, attempt.number] = attempt
-        worker.unstarted += 1
+        worker.unstarted_attempts += 1
         worker.own_slots += request.slots
         worker.slots_free -= request.slots
         if worker.slow_start_left < inf:
@@ -85,30 +85,32 @@
         attempt.open = False
         worker.own_slots -= attempt.request.slots
         worker.open_attempts.pop((attempt.request.id, attempt.number), None)
-        worker.unstarted -= attempt.started_at is None
+        worker.unstarted_attempts -= attempt.started_at is None
         if not worker.open_attempts:
             self.with_open_attempts.pop(worker.entry.worker, None)
             worker.silent = False  # without open attempts only a new one can show whether it answers
 
     def enable_affinity(self) -> bool:
         """Note that requests have keys; return whether the fleet was repartitioned for it."""
-        if self.keyed:
+        if self.has_affinity:
             return False
-        self.keyed = True
+        self.has_affinity = True
         self.repartition()
         return True
 
     def repartition(self) -> None:
         """Divide the fleet into groups anew, and take this dispatcher's group as its subset."""
         settings, groups = self._context.settings, self._group_count()
-        group = group_of_dispatcher(settings.dispatcher_index, settings.dispatcher_count, groups, self.keyed)
+        group = group_of_dispatcher(
+            settings.dispatcher_index, settings.dispatcher_count, groups, self.has_affinity
+        )
         per_worker = settings.dispatcher_count / groups
-        self.subset.repartition(self.ready.by_number.values(), self.keyed, groups, group, per_worker)
+        self.subset.repartition(self.ready.by_number.values(), self.has_affinity, groups, group, per_worker)
         self.key_orders.reset(self.subset.workers)
 
     def apply_settings(self) -> None:
         """Apply new settings, by which other workers may be warming up and the groups may differ."""
-        self.warming = {number: w for number, w in self.workers.items() if w.entry.ready_at > 0.0}
+        self.warming_workers = {number: w for number, w in self.workers.items() if w.entry.ready_at > 0.0}
         self.repartition()
 
     def candidates(self) -> list[Worker]:
@@ -120,9 +122,9 @@
             else self._context.random.sample(workers, MAX_CANDIDATES)
         )
 
-    def forget_silence_count(self) -> None:
+    def reset_silence_count(self) -> None:
         """Forget whether most workers are silent, so that they are counted again."""
-        self._most_silent = None
+        self._majority_silent = None
 
     def is_usable(self, worker: Worker, now: float) -> bool:
         """Return whether the worker is neither silent nor ejected.
@@ -131,18 +133,18 @@
         """
         if not worker.silent:
             return now >= worker.ejected_until or worker.failing
-        if self._most_silent is None:
+        if self._majority_silent is None:
             silent = sum([other.silent for other in self.subset.workers])
-            self._most_silent = 2 * silent > len(self.subset)
-        return self._most_silent
+            self._majority_silent = 2 * silent > len(self.subset)
+        return self._majority_silent
 
     def pause_ends(self, now: float) -> list[float]:
         """Return when full or ejected workers of the subset may be sent requests again."""
-        over = [n for n, w in self.pausing.items() if max(w.full_until, w.ejected_until) <= now]
+        over = [n for n, w in self.paused_workers.items() if max(w.full_until, w.ejected_until) <= now]
         for number in over:
-            del self.pausing[number]
-        pausing = [worker for worker in self.pausing.values() if worker in self.subset]
-        return [time for worker in pausing for time in (worker.full_until, worker.ejected_until)]
+            del self.paused_workers[number]
+        paused_workers = [worker for worker in self.paused_workers.values() if worker in self.subset]
+        return [time for worker in paused_workers for time in (worker.full_until, worker.ejected_until)]
 
     def recent_work(self) -> tuple[RecentWork, ...]:
         """Return the work that workers have been sent lately while they warmed up."""
@@ -178,14 +180,14 @@
 
     def _apply_entry(self, entry: Endpoint, now: float, is_first: bool) -> None:
         """Apply one entry; a first list leaves the subset to the repartition that follows it."""
-        worker = self.worker_of(entry)
+        worker = self.get_or_add(entry)
         old = worker.entry
         if entry == old:
             return
         if entry.ready_at != old.ready_at:
             worker.record_restart(now)
         if entry.ready_at > 0.0:
-            self.warming[entry.worker] = worker
+            self.warming_workers[entry.worker] = worker
         was_ready, is_ready = old.state == EndpointState.READY, entry.state == EndpointState.READY
         in_place = place_of(old) == place_of(entry) and old.cell == entry.cell
         stays = was_ready and is_ready and in_place
@@ -202,8 +204,8 @@
     def _group_count(self) -> int:
         """Return the number of groups that the fleet should have."""
         settings, ready = self._context.settings, len(self.ready.by_number)
-        if self.keyed:
-            return keyed_groups(self.subset.group_count, settings.dispatcher_count, ready)
-        return balanced_groups(
+        if self.has_affinity:
+            return hashed_group_count(self.subset.group_count, settings.dispatcher_count, ready)
+        return balanced_group_count(
             self.subset.group_count, settings.dispatcher_count, settings.gossip_allowed, ready
         )
--- a/eiderfield/policy/gossip.py
+++ b/eiderfield/policy/gossip.py
@@ -28,14 +28,18 @@
     def update_peers(self) -> None:
         """Set the peers to the other dispatchers of the same group, or to none if they are too many."""
         settings, subset = self._context.settings, self._fleet.subset
-        dispatchers, groups, keyed = settings.dispatcher_count, subset.group_count, self._fleet.keyed
+        dispatchers, groups, has_affinity = (
+            settings.dispatcher_count,
+            subset.group_count,
+            self._fleet.has_affinity,
+        )
         self.peers = []
         if settings.gossip_allowed and subset.dispatchers_per_worker < 2 * DISPATCHERS_PER_WORKER_WITH_GOSSIP:
-            own = group_of_dispatcher(settings.dispatcher_index, dispatchers, groups, keyed)
+            own = group_of_dispatcher(settings.dispatcher_index, dispatchers, groups, has_affinity)
             members = [
                 index
                 for index in range(dispatchers)
-                if group_of_dispatcher(index, dispatchers, groups, keyed) == own
+                if group_of_dispatcher(index, dispatchers, groups, has_affinity) == own
             ]
             self.peers = [index for index in members if index != settings.dispatcher_index]
 
--- a/eiderfield/policy/load_reports.py
+++ b/eiderfield/policy/load_reports.py
@@ -43,7 +43,7 @@
         the fleet is one group, nor if its subset is large, as it is where requests have keys.
         """
         settings, fleet = self._context.settings, self._fleet
-        sees_enough = settings.workers_report_start or fleet.subset.group_count == 1 or fleet.keyed
+        sees_enough = settings.workers_report_start or fleet.subset.group_count == 1 or fleet.has_affinity
         reported = self._context.free_slots_column >= 0
         self.probing = settings.probing_allowed and reported and not sees_enough
 
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -77,7 +77,7 @@
         """Return the wait in ms up to which one of many dispatchers considers a worker's queue short."""
         return SHORT_WAIT_DURATIONS * self._typical_duration_ms(request)
 
-    def is_hopeless(self, request: QueuedRequest, now: float) -> bool:
+    def is_late_under_load(self, request: QueuedRequest, now: float) -> bool:
         """Return whether a request will be late and, all queues being long, would make others late too."""
         late = self._context.many_dispatchers and now >= request.latest_useful_start
         return late and self.mean_wait_ms > self.short_wait_ms(request)
@@ -89,7 +89,7 @@
         if worker.entry.state == EndpointState.READY and now >= silent_at:
             worker.silent = True
             worker.eject(now)
-            self._fleet.pausing[worker.entry.worker] = worker
+            self._fleet.paused_workers[worker.entry.worker] = worker
             text = f"worker {worker.entry.worker} silent, {len(worker.open_attempts)} jobs out"
             self._context.actions.append(LogMessage(text))
         else:
@@ -100,25 +100,25 @@
         oldest = next(iter(worker.open_attempts.values()))
         without_notes = SILENT_DURATIONS * self._typical_duration_ms(oldest.request)
         with_notes = SILENT_INTERVALS * self._context.settings.progress_interval_ms
-        return max(worker.last_heard_at, oldest.sent_at) + (with_notes or without_notes)
+        return max(worker.last_activity_at, oldest.sent_at) + (with_notes or without_notes)
 
     def _stuck_at(self, attempt: AttemptRecord, worker: Worker) -> float:
         """Return when an attempt counts as stuck if nothing is heard of it until then."""
         settings = self._context.settings
-        if attempt.given_up or attempt.request.streaming:
+        if attempt.superseded or attempt.request.streaming:
             return inf
         if attempt.started_at is not None:
             if not settings.progress_interval_ms:
                 return inf
             intervals = SILENT_INTERVALS if worker.silent else STUCK_INTERVALS
-            return attempt.last_heard_at + intervals * settings.progress_interval_ms
+            return attempt.last_activity_at + intervals * settings.progress_interval_ms
         if not settings.workers_report_start:
             return inf
         if self._context.many_dispatchers:
-            return self._short_wait_over_at(attempt)
+            return self._short_wait_until(attempt)
         return attempt.sent_at + STUCK_DURATIONS / SHORT_WAIT_DURATIONS * self.short_wait_ms(attempt.request)
 
-    def _short_wait_over_at(self, attempt: AttemptRecord) -> float:
+    def _short_wait_until(self, attempt: AttemptRecord) -> float:
         """Return until when one of many dispatchers lets an attempt wait: twice as long with each attempt."""
         short = self.short_wait_ms(attempt.request)
         wait_until = attempt.sent_at + max(short, self.mean_wait_ms) * 2.0**attempt.number
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -70,7 +70,7 @@
         floors = {max(cls.priority_weight for cls in settings.classes): TOP_CLASS_FLOOR_SHARE}
         durations = [max(MIN_DEFAULT_DURATION_MS, 0.5 * cls.latency_objective_ms) for cls in settings.classes]
         floor_shares = [floors.get(cls.priority_weight, OTHER_CLASS_FLOOR_SHARE) for cls in settings.classes]
-        self.pacers = [Pacer(*figures) for figures in zip(floor_shares, durations, strict=True)]
+        self.pacers = [Pacer(*parameters) for parameters in zip(floor_shares, durations, strict=True)]
         self.by_id: dict[QueueId, ClassQueue] = {}
         for class_index, (request_class, pacer) in enumerate(zip(settings.classes, self.pacers, strict=True)):
             for tenant in range(max(1, len(settings.tenants))):
--- a/eiderfield/policy/rate_control.py
+++ b/eiderfield/policy/rate_control.py
@@ -71,7 +71,7 @@
         sent = windows_per_s * self.sent_in_window
         accepted = windows_per_s * max(0, self.accepted_in_window)  # a refusal can arrive in the next window
         if sent and accepted < sent:
-            self._cut(sent, accepted)
+            self._reduce_rate(sent, accepted)
         elif self.rate is not None:
             self.rate *= RATE_INCREASE_FACTOR
             if self.rate >= self.uncut_rate and not waiting:
@@ -80,7 +80,7 @@
         self.sent_in_window = 0
         self.accepted_in_window = 0
 
-    def _cut(self, sent: float, accepted: float) -> None:
+    def _reduce_rate(self, sent: float, accepted: float) -> None:
         """Reduce the rate by the refused part of the traffic, not below the floor of the class."""
         if self.rate is None:
             self.rate = self.uncut_rate = sent
--- a/eiderfield/policy/release.py
+++ b/eiderfield/policy/release.py
@@ -42,25 +42,27 @@
         """Fill the SLBs and send requests from them, unless the answers to probes are awaited first."""
         for queue in self._queues.by_weight:
             queue.move_late_requests(now)
-            self._answer_hopeless(queue, now)
+            self._answer_late_under_load(queue, now)
             queue.fill_slb()
-        self._fleet.forget_silence_count()
+        self._fleet.reset_silence_count()
         self._slow_start.decay_served_rate(now)
         free: list[Worker] | None = None
         if self._reports.probing:
             free = [worker for worker in self._fleet.subset.workers if self._selector.is_free(worker, now)]
-            if not self._is_any_shown_free(free, now) and self._reports.probe(now):
+            if not self._has_reported_free_slot(free, now) and self._reports.probe(now):
                 return
         for queue, requests in self._queues.release_order():
             free = self._release_from(queue, requests, free, now)
 
-    def _answer_hopeless(self, queue: ClassQueue, now: float) -> None:
+    def _answer_late_under_load(self, queue: ClassQueue, now: float) -> None:
         """Answer late requests that would only make others late as well."""
-        hopeless = [request for request in queue.late.values() if self._outliers.is_hopeless(request, now)]
-        for request in hopeless:
+        late_under_load = [
+            request for request in queue.late.values() if self._outliers.is_late_under_load(request, now)
+        ]
+        for request in late_under_load:
             self._completion.answer(request, self._outliers.mean_wait_ms)
 
-    def _is_any_shown_free(self, workers: list[Worker], now: float) -> bool:
+    def _has_reported_free_slot(self, workers: list[Worker], now: float) -> bool:
         return any(self._reports.free_slot_evidence(worker, now) > 0.0 for worker in workers)
 
     def _release_from(
--- a/eiderfield/policy/request.py
+++ b/eiderfield/policy/request.py
@@ -32,10 +32,10 @@
     number: int
     entry: Endpoint  # as it was listed at the send: a worker may come back in another zone or cell
     sent_at: float
-    last_heard_at: float  # of this attempt alone: a connection can fall silent though its worker is well
+    last_activity_at: float  # of this attempt alone: a connection can fall silent though its worker is well
     started_at: float | None = None
     open: bool = True
-    given_up: bool = False
+    superseded: bool = False
     may_have_run: bool = True  # until an outcome proves that it did not
 
 
--- a/eiderfield/policy/retries.py
+++ b/eiderfield/policy/retries.py
@@ -53,15 +53,15 @@
     def replace_stalled(self, attempt: AttemptRecord, now: float) -> None:
         """Hedge or cancel an attempt that makes no progress, within what its class allows."""
         request, settings = attempt.request, self._context.settings
-        if attempt.given_up or request.answered or request.queue is not None:
+        if attempt.superseded or request.answered or request.queue is not None:
             return
         if settings.hedging_allowed:
             if self._take_retry(request, now):
-                attempt.given_up = True
+                attempt.superseded = True
                 self._queues.add_first(request)
         elif settings.cancellation_allowed and (attempt.started_at is None or self._budget.tokens >= 1.0):
-            hopeless = attempt.started_at is None and self._outliers.is_hopeless(request, now)
-            if hopeless or self._selector.has_alternative(request, now):
+            late_under_load = attempt.started_at is None and self._outliers.is_late_under_load(request, now)
+            if late_under_load or self._selector.has_alternative(request, now):
                 self._cancel(attempt)
 
     def _take_retry(self, request: QueuedRequest, now: float, failed: bool = False) -> bool:
@@ -75,7 +75,7 @@
         return True
 
     def _cancel(self, attempt: AttemptRecord) -> None:
-        attempt.given_up = True
+        attempt.superseded = True
         self._context.actions.append(CancelAttempt(attempt.request.id, attempt.number))
         # The next attempt at a silent worker has to open a connection: an old one may be what is silent.
         if self._fleet.workers[attempt.entry.worker].silent:
--- a/eiderfield/policy/retry_rules.py
+++ b/eiderfield/policy/retry_rules.py
@@ -21,7 +21,7 @@
 RETRY_SHARE = 0.1  # tokens earned by each attempt: the share of retries among attempts
 
 
-def may_resend(request: QueuedRequest, worker: Worker, now: float, hedging: bool, max_attempts: int) -> bool:
+def may_send(request: QueuedRequest, worker: Worker, now: float, hedging: bool, max_attempts: int) -> bool:
     """Return whether rule 2 allows an attempt of the request at this worker.
 
     A cancelled attempt counts as one that may have run.
--- a/eiderfield/policy/selection.py
+++ b/eiderfield/policy/selection.py
@@ -19,10 +19,10 @@
 from eiderfield.policy.fleet import MAX_CANDIDATES
 from eiderfield.policy.fleet_state import FleetState
 from eiderfield.policy.request import QueuedRequest
-from eiderfield.policy.retry_rules import may_resend, retry_group
+from eiderfield.policy.retry_rules import may_send, retry_group
 
 EXTRA_REQUESTS = 1  # beyond its slots, at a worker that reports no starts, to keep its slots busy
-SLOW_WORKER_SLOWDOWN = 2.3  # pace above which a worker counts as slow
+SLOW_WORKER_SLOWDOWN = 2.3  # slowdown above which a worker counts as slow
 NO_HOME_WARM_UP_SHARE = (
     0.1  # first share of the warm-up, in which a worker is no home: most requests would be late
 )
@@ -48,21 +48,21 @@
         self._gossip = state.gossip
         self._key_counts = key_counts
 
-    def is_legal(self, request: QueuedRequest, worker: Worker, now: float) -> bool:
+    def is_attempt_allowed(self, request: QueuedRequest, worker: Worker, now: float) -> bool:
         """Return whether the retry rules allow an attempt of the request at this worker."""
         settings = self._context.settings
-        return may_resend(request, worker, now, settings.hedging_allowed, settings.max_attempts)
+        return may_send(request, worker, now, settings.hedging_allowed, settings.max_attempts)
 
     def may_retry_anywhere(self, request: QueuedRequest, now: float) -> bool:
         """Return whether the retry rules allow an attempt of the request at any ready worker."""
         group = retry_group(request, self._fleet.ready)
-        return any(self.is_legal(request, worker, now) for worker in first_of(group))
+        return any(self.is_attempt_allowed(request, worker, now) for worker in any_member(group))
 
     def has_alternative(self, request: QueuedRequest, now: float) -> bool:
         """Return whether a usable worker could take the request if its open attempt were cancelled."""
         group = retry_group(request, self._fleet.ready)
         max_attempts = self._context.settings.max_attempts
-        if not any(may_resend(request, worker, now, True, max_attempts) for worker in first_of(group)):
+        if not any(may_send(request, worker, now, True, max_attempts) for worker in any_member(group)):
             return False
         return any(self._fleet.is_usable(worker, now) for worker in group.values())
 
@@ -105,7 +105,7 @@
         )
         if count > MAX_CANDIDATES:
             return self._sample_of_homes(request, count, now)
-        homes = self._open_homes(request, count, now)
+        homes = self._available_homes(request, count, now)
         if self._must_leave_subset(request, homes):
             return self._free_in_group(request, now)
         return [worker for worker in homes if self.is_free(worker, now)]
@@ -115,7 +115,7 @@
             return self.homes(request, now)
         if request.first_possible_run() is None:
             return free
-        legal = [worker for worker in free if self.is_legal(request, worker, now)]
+        legal = [worker for worker in free if self.is_attempt_allowed(request, worker, now)]
         return legal or self._free_in_group(request, now)  # the subset may hold none of the group
 
     def _sample_of_homes(self, request: QueuedRequest, count: int, now: float) -> list[Worker]:
@@ -124,9 +124,9 @@
         order, _ = self._fleet.key_orders.first_workers(request.key, count)
         sample = self._context.random.sample(order[:count], min(MAX_CANDIDATES, len(order)))
         legal = [worker for worker in sample if worker.entry.worker in group]
-        return [w for w in legal if self._is_open_home(w, request, now) and self.is_free(w, now)]
+        return [w for w in legal if self._is_available_home(w, request, now) and self.is_free(w, now)]
 
-    def _open_homes(self, request: QueuedRequest, count: int, now: float) -> list[Worker]:
+    def _available_homes(self, request: QueuedRequest, count: int, now: float) -> list[Worker]:
         """Return the first workers of the key that can be its homes, `count` of them warm.
 
         Warming workers are homes in addition: their budgets may not cover any request (incident ia7713c).
@@ -144,12 +144,12 @@
     ) -> tuple[list[Worker], int]:
         """Return the homes within a part of a key's order, and how many of them are warm: `count` at most."""
         group = retry_group(request, self._fleet.ready)
-        anywhere = group is self._fleet.ready.by_number
+        unrestricted = group is self._fleet.ready.by_number
         homes: list[Worker] = []
         warm_count = 0
         for worker in order:
-            legal = anywhere or worker.entry.worker in group
-            if legal and self._is_open_home(worker, request, now):
+            legal = unrestricted or worker.entry.worker in group
+            if legal and self._is_available_home(worker, request, now):
                 homes.append(worker)
                 warm_count += not self._slow_start.is_warming(worker, now)
                 if warm_count == count:
@@ -167,29 +167,31 @@
     def _free_in_group(self, request: QueuedRequest, now: float) -> list[Worker]:
         """Return the free workers to which a request may go, inside the subset or not."""
         group = retry_group(request, self._fleet.ready).values()
-        return [w for w in group if self.is_legal(request, w, now) and self.is_free(w, now)]
+        return [w for w in group if self.is_attempt_allowed(request, w, now) and self.is_free(w, now)]
 
     def _is_full(self, worker: Worker, now: float) -> bool:
         """Return whether a worker has as many requests as it should have, as far as this dispatcher knows."""
         limit = self._reports.slots_of(worker) + EXTRA_REQUESTS
         if self._context.settings.workers_report_start:
-            is_full = worker.unstarted > 0  # one request may wait at the worker, where it cannot be moved
+            is_full = (
+                worker.unstarted_attempts > 0
+            )  # one request may wait at the worker, where it cannot be moved
         else:
             own = len(worker.open_attempts) + worker.sibling_attempts
             estimate = own * self._fleet.subset.dispatchers_per_worker
             is_full = estimate >= limit and self._reports.free_slot_evidence(worker, now) <= 0.0
         return is_full or (bool(self._gossip.peers) and worker.slots_in_use(now) >= limit)
 
-    def _is_open_home(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
+    def _is_available_home(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
         """Return whether requests may wait for this home: not if just started, full or half open."""
         if worker.consecutive_fulls > 1 and now < worker.full_until:
             return False
-        if not self._is_trusted(worker, request, now):
+        if not self._may_try(worker, request, now):
             return False
-        soon = now + (1.0 - NO_HOME_WARM_UP_SHARE) * self._context.settings.slow_start_window_ms
-        return self._fleet.is_usable(worker, now) and not self._slow_start.is_warming(worker, soon)
+        horizon = now + (1.0 - NO_HOME_WARM_UP_SHARE) * self._context.settings.slow_start_window_ms
+        return self._fleet.is_usable(worker, now) and not self._slow_start.is_warming(worker, horizon)
 
-    def _is_trusted(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
+    def _may_try(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
         """Return whether the request may try the worker, which after an ejection takes only the safest."""
         if not worker.ejections:
             return True
@@ -198,7 +200,7 @@
 
     def _is_ready(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
         """Return whether a free worker can take this request: its kind, its slots, rule 2 and rule 4."""
-        if not self._is_trusted(worker, request, now):
+        if not self._may_try(worker, request, now):
             return False
         if request.request_class.kind >= 0 and worker.entry.kind != request.request_class.kind:
             return False
@@ -208,7 +210,9 @@
             return False
         if any(attempt.open and attempt.entry.worker == worker.entry.worker for attempt in request.attempts):
             return False
-        return self._slow_start.covers(worker, request.budget_cost) and self.is_legal(request, worker, now)
+        return self._slow_start.covers(worker, request.budget_cost) and self.is_attempt_allowed(
+            request, worker, now
+        )
 
     def _fits(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
         """Return whether the worker has the slots that a request takes, as far as this dispatcher knows."""
@@ -219,18 +223,18 @@
     def _rank(self, worker: Worker, request: QueuedRequest, now: float) -> Rank:
         """Return the rank of a worker: its tier, whether it is in another zone, and its own requests."""
         settings = self._context.settings
-        pace = worker.pace(now) if settings.workers_report_start else 1.0
-        is_slow = pace > SLOW_WORKER_SLOWDOWN
-        is_tight = (self._gossip.peers or request.slots > 1.0) and not self._fits(worker, request, now)
-        tier = 1.0 if is_tight else -self._reports.free_slot_evidence(worker, now)
+        slowdown = worker.slowdown(now) if settings.workers_report_start else 1.0
+        is_slow = slowdown > SLOW_WORKER_SLOWDOWN
+        exceeds_slots = (self._gossip.peers or request.slots > 1.0) and not self._fits(worker, request, now)
+        tier = 1.0 if exceeds_slots else -self._reports.free_slot_evidence(worker, now)
         tier += 2.0 * worker.failing + is_slow
         if self._context.many_dispatchers and worker.slow_start_left < inf:
             tier -= 1.0  # a slow start budget that covers a request is used at once
         in_other_zone = settings.cross_zone_cost > 0.0 and worker.entry.zone != settings.zone_index
-        load = (len(worker.open_attempts) + worker.sibling_attempts + 1) * (pace if is_slow else 1.0)
+        load = (len(worker.open_attempts) + worker.sibling_attempts + 1) * (slowdown if is_slow else 1.0)
         return tier, in_other_zone, ceil(load)
 
 
-def first_of(group: dict[int, Worker]) -> list[Worker]:
+def any_member(group: dict[int, Worker]) -> list[Worker]:
     """Return one worker of a group of which all or none may be sent a request; nothing of an empty group."""
     return [next(iter(group.values()))] if group else []
--- a/eiderfield/policy/slow_start.py
+++ b/eiderfield/policy/slow_start.py
@@ -82,11 +82,11 @@
 
         With many dispatchers this also sets the worker's threshold for the present window.
         """
-        settings, many = self._context.settings, self._context.many_dispatchers
+        settings, many_dispatchers = self._context.settings, self._context.many_dispatchers
         if not self.is_warming(worker, now) or not settings.recovery_ramp_ms:  # without a window: no rule 4
             return inf
         self._update_rate_per_worker(now)
-        margin = BUDGET_MARGIN_MANY_DISPATCHERS if many else BUDGET_MARGIN
+        margin = BUDGET_MARGIN_MANY_DISPATCHERS if many_dispatchers else BUDGET_MARGIN
         allowed = (
             margin * settings.recovery_ramp_multiple * self.rate_per_warm_worker * settings.recovery_ramp_ms
         )
@@ -95,11 +95,11 @@
             worker.recent_sends.popleft()
         if len(worker.recent_sends) == MAX_RECENT_SENDS:  # more may have been sent in this window
             return -inf
-        if many:  # rounding parts of a request would starve or overload the worker
-            worker.budget_threshold = self._draw_threshold(worker, now)
+        if many_dispatchers:  # rounding parts of a request would starve or overload the worker
+            worker.budget_threshold = self._compute_threshold(worker, now)
         return allowed - sum([work for _, work in worker.recent_sends])
 
-    def _draw_threshold(self, worker: Worker, now: float) -> float:
+    def _compute_threshold(self, worker: Worker, now: float) -> float:
         """Return the share of a request's cost that must be left of the budget for a request to be sent."""
         settings = self._context.settings
         window = int((now - worker.entry.ready_at) / settings.recovery_ramp_ms)
@@ -119,8 +119,10 @@
 
     def _warming_workers(self, now: float) -> list[Worker]:
         """Return the ready workers of the subset that are warming up."""
-        warming = self._fleet.warming
-        for number in [number for number, worker in warming.items() if not self.is_warming(worker, now)]:
-            del warming[number]
-        ready = [worker for worker in warming.values() if worker.entry.state == EndpointState.READY]
+        warming_workers = self._fleet.warming_workers
+        for number in [
+            number for number, worker in warming_workers.items() if not self.is_warming(worker, now)
+        ]:
+            del warming_workers[number]
+        ready = [worker for worker in warming_workers.values() if worker.entry.state == EndpointState.READY]
         return [worker for worker in ready if worker in self._fleet.subset]
--- a/eiderfield/policy/subsetting.py
+++ b/eiderfield/policy/subsetting.py
@@ -46,14 +46,14 @@
     return entry.zone, entry.kind, entry.worker
 
 
-def balanced_groups(current: int, dispatchers: int, gossip: bool, workers: int) -> int:
+def balanced_group_count(current: int, dispatchers: int, gossip: bool, workers: int) -> int:
     """Return the number of groups of a `BalancedPartition`, given the current one."""
     per_worker = DISPATCHERS_PER_WORKER_WITH_GOSSIP if gossip else DISPATCHERS_PER_WORKER
     wanted = max(1, min(round(dispatchers / per_worker), workers // MIN_SUBSET_SIZE))
     return current if abs(wanted - current) <= GROUP_COUNT_TOLERANCE * current else wanted
 
 
-def keyed_groups(current: int, dispatchers: int, workers: int) -> int:
+def hashed_group_count(current: int, dispatchers: int, workers: int) -> int:
     """Return the number of groups of a `HashedPartition`, given the current one."""
     max_groups = max(1, round(dispatchers / DISPATCHERS_PER_WORKER))
     wanted = min(max_groups, ceil(workers / AFFINITY_SUBSET_SIZE))
@@ -226,14 +226,14 @@
     def repartition(
         self,
         ready: Iterable[Worker],
-        keyed: bool,
+        has_affinity: bool,
         groups: int,
         group: int,
         dispatchers_per_worker: float,
     ) -> None:
         """Partition the ready workers and set the subset to one group; reports no single changes."""
         self._ready = {place_of(worker.entry): worker for worker in ready}
-        self._partition = HashedPartition() if keyed else BalancedPartition()
+        self._partition = HashedPartition() if has_affinity else BalancedPartition()
         self._partition.repartition(self._ready, groups)
         self.group_count = groups
         self._group = group
@@ -266,12 +266,12 @@
                 self._on_added(self._ready[move.place])
 
 
-def group_of_dispatcher(index: int, dispatchers: int, groups: int, keyed: bool) -> int:
+def group_of_dispatcher(index: int, dispatchers: int, groups: int, has_affinity: bool) -> int:
     """Return the group of a dispatcher.
 
     Where requests have keys, dispatchers with neighbouring indices are spread over the groups, so that a part
     of the dispatchers, such as those of one zone, still serves all groups.
     """
-    if keyed:
+    if has_affinity:
         return int((index * GOLDEN_RATIO) % 1.0 * groups)
     return index * groups // dispatchers
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -41,7 +41,7 @@
     "rule 2: unsafe": (
         "all unsafe",
         lambda m: (
-            m.setattr(selection, "may_resend", lambda *_a: True),
+            m.setattr(selection, "may_send", lambda *_a: True),
             m.setattr(
                 RetryController,
                 "replace_stalled",
@@ -53,7 +53,7 @@
             ),
         ),
     ),
-    "rule 2: keyed": ("zones", lambda m: m.setattr(selection, "may_resend", lambda *_a: True)),
+    "rule 2: keyed": ("zones", lambda m: m.setattr(selection, "may_send", lambda *_a: True)),
     "rule 2: .* refused": (
         "all unsafe",
         lambda m: [
@@ -69,7 +69,7 @@
         "no copies",
         lambda m: (
             m.setattr(outlier_detection, "STUCK_DURATIONS", 0.1),
-            m.setattr(selection, "may_resend", lambda *_a: True),
+            m.setattr(selection, "may_send", lambda *_a: True),
             m.setattr(
                 RetryController,
                 "replace_stalled",
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -392,7 +392,7 @@
     id_, _ = node.arrive()
     node.play(AttemptProgressed(id_, 0, 1, 1, 0.0))
     node.end(id_, 0, 1, Outcome.OK, final=True)
-    assert node.dispatcher.workers[1].unstarted == 0
+    assert node.dispatcher.workers[1].unstarted_attempts == 0
     assert sends(node.arrive()[1])
 
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -32,11 +32,11 @@
     return [Endpoint(1 + number, zone=number % 4, kind=number // 4 % 2) for number in range(size)]
 
 
-def node_of(size, me=0, dispatchers=None, keyed=True, entries=None):
+def node_of(size, me=0, dispatchers=None, has_affinity=True, entries=None):
     """A dispatcher that knows a fleet and, if it is keyed, has seen a request with a key."""
     node = Node(replace(SITE, dispatcher_count=dispatchers or size, dispatcher_index=me), workers=0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 1, tuple(entries or fleet(size))))
-    if keyed:
+    if has_affinity:
         serve(node, affinity_key=1)
     return node
 
@@ -68,7 +68,7 @@
 
     for owner, name in (
         (EndpointSelector, "is_free"),
-        (EndpointSelector, "_is_open_home"),
+        (EndpointSelector, "_is_available_home"),
         (Fleet, "is_usable"),
         (SlowStart, "capacity_share"),
     ):
@@ -91,10 +91,10 @@
 
 
 @pytest.mark.parametrize("size", [200, 3200])
-@pytest.mark.parametrize("keyed", [False, True])
-def test_list_change_costs_no_walk_over_the_fleet(size, keyed, examined):
+@pytest.mark.parametrize("has_affinity", [False, True])
+def test_list_change_costs_no_walk_over_the_fleet(size, has_affinity, examined):
     """22 ms for each change at 3,200 workers, 1.5 ms at 200: all was compared and sorted anew."""
-    node = node_of(size, keyed=keyed)
+    node = node_of(size, has_affinity=has_affinity)
 
     def change(number):
         old, new = Endpoint(1 + number, zone=number % 4, kind=number // 4 % 2), Endpoint(10_000 + number)
@@ -122,10 +122,10 @@
     assert (most - Counter(stable_hashes_up_to=size)).total() <= 40, most
 
 
-@pytest.mark.parametrize("keyed", [False, True])
-def test_request_without_a_key_considers_a_bounded_number_of_workers(keyed, examined):
+@pytest.mark.parametrize("has_affinity", [False, True])
+def test_request_without_a_key_considers_a_bounded_number_of_workers(has_affinity, examined):
     """Also where one dispatcher has the whole fleet to itself."""
-    node = node_of(3200, dispatchers=1, keyed=keyed)
+    node = node_of(3200, dispatchers=1, has_affinity=has_affinity)
     assert cost(examined, lambda _number: serve(node)).total() <= 3 * MAX_CANDIDATES
 
 
@@ -156,14 +156,15 @@
 # Subsets.
 
 
-@pytest.mark.parametrize("keyed", [False, True])
-def test_one_change_of_a_worker_changes_one_place_in_few_subsets(keyed):
+@pytest.mark.parametrize("has_affinity", [False, True])
+def test_one_change_of_a_worker_changes_one_place_in_few_subsets(has_affinity):
     """Each change shifted the subset of every dispatcher, whose connections were made anew: 692 in 30 s."""
     size, dispatchers = 400, 400
-    if keyed:
+    if has_affinity:
         size, dispatchers = 1600, 16
     nodes = [
-        node_of(size, me, dispatchers, keyed) for me in range(0, dispatchers, max(1, dispatchers // 100))
+        node_of(size, me, dispatchers, has_affinity)
+        for me in range(0, dispatchers, max(1, dispatchers // 100))
     ]
     rng = random.Random(1)
     entries = {entry.worker: entry for entry in fleet(size)}
@@ -179,7 +180,7 @@
             changed = [old ^ now for old, now in zip(before, after, strict=True) if old != now]
             moved = set().union(*changed)
             own = {gone.worker, new.worker}
-            assert moved <= own if keyed else len(moved - own) <= 1, (
+            assert moved <= own if has_affinity else len(moved - own) <= 1, (
                 "itself, and at most one to keep sizes even"
             )
             assert all(len(change - own) <= 1 for change in changed)
@@ -189,7 +190,7 @@
 
 def test_small_subsets_stay_even_and_cover_the_fleet_through_changes():
     size, rng = 120, random.Random(2)
-    nodes = [node_of(size, me, size, keyed=False) for me in range(size)]
+    nodes = [node_of(size, me, size, has_affinity=False) for me in range(size)]
     entries = {entry.worker: entry for entry in fleet(size)}
     for number in range(60):
         news = []
@@ -212,7 +213,7 @@
 
 def test_small_subsets_keep_a_mix_of_zones_and_kinds():
     size, rng = 160, random.Random(3)
-    nodes = [node_of(size, me, size, keyed=False) for me in range(0, size, 4)]
+    nodes = [node_of(size, me, size, has_affinity=False) for me in range(0, size, 4)]
     entries = {entry.worker: entry for entry in fleet(size)}
     for number in range(80):
         gone = entries.pop(rng.choice(sorted(entries)))
@@ -250,7 +251,7 @@
 def test_the_dispatchers_of_one_zone_still_serve_every_part_of_a_large_fleet(zones):
     """Were a zone's dispatchers all of one group, the loss of the zone would leave its workers idle."""
     groups = node_of(3200, 0, 200).dispatcher.group_count
-    seen = {subsetting.group_of_dispatcher(me, 200, groups, keyed=True) for me in range(0, 200, zones)}
+    seen = {subsetting.group_of_dispatcher(me, 200, groups, has_affinity=True) for me in range(0, 200, zones)}
     assert groups > 1
     assert seen == set(range(groups))
 
@@ -311,15 +312,15 @@
             assert not whole or len(numbers) == len(wanted)
 
 
-@pytest.mark.parametrize("keyed", [0, 5])
-def test_retry_bound_to_workers_outside_the_subset_finds_one(keyed):
+@pytest.mark.parametrize("has_affinity", [0, 5])
+def test_retry_bound_to_workers_outside_the_subset_finds_one(has_affinity):
     """A cell may have no other worker in this dispatcher's subset."""
     cellular = replace(KEYED, scope=Scope.CELL, repeat_window_ms=20_000.0)
     entries = [Endpoint(1 + n, zone=n % 4, cell=n // 2) for n in range(3200)]
     node = Node(replace(SITE, classes=(SAFE, cellular), dispatcher_count=3200, dispatcher_index=3), workers=0)
     node.play(EndpointsUpdated(EndpointListKind.FULL, 1, tuple(entries)))
     for key in (5, 6, 7, 8):
-        id_, actions = node.arrive(cls=1, affinity_key=key if keyed else 0)
+        id_, actions = node.arrive(cls=1, affinity_key=key if has_affinity else 0)
         [first] = sends(actions)
         [again] = sends(node.end(id_, 0, first.worker, Outcome.RESET))
         assert again.request_id == id_
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -75,9 +75,9 @@
     node = Node(workers=1)
     worker = node.dispatcher.workers[1]
     worker.eject(0.0)
-    worker.record_sign_of_life(10.0)
+    worker.record_activity(10.0)
     assert worker.ejections == 1
-    worker.record_sign_of_life(20.0, in_time=True)
+    worker.record_activity(20.0, in_time=True)
     assert worker.ejections == 0
 
 
@@ -159,7 +159,7 @@
     other, _ = started(node)
     for at in (1000.0, 2000.0, 3000.0):
         node.play(AttemptProgressed(other, 0, 3 - worker, 2, 0.1), at=at)
-        node.dispatcher.workers[worker].record_sign_of_life(at)  # by others of this node's requests
+        node.dispatcher.workers[worker].record_activity(at)  # by others of this node's requests
     assert not [a for a in node.play(at=3500.0) if isinstance(a, CancelAttempt)]
     assert [
         (a.request_id, a.attempt_number) for a in node.play(at=3650.0) if isinstance(a, CancelAttempt)
@@ -172,7 +172,7 @@
     started(node)
     for at in (500.0, 1000.0, 1500.0, 2500.0):
         for worker in node.dispatcher.workers.values():
-            worker.record_sign_of_life(at)
+            worker.record_activity(at)
         assert not [a for a in node.play(at=at) if isinstance(a, CancelAttempt)]
 
 
@@ -202,7 +202,7 @@
         node.now += 300.0
         node.dispatcher.workers[2].full_until = node.now + 1.0
     assert worker.ejections == 1
-    worker.record_sign_of_life(node.now, in_time=True)
+    worker.record_activity(node.now, in_time=True)
     assert worker.consecutive_resets == 0
 
 
@@ -217,13 +217,13 @@
     for at in (1500.0, 1501.0):
         node.now = at
         picked.append(started(node)[1])
-    assert slow.pace(1500.0) > SLOW_WORKER_SLOWDOWN
+    assert slow.slowdown(1500.0) > SLOW_WORKER_SLOWDOWN
     assert picked == [2, 2]
     for _ in range(20):
         slow.record_duration(1502.0, 1.0, True)
     slow.open_attempts.clear()
-    assert slow.pace(1502.0) < 1.1
-    assert slow.pace(20_000.0) == 1.0, "an old pace is forgotten: another program may have passed"
+    assert slow.slowdown(1502.0) < 1.1
+    assert slow.slowdown(20_000.0) == 1.0, "an old pace is forgotten: another program may have passed"
 
 
 def test_worker_that_fails_fast_does_not_attract_all_requests():
@@ -249,10 +249,10 @@
     worker = node.dispatcher.workers[1]
     worker.error_score = 3.0
     worker.eject(0.0)
-    worker.record_sign_of_life(1.0, in_time=True)
+    worker.record_activity(1.0, in_time=True)
     assert worker.ejections
     worker.error_score = 1.0
-    worker.record_sign_of_life(1.0, in_time=True)
+    worker.record_activity(1.0, in_time=True)
     assert not worker.ejections
 
 
