--- a/eiderfield/batch/submission.py
+++ b/eiderfield/batch/submission.py
@@ -115,7 +115,7 @@
             target=f"{path}/{template.subject}" if template.subject else path,
             body=body,
             idempotency_key=key,
-            subject=IdMap.subject(template.subject),
+            subject=IdMap.key_number(template.subject),
         )
 
     def _next_id(self) -> str:
--- a/eiderfield/config/loader.py
+++ b/eiderfield/config/loader.py
@@ -26,7 +26,7 @@
 from eiderfield.config.policy import read_policy_settings
 from eiderfield.config.reader import TableReader
 from eiderfield.connections.settings import AdmissionSettings, IdleSettings
-from eiderfield.idmap import number_of
+from eiderfield.idmap import stable_number
 from eiderfield.interface import Settings
 from eiderfield.net.discovery.settings import DiscoverySettings
 from eiderfield.net.peer_settings import PeerSettings
@@ -193,4 +193,4 @@
     """Return a seed from the setting, or from the name of the process if there is none."""
     if isinstance(value, int) and not isinstance(value, bool):
         return value
-    return number_of(str(value) if value is not None else name, SEED_BYTES)
+    return stable_number(str(value) if value is not None else name, SEED_BYTES)
--- a/eiderfield/config/policy.py
+++ b/eiderfield/config/policy.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from eiderfield.config.errors import ConfigError
-from eiderfield.idmap import plain
+from eiderfield.idmap import normalize_name
 from eiderfield.interface import Settings
 from eiderfield.settings_text import SettingsError, parse_settings
 
@@ -37,4 +37,4 @@
 def _scalar(value: object) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
-    return "" if value is None else plain(str(value))
+    return "" if value is None else normalize_name(str(value))
--- a/eiderfield/durable_requests/exchange_hooks.py
+++ b/eiderfield/durable_requests/exchange_hooks.py
@@ -31,7 +31,7 @@
         """Record an attempt; `on_claimed` is called with whether it may start."""
         ids = self._context.services.ids
         endpoint = self._context.exchange.endpoints.endpoint(attempt.worker)
-        worker, zone = ids.name(attempt.worker), ids.zone_name(endpoint.zone)
+        worker, zone = ids.worker_name(attempt.worker), ids.zone_name(endpoint.zone)
         record = AttemptRecord(attempt.number, worker, zone, endpoint.cell, steady_ms())
         self._claims.request(attempt, record, on_claimed)
 
--- a/eiderfield/idmap.py
+++ b/eiderfield/idmap.py
@@ -9,10 +9,10 @@
 KEY_NUMBER_BYTES = 8
 
 _HEX = frozenset("0123456789abcdef")
-_PLAIN = str.maketrans(dict.fromkeys(" ,\n\r", "_"))
+_NAME_REPLACEMENTS = str.maketrans(dict.fromkeys(" ,\n\r", "_"))
 
 
-def number_of(text: str, size: int) -> int:
+def stable_number(text: str, size: int) -> int:
     """Return a number of `size` bytes, the same for a text in every process, and never 0 (none).
 
     A text that ends in a hexadecimal number of this size, as the platform's names and keys do, maps to
@@ -25,9 +25,9 @@
     return int.from_bytes(digest, "big") or 1
 
 
-def plain(name: str) -> str:
+def normalize_name(name: str) -> str:
     """Return a name as the settings write it: with _ for spaces, commas and line ends."""
-    return name.translate(_PLAIN)
+    return name.translate(_NAME_REPLACEMENTS)
 
 
 class IdMap:
@@ -48,18 +48,18 @@
         """
         number = self._workers.get(name)
         if number is None:
-            number = number_of(name, WORKER_NUMBER_BYTES)
+            number = stable_number(name, WORKER_NUMBER_BYTES)
             while number in self._names:  # the later of two names with one number takes the next one
                 number = (number + 1) % (1 << (8 * WORKER_NUMBER_BYTES))
             self._workers[name] = number
             self._names[number] = name
         return number
 
-    def known(self, name: str) -> int | None:
+    def find_worker(self, name: str) -> int | None:
         """Return the number of a worker that has one already."""
         return self._workers.get(name)
 
-    def name(self, worker: int) -> str:
+    def worker_name(self, worker: int) -> str:
         """Return a worker's name, for logs and operators."""
         return self._names.get(worker, str(worker))
 
@@ -84,6 +84,6 @@
         return self._cells.setdefault(name, len(self._cells))
 
     @staticmethod
-    def subject(text: str) -> int:
+    def key_number(text: str) -> int:
         """Return the number of a routing key; 0 for an empty one."""
-        return number_of(text, KEY_NUMBER_BYTES) if text else 0
+        return stable_number(text, KEY_NUMBER_BYTES) if text else 0
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -8,7 +8,7 @@
 
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.exchange.request import Answer, Request, Verdict
-from eiderfield.idmap import IdMap, plain
+from eiderfield.idmap import IdMap, normalize_name
 from eiderfield.net.clients.front import ClientDeparted, ListenerStatus, Responder
 from eiderfield.net.clients.request_headers import check_ids, read_resource_needs, read_timeout
 from eiderfield.net.http import Head, MalformedMessageError
@@ -99,9 +99,9 @@
             host=head.get("host") or "backend.local",
             body=body,
             idempotency_key=head.get("idempotency-key"),
-            subject=self._ids.subject(key_path[-1]) if key_path else 0,
+            subject=self._ids.key_number(key_path[-1]) if key_path else 0,
             is_client_retry=head.get("x-retry") == "1",
-            tenant_index=self._tenants.get(plain(head.get("x-tenant")), len(self._tenants)),
+            tenant_index=self._tenants.get(normalize_name(head.get("x-tenant")), len(self._tenants)),
             slots=needs.slots,
             memory=needs.memory,
         )
--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -143,7 +143,7 @@
             self.on_ban(name, since)
 
     def _was_listed(self, name: str) -> bool:
-        return name in self.bans.since or self.ids.known(name) in self._endpoints
+        return name in self.bans.since or self.ids.find_worker(name) in self._endpoints
 
     # Lists.
 
@@ -190,7 +190,7 @@
     def _with_ban(self, endpoint: Endpoint) -> Endpoint:
         """Return a worker as the exchange is to see it."""
         worker = endpoint.worker
-        if endpoint.state == EndpointState.READY and self.ids.name(worker) in self.bans.since:
+        if endpoint.state == EndpointState.READY and self.ids.worker_name(worker) in self.bans.since:
             return replace(endpoint, state=EndpointState.DRAINING)
         unbanned = self._unbanned.get(worker)
         if unbanned is None:
@@ -243,7 +243,7 @@
     def _to_record(self, endpoint: Endpoint) -> EndpointRecord:
         host, port = self._workers.address(endpoint.worker) or ("", 0)
         return EndpointRecord(
-            name=self.ids.name(endpoint.worker),
+            name=self.ids.worker_name(endpoint.worker),
             address=f"{host}:{port}",
             status=_STATUSES[endpoint.state].value,
             zone=self.ids.zone_name(endpoint.zone),
--- a/eiderfield/net/handover/load_updates.py
+++ b/eiderfield/net/handover/load_updates.py
@@ -44,7 +44,7 @@
     def attempts_changed(self, worker: int, count: int, work: float) -> None:
         """Record the open attempts at a worker, and the work that was just sent there."""
         work_before = self._attempts[worker].work if worker in self._attempts else 0.0
-        self._attempts[worker] = OpenAttempts(self._ids.name(worker), count, work_before + work)
+        self._attempts[worker] = OpenAttempts(self._ids.worker_name(worker), count, work_before + work)
         self._schedule_flush()
 
     def _schedule_flush(self) -> None:
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -79,7 +79,9 @@
             table=table.state(),
             bans=table.bans.since,
             request_ids=tuple(exchange.request_ids),
-            attempts=tuple(OpenAttempts(table.ids.name(worker), count) for worker, count in open_attempts),
+            attempts=tuple(
+                OpenAttempts(table.ids.worker_name(worker), count) for worker, count in open_attempts
+            ),
             learned=exchange.learned_state(),
             with_peers=with_peers,
         )
--- a/tests/support/consul.py
+++ b/tests/support/consul.py
@@ -72,7 +72,7 @@
     def states(self) -> dict[str, EndpointState]:
         names = self.dispatcher.ids
         return {
-            names.name(w): s
+            names.worker_name(w): s
             for w, s in self.dispatcher.exchange.endpoints.states.items()
             if s != EndpointState.GONE
         }
--- a/tests/support/handover.py
+++ b/tests/support/handover.py
@@ -125,5 +125,5 @@
 
 def endpoint_state(side: Side, worker: int) -> EndpointState | None:
     """Return the state in which a side's exchange holds worker `w<worker>`."""
-    number = side.dispatcher.ids.known(f"w{worker}")
+    number = side.dispatcher.ids.find_worker(f"w{worker}")
     return None if number is None else side.dispatcher.exchange.endpoints.states.get(number)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -10,7 +10,7 @@
 
 
 def state(dispatcher, worker):
-    return dispatcher.exchange.endpoints.states[dispatcher.ids.known(f"w{worker}")]
+    return dispatcher.exchange.endpoints.states[dispatcher.ids.find_worker(f"w{worker}")]
 
 
 def sent_to(dispatcher):
@@ -92,7 +92,7 @@
         dispatcher.tell((1, "SERVING"), since=started)
     dispatcher.advance(3000.0)
     ask(console, "enable")
-    worker = dispatcher.exchange.dispatcher.workers[dispatcher.ids.known("w1")]
+    worker = dispatcher.exchange.dispatcher.workers[dispatcher.ids.find_worker("w1")]
     assert worker.entry.ready_at == (started if told else dispatcher.now)
     dispatcher.tell((1, "SERVING"), since=started if told else 0)  # what was told already, once more
     assert worker.entry.ready_at >= started
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -95,7 +95,7 @@
     consul.dispatcher.advance(100.0)
     consul.answer(8, instance("a", 1), instance("b", 2), instance("c", 3, since_ms="12"))
     since = {
-        consul.dispatcher.ids.name(w.entry.worker): w.entry.ready_at
+        consul.dispatcher.ids.worker_name(w.entry.worker): w.entry.ready_at
         for w in consul.dispatcher.exchange.dispatcher.workers.values()
     }
     assert since == {"n/a": 0.0, "n/b": consul.dispatcher.now, "n/c": 12.0}
--- a/tests/test_wall_clock_slow_start.py
+++ b/tests/test_wall_clock_slow_start.py
@@ -110,7 +110,7 @@
     wall.step(step)
     consul.answer(9, instance("a", 1), instance("b", 2, since_ms=since), instance("c", 3))
     workers = dispatcher.exchange.dispatcher.workers.values()
-    ages = {dispatcher.ids.name(w.entry.worker): dispatcher.now - w.entry.ready_at for w in workers}
+    ages = {dispatcher.ids.worker_name(w.entry.worker): dispatcher.now - w.entry.ready_at for w in workers}
     assert ages["n/b"] == pytest.approx(1000.0)
     assert ages["n/c"] == pytest.approx(1000.0)
 
