--- a/eiderfield/policy/admission.py
+++ b/eiderfield/policy/admission.py
@@ -61,8 +61,10 @@
 
 def is_full(queues: ClassQueues, wait: float, slack: float, workers: int) -> bool:
     """Return whether a request has to be shed, given the slack and the expected wait of the newest one."""
-    most = GRB_REQUESTS_PER_WORKER * max(MIN_GRB_WORKERS, workers)
-    return queues.held_count > most or (queues.held_count > SLB_SIZE and wait > MAX_GRB_WAIT_FACTOR * slack)
+    max_held = GRB_REQUESTS_PER_WORKER * max(MIN_GRB_WORKERS, workers)
+    return queues.held_count > max_held or (
+        queues.held_count > SLB_SIZE and wait > MAX_GRB_WAIT_FACTOR * slack
+    )
 
 
 class AdmissionController:
--- a/eiderfield/policy/attempt_outcomes.py
+++ b/eiderfield/policy/attempt_outcomes.py
@@ -48,8 +48,8 @@
         self._outliers.record_wait(waited)
         self._reports.record_start(worker)
         # One waiting request of each dispatcher makes a long queue (i1da742): let the others go first.
-        others = self._fleet.subset.dispatchers_per_worker / self._reports.slots_of(worker) - 1.0
-        worker.full_until = max(worker.full_until, now + waited * min(MAX_PAUSE_PER_WAIT, others))
+        other_dispatchers = self._fleet.subset.dispatchers_per_worker / self._reports.slots_of(worker) - 1.0
+        worker.full_until = max(worker.full_until, now + waited * min(MAX_PAUSE_PER_WAIT, other_dispatchers))
         self._fleet.paused_workers[worker.entry.worker] = worker
 
     def record_end(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -159,7 +159,7 @@
         avoided = [
             worker.entry.worker
             for worker in self._fleet.workers.values()
-            if worker.entry.state != EndpointState.GONE and not self._is_sent_to(worker, at)
+            if worker.entry.state != EndpointState.GONE and not self._receives_requests(worker, at)
         ]
         rates = [pacer.rate for pacer in self._queues.pacers]
         return Snapshot(self._queues.held_count, self._requests.open_attempts, rates, frozenset(avoided))
@@ -296,10 +296,10 @@
         return any_ready and not self._selector.may_retry_anywhere(request, now)
 
     def _count_key(self, key: int) -> None:
-        forgot = self._key_counts.count(key)
+        halved = self._key_counts.count(key)
         if self._fleet.enable_affinity():
             self._state.update_after_repartition()
-        if forgot:
+        if halved:
             self._fleet.key_orders.clear()
 
     def _attempt_ended(self, event: AttemptEnded, now: float) -> None:
@@ -340,7 +340,7 @@
         for request in self._requests.expired(now):
             self._completion.answer(request)
 
-    def _is_sent_to(self, worker: Worker, now: float) -> bool:
+    def _receives_requests(self, worker: Worker, now: float) -> bool:
         return worker.entry.state == EndpointState.READY and self._fleet.is_usable(worker, now)
 
     def _watch_endpoints(self) -> None:
--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -96,9 +96,9 @@
 
     def record_duration(self, now: float, duration: float, completed: bool) -> None:
         """Update the slowdown with a started request that has ended after `duration` typical durations."""
-        kept = max(0.0, 1.0 - (now - self.slowdown_updated_at) / SLOWDOWN_MEMORY_MS)
-        self.recent_durations = self.recent_durations * kept + duration
-        self.recent_completions = self.recent_completions * kept + completed
+        retained = max(0.0, 1.0 - (now - self.slowdown_updated_at) / SLOWDOWN_MEMORY_MS)
+        self.recent_durations = self.recent_durations * retained + duration
+        self.recent_completions = self.recent_completions * retained + completed
         self.slowdown_updated_at = now
 
     def slowdown(self, now: float) -> float:
@@ -107,7 +107,7 @@
         Requests in progress count with the time that they have run so far: they are the first to show that a
         worker has become slow.
         """
-        kept = max(0.0, 1.0 - (now - self.slowdown_updated_at) / SLOWDOWN_MEMORY_MS)
+        retained = max(0.0, 1.0 - (now - self.slowdown_updated_at) / SLOWDOWN_MEMORY_MS)
         in_progress = sum(
             [
                 (now - attempt.started_at) / attempt.request.expected_duration_ms
@@ -115,8 +115,8 @@
                 if attempt.started_at is not None
             ]
         )
-        durations = SLOWDOWN_PRIOR_REQUESTS + self.recent_durations * kept + in_progress
-        return durations / (SLOWDOWN_PRIOR_REQUESTS + self.recent_completions * kept)
+        durations = SLOWDOWN_PRIOR_REQUESTS + self.recent_durations * retained + in_progress
+        return durations / (SLOWDOWN_PRIOR_REQUESTS + self.recent_completions * retained)
 
     def eject(self, now: float, failing: bool = False) -> None:
         """Send nothing to the worker for a while; `failing` marks it instead, see the module's docstring."""
--- a/eiderfield/policy/fleet.py
+++ b/eiderfield/policy/fleet.py
@@ -47,17 +47,17 @@
 
     def apply_entries(self, entries: Iterable[Endpoint], whole: bool, now: float) -> bool:
         """Apply changes, or a `whole` endpoint list; return whether the fleet was repartitioned."""
-        is_first = not self.ready.by_number
+        is_first_list = not self.ready.by_number
         listed = set()
         for entry in entries:
             listed.add(entry.worker)
-            self._apply_entry(entry, now, is_first)
+            self._apply_entry(entry, now, is_first_list)
         if whole:
             for number in self.workers.keys() - listed:
                 worker = self.workers[number]
                 if worker.entry.state != EndpointState.GONE:
-                    self._apply_entry(replace(worker.entry, state=EndpointState.GONE), now, is_first)
-        if is_first or self._group_count() != self.subset.group_count:
+                    self._apply_entry(replace(worker.entry, state=EndpointState.GONE), now, is_first_list)
+        if is_first_list or self._group_count() != self.subset.group_count:
             self.repartition()
             return True
         return False
@@ -178,7 +178,7 @@
                 worker.ejections = outlier.ejections
                 worker.failing = True
 
-    def _apply_entry(self, entry: Endpoint, now: float, is_first: bool) -> None:
+    def _apply_entry(self, entry: Endpoint, now: float, is_first_list: bool) -> None:
         """Apply one entry; a first list leaves the subset to the repartition that follows it."""
         worker = self.get_or_add(entry)
         old = worker.entry
@@ -193,12 +193,12 @@
         stays = was_ready and is_ready and in_place
         if was_ready and not stays:
             self.ready.remove(old)
-            if not is_first:
+            if not is_first_list:
                 self.subset.remove(old)
         worker.entry = entry
         if is_ready and not stays:
             self.ready.add(worker)
-            if not is_first:
+            if not is_first_list:
                 self.subset.add(worker)
 
     def _group_count(self) -> int:
--- a/eiderfield/policy/load_reports.py
+++ b/eiderfield/policy/load_reports.py
@@ -82,8 +82,10 @@
 
     def probe(self, now: float) -> bool:
         """Probe some workers that have not reported lately; return whether requests wait for the answers."""
-        old = now - PROBE_INTERVAL_MS
-        unreported = [w for w in self._fleet.subset.workers if max(w.reported_at, w.probed_at) < old]
+        probed_before = now - PROBE_INTERVAL_MS
+        unreported = [
+            w for w in self._fleet.subset.workers if max(w.reported_at, w.probed_at) < probed_before
+        ]
         usable = [worker for worker in unreported if self._fleet.is_usable(worker, now)]
         for worker in self._context.random.sample(usable, min(PROBES_PER_ROUND, len(usable))):
             worker.probed_at = now
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -85,8 +85,8 @@
 
     def apply_settings(self, settings: Settings) -> None:
         """Apply new settings of the same classes and tenants; held requests keep their class as it was."""
-        fresh = ClassQueues(settings)
-        for queue, new in zip(self.by_id.values(), fresh.by_id.values(), strict=True):
+        new_queues = ClassQueues(settings)
+        for queue, new in zip(self.by_id.values(), new_queues.by_id.values(), strict=True):
             queue.request_class = new.request_class
             queue.weight = new.weight
             queue.pacer.floor_share = new.pacer.floor_share
--- a/eiderfield/policy/selection.py
+++ b/eiderfield/policy/selection.py
@@ -89,8 +89,8 @@
 
         A request without a key goes to one of the `free` workers.
         """
-        pool = self._pool(request, free, now)
-        ranked = [(self._rank(w, request, now), w) for w in pool if self._is_ready(w, request, now)]
+        candidates = self._candidates(request, free, now)
+        ranked = [(self._rank(w, request, now), w) for w in candidates if self._can_take(w, request, now)]
         if not ranked:
             return None
         lowest = min([rank for rank, _ in ranked])
@@ -110,7 +110,7 @@
             return self._free_in_group(request, now)
         return [worker for worker in homes if self.is_free(worker, now)]
 
-    def _pool(self, request: QueuedRequest, free: list[Worker], now: float) -> list[Worker]:
+    def _candidates(self, request: QueuedRequest, free: list[Worker], now: float) -> list[Worker]:
         if request.key:
             return self.homes(request, now)
         if request.first_possible_run() is None:
@@ -198,7 +198,7 @@
         is_overdue = not worker.failing and now >= worker.ejected_until + BASE_EJECTION_MS
         return is_overdue or request.request_class.effect <= max(self._context.trial_effect, worker.failing)
 
-    def _is_ready(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
+    def _can_take(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
         """Return whether a free worker can take this request: its kind, its slots, rule 2 and rule 4."""
         if not self._may_try(worker, request, now):
             return False
--- a/eiderfield/policy/subsetting.py
+++ b/eiderfield/policy/subsetting.py
@@ -144,7 +144,7 @@
         donors = [donor for donor, size in enumerate(self._sizes) if size == largest]
         first = bisect_left(donors, group)
         chosen = [donors[(first + step) % len(donors)] for step in range(min(MAX_DONOR_GROUPS, len(donors)))]
-        offers = [place for donor in chosen for place in self._members[donor]]
+        candidates = [place for donor in chosen for place in self._members[donor]]
 
         def rank(place: Place) -> tuple[int, int]:
             zone, kind, worker = place
@@ -152,7 +152,7 @@
             excess = self._sizes_per_kind[zone, kind, group] - self._sizes_per_kind[zone, kind, donor]
             return excess, stable_hash(group, worker)
 
-        place = min(offers, key=rank)
+        place = min(candidates, key=rank)
         source = self._group_of[place]
         self._remove_member(place)
         self._add_member(place, group)
