--- a/eiderfield/policy/affinity.py
+++ b/eiderfield/policy/affinity.py
@@ -24,7 +24,7 @@
 
 MIN_HOMES = 2  # homes of a key at least: one may be busy
 HOME_FACTOR = 2.0  # homes of a key, as a multiple of its share of the requests times the workers
-HOME_FACTOR_OF_MANY = 1.5  # the same with many dispatchers, which cancel requests that wait
+HOME_FACTOR_MANY_DISPATCHERS = 1.5  # the same with many dispatchers, which cancel requests that wait
 MAX_COUNTED_REQUESTS = 5000  # requests with keys after which all counts are halved
 MAX_KEYS_HANDED_OVER = 500  # most frequent keys that are passed on to the next process
 MIN_ORDER_LENGTH = 12  # workers that a new order holds at least: two homes, and substitutes for them
@@ -150,14 +150,14 @@
         self.total = self.by_key.total()
         return True
 
-    def home_count(self, key: int, workers: int, many: bool) -> int:
+    def home_count(self, key: int, workers: int, many_dispatchers: bool) -> int:
         """Return how many homes a key needs among so many workers (incident ia7713c).
 
         One of many dispatchers leaves the present request out of the count: each sees so few requests that a
         single one would make a rare key look frequent.
         """
-        share = (self.by_key[key] - many) / max(1, self.total - many)
-        factor = HOME_FACTOR_OF_MANY if many else HOME_FACTOR
+        share = (self.by_key[key] - many_dispatchers) / max(1, self.total - many_dispatchers)
+        factor = HOME_FACTOR_MANY_DISPATCHERS if many_dispatchers else HOME_FACTOR
         return max(MIN_HOMES, ceil(factor * share * workers))
 
     def most_common(self) -> tuple[KeyCount, ...]:
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -159,7 +159,7 @@
         avoided = [
             worker.entry.worker
             for worker in self._fleet.workers.values()
-            if worker.entry.state != EndpointState.GONE and not self._is_sent_to(worker, at)
+            if worker.entry.state != EndpointState.GONE and not self._receives_requests(worker, at)
         ]
         rates = [pacer.rate for pacer in self._queues.pacers]
         return Snapshot(self._queues.held_count, self._requests.open_attempts, rates, frozenset(avoided))
@@ -282,7 +282,7 @@
         answer_by = request.deadline - DEADLINE_TICKS * self._context.settings.clock_resolution_ms
         self._requests.add(request, answer_by)
         for entry, sent_at in event.earlier_attempts:  # of a lost dispatcher: they may have run or still run
-            self._fleet.worker_of(entry)  # adds a worker that was never listed, for the attempt names it
+            self._fleet.get_or_add(entry)  # adds a worker that was never listed, for the attempt names it
             attempt = AttemptRecord(request, len(request.attempts), entry, sent_at, sent_at, open=False)
             request.attempts.append(attempt)
         self._queues.add(request, self._queues.by_id[request.queue_id].grb)
@@ -296,10 +296,10 @@
         return any_ready and not self._selector.may_retry_anywhere(request, now)
 
     def _count_key(self, key: int) -> None:
-        forgot = self._key_counts.count(key)
+        halved = self._key_counts.count(key)
         if self._fleet.enable_affinity():
             self._state.update_after_repartition()
-        if forgot:
+        if halved:
             self._fleet.key_orders.clear()
 
     def _attempt_ended(self, event: AttemptEnded, now: float) -> None:
@@ -312,7 +312,7 @@
         self._gossip.mark_changed(worker)
         self._reports.record_report(worker, event.load_report, now)
         attempt.may_have_run = outcome not in NEVER_RAN
-        self._fleet.pausing[worker.entry.worker] = worker
+        self._fleet.paused_workers[worker.entry.worker] = worker
         if outcome in (Outcome.OK, Outcome.ERROR):
             worker.record_outcome(outcome == Outcome.ERROR)
         if attempt.started_at is not None:
@@ -330,8 +330,8 @@
         _, attempt = self._requests.find_attempt(event.request_id, event.attempt_number)
         if attempt is None or not attempt.open:
             return
-        attempt.last_heard_at = now
-        self._fleet.workers[attempt.entry.worker].record_sign_of_life(now)
+        attempt.last_activity_at = now
+        self._fleet.workers[attempt.entry.worker].record_activity(now)
         if attempt.started_at is None and event.kind == ProgressKind.STARTED:
             self._outcomes.record_start(attempt, now)
 
@@ -340,7 +340,7 @@
         for request in self._requests.expired(now):
             self._completion.answer(request)
 
-    def _is_sent_to(self, worker: Worker, now: float) -> bool:
+    def _receives_requests(self, worker: Worker, now: float) -> bool:
         return worker.entry.state == EndpointState.READY and self._fleet.is_usable(worker, now)
 
     def _watch_endpoints(self) -> None:
--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -25,9 +25,9 @@
 MAX_EJECTION_MS = 4000.0
 ERROR_DECAY = 0.8  # factor on the error score with each attempt that ends
 MAX_ERROR_SCORE = 1.5  # above it a worker is ejected: two errors in a row, or one in three
-PACE_PRIOR_REQUESTS = 3.0  # requests of typical duration that a worker is credited with in its pace
-PACE_MEMORY_MS = 5000.0  # after which what has run at a worker no longer counts in its pace
-RECENT_ATTEMPTS = 1024  # sends to a warming worker that are remembered: no more are made in one window
+SLOWDOWN_PRIOR_REQUESTS = 3.0  # requests of typical duration that a worker is credited with in its slowdown
+SLOWDOWN_MEMORY_MS = 5000.0  # after which what has run at a worker no longer counts in its slowdown
+MAX_RECENT_SENDS = 1024  # sends to a warming worker that are remembered: no more are made in one window
 
 
 @dataclass(slots=True, eq=False)
@@ -39,15 +39,15 @@
 
     entry: Endpoint
     open_attempts: dict[tuple[int, int], AttemptRecord] = field(default_factory=dict)  # own, oldest first
-    unstarted: int = 0  # own open attempts that have not started
+    unstarted_attempts: int = 0  # own open attempts that have not started
     own_slots: float = 0.0  # slots taken by own open attempts
     sibling_attempts: int = 0  # open attempts of the other process of this dispatcher during an upgrade
-    last_heard_at: float = 0.0
+    last_activity_at: float = 0.0
     full_until: float = 0.0
     ejections: int = 0  # since the last answer in time
     recent_durations: float = 0.0  # of ended requests, in typical durations; decays
     recent_completions: float = 0.0  # number of those that completed; decays
-    pace_updated_at: float = 0.0
+    slowdown_updated_at: float = 0.0
     error_score: float = 0.0  # decaying sum of errors
     consecutive_fulls: int = 0  # without a start in between
     consecutive_resets: int = 0  # without a sign of life in between
@@ -55,7 +55,7 @@
     silent: bool = False
     failing: bool = False  # fails some requests at once and answers others well
     recent_sends: deque[tuple[float, float]] = field(
-        default_factory=lambda: deque(maxlen=RECENT_ATTEMPTS)
+        default_factory=lambda: deque(maxlen=MAX_RECENT_SENDS)
     )  # times and work of sends while it warms up
     slow_start_left: float = inf  # work that it may still be sent while it warms up
     budget_threshold: float = 1.0  # share of a request's cost that must be left of the slow start budget
@@ -71,12 +71,12 @@
         peer_slots = self.peer_slots if now < self.peer_slots_until else 0
         return self.own_slots + self.sibling_attempts + peer_slots
 
-    def record_sign_of_life(self, now: float, in_time: bool = False) -> None:
+    def record_activity(self, now: float, in_time: bool = False) -> None:
         """End silence and, after an answer in time, the ejection.
 
         Any other sign of life leaves the ejection as it is, or a slow worker would never be ejected.
         """
-        self.last_heard_at = now
+        self.last_activity_at = now
         self.silent = False
         self.consecutive_resets = 0
         if in_time and self.error_score <= MAX_ERROR_SCORE:
@@ -88,26 +88,26 @@
         """Reset the health of a worker whose process has been started anew."""
         self.error_score = 0.0
         self.reported_at = -inf
-        self.record_sign_of_life(now, True)
+        self.record_activity(now, True)
 
     def record_outcome(self, failed: bool) -> None:
         """Update the error score with an attempt that was answered, `failed` with an error."""
         self.error_score = self.error_score * ERROR_DECAY + failed
 
     def record_duration(self, now: float, duration: float, completed: bool) -> None:
-        """Update the pace with a started request that has ended after `duration` typical durations."""
-        kept = max(0.0, 1.0 - (now - self.pace_updated_at) / PACE_MEMORY_MS)
-        self.recent_durations = self.recent_durations * kept + duration
-        self.recent_completions = self.recent_completions * kept + completed
-        self.pace_updated_at = now
+        """Update the slowdown with a started request that has ended after `duration` typical durations."""
+        retained = max(0.0, 1.0 - (now - self.slowdown_updated_at) / SLOWDOWN_MEMORY_MS)
+        self.recent_durations = self.recent_durations * retained + duration
+        self.recent_completions = self.recent_completions * retained + completed
+        self.slowdown_updated_at = now
 
-    def pace(self, now: float) -> float:
+    def slowdown(self, now: float) -> float:
         """Return how many times longer than typical requests run here.
 
         Requests in progress count with the time that they have run so far: they are the first to show that a
         worker has become slow.
         """
-        kept = max(0.0, 1.0 - (now - self.pace_updated_at) / PACE_MEMORY_MS)
+        retained = max(0.0, 1.0 - (now - self.slowdown_updated_at) / SLOWDOWN_MEMORY_MS)
         in_progress = sum(
             [
                 (now - attempt.started_at) / attempt.request.expected_duration_ms
@@ -115,8 +115,8 @@
                 if attempt.started_at is not None
             ]
         )
-        durations = PACE_PRIOR_REQUESTS + self.recent_durations * kept + in_progress
-        return durations / (PACE_PRIOR_REQUESTS + self.recent_completions * kept)
+        durations = SLOWDOWN_PRIOR_REQUESTS + self.recent_durations * retained + in_progress
+        return durations / (SLOWDOWN_PRIOR_REQUESTS + self.recent_completions * retained)
 
     def eject(self, now: float, failing: bool = False) -> None:
         """Send nothing to the worker for a while; `failing` marks it instead, see the module's docstring."""
--- a/eiderfield/policy/gossip.py
+++ b/eiderfield/policy/gossip.py
@@ -1,7 +1,7 @@
 """Gossip: dispatchers that share workers report to each other the slots that their requests take there.
 
-Reports are not acknowledged. One that is lost is replaced by the next, and each expires after `FRESH_MS`, for
-its sender may have died.
+Reports are not acknowledged. One that is lost is replaced by the next. Each expires after
+`PEER_REPORT_TTL_MS`, because its sender may have died.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from eiderfield.policy.fleet import Fleet
 from eiderfield.policy.subsetting import DISPATCHERS_PER_WORKER_WITH_GOSSIP, group_of_dispatcher
 
-FRESH_MS = 2000.0  # after which a peer's report expires
+PEER_REPORT_TTL_MS = 2000.0  # after which a peer's report expires
 
 
 class Gossip:
@@ -28,14 +28,18 @@
     def update_peers(self) -> None:
         """Set the peers to the other dispatchers of the same group, or to none if they are too many."""
         settings, subset = self._context.settings, self._fleet.subset
-        dispatchers, groups, keyed = settings.dispatcher_count, subset.group_count, self._fleet.keyed
+        dispatchers, groups, has_affinity = (
+            settings.dispatcher_count,
+            subset.group_count,
+            self._fleet.has_affinity,
+        )
         self.peers = []
         if settings.gossip_allowed and subset.dispatchers_per_worker < 2 * DISPATCHERS_PER_WORKER_WITH_GOSSIP:
-            own = group_of_dispatcher(settings.dispatcher_index, dispatchers, groups, keyed)
+            own = group_of_dispatcher(settings.dispatcher_index, dispatchers, groups, has_affinity)
             members = [
                 index
                 for index in range(dispatchers)
-                if group_of_dispatcher(index, dispatchers, groups, keyed) == own
+                if group_of_dispatcher(index, dispatchers, groups, has_affinity) == own
             ]
             self.peers = [index for index in members if index != settings.dispatcher_index]
 
@@ -49,9 +53,11 @@
             worker = self._fleet.workers.get(number)
             if worker is not None:
                 worker.peer_reports[peer] = (now, count)
-                worker.peer_slots_until = now + FRESH_MS
+                worker.peer_slots_until = now + PEER_REPORT_TTL_MS
                 reports = worker.peer_reports.values()
-                worker.peer_slots = sum([slots for sent_at, slots in reports if sent_at > now - FRESH_MS])
+                worker.peer_slots = sum(
+                    [slots for sent_at, slots in reports if sent_at > now - PEER_REPORT_TTL_MS]
+                )
 
     def send_reports(self) -> None:
         """Report to the peers the workers at which own slots have changed in this call."""
--- a/eiderfield/policy/load_reports.py
+++ b/eiderfield/policy/load_reports.py
@@ -17,8 +17,8 @@
 from eiderfield.policy.fleet import Fleet
 
 DEFAULT_SLOTS = 2.0  # assumed of a worker until it shows more
-FRESH_MS = 500.0  # after which a report of free slots expires: less than a short request takes
-PROBES = 3  # workers probed at a time, when no report shows a free slot
+LOAD_REPORT_TTL_MS = 500.0  # after which a report of free slots expires: less than a short request takes
+PROBES_PER_ROUND = 3  # workers probed at a time, when no report shows a free slot
 PROBE_WAIT_MS = 10.0  # for which requests wait for the probes' answers
 PROBE_INTERVAL_MS = 200.0  # between two probes of one worker, at least
 
@@ -43,7 +43,7 @@
         the fleet is one group, nor if its subset is large, as it is where requests have keys.
         """
         settings, fleet = self._context.settings, self._fleet
-        sees_enough = settings.workers_report_start or fleet.subset.group_count == 1 or fleet.keyed
+        sees_enough = settings.workers_report_start or fleet.subset.group_count == 1 or fleet.has_affinity
         reported = self._context.free_slots_column >= 0
         self.probing = settings.probing_allowed and reported and not sees_enough
 
@@ -76,16 +76,18 @@
 
     def free_slot_evidence(self, worker: Worker, now: float) -> float:
         """Return 1 if a fresh report shows a free slot, -1 if it shows none, 0 without a fresh report."""
-        if not self.probing or now > worker.reported_at + FRESH_MS:
+        if not self.probing or now > worker.reported_at + LOAD_REPORT_TTL_MS:
             return 0.0
         return 1.0 if worker.slots_free >= 1 else -1.0
 
     def probe(self, now: float) -> bool:
         """Probe some workers that have not reported lately; return whether requests wait for the answers."""
-        old = now - PROBE_INTERVAL_MS
-        unreported = [w for w in self._fleet.subset.workers if max(w.reported_at, w.probed_at) < old]
+        probed_before = now - PROBE_INTERVAL_MS
+        unreported = [
+            w for w in self._fleet.subset.workers if max(w.reported_at, w.probed_at) < probed_before
+        ]
         usable = [worker for worker in unreported if self._fleet.is_usable(worker, now)]
-        for worker in self._context.random.sample(usable, min(PROBES, len(usable))):
+        for worker in self._context.random.sample(usable, min(PROBES_PER_ROUND, len(usable))):
             worker.probed_at = now
             self.probes_pending_until = now + PROBE_WAIT_MS
             self._context.actions.append(ProbeWorker(worker.entry.worker))
--- a/eiderfield/policy/subsetting.py
+++ b/eiderfield/policy/subsetting.py
@@ -32,9 +32,9 @@
 DISPATCHERS_PER_WORKER_WITH_GOSSIP = 9  # the same where they report to each other: limits the reports
 # Workers in a subset where requests have keys. A fleet of 3,200 may cost 2.5 times the connections of one of
 # 200, plus 40 (docs/standing.md): that makes 540 with one connection to a worker, the upper bound of this.
-KEYED_SUBSET_SIZE = 500
+AFFINITY_SUBSET_SIZE = 500
 GROUP_COUNT_TOLERANCE = 0.1  # share by which the number of groups may deviate before a repartition
-KEYED_SIZE_TOLERANCE = 0.5  # share by which a keyed subset may be too small: a repartition moves homes
+AFFINITY_SIZE_TOLERANCE = 0.5  # share by which a keyed subset may be too small: a repartition moves homes
 MAX_DONOR_GROUPS = 8  # groups among which a worker is chosen to refill another group
 GOLDEN_RATIO = 0.6180339887498949  # the fractional parts of its multiples are spread evenly over 0 to 1
 
@@ -46,20 +46,20 @@
     return entry.zone, entry.kind, entry.worker
 
 
-def balanced_groups(current: int, dispatchers: int, gossip: bool, workers: int) -> int:
+def balanced_group_count(current: int, dispatchers: int, gossip: bool, workers: int) -> int:
     """Return the number of groups of a `BalancedPartition`, given the current one."""
     per_worker = DISPATCHERS_PER_WORKER_WITH_GOSSIP if gossip else DISPATCHERS_PER_WORKER
     wanted = max(1, min(round(dispatchers / per_worker), workers // MIN_SUBSET_SIZE))
     return current if abs(wanted - current) <= GROUP_COUNT_TOLERANCE * current else wanted
 
 
-def keyed_groups(current: int, dispatchers: int, workers: int) -> int:
+def hashed_group_count(current: int, dispatchers: int, workers: int) -> int:
     """Return the number of groups of a `HashedPartition`, given the current one."""
     max_groups = max(1, round(dispatchers / DISPATCHERS_PER_WORKER))
-    wanted = min(max_groups, ceil(workers / KEYED_SUBSET_SIZE))
+    wanted = min(max_groups, ceil(workers / AFFINITY_SUBSET_SIZE))
     size = workers / max(1, current)
-    too_large = size > KEYED_SUBSET_SIZE * (1.0 + GROUP_COUNT_TOLERANCE)
-    too_small = size < KEYED_SUBSET_SIZE * (1.0 - KEYED_SIZE_TOLERANCE)
+    too_large = size > AFFINITY_SUBSET_SIZE * (1.0 + GROUP_COUNT_TOLERANCE)
+    too_small = size < AFFINITY_SUBSET_SIZE * (1.0 - AFFINITY_SIZE_TOLERANCE)
     if current > max_groups or too_large or too_small:
         return max(1, wanted)
     return current
@@ -144,7 +144,7 @@
         donors = [donor for donor, size in enumerate(self._sizes) if size == largest]
         first = bisect_left(donors, group)
         chosen = [donors[(first + step) % len(donors)] for step in range(min(MAX_DONOR_GROUPS, len(donors)))]
-        offers = [place for donor in chosen for place in self._members[donor]]
+        candidates = [place for donor in chosen for place in self._members[donor]]
 
         def rank(place: Place) -> tuple[int, int]:
             zone, kind, worker = place
@@ -152,7 +152,7 @@
             excess = self._sizes_per_kind[zone, kind, group] - self._sizes_per_kind[zone, kind, donor]
             return excess, stable_hash(group, worker)
 
-        place = min(offers, key=rank)
+        place = min(candidates, key=rank)
         source = self._group_of[place]
         self._remove_member(place)
         self._add_member(place, group)
@@ -226,14 +226,14 @@
     def repartition(
         self,
         ready: Iterable[Worker],
-        keyed: bool,
+        has_affinity: bool,
         groups: int,
         group: int,
         dispatchers_per_worker: float,
     ) -> None:
         """Partition the ready workers and set the subset to one group; reports no single changes."""
         self._ready = {place_of(worker.entry): worker for worker in ready}
-        self._partition = HashedPartition() if keyed else BalancedPartition()
+        self._partition = HashedPartition() if has_affinity else BalancedPartition()
         self._partition.repartition(self._ready, groups)
         self.group_count = groups
         self._group = group
@@ -266,12 +266,12 @@
                 self._on_added(self._ready[move.place])
 
 
-def group_of_dispatcher(index: int, dispatchers: int, groups: int, keyed: bool) -> int:
+def group_of_dispatcher(index: int, dispatchers: int, groups: int, has_affinity: bool) -> int:
     """Return the group of a dispatcher.
 
     Where requests have keys, dispatchers with neighbouring indices are spread over the groups, so that a part
     of the dispatchers, such as those of one zone, still serves all groups.
     """
-    if keyed:
+    if has_affinity:
         return int((index * GOLDEN_RATIO) % 1.0 * groups)
     return index * groups // dispatchers
