--- a/eiderfield/batch/local_wait.py
+++ b/eiderfield/batch/local_wait.py
@@ -27,7 +27,7 @@
         self._job_id = job_id
         self._to_unix = to_unix
         self._is_over = False
-        self._timer = listener.timers.at(listener.clock() + timeout_ms, self._time_out)
+        self._timer = listener.timers.call_at(listener.clock() + timeout_ms, self._time_out)
         self._job = registry.wait(job_id, self._send_end)
 
     def abandon(self) -> None:
--- a/eiderfield/durable_requests/answer_lookup.py
+++ b/eiderfield/durable_requests/answer_lookup.py
@@ -36,7 +36,7 @@
         Returns what to call to stop waiting.
         """
         waiter = Waiter(Request(id_, UNKNOWN_CLASS, until, ""), on_answer)
-        waiter.timer = self._context.services.timers.at(until, waiter.expire)
+        waiter.timer = self._context.services.timers.call_at(until, waiter.expire)
         self._remote_waiters.add(id_, waiter)
         return partial(self._cancellation.client_left, waiter)
 
--- a/eiderfield/durable_requests/intake.py
+++ b/eiderfield/durable_requests/intake.py
@@ -86,7 +86,9 @@
         if not is_here and self.is_full and not self._is_known(request.id):
             self._reject(waiter)
             return _ignore
-        waiter.timer = self._context.services.timers.at(request.deadline - EXPIRY_MARGIN_MS, waiter.expire)
+        waiter.timer = self._context.services.timers.call_at(
+            request.deadline - EXPIRY_MARGIN_MS, waiter.expire
+        )
         if not is_here and self.is_full:
             self._remote_waiters.add(request.id, waiter)
         else:
--- a/eiderfield/durable_requests/loop_context.py
+++ b/eiderfield/durable_requests/loop_context.py
@@ -51,7 +51,7 @@
 
     def call_after(self, delay: float, callback: Callable[[], object]) -> None:
         """Call `callback` in `delay` ms."""
-        self.services.timers.at(self.now() + delay, callback)
+        self.services.timers.call_at(self.now() + delay, callback)
 
     def from_monotonic(self, at: float) -> float:
         """Convert a time of the machine's monotonic clock to the process's clock."""
--- a/eiderfield/exchange/actions.py
+++ b/eiderfield/exchange/actions.py
@@ -91,7 +91,7 @@
         deadline = pending.request.deadline
         stop_at = min(deadline, now + action.timeout_ms) if action.timeout_ms > 0.0 else deadline
         self.attempts.add(attempt, action.expected_work)
-        attempt.timer = context.timers.at(
+        attempt.timer = context.timers.call_at(
             stop_at, lambda: self.attempts.stop(attempt, StopReason.TIMEOUT, Outcome.TIMEOUT)
         )
         if pending.durable and context.durable_requests is not None:
@@ -145,7 +145,7 @@
         context = self.context
         match action:
             case SetTimer(at, token):
-                context.timers.at(at, lambda: self._events.post(TimerFired(token)))
+                context.timers.call_at(at, lambda: self._events.post(TimerFired(token)))
             case ProbeWorker(worker):
                 if context.worker_side is not None:
                     context.worker_side.probe(worker)
--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -166,7 +166,7 @@
                 Attempt(pending, number, endpoint.worker, sent_at, open=False, may_have_run=True)
             )
         # The policy answers just before the deadline; this guards against a fault of the policy.
-        pending.timer = self._context.timers.at(
+        pending.timer = self._context.timers.call_at(
             request.deadline + self._context.settings.answer_slack_ms, lambda: self._answer_overdue(pending)
         )
         self._events.post(
--- a/eiderfield/exchange/timers.py
+++ b/eiderfield/exchange/timers.py
@@ -16,5 +16,5 @@
 class Timers(Protocol):
     """Schedules calls by the clock of the event loop, in milliseconds."""
 
-    def at(self, when: float, call: Callable[[], object], patient: bool = False) -> Timer:
-        """Schedule `call` at time `when` (ms). Calls that are `patient` may be late if many are due."""
+    def call_at(self, when: float, callback: Callable[[], object], deferrable: bool = False) -> Timer:
+        """Schedule `callback` for time `when` (ms); if `deferrable`, it may be late when many are due."""
--- a/eiderfield/lab/fleet/faulty_programs.py
+++ b/eiderfield/lab/fleet/faulty_programs.py
@@ -161,7 +161,7 @@
     if pending is not None:
         cls = executor.context.settings.classes[pending.request.class_index]
         wait = DELAY_SHARE * cls.latency_objective_ms
-    executor.context.timers.at(now + wait, lambda: start_attempt(executor, action, now + wait))
+    executor.context.timers.call_at(now + wait, lambda: start_attempt(executor, action, now + wait))
 
 
 def start_twice(executor: ActionExecutor, action: StartAttempt, now: float) -> None:
@@ -171,7 +171,7 @@
     if pending is None or len(pending.attempts) != 1 or next(number) % CANCEL_INTERVAL != 0:
         return
     first = pending.attempts[0]
-    executor.context.timers.at(now + CANCEL_AFTER_MS, lambda: executor.attempts.stop(first, PLANTED))
+    executor.context.timers.call_at(now + CANCEL_AFTER_MS, lambda: executor.attempts.stop(first, PLANTED))
 
 
 def submit_and_leak(exchange: Any, *arguments: Any, **options: Any) -> int:
--- a/eiderfield/net/bans.py
+++ b/eiderfield/net/bans.py
@@ -172,7 +172,7 @@
     def _schedule_retry(self) -> None:
         if self._timers is not None and not self._retry_scheduled:
             self._retry_scheduled = True
-            self._timers.at(self._clock() + RETRY_INTERVAL_MS, self._retry)
+            self._timers.call_at(self._clock() + RETRY_INTERVAL_MS, self._retry)
 
     def _retry(self) -> None:
         self._retry_scheduled = False
--- a/eiderfield/net/clients/acceptor.py
+++ b/eiderfield/net/clients/acceptor.py
@@ -145,7 +145,7 @@
         if self._loop is not None and self._socket is not None and not self._paused:
             self._paused = True
             self._loop.remove_reader(self._socket)
-            self._owner.timers.at(self._owner.clock() + ACCEPT_RETRY, self.resume)
+            self._owner.timers.call_at(self._owner.clock() + ACCEPT_RETRY, self.resume)
 
 
 def open_socket(address: tuple[str, int], share: bool) -> socket.socket:
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -232,7 +232,7 @@
             self._resume_reading()
         self._timer.restart(self.proven, self._idle_since, self._reader.first_byte_at())
         if self.listener.successor is not None:  # the next process serves it once this call is over
-            self.listener.timers.at(self._idle_since, partial(self.listener.hand_over, self))
+            self.listener.timers.call_at(self._idle_since, partial(self.listener.hand_over, self))
         if not self._taking_messages:  # else the caller's loop goes on: pipelined messages must not nest
             self._read_messages()
 
--- a/eiderfield/net/clients/connection_timer.py
+++ b/eiderfield/net/clients/connection_timer.py
@@ -63,9 +63,9 @@
         if proven and not self.limits_message:
             idling = settings.idling
             at = min(idle_since + idling.idle_timeout, settings.clock() + idling.park_after)
-            self._timer = settings.timers.at(at, self._on_expiry, patient=True)
+            self._timer = settings.timers.call_at(at, self._on_expiry, deferrable=True)
         else:
-            self._timer = settings.timers.at(self.message_limit().at, self._on_expiry)
+            self._timer = settings.timers.call_at(self.message_limit().at, self._on_expiry)
 
     def message_limit(self) -> Limit:
         """Return until when the message may take that has begun, or has yet to begin on a new connection."""
@@ -79,7 +79,7 @@
     def call_at(self, when: float, callback: Callable[[], None]) -> None:
         """Replace the time limit by a call at `when`, in ms."""
         self.cancel()
-        self._timer = self._settings.timers.at(when, callback)
+        self._timer = self._settings.timers.call_at(when, callback)
 
     def cancel(self) -> None:
         """Set no limit."""
--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -186,7 +186,7 @@
             return
         at = self._idle.next_expiry(self._listener.idle_limit())
         if at < inf:
-            self._expiry = self._listener.timers.at(at, self.expire, patient=True)
+            self._expiry = self._listener.timers.call_at(at, self.expire, deferrable=True)
 
     def _arm_if_unarmed(self) -> None:
         if self._expiry is None:
@@ -281,7 +281,7 @@
     def take_back_all(self) -> None:
         """Park again what was lent to a next process that is gone, a bounded number in a turn of the loop."""
         if self._idle is not None and self._idle.take_back_lent(CLOSED_PER_PASS):
-            self._listener.timers.at(self._listener.clock(), self.take_back_all)
+            self._listener.timers.call_at(self._listener.clock(), self.take_back_all)
         self.arm()
 
     def forget_lender(self) -> None:
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -135,7 +135,7 @@
         if not change(name, response.write_ended):
             connection.reject(NOT_FOUND, "no worker of this id was ever listed")
         elif not response.sent:
-            listener.timers.at(listener.clock() + WRITE_TIMEOUT_MS, response.write_overdue)
+            listener.timers.call_at(listener.clock() + WRITE_TIMEOUT_MS, response.write_overdue)
 
 
 class _MaintenanceResponse:
--- a/eiderfield/net/discovery/watch.py
+++ b/eiderfield/net/discovery/watch.py
@@ -145,7 +145,7 @@
         """Set the watch's one timer to `wait` ms from now."""
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._timers.at(self.clock() + wait, callback)
+        self._timer = self._timers.call_at(self.clock() + wait, callback)
 
     def _start_heartbeat_timer(self, connection: WatchConnection) -> None:
         silent = partial(self.on_lost, connection, LossReason.SILENT, "no heartbeat")
--- a/eiderfield/net/handover/load_updates.py
+++ b/eiderfield/net/handover/load_updates.py
@@ -50,7 +50,7 @@
     def _schedule_flush(self) -> None:
         if not self._flush_scheduled:
             self._flush_scheduled = True
-            self._timers.at(self._clock(), self._flush)
+            self._timers.call_at(self._clock(), self._flush)
 
     def _flush(self) -> None:
         self._flush_scheduled = False
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -119,7 +119,7 @@
     def _start_timer(self, timeout: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._context.timers.at(self._context.clock() + timeout, self._answer_timed_out)
+        self._timer = self._context.timers.call_at(self._context.clock() + timeout, self._answer_timed_out)
 
     def _answer_timed_out(self) -> None:
         self._context.log("handover: no answer from the old process, starting beside it")
--- a/eiderfield/net/loop.py
+++ b/eiderfield/net/loop.py
@@ -101,7 +101,7 @@
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
-        at = self.wheel.next_at()
+        at = self.wheel.next_wakeup()
         if at < inf:
             wait = max(0.0, at - self.clock()) / 1000.0
             self._timer_due = max(at, self.clock())
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -222,7 +222,7 @@
         """Replace the connection's only timer."""
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._owner.timers.at(self._owner.clock() + delay, callback)
+        self._timer = self._owner.timers.call_at(self._owner.clock() + delay, callback)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
--- a/eiderfield/program/discovery.py
+++ b/eiderfield/program/discovery.py
@@ -49,7 +49,7 @@
         listed = asyncio.Event()
         self._core.table.on_list_applied = listed.set
         wait = min(self._config.policy_settings.drain_grace_ms, FIRST_LIST_TIMEOUT_MS)
-        self._core.driver.wheel.at(self._core.clock() + wait, listed.set)
+        self._core.driver.wheel.call_at(self._core.clock() + wait, listed.set)
         await listed.wait()
 
     def reload(self, old: Config, new: Config) -> None:
--- a/eiderfield/program/durable_requests.py
+++ b/eiderfield/program/durable_requests.py
@@ -29,7 +29,7 @@
 
     def drain(self, times: DrainTimes) -> None:
         """Leave the other members once all clients of this process are answered."""
-        self._core.driver.wheel.at(times.answered_by, self.coordinator.leave)
+        self._core.driver.wheel.call_at(times.answered_by, self.coordinator.leave)
 
     @property
     def busy(self) -> bool:
--- a/eiderfield/program/shutdown.py
+++ b/eiderfield/program/shutdown.py
@@ -63,9 +63,9 @@
         )
         for listener in self._listeners:
             listener.draining = True
-        self._driver.wheel.at(times.close_listeners_at, partial(self.close_listeners, times.answered_by))
+        self._driver.wheel.call_at(times.close_listeners_at, partial(self.close_listeners, times.answered_by))
         # Where the others are restarting too, clients sent away at once would have nowhere to go.
-        self._driver.wheel.at(times.send_away_at, self._send_clients_away)
+        self._driver.wheel.call_at(times.send_away_at, self._send_clients_away)
         for part in self._parts:
             part.drain(times)
         if self._handover.handed_over:  # the next process takes who connects and who is connected
@@ -108,4 +108,4 @@
         self._ended()
 
     def _again(self, call: Callable[[], None]) -> None:
-        self._driver.wheel.at(self._driver.clock() + CHECK_INTERVAL_MS, call)
+        self._driver.wheel.call_at(self._driver.clock() + CHECK_INTERVAL_MS, call)
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -294,7 +294,7 @@
     def advance(self, span: float) -> None:
         """Advance the clock by `span` ms, calling each timer at its time."""
         end = self.now + span
-        while (at := self.wheel.next_at()) <= end:
+        while (at := self.wheel.next_wakeup()) <= end:
             self.now = max(self.now, at)
             self.wheel.advance(self.now)
             self.settle()
--- a/tests/support/real_sockets.py
+++ b/tests/support/real_sockets.py
@@ -142,7 +142,7 @@
     def pass_time(self, span: float) -> None:
         """Advance the clock by a time, running the loop at each timer."""
         end = self.dispatcher.now + span
-        while (at := self.dispatcher.wheel.next_at()) <= end:
+        while (at := self.dispatcher.wheel.next_wakeup()) <= end:
             self.dispatcher.now = max(self.dispatcher.now, at)
             self.dispatcher.wheel.advance(self.dispatcher.now)
             self.dispatcher.settle()
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -260,7 +260,7 @@
     def drop():
         if feed.pipe.open:
             feed.pipe.send(chunk(b" "))
-            dispatcher.wheel.at(dispatcher.now + 300.0, drop)
+            dispatcher.wheel.call_at(dispatcher.now + 300.0, drop)
 
     drop()
 
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -135,7 +135,7 @@
     [worker] = dispatcher.exchange.dispatcher.workers.values()
     while dispatcher.now < worker.full_until:
         dispatcher.settle()
-        dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_at())
+        dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_wakeup())
         dispatcher.wheel.advance(dispatcher.now)
     assert dispatcher.woken, "the timer has gone off and its turn has not come yet"
     assert batch.terminate(job)["verdict"] == "terminated"
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -202,7 +202,7 @@
     end.status(503, X_Not_Run="1")
     [worker] = dispatcher.exchange.dispatcher.workers.values()
     while True:
-        dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_at())
+        dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_wakeup())
         dispatcher.wheel.advance(dispatcher.now)
         if dispatcher.now >= worker.full_until and any(
             isinstance(event, TimerFired) for event in dispatcher.exchange.pending_events
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -285,12 +285,12 @@
 
 def test_only_a_timer_earlier_than_all_asks_the_loop_for_another_time():
     asked = []
-    wheel = Wheel(0.0, changed=lambda: asked.append(1))
-    wheel.at(100.0, list)
-    wheel.next_at()
-    wheel.at(200.0, list)
+    wheel = Wheel(0.0, on_earlier_timer=lambda: asked.append(1))
+    wheel.call_at(100.0, list)
+    wheel.next_wakeup()
+    wheel.call_at(200.0, list)
     assert len(asked) == 1
-    wheel.at(50.0, list)
+    wheel.call_at(50.0, list)
     assert len(asked) == 2
 
 
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -119,7 +119,7 @@
     assert not client.open
     assert not harness.listener.connections
     assert harness.listener.figures()["expired"] == 1
-    assert harness.dispatcher.wheel.next_at() == inf, "nothing wakes a program at rest"
+    assert harness.dispatcher.wheel.next_wakeup() == inf, "nothing wakes a program at rest"
 
 
 def test_half_closed_reset_and_vanished_phones_cost_no_connection(harness):
@@ -242,7 +242,7 @@
     harness.dispatcher.now += 86_400_000.0
     harness.pass_time(10 * TICK_MS)
     assert not any(client.open for client in clients)
-    assert harness.dispatcher.wheel.next_at() == inf
+    assert harness.dispatcher.wheel.next_wakeup() == inf
 
 
 def test_waking_needs_no_descriptor(harness, monkeypatch):
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -57,7 +57,7 @@
 
 
 def test_timer_after_a_pause_is_called_once_received_data_is_read(world):
-    world.driver.wheel.at(1100.0, lambda: world.log.append("timer"))
+    world.driver.wheel.call_at(1100.0, lambda: world.log.append("timer"))
     world.loop.round()
     world.now = 5100.0
     world.loop.arrives = [lambda: world.log.append("read"), lambda: world.driver.wake()]
--- a/tests/test_program_parts.py
+++ b/tests/test_program_parts.py
@@ -68,7 +68,7 @@
         """Lets time pass on the wheel."""
         end = self.now + span
         wheel = self.program.core.driver.wheel
-        while (at := wheel.next_at()) <= end:
+        while (at := wheel.next_wakeup()) <= end:
             self.now = max(self.now, at)
             wheel.advance(self.now)
         self.now = end
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -97,7 +97,7 @@
     waits, loop = [], asyncio.new_event_loop()
     program = Program(config, loop, lambda: 1e6)
     wheel = program.core.driver.wheel
-    monkeypatch.setattr(wheel, "at", lambda when, call: waits.append(when) or call())
+    monkeypatch.setattr(wheel, "call_at", lambda when, call: waits.append(when) or call())
     loop.run_until_complete(program.discovery.first_list())
     loop.close()
     assert config.policy_settings.drain_grace_ms == LONG
