--- a/eiderfield/net/discovery/consul.py
+++ b/eiderfield/net/discovery/consul.py
@@ -140,7 +140,7 @@
         """Send the next query, as often as the pace allows."""
         if self.connection is None or self.connection.closed:
             return
-        if wait := self.backoff.pace(self.clock()):
+        if wait := self.backoff.acquire_call(self.clock()):
             self.set_timer(wait, self._query)
             return
         self.record_heartbeat()
--- a/eiderfield/net/discovery/watch.py
+++ b/eiderfield/net/discovery/watch.py
@@ -5,7 +5,7 @@
     dialing ──(connected)──> requested ──(a whole list, or a heartbeat)──> alive ──┐
        │                       │                                             ^─────┘
        │                       └──(no heartbeat in time)──> dialing again, at once
-       ├──(DIAL_TIMEOUT)──> dialing again, at once
+       ├──(SOURCE_DIAL_TIMEOUT_MS)──> dialing again, at once
        └──(refused; from any state: closed, ended, malformed)──> waiting ──(`Backoff`)──> dialing
 
 Invariants: only a list that is complete and well-formed changes the table, a silent source always has a
@@ -20,7 +20,7 @@
 
 from eiderfield.config.address import Address
 from eiderfield.exchange.timers import Timer, Timers
-from eiderfield.net.backoff import DIAL_TIMEOUT, Backoff
+from eiderfield.net.backoff import SOURCE_DIAL_TIMEOUT_MS, Backoff
 from eiderfield.net.dialing import Dial, PendingDial
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.discovery.watch_connection import LossReason, WatchConnection
@@ -102,7 +102,7 @@
         connection = self.connection = WatchConnection(self)
         self.body.clear()
         lost = partial(self.on_lost, connection)
-        self.set_timer(DIAL_TIMEOUT, partial(lost, LossReason.UNREACHABLE, "dial timed out"))
+        self.set_timer(SOURCE_DIAL_TIMEOUT_MS, partial(lost, LossReason.UNREACHABLE, "dial timed out"))
         refused = partial(lost, LossReason.REFUSED, "connection refused")
         self._pending_dial = self._dial(connection, self.address, refused)
 
@@ -132,7 +132,7 @@
 
     def record_heartbeat(self) -> None:
         """Record that the source is alive."""
-        self.backoff.reset()
+        self.backoff.record_success()
         if self.connection is not None:
             self._start_heartbeat_timer(self.connection)
 
--- a/eiderfield/net/start_times.py
+++ b/eiderfield/net/start_times.py
@@ -22,10 +22,12 @@
 from dataclasses import dataclass
 from math import inf
 
-from eiderfield.net.backoff import NOTIFIED_AFTER
+from eiderfield.net.backoff import NOTIFICATION_DEADLINE_MS
 from eiderfield.net.clock import WallClock
 
-MAX_ANNOUNCEMENT_DELAY_MS = NOTIFIED_AFTER  # of a change, though the source was in contact meanwhile
+MAX_ANNOUNCEMENT_DELAY_MS = (
+    NOTIFICATION_DEADLINE_MS  # of a change, though the source was in contact meanwhile
+)
 MAX_CLOCK_SKEW_MS = 250.0  # by which a start may seem to lie ahead; a larger change of the clock is a step
 EARLIEST_START = 1.0  # ms; 0 stands for an unknown start
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -9,16 +9,16 @@
 
 from eiderfield.interface import EndpointState
 from eiderfield.net.backoff import (
-    DIAL_TIMEOUT,
-    FEW_SHARERS,
-    FIRST_CALL_SPACING,
-    FIRST_CALLS_SHARE,
-    FIRST_LIST_TIME,
-    LEAST_SHARE_OF_WAIT,
-    MAX_WAIT,
-    MAX_WAIT_OF_FEW,
-    NOTIFIED_AFTER,
-    WAIT_PER_SHARER,
+    FIRST_CALL_SPACING_MS,
+    FIRST_CALLS_GRACE_FRACTION,
+    FIRST_LIST_TIMEOUT_MS,
+    MAX_UNSCALED_DISPATCHERS,
+    MAX_UNSCALED_WAIT_MS,
+    MAX_WAIT_MS,
+    MIN_WAIT_FRACTION,
+    NOTIFICATION_DEADLINE_MS,
+    SOURCE_DIAL_TIMEOUT_MS,
+    WAIT_PER_DISPATCHER_MS,
     Backoff,
 )
 from eiderfield.net.discovery.active_watch import ActiveWatch
@@ -44,7 +44,7 @@
             heapq.heappush(line, (at + PATIENCE + backoffs[number].next_wait(at + PATIENCE), number))
         else:
             free = begins + service
-            backoffs[number].reset()
+            backoffs[number].record_success()
             done[number] = free
     return done
 
@@ -73,12 +73,12 @@
 def test_no_number_of_sharers_makes_a_first_call_or_a_first_wait_longer_than_what_counts_as_told(sharers):
     """The 150th of 214 that restarted called 1.2 s after its start: a drain that its agent held all that time
     bound after 0.5 s, and three requests went to drained workers 0.59 s after. First waits were 20 s."""
-    all_ = [Backoff(sharers, number, Random(number), grace=500.0) for number in range(sharers)]
+    all_ = [Backoff(sharers, number, Random(number), drain_grace_ms=500.0) for number in range(sharers)]
     firsts = [backoff.first_wait(True) for backoff in all_]
-    assert max(firsts) <= FIRST_CALLS_SHARE * 500.0
+    assert max(firsts) <= FIRST_CALLS_GRACE_FRACTION * 500.0
     assert len(set(firsts)) == sharers
-    assert max(backoff.next_wait(0.0) for backoff in all_) <= NOTIFIED_AFTER
-    assert Backoff(sharers, sharers - 1, grace=0.0).first_wait(True) == 0.0
+    assert max(backoff.next_wait(0.0) for backoff in all_) <= NOTIFICATION_DEADLINE_MS
+    assert Backoff(sharers, sharers - 1, drain_grace_ms=0.0).first_wait(True) == 0.0
 
 
 @pytest.mark.parametrize(("service", "within"), [(25.0, 12_000.0), (12.5, 12_000.0)])
@@ -101,43 +101,47 @@
 def test_no_number_of_failures_makes_a_wait_longer_than_leaves_time_to_be_told(sharers):
     """Waits once grew to 80 s at 200 sharers, so that a source of 20 calls a second told them all in the end.
     But a change counts as told 6 s after the source could be reached, whatever calls failed before that."""
-    to_list = DIAL_TIMEOUT + FIRST_LIST_TIME
-    assert MAX_WAIT + to_list == NOTIFIED_AFTER
-    assert HEARTBEAT_TIMEOUT_MS + to_list < NOTIFIED_AFTER
+    to_list = SOURCE_DIAL_TIMEOUT_MS + FIRST_LIST_TIMEOUT_MS
+    assert MAX_WAIT_MS + to_list == NOTIFICATION_DEADLINE_MS
+    assert HEARTBEAT_TIMEOUT_MS + to_list < NOTIFICATION_DEADLINE_MS
     backoff, now = Backoff(sharers, sharers - 1, Random(1)), 0.0
     for failure in range(200):
         if failure % 50 == 49:
-            backoff.reset()
+            backoff.record_success()
         wait = backoff.next_wait(now)
-        assert 0.0 <= wait <= MAX_WAIT
+        assert 0.0 <= wait <= MAX_WAIT_MS
         now += wait
 
 
 def test_a_source_that_fails_at_once_is_asked_as_often_as_the_pace_allows():
     backoff, now = Backoff(4, 3, Random(1)), 0.0
     for _ in range(400):
-        backoff.reset()  # it tells its list and ends, again and again
+        backoff.record_success()  # it tells its list and ends, again and again
         now += backoff.next_wait(now)
     assert now >= 400 / 4.2 * 1000.0 - 8 * 250.0
 
 
 def test_few_dispatchers_wait_as_short_as_ever():
-    waits = [Backoff(FEW_SHARERS, 0, Random(1)).next_wait(0.0) for _ in range(3)]
-    assert all(LEAST_SHARE_OF_WAIT * WAIT_PER_SHARER <= wait <= WAIT_PER_SHARER for wait in waits)
+    waits = [Backoff(MAX_UNSCALED_DISPATCHERS, 0, Random(1)).next_wait(0.0) for _ in range(3)]
+    assert all(MIN_WAIT_FRACTION * WAIT_PER_DISPATCHER_MS <= wait <= WAIT_PER_DISPATCHER_MS for wait in waits)
     backoff = Backoff(4, 0, Random(1))
-    assert max(backoff.next_wait(9e3 * n) for n in range(20)) <= backoff.longest_wait == MAX_WAIT_OF_FEW
+    assert max(backoff.next_wait(9e3 * n) for n in range(20)) <= backoff.max_wait == MAX_UNSCALED_WAIT_MS
 
 
 def test_waits_are_bounded_grow_with_failures_and_begin_anew_after_a_list():
     backoff = Backoff(40, 0, Random(2))
     waits = [backoff.next_wait(9e3 * n) for n in range(30)]
-    assert max(waits[:1]) <= WAIT_PER_SHARER * 40
-    assert max(waits) <= backoff.longest_wait == MAX_WAIT
-    assert min(waits[4:]) >= LEAST_SHARE_OF_WAIT * backoff.longest_wait
+    assert max(waits[:1]) <= WAIT_PER_DISPATCHER_MS * 40
+    assert max(waits) <= backoff.max_wait == MAX_WAIT_MS
+    assert min(waits[4:]) >= MIN_WAIT_FRACTION * backoff.max_wait
     assert len(set(waits)) == 30
-    backoff.reset()
+    backoff.record_success()
     assert backoff.next_wait(1e6) == backoff.first_wait(True), "after a list the first call comes in its turn"
-    assert LEAST_SHARE_OF_WAIT * WAIT_PER_SHARER * 40 <= backoff.next_wait(1e6) <= WAIT_PER_SHARER * 40
+    assert (
+        MIN_WAIT_FRACTION * WAIT_PER_DISPATCHER_MS * 40
+        <= backoff.next_wait(1e6)
+        <= WAIT_PER_DISPATCHER_MS * 40
+    )
 
 
 def follow(number, index, sharers=40):
@@ -159,7 +163,7 @@
 
 def test_a_dispatcher_that_holds_a_list_waits_for_its_turn_and_one_without_does_not():
     dispatcher = follow(7, 3)
-    dispatcher.advance(7 * min(FIRST_CALL_SPACING, FIRST_CALLS_SHARE * 500.0 / 40) - 6.0)
+    dispatcher.advance(7 * min(FIRST_CALL_SPACING_MS, FIRST_CALLS_GRACE_FRACTION * 500.0 / 40) - 6.0)
     assert not dispatcher.dials
     dispatcher.advance(10.0)
     assert len(dispatcher.dials) == 1
@@ -178,7 +182,7 @@
             dispatcher.dials[0].up()
             calls += 1
         gap = 0.0 if dispatcher.ends and dispatcher.ends[-1].pipe.open else gap + 100.0
-        assert gap <= (100.0 if calls else FIRST_CALLS_SHARE * 500.0), (
+        assert gap <= (100.0 if calls else FIRST_CALLS_GRACE_FRACTION * 500.0), (
             "it would not hear of a drain within the grace"
         )
     assert 6 <= calls <= 9, "and it does not hammer"
@@ -195,7 +199,7 @@
     assert not feed.pipe.open
     assert "watch reopened (reason=" in dispatcher.logged[-1], json.dumps(dispatcher.logged)
     assert "index=3 wait_ms=" in dispatcher.logged[-1], json.dumps(dispatcher.logged)
-    dispatcher.advance(40.0 * WAIT_PER_SHARER + 5.0)
+    dispatcher.advance(40.0 * WAIT_PER_DISPATCHER_MS + 5.0)
     assert len(dispatcher.dials) == 1, "and it comes back"
 
 
@@ -299,7 +303,7 @@
             dial.up().pipe.send(HEAD + chunk(told("DRAINING")))
         drained = [*dispatcher.exchange.endpoints.states.values()] == [EndpointState.DRAINING]
         dispatcher.advance(10.0)
-        assert dispatcher.now - reachable <= NOTIFIED_AFTER
+        assert dispatcher.now - reachable <= NOTIFICATION_DEADLINE_MS
 
 
 @pytest.mark.parametrize(("sharers", "number"), [(1, 0), (40, 39), (200, 199)])
@@ -308,12 +312,12 @@
     """What the agent holds counts at once: at 20 dispatchers a watch that was reset was opened anew after
     0.5 to 2 s, while a drain binds after half a second."""
     dispatcher = follow(number, 3, sharers)
-    dispatcher.advance(FIRST_CALLS_SHARE * 500.0)
+    dispatcher.advance(FIRST_CALLS_GRACE_FRACTION * 500.0)
     feed = dispatcher.dials[0].up()
     feed.pipe.send(HEAD + chunk(told("SERVING")))
     dispatcher.advance(1000.0)
     breaks(feed)
-    dispatcher.advance(FIRST_CALLS_SHARE * 500.0 + TICK_MS)
+    dispatcher.advance(FIRST_CALLS_GRACE_FRACTION * 500.0 + TICK_MS)
     dispatcher.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING")))
     assert [*dispatcher.exchange.endpoints.states.values()] == [EndpointState.DRAINING]
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -5,7 +5,7 @@
 from support.memory_dispatcher import Client
 
 from eiderfield.interface import EndpointState
-from eiderfield.net.backoff import DIAL_TIMEOUT
+from eiderfield.net.backoff import SOURCE_DIAL_TIMEOUT_MS
 from eiderfield.net.clients.connection import EVICTION_GRACE
 from eiderfield.net.console import CALL_TIMEOUT_MS
 from eiderfield.net.discovery.platform import PlatformWatch
@@ -172,7 +172,7 @@
     dispatcher.advance(1000.0)
     dispatcher.dials[0].up()
     dispatcher.advance(HEARTBEAT_TIMEOUT_MS + 10.0)
-    dispatcher.advance(DIAL_TIMEOUT + 10.0)
+    dispatcher.advance(SOURCE_DIAL_TIMEOUT_MS + 10.0)
     assert console.figures()["watches_reopened"] == {
         "refused": 1,
         "broken": 1,
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -21,7 +21,12 @@
     Outcome,
     StartAttempt,
 )
-from eiderfield.net.backoff import DIAL_TIMEOUT, FIRST_LIST_TIME, NOTIFIED_AFTER, Backoff
+from eiderfield.net.backoff import (
+    FIRST_LIST_TIMEOUT_MS,
+    NOTIFICATION_DEADLINE_MS,
+    SOURCE_DIAL_TIMEOUT_MS,
+    Backoff,
+)
 from eiderfield.net.shutdown_times import KILL_DELAY_MS, MAX_DEADLINE_MS, ShutdownTimes
 from eiderfield.net.worker_messages import attempt_request
 from eiderfield.policy import endpoint, slow_start
@@ -173,7 +178,7 @@
 @pytest.mark.parametrize("grace", [0.0, 250.0, 500.0, 30_000.0])
 @pytest.mark.parametrize("sharers", [1, 8, 200, 3200])
 def test_first_calls_to_discovery_lie_within_the_grace(grace, sharers):
-    waits = [Backoff(sharers, number, grace=grace).first_wait(True) for number in (0, sharers - 1)]
+    waits = [Backoff(sharers, number, drain_grace_ms=grace).first_wait(True) for number in (0, sharers - 1)]
     assert waits[0] == 0.0
     assert waits[1] == 0.0 if grace == 0.0 else waits[1] < grace
 
@@ -184,7 +189,7 @@
     now = 0.0
     for _ in range(50):
         wait = backoff.next_wait(now)
-        assert wait + DIAL_TIMEOUT + FIRST_LIST_TIME <= NOTIFIED_AFTER
+        assert wait + SOURCE_DIAL_TIMEOUT_MS + FIRST_LIST_TIMEOUT_MS <= NOTIFICATION_DEADLINE_MS
         now += wait
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,7 +12,7 @@
 from eiderfield.config.loader import load
 from eiderfield.interface import EndpointState
 from eiderfield.lab.ports import free_port
-from eiderfield.net.backoff import DIAL_TIMEOUT, MAX_WAIT_OF_FEW
+from eiderfield.net.backoff import MAX_UNSCALED_WAIT_MS, SOURCE_DIAL_TIMEOUT_MS
 from eiderfield.net.discovery.active_watch import ActiveWatch
 from eiderfield.net.discovery.platform import PlatformWatch
 
@@ -85,7 +85,7 @@
     old.pipe.break_off()
     for _ in range(3):
         moving.dials(8600)[-1].refuse()
-        moving.dispatcher.advance(MAX_WAIT_OF_FEW)
+        moving.dispatcher.advance(MAX_UNSCALED_WAIT_MS)
     again = moving.up(8500)
     again.say(news("DRAINING", 8, snapshot=False))
     assert moving.states == [EndpointState.DRAINING]
@@ -99,7 +99,7 @@
 def test_a_dial_that_never_comes_up_is_tried_again_well_within_the_time_to_be_told():
     moving = Moving()
     first = moving.dials(8500)
-    moving.dispatcher.advance(DIAL_TIMEOUT + 150.0)
+    moving.dispatcher.advance(SOURCE_DIAL_TIMEOUT_MS + 150.0)
     assert first[0].cancelled
     assert len(moving.dials(8500)) == 1
 
