--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -162,7 +162,7 @@
         endpoints = tuple([self._to_endpoint(listed) for listed in endpoint_list.endpoints])
         self.index = endpoint_list.index
         if endpoint_list.snapshot:
-            self._workers.keep_only({endpoint.worker for endpoint in endpoints})
+            self._workers.retain_workers({endpoint.worker for endpoint in endpoints})
             self._endpoints = {
                 worker: replace(endpoint, state=EndpointState.GONE)
                 for worker, endpoint in self._endpoints.items()
--- a/eiderfield/net/worker_calls.py
+++ b/eiderfield/net/worker_calls.py
@@ -9,7 +9,7 @@
 from eiderfield.interface import Outcome
 from eiderfield.net.http import Head
 from eiderfield.net.http.status import OK
-from eiderfield.net.reports import from_body, from_object, from_text
+from eiderfield.net.reports import parse_report_body, parse_text_report, report_from_mapping
 from eiderfield.net.worker_messages import HealthCheck, WorkerCall, attempt_request, health_check_request
 
 
@@ -40,7 +40,7 @@
         fields = self.exchange.settings.load_report_fields
         if not fields or head is None:
             return ()
-        return from_object(report, fields) or from_text(head.get("x-load"), fields)
+        return report_from_mapping(report, fields) or parse_text_report(head.get("x-load"), fields)
 
     def report_failure(self, call: WorkerCall | None, outcome: Outcome) -> None:
         """Report that an attempt or a health check, if there is one, ended without a response."""
@@ -53,7 +53,7 @@
         """Report the response to a health check."""
         report: tuple[float, ...] = ()
         if check.wants_report and status == OK:
-            report = from_body(body, self.exchange.settings.load_report_fields)
+            report = parse_report_body(body, self.exchange.settings.load_report_fields)
         outcome = Outcome.OK if status == OK else Outcome.ERROR
         self.exchange.worker_reports.probe_completed(
             check.worker, outcome, self._clock() - check.sent_at, report
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -70,21 +70,21 @@
         calls: encodes the requests of calls and reports their ends.
         timers: schedules the time limits of the connection.
         clock: returns the current time, in ms.
-        reads: the number of times that any connection has received bytes.
+        read_count: the number of times that any connection has received bytes.
     """
 
     calls: CallReporter
     timers: Timers
     clock: Callable[[], float]
-    reads: int
+    read_count: int
 
     def received_from_others(self, worker: int, since: int) -> bool:
-        """Return whether another worker's connection received bytes after `reads` was `since`."""
+        """Return whether another worker's connection received bytes after `read_count` was `since`."""
 
     def add_idle(self, connection: WorkerConnection) -> None:
         """Take back a connection that carries nothing."""
 
-    def distrust_idle(self, worker: int) -> None:
+    def disable_reuse(self, worker: int) -> None:
         """Record that a reused connection to the worker failed before any response."""
 
     def remove(self, connection: WorkerConnection) -> None:
@@ -99,10 +99,10 @@
         self.worker = worker
         self.state = ConnectionState.DIALLING
         self.call: WorkerCall | None = call
-        self.last_read = 0  # the owner's count of reads when this connection last received bytes
+        self.last_read_count = 0  # the owner's count of reads when this connection last received bytes
         self._owner = owner
         self._calls = owner.calls
-        self._reports = owner.calls.exchange.worker_reports
+        self._worker_reports = owner.calls.exchange.worker_reports
         self._reader = ResponseReader()
         self._transport: asyncio.Transport | None = None
         self._pending_dial: PendingDial | None = None
@@ -110,7 +110,7 @@
         self._flushed = True  # whether every written byte has left the process
         self._reused = False  # whether it has carried another call before
         self._delayed_locally = False  # whether a fault of this host delays the dial
-        self._reads_at_dial = owner.reads
+        self._read_count_at_dial = owner.read_count
 
     # Calls by asyncio.
 
@@ -123,7 +123,7 @@
             return
         transport.set_write_buffer_limits(0)
         assert self.call is not None
-        self.carry(self.call)
+        self.send_call(self.call)
 
     def get_buffer(self, _sizehint: int) -> memoryview:
         """Return the buffer for the next received bytes."""
@@ -133,13 +133,13 @@
         """Process received bytes."""
         if self.state == ConnectionState.CLOSED:
             return
-        self._owner.reads += 1
-        self.last_read = self._owner.reads
+        self._owner.read_count += 1
+        self.last_read_count = self._owner.read_count
         if self.state == ConnectionState.IDLE:  # unsolicited bytes would be taken for the next response
             self.close()
             return
         self._reader.feed(_READ_BUFFER[:nbytes])
-        self._read_response()
+        self._process_received_bytes()
 
     def eof_received(self) -> bool:
         """Close an idle connection whose worker has ended its sending.
@@ -157,7 +157,7 @@
             with suppress(ValueError, RecursionError):
                 for event in self._reader.finish():
                     self._handle(event)
-            self._break_off(cause_of_loss(exc))
+            self._abort(cause_of_loss(exc))
         self.close()
 
     def pause_writing(self) -> None:
@@ -168,16 +168,16 @@
         """Record that every written byte has left."""
         self._flushed = True
         if isinstance(self.call, Attempt) and self.state == ConnectionState.BUSY:
-            self._reports.request_written(self.call)
+            self._worker_reports.request_written(self.call)
 
     # Calls by the owner.
 
-    def open(self, dial: Dial, address: Address, timeout: float) -> None:
+    def start_dial(self, dial: Dial, address: Address, timeout: float) -> None:
         """Dial the worker; the dial fails after `timeout` ms."""
         self._start_timer(timeout, self._dial_failed)
         self._pending_dial = dial(self, address, self._dial_failed, self._dial_delayed)
 
-    def carry(self, call: WorkerCall) -> None:
+    def send_call(self, call: WorkerCall) -> None:
         """Write the request of `call`; the connection is established and carries nothing else."""
         transport = self._transport
         assert transport is not None
@@ -187,7 +187,7 @@
             # During the dial the worker may have begun to drain, or the request have ended.
             self.call = None
             self._owner.add_idle(self)
-            self._reports.attempt_ended(call, Outcome.NOT_SENT)
+            self._worker_reports.attempt_ended(call, Outcome.NOT_SENT)
             return
         self.state = ConnectionState.BUSY
         self._reader.start(call.pending.request.id if isinstance(call, Attempt) else None)
@@ -196,7 +196,7 @@
         if transport.is_closing():  # the write failed: the request has not left completely
             self._flushed = False
         elif self._flushed and isinstance(call, Attempt):
-            self._reports.request_written(call)
+            self._worker_reports.request_written(call)
 
     def become_idle(self, timeout: float) -> None:
         """Wait for the next call; the connection closes after `timeout` ms."""
@@ -243,17 +243,17 @@
         """Record that a fault of this host delays the dial, which is retried until its timeout."""
         if self.state != ConnectionState.DIALLING:
             return
-        if cause is Cause.ROUTE and self._owner.received_from_others(self.worker, self._reads_at_dial):
+        if cause is Cause.ROUTE and self._owner.received_from_others(self.worker, self._read_count_at_dial):
             self._delayed_locally = False  # this host reaches other workers: the address is at fault
             self._dial_failed()
             return
         self._delayed_locally = True
         if isinstance(self.call, Attempt):  # silence of the worker proves nothing meanwhile
-            self._reports.record_progress(self.call, ProgressKind.UNKNOWN)
+            self._worker_reports.record_progress(self.call, ProgressKind.UNKNOWN)
 
     # Responses.
 
-    def _read_response(self) -> None:
+    def _process_received_bytes(self) -> None:
         try:
             for event in self._reader.events():
                 self._handle(event)
@@ -261,8 +261,8 @@
                     return
         except (ValueError, RecursionError) as error:
             if self.call is not None:
-                self._reports.record_malformed_response(self.worker, str(error))
-            self._break_off()
+                self._worker_reports.record_malformed_response(self.worker, str(error))
+            self._abort()
 
     def _handle(self, event: ResponseEvent) -> None:
         if isinstance(event, End):
@@ -276,8 +276,8 @@
     def _apply_status(self, attempt: Attempt, head: Head) -> None:
         status = attempt_status(head)
         if status is AttemptStatus.REJECTED:
-            self._await_end()
-            self._reports.record_rejection(attempt)
+            self._await_response_end()
+            self._worker_reports.record_rejection(attempt)
         elif status is not AttemptStatus.ACCEPTED:
             outcome = Outcome.FULL if status is AttemptStatus.NOT_RUN else Outcome.ERROR
             self._end_attempt(attempt, outcome)
@@ -285,21 +285,23 @@
     def _apply_update(self, attempt: Attempt, update: Update) -> None:
         match update:
             case Started():
-                self._reports.record_progress(attempt, ProgressKind.STARTED)
+                self._worker_reports.record_progress(attempt, ProgressKind.STARTED)
             case Progress(share):
-                self._reports.record_progress(attempt, ProgressKind.SHARE_DONE, share)
+                self._worker_reports.record_progress(attempt, ProgressKind.SHARE_DONE, share)
             case Result(body, report):
-                self._await_end()
-                self._reports.record_result(attempt, body, self._calls.load_report(self._reader.head, report))
+                self._await_response_end()
+                self._worker_reports.record_result(
+                    attempt, body, self._calls.load_report(self._reader.head, report)
+                )
             case Failure(outcome, report):
                 self._end_attempt(attempt, outcome, report)
 
     def _end_attempt(self, attempt: Attempt, outcome: Outcome, report: object = None) -> None:
-        self._await_end()
+        self._await_response_end()
         load_report = self._calls.load_report(self._reader.head, report)
-        self._reports.attempt_ended(attempt, outcome, load_report)
+        self._worker_reports.attempt_ended(attempt, outcome, load_report)
 
-    def _await_end(self) -> None:
+    def _await_response_end(self) -> None:
         """Wait for the end of a response whose outcome is known; the connection is usable again after it."""
         self.call = None
         self.state = ConnectionState.FINISHING
@@ -309,8 +311,8 @@
     def _response_ended(self) -> None:
         call = self.call
         if isinstance(call, Attempt):
-            self._reports.record_malformed_response(self.worker, "it ended before its last line")
-            self._break_off()
+            self._worker_reports.record_malformed_response(self.worker, "it ended before its last line")
+            self._abort()
             return
         self.call = None
         self._reused = True
@@ -323,14 +325,14 @@
         if call is not None and head is not None:
             self._calls.report_health(call, head.status, bytes(self._reader.body))
 
-    def _break_off(self, cause: Cause = Cause.CONNECTION) -> None:
+    def _abort(self, cause: Cause = Cause.CONNECTION) -> None:
         """Close a connection that was lost or whose response is malformed, and report its call as failed.
 
         A request is known not to have run only if its last byte has not left.
         """
         call, flushed = self.call, self._flushed
         if self._reused and self._reader.received_nothing:
-            self._owner.distrust_idle(self.worker)
+            self._owner.disable_reuse(self.worker)
         self.close()
         if call is None:
             return
--- a/eiderfield/net/worker_idle.py
+++ b/eiderfield/net/worker_idle.py
@@ -11,8 +11,12 @@
 from eiderfield.net.worker_connection import WorkerConnection
 
 IDLE_MARGIN_MS = 1000.0  # a connection is not reused during this time before the worker closes it
-MIN_REUSE_SHARE = 0.5  # of a worker's idle timeout, during which a connection is reused even if that is short
-DISTRUST_MS = 10_000.0  # after a reused connection failed, in which the worker's connections are used once
+MIN_REUSE_FRACTION = (
+    0.5  # of a worker's idle timeout, during which a connection is reused even if that is short
+)
+REUSE_DISABLED_MS = (
+    10_000.0  # after a reused connection failed, in which the worker's connections are used once
+)
 
 
 class IdleWorkerConnections:
@@ -22,7 +26,7 @@
         """Create an empty set; workers close idle connections after `idle_timeout`."""
         self.set_idle_timeout(idle_timeout)
         self._idle_since: OrderedDict[WorkerConnection, float] = OrderedDict()
-        self._distrusted_until: dict[int, float] = {}
+        self._reuse_disabled_until: dict[int, float] = {}
 
     def __len__(self) -> int:
         """Return the number of idle connections."""
@@ -30,11 +34,11 @@
 
     def set_idle_timeout(self, idle_timeout: float) -> None:
         """Set after how long workers close an idle connection."""
-        self.reusable_for = max(idle_timeout - IDLE_MARGIN_MS, MIN_REUSE_SHARE * idle_timeout)
+        self.reuse_period = max(idle_timeout - IDLE_MARGIN_MS, MIN_REUSE_FRACTION * idle_timeout)
 
     def add(self, connection: WorkerConnection, now: float) -> bool:
         """Add a connection; return False if its worker is distrusted, so that it is to be closed."""
-        if now < self._distrusted_until.get(connection.worker, 0.0):
+        if now < self._reuse_disabled_until.get(connection.worker, 0.0):
             return False
         self._idle_since[connection] = now
         return True
@@ -43,12 +47,12 @@
         """Remove a connection if it is idle."""
         self._idle_since.pop(connection, None)
 
-    def take(self, worker: int, now: float) -> WorkerConnection | None:
+    def take_reusable(self, worker: int, now: float) -> WorkerConnection | None:
         """Remove and return the worker's longest idle connection that may be reused, None without one.
 
         Taking turns keeps all of them open: each new connection costs a handshake.
         """
-        earliest = now - self.reusable_for
+        earliest = now - self.reuse_period
         for connection, idle_since in self._idle_since.items():
             if connection.worker == worker and idle_since > earliest:
                 del self._idle_since[connection]
@@ -59,18 +63,18 @@
         """Return the connection that has been idle for longest; raises `StopIteration` without one."""
         return next(iter(self._idle_since))
 
-    def of_worker(self, worker: int) -> list[WorkerConnection]:
+    def connections_to(self, worker: int) -> list[WorkerConnection]:
         """Return the idle connections to a worker."""
         return [connection for connection in self._idle_since if connection.worker == worker]
 
-    def distrust(self, worker: int, now: float) -> None:
-        """Accept no connection to the worker for `DISTRUST_MS`."""
-        self._distrusted_until[worker] = now + DISTRUST_MS
+    def disable_reuse(self, worker: int, now: float) -> None:
+        """Accept no connection to the worker for `REUSE_DISABLED_MS`."""
+        self._reuse_disabled_until[worker] = now + REUSE_DISABLED_MS
 
-    def distrusts(self, worker: int, now: float) -> bool:
+    def is_reuse_disabled(self, worker: int, now: float) -> bool:
         """Return whether connections to the worker are not reused."""
-        return now < self._distrusted_until.get(worker, 0.0)
+        return now < self._reuse_disabled_until.get(worker, 0.0)
 
-    def forget_worker(self, worker: int) -> None:
+    def remove_worker(self, worker: int) -> None:
         """Forget that a worker's connections are distrusted."""
-        self._distrusted_until.pop(worker, None)
+        self._reuse_disabled_until.pop(worker, None)
--- a/eiderfield/net/worker_pool.py
+++ b/eiderfield/net/worker_pool.py
@@ -41,7 +41,7 @@
         self.calls = CallReporter(exchange, clock)
         self.timers = timers
         self.clock = clock
-        self.reads = 0  # how often any connection has received bytes
+        self.read_count = 0  # how often any connection has received bytes
         self._dial = dial
         self._dial_timeout = dial_timeout
         self._configured_limit = max_connections
@@ -106,11 +106,11 @@
         self._abort_dials(worker)
         if address is None:
             self._addresses.pop(worker, None)
-            self._idle.forget_worker(worker)
+            self._idle.remove_worker(worker)
         else:
             self._addresses[worker] = address
 
-    def keep_only(self, workers: set[int]) -> None:
+    def retain_workers(self, workers: set[int]) -> None:
         """Remove the addresses of all workers that are not in `workers`."""
         for worker in self._addresses.keys() - workers:
             self.set_address(worker, None)
@@ -143,35 +143,35 @@
 
     def close_idle(self, worker: int) -> None:
         """Close the idle connections to a worker."""
-        for connection in self._idle.of_worker(worker):
+        for connection in self._idle.connections_to(worker):
             connection.close()
 
     # Calls by connections.
 
     def received_from_others(self, worker: int, since: int) -> bool:
-        """Return whether another worker's connection received bytes after `reads` was `since`."""
+        """Return whether another worker's connection received bytes after `read_count` was `since`."""
         others = (connection for connection in self._connections if connection.worker != worker)
-        return any(connection.last_read > since for connection in others)
+        return any(connection.last_read_count > since for connection in others)
 
     def add_idle(self, connection: WorkerConnection) -> None:
         """Keep a connection that carries nothing for reuse, unless its worker is distrusted."""
         if self._idle.add(connection, self.clock()):
-            connection.become_idle(self._idle.reusable_for)
+            connection.become_idle(self._idle.reuse_period)
         else:
             connection.close()
 
-    def distrust_idle(self, worker: int) -> None:
+    def disable_reuse(self, worker: int) -> None:
         """Close a worker's idle connections after a reused one failed before any response.
 
         Its other idle connections have probably failed as well, and an attempt lost on each costs far more
         than new connections.
         """
-        self._idle.distrust(worker, self.clock())
+        self._idle.disable_reuse(worker, self.clock())
         self.close_idle(worker)
 
-    def distrusts_idle(self, worker: int) -> bool:
+    def is_reuse_disabled(self, worker: int) -> bool:
         """Return whether the connections to a worker are closed after use."""
-        return self._idle.distrusts(worker, self.clock())
+        return self._idle.is_reuse_disabled(worker, self.clock())
 
     def remove(self, connection: WorkerConnection) -> None:
         """Forget a closed connection."""
@@ -185,13 +185,13 @@
         if address is None:
             self.calls.report_failure(call, Outcome.NOT_SENT)
             return
-        connection = self._idle.take(worker, self.clock())
+        connection = self._idle.take_reusable(worker, self.clock())
         if connection is not None:
-            connection.carry(call)
+            connection.send_call(call)
         elif self._make_room():
             connection = WorkerConnection(self, worker, call)
             self._connections.add(connection)
-            connection.open(self._dial, address, self._dial_timeout)
+            connection.start_dial(self._dial, address, self._dial_timeout)
         else:
             self.calls.report_failure(call, Outcome.NOT_SENT)
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -14,7 +14,7 @@
 from support.policy import BASE, Node, sends
 
 from eiderfield.interface import AttemptEnded, Endpoint, EndpointListKind, EndpointsUpdated, Outcome
-from eiderfield.net.reports import from_body, from_object, from_text
+from eiderfield.net.reports import parse_report_body, parse_text_report, report_from_mapping
 from eiderfield.policy.dispatcher import Dispatcher
 
 FIELDS = ("active", "rps", "x0")
@@ -36,7 +36,7 @@
     ],
 )
 def test_from_text_returns_the_figures(text, told):
-    assert repr(from_text(text, FIELDS)) == repr(told)
+    assert repr(parse_text_report(text, FIELDS)) == repr(told)
 
 
 @pytest.mark.parametrize(
@@ -50,13 +50,13 @@
     ],
 )
 def test_from_object_returns_the_figures(found, told):
-    assert repr(from_object(found, FIELDS)) == repr(told)
+    assert repr(report_from_mapping(found, FIELDS)) == repr(told)
 
 
 @hypothesis_settings(derandomize=True, database=None, deadline=None)
 @given(st.binary(max_size=200))
 def test_from_body_of_any_other_body_returns_no_report(body):
-    for value in from_body(body, FIELDS):
+    for value in parse_report_body(body, FIELDS):
         assert math.isnan(value) or 0.0 <= value <= 1e6
 
 
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -10,7 +10,7 @@
 from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.discovery.watch import HEARTBEAT_TIMEOUT_MS
 from eiderfield.net.http import MAX_BODY_BYTES
-from eiderfield.net.worker_idle import DISTRUST_MS, IDLE_MARGIN_MS
+from eiderfield.net.worker_idle import IDLE_MARGIN_MS, REUSE_DISABLED_MS
 from eiderfield.net.worker_messages import DEADLINE_MARGIN_MS
 
 
@@ -179,7 +179,7 @@
     assert again.take() == ["r3"]
     again.finish()
     assert not again.pipe.open, "nor is a new one kept for now"
-    dispatcher.advance(DISTRUST_MS)
+    dispatcher.advance(REUSE_DISABLED_MS)
     dispatcher.client(id_="r4")
     end = dispatcher.dials[0].up()
     end.finish()
@@ -194,7 +194,7 @@
     dispatcher.client(id_="r2")
     end.say({"id": "r2", "state": "started"})
     end.pipe.break_off()
-    assert not dispatcher.side.distrusts_idle(1)
+    assert not dispatcher.side.is_reuse_disabled(1)
 
 
 def test_client_disconnect_cancels_its_attempt():
