--- a/eiderfield/net/clients/acceptor.py
+++ b/eiderfield/net/clients/acceptor.py
@@ -19,7 +19,7 @@
 from typing import Protocol
 
 from eiderfield.exchange.timers import Timers
-from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept
+from eiderfield.net.faults import RETRY_MS, Cause, classify_accept_error
 
 ACCEPTED_PER_TURN = 16  # connections accepted, or handed over, in a turn of the loop
 ACCEPT_RETRY = RETRY_MS  # ms until accepting is tried again when nothing could be evicted
@@ -118,7 +118,7 @@
                 self._lacks_resources = False
                 return
             except OSError as error:
-                if cause_of_accept(error) is Cause.CONNECTION:
+                if classify_accept_error(error) is Cause.CONNECTION:
                     continue  # it is off the queue, and others may wait behind it
                 self._lacks_resources = True
                 self._pause()  # the socket stays readable: accepting on would spin
--- a/eiderfield/net/dialer.py
+++ b/eiderfield/net/dialer.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from eiderfield.config.address import Address
-from eiderfield.net.faults import RETRY_MS, Cause, cause_of_dial
+from eiderfield.net.faults import RETRY_MS, Cause, classify_dial_error
 
 _RETRY_S = RETRY_MS / 1000.0
 
@@ -23,15 +23,15 @@
         self,
         protocol: asyncio.BufferedProtocol,
         address: Address,
-        failed: Callable[[], None],
-        delayed: Callable[[Cause], None] = lambda _cause: None,
+        on_failed: Callable[[], None],
+        on_delayed: Callable[[Cause], None] = lambda _cause: None,
     ) -> asyncio.Task[None]:
-        """Connect a protocol to an address, or call `failed`.
+        """Connect a protocol to an address, or call `on_failed`.
 
-        After a fault of this host `delayed` is called instead, and the dial is retried until the caller
+        After a fault of this host `on_delayed` is called instead, and the dial is retried until the caller
         cancels it at its time limit.
         """
-        task = self._loop.create_task(self._connect(protocol, address, failed, delayed))
+        task = self._loop.create_task(self._connect(protocol, address, on_failed, on_delayed))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -40,17 +40,17 @@
         self,
         protocol: asyncio.BufferedProtocol,
         address: Address,
-        failed: Callable[[], None],
-        delayed: Callable[[Cause], None],
+        on_failed: Callable[[], None],
+        on_delayed: Callable[[Cause], None],
     ) -> None:
         while True:
             try:
                 await self._loop.create_connection(lambda: protocol, *address)
                 return
             except (OSError, ValueError) as error:
-                cause = cause_of_dial(error)
+                cause = classify_dial_error(error)
             if cause is Cause.CONNECTION:
-                failed()
+                on_failed()
                 return
-            delayed(cause)
+            on_delayed(cause)
             await asyncio.sleep(_RETRY_S)
--- a/eiderfield/net/dialing.py
+++ b/eiderfield/net/dialing.py
@@ -18,13 +18,13 @@
 
 
 class Dial(Protocol):
-    """Connects a protocol to an address, or calls `failed`; neither within the call itself."""
+    """Connects a protocol to an address, or calls `on_failed`; neither within the call itself."""
 
     def __call__(
         self,
         protocol: asyncio.BufferedProtocol,
         address: Address,
-        failed: Callable[[], None],
-        delayed: Callable[[Cause], None] = ...,
+        on_failed: Callable[[], None],
+        on_delayed: Callable[[Cause], None] = ...,
     ) -> PendingDial:
-        """Start a dial; `delayed` is called each time that a fault of this host delays it."""
+        """Start a dial; `on_delayed` is called each time that a fault of this host delays it."""
--- a/eiderfield/net/faults.py
+++ b/eiderfield/net/faults.py
@@ -39,7 +39,7 @@
 
 # Descriptors of this process or of the host, memory, buffers, watches of poll sets, descriptors in flight
 # through Unix sockets.
-RESOURCES = frozenset(
+RESOURCE_ERRNOS = frozenset(
     {
         errno.EMFILE,
         errno.ENFILE,
@@ -49,11 +49,11 @@
         errno.ETOOMANYREFS,
     }
 )
-_ROUTES = frozenset({errno.ENETUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM})
-_RESOLVER = frozenset({socket.EAI_AGAIN, socket.EAI_MEMORY, socket.EAI_SYSTEM})
+_ROUTE_ERRNOS = frozenset({errno.ENETUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM})
+_RESOLVER_ERRORS = frozenset({socket.EAI_AGAIN, socket.EAI_MEMORY, socket.EAI_SYSTEM})
 # Errors of the pending connection that accept(2) reports: it has left the queue, and the next call returns
 # the next one. EPERM is a packet filter's rejection of that connection.
-_PENDING = frozenset(
+_PENDING_CONNECTION_ERRNOS = frozenset(
     {
         errno.ECONNABORTED,
         errno.EINTR,
@@ -77,28 +77,28 @@
 
 def is_shortage(error: OSError) -> bool:
     """Return whether this process or this host temporarily lacks a resource."""
-    return error.errno in RESOURCES
+    return error.errno in RESOURCE_ERRNOS
 
 
-def cause_of_dial(error: Exception) -> Cause:
+def classify_dial_error(error: Exception) -> Cause:
     """Return the cause of a failed dial."""
     number = error.errno if isinstance(error, OSError) else None
     if isinstance(error, socket.gaierror):  # its numbers are not errnos
-        return Cause.LOCAL if number in _RESOLVER else Cause.CONNECTION
-    if number in RESOURCES or number == errno.EADDRNOTAVAIL:
+        return Cause.LOCAL if number in _RESOLVER_ERRORS else Cause.CONNECTION
+    if number in RESOURCE_ERRNOS or number == errno.EADDRNOTAVAIL:
         return Cause.LOCAL
-    return Cause.ROUTE if number in _ROUTES else Cause.CONNECTION
+    return Cause.ROUTE if number in _ROUTE_ERRNOS else Cause.CONNECTION
 
 
-def cause_of_accept(error: OSError) -> Cause:
+def classify_accept_error(error: OSError) -> Cause:
     """Return the cause of a failed accept.
 
     An error that is not known to be the connection's own is a fault of this host: the listener pauses, so
     that a call that keeps failing does not spin.
     """
-    return Cause.CONNECTION if error.errno in _PENDING else Cause.LOCAL
+    return Cause.CONNECTION if error.errno in _PENDING_CONNECTION_ERRNOS else Cause.LOCAL
 
 
-def cause_of_loss(error: Exception | None) -> Cause:
+def classify_loss(error: Exception | None) -> Cause:
     """Return the cause of a lost connection, given the error of its last send or recv; None for a close."""
     return Cause.LOCAL if isinstance(error, OSError) and is_shortage(error) else Cause.CONNECTION
--- a/eiderfield/net/handover/channel.py
+++ b/eiderfield/net/handover/channel.py
@@ -7,7 +7,7 @@
 
 from eiderfield.net.handover.codec import Codec
 from eiderfield.net.handover.messages import Message
-from eiderfield.net.link import Link, close_all
+from eiderfield.net.link import Link, close_descriptors
 
 
 class Channel:
@@ -42,8 +42,8 @@
         """Use a link from now on."""
         self._codec = self._new_codec()
         self._link = link
-        link.receive = self.receive_fields
-        link.lost = self.end
+        link.on_message = self.receive_fields
+        link.on_lost = self.end
 
     def send(self, message: Message, descriptors: Sequence[int] = ()) -> None:
         """Send a message with copies of descriptors; raises `OSError` if they cannot be copied."""
@@ -58,7 +58,7 @@
             self._log(f"handover: message rejected, link closed (error={error!r})")
             self.end()
         finally:
-            close_all(descriptors)
+            close_descriptors(descriptors)
 
     def close(self) -> None:
         """Close the link without a call of `on_lost`."""
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -37,7 +37,7 @@
 )
 from eiderfield.net.handover.new_process import NewProcess
 from eiderfield.net.handover.old_process import OldProcess
-from eiderfield.net.link import Link, close_all
+from eiderfield.net.link import Link, close_descriptors
 from eiderfield.net.peers import PeerPort
 
 
@@ -51,7 +51,7 @@
     def receive(self, fields: dict[str, Any], descriptors: list[int]) -> None:
         """Keep a message for later."""
         self.received.append(fields)
-        close_all(descriptors)
+        close_descriptors(descriptors)
 
 
 class Handover:
@@ -126,8 +126,8 @@
             link.close()
         else:
             self._waiting = _WaitingProcess(link)
-            link.receive = self._waiting.receive
-            link.lost = self._forget_waiting
+            link.on_message = self._waiting.receive
+            link.on_lost = self._forget_waiting
             link.send(self._new_codec().encode(TakeoverDelayed()))
 
     def pass_clients(self, listeners: list[str]) -> None:
--- a/eiderfield/net/link.py
+++ b/eiderfield/net/link.py
@@ -4,7 +4,7 @@
 read and written with the loop's plain readers and writers.
 
     open ──(the system lacks memory for a packet)──> waiting ──(RETRY_MS)──> open open or waiting ──(the
-    peer closes, fails, or sends a malformed message)──> closed, and `lost` is called once
+    peer closes, fails, or sends a malformed message)──> closed, and `on_lost` is called once
                  └──(`close`)──> closed
 
 Invariants: messages are received complete and in order; every received descriptor is passed on or closed.
@@ -22,14 +22,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from eiderfield.net.faults import RETRY_MS, Cause, cause_of_loss
+from eiderfield.net.faults import RETRY_MS, Cause, classify_loss
 
 MAX_PACKET_BYTES = 60_000  # of a message, well within a socket's buffer
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # also of all that may wait to be written
 MAX_DESCRIPTORS = 250  # with a message: the kernel allows 253 with a packet
 
 _RETRY_S = RETRY_MS / 1000.0
-_MORE, _LAST = b"+", b"."  # the first byte of a packet: whether the message continues
+_CONTINUED, _FINAL = b"+", b"."  # the first byte of a packet: whether the message continues
 
 
 @dataclass(slots=True, frozen=True)
@@ -50,21 +50,21 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         """Take over a connected socket."""
-        self.receive: Callable[[dict[str, Any], list[int]], None] = _ignore_message
-        self.lost: Callable[[], None] = lambda: None
+        self.on_message: Callable[[dict[str, Any], list[int]], None] = _ignore_message
+        self.on_lost: Callable[[], None] = lambda: None
         self._loop = loop
         self._sock = sock
         self._open = True
         self._received = bytearray()  # of an incomplete message
-        self._waiting: deque[_Packet] = deque()
-        self._waiting_bytes = 0
+        self._unsent_packets: deque[_Packet] = deque()
+        self._unsent_bytes = 0
         sock.setblocking(False)
         loop.add_reader(sock, self._read)
 
     @property
     def flushed(self) -> bool:
         """Whether everything that was sent has been written."""
-        return not self._waiting
+        return not self._unsent_packets
 
     def send(self, fields: Mapping[str, Any], descriptors: Sequence[int] = ()) -> None:
         """Send a message with copies of descriptors; raises `OSError` if these cannot be copied."""
@@ -72,11 +72,11 @@
             return
         copies = _copies(descriptors)
         for packet in _packets(json.dumps(fields).encode(), copies):
-            self._waiting.append(packet)
-            self._waiting_bytes += len(packet.data)
+            self._unsent_packets.append(packet)
+            self._unsent_bytes += len(packet.data)
         self._write()
-        if self._waiting_bytes > MAX_MESSAGE_BYTES:  # the peer does not read: the link is of no use
-            self._lose()
+        if self._unsent_bytes > MAX_MESSAGE_BYTES:  # the peer does not read: the link is of no use
+            self._fail()
 
     def close(self) -> None:
         """Close the link; nothing is reported after that."""
@@ -86,22 +86,22 @@
         self._loop.remove_reader(self._sock)
         self._loop.remove_writer(self._sock)
         self._sock.close()
-        for packet in self._waiting:
-            close_all(packet.descriptors)
-        self._waiting.clear()
+        for packet in self._unsent_packets:
+            close_descriptors(packet.descriptors)
+        self._unsent_packets.clear()
 
-    def _lose(self) -> None:
+    def _fail(self) -> None:
         if self._open:
             self.close()
-            self.lost()
+            self.on_lost()
 
     # Writing.
 
     def _write(self) -> None:
         if not self._open:
             return
-        while self._waiting:
-            packet = self._waiting[0]
+        while self._unsent_packets:
+            packet = self._unsent_packets[0]
             try:
                 socket.send_fds(self._sock, [packet.data], packet.descriptors)
             except (BlockingIOError, InterruptedError):
@@ -110,14 +110,14 @@
             except OSError as error:
                 self._write_failed(error)
                 return
-            self._waiting.popleft()
-            self._waiting_bytes -= len(packet.data)
-            close_all(packet.descriptors)
+            self._unsent_packets.popleft()
+            self._unsent_bytes -= len(packet.data)
+            close_descriptors(packet.descriptors)
         self._loop.remove_writer(self._sock)
 
     def _write_failed(self, error: OSError) -> None:
-        if cause_of_loss(error) is not Cause.LOCAL:
-            self._lose()
+        if classify_loss(error) is not Cause.LOCAL:
+            self._fail()
             return
         # The system lacks room, for example for descriptors in flight, but reports the socket as writable.
         self._loop.remove_writer(self._sock)
@@ -137,14 +137,14 @@
                 self._read_failed(error)
                 return
             if not data or flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
-                close_all(descriptors)
-                self._lose()
+                close_descriptors(descriptors)
+                self._fail()
                 return
-            self._add_packet(data, descriptors)
+            self._process_packet(data, descriptors)
 
     def _read_failed(self, error: OSError) -> None:
-        if cause_of_loss(error) is not Cause.LOCAL:
-            self._lose()
+        if classify_loss(error) is not Cause.LOCAL:
+            self._fail()
             return
         self._loop.remove_reader(self._sock)
         self._loop.call_later(_RETRY_S, self._resume_reading)
@@ -153,10 +153,10 @@
         if self._open:
             self._loop.add_reader(self._sock, self._read)
 
-    def _add_packet(self, data: bytes, descriptors: list[int]) -> None:
+    def _process_packet(self, data: bytes, descriptors: list[int]) -> None:
         """Add a packet to the message being received, and pass the message on if it is complete."""
         self._received += data[1:]
-        if data[:1] == _MORE and len(self._received) <= MAX_MESSAGE_BYTES:
+        if data[:1] == _CONTINUED and len(self._received) <= MAX_MESSAGE_BYTES:
             return
         message, self._received = bytes(self._received), bytearray()
         try:
@@ -164,13 +164,13 @@
             if not isinstance(fields, dict):
                 raise ValueError("a message is not an object")
         except (ValueError, RecursionError):
-            close_all(descriptors)
-            self._lose()
+            close_descriptors(descriptors)
+            self._fail()
             return
-        self.receive(fields, descriptors)
+        self.on_message(fields, descriptors)
 
 
-def close_all(descriptors: Sequence[int]) -> None:
+def close_descriptors(descriptors: Sequence[int]) -> None:
     """Close descriptors; errors are ignored."""
     for descriptor in descriptors:
         with suppress(OSError):
@@ -178,7 +178,7 @@
 
 
 def _ignore_message(_fields: dict[str, Any], descriptors: list[int]) -> None:
-    close_all(descriptors)
+    close_descriptors(descriptors)
 
 
 def _copies(descriptors: Sequence[int]) -> list[int]:
@@ -186,7 +186,7 @@
     try:
         copies.extend(map(os.dup, descriptors))  # keeps the copies made before an error
     except OSError:
-        close_all(copies)
+        close_descriptors(copies)
         raise
     return copies
 
@@ -194,5 +194,5 @@
 def _packets(message: bytes, descriptors: list[int]) -> list[_Packet]:
     """Split a message into packets, the last of which carries the descriptors."""
     parts = [message[start : start + MAX_PACKET_BYTES] for start in range(0, len(message), MAX_PACKET_BYTES)]
-    packets = [_Packet(_MORE + part, []) for part in parts[:-1]]
-    return [*packets, _Packet(_LAST + parts[-1], descriptors)]
+    packets = [_Packet(_CONTINUED + part, []) for part in parts[:-1]]
+    return [*packets, _Packet(_FINAL + parts[-1], descriptors)]
--- a/eiderfield/net/link_socket.py
+++ b/eiderfield/net/link_socket.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept
+from eiderfield.net.faults import RETRY_MS, Cause, classify_accept_error
 from eiderfield.net.link import Link
 
 MAX_PATH_BYTES = 100  # of a path that fits into a Unix address
@@ -67,7 +67,7 @@
         except BlockingIOError:
             return
         except OSError as error:
-            if cause_of_accept(error) is Cause.LOCAL:  # retried later: an immediate retry would spin
+            if classify_accept_error(error) is Cause.LOCAL:  # retried later: an immediate retry would spin
                 self._loop.remove_reader(self._listener)
                 self._loop.call_later(RETRY_MS / 1000.0, self._resume_accepting, self._listener)
             return
--- a/eiderfield/net/loop.py
+++ b/eiderfield/net/loop.py
@@ -1,14 +1,14 @@
 """Runs the timing wheel and the turns of the exchange on the event loop.
 
-A process may be stopped, or get no processor time, for seconds. When it resumes, its timers are due and its
-sockets hold unread data, but the poll that the pause interrupted reports none of them: by the clock alone
-every worker would have been silent, and requests that they have answered would be sent again. Therefore,
-after a pause, the loop reads for `READ_ROUNDS` iterations before any timer is called or any turn is taken,
-and `on_pause` reports the pause to those that judge workers by their silence.
+A process may be stopped, or get no processor time, for several seconds. When it resumes, its timers are due
+and its sockets hold unread data, but the poll that the pause interrupted reports no sockets. Judged by the
+clock alone, every worker would have been silent, and requests that workers have answered meanwhile would be
+sent again. After a pause the loop therefore reads for `READ_ITERATIONS` iterations before it calls timers
+or takes turns, and then reports the pause by `on_pause` to the parts that eject silent workers.
 
-    running ──(a turn or timer is late by PAUSE_MS)──> reading ──(READ_ROUNDS iterations)──> running
+    running ──(a turn or timer is late by PAUSE_MS)──> reading ──(READ_ITERATIONS iterations)──> running
 
-Invariant: after a pause no timer is called and no turn is taken before the data that arrived in it is read.
+Invariant: after a pause no timer is called and no turn is taken before the data received meanwhile is read.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 from eiderfield.net.dialer import Dialer
 from eiderfield.net.wheel import Wheel
 
-PAUSE_MS = 250.0  # delay of a turn or a timer that counts as a pause of the process
-READ_ROUNDS = 8  # iterations of the loop: enough for responses of the largest size and what follows from them
+PAUSE_MS = 250.0  # a turn or timer that is late by at least this means that the process was paused
+READ_ITERATIONS = 8  # enough to read responses of the largest size and to handle them
 TIMER_SLACK_S = 0.0002  # the loop's clock may reach a timer's time just before the wheel's clock does
 
 
 class Driver:
-    """Advances the wheel and takes turns of the exchange, at most one in each iteration of the loop.
+    """Advances the wheel and takes turns of the exchange, at most one turn per iteration of the loop.
 
     Attributes:
-        turn: takes a turn of the exchange at a time, in ms; set by the program.
-        on_pause: receives the length of a pause, in ms, after all data is read; set by the program.
+        turn: Takes a turn of the exchange; called with the current time, in ms. Set by the program.
+        on_pause: Called with the length of a pause, in ms, once received data is read. Set by the program.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Callable[[], float]) -> None:
-        """Create a driver that is idle; `clock` returns the process's time, in ms."""
+        """Create a driver with nothing scheduled; `clock` returns the process's time, in ms."""
         self._loop = loop
         self.clock = clock
         self.wheel = Wheel(clock(), self._schedule_timer_update, self._report_timer_failure)
@@ -42,16 +42,17 @@
         self.turn: Callable[[float], None] = lambda _now: None
         self.on_pause: Callable[[float], None] = lambda _span: None
         self._turn_scheduled = self._timer_update_scheduled = False
-        self._handle: asyncio.TimerHandle | None = None
-        self._turn_due = self._timer_due = 0.0  # when the scheduled turn and timer should run
-        self._pause = 0.0  # above 0 while data that arrived in it is read
-        self._after_reading: list[Callable[[], None]] = []
+        self._timer_handle: asyncio.TimerHandle | None = None
+        self._turn_due = self._timer_due = 0.0  # when the scheduled turn and timer are due
+        self._pause_ms = 0.0  # length of the pause after which data is being read, otherwise 0
+        self._deferred_calls: list[Callable[[], None]] = []
 
     def wake(self) -> None:
-        """Schedule a turn of the exchange after this iteration of the loop and the next poll.
+        """Schedule a turn of the exchange after the current iteration of the loop and the next poll.
 
-        A poll reports a socket once: the request of a client that sends and closes is read first, and the
-        close is reported by the next poll only. A turn between the two would send the request for nobody.
+        A poll reports each socket once. If a client sends a request and closes the connection, the close is
+        reported only by the poll after the one that reports the request. A turn between the two would send
+        the request to a worker although no client waits for it.
         """
         if not self._turn_scheduled:
             self._turn_scheduled = True
@@ -66,25 +67,25 @@
 
     # Pauses.
 
-    def _read_first_after_pause(self, due: float, again: Callable[[], None]) -> bool:
-        """Return whether there was a pause, after which received data is read before `again` is called."""
-        if not self._pause:
-            late = self.clock() - due
-            if late < PAUSE_MS:
+    def _read_first_after_pause(self, due: float, call: Callable[[], None]) -> bool:
+        """Return whether the process was paused; if so, `call` is called once received data is read."""
+        if not self._pause_ms:
+            delay = self.clock() - due
+            if delay < PAUSE_MS:
                 return False
-            self._pause = late
-            self._loop.call_soon(self._continue_reading, READ_ROUNDS)
-        self._after_reading.append(again)
+            self._pause_ms = delay
+            self._loop.call_soon(self._continue_reading, READ_ITERATIONS)
+        self._deferred_calls.append(call)
         return True
 
-    def _continue_reading(self, rounds: int) -> None:
-        if rounds:
-            self._loop.call_soon(self._continue_reading, rounds - 1)
+    def _continue_reading(self, iterations: int) -> None:
+        if iterations:
+            self._loop.call_soon(self._continue_reading, iterations - 1)
             return
-        pause, self._pause = self._pause, 0.0
-        calls, self._after_reading = self._after_reading, []
+        pause_ms, self._pause_ms = self._pause_ms, 0.0
+        calls, self._deferred_calls = self._deferred_calls, []
         self._turn_due = self._timer_due = self.clock()
-        self.on_pause(pause)
+        self.on_pause(pause_ms)
         for call in calls:
             call()
 
@@ -96,21 +97,21 @@
             self._loop.call_soon(self._update_timer)
 
     def _update_timer(self) -> None:
-        """Set the loop's only timer to the time at which the wheel has to be advanced."""
+        """Set the only timer on the event loop to the time at which the wheel must be advanced."""
         self._timer_update_scheduled = False
-        if self._handle is not None:
-            self._handle.cancel()
-            self._handle = None
+        if self._timer_handle is not None:
+            self._timer_handle.cancel()
+            self._timer_handle = None
         at = self.wheel.next_wakeup()
         if at < inf:
             wait = max(0.0, at - self.clock()) / 1000.0
             self._timer_due = max(at, self.clock())
-            self._handle = self._loop.call_later(wait + TIMER_SLACK_S, self._advance_wheel)
+            self._timer_handle = self._loop.call_later(wait + TIMER_SLACK_S, self._advance_wheel)
 
     def _advance_wheel(self) -> None:
         if self._read_first_after_pause(self._timer_due, self._advance_wheel):
             return
-        self._handle = None
+        self._timer_handle = None
         self.wheel.advance(self.clock())
         self._update_timer()
 
--- a/eiderfield/net/peers.py
+++ b/eiderfield/net/peers.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable, Iterable
 
 from eiderfield.config.address import Address
-from eiderfield.net.faults import Cause, cause_of_loss
+from eiderfield.net.faults import Cause, classify_loss
 from eiderfield.net.peer_filter import MAX_MESSAGE_BYTES, PeerFilter, Reception, first_envelope, fits
 from eiderfield.net.peer_settings import PeerSettings
 
@@ -128,7 +128,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if cause_of_loss(error) is Cause.LOCAL:
+                if classify_loss(error) is Cause.LOCAL:
                     return
                 continue  # reports that an earlier message could not be delivered
             reception = self._receive(message, (address[0], address[1]))
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -30,7 +30,7 @@
 from eiderfield.exchange.timers import Timer, Timers
 from eiderfield.interface import Outcome, ProgressKind
 from eiderfield.net.dialing import Dial, PendingDial
-from eiderfield.net.faults import Cause, cause_of_loss
+from eiderfield.net.faults import Cause, classify_loss
 from eiderfield.net.http import End, Head
 from eiderfield.net.worker_calls import CallReporter
 from eiderfield.net.worker_messages import (
@@ -157,7 +157,7 @@
             with suppress(ValueError, RecursionError):
                 for event in self._reader.finish():
                     self._handle(event)
-            self._abort(cause_of_loss(exc))
+            self._abort(classify_loss(exc))
         self.close()
 
     def pause_writing(self) -> None:
--- a/tests/support/handover.py
+++ b/tests/support/handover.py
@@ -40,8 +40,8 @@
         self.peer: Wire | None = None
         self.sent: list[tuple[Any, list[int]]] = []
         self.open = self.flushed = True
-        self.receive: Callable[[Any, list[int]], object] | None = None
-        self.lost: Callable[[], object] | None = None
+        self.on_message: Callable[[Any, list[int]], object] | None = None
+        self.on_lost: Callable[[], object] | None = None
 
     def send(self, told: Mapping[str, Any], fds: Sequence[int] = ()) -> None:
         if self.open:
@@ -55,8 +55,8 @@
         for told, fds in sent:
             assert self.peer is not None
             if self.peer.open:
-                assert self.peer.receive is not None
-                self.peer.receive(told, fds)
+                assert self.peer.on_message is not None
+                self.peer.on_message(told, fds)
         return bool(sent)
 
 
@@ -113,7 +113,7 @@
     def part(self, which: int) -> None:
         """One of the processes dies."""
         self.wires[which].close()
-        lost = self.wires[1 - which].lost
+        lost = self.wires[1 - which].on_lost
         assert lost is not None
         lost()
 
--- a/tests/support/memory_dispatcher.py
+++ b/tests/support/memory_dispatcher.py
@@ -208,11 +208,11 @@
         dispatcher: InMemoryDispatcher,
         connection: Any,
         address: Address,
-        failed: Callable[[], object],
-        delayed: Callable[[Cause], None] | None,
+        on_failed: Callable[[], object],
+        on_delayed: Callable[[Cause], None] | None,
     ) -> None:
         self.dispatcher, self.connection, self.address = dispatcher, connection, address
-        self.failed, self.delayed = failed, delayed
+        self.on_failed, self.on_delayed = on_failed, on_delayed
         self.cancelled = False
 
     def cancel(self) -> None:
@@ -229,7 +229,7 @@
 
     def refuse(self) -> None:
         self.dispatcher.dials.remove(self)
-        self.failed()
+        self.on_failed()
         self.dispatcher.settle()
 
 
@@ -279,10 +279,10 @@
         self,
         protocol: Any,
         address: Address,
-        failed: Callable[[], object],
-        delayed: Callable[[Cause], None] = ignore_delay,
+        on_failed: Callable[[], object],
+        on_delayed: Callable[[Cause], None] = ignore_delay,
     ) -> PendingConnection:
-        self.dials.append(PendingConnection(self, protocol, address, failed, delayed))
+        self.dials.append(PendingConnection(self, protocol, address, on_failed, on_delayed))
         return self.dials[-1]
 
     def settle(self) -> None:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -17,7 +17,7 @@
 from eiderfield.config.errors import ConfigError
 from eiderfield.interface import Outcome
 from eiderfield.net.clients.acceptor import ACCEPTED_PER_TURN
-from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept, cause_of_dial, cause_of_loss
+from eiderfield.net.faults import RETRY_MS, Cause, classify_accept_error, classify_dial_error, classify_loss
 from eiderfield.net.link import Link
 from eiderfield.net.link_socket import LinkListener
 from eiderfield.net.selector import RetryingSelector, new_event_loop
@@ -49,7 +49,7 @@
     ],
 )
 def test_cause_of_dial_distinguishes_host_route_and_connection(error, cause):
-    assert cause_of_dial(error) is cause
+    assert classify_dial_error(error) is cause
 
 
 @pytest.mark.parametrize(
@@ -66,13 +66,13 @@
     ],
 )
 def test_cause_of_accept_distinguishes_host_and_connection(number, cause):
-    assert cause_of_accept(failed(number)) is cause
+    assert classify_accept_error(failed(number)) is cause
 
 
 def test_cause_of_loss_without_a_local_error_is_the_connection():
-    assert cause_of_loss(None) is Cause.CONNECTION
-    assert cause_of_loss(failed(errno.EPIPE)) is Cause.CONNECTION
-    assert cause_of_loss(failed(errno.ENOBUFS)) is Cause.LOCAL
+    assert classify_loss(None) is Cause.CONNECTION
+    assert classify_loss(failed(errno.EPIPE)) is Cause.CONNECTION
+    assert classify_loss(failed(errno.ENOBUFS)) is Cause.LOCAL
 
 
 @pytest.fixture
@@ -96,7 +96,7 @@
     client = dispatcher.client(path="/unsafe/a")
     [dial] = dispatcher.dials
     for _ in range(int(DIAL_TIMEOUT_MS / RETRY_MS)):
-        dial.delayed(Cause.LOCAL)
+        dial.on_delayed(Cause.LOCAL)
         dispatcher.advance(RETRY_MS)
     dispatcher.advance(RETRY_MS)
     assert dial.cancelled
@@ -116,7 +116,7 @@
     dispatcher.client(path="/unsafe/a", id_="r2", wait=4900)
     [dial] = dispatcher.dials
     for _ in range(200):
-        dial.delayed(Cause.LOCAL)
+        dial.on_delayed(Cause.LOCAL)
         dispatcher.settle()
         dispatcher.advance(RETRY_MS)
     assert not [line for line in dispatcher.logged if "silent" in line]
@@ -126,7 +126,7 @@
     """Without a route to its address, each attempt at a worker would wait for the full timeout of a dial."""
     dispatcher.client(path="/unsafe/a")
     [first] = dispatcher.dials
-    first.delayed(Cause.ROUTE)
+    first.on_delayed(Cause.ROUTE)
     dispatcher.settle()
     assert not dispatcher.outcomes, "it may be this host's fault"
     dispatcher.client(path="/unsafe/a", id_="r2")
@@ -134,7 +134,7 @@
     assert other.connection.worker != first.connection.worker
     dispatcher.advance(1.0)
     other.up().finish()
-    first.delayed(Cause.ROUTE)
+    first.on_delayed(Cause.ROUTE)
     dispatcher.settle()
     assert dispatcher.outcomes.count(Outcome.CONNECT_FAILED) == 1
     assert dispatcher.exchange.snapshot(dispatcher.now).avoided_workers == {first.connection.worker}
@@ -364,8 +364,8 @@
     later = Later(monkeypatch, loop)
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sender, receiver = Link(loop, near), Link(loop, far)
-    receiver.receive = lambda message, _fds: got.append(message)
-    sender.lost = lambda: got.append("lost")
+    receiver.on_message = lambda message, _fds: got.append(message)
+    sender.on_lost = lambda: got.append("lost")
     errors, send_fds = [failed(number)] * 2, socket.send_fds
 
     def failing_send_fds(*args):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -200,7 +200,7 @@
 
 
 def test_delayed_process_starts_alone_after_its_timeout(pair):
-    pair.wires[1].receive({"is": "wait"}, [])
+    pair.wires[1].on_message({"is": "wait"}, [])
     pair.new.dispatcher.advance(DELAYED_ANSWER_TIMEOUT_MS + 8.0)
     assert pair.new.done
 
@@ -215,7 +215,7 @@
 def test_malformed_messages_leave_both_processes_serving(word, told):
     pair = Pair().go()
     for side, wire in zip((pair.old, pair.new), pair.wires, strict=True):
-        wire.receive({**told, "is": word}, [])
+        wire.on_message({**told, "is": word}, [])
         assert side.dispatcher.listener.listening
     pair.old.dispatcher.settle()
     pair.close()
--- a/tests/test_handover_first_form.py
+++ b/tests/test_handover_first_form.py
@@ -61,11 +61,11 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         classes = len(new.dispatcher.exchange.settings.classes)
         memory = {**FirstForm.STATE["memory"], "pacers": FirstForm.STATE["memory"]["pacers"] * classes}
-        wire.receive({**FirstForm.STATE, "memory": memory}, [os.dup(listener.fileno())])
+        wire.on_message({**FirstForm.STATE, "memory": memory}, [os.dup(listener.fileno())])
         new.dispatcher.settle()
         assert wire.sent[1][0]["is"] == "taken"
         assert wire.sent[1][0]["doors"] == [LISTEN]
-        wire.receive(FirstForm.YOURS, [])
+        wire.on_message(FirstForm.YOURS, [])
     assert new.done
     assert new.takes()
     assert wire.open
@@ -83,13 +83,13 @@
     wire, there = Wire(), Wire()
     wire.peer = there
     old.handover.accept(wire)
-    wire.receive(FirstForm.ASK, [])
+    wire.on_message(FirstForm.ASK, [])
     [(told, fds)] = wire.sent
     assert told.keys() >= FirstForm.STATE.keys()
     assert told["memory"].keys() >= FirstForm.STATE["memory"].keys()
     assert len(fds) == 1, "a socket that it does not know of would leak in it"
     os.close(fds[0])
-    wire.receive(FirstForm.TAKEN, [])
+    wire.on_message(FirstForm.TAKEN, [])
     assert old.handover.handed_over
     assert not old.takes()
     old.dispatcher.client(id_="a")
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -90,7 +90,7 @@
         dead.turn()
         self.harnesses = [harness for harness in self.harnesses if harness is not dead]
         self.wires[which].deliver()
-        self.wires[1 - which].lost()
+        self.wires[1 - which].on_lost()
 
     def close(self):
         for harness in self.harnesses:
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -14,7 +14,7 @@
 from support.processes import CONFIG, DiscoveryServer, HoldingWorker, ask, post, running_program
 
 from eiderfield.lab.ports import free_port
-from eiderfield.net.loop import PAUSE_MS, READ_ROUNDS, Driver
+from eiderfield.net.loop import PAUSE_MS, READ_ITERATIONS, Driver
 
 
 class Loop:
@@ -63,7 +63,7 @@
     world.loop.arrives = [lambda: world.log.append("read"), lambda: world.driver.wake()]
     [fire] = world.loop.later
     fire()
-    for _ in range(READ_ROUNDS + 3):
+    for _ in range(READ_ITERATIONS + 3):
         world.loop.round()
     assert world.log == ["read", "absent 4000", "timer", "turn"]
 
@@ -72,7 +72,7 @@
     world.driver.wake()
     world.now += 3000.0
     world.loop.arrives = [lambda: world.log.append("read")]
-    for _ in range(READ_ROUNDS + 3):
+    for _ in range(READ_ITERATIONS + 3):
         world.loop.round()
     assert world.log == ["read", "absent 3000", "turn"]
 
