--- a/eiderfield/durable_requests/changes.py
+++ b/eiderfield/durable_requests/changes.py
@@ -65,7 +65,7 @@
         if not changes:
             return []
         try:
-            if self._context.incarnation is not None and self._context.is_over():
+            if self._context.incarnation is not None and self._context.end_if_fenced():
                 return [self._outcome_after_fence(change, Accepted()) for change in changes]
         except OSError as error:
             return self._not_written(changes, str(error))
@@ -76,7 +76,7 @@
 
     def _write(self, own: Incarnation, changes: Sequence[Change]) -> list[Outcome]:
         counters, started_at, group = self._context.counters, self._context.now(), _Group()
-        self._reach_points(changes, "")
+        self._reach_failpoints(changes, "")
         try:
             with own.store.transaction():
                 for change in changes:
@@ -90,16 +90,16 @@
             return self._not_written(changes, str(error))
         counters.commits += 1
         counters.slowest_commit = max(counters.slowest_commit, self._context.now() - started_at)
-        if self._context.is_over_after_commit():
+        if self._context.end_if_fenced_after_commit():
             pairs = zip(changes, group.outcomes, strict=True)
             return [self._outcome_after_fence(change, outcome) for change, outcome in pairs]
         self._update_open_records(own, group)
-        self._reach_points(changes, " done")
+        self._reach_failpoints(changes, " done")
         return group.outcomes
 
-    def _reach_points(self, changes: Sequence[Change], suffix: str) -> None:
+    def _reach_failpoints(self, changes: Sequence[Change], suffix: str) -> None:
         for name in sorted({type(change).__name__.lower() for change in changes}):
-            self._context.point(f"{name}{suffix}")
+            self._context.reach_failpoint(f"{name}{suffix}")
 
     @staticmethod
     def _update_open_records(own: Incarnation, group: _Group) -> None:
--- a/eiderfield/durable_requests/context.py
+++ b/eiderfield/durable_requests/context.py
@@ -49,8 +49,8 @@
 class Context:
     """Shared by the parts of one member.
 
-    `priorities` has the priority weight of each class, by name. `point` is called at named points of the
-    protocol, where the laboratory stops or kills a process.
+    `priorities` has the priority weight of each class, by name. `reach_failpoint` is called with the name of
+    each failpoint of the protocol; there the laboratory stops or kills the process.
     """
 
     settings: DurableRequestSettings
@@ -59,7 +59,7 @@
     priorities: Mapping[str, float]
     now: Callable[[], float]
     log: Callable[[str], None]
-    point: Callable[[str], None]
+    reach_failpoint: Callable[[str], None]
     counters: Counters = field(default_factory=Counters)
     incarnation: Incarnation | None = None
     _logged: set[str] = field(default_factory=set)
@@ -86,7 +86,7 @@
             self.incarnation.store.close()
             self.incarnation = None
 
-    def is_over(self) -> bool:
+    def end_if_fenced(self) -> bool:
         """Return whether there is no incarnation, or it is fenced; a fenced one ends.
 
         Raises `OSError` if the fence cannot be looked up.
@@ -105,14 +105,14 @@
         self.end_incarnation()
         return True
 
-    def is_over_after_commit(self) -> bool:
+    def end_if_fenced_after_commit(self) -> bool:
         """Return whether the incarnation is over, after it has written.
 
         If the fence cannot be looked up, the incarnation ends: its successors may own what it wrote, so
         nothing may follow from it here.
         """
         try:
-            return self.is_over()
+            return self.end_if_fenced()
         except OSError as error:
             self.log_once(
                 f"durable requests: incarnation ended, its fence is unreadable (name={self.own_name} "
--- a/eiderfield/durable_requests/member.py
+++ b/eiderfield/durable_requests/member.py
@@ -52,14 +52,14 @@
 STORE_SIZE_FACTOR = 2  # of a store's file, over the bytes of bodies and results in it
 
 
-def _ignore_point(_name: str) -> None:
+def _ignore_failpoint(_name: str) -> None:
     """Do nothing: only the laboratory stops a process at named points."""
 
 
 class Member:
-    """The member of one process. `point` is replaced by the laboratory and by tests."""
+    """The member of one process. `reach_failpoint` is replaced by the laboratory and by tests."""
 
-    point: Callable[[str], None] = staticmethod(_ignore_point)
+    reach_failpoint: Callable[[str], None] = staticmethod(_ignore_failpoint)
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         self.has_left = False
         readers = StoreReaders(self.folder, log)
         self._context = Context(
-            settings, self.folder, readers, priorities, now, log, lambda name: self.point(name)
+            settings, self.folder, readers, priorities, now, log, lambda name: self.reach_failpoint(name)
         )
         self._lookup = RecordLookup(self._context)
         self._changes = ChangeWriter(self._context, self._lookup)
@@ -229,11 +229,11 @@
             for id_ in self.folder.end_requests.all():
                 if id_ in self.open_records:
                     ids.append(id_)
-                elif self.current is not None and self._is_over(id_):
+                elif self.current is not None and self._is_finished(id_):
                     self.folder.end_requests.remove(id_)
         return ids
 
-    def _is_over(self, id_: str) -> bool:
+    def _is_finished(self, id_: str) -> bool:
         record = self.find(id_)
         return record is None or record.stage == Stage.FINAL
 
@@ -263,7 +263,7 @@
 
     def _tick(self, own: Incarnation) -> None:
         self.folder.fences.refresh()
-        if self._context.is_over():
+        if self._context.end_if_fenced():
             return
         self._membership.renew(own)
         self._changes.release_again()
--- a/eiderfield/durable_requests/membership.py
+++ b/eiderfield/durable_requests/membership.py
@@ -56,7 +56,7 @@
             if not is_lost(name, fences.votes(name), alive, own.suspects):
                 continue
             reason = PROCESS_GONE if name in gone else SILENT
-            self._context.point("fence")
+            self._context.reach_failpoint("fence")
             if fences.create(name, successors, own.name, reason):
                 self._context.counters.fences += 1
                 self._context.log(
--- a/eiderfield/durable_requests/takeover.py
+++ b/eiderfield/durable_requests/takeover.py
@@ -132,7 +132,7 @@
         records = self._read_pending(own)
         if not records:
             return []
-        self._context.point("adopt")
+        self._context.reach_failpoint("adopt")
         try:
             with own.store.transaction():
                 for record in records.values():
@@ -140,11 +140,11 @@
         except StoreError as error:
             self._scan_again(error)
             return []
-        if self._context.is_over_after_commit():
+        if self._context.end_if_fenced_after_commit():
             return []
         own.open_records.update(records)
         self._context.counters.taken_over += len(records)
-        self._context.point("adopt done")
+        self._context.reach_failpoint("adopt done")
         return list(records.values())
 
     def _grow_allowance(self) -> None:
--- a/eiderfield/lab/fleet/failpoints.py
+++ b/eiderfield/lab/fleet/failpoints.py
@@ -4,9 +4,9 @@
 
 The process kills or stops itself when it reaches the point NAME for the NUMBER-th time, as if its host had
 failed there. The run that started it reads the marker file and starts or continues it SECONDS later. The
-points are those of `Member.point` (`accept`, `claim`, `finish` before a change is stored, `accept done` etc.
-after it, `adopt`, `adopt done`, `fence`) and `sent`, after the last byte of an attempt. Part of the
-laboratory; the dispatcher does not import it.
+points are those of `Member.reach_failpoint` (`accept`, `claim`, `finish` before a change is stored,
+`accept done` etc. after it, `adopt`, `adopt done`, `fence`) and `sent`, after the last byte of an attempt.
+Part of the laboratory; the dispatcher does not import it.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
         request_written(self, attempt)
         point("sent")
 
-    Member.point = staticmethod(point)
+    Member.reach_failpoint = staticmethod(point)
     reports.request_written = request_written_then_point
 
 
--- a/tests/test_durable_requests_on_failing_disk.py
+++ b/tests/test_durable_requests_on_failing_disk.py
@@ -61,7 +61,7 @@
         settle(play, 2)
         with faults.paused():
             assert apply_one(member, Accept(record("first"))) == Accepted()
-        monkeypatch.setattr(member, "point", lambda _name: faults.fail("look", BROKEN, 2, 1))
+        monkeypatch.setattr(member, "reach_failpoint", lambda _name: faults.fail("look", BROKEN, 2, 1))
         assert apply_one(member, Claim("first", attempt_record())) == NotOwned()
         assert member.incarnation == ""
         monkeypatch.undo()
--- a/tests/test_durable_requests_takeover.py
+++ b/tests/test_durable_requests_takeover.py
@@ -84,7 +84,7 @@
 def test_a_commit_that_comes_after_the_fence_is_taken_over_as_well(host):
     """It was under way when its member was stopped, and its asker waits for it at another one."""
     a, b = host.member("a"), host.member("b")
-    a.point = lambda name: host.outlive(b) if name == "accept" else None
+    a.reach_failpoint = lambda name: host.outlive(b) if name == "accept" else None
     assert apply_one(a, Accept(record())) == AlreadyAccepted("j")
     assert b.take_over() == []
     host.live(500.0, b)
@@ -117,7 +117,7 @@
         for operation in (Accept(record()), Claim("j", attempt_record()), Finish("j", SERVED)):
             apply_one(a, operation)
 
-    a.point = stop
+    a.reach_failpoint = stop
     with pytest.raises(Stopped):
         serve_request()
     host.outlive(b)
