--- a/eiderfield/cli/jobs.py
+++ b/eiderfield/cli/jobs.py
@@ -72,7 +72,7 @@
     """Lists all jobs, each once, with the incarnation that owns it."""
     inspection = _inspect(folder)
     rows = []
-    for job in inspection.jobs():
+    for job in inspection.requests():
         has_state = state in ("", job.state) or (state == "open" and not job.record.verdict)
         if has_state and class_name in ("", job.record.class_name):
             rows.append(job.row(unix_offset()))
@@ -86,7 +86,7 @@
 @click.argument("id_", metavar="ID")
 def show(folder: Path, id_: str) -> None:
     """Shows a job: its attempts, the incarnations that it has belonged to, its answer."""
-    job = _inspect(folder).job(id_)
+    job = _inspect(folder).request(id_)
     if job is None:
         raise click.ClickException(f"job {id_!r} is not known")
     row = {**job.row(unix_offset()), "chain": list(job.chain)}
@@ -109,7 +109,7 @@
 @_JSON
 def dead(folder: Path, as_json: bool) -> None:
     """Lists jobs that ended without a result, and whether they may have run."""
-    rows = [job.row(unix_offset()) for job in _inspect(folder).jobs() if job.is_dead]
+    rows = [job.row(unix_offset()) for job in _inspect(folder).requests() if job.is_dead]
     _print(rows, as_json, _COLUMNS)
 
 
@@ -119,7 +119,7 @@
 def cancel(folder: Path, id_: str) -> None:
     """Requests the end of a job. Its owner ends it, unless the job has its answer first."""
     inspection = _inspect(folder)
-    job = inspection.job(id_)
+    job = inspection.request(id_)
     if job is None:
         raise click.ClickException(f"job {id_!r} is not known")
     if job.record.verdict:
@@ -139,7 +139,7 @@
     A job that may have run is refused without --anyway: only the operator knows whether a second run does
     harm. Prints the status of the answer; exits with 1 if it is not 200.
     """
-    job = _inspect(folder).job(id_)
+    job = _inspect(folder).request(id_)
     if job is None or not job.is_dead:
         state = "not known" if job is None else job.state
         raise click.ClickException(f"job {id_!r} is {state}, not dead")
@@ -183,7 +183,7 @@
     import pyarrow
     import pyarrow.parquet as parquet
 
-    rows = [job.row(unix_offset()) for job in _inspect(folder).jobs()]
+    rows = [job.row(unix_offset()) for job in _inspect(folder).requests()]
     rows = [{**row, "legs": json.dumps(row["legs"])} for row in rows]
     schema = pyarrow.schema(
         [
--- a/eiderfield/durable.py
+++ b/eiderfield/durable.py
@@ -38,9 +38,9 @@
 
 def write_all(descriptor: int, data: bytes) -> None:
     """Write all of `data`: one system call may take fewer bytes."""
-    rest = memoryview(data)
-    while rest:
-        rest = rest[os.write(descriptor, rest) :]
+    remaining = memoryview(data)
+    while remaining:
+        remaining = remaining[os.write(descriptor, remaining) :]
 
 
 def sync_folder(folder: Path) -> None:
--- a/eiderfield/durable_requests/answer_lookup.py
+++ b/eiderfield/durable_requests/answer_lookup.py
@@ -38,7 +38,7 @@
         waiter = Waiter(Request(id_, UNKNOWN_CLASS, until, ""), on_answer)
         waiter.timer = self._context.services.timers.at(until, waiter.expire)
         self._remote_waiters.add(id_, waiter)
-        return partial(self._cancellation.client_left, waiter)
+        return partial(self._cancellation.on_client_left, waiter)
 
     def cancel(self, id_: str, on_requested: Callable[[bool], None]) -> None:
         """Request the end of a request of any process; `on_requested` gets whether that is recorded.
--- a/eiderfield/durable_requests/answer_recorder.py
+++ b/eiderfield/durable_requests/answer_recorder.py
@@ -40,8 +40,8 @@
         if isinstance(outcome, NotWritten):
             owned.recording_tries += 1
             if owned.recording_tries < MAX_RECORDING_TRIES:
-                again = partial(self.record, finish.id, owned, answer, finish.reason)
-                self._context.call_after(RETRY_INTERVAL_MS, again)
+                retry = partial(self.record, finish.id, owned, answer, finish.reason)
+                self._context.call_after(RETRY_INTERVAL_MS, retry)
                 return
             answer = self._unrecorded_answer(finish, outcome)
         del self._context.owned_requests[finish.id]
--- a/eiderfield/durable_requests/cancellation.py
+++ b/eiderfield/durable_requests/cancellation.py
@@ -29,7 +29,7 @@
             if answer is not None:
                 self._recorder.record(id_, owned, answer, "its end was asked for")
 
-    def client_left(self, waiter: Waiter) -> None:
+    def on_client_left(self, waiter: Waiter) -> None:
         """Stop a waiter whose client has left."""
         waiter.stop()
         self.abandon_unless_waited_for(waiter.request.id)
@@ -45,11 +45,13 @@
             return
         if self._context.exchange.request_state(owned.exchange_id) is not RequestState.QUEUED:
             return
-        ended = self._context.exchange.cancel_request(owned.exchange_id)
-        if ended is None:
+        exchange_answer = self._context.exchange.cancel_request(owned.exchange_id)
+        if exchange_answer is None:
             return
-        if ended.may_have_run:
-            answer = Answer(Verdict.FAILED, may_have_run=True, attempts=ended.attempts)
+        if exchange_answer.may_have_run:
+            answer = Answer(Verdict.FAILED, may_have_run=True, attempts=exchange_answer.attempts)
         else:
-            answer = Answer(Verdict.DECLINED, retry_after=REJECTION_RETRY_AFTER_MS, attempts=ended.attempts)
+            answer = Answer(
+                Verdict.DECLINED, retry_after=REJECTION_RETRY_AFTER_MS, attempts=exchange_answer.attempts
+            )
         self._recorder.record(id_, owned, answer, "its clients have left")
--- a/eiderfield/durable_requests/changes.py
+++ b/eiderfield/durable_requests/changes.py
@@ -47,7 +47,7 @@
     """A group of changes that is being written."""
 
     drafts: dict[str, Record] = field(default_factory=dict)  # records to be written, by request id
-    taken: list[Record] = field(default_factory=list)  # records whose ids were taken for the group
+    acquired: list[Record] = field(default_factory=list)  # records whose ids were taken for the group
     outcomes: list[Outcome] = field(default_factory=list)
 
 
@@ -84,7 +84,7 @@
                 for record in group.drafts.values():
                     own.store.put(record)
         except (StoreError, OSError) as error:
-            for record in group.taken:
+            for record in group.acquired:
                 self._release(record)
             counters.commits_failed += 1
             return self._not_written(changes, str(error))
@@ -131,27 +131,27 @@
         return Written()
 
     def _draft_accept(self, own: Incarnation, record: Record, group: _Group) -> Outcome:
-        mine = group.drafts.get(record.id) or own.open_records.get(record.id)
-        if mine is not None:
-            return AlreadyAccepted(record.id) if mine.digest == record.digest else Conflict()
+        own_record = group.drafts.get(record.id) or own.open_records.get(record.id)
+        if own_record is not None:
+            return AlreadyAccepted(record.id) if own_record.digest == record.digest else Conflict()
         try:
             located = self._lookup.locate(record.id)
         except StoreError:
             return AlreadyAccepted(record.id)
         if located.record is not None and (located.is_open or located.record.is_repeatable):
             return _join(record, located.record)
-        generation = self._take_id(own, record.id, located)
+        generation = self._acquire_id(own, record.id, located)
         if generation == ID_IS_HELD:
             return AlreadyAccepted(record.id)
         record = replace(record, generation=generation)
-        group.taken.append(record)
-        if record.key and (holder := self._hold_key(record)) != record.id:
+        group.acquired.append(record)
+        if record.key and (holder := self._acquire_key(record)) != record.id:
             return self._join_by_key(record, holder, group)
         group.drafts[record.id] = record
         self._context.counters.accepted += 1
         return Accepted()
 
-    def _take_id(self, own: Incarnation, id_: str, located: LocatedRecord) -> int:
+    def _acquire_id(self, own: Incarnation, id_: str, located: LocatedRecord) -> int:
         """Take an id that no incarnation holds any more, and return its generation.
 
         An id is free again if its request was rejected, or if its holder was lost before it recorded
@@ -162,16 +162,16 @@
             return located.generation
         is_free = located.generation == 0 or located.record is not None or self._lookup.is_abandoned(located)
         generation = located.generation + 1
-        is_taken = is_free and self._context.folder.ids.take(id_, own.name, generation)
-        return generation if is_taken else ID_IS_HELD
+        is_acquired = is_free and self._context.folder.ids.acquire(id_, own.name, generation)
+        return generation if is_acquired else ID_IS_HELD
 
-    def _hold_key(self, record: Record) -> str:
+    def _acquire_key(self, record: Record) -> str:
         """Hold a record's key for its id, unless another request holds it. Return the id that holds it.
 
         A request that was rejected or abandoned does not hold its key any more.
         """
         ids = self._context.folder.ids
-        while (holder := ids.hold_key(record.class_name, record.key, record.id)) != record.id:
+        while (holder := ids.acquire_key(record.class_name, record.key, record.id)) != record.id:
             located = self._lookup.locate(holder)
             if located.record is not None:
                 holds_key = located.is_open or located.record.is_repeatable
@@ -179,12 +179,12 @@
                 holds_key = located.generation > 0 and not self._lookup.is_abandoned(located)
             if holds_key:
                 return holder
-            ids.free_key(record.class_name, record.key, holder)
+            ids.release_key(record.class_name, record.key, holder)
         return holder
 
     def _join_by_key(self, record: Record, holder: str, group: _Group) -> Outcome:
         """Release the id of a record whose key another request holds, and join that request."""
-        group.taken.pop()
+        group.acquired.pop()
         self._context.folder.ids.release(record.id, record.generation)
         recorded = self._lookup.locate(holder).record
         is_same = recorded is None or replace(recorded, id=record.id).digest == record.digest
@@ -203,8 +203,8 @@
         """
         if not isinstance(change, Accept):
             own = self._context.incarnation
-            is_mine = own is not None and change.id in own.open_records
-            return NotWritten(reason) if is_mine or isinstance(change, Finish) else NotOwned()
+            is_open_here = own is not None and change.id in own.open_records
+            return NotWritten(reason) if is_open_here or isinstance(change, Finish) else NotOwned()
         record = change.record
         try:
             located = self._lookup.locate(record.id)
--- a/eiderfield/durable_requests/claims.py
+++ b/eiderfield/durable_requests/claims.py
@@ -31,7 +31,7 @@
 from eiderfield.exchange.request import Attempt
 from eiderfield.machine import steady_ms
 
-MayStart = Callable[[bool], None]  # called with whether an attempt may start
+ClaimCallback = Callable[[bool], None]  # called with whether an attempt may start
 
 
 class AttemptClaims:
@@ -49,31 +49,44 @@
         return [attempt for attempt in self._incarnations if attempt.open]
 
     def request(
-        self, attempt: Attempt, record: AttemptRecord, go: MayStart, interval: float = RETRY_INTERVAL_MS
+        self,
+        attempt: Attempt,
+        record: AttemptRecord,
+        on_claimed: ClaimCallback,
+        interval: float = RETRY_INTERVAL_MS,
     ) -> None:
-        """Record an attempt; `go` is called with whether it may start.
+        """Record an attempt; `on_claimed` is called with whether it may start.
 
         Retry after `interval` ms if the system refuses the write. An attempt that has ended meanwhile is not
         recorded.
         """
         if attempt.open:
             claim = Claim(attempt.pending.request.id, record)
-            self._context.commit_thread.write(claim, partial(self._on_outcome, attempt, record, go, interval))
+            self._context.commit_thread.write(
+                claim, partial(self._on_outcome, attempt, record, on_claimed, interval)
+            )
 
     def _on_outcome(
-        self, attempt: Attempt, record: AttemptRecord, go: MayStart, interval: float, outcome: Outcome
+        self,
+        attempt: Attempt,
+        record: AttemptRecord,
+        on_claimed: ClaimCallback,
+        interval: float,
+        outcome: Outcome,
     ) -> None:
         if isinstance(outcome, NotWritten):
             next_interval = min(2.0 * interval, MAX_RETRY_INTERVAL_MS)
-            self._context.call_after(interval, partial(self.request, attempt, record, go, next_interval))
+            self._context.call_after(
+                interval, partial(self.request, attempt, record, on_claimed, next_interval)
+            )
             return
         if isinstance(outcome, EndRequested):
             self._cancellation.cancel([attempt.pending.request.id])
         if isinstance(outcome, Claimed) and attempt.open:
             self._incarnations[attempt] = outcome.incarnation
-        go(isinstance(outcome, Claimed))
+        on_claimed(isinstance(outcome, Claimed))
 
-    def allows(self, attempt: Attempt) -> bool:
+    def holds(self, attempt: Attempt) -> bool:
         """Return whether the claim of an attempt holds: by the current incarnation, within its lease."""
         member = self._context.member
         incarnation = self._incarnations.get(attempt)
--- a/eiderfield/durable_requests/commit_thread.py
+++ b/eiderfield/durable_requests/commit_thread.py
@@ -56,11 +56,11 @@
 
     _listener: ThreadListener
 
-    def __init__(self, member: Member, call_in_loop: CallInLoop, max_waiting: int) -> None:
-        """Count as full while `max_waiting` operations wait."""
+    def __init__(self, member: Member, call_in_loop: CallInLoop, max_waiting_operations: int) -> None:
+        """Count as full while `max_waiting_operations` operations wait."""
         self.member = member
         self._call_in_loop = call_in_loop
-        self._max_waiting = max_waiting
+        self._max_waiting_operations = max_waiting_operations
         self._queue: deque[tuple[Operation, OutcomeCallback]] = deque()
         self._wakeup = threading.Condition()
         self._watched: dict[str, None] = {}  # request ids, the one that was polled last at the end
@@ -88,19 +88,19 @@
             self._thread.join()
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """The number of operations that are not written yet."""
         return len(self._queue)
 
     @property
     def is_full(self) -> bool:
         """Whether no new request may be handed in."""
-        return len(self._queue) >= self._max_waiting
+        return len(self._queue) >= self._max_waiting_operations
 
-    def write(self, operation: Operation, then: OutcomeCallback) -> None:
-        """Hand an operation in; `then` is called in the loop with its outcome."""
+    def write(self, operation: Operation, on_outcome: OutcomeCallback) -> None:
+        """Hand an operation in; `on_outcome` is called in the loop with its outcome."""
         with self._wakeup:
-            self._queue.append((operation, then))
+            self._queue.append((operation, on_outcome))
             self._wakeup.notify()
 
     def watch(self, id_: str) -> None:
@@ -114,10 +114,10 @@
         with self._wakeup:
             self._watched.pop(id_, None)
 
-    def leave(self, then: LeaveCallback) -> None:
-        """Leave the members once all operations are written; `then` is called in the loop."""
+    def leave(self, on_left: LeaveCallback) -> None:
+        """Leave the members once all operations are written; `on_left` is called in the loop."""
         with self._wakeup:
-            self._on_left = then
+            self._on_left = on_left
             self._wakeup.notify()
 
     # In the thread.
@@ -128,9 +128,9 @@
                 if not (self._queue or self._is_ending or self._on_left):
                     self._wakeup.wait(self._time_to_next_step() / 1000.0)
                 group = self.next_group()
-                is_over = self._is_ending and not group
+                is_finished = self._is_ending and not group
                 on_left = self._on_left if not self._queue and not group else None
-            if is_over:
+            if is_finished:
                 with self._report_errors:
                     self.member.close()
                 return
@@ -158,7 +158,7 @@
         with self._report_errors:
             self._tick_if_due()
         if incarnation_before and self.member.incarnation != incarnation_before:
-            self._call(self._listener.on_incarnation_over)
+            self._post(self._listener.on_incarnation_over)
             if not self.member.incarnation and not self.member.has_left:
                 self._next_tick = 0.0  # the next tick begins a new incarnation
         with self._report_errors:
@@ -174,11 +174,11 @@
         with self._report_errors:
             outcomes = self.member.apply([operation for operation, _ in group])
         callbacks = [callback for _, callback in group]
-        self._call(lambda: _call_each(callbacks, outcomes))
+        self._post(lambda: _call_each(callbacks, outcomes))
 
     def _leave(self, on_left: LeaveCallback) -> None:
         has_left = self.member.leave()
-        self._call(lambda: on_left(has_left))
+        self._post(lambda: on_left(has_left))
 
     def _tick_if_due(self) -> None:
         now, member = steady_ms(), self.member
@@ -187,11 +187,11 @@
         self._next_tick = now + member.settings.tick_interval_ms
         member.tick()
         if ids := member.requested_ends():
-            self._call(lambda: self._listener.on_end_requested(ids))
+            self._post(lambda: self._listener.on_end_requested(ids))
 
     def _take_over(self) -> None:
         if self.member.pending_takeovers and (records := self.member.take_over()):
-            self._call(lambda: self._listener.on_taken_over(records))
+            self._post(lambda: self._listener.on_taken_over(records))
 
     def _poll_if_due(self) -> None:
         now = steady_ms()
@@ -207,12 +207,12 @@
                 self._watched[id_] = None
         for id_, record in self.member.poll_answers(ids):
             self.unwatch(id_)
-            self._call(self._answer_call(id_, record))
+            self._post(self._answer_callback(id_, record))
 
-    def _answer_call(self, id_: str, record: Record | None) -> Callable[[], None]:
+    def _answer_callback(self, id_: str, record: Record | None) -> Callable[[], None]:
         return lambda: self._listener.on_answer(id_, record)
 
-    def _call(self, call: Callable[[], None]) -> None:
+    def _post(self, call: Callable[[], None]) -> None:
         with suppress(RuntimeError):  # the loop has ended
             self._call_in_loop(call)
 
--- a/eiderfield/durable_requests/coordinator.py
+++ b/eiderfield/durable_requests/coordinator.py
@@ -100,7 +100,7 @@
     @property
     def idle(self) -> bool:
         """Whether nothing is left to write or to answer."""
-        return not self.context.owned_requests and not self.context.commit_thread.waiting
+        return not self.context.owned_requests and not self.context.commit_thread.waiting_count
 
     def leave(self) -> None:
         """Give the unanswered requests to the other members.
@@ -121,8 +121,8 @@
             for attempt in self._claims.open_attempts
         )
 
-    def _on_left(self, left: bool) -> None:
-        if left:
+    def _on_left(self, has_left: bool) -> None:
+        if has_left:
             count = len(self.context.owned_requests)
             self.context.services.log(f"durable requests: left the members (open_requests={count})")
             self.thread_events.on_incarnation_over()
@@ -136,6 +136,6 @@
             owned_requests=len(self.context.owned_requests),
             remote_waiters=len(self._remote_waiters),
             pending_takeovers=member.pending_takeovers,
-            waiting_operations=self.context.commit_thread.waiting,
+            waiting_operations=self.context.commit_thread.waiting_count,
             counters=member.counters,
         )
--- a/eiderfield/durable_requests/end_requests.py
+++ b/eiderfield/durable_requests/end_requests.py
@@ -8,7 +8,7 @@
 import json
 from contextlib import suppress
 
-from eiderfield.durable_requests.files import FolderFiles, hashed
+from eiderfield.durable_requests.files import FolderFiles, hashed_name
 
 END_REQUESTS = "wishes"  # the part of the folder; the stored name is older
 
@@ -23,11 +23,11 @@
     def add(self, id_: str) -> None:
         """Request the end of a request."""
         with suppress(FileExistsError):
-            self._files.create(json.dumps({"id": id_}), END_REQUESTS, hashed(id_))
+            self._files.create(json.dumps({"id": id_}), END_REQUESTS, hashed_name(id_))
 
     def exists(self, id_: str) -> bool:
         """Return whether the end of a request has been requested."""
-        return self._files.exists(END_REQUESTS, hashed(id_))
+        return self._files.exists(END_REQUESTS, hashed_name(id_))
 
     def all(self) -> list[str]:
         """Return the ids of all requests whose end has been requested."""
@@ -39,4 +39,4 @@
 
     def remove(self, id_: str) -> None:
         """Remove an end request that has been handled."""
-        self._files.remove(END_REQUESTS, hashed(id_))
+        self._files.remove(END_REQUESTS, hashed_name(id_))
--- a/eiderfield/durable_requests/exchange_hooks.py
+++ b/eiderfield/durable_requests/exchange_hooks.py
@@ -4,7 +4,7 @@
 
 from eiderfield.durable_requests.answer_recorder import AnswerRecorder
 from eiderfield.durable_requests.cancellation import RequestCancellation
-from eiderfield.durable_requests.claims import AttemptClaims, MayStart
+from eiderfield.durable_requests.claims import AttemptClaims, ClaimCallback
 from eiderfield.durable_requests.loop_context import LoopContext
 from eiderfield.durable_requests.record import AttemptRecord
 from eiderfield.exchange.request import Answer, Attempt, PendingRequest
@@ -27,7 +27,7 @@
         self._recorder = recorder
         self._cancellation = cancellation
 
-    def claim(self, attempt: Attempt, on_claimed: MayStart) -> None:
+    def claim(self, attempt: Attempt, on_claimed: ClaimCallback) -> None:
         """Record an attempt; `on_claimed` is called with whether it may start."""
         ids = self._context.services.ids
         endpoint = self._context.exchange.endpoints.endpoint(attempt.worker)
@@ -39,7 +39,7 @@
         """Return whether a claimed attempt may still start: its claim holds and a client waits for it."""
         owned = self._context.owned_requests.get(attempt.pending.request.id)
         is_waited_for = owned is None or owned.is_waited_for
-        return is_waited_for and self._claims.allows(attempt)
+        return is_waited_for and self._claims.holds(attempt)
 
     def attempt_ended(self, attempt: Attempt) -> None:
         """Release the claim of an attempt that is over."""
--- a/eiderfield/durable_requests/fences.py
+++ b/eiderfield/durable_requests/fences.py
@@ -54,7 +54,7 @@
     def __init__(self, files: FolderFiles) -> None:
         """Read nothing yet."""
         self._files = files
-        self.known: dict[str, tuple[str, ...]] = {}  # successors by fenced incarnation, as of `refresh`
+        self.fenced: dict[str, tuple[str, ...]] = {}  # successors by fenced incarnation, as of `refresh`
         self.further_successors: list[tuple[str, ...]] = []
 
     def vote(self, incarnation: str, voter: str, suspects: bool) -> None:
@@ -97,17 +97,17 @@
         for name in self._files.names(FENCES):
             if name.startswith(_FURTHER):
                 further[int(name.removeprefix(_FURTHER))] = name
-            elif name not in self.known:
-                self.known[name] = self.read(name).successors
+            elif name not in self.fenced:
+                self.fenced[name] = self.read(name).successors
         while (number := len(self.further_successors) + 1) in further:
             self.further_successors.append(self.read(further[number]).successors)
-        return self.known
+        return self.fenced
 
     def chain(self, id_: str, incarnation: str) -> list[str]:
         """Return the owners of a request so far, by the fences that `refresh` found."""
-        return ownership_chain(id_, incarnation, self.known, self.further_successors)
+        return ownership_chain(id_, incarnation, self.fenced, self.further_successors)
 
-    def forget_votes(self, incarnation: str) -> None:
+    def remove_votes(self, incarnation: str) -> None:
         """Remove the votes on an incarnation. Its fence stays: others may refer to it."""
         for voter in self.votes(incarnation):
             self._files.remove(VOTES, incarnation, voter)
--- a/eiderfield/durable_requests/files.py
+++ b/eiderfield/durable_requests/files.py
@@ -29,7 +29,7 @@
         self.path = path
         self._flush = flush
 
-    def make(self, parts: tuple[str, ...]) -> None:
+    def create_folders(self, parts: tuple[str, ...]) -> None:
         """Create the folder and its parts, as far as they do not exist."""
         for part in parts:
             (self.path / part).mkdir(parents=True, exist_ok=True, mode=FOLDER_MODE)
@@ -44,45 +44,45 @@
             return []
         return sorted(name for name in names if name.startswith(prefix) and not name.startswith(DRAFT_PREFIX))
 
-    def read(self, *place: str) -> str:
+    def read(self, *components: str) -> str:
         """Return the text of a file."""
-        descriptor = os.open(self.path.joinpath(*place), os.O_RDONLY | os.O_CLOEXEC)
+        descriptor = os.open(self.path.joinpath(*components), os.O_RDONLY | os.O_CLOEXEC)
         with os.fdopen(descriptor, encoding="utf-8") as file:
             return file.read()
 
-    def create(self, text: str, *place: str) -> None:
+    def create(self, text: str, *components: str) -> None:
         """Create a file, whole or not at all. Raises `FileExistsError` if it exists."""
-        create_file(self.path.joinpath(*place), text, self._flush)
+        create_file(self.path.joinpath(*components), text, self._flush)
 
-    def replace(self, text: str, *place: str) -> None:
+    def replace(self, text: str, *components: str) -> None:
         """Replace the content of a file."""
-        replace_file(self.path.joinpath(*place), text)
+        replace_file(self.path.joinpath(*components), text)
 
-    def remove(self, *place: str) -> None:
+    def remove(self, *components: str) -> None:
         """Remove a file, if it exists."""
-        self.path.joinpath(*place).unlink(missing_ok=True)
+        self.path.joinpath(*components).unlink(missing_ok=True)
 
-    def exists(self, *place: str) -> bool:
+    def exists(self, *components: str) -> bool:
         """Return whether a file or a link exists."""
         try:
-            os.lstat(self.path.joinpath(*place))
+            os.lstat(self.path.joinpath(*components))
         except FileNotFoundError:
             return False
         return True
 
-    def link(self, target: str, *place: str) -> bool:
+    def link(self, target: str, *components: str) -> bool:
         """Create a link. Returns False if it exists already."""
-        return create_symlink(target, self.path.joinpath(*place), self._flush)
+        return create_symlink(target, self.path.joinpath(*components), self._flush)
 
-    def target(self, *place: str) -> str | None:
+    def target(self, *components: str) -> str | None:
         """Return the target of a link, None if there is no link."""
         try:
             # `Path.readlink` would normalise the target, which may be any request id.
-            return os.readlink(self.path.joinpath(*place))
+            return os.readlink(self.path.joinpath(*components))
         except FileNotFoundError:
             return None
 
 
-def hashed(*words: str) -> str:
+def hashed_name(*words: str) -> str:
     """Return the file name of an id, or of a class and its idempotency key."""
     return blake2b("\0".join(words).encode(), digest_size=NAME_BYTES).hexdigest()
--- a/eiderfield/durable_requests/folder.py
+++ b/eiderfield/durable_requests/folder.py
@@ -40,10 +40,10 @@
 class SharedFolder:
     """The shared folder. Methods raise `OSError` for what the system refuses."""
 
-    def __init__(self, path: Path, make: bool = True, flush: bool = False) -> None:
-        """Open the folder; with `make`, create it if it does not exist.
+    def __init__(self, path: Path, create: bool = True, flush: bool = False) -> None:
+        """Open the folder; with `create`, create it if it does not exist.
 
-        Raises `FolderError`, except for a transient error with `make`: `ensure_usable` tries again then.
+        Raises `FolderError`, except for a transient error with `create`: `ensure_usable` tries again then.
         """
         self.path = path
         self._files = FolderFiles(path, flush)
@@ -53,24 +53,24 @@
         self.end_requests = EndRequests(self._files)
         self._is_usable = False
         try:
-            self._open(make)
+            self._open(create)
         except FolderError as error:
-            if not (make and error.transient):
+            if not (create and error.transient):
                 raise
 
     def ensure_usable(self) -> None:
         """Create the folder, if that failed before. Raises `FolderError` if it cannot be used."""
         if not self._is_usable:
-            self._open(make=True)
+            self._open(create=True)
 
-    def _open(self, make: bool) -> None:
+    def _open(self, create: bool) -> None:
         try:
-            if make:
-                self._make()
+            if create:
+                self._create()
             form = self._files.read(_FORM_FILE)
             owner = self.path.stat().st_uid
         except OSError as error:
-            if not make:
+            if not create:
                 raise FolderError(self.path, "not a folder of durable requests") from None
             is_transient = error.errno in TRANSIENT_ERRNOS
             raise FolderError(self.path, str(error.strerror), FOLDER_KEY, is_transient) from None
@@ -81,8 +81,8 @@
             raise FolderError(self.path, "belongs to another user", FOLDER_KEY)
         self._is_usable = True
 
-    def _make(self) -> None:
-        self._files.make(PARTS)
+    def _create(self) -> None:
+        self._files.create_folders(PARTS)
         if not self._files.exists(_FORM_FILE):
             with suppress(FileExistsError):  # another member creates it at the same time
                 self._files.create(FORM, _FORM_FILE)
@@ -108,9 +108,9 @@
         """Return the incarnations that have a store."""
         return [path.stem for path in sorted((self.path / STORES).glob("*.db"))]
 
-    def forget(self, incarnation: str) -> None:
+    def remove_incarnation(self, incarnation: str) -> None:
         """Remove what is left of a fenced incarnation, except its fence."""
-        self.incarnations.forget(incarnation)
+        self.incarnations.remove(incarnation)
         for suffix in _STORE_SUFFIXES:
             self._files.remove(STORES, f"{incarnation}.db{suffix}")
-        self.fences.forget_votes(incarnation)
+        self.fences.remove_votes(incarnation)
--- a/eiderfield/durable_requests/ids.py
+++ b/eiderfield/durable_requests/ids.py
@@ -10,7 +10,7 @@
 
 from typing import NamedTuple
 
-from eiderfield.durable_requests.files import FolderFiles, hashed
+from eiderfield.durable_requests.files import FolderFiles, hashed_name
 
 IDS, KEYS = "ids", "keys"
 FIRST_GENERATION = 1
@@ -34,44 +34,44 @@
     def holder(self, id_: str) -> Holder | None:
         """Return the holder of an id, None if there is none."""
         holder, generation = None, FIRST_GENERATION
-        while (incarnation := self._files.target(*_id_place(id_, generation))) is not None:
+        while (incarnation := self._files.target(*_id_components(id_, generation))) is not None:
             holder = Holder(generation, incarnation)
             generation += 1
         return holder
 
-    def take(self, id_: str, incarnation: str, generation: int = FIRST_GENERATION) -> bool:
+    def acquire(self, id_: str, incarnation: str, generation: int = FIRST_GENERATION) -> bool:
         """Take an id for the `generation`-th time. Returns False if another incarnation has done so."""
-        return self._files.link(incarnation, *_id_place(id_, generation))
+        return self._files.link(incarnation, *_id_components(id_, generation))
 
-    def hold_key(self, class_name: str, key: str, id_: str) -> str:
+    def acquire_key(self, class_name: str, key: str, id_: str) -> str:
         """Hold a class's key for an id, unless another one holds it. Returns the id that holds it."""
-        place = _key_place(class_name, key)
-        while not self._files.link(id_, *place):
-            if (holder := self._files.target(*place)) is not None:
+        components = _key_components(class_name, key)
+        while not self._files.link(id_, *components):
+            if (holder := self._files.target(*components)) is not None:
                 return holder
         return id_
 
-    def free_key(self, class_name: str, key: str, id_: str) -> None:
+    def release_key(self, class_name: str, key: str, id_: str) -> None:
         """Free a key that an id holds."""
-        place = _key_place(class_name, key)
-        if self._files.target(*place) == id_:
-            self._files.remove(*place)
+        components = _key_components(class_name, key)
+        if self._files.target(*components) == id_:
+            self._files.remove(*components)
 
     def release(self, id_: str, generation: int, class_name: str = "", key: str = "") -> None:
         """Release an id that was taken `generation` times, and its key, unless the id was taken again."""
-        if not self._files.exists(*_id_place(id_, generation + 1)):
+        if not self._files.exists(*_id_components(id_, generation + 1)):
             for number in range(generation, 0, -1):  # the first link last: `holder` starts from it
-                self._files.remove(*_id_place(id_, number))
+                self._files.remove(*_id_components(id_, number))
         if key:
-            self.free_key(class_name, key, id_)
+            self.release_key(class_name, key, id_)
 
 
-def _id_place(id_: str, generation: int) -> tuple[str, str, str]:
-    name = hashed(id_)
+def _id_components(id_: str, generation: int) -> tuple[str, str, str]:
+    name = hashed_name(id_)
     file_name = name if generation == FIRST_GENERATION else f"{name}.{generation}"
     return IDS, name[:PREFIX_LENGTH], file_name
 
 
-def _key_place(class_name: str, key: str) -> tuple[str, str, str]:
-    name = hashed(class_name, key)
+def _key_components(class_name: str, key: str) -> tuple[str, str, str]:
+    name = hashed_name(class_name, key)
     return KEYS, name[:PREFIX_LENGTH], name
--- a/eiderfield/durable_requests/incarnations.py
+++ b/eiderfield/durable_requests/incarnations.py
@@ -68,7 +68,7 @@
     def __init__(self, files: FolderFiles) -> None:
         """Read nothing yet."""
         self._files = files
-        self._gone: set[str] = set()
+        self._exited: set[str] = set()
         self.offset = unix_offset()  # as this process has written it last
 
     def begin(self, name: str) -> str:
@@ -80,7 +80,7 @@
             raise DispatcherNameError(name)
         self.offset = unix_offset()
         used = [*self._files.names(MEMBERS, f"{name}."), *self._files.names("fences", f"{name}.")]
-        number = 1 + max(map(number_of, used), default=0)
+        number = 1 + max(map(incarnation_number, used), default=0)
         while True:
             incarnation = f"{name}.{number}"
             try:
@@ -94,7 +94,7 @@
         pid = os.getpid()
         return IncarnationInfo(name, pid, process_started(pid), boot_id(), self.offset)
 
-    def follow_wall_clock(self, incarnation: str, name: str) -> None:
+    def update_clock_offset(self, incarnation: str, name: str) -> None:
         """Record the wall clock's offset again if the wall clock was stepped.
 
         After a reboot only that offset converts the incarnation's times to the next monotonic clock.
@@ -115,9 +115,9 @@
             return IncarnationInfo.decode(self._files.read(MEMBERS, incarnation))
         return None
 
-    def all(self, besides: Container[str] = ()) -> dict[str, IncarnationInfo]:
-        """Return all incarnations besides some, with what each has recorded of itself."""
-        names = [name for name in self._files.names(MEMBERS) if name not in besides]
+    def all(self, excluding: Container[str] = ()) -> dict[str, IncarnationInfo]:
+        """Return all incarnations except `excluding`, with what each has recorded of itself."""
+        names = [name for name in self._files.names(MEMBERS) if name not in excluding]
         return {name: info for name in names if (info := self.info(name)) is not None}
 
     def write_heartbeat(self, incarnation: str, count: int) -> None:
@@ -138,12 +138,12 @@
                 counts[name] = _HEARTBEAT.unpack((self._files.path / HEARTBEATS / name).read_bytes())[0]
         return counts
 
-    def gone(self, incarnations: Mapping[str, IncarnationInfo]) -> set[str]:
+    def exited(self, incarnations: Mapping[str, IncarnationInfo]) -> set[str]:
         """Return those of some incarnations whose process the kernel does not know any more."""
         for name, info in incarnations.items():
-            if name not in self._gone and not info.is_running:
-                self._gone.add(name)
-        return self._gone & incarnations.keys()
+            if name not in self._exited and not info.is_running:
+                self._exited.add(name)
+        return self._exited & incarnations.keys()
 
     def may_write(self, incarnation: str) -> bool:
         """Return whether the process of a fenced incarnation may still write to its store.
@@ -154,16 +154,20 @@
         if info is None or not info.is_running:
             return False
         same_name = self._files.names(MEMBERS, f"{info.name}.")
-        later = [self.info(name) for name in same_name if number_of(name) > number_of(incarnation)]
+        later = [
+            self.info(name)
+            for name in same_name
+            if incarnation_number(name) > incarnation_number(incarnation)
+        ]
         return not any(other is not None and other.pid == info.pid for other in later)
 
-    def forget(self, incarnation: str) -> None:
+    def remove(self, incarnation: str) -> None:
         """Remove what an incarnation has recorded of itself, and its heartbeat."""
         self._files.remove(HEARTBEATS, incarnation)
         self._files.remove(MEMBERS, incarnation)
 
 
-def number_of(incarnation: str) -> int:
+def incarnation_number(incarnation: str) -> int:
     """Return the number in an incarnation's name, 0 if there is none."""
     end = incarnation.rpartition(".")[2]
     return int(end) if end.isdigit() else 0
--- a/eiderfield/durable_requests/inspection.py
+++ b/eiderfield/durable_requests/inspection.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoredJob:
+class StoredRequest:
     """A durable request as it is recorded. `chain` are the incarnations it has belonged to."""
 
     record: Record
@@ -106,17 +106,17 @@
 
     def __init__(self, path: Path) -> None:
         """Read the fences."""
-        self.folder = SharedFolder(path, make=False)
+        self.folder = SharedFolder(path, create=False)
         self.fences = self.folder.fences.refresh()
         self.faults: list[str] = []  # stores that could not be read, with the reason
 
     def incarnations(self) -> list[StoredIncarnation]:
         """Return all incarnations."""
-        alive = self.folder.incarnations.all(besides=self.fences)
-        gone = self.folder.incarnations.gone(alive)
-        return [self._incarnation(name, name in gone) for name in sorted({*alive, *self.fences})]
+        alive = self.folder.incarnations.all(excluding=self.fences)
+        exited = self.folder.incarnations.exited(alive)
+        return [self._incarnation(name, name in exited) for name in sorted({*alive, *self.fences})]
 
-    def _incarnation(self, name: str, is_gone: bool) -> StoredIncarnation:
+    def _incarnation(self, name: str, has_exited: bool) -> StoredIncarnation:
         counts = NO_RECORDS
         with suppress(StoreError), closing(self.open_store(name)) as store:
             counts = store.counts()
@@ -125,11 +125,11 @@
         if is_fenced:
             state = IncarnationState.LEFT if fence.reason == LEFT else IncarnationState.LOST
         else:
-            state = IncarnationState.GONE if is_gone else IncarnationState.ALIVE
+            state = IncarnationState.GONE if has_exited else IncarnationState.ALIVE
         info = self.folder.incarnations.info(name)
         return StoredIncarnation(name, state, fence, counts, None if info is None else info.pid)
 
-    def jobs(self) -> Iterator[StoredJob]:
+    def requests(self) -> Iterator[StoredRequest]:
         """Yield every job once."""
         seen: set[str] = set()
         for name in self.folder.stored_incarnations():
@@ -138,17 +138,17 @@
                     for record in store.records():
                         if record.id not in seen:
                             seen.add(record.id)
-                            yield from self._jobs_of(record.id)
+                            yield from self._requests_with_id(record.id)
             except EmptyStoreError:
                 continue
             except StoreError as error:
                 self.faults.append(f"{name}: {error}")
 
-    def _jobs_of(self, id_: str) -> Iterator[StoredJob]:
-        if (job := self.job(id_)) is not None:
-            yield job
+    def _requests_with_id(self, id_: str) -> Iterator[StoredRequest]:
+        if (request := self.request(id_)) is not None:
+            yield request
 
-    def job(self, id_: str) -> StoredJob | None:
+    def request(self, id_: str) -> StoredRequest | None:
         """Return one job, None if nothing is recorded of it."""
         holder = self.folder.ids.holder(id_)
         if holder is None:
@@ -159,7 +159,7 @@
                 record = store.get(id_)
                 if record is not None and record.generation == holder.generation:
                     owner = "" if chain[-1] in self.fences else chain[-1]
-                    return StoredJob(record, owner, tuple(chain))
+                    return StoredRequest(record, owner, tuple(chain))
         return None
 
     def open_store(self, incarnation: str) -> RecordStore:
@@ -171,7 +171,7 @@
 
     def verify(self) -> list[str]:
         """Return the faults of the folder, a line each."""
-        found = [*self._faulty_stores(), *self._unknown_successors(), *self._ownerless_jobs()]
+        found = [*self._faulty_stores(), *self._unknown_successors(), *self._ownerless_requests()]
         unnamed = [fault for fault in self.faults if not any(fault.split(":")[0] in line for line in found)]
         return [*found, *unnamed]
 
@@ -193,7 +193,7 @@
                 if successor not in self.fences and self.folder.incarnations.info(successor) is None:
                     yield f"fences/{name}: its heir {successor} is not known"
 
-    def _ownerless_jobs(self) -> Iterator[str]:
-        for job in self.jobs():
-            if job.record.stage != Stage.FINAL and not job.owner:
-                yield f"job {job.record.id}: open, and all who might own it are lost"
+    def _ownerless_requests(self) -> Iterator[str]:
+        for request in self.requests():
+            if request.record.stage != Stage.FINAL and not request.owner:
+                yield f"job {request.record.id}: open, and all who might own it are lost"
--- a/eiderfield/durable_requests/intake.py
+++ b/eiderfield/durable_requests/intake.py
@@ -37,7 +37,7 @@
 
 EXPIRY_MARGIN_MS = RECORDING_TIME_MS / 4.0  # before its deadline a waiter without an answer is answered
 
-ClientLeft = Callable[[], None]  # what a front calls when its client has left
+ClientLeftCallback = Callable[[], None]  # what a front calls when its client has left
 
 
 def _ignore() -> None:
@@ -75,23 +75,23 @@
         on_answer: AnswerCallback,
         front: str = DEFAULT_FRONT,
         on_recorded: Callable[[], None] = _ignore,
-    ) -> ClientLeft:
+    ) -> ClientLeftCallback:
         """Accept a request, or join its client to the request that has its id already.
 
         `on_answer` is called once with the answer, `on_recorded` once the request is recorded, by this or by
         another process. Returns what to call when the client has left.
         """
         waiter = Waiter(request, on_answer, front, on_recorded)
-        is_here = request.id in self._context.owned_requests
-        if not is_here and self.is_full and not self._is_known(request.id):
+        is_owned_here = request.id in self._context.owned_requests
+        if not is_owned_here and self.is_full and not self._is_known(request.id):
             self._reject(waiter)
             return _ignore
         waiter.timer = self._context.services.timers.at(request.deadline - EXPIRY_MARGIN_MS, waiter.expire)
-        if not is_here and self.is_full:
+        if not is_owned_here and self.is_full:
             self._remote_waiters.add(request.id, waiter)
         else:
             self.record(waiter)
-        return partial(self._cancellation.client_left, waiter)
+        return partial(self._cancellation.on_client_left, waiter)
 
     def _is_known(self, id_: str) -> bool:
         """Return whether some process has taken an id. One that cannot be looked up may be known."""
@@ -114,19 +114,19 @@
 
     def _on_outcome(self, waiter: Waiter, owned: OwnedRequest, outcome: Outcome) -> None:
         id_ = waiter.request.id
-        is_mine = self._context.owned_requests.get(id_) is owned
-        if isinstance(outcome, Accepted) and is_mine:
+        is_owned_here = self._context.owned_requests.get(id_) is owned
+        if isinstance(outcome, Accepted) and is_owned_here:
             owned.waiters.append(waiter)
             owned.is_accepting = False
             waiter.on_recorded()
             self._submission.submit(waiter.request, owned)
             return
-        joins_mine = isinstance(outcome, AlreadyAccepted) and outcome.id == id_ and is_mine
-        if joins_mine and not owned.is_accepting:
+        joins_owned = isinstance(outcome, AlreadyAccepted) and outcome.id == id_ and is_owned_here
+        if joins_owned and not owned.is_accepting:
             owned.waiters.append(waiter)
             self._count_joined(waiter)
             return
-        if is_mine and owned.is_accepting:
+        if is_owned_here and owned.is_accepting:
             del self._context.owned_requests[id_]
         self._on_remote_outcome(waiter, outcome)
 
--- a/eiderfield/durable_requests/member.py
+++ b/eiderfield/durable_requests/member.py
@@ -86,7 +86,7 @@
         self._changes = ChangeWriter(self._context, self._lookup)
         self._membership = Membership(self._context)
         self._takeover = Takeover(self._context, self._lookup, self._membership.renew)
-        self.retention = Retention(self._context, self._lookup, self._takeover.on_own_clock)
+        self.retention = Retention(self._context, self._lookup, self._takeover.to_own_clock)
         self._unopened_incarnation = ""  # one that was begun and has no store yet
         self._tried_to_begin_at = -BEGIN_INTERVAL_MS
 
@@ -267,7 +267,7 @@
             return
         self._membership.renew(own)
         self._changes.release_again()
-        self.folder.incarnations.follow_wall_clock(own.name, self.name)
+        self.folder.incarnations.update_clock_offset(own.name, self.name)
         self._membership.run_round(own)
         self._takeover.scan(own)
         self.retention.clean(own)
--- a/eiderfield/durable_requests/membership.py
+++ b/eiderfield/durable_requests/membership.py
@@ -31,31 +31,31 @@
     def alive(self) -> dict[str, IncarnationInfo]:
         """Return the incarnations that are not fenced."""
         folder = self._context.folder
-        return folder.incarnations.all(besides=folder.fences.known)
+        return folder.incarnations.all(excluding=folder.fences.fenced)
 
     def run_round(self, own: Incarnation) -> None:
         """Read the heartbeats of the others, vote against those that are suspected, and fence the lost."""
         folder, now = self._context.folder, self._context.now()
         alive = self.alive()
         self.member_count = len(alive)
-        gone = folder.incarnations.gone(alive)
-        suspects = own.detector.observe(now, folder.incarnations.heartbeats(alive), gone)
+        exited = folder.incarnations.exited(alive)
+        suspects = own.detector.observe(now, folder.incarnations.heartbeats(alive), exited)
         self._vote(own, alive, suspects)
-        if own.detector.is_settled(self._context.now()):
-            self._fence_lost(own, alive, gone)
+        if own.detector.is_warmed_up(self._context.now()):
+            self._fence_lost(own, alive, exited)
 
     def _vote(self, own: Incarnation, alive: Iterable[str], suspects: set[str]) -> None:
         for name in (suspects ^ own.suspects) & set(alive):
             self._context.folder.fences.vote(name, own.name, name in suspects)
         own.suspects = suspects
 
-    def _fence_lost(self, own: Incarnation, alive: Mapping[str, object], gone: set[str]) -> None:
+    def _fence_lost(self, own: Incarnation, alive: Mapping[str, object], exited: set[str]) -> None:
         fences = self._context.folder.fences
         successors = [name for name in alive if name not in own.suspects]
         for name in sorted(own.suspects & alive.keys()):
             if not is_lost(name, fences.votes(name), alive, own.suspects):
                 continue
-            reason = PROCESS_GONE if name in gone else SILENT
+            reason = PROCESS_GONE if name in exited else SILENT
             self._context.reach_failpoint("fence")
             if fences.create(name, successors, own.name, reason):
                 self._context.counters.fences += 1
--- a/eiderfield/durable_requests/ownership.py
+++ b/eiderfield/durable_requests/ownership.py
@@ -29,11 +29,11 @@
     the request has no owner yet.
     """
     chain = [incarnation]
-    number = crc32(id_.encode())
-    further = iter(further_successors)
+    id_hash = crc32(id_.encode())
+    further_lists = iter(further_successors)
     while (successors := fences.get(chain[-1])) is not None:
         while not (candidates := sorted(set(successors) - set(chain))):
-            if (successors := next(further, None)) is None:
+            if (successors := next(further_lists, None)) is None:
                 return chain
-        chain.append(max(candidates, key=lambda candidate: stable_hash(number, crc32(candidate.encode()))))
+        chain.append(max(candidates, key=lambda candidate: stable_hash(id_hash, crc32(candidate.encode()))))
     return chain
--- a/eiderfield/durable_requests/retention.py
+++ b/eiderfield/durable_requests/retention.py
@@ -24,12 +24,12 @@
     """The clean-up by the current incarnation."""
 
     def __init__(
-        self, context: Context, lookup: RecordLookup, on_own_clock: Callable[[Record, str], Record]
+        self, context: Context, lookup: RecordLookup, to_own_clock: Callable[[Record, str], Record]
     ) -> None:
-        """Convert the times of an incarnation's record to this boot's clock with `on_own_clock`."""
+        """Convert the times of an incarnation's record to this boot's clock with `to_own_clock`."""
         self._context = context
         self._lookup = lookup
-        self._on_own_clock = on_own_clock
+        self._to_own_clock = to_own_clock
         self._own_cleaned_at = self._lost_cleaned_at = context.now()
 
     def clean(self, own: Incarnation) -> None:
@@ -44,7 +44,7 @@
         if now >= self._lost_cleaned_at + LOST_INTERVAL_MS:
             self._lost_cleaned_at = now
             for name in self._stores_to_remove(own):
-                self._remove_if_settled(name, finished_before)
+                self._remove_if_expired(name, finished_before)
         self._context.readers.close_unused()
 
     def delete(self, own: Incarnation, records: list[Record]) -> None:
@@ -66,27 +66,27 @@
     def _stores_to_remove(self, own: Incarnation) -> list[str]:
         """Return the lost incarnations whose store this incarnation is to remove."""
         folder = self._context.folder
-        names = [name for name in folder.fences.known if folder.store_path(name).exists()]
+        names = [name for name in folder.fences.fenced if folder.store_path(name).exists()]
         return [name for name in names if folder.fences.chain("", name)[-1] == own.name]
 
-    def _remove_if_settled(self, name: str, finished_before: float) -> None:
+    def _remove_if_expired(self, name: str, finished_before: float) -> None:
         folder, readers = self._context.folder, self._context.readers
         store = readers.open(name)
         if folder.incarnations.may_write(name):
             return
         if store is None:
             if readers.is_empty(name):
-                folder.forget(name)
+                folder.remove_incarnation(name)
             return
         if any(self._holds_latest_record(name, record.id) for record in store.open_records()):
             return
         final = list(store.records((Stage.FINAL,)))
-        if any(self._on_own_clock(record, name).finished_at >= finished_before for record in final):
+        if any(self._to_own_clock(record, name).finished_at >= finished_before for record in final):
             return
         for record in final:
             self._release(record, name)
         readers.close(name)
-        folder.forget(name)
+        folder.remove_incarnation(name)
 
     def _holds_latest_record(self, name: str, id_: str) -> bool:
         """Return whether the store of a lost incarnation holds the latest record of an open request."""
--- a/eiderfield/durable_requests/snapshot.py
+++ b/eiderfield/durable_requests/snapshot.py
@@ -12,7 +12,7 @@
 from eiderfield.durable_requests.folder import SharedFolder
 from eiderfield.durable_requests.ids import FIRST_GENERATION
 from eiderfield.durable_requests.incarnations import MEMBERS
-from eiderfield.durable_requests.inspection import Inspection, StoredJob
+from eiderfield.durable_requests.inspection import Inspection, StoredRequest
 
 
 def copy_folder(source: Path, target: Path) -> int:
@@ -29,7 +29,7 @@
     for name in inspection.folder.stored_incarnations():
         with closing(inspection.open_store(name)) as store:
             store.copy_to(copy.store_path(name))
-    return sum(_copy_ids(job, inspection.folder, copy) for job in Inspection(source).jobs())
+    return sum(_copy_ids(request, inspection.folder, copy) for request in Inspection(source).requests())
 
 
 def _copy_files(source: Path, target: Path) -> None:
@@ -38,14 +38,14 @@
             shutil.copy2(file, target / file.name)
 
 
-def _copy_ids(job: StoredJob, folder: SharedFolder, copy: SharedFolder) -> bool:
+def _copy_ids(request: StoredRequest, folder: SharedFolder, copy: SharedFolder) -> bool:
     """Take a job's id and key in the copy as in the folder. Return whether the id has a holder."""
-    record = job.record
+    record = request.record
     holder = folder.ids.holder(record.id)
     if holder is None:
         return False
     for generation in range(FIRST_GENERATION, holder.generation + 1):
-        copy.ids.take(record.id, holder.incarnation, generation)
+        copy.ids.acquire(record.id, holder.incarnation, generation)
     if record.key:
-        copy.ids.hold_key(record.class_name, record.key, record.id)
+        copy.ids.acquire_key(record.class_name, record.key, record.id)
     return True
--- a/eiderfield/durable_requests/submission.py
+++ b/eiderfield/durable_requests/submission.py
@@ -28,31 +28,37 @@
         self._recorder = recorder
         self._cancellation = cancellation
 
-    def submit(self, request: Request, owned: OwnedRequest, earlier: tuple[EarlierAttempt, ...] = ()) -> None:
+    def submit(
+        self, request: Request, owned: OwnedRequest, earlier_attempts: tuple[EarlierAttempt, ...] = ()
+    ) -> None:
         """Submit a request, with the attempts of it that may have run before.
 
         While an attempt of an earlier submission is still open here, submit again later.
         """
-        decided_by = replace(request, deadline=request.deadline - RECORDING_TIME_MS)
+        submitted = replace(request, deadline=request.deadline - RECORDING_TIME_MS)
         try:
             owned.exchange_id = self._context.exchange.submit(
-                decided_by, _ignore_answer, durable=True, earlier_attempts=earlier
+                submitted, _ignore_answer, durable=True, earlier_attempts=earlier_attempts
             )
         except RequestIdInUseError:
-            self._context.call_after(RETRY_INTERVAL_MS, partial(self._submit_again, request, owned, earlier))
+            self._context.call_after(
+                RETRY_INTERVAL_MS, partial(self._submit_again, request, owned, earlier_attempts)
+            )
         else:  # its clients may have left meanwhile
             self._cancellation.abandon_unless_waited_for(request.id)
 
     def _submit_again(
-        self, request: Request, owned: OwnedRequest, earlier: tuple[EarlierAttempt, ...]
+        self, request: Request, owned: OwnedRequest, earlier_attempts: tuple[EarlierAttempt, ...]
     ) -> None:
         if self._context.owned_requests.get(request.id) is not owned:
             return
         if self._context.now() >= request.deadline - RECORDING_TIME_MS:
-            answer = Answer(Verdict.FAILED, may_have_run=bool(earlier), attempts=len(earlier))
+            answer = Answer(
+                Verdict.FAILED, may_have_run=bool(earlier_attempts), attempts=len(earlier_attempts)
+            )
             self._recorder.record(request.id, owned, answer, DEADLINE_EXPIRED)
         else:
-            self.submit(request, owned, earlier)
+            self.submit(request, owned, earlier_attempts)
 
 
 def _ignore_answer(_answer: Answer) -> None:
--- a/eiderfield/durable_requests/takeover.py
+++ b/eiderfield/durable_requests/takeover.py
@@ -28,11 +28,11 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class _Pending:
+class _PendingRequest:
     """A request to be taken over. The one to be taken over first sorts last."""
 
     priority: float  # the priority weight of its class
-    age: float  # the negative time at which it was accepted
+    negative_accepted_at: float  # the negative time at which it was accepted
     id: str
     found_in: str  # the lost incarnation whose store holds it
 
@@ -44,7 +44,7 @@
     fences: int
     further_successors: int
     versions: Mapping[str, tuple[int, ...]]
-    attempt: int  # changes every `REREAD_INTERVAL_MS` while a store cannot be read
+    reread_period: int  # changes every `REREAD_INTERVAL_MS` while a store cannot be read
 
 
 class Takeover:
@@ -57,9 +57,9 @@
         self._renew = renew
         self._last_scan: _ScanState | None = None
         self._has_unreadable_store = False
-        self._pending: list[_Pending] = []
-        self._allowance = 1.0  # requests that may be taken over now
-        self._allowance_grown_at = context.now()
+        self._pending: list[_PendingRequest] = []
+        self._tokens = 1.0  # requests that may be taken over now
+        self._refilled_at = context.now()
 
     @property
     def pending_count(self) -> int:
@@ -79,7 +79,7 @@
         state = self._scan_state(versions)
         if state == self._last_scan:
             return
-        pending: list[_Pending] = []
+        pending: list[_PendingRequest] = []
         has_ownerless = self._has_unreadable_store = False
         for name in versions:
             if (store := self._context.readers.open(name)) is None:
@@ -99,36 +99,38 @@
         A commit that was in progress when its incarnation was fenced changes the version later.
         """
         folder = self._context.folder
-        versions = {name: folder.store_version(name) for name in folder.fences.known}
+        versions = {name: folder.store_version(name) for name in folder.fences.fenced}
         return {name: version for name, version in versions.items() if version is not None}
 
     def _scan_state(self, versions: Mapping[str, tuple[int, ...]]) -> _ScanState:
         fences = self._context.folder.fences
-        attempt = int(self._context.now() // REREAD_INTERVAL_MS) if self._has_unreadable_store else 0
-        return _ScanState(len(fences.known), len(fences.further_successors), versions, attempt)
+        reread_period = int(self._context.now() // REREAD_INTERVAL_MS) if self._has_unreadable_store else 0
+        return _ScanState(len(fences.fenced), len(fences.further_successors), versions, reread_period)
 
     def _unsuspected(self, own: Incarnation) -> list[str]:
         folder = self._context.folder
-        return [name for name in folder.incarnations.all(folder.fences.known) if name not in own.suspects]
+        return [name for name in folder.incarnations.all(folder.fences.fenced) if name not in own.suspects]
 
-    def _scan_store(self, own: Incarnation, name: str, store: RecordStore, pending: list[_Pending]) -> bool:
+    def _scan_store(
+        self, own: Incarnation, name: str, store: RecordStore, pending: list[_PendingRequest]
+    ) -> bool:
         """Add the requests of a store that this incarnation owns. Return whether any has no owner."""
         fences, has_ownerless = self._context.folder.fences, False
         for number, record in enumerate(store.open_records(), start=1):
             if number % RECORDS_PER_HEARTBEAT == 0:
                 self._renew(own)
             owner = fences.chain(record.id, name)[-1]
-            has_ownerless = has_ownerless or owner in fences.known
+            has_ownerless = has_ownerless or owner in fences.fenced
             if owner == own.name and record.id not in own.open_records:
                 priority = self._context.priorities.get(record.class_name, 0.0)
-                pending.append(_Pending(priority, -record.accepted_at, record.id, name))
+                pending.append(_PendingRequest(priority, -record.accepted_at, record.id, name))
         return has_ownerless
 
     # Taking over.
 
     def take_over(self, own: Incarnation) -> list[Record]:
         """Take over as many requests as the rate allows now, and return their records."""
-        self._grow_allowance()
+        self._refill_tokens()
         records = self._read_pending(own)
         if not records:
             return []
@@ -147,17 +149,17 @@
         self._context.reach_failpoint("adopt done")
         return list(records.values())
 
-    def _grow_allowance(self) -> None:
+    def _refill_tokens(self) -> None:
         now, settings = self._context.now(), self._context.settings
         per_ms = settings.takeovers_per_second / 1000.0
         limit = min(MAX_GROUP_SIZE, max(1.0, 2.0 * per_ms * settings.tick_interval_ms))
-        self._allowance = min(limit, self._allowance + (now - self._allowance_grown_at) * per_ms)
-        self._allowance_grown_at = now
+        self._tokens = min(limit, self._tokens + (now - self._refilled_at) * per_ms)
+        self._refilled_at = now
 
     def _read_pending(self, own: Incarnation) -> dict[str, Record]:
         """Return the requests to be taken over now, by id, as this incarnation is to write them."""
         records: dict[str, Record] = {}
-        while self._pending and self._allowance >= 1.0:
+        while self._pending and self._tokens >= 1.0:
             try:
                 record = self._open_record(own, self._pending[-1])
             except (StoreError, OSError) as error:
@@ -166,7 +168,7 @@
             self._pending.pop()
             if record is not None and record.id not in records:
                 records[record.id] = record.taken_over()
-                self._allowance -= 1.0
+                self._tokens -= 1.0
         return records
 
     def _scan_again(self, error: Exception) -> None:
@@ -174,7 +176,7 @@
         self._context.count_failure(error)
         self._pending, self._last_scan, self._has_unreadable_store = [], None, True
 
-    def _open_record(self, own: Incarnation, pending: _Pending) -> Record | None:
+    def _open_record(self, own: Incarnation, pending: _PendingRequest) -> Record | None:
         """Return the latest record of a pending request.
 
         Returns None if the request has its answer, is owned here already, or its id was released or taken
@@ -188,10 +190,10 @@
             record = self._lookup.read(name, pending.id)
             if record is not None:
                 is_over = holder.generation > record.generation or record.stage == Stage.FINAL
-                return None if is_over or name == own.name else self.on_own_clock(record, name)
+                return None if is_over or name == own.name else self.to_own_clock(record, name)
         return None
 
-    def on_own_clock(self, record: Record, incarnation: str) -> Record:
+    def to_own_clock(self, record: Record, incarnation: str) -> Record:
         """Return an incarnation's record with its times on the monotonic clock of this boot.
 
         An earlier boot had another monotonic clock. Only the wall clock connects the two, and it may have
--- a/eiderfield/durable_requests/thread_events.py
+++ b/eiderfield/durable_requests/thread_events.py
@@ -56,8 +56,12 @@
                 self._expire(record, owned, DEADLINE_EXPIRED)
             else:
                 offset = now - monotonic
-                earlier = tuple(self._earlier_attempt(attempt, offset) for attempt in record.attempts)
-                self._submission.submit(request_of(record, class_index, now, monotonic), owned, earlier)
+                earlier_attempts = tuple(
+                    self._earlier_attempt(attempt, offset) for attempt in record.attempts
+                )
+                self._submission.submit(
+                    request_of(record, class_index, now, monotonic), owned, earlier_attempts
+                )
 
     def _class_index(self, name: str) -> int:
         names = self._context.class_names
--- a/eiderfield/lab/durable_requests/throughput.py
+++ b/eiderfield/lab/durable_requests/throughput.py
@@ -76,7 +76,7 @@
         store.put(record if number % 2 else record.with_attempt(sample_attempt(record.accepted_at)))
     store.commit()
     for number in range(min(records, MAX_LINKED_IDS)):  # the oldest, which are taken over first
-        member.folder.ids.take(f"j{number}", member.incarnation)
+        member.folder.ids.acquire(f"j{number}", member.incarnation)
 
 
 def commits(seconds: float, folder: Path) -> float:
--- a/eiderfield/lab/fleet/durable_run.py
+++ b/eiderfield/lab/fleet/durable_run.py
@@ -104,7 +104,7 @@
     """Return how many incarnations were fenced, by reason."""
     if not (folder / "form").exists():
         return Counter()
-    shared = SharedFolder(folder, make=False).fences
+    shared = SharedFolder(folder, create=False).fences
     return Counter(shared.read(incarnation).reason for incarnation in shared.refresh())
 
 
--- a/tests/support/durable_play.py
+++ b/tests/support/durable_play.py
@@ -170,7 +170,7 @@
         for member in self.members.values():
             member.close()
         inspection = Inspection(self.host.settings.folder)
-        stages = {job.record.id: job.record.stage for job in inspection.jobs()}
+        stages = {job.record.id: job.record.stage for job in inspection.requests()}
         assert stages == dict.fromkeys(JOBS, Stage.FINAL)
         assert inspection.verify() == []
 
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -30,7 +30,7 @@
     unwatch = watch
 
     @property
-    def waiting(self):
+    def waiting_count(self):
         return len(self.queue)
 
     def run(self):
--- a/tests/test_durable_requests_retention.py
+++ b/tests/test_durable_requests_retention.py
@@ -4,7 +4,7 @@
 
 from support.durable_members import SERVED, Host, apply_one, record
 
-from eiderfield.durable_requests.files import hashed
+from eiderfield.durable_requests.files import hashed_name
 from eiderfield.durable_requests.messages import (
     Accept,
     Accepted,
@@ -57,6 +57,6 @@
     host.live(12_000.0, a, b)
     assert not b.folder.store_path("a.1").exists()
     assert b.find("over") is None
-    assert not (host.settings.folder / "ids" / hashed("over")[:2] / hashed("over")).is_symlink()
+    assert not (host.settings.folder / "ids" / hashed_name("over")[:2] / hashed_name("over")).is_symlink()
     a.close()
     b.close()
--- a/tests/test_durable_requests_settings.py
+++ b/tests/test_durable_requests_settings.py
@@ -14,7 +14,7 @@
 
 def test_a_folder_of_another_form_or_none_is_refused_by_name(tmp_path):
     with pytest.raises(FolderError, match="not a folder of durable requests"):
-        SharedFolder(tmp_path, make=False)
+        SharedFolder(tmp_path, create=False)
     SharedFolder(tmp_path / "x")
     (tmp_path / "x" / "form").write_text("9")
     with pytest.raises(FolderError, match=r"custody\.folder: .* is of form '9'"):
--- a/tests/test_durable_requests_takeover.py
+++ b/tests/test_durable_requests_takeover.py
@@ -93,7 +93,7 @@
 
 def test_who_died_between_an_id_and_its_record_blocks_nobody(host):
     a, b = host.member("a"), host.member("b")
-    assert a.folder.ids.take("j", "a.1")
+    assert a.folder.ids.acquire("j", "a.1")
     assert apply_one(b, Accept(record())) == AlreadyAccepted("j"), "it may be writing just now"
     assert b.poll_answers(["j"]) == []
     host.outlive(b)
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -95,14 +95,14 @@
 def test_a_folder_of_kept_jobs_keeps_its_meaning(golden_folder):
     folder, told = golden_folder
     survey = Inspection(folder)
-    jobs = {known.record.id: known for known in survey.jobs()}
+    jobs = {known.record.id: known for known in survey.requests()}
     assert sorted(jobs) == sorted(told["jobs"])
     for id_, known in jobs.items():
         assert fields_of(known.record) == told["jobs"][id_]["record"]
         assert known.owner == told["jobs"][id_]["owner"]
         assert list(known.chain) == told["jobs"][id_]["chain"]
         assert list(survey.folder.ids.holder(id_)) == told["jobs"][id_]["holder"]
-    lives = survey.folder.incarnations.all(besides=survey.fences)
+    lives = survey.folder.incarnations.all(excluding=survey.fences)
     assert sorted(lives) == sorted(told["lives"])
     assert plain(survey.fences) == told["fences"]
     assert survey.folder.incarnations.heartbeats(lives) == told["beats"]
