--- a/eiderfield/durable.py
+++ b/eiderfield/durable.py
@@ -1,11 +1,12 @@
 """Durable writes of small files. All files that must outlive a process are written by this module.
 
-States of a file: absent or old content -> new content. A writer that is killed at any moment leaves one of
-the two, and perhaps a draft beside it, which no reader opens. A call that returns has done its work; after
-one that raised `OSError` the caller repeats the call or treats the content as not written.
+States of a file: absent or old content -> new content. New content is written to a draft, a temporary file
+in the same folder, which then takes the file's name. A writer that is killed at any moment leaves the file in
+one of the two states, and perhaps a draft, which no reader opens. After a call that raised `OSError`, the
+caller repeats the call or treats the content as not written.
 
-Invariants: a reader never sees half of a file; a call never returns if the system refused a write or a sync.
-With `sync` the content also survives a loss of power; without it, only the loss of the process.
+Invariants: a reader never sees a partly written file; a call raises `OSError` if the system refused a write
+or a sync. With `sync` the content also survives a loss of power; without it, only the loss of the process.
 """
 
 from __future__ import annotations
@@ -29,22 +30,22 @@
     }
 )
 
-DRAFT_PREFIX = "~"  # of the names of drafts; whoever lists a folder skips them
-PRIVATE_MODE = 0o600  # of files that only their owner reads
-SHARED_MODE = 0o666  # of files that operators read, less the umask
+DRAFT_PREFIX = "~"  # starts the names of drafts, which listings of a folder leave out
+PRIVATE_MODE = 0o600  # permissions of files that only their owner reads
+SHARED_MODE = 0o666  # permissions of files that operators read, reduced by the umask
 FOLDER_MODE = 0o700
-RANDOM_NAME_BYTES = 4  # of a draft's name
+RANDOM_NAME_BYTES = 4  # random part of a draft's name
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all of `data`: one system call may take fewer bytes."""
+    """Write all of `data`, in several system calls if one writes only a part."""
     remaining = memoryview(data)
     while remaining:
         remaining = remaining[os.write(descriptor, remaining) :]
 
 
 def sync_folder(folder: Path) -> None:
-    """Wait until the names in a folder are on the disk."""
+    """Sync a folder: the names of new and renamed files in it survive a loss of power."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
@@ -55,7 +56,7 @@
 def replace_file(path: Path, text: str, mode: int = PRIVATE_MODE) -> None:
     """Replace the content of a file and sync it to the disk."""
     draft = path.with_name(f"{DRAFT_PREFIX}{path.name}.{os.getpid()}")
-    with suppress(OSError):  # left by an earlier process with this pid; if it stays, the next line raises
+    with suppress(OSError):  # left by an earlier process with this pid; `_write_draft` raises if it stays
         draft.unlink()
     try:
         _write_draft(draft, text, mode, sync=True)
@@ -68,14 +69,14 @@
 
 
 def create_file(path: Path, text: str, sync: bool = False) -> None:
-    """Create a file. Raises `FileExistsError` if it exists."""
+    """Create a file with its whole content. Raises `FileExistsError` if it exists."""
     random_part = os.urandom(RANDOM_NAME_BYTES).hex()
     draft = path.with_name(f"{DRAFT_PREFIX}{path.name}.{os.getpid()}.{random_part}")
     try:
         _write_draft(draft, text, PRIVATE_MODE, sync)
         os.link(draft, path)
     finally:
-        with suppress(OSError):  # a draft that stays is never read
+        with suppress(OSError):  # a draft that cannot be removed is never read
             draft.unlink()
     if sync:
         sync_folder(path.parent)
@@ -102,7 +103,7 @@
 
 
 def append_line(path: Path, line: str) -> None:
-    """Append a line to a file. If the last line was cut short, the new one starts on a line of its own."""
+    """Append a line to a file. A last line that was cut short is ended first."""
     flags = os.O_RDWR | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC
     descriptor = os.open(path, flags, SHARED_MODE)
     try:
--- a/eiderfield/durable_requests/answer_lookup.py
+++ b/eiderfield/durable_requests/answer_lookup.py
@@ -1,4 +1,7 @@
-"""Looks up durable requests by id, wherever they are recorded, for clients other than their own."""
+"""Looks up durable requests by id, in the store of whichever incarnation has recorded them.
+
+Serves clients other than the one that submitted the request.
+"""
 
 from __future__ import annotations
 
@@ -21,19 +24,19 @@
     def __init__(
         self, context: LoopContext, remote_waiters: RemoteWaiters, cancellation: RequestCancellation
     ) -> None:
-        """Look up nothing yet."""
+        """Cancel requests with `cancellation`, and let waiters wait in `remote_waiters`."""
         self._context = context
         self._remote_waiters = remote_waiters
         self._cancellation = cancellation
 
     def find(self, id_: str, on_found: Callable[[Record | None], None]) -> None:
-        """Look up the record of a request. `on_found` is called once, later."""
+        """Look up the record of a request. `on_found` is called once, after this call has returned."""
         self._context.commit_thread.write(Find(id_), lambda outcome: on_found(_record_found(outcome)))
 
     def wait(self, id_: str, until: float, on_answer: AnswerCallback) -> Callable[[], None]:
-        """Wait for the answer of a request; `on_answer` gets a failure if there is none at `until` (ms).
+        """Call `on_answer` with the answer of a request, or with a failure if there is none by `until` (ms).
 
-        Returns what to call to stop waiting.
+        Returns a function that stops the waiting.
         """
         waiter = Waiter(Request(id_, UNKNOWN_CLASS, until, ""), on_answer)
         waiter.timer = self._context.services.timers.at(until, waiter.expire)
@@ -41,9 +44,10 @@
         return partial(self._cancellation.on_client_left, waiter)
 
     def cancel(self, id_: str, on_requested: Callable[[bool], None]) -> None:
-        """Request the end of a request of any process; `on_requested` gets whether that is recorded.
+        """Request the end of a request that any process owns.
 
-        The answer says whether the request ended so, or as it would have without it.
+        `on_requested` is called with whether the end request is recorded. The answer of the request tells
+        whether it was cancelled or ended otherwise before.
         """
         self._context.commit_thread.write(
             RequestEnd(id_), lambda outcome: on_requested(isinstance(outcome, Written))
--- a/eiderfield/durable_requests/answer_recorder.py
+++ b/eiderfield/durable_requests/answer_recorder.py
@@ -1,9 +1,9 @@
 """Records final answers and passes them to the waiters.
 
-States of an answer: recording -> recorded -> passed on. While the system refuses the write, the answer is
-recorded again after `RETRY_INTERVAL_MS`, at most `MAX_RECORDING_TRIES` times. After that it is passed on
-unrecorded and recorded as soon as the system allows it. If another process owns the request by then, its
-answer is the final one and the waiters wait for that.
+States of an answer: recording -> recorded -> passed on. If the system refuses the write, it is tried again
+after `RETRY_INTERVAL_MS`. After `MAX_RECORDING_TRIES` refused tries the answer is passed on unrecorded, and
+recorded as soon as the system allows it. If another process owns the request by the time of a write, the
+answer of that process is the final one and the waiters wait for it.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from eiderfield.durable_requests.timing import MAX_RETRY_INTERVAL_MS, RETRY_INTERVAL_MS
 from eiderfield.exchange.request import Answer, Verdict
 
-MAX_RECORDING_TRIES = 3  # of an answer whose write is refused, before it is passed on unrecorded
+MAX_RECORDING_TRIES = 3  # refused writes of an answer before it is passed on unrecorded
 
 
 class AnswerRecorder:
     """Records the answers of the requests that this process owns."""
 
     def __init__(self, context: LoopContext, remote_waiters: RemoteWaiters) -> None:
-        """Hand waiters to `remote_waiters` when another process owns their request."""
+        """Move waiters to `remote_waiters` when another process owns their request."""
         self._context = context
         self._remote_waiters = remote_waiters
 
     def record(self, id_: str, owned: OwnedRequest, answer: Answer, reason: str = "") -> None:
-        """Record an answer, then pass it to the waiters. `reason` is for operators."""
+        """Record an answer, then pass it to the waiters. `reason` is stored for operators."""
         finish = Finish(id_, answer, reason)
         self._context.commit_thread.write(finish, partial(self._on_outcome, finish, owned))
 
@@ -53,10 +53,10 @@
             waiter.answer(answer)
 
     def _unrecorded_answer(self, finish: Finish, outcome: NotWritten) -> Answer:
-        """Return what may be passed on of an answer that cannot be recorded, and record that later.
+        """Return the answer to pass on in place of one that cannot be recorded, and record that one later.
 
-        A result is passed on. A rejection becomes a failure: unrecorded, it cannot promise that asking again
-        is harmless.
+        A result is passed on unchanged. A rejection becomes a failure: while it is not recorded, it cannot
+        promise that submitting the request again is harmless.
         """
         answer = finish.answer
         log = self._context.services.log
@@ -67,9 +67,10 @@
         return answer
 
     def _record_later(self, finish: Finish, interval: float, outcome: Outcome) -> None:
-        """Record an answer that has been passed on, with growing intervals until the system allows it.
+        """Record an answer that has been passed on, at growing intervals until the system allows it.
 
-        Until then a successor would go on with the request, and a client that asks again would wait.
+        Until it is recorded, a successor would continue the request, and a client that submits the request
+        again would wait.
         """
         if isinstance(outcome, NotWritten):
             next_interval = min(2.0 * interval, MAX_RETRY_INTERVAL_MS)
--- a/eiderfield/durable_requests/cancellation.py
+++ b/eiderfield/durable_requests/cancellation.py
@@ -1,4 +1,4 @@
-"""Ends owned requests early: on request, or because their clients have left."""
+"""Ends owned requests early: when a client or operator cancels them, or when their clients have left."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RequestCancellation:
-    """Withdraws requests from the exchange and records how they ended."""
+    """Withdraws requests from the exchange and records their answers."""
 
     def __init__(self, context: LoopContext, recorder: AnswerRecorder) -> None:
         """Record answers with `recorder`."""
@@ -20,7 +20,10 @@
         self._recorder = recorder
 
     def cancel(self, ids: Iterable[str]) -> None:
-        """Cancel those of some requests that this process owns. An answer that is being recorded stands."""
+        """Cancel the given requests, as far as this process owns them.
+
+        A request whose answer is being recorded already keeps that answer.
+        """
         for id_ in ids:
             owned = self._context.owned_requests.get(id_)
             if owned is None or not owned.is_submitted:
@@ -30,15 +33,16 @@
                 self._recorder.record(id_, owned, answer, "its end was asked for")
 
     def on_client_left(self, waiter: Waiter) -> None:
-        """Stop a waiter whose client has left."""
+        """Stop a waiter whose client has left, and abandon the request if it was the last one."""
         waiter.stop()
         self.abandon_unless_waited_for(waiter.request.id)
 
     def abandon_unless_waited_for(self, id_: str) -> None:
         """Start no further attempt of a request whose clients have all left.
 
-        An open attempt goes on, and its result is kept for a client that asks again. Without one the request
-        ends: as failed if an attempt may have run, otherwise as rejected, which frees its id.
+        An open attempt continues, and its result is stored for a client that submits the request again.
+        Without an open attempt the request ends: as failed if an attempt may have run, otherwise as rejected,
+        which frees its id.
         """
         owned = self._context.owned_requests.get(id_)
         if owned is None or not owned.is_submitted or owned.is_waited_for:
--- a/eiderfield/durable_requests/changes.py
+++ b/eiderfield/durable_requests/changes.py
@@ -1,14 +1,14 @@
 """Writes groups of changes into the store of the current incarnation and determines their outcomes.
 
-A group is written in one transaction. After the commit the incarnation looks up its own fence: what a fenced
-incarnation has written belongs to its successors, and nothing may follow from it here.
+A group is written in one transaction. After the commit the incarnation looks up its own fence: the records
+that a fenced incarnation has written belong to its successors, and this process must not act on them.
 
 Invariants:
 
-- `Accepted`, `Claimed` and `Written` are returned only for what is in the store, written by an incarnation
-  that was not fenced afterwards.
-- `NotWritten` of an `Accept` promises that submitting the request again is harmless. It is never returned for
-  a request that is recorded somewhere.
+- `Accepted`, `Claimed` and `Written` are returned only for a change that is in the store and whose
+  incarnation was found not to be fenced after the commit.
+- `NotWritten` as the outcome of an `Accept` promises that submitting the request again is harmless. It is
+  never returned for a request that is open or has a repeatable answer in any store.
 """
 
 from __future__ import annotations
@@ -38,16 +38,16 @@
 )
 from eiderfield.durable_requests.record import Record, Stage
 
-NO_INCARNATION = "no incarnation could be begun"  # the reason of a `NotWritten`
-ID_IS_HELD = 0  # in the place of a generation: another incarnation holds the id
+NO_INCARNATION = "no incarnation could be begun"  # a reason of `NotWritten`
+ID_IS_HELD = 0  # returned in place of a generation: another incarnation holds the id
 
 
 @dataclass(slots=True)
 class _Group:
     """A group of changes that is being written."""
 
-    drafts: dict[str, Record] = field(default_factory=dict)  # records to be written, by request id
-    acquired: list[Record] = field(default_factory=list)  # records whose ids were taken for the group
+    drafts: dict[str, Record] = field(default_factory=dict)  # the records to write, by request id
+    acquired: list[Record] = field(default_factory=list)  # records whose ids this group has acquired
     outcomes: list[Outcome] = field(default_factory=list)
 
 
@@ -55,10 +55,10 @@
     """Applies changes for the current incarnation."""
 
     def __init__(self, context: Context, lookup: RecordLookup) -> None:
-        """Write nothing yet."""
+        """Read earlier records with `lookup`."""
         self._context = context
         self._lookup = lookup
-        self._unreleased: list[Record] = []  # whose ids the system refused to release
+        self._unreleased: list[Record] = []  # records whose ids the system refused to release
 
     def apply(self, changes: Sequence[Change]) -> list[Outcome]:
         """Write a group of changes and return their outcomes."""
@@ -112,7 +112,7 @@
     # Drafts.
 
     def _draft(self, own: Incarnation, change: Change, group: _Group) -> Outcome:
-        """Add the record that a change leads to, and return the outcome once that is written."""
+        """Add the record that a change results in to the group. Return the outcome after a commit."""
         if isinstance(change, Accept):
             return self._draft_accept(own, change.record, group)
         record = group.drafts.get(change.id) or own.open_records.get(change.id)
@@ -152,10 +152,10 @@
         return Accepted()
 
     def _acquire_id(self, own: Incarnation, id_: str, located: LocatedRecord) -> int:
-        """Take an id that no incarnation holds any more, and return its generation.
+        """Acquire an id that is free, and return its generation.
 
-        An id is free again if its request was rejected, or if its holder was lost before it recorded
-        anything. Returns `ID_IS_HELD` if the id is not free.
+        An id is free if no incarnation has acquired it, if its request was rejected, or if its holder was
+        lost before it recorded anything. Returns `ID_IS_HELD` if the id is not free.
         """
         if self._lookup.is_unwritten_here(located):
             self._unreleased = [record for record in self._unreleased if record.id != id_]
@@ -166,9 +166,9 @@
         return generation if is_acquired else ID_IS_HELD
 
     def _acquire_key(self, record: Record) -> str:
-        """Hold a record's key for its id, unless another request holds it. Return the id that holds it.
+        """Acquire a record's key, unless another request holds it. Return the id of the holder.
 
-        A request that was rejected or abandoned does not hold its key any more.
+        A request that was rejected or abandoned no longer holds its key.
         """
         ids = self._context.folder.ids
         while (holder := ids.acquire_key(record.class_name, record.key, record.id)) != record.id:
@@ -198,8 +198,8 @@
     def _outcome_unwritten(self, change: Change, reason: str) -> Outcome:
         """Return the outcome of a change that could not be written.
 
-        The client of a request that is recorded somewhere waits for it: told that submitting again is
-        harmless, it could cause a second run.
+        An `Accept` of a request that any store may hold joins that request, so that its client gets the one
+        answer. With `NotWritten` the client would submit it again, which could run it twice.
         """
         if not isinstance(change, Accept):
             own = self._context.incarnation
@@ -220,17 +220,17 @@
         return NotWritten(reason) if is_unknown else AlreadyAccepted(record.id)
 
     def _outcome_after_fence(self, change: Change, outcome: Outcome) -> Outcome:
-        """Return the outcome of a change that a fenced incarnation has written: its successors own it."""
+        """Return the outcome of a change by a fenced incarnation, whose successors own the request."""
         if isinstance(change, Accept):
             return AlreadyAccepted(change.record.id) if isinstance(outcome, Accepted) else outcome
         if isinstance(change, Claim):
             self._context.counters.claims_refused += 1
         return NotOwned()
 
-    # Ids that were taken for records that could not be written.
+    # Ids that were acquired for records that could not be written.
 
     def _release(self, record: Record) -> None:
-        """Release an id, later if the system refuses it now."""
+        """Release an id, or keep it for `release_again` if the system refuses that now."""
         try:
             self._context.folder.ids.release(record.id, record.generation, record.class_name, record.key)
         except OSError:
@@ -246,7 +246,7 @@
 
 
 def _join(record: Record, recorded: Record) -> Outcome:
-    """Return the outcome of accepting a request whose id is recorded already."""
+    """Return the outcome of an `Accept` whose id is recorded already, with `recorded`."""
     if recorded.digest != record.digest:
         return Conflict()
     return AlreadyFinal(recorded) if recorded.stage == Stage.FINAL else AlreadyAccepted(record.id)
--- a/eiderfield/durable_requests/claims.py
+++ b/eiderfield/durable_requests/claims.py
@@ -1,14 +1,14 @@
-"""Claims of attempts: each attempt is recorded before its first byte is sent.
+"""Claims of attempts: an attempt is recorded, which claims it, before its first byte is sent.
 
 States of a claim:
 
     requested -> held (recorded by the current incarnation) -> ended
     requested -> refused
 
-While the system refuses the write, the claim is requested again, as long as the attempt is open.
+A claim whose write the system refuses is requested again, as long as the attempt is open.
 
-Invariant: no attempt starts under the claim of an incarnation that is over, or that other members may take
-for lost.
+Invariant: no attempt starts under the claim of an incarnation that has ended, or whose lease has run out, so
+that other members may consider it lost.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 from eiderfield.exchange.request import Attempt
 from eiderfield.machine import steady_ms
 
-ClaimCallback = Callable[[bool], None]  # called with whether an attempt may start
+ClaimCallback = Callable[[bool], None]  # its argument: whether the attempt may start
 
 
 class AttemptClaims:
     """The claims of one process."""
 
     def __init__(self, context: LoopContext, cancellation: RequestCancellation) -> None:
-        """Cancel a request with `cancellation` when its claim finds that its end has been requested."""
+        """Cancel a request with `cancellation` if its end was requested before the claim was recorded."""
         self._context = context
         self._cancellation = cancellation
-        self._incarnations: dict[Attempt, str] = {}  # which incarnation claimed an open attempt
+        self._incarnations: dict[Attempt, str] = {}  # the incarnation that claimed each open attempt
 
     @property
     def open_attempts(self) -> list[Attempt]:
@@ -57,8 +57,8 @@
     ) -> None:
         """Record an attempt; `on_claimed` is called with whether it may start.
 
-        Retry after `interval` ms if the system refuses the write. An attempt that has ended meanwhile is not
-        recorded.
+        If the system refuses the write, it is tried again after `interval` ms. An attempt that has ended by
+        then is not recorded, and `on_claimed` is not called.
         """
         if attempt.open:
             claim = Claim(attempt.pending.request.id, record)
@@ -87,22 +87,22 @@
         on_claimed(isinstance(outcome, Claimed))
 
     def holds(self, attempt: Attempt) -> bool:
-        """Return whether the claim of an attempt holds: by the current incarnation, within its lease."""
+        """Return whether the current incarnation claimed an attempt and its lease has not run out."""
         member = self._context.member
         incarnation = self._incarnations.get(attempt)
         return bool(incarnation) and incarnation == member.incarnation and member.holds_lease(steady_ms())
 
     def end(self, attempt: Attempt) -> None:
-        """Drop the claim of an attempt that is over, and the record of one that never ran."""
+        """Drop the claim of an attempt that has ended. Remove the record of an attempt that never ran."""
         self._incarnations.pop(attempt, None)
         if not attempt.may_have_run:
             release = ReleaseClaim(attempt.pending.request.id, attempt.number)
             self._context.commit_thread.write(release, _ignore_outcome)
 
     def drop_all(self) -> None:
-        """Drop all claims: the incarnation is over."""
+        """Drop all claims, after the end of the incarnation."""
         self._incarnations.clear()
 
 
 def _ignore_outcome(_outcome: Outcome) -> None:
-    """Do nothing: a release that is not written leaves an attempt that counts as one that may have run."""
+    """Do nothing: if the release is not written, the attempt counts as one that may have run."""
--- a/eiderfield/durable_requests/commit_thread.py
+++ b/eiderfield/durable_requests/commit_thread.py
@@ -1,9 +1,9 @@
 """The thread that performs the I/O of durable requests for the event loop.
 
-The loop hands operations in and never waits for the disk. Outcomes are called back in the loop, in the order
-in which the operations were handed in. Claims and answers are always taken in; new requests only while the
-queue is not full. One group of operations is written in one commit, and all that is handed in meanwhile forms
-the next group: under load one commit serves many operations.
+The loop queues operations and never waits for the disk. The callbacks with their outcomes run in the loop, in
+the order in which the operations were queued. Claims and answers are always queued; callers queue new
+requests only while the queue is not full. One group of operations is written in one commit, and the
+operations that are queued meanwhile form the next group: under load one commit serves many operations.
 
 Between groups the thread ticks its member, takes over requests of lost incarnations, and polls for the
 answers of requests that other processes own.
@@ -23,13 +23,13 @@
 from eiderfield.durable_requests.record import Record
 from eiderfield.machine import steady_ms
 
-MAX_GROUP_SIZE = 256  # operations of one commit
-TAKEOVER_INTERVAL_MS = 20.0  # between two groups of requests that are taken over
+MAX_GROUP_SIZE = 256  # operations in one commit
+TAKEOVER_INTERVAL_MS = 20.0  # between two commits of requests that are taken over
 POLL_INTERVAL_MS = 25.0  # between two polls for answers
-MAX_POLLED_IDS = 200  # of one poll
-MIN_WAIT_MS = 1.0  # for an operation, before the next step that is due
+MAX_POLLED_IDS = 200  # request ids in one poll
+MIN_WAIT_MS = 1.0  # shortest wait for an operation before the next step that is due
 
-CallInLoop = Callable[[Callable[[], None]], object]  # from any thread
+CallInLoop = Callable[[Callable[[], None]], object]  # called from any thread
 OutcomeCallback = Callable[[Outcome], None]
 LeaveCallback = Callable[[bool], None]
 Group = list[tuple[Operation, OutcomeCallback]]
@@ -42,10 +42,10 @@
         """Handle requests of lost incarnations that this incarnation owns from now on."""
 
     def on_answer(self, id_: str, record: Record | None) -> None:
-        """Handle the answer of a watched request; `record` is None if nothing is known of it any more."""
+        """Handle the answer of a watched request; `record` is None if there is no record to wait for."""
 
     def on_incarnation_over(self) -> None:
-        """Handle the end of the incarnation: its successors own its requests."""
+        """Handle the end of the incarnation, whose successors own its requests."""
 
     def on_end_requested(self, ids: list[str]) -> None:
         """Handle requests of this incarnation whose end has been requested."""
@@ -57,15 +57,15 @@
     _listener: ThreadListener
 
     def __init__(self, member: Member, call_in_loop: CallInLoop, max_waiting_operations: int) -> None:
-        """Count as full while `max_waiting_operations` operations wait."""
+        """Create the thread of `member`; the queue is full with `max_waiting_operations` operations."""
         self.member = member
         self._call_in_loop = call_in_loop
         self._max_waiting_operations = max_waiting_operations
         self._queue: deque[tuple[Operation, OutcomeCallback]] = deque()
         self._wakeup = threading.Condition()
-        self._watched: dict[str, None] = {}  # request ids, the one that was polled last at the end
+        self._watched: dict[str, None] = {}  # request ids, the last polled ones at the end
         self._is_ending = False
-        self._on_left: LeaveCallback | None = None  # set once the member is to leave
+        self._on_left: LeaveCallback | None = None  # set by `leave`
         self._next_tick = self._next_poll = 0.0
         self._report_errors = _ErrorReporter(member)
         self._thread = threading.Thread(target=self._run, name="durable-requests", daemon=True)
@@ -80,7 +80,7 @@
         self._thread.start()
 
     def close(self) -> None:
-        """End the thread once all operations are written."""
+        """Write all queued operations, then end the thread."""
         with self._wakeup:
             self._is_ending = True
             self._wakeup.notify()
@@ -94,11 +94,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no new request may be handed in."""
+        """Whether no new request may be queued."""
         return len(self._queue) >= self._max_waiting_operations
 
     def write(self, operation: Operation, on_outcome: OutcomeCallback) -> None:
-        """Hand an operation in; `on_outcome` is called in the loop with its outcome."""
+        """Queue an operation; `on_outcome` is called in the loop with its outcome."""
         with self._wakeup:
             self._queue.append((operation, on_outcome))
             self._wakeup.notify()
@@ -120,7 +120,7 @@
             self._on_left = on_left
             self._wakeup.notify()
 
-    # In the thread.
+    # The following methods run in the thread.
 
     def _run(self) -> None:
         while True:
@@ -148,7 +148,10 @@
         return max(MIN_WAIT_MS, delay)
 
     def run_turn(self, group: Group, on_left: LeaveCallback | None = None) -> None:
-        """Write a group of operations, then do what is due. An error in one step does not stop the others."""
+        """Write a group of operations, then run the steps that are due.
+
+        An error in one step does not stop the others.
+        """
         incarnation_before = self.member.incarnation
         self._write(group)
         if on_left is not None:
@@ -218,7 +221,7 @@
 
 
 class _ErrorReporter:
-    """A context that reports an error of the step within it and goes on: the thread must not end."""
+    """A context manager that logs and suppresses an error of the step within it: the thread must not end."""
 
     def __init__(self, member: Member) -> None:
         self._member = member
--- a/eiderfield/durable_requests/context.py
+++ b/eiderfield/durable_requests/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a member share: settings, folder, readers, counters, clock and log."""
+"""The state that the parts of a member share: settings, folder, readers, counters, clock and log."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 @dataclass(slots=True)
 class Counters:
-    """What this process has done since it started, for its console."""
+    """Counts of events since the start of this process, for its console."""
 
     accepted: int = 0
-    joined: int = 0  # clients that joined a recorded request
+    joined: int = 0  # clients that joined a request that was recorded already
     refused: int = 0  # clients whose request could not be recorded
     claims_refused: int = 0
     taken_over: int = 0
-    expired: int = 0  # taken over after their deadline
-    fenced: int = 0  # incarnations of this process that others fenced
-    lost_answers: int = 0  # answers to requests that had been taken over meanwhile
-    fences: int = 0  # written by this process
+    expired: int = 0  # requests that were taken over after their deadline, or of an unknown class
+    fenced: int = 0  # incarnations of this process that other members fenced
+    lost_answers: int = 0  # answers that were not recorded because a successor owned the request
+    fences: int = 0  # fences that this process wrote
     commits: int = 0
     slowest_commit: float = 0.0  # ms
     commits_failed: int = 0  # writes that the system refused
@@ -40,14 +40,14 @@
     store: RecordStore
     lease: Lease
     detector: FailureDetector
-    open_records: dict[str, Record] = field(default_factory=dict)  # without an answer, by request id
-    heartbeat: int = 0  # the count that was written last
-    suspects: set[str] = field(default_factory=set)  # incarnations that it votes against
+    open_records: dict[str, Record] = field(default_factory=dict)  # records without an answer, by request id
+    heartbeat: int = 0  # the last count that was written
+    suspects: set[str] = field(default_factory=set)  # incarnations that this one votes against
 
 
 @dataclass(slots=True)
 class Context:
-    """Shared by the parts of one member.
+    """The state that the parts of one member share.
 
     `priorities` has the priority weight of each class, by name. `reach_failpoint` is called with the name of
     each failpoint of the protocol; there the laboratory stops or kills the process.
@@ -76,18 +76,18 @@
             self.log(text)
 
     def count_failure(self, error: Exception) -> None:
-        """Count and log an operation that the system refused and that is tried again."""
+        """Count and log an operation that the system refused and that will be tried again."""
         self.counters.commits_failed += 1
         self.log_once(f"durable requests: operation refused, retrying (error={error})")
 
     def end_incarnation(self) -> None:
-        """End the current incarnation. Its successors own its requests."""
+        """End the current incarnation, whose successors own its requests."""
         if self.incarnation is not None:
             self.incarnation.store.close()
             self.incarnation = None
 
     def end_if_fenced(self) -> bool:
-        """Return whether there is no incarnation, or it is fenced; a fenced one ends.
+        """End the current incarnation if it is fenced. Return whether there is no incarnation after that.
 
         Raises `OSError` if the fence cannot be looked up.
         """
@@ -106,10 +106,10 @@
         return True
 
     def end_if_fenced_after_commit(self) -> bool:
-        """Return whether the incarnation is over, after it has written.
+        """End the incarnation after a commit if it is, or may be, fenced. Return whether there is none then.
 
-        If the fence cannot be looked up, the incarnation ends: its successors may own what it wrote, so
-        nothing may follow from it here.
+        If the fence cannot be looked up, the incarnation ends: its successors may own the records that it
+        wrote, so this process must not act on them.
         """
         try:
             return self.end_if_fenced()
--- a/eiderfield/durable_requests/coordinator.py
+++ b/eiderfield/durable_requests/coordinator.py
@@ -1,16 +1,18 @@
 """Durable requests in the event loop: assembles the parts, starts and ends them.
 
-    fronts    -> intake.py, answer_lookup.py
-    exchange  -> exchange_hooks.py (claims.py, answer_recorder.py)
-    thread    -> thread_events.py
+    caller           called part
+    fronts           intake.py, answer_lookup.py
+    exchange         exchange_hooks.py (claims.py, answer_recorder.py)
+    commit thread    thread_events.py
 
 The parts share a `LoopContext` and perform no I/O: all writes go through the commit thread.
 
 Invariants:
 
-- No answer is passed on before it is recorded, except a failure at the very end of a client's time, which
-  promises nothing, and an answer that the disk refuses, which is recorded once the disk allows it.
-- No attempt starts under the claim of an incarnation that is over.
+- No answer is passed on before it is recorded, with two exceptions: a failure that a client gets just before
+  its deadline, which promises nothing about the request, and an answer that the disk refuses, which is
+  recorded once the disk allows it.
+- No attempt starts under the claim of an incarnation that has ended.
 """
 
 from __future__ import annotations
@@ -32,7 +34,7 @@
 from eiderfield.durable_requests.thread_events import ThreadEvents
 from eiderfield.interface import Effect
 
-LEAVE_RETRY_INTERVAL_MS = 1000.0  # while an attempt is open that must not be repeated
+LEAVE_RETRY_INTERVAL_MS = 1000.0  # between tries to leave while an attempt is open that must not be repeated
 
 
 class DurableRequestCoordinator:
@@ -43,7 +45,7 @@
     """
 
     def __init__(self, settings: DurableRequestSettings, name: str, services: ProcessServices) -> None:
-        """Open the folder. Raises `FolderError` if only an operator can make that possible."""
+        """Open the folder. Raises `FolderError` for a fault that only an operator can mend."""
         classes = services.exchange.settings.classes
         priorities = {each.name: each.priority_weight for each in classes}
         member = Member(settings, name, priorities, services.log)
@@ -77,8 +79,8 @@
     def begin(self) -> None:
         """Begin an incarnation.
 
-        If the disk may allow that in a while, it is begun later and no request is accepted until then. Raises
-        `FolderError` or `StoreError` for what only an operator can mend.
+        After a transient error of the disk it is begun later, and no request is accepted until then. Raises
+        `FolderError` or `StoreError` for a fault that only an operator can mend.
         """
         try:
             self.member.begin()
@@ -94,18 +96,18 @@
         self.context.commit_thread.start()
 
     def close(self) -> None:
-        """End the commit thread. Unanswered requests are the successors' once this process is gone."""
+        """End the commit thread. Successors own the unanswered requests once this process has exited."""
         self.context.commit_thread.close()
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is left to write or to answer."""
+        """Whether no request is owned and no operation waits to be written."""
         return not self.context.owned_requests and not self.context.commit_thread.waiting_count
 
     def leave(self) -> None:
         """Give the unanswered requests to the other members.
 
-        While an attempt is open that must not be repeated, its answer may still come: leave later.
+        While an attempt is open that must not be repeated, try again later: its answer may still arrive.
         """
         if not self.context.owned_requests:
             return
@@ -128,7 +130,7 @@
             self.thread_events.on_incarnation_over()
 
     def figures(self) -> DurableRequestFigures:
-        """Return what the console shows."""
+        """Return the figures that the console shows."""
         member = self.member
         return DurableRequestFigures(
             incarnation=member.incarnation,
--- a/eiderfield/durable_requests/end_requests.py
+++ b/eiderfield/durable_requests/end_requests.py
@@ -1,6 +1,6 @@
-"""Requests for the end of a request, which its owner finds at its next tick.
+"""End requests: each asks the owner of a request to cancel it. The owner finds them at its next tick.
 
-wishes/HASH    the id of the request
+wishes/HASH    the id of the request to cancel
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 from eiderfield.durable_requests.files import FolderFiles, hashed_name
 
-END_REQUESTS = "wishes"  # the part of the folder; the stored name is older
+END_REQUESTS = "wishes"  # the subfolder, whose stored name is older than this module's
 
 
 class EndRequests:
     """All end requests in a folder."""
 
     def __init__(self, files: FolderFiles) -> None:
-        """Read nothing yet."""
+        """Use the folder of `files`."""
         self._files = files
 
     def add(self, id_: str) -> None:
--- a/eiderfield/durable_requests/errors.py
+++ b/eiderfield/durable_requests/errors.py
@@ -13,15 +13,15 @@
 
 from eiderfield.errors import EiderfieldError
 
-FOLDER_KEY = "custody.folder"  # the key of the settings that names the shared folder
-MAX_SHOWN_NAME = 40  # characters of a name in a message
+FOLDER_KEY = "custody.folder"  # the settings key of the shared folder's path
+MAX_SHOWN_NAME = 40  # characters of a name that a message shows
 
 
 class DurableRequestsError(EiderfieldError, RuntimeError):
     """Base of all errors of durable requests.
 
-    `transient` says that the same call may succeed later, without an operator. `key` is the key of the
-    settings that an operator has to change, '' if it is none.
+    `transient` tells whether the same call may succeed later, without an operator. `key` is the settings key
+    that an operator has to change, '' for none.
     """
 
     def __init__(self, message: str, transient: bool = False, key: str = "") -> None:
@@ -32,7 +32,7 @@
 
 
 class FolderError(DurableRequestsError):
-    """The shared folder, `path`, cannot be used. `key` is '' if the folder is from the command line."""
+    """The shared folder, `path`, cannot be used. `key` is '' if the command line gave the path."""
 
     def __init__(self, path: Path, reason: str, key: str = "", transient: bool = False) -> None:
         """Create an error with a message of key, path and reason."""
@@ -62,7 +62,7 @@
 
 
 class EmptyStoreError(StoreError):
-    """Nothing was ever written to a store: its writer was lost, or refused, before the first record."""
+    """Nothing was ever written to a store: its writer was lost or refused before the first record."""
 
     def __init__(self, path: Path) -> None:
         """Create an error for the file of a store."""
--- a/eiderfield/durable_requests/exchange_hooks.py
+++ b/eiderfield/durable_requests/exchange_hooks.py
@@ -1,4 +1,4 @@
-"""What the exchange calls for durable requests (implements `exchange.DurableRequests`)."""
+"""The methods that the exchange calls for durable requests (implements `exchange.DurableRequests`)."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
         self._claims.request(attempt, record, on_claimed)
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Return whether a claimed attempt may still start: its claim holds and a client waits for it."""
+        """Return whether a claimed attempt may still start: its claim holds and a client waits."""
         owned = self._context.owned_requests.get(attempt.pending.request.id)
         is_waited_for = owned is None or owned.is_waited_for
         return is_waited_for and self._claims.holds(attempt)
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Release the claim of an attempt that is over."""
+        """Release the claim of an attempt that has ended, and abandon its request if no client waits."""
         self._claims.end(attempt)
         self._cancellation.abandon_unless_waited_for(attempt.pending.request.id)
 
