--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -14,6 +14,7 @@
 from eiderfield.net.handover.messages import (
     BanChanged,
     ConnectionPassed,
+    ConnectionsUnparked,
     DispatcherState,
     ListenersReleased,
     LoadChanged,
@@ -21,7 +22,6 @@
     OpenAttempts,
     ParkedBatch,
     ParkedBatchTaken,
-    ParkedDeparted,
     TakeoverAccepted,
     TakeoverDelayed,
     TakeoverRequest,
@@ -148,8 +148,8 @@
     def _decode_parked_batch_taken(self, fields: Fields) -> ParkedBatchTaken:
         return ParkedBatchTaken(fields.text("door"), fields.integers("refused"))
 
-    def _decode_parked_departed(self, fields: Fields) -> ParkedDeparted:
-        return ParkedDeparted(fields.text("door"), fields.integers("keys"))
+    def _decode_connections_unparked(self, fields: Fields) -> ConnectionsUnparked:
+        return ConnectionsUnparked(fields.text("door"), fields.integers("keys"))
 
     _DECODERS: Mapping[str, Callable[[Decoder, Fields], Message]] = {
         MessageKind.TAKEOVER_REQUEST: _decode_takeover_request,
@@ -162,7 +162,7 @@
         MessageKind.CONNECTION_PASSED: _decode_connection_passed,
         MessageKind.PARKED_BATCH: _decode_parked_batch,
         MessageKind.PARKED_BATCH_TAKEN: _decode_parked_batch_taken,
-        MessageKind.PARKED_DEPARTED: _decode_parked_departed,
+        MessageKind.CONNECTIONS_UNPARKED: _decode_connections_unparked,
     }
 
 
--- a/eiderfield/net/handover/encoder.py
+++ b/eiderfield/net/handover/encoder.py
@@ -15,13 +15,13 @@
 from eiderfield.net.handover.messages import (
     BanChanged,
     ConnectionPassed,
+    ConnectionsUnparked,
     DispatcherState,
     ListenersReleased,
     LoadChanged,
     Message,
     ParkedBatch,
     ParkedBatchTaken,
-    ParkedDeparted,
     TakeoverAccepted,
     TakeoverDelayed,
     TakeoverRequest,
@@ -71,7 +71,7 @@
     return {"door": message.listener, "refused": list(message.refused)}
 
 
-def _encode_parked_departed(message: ParkedDeparted) -> WireMessage:
+def _encode_connections_unparked(message: ConnectionsUnparked) -> WireMessage:
     return {"door": message.listener, "keys": list(message.keys)}
 
 
@@ -141,7 +141,7 @@
     ListenersReleased: (MessageKind.LISTENERS_RELEASED, _encode_listeners_released),
     LoadChanged: (MessageKind.LOAD_CHANGED, _encode_load_changed),
     ParkedBatchTaken: (MessageKind.PARKED_BATCH_TAKEN, _encode_parked_batch_taken),
-    ParkedDeparted: (MessageKind.PARKED_DEPARTED, _encode_parked_departed),
+    ConnectionsUnparked: (MessageKind.CONNECTIONS_UNPARKED, _encode_connections_unparked),
 }
 _TIMED_ENCODERS: dict[type, tuple[MessageKind, Callable[[Any, float], WireMessage]]] = {
     DispatcherState: (MessageKind.DISPATCHER_STATE, _encode_dispatcher_state),
--- a/eiderfield/net/handover/message_kinds.py
+++ b/eiderfield/net/handover/message_kinds.py
@@ -18,4 +18,4 @@
     CONNECTION_PASSED = "client"
     PARKED_BATCH = "parked"
     PARKED_BATCH_TAKEN = "got"
-    PARKED_DEPARTED = "departed"
+    CONNECTIONS_UNPARKED = "departed"
--- a/eiderfield/net/handover/messages.py
+++ b/eiderfield/net/handover/messages.py
@@ -113,7 +113,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ParkedDeparted:
+class ConnectionsUnparked:
     """The old process has to close its copies of some parked connections."""
 
     listener: str
@@ -131,5 +131,5 @@
     | ConnectionPassed
     | ParkedBatch
     | ParkedBatchTaken
-    | ParkedDeparted
+    | ConnectionsUnparked
 )
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -20,11 +20,11 @@
 from eiderfield.net.handover.messages import (
     PROTOCOL_VERSION,
     ConnectionPassed,
+    ConnectionsUnparked,
     DispatcherState,
     ListenersReleased,
     ParkedBatch,
     ParkedBatchTaken,
-    ParkedDeparted,
     TakeoverAccepted,
     TakeoverDelayed,
     TakeoverRequest,
@@ -73,7 +73,7 @@
             context.exchange.resume(state.learned, context.clock())
         self._share_updates()
         for name in self._adopted:
-            context.listeners[name].parking.on_departure = partial(self._report_departed, name)
+            context.listeners[name].parking.on_departure = partial(self._report_unparked, name)
         self._channel.send(TakeoverAccepted(tuple(self._adopted), takes_parked=True))
 
     def start_accepting(self, message: ListenersReleased) -> None:
@@ -144,8 +144,8 @@
                 sock.close()
         descriptors.clear()
 
-    def _report_departed(self, name: str, keys: list[int]) -> None:
-        self._channel.send(ParkedDeparted(name, tuple(keys)))
+    def _report_unparked(self, name: str, keys: list[int]) -> None:
+        self._channel.send(ConnectionsUnparked(name, tuple(keys)))
 
     def _update_counts(self, connection_counts: Mapping[str, int]) -> None:
         """Count the old process's connections within the limits of this process's listeners."""
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -24,12 +24,12 @@
 from eiderfield.net.handover.messages import (
     PROTOCOL_VERSION,
     ConnectionPassed,
+    ConnectionsUnparked,
     DispatcherState,
     ListenersReleased,
     OpenAttempts,
     ParkedBatch,
     ParkedBatchTaken,
-    ParkedDeparted,
     TakeoverAccepted,
     TakeoverRequest,
 )
@@ -140,7 +140,7 @@
         else:
             self._send_next_batch()
 
-    def parked_departed(self, message: ParkedDeparted) -> None:
+    def close_unparked_copies(self, message: ConnectionsUnparked) -> None:
         """Close the copies of parked connections that are the new process's alone."""
         self._context.listeners[message.listener].parking.close_lent(list(message.keys))
 
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -79,7 +79,7 @@
     "parked": m.ParkedBatch(LISTEN, (START - 1460.0,), (), {LISTEN: 5}),
     "parked-copies": m.ParkedBatch(LISTEN, (START - 1460.0,), (13,), {LISTEN: 5}),
     "got": m.ParkedBatchTaken(LISTEN, ()),
-    "departed": m.ParkedDeparted(LISTEN, (7,)),
+    "departed": m.ConnectionsUnparked(LISTEN, (7,)),
 }
 
 
@@ -169,7 +169,7 @@
     module.take_over = lambda handover, link, finished: handover.take_over(link, finished)
     module.pass_connection = pass_connection
     module.teach = teach
-    module.tell_departed = lambda handover, keys: handover._new._report_departed(LISTEN, keys)
+    module.tell_departed = lambda handover, keys: handover._new._report_unparked(LISTEN, keys)
     accept_all, park = module.accept_all, module.park
     module.replace = lambda idling, copies: replace(idling, keep_copies=copies)
 
