--- a/eiderfield/net/handover/channel.py
+++ b/eiderfield/net/handover/channel.py
@@ -43,7 +43,7 @@
         self._codec = self._new_codec()
         self._link = link
         link.receive = self.receive_fields
-        link.lost = self.end
+        link.lost = self.close_as_lost
 
     def send(self, message: Message, descriptors: Sequence[int] = ()) -> None:
         """Send a message with copies of descriptors; raises `OSError` if they cannot be copied."""
@@ -56,7 +56,7 @@
             self.receive(self._codec.decode(fields), descriptors)
         except (KeyError, TypeError, ValueError, AttributeError, OSError) as error:
             self._log(f"handover: message rejected, link closed (error={error!r})")
-            self.end()
+            self.close_as_lost()
         finally:
             close_all(descriptors)
 
@@ -66,7 +66,7 @@
             self._link.close()
             self._link = None
 
-    def end(self) -> None:
+    def close_as_lost(self) -> None:
         """Close the link and report it as lost."""
         if self._link is not None:
             self.close()
--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -74,7 +74,9 @@
         learned = fields.required("memory")
 
         def past_times() -> list[float]:
-            unbanned = [at for worker in _unbanned(table) for at in (worker.banned_at, worker.unbanned_at)]
+            unbanned = [
+                at for worker in _unbanned_workers(table) for at in (worker.banned_at, worker.unbanned_at)
+            ]
             return [*bans.values(), *unbanned, *past_events(learned)]
 
         sender = self._sender_clock(fields, past_times)
@@ -178,7 +180,7 @@
     heard_at = fields.optional_number("heard")
     unbanned = [
         UnbannedWorker(worker.name, sender.past(worker.banned_at), sender.past(worker.unbanned_at))
-        for worker in _unbanned(fields)
+        for worker in _unbanned_workers(fields)
     ]
     return RoutingTableState(
         index=fields.integer("index"),
@@ -205,7 +207,7 @@
     )
 
 
-def _unbanned(table: Fields) -> list[UnbannedWorker]:
+def _unbanned_workers(table: Fields) -> list[UnbannedWorker]:
     """Return the workers whose bans were lifted, with times by the sender's clock."""
     return [
         UnbannedWorker(text(name, "cold"), number(banned_at, "cold"), number(unbanned_at, "cold"))
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -45,9 +45,9 @@
         self._share_updates = share_updates
         self._on_finished: Callable[[], None] | None = None
         self._timer: Timer | None = None
-        self._adopted: list[str] = []  # names of the listeners of the old process
+        self._adopted_listeners: list[str] = []  # names of the listeners of the old process
 
-    def ask(self, on_finished: Callable[[], None]) -> None:
+    def request_takeover(self, on_finished: Callable[[], None]) -> None:
         """Ask the old process to hand over; `on_finished` is called after success or failure."""
         self._on_finished = on_finished
         self._start_timer(ANSWER_TIMEOUT_MS)
@@ -72,9 +72,9 @@
         if state.learned is not None:
             context.exchange.resume(state.learned, context.clock())
         self._share_updates()
-        for name in self._adopted:
+        for name in self._adopted_listeners:
             context.listeners[name].parking.on_departure = partial(self._report_unparked, name)
-        self._channel.send(TakeoverAccepted(tuple(self._adopted), takes_parked=True))
+        self._channel.send(TakeoverAccepted(tuple(self._adopted_listeners), takes_parked=True))
 
     def start_accepting(self, message: ListenersReleased) -> None:
         """Accept at the adopted listeners: the old process has stopped."""
@@ -82,7 +82,7 @@
         self._context.workers.share_connections(True)
         if self._context.peers is not None:
             self._context.peers.resume()
-        for name in self._adopted:
+        for name in self._adopted_listeners:
             self._context.listeners[name].set_passive(False)
         self.finish()
 
@@ -123,7 +123,7 @@
 
     def _answer_timed_out(self) -> None:
         self._context.log("handover: no answer from the old process, starting beside it")
-        self._channel.end()
+        self._channel.close_as_lost()
 
     def _adopt_peers(self, sock: socket.socket) -> None:
         if self._context.peers is None:
@@ -139,7 +139,7 @@
             if listener is not None and not listener.listening:
                 listener.adopt(self._context.loop, sock)
                 listener.set_passive(True)  # until the old process has stopped accepting
-                self._adopted.append(name)
+                self._adopted_listeners.append(name)
             else:
                 sock.close()
         descriptors.clear()
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -46,7 +46,7 @@
         self._context = context
         self._channel = channel
         self._share_updates = share_updates
-        self._shared: list[str] = []  # names of the listeners that the new process has too
+        self._shared_listeners: list[str] = []  # names of the listeners that the new process has too
         self._sends_batches = False  # whether the new process takes parked connections in batches
         self._batch_pending = False  # whether a batch was sent and not taken yet
 
@@ -88,16 +88,18 @@
         """Stop accepting: the new process has adopted the listeners."""
         context = self._context
         self.handed_over = True
-        self._shared = [name for name in message.listeners if name in context.listeners]
-        for name in self._shared:
+        self._shared_listeners = [name for name in message.listeners if name in context.listeners]
+        for name in self._shared_listeners:
             context.listeners[name].set_passive(True)
         if context.peers is not None:  # the new process exchanges messages with peers for both
             context.peers.pause()
         context.workers.share_connections(True)
-        context.log(f"handover: taken over, serving remaining clients (listeners={len(self._shared)})")
+        context.log(
+            f"handover: taken over, serving remaining clients (listeners={len(self._shared_listeners)})"
+        )
         self._channel.send(ListenersReleased(self._connection_counts()))
         self._sends_batches = message.takes_parked
-        for name in self._shared:
+        for name in self._shared_listeners:
             context.listeners[name].parking.on_park = self._send_next_batch
         self._send_next_batch()
 
@@ -105,7 +107,7 @@
         """Send the next batch of parked connections, unless one is pending."""
         if not self._sends_batches or self._batch_pending or not self._channel.connected:
             return
-        for name in self._shared:
+        for name in self._shared_listeners:
             listener = self._context.listeners[name]
             if batch := listener.parking.lend(MAX_PARKED_BATCH):
                 self._batch_pending = True
@@ -147,7 +149,7 @@
     def pass_clients(self, listeners: list[str]) -> None:
         """Pass client connections from now on, each once no response on it is pending."""
         for name in listeners:
-            if self.handed_over and name in self._shared:
+            if self.handed_over and name in self._shared_listeners:
                 self._context.listeners[name].successor = partial(self._pass_connection, name)
 
     def _pass_connection(self, name: str, detach: Detach) -> bool:
@@ -167,9 +169,9 @@
         return True
 
     def _connection_counts(self) -> dict[str, int]:
-        return {name: self._context.listeners[name].connections for name in self._shared}
+        return {name: self._context.listeners[name].connections for name in self._shared_listeners}
 
-    def take_back(self) -> bool:
+    def resume_alone(self) -> bool:
         """Serve alone again after the new process is gone; return whether it had taken over."""
         was_handed_over, self.handed_over = self.handed_over, False
         self._sends_batches = self._batch_pending = False
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -116,7 +116,7 @@
     def take_over(self, link: Link, on_finished: Callable[[], None]) -> None:
         """Take over from the process at the other end; `on_finished` is called after success or failure."""
         self._channel.attach(link)
-        self._new.ask(on_finished)
+        self._new.request_takeover(on_finished)
 
     def accept(self, link: Link) -> None:
         """Accept the link of a new process. One may wait until the present handover is over."""
@@ -189,7 +189,7 @@
     def _link_lost(self) -> None:
         """Continue alone: the other process is gone or was not understood."""
         context = self._context
-        had_handed_over = self._old.take_back()
+        had_handed_over = self._old.resume_alone()
         context.exchange.other_process.ended()
         context.table.on_ban = None
         context.workers.share_connections(False)
