--- a/eiderfield/net/bans.py
+++ b/eiderfield/net/bans.py
@@ -41,7 +41,7 @@
 
     Attributes:
         since: By worker name, when the ban began.
-        on_late_ban: Called with the name and time of each ban that was read after the start.
+        on_ban_read: Called with the name and time of each ban that was read after the start.
     """
 
     def __init__(
@@ -64,14 +64,14 @@
             wall: Relates `clock` to the Unix times of the file; without it they are the same.
         """
         self.since: BanTimes = {}
-        self.on_late_ban: Callable[[str, float], None] | None = None
+        self.on_ban_read: Callable[[str, float], None] | None = None
         self._file = None if path is None else BanFile(path, log, wall)
         self._log = log
         self._timers = timers
         self._clock = clock
         self._run = run
-        self._on_file: BanTimes | None = {}  # None while unknown
-        self._unread = False
+        self._bans_on_file: BanTimes | None = {}  # None while unknown
+        self._file_unread = False
         self._lifted_while_unread: set[str] = set()
         self._operation_running = False
         self._retry_scheduled = False
@@ -81,23 +81,23 @@
     @property
     def saved(self) -> bool:
         """Whether the file holds the bans in memory."""
-        return self._file is None or self.since == self._on_file
+        return self._file is None or self.since == self._bans_on_file
 
     def load(self) -> None:
         """Read the bans that an earlier process saved. A malformed file counts as empty."""
         if self._file is None:
             return
         try:
-            self.since = self._on_file = self._file.read()
+            self.since = self._bans_on_file = self._file.read()
         except OSError as error:
             self._log(f"bans: file not readable yet, retrying (path={self._file.path} error={error})")
-            self._unread = True
+            self._file_unread = True
             self._schedule_retry()
         self.since = dict(self.since)
 
     def remove(self, name: str) -> float | None:
         """Remove a ban; return when it began, or None if there is none."""
-        if self._unread:
+        if self._file_unread:
             self._lifted_while_unread.add(name)
         return self.since.pop(name, None)
 
@@ -122,7 +122,7 @@
         """Write the bans, or read the file if it was not read yet."""
         self._operation_running = True
         callbacks, self._callbacks = self._callbacks, []
-        if self._unread:
+        if self._file_unread:
             self._run(file.read, partial(self._read_ended, file, callbacks))
         else:
             snapshot = dict(self.since)
@@ -133,14 +133,14 @@
             self._attempt_ended(file, callbacks, result)
             return
         self._callbacks = callbacks + self._callbacks
-        self._apply_late_bans(result)
+        self._apply_bans_on_file(result)
         self._start_attempt(file)
 
-    def _apply_late_bans(self, bans: BanTimes) -> None:
-        self._unread = False
+    def _apply_bans_on_file(self, bans: BanTimes) -> None:
+        self._file_unread = False
         for name in bans.keys() - self.since.keys() - self._lifted_while_unread:
-            if self.on_late_ban is not None:
-                self.on_late_ban(name, bans[name])
+            if self.on_ban_read is not None:
+                self.on_ban_read(name, bans[name])
         self._lifted_while_unread.clear()
 
     def _attempt_ended(
@@ -157,14 +157,14 @@
             self._start_attempt(file)
 
     def _record_failure(self, file: BanFile, error: OSError) -> None:
-        self._on_file = None
+        self._bans_on_file = None
         if str(error) != self._last_error:
             self._last_error = str(error)
             self._log(f"bans: file not written, retrying (path={file.path} error={error})")
         self._schedule_retry()
 
     def _record_success(self, file: BanFile, written: BanTimes) -> None:
-        self._on_file = written
+        self._bans_on_file = written
         if self._last_error:
             self._log(f"bans: file written again (path={file.path})")
         self._last_error = ""
--- a/eiderfield/net/discovery/consul.py
+++ b/eiderfield/net/discovery/consul.py
@@ -95,7 +95,7 @@
         self.table.start_times.record_source_contact()
         self.table.unconfirmed_removals = unconfirmed
         if not unconfirmed:
-            self.list_applied()
+            self.report_first_list()
         if self._index:
             self._query()
         else:
--- a/eiderfield/net/discovery/platform.py
+++ b/eiderfield/net/discovery/platform.py
@@ -41,7 +41,7 @@
             self.table.start_times.record_source_contact()
             self.record_heartbeat()
             if text:
-                self.list_applied()
+                self.report_first_list()
 
     def on_end(self) -> None:
         """Reject the end of the response, which never ends by itself."""
--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -46,7 +46,7 @@
         watches_reopened: How often a watch was lost and reopened, by reason.
         unconfirmed_removals: How many workers the last list omits that stay until it is confirmed.
         on_list_applied: Called after each list of a source.
-        on_ban: Called with a worker's name and when its ban began, or None when it was lifted.
+        on_ban_changed: Called with a worker's name and when its ban began, or None when it was lifted.
     """
 
     def __init__(
@@ -64,13 +64,13 @@
         self._clock = clock
         self.ids = ids
         self.bans = bans
-        bans.on_late_ban = self._begin_ban
+        bans.on_ban_read = self._begin_ban
         self.start_times = StartTimes(clock, wall or WallClock(clock, clock))
         self.index: int | None = None
         self.watches_reopened: Counter[str] = Counter()
         self.unconfirmed_removals = 0
         self.on_list_applied: Callable[[], None] = lambda: None
-        self.on_ban: Callable[[str, float | None], None] | None = None
+        self.on_ban_changed: Callable[[str, float | None], None] | None = None
         self._endpoints: dict[int, Endpoint] = {}  # by worker, without bans
         self._unbanned: dict[int, UnbannedWorker] = {}  # by worker: those that may have been restarted
 
@@ -125,7 +125,7 @@
         self._unbanned.pop(worker, None)
         self._publish(worker)
         self._workers.close_idle(worker)  # the worker is about to be stopped
-        self._notify_ban(name, since)
+        self._notify_ban_changed(name, since)
 
     def _end_ban(self, name: str) -> None:
         since = self.bans.remove(name)
@@ -136,11 +136,11 @@
         if endpoint is not None and endpoint.ready_at < since:
             self._unbanned[worker] = UnbannedWorker(name, since, self._clock())
         self._publish(worker)
-        self._notify_ban(name, None)
+        self._notify_ban_changed(name, None)
 
-    def _notify_ban(self, name: str, since: float | None) -> None:
-        if self.on_ban is not None:
-            self.on_ban(name, since)
+    def _notify_ban_changed(self, name: str, since: float | None) -> None:
+        if self.on_ban_changed is not None:
+            self.on_ban_changed(name, since)
 
     def _was_listed(self, name: str) -> bool:
         return name in self.bans.since or self.ids.known(name) in self._endpoints
@@ -214,7 +214,7 @@
             index=self.index or 0,
             endpoints=tuple([self._to_record(endpoint) for endpoint in self._endpoints.values()]),
             unbanned_workers=tuple(self._unbanned.values()),
-            source_heard_at=self.start_times.source_heard_at,
+            source_contact_at=self.start_times.source_contact_at,
         )
 
     def take_over(self, state: RoutingTableState, bans: Mapping[str, float]) -> None:
@@ -230,7 +230,7 @@
         if state.endpoints:
             endpoints = [record.to_platform_form() for record in state.endpoints]
             self.load({"index": state.index, "snapshot": True, "endpoints": endpoints}, cached=True)
-        self.start_times.source_heard_at = state.source_heard_at
+        self.start_times.source_contact_at = state.source_contact_at
 
     def _take_over_start_times(self, state: RoutingTableState) -> None:
         for record in state.endpoints:
--- a/eiderfield/net/discovery/watch.py
+++ b/eiderfield/net/discovery/watch.py
@@ -136,7 +136,7 @@
         if self.connection is not None:
             self._start_heartbeat_timer(self.connection)
 
-    def list_applied(self) -> None:
+    def report_first_list(self) -> None:
         """Report the first list, once the table has it."""
         on_first_list, self.on_first_list = self.on_first_list, lambda: None
         on_first_list()
--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -177,7 +177,7 @@
 
 
 def _decode_table(fields: Fields, sender: SenderClock) -> RoutingTableState:
-    heard_at = fields.optional_number("heard")
+    contact_at = fields.optional_number("heard")
     unbanned = [
         UnbannedWorker(worker.name, sender.past(worker.banned_at), sender.past(worker.unbanned_at))
         for worker in _unbanned_workers(fields)
@@ -186,7 +186,7 @@
         index=fields.integer("index"),
         endpoints=tuple(_decode_endpoint(endpoint, sender) for endpoint in fields.objects("endpoints")),
         unbanned_workers=tuple(unbanned),
-        source_heard_at=None if heard_at is None else sender.past(heard_at),
+        source_contact_at=None if contact_at is None else sender.past(contact_at),
         announced_offset=None if sender.exact else sender.min_offset,
     )
 
--- a/eiderfield/net/handover/encoder.py
+++ b/eiderfield/net/handover/encoder.py
@@ -124,8 +124,8 @@
             for worker in table.unbanned_workers
         ],
     }
-    if table.source_heard_at is not None:
-        fields["heard"] = table.source_heard_at + offset
+    if table.source_contact_at is not None:
+        fields["heard"] = table.source_contact_at + offset
     return fields
 
 
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -169,7 +169,7 @@
 
     def _share_updates(self) -> None:
         self._context.exchange.other_process.attach(self._updates)
-        self._context.table.on_ban = self._send_ban
+        self._context.table.on_ban_changed = self._send_ban
 
     def _send_ban(self, worker: str, since: float | None) -> None:
         self._channel.send(BanChanged(worker, since))
@@ -191,7 +191,7 @@
         context = self._context
         had_handed_over = self._old.resume_alone()
         context.exchange.other_process.ended()
-        context.table.on_ban = None
+        context.table.on_ban_changed = None
         context.workers.share_connections(False)
         for listener in self.listeners.values():
             _make_independent(listener)
--- a/eiderfield/net/start_times.py
+++ b/eiderfield/net/start_times.py
@@ -53,7 +53,7 @@
     """The starts of all workers that were ever listed.
 
     Attributes:
-        source_heard_at: When a source last sent a list or a heartbeat, None if never.
+        source_contact_at: When a source last sent a list or a heartbeat, None if never.
     """
 
     def __init__(self, clock: Callable[[], float], wall: WallClock) -> None:
@@ -62,12 +62,12 @@
         self._wall = wall
         self._offset = wall.offset()
         self._earlier_offsets: list[EarlierOffset] = []
-        self.source_heard_at: float | None = None
+        self.source_contact_at: float | None = None
         self._announced: dict[int, AnnouncedStart] = {}  # by worker
 
     def record_source_contact(self) -> None:
         """Record that a source sent a list or a heartbeat, and so everything that it had to announce."""
-        now = self.source_heard_at = self._clock()
+        now = self.source_contact_at = self._clock()
         self._detect_step(now)
 
     def started_at(self, worker: int, since_ms: float) -> float:
@@ -103,8 +103,8 @@
         self._detect_step(now)
         offsets = [self._offset, *[earlier.offset for earlier in self._earlier_offsets]]
         max_age = inf
-        if self.source_heard_at is not None:
-            max_age = now - self.source_heard_at + MAX_ANNOUNCEMENT_DELAY_MS
+        if self.source_contact_at is not None:
+            max_age = now - self.source_contact_at + MAX_ANNOUNCEMENT_DELAY_MS
         ages = [now + offset - since_ms for offset in offsets]
         plausible = [max(0.0, age) for age in ages if -MAX_CLOCK_SKEW_MS <= age <= max_age]
         return max(EARLIEST_START, now - min(plausible, default=0.0))
--- a/eiderfield/net/table_state.py
+++ b/eiderfield/net/table_state.py
@@ -53,7 +53,7 @@
         index: The version of the last list.
         endpoints: The workers as they were listed last.
         unbanned_workers: Workers that count as started when their ban ended.
-        source_heard_at: When discovery last sent a list or a heartbeat.
+        source_contact_at: When discovery last sent a list or a heartbeat.
         announced_offset: Unix time minus this process's clock, in ms, when the starts were announced, as
         far as the
             other process's clock shows it; None if the state holds the starts themselves.
@@ -62,5 +62,5 @@
     index: int
     endpoints: tuple[EndpointRecord, ...]
     unbanned_workers: tuple[UnbannedWorker, ...]
-    source_heard_at: float | None
+    source_contact_at: float | None
     announced_offset: float | None = None
