--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -34,7 +34,7 @@
 from eiderfield.net.clients.flow_control import FlowControl
 from eiderfield.net.clients.front import ClientDeparted, Front, ListenerStatus
 from eiderfield.net.clients.message_reader import MessageReader
-from eiderfield.net.departures import DepartureWatch, has_left
+from eiderfield.net.departures import DepartureWatch, has_peer_closed
 from eiderfield.net.http import Head, MalformedMessageError, response_bytes
 
 LINGER_TIME = 1000.0  # ms for which input is discarded after a last response, so that it gets through
@@ -254,7 +254,7 @@
         """Whether the client is connected, asked of its socket: a close that is not read yet counts."""
         if self.phase == Phase.CLOSED:
             return False
-        return self._sock is None or not has_left(self._sock.fileno())
+        return self._sock is None or not has_peer_closed(self._sock.fileno())
 
     @property
     def is_idle(self) -> bool:
--- a/eiderfield/net/departures.py
+++ b/eiderfield/net/departures.py
@@ -19,18 +19,18 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-REPORTED_PER_POLL = 64  # departures reported in one poll
+MAX_REPORTED_PER_POLL = 64  # departures reported in one poll
 
-_LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_CLOSE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-def has_left(fd: int) -> bool:
+def has_peer_closed(fd: int) -> bool:
     """Return whether a connection's peer has closed, half-closed or reset it, in spite of unread bytes."""
     if fd < 0:
         return True
     poll = select.poll()  # `select.select` supports no descriptor above 1,023
     poll.register(fd, select.POLLRDHUP)
-    return any(event & _LEFT for _, event in poll.poll(0))
+    return any(event & _CLOSE_EVENTS for _, event in poll.poll(0))
 
 
 class DepartureWatch:
@@ -71,7 +71,7 @@
 
     def _report_departures(self) -> None:
         assert self._poll is not None
-        for fd, _ in self._poll.poll(0, REPORTED_PER_POLL):
+        for fd, _ in self._poll.poll(0, MAX_REPORTED_PER_POLL):
             on_departure = self._watched.get(fd)
             self.forget(fd)
             if on_departure is not None:
--- a/eiderfield/net/peer_filter.py
+++ b/eiderfield/net/peer_filter.py
@@ -68,7 +68,7 @@
     return Envelope(int(unix_ms / _INCARNATION_MS) & _MAX_INCARNATION, 0)
 
 
-def fits(data: bytes) -> bool:
+def fits_message_limit(data: bytes) -> bool:
     """Return whether a message with `data` does not exceed the protocol's limit."""
     return len(data) + _ENVELOPE.size <= MAX_MESSAGE_BYTES
 
--- a/eiderfield/net/peers.py
+++ b/eiderfield/net/peers.py
@@ -21,7 +21,13 @@
 
 from eiderfield.config.address import Address
 from eiderfield.net.faults import Cause, cause_of_loss
-from eiderfield.net.peer_filter import MAX_MESSAGE_BYTES, PeerFilter, Reception, first_envelope, fits
+from eiderfield.net.peer_filter import (
+    MAX_MESSAGE_BYTES,
+    PeerFilter,
+    Reception,
+    first_envelope,
+    fits_message_limit,
+)
 from eiderfield.net.peer_settings import PeerSettings
 
 MAX_READS_PER_TURN = 64  # messages read in an iteration of the loop
@@ -33,7 +39,7 @@
 
     Attributes:
         sock: the open socket, which the next process takes over; None while closed.
-        figures: the console's figures: messages sent, accepted, and rejected by reason.
+        counters: the console's counters: messages sent, accepted, and rejected by reason.
     """
 
     def __init__(
@@ -51,10 +57,10 @@
         `on_message` receives the number of a peer and its message. `clock` and `unix_clock` are in ms.
         """
         self.sock: socket.socket | None = None
-        self.figures: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
         self._loop = loop
         self._settings = settings
-        self._numbers = {
+        self._peer_indexes = {
             address: number for number, address in enumerate(settings.peers) if number != dispatcher_index
         }
         self._on_message = on_message
@@ -101,23 +107,23 @@
         """Send a message to one peer, or to `ALL_PEERS`; it may be lost."""
         if self.sock is None or self._paused:
             return
-        if not fits(data):
-            self.figures["too_long"] += 1
+        if not fits_message_limit(data):
+            self.counters["too_long"] += 1
             return
         self._envelope = self._envelope.next()
         message = self._envelope.pack(data)
         for address in self._addresses(peer):
             try:
                 self.sock.sendto(message, address)
-                self.figures["sent"] += 1
+                self.counters["sent"] += 1
             except OSError:  # the buffer is full, or the peer has closed its port
-                self.figures["unsent"] += 1
+                self.counters["unsent"] += 1
 
     def _addresses(self, peer: int) -> Iterable[Address]:
         if peer >= 0:
             return self._settings.peers[peer : peer + 1]
         broadcast = self._settings.broadcast
-        return [broadcast] if broadcast is not None else list(self._numbers)
+        return [broadcast] if broadcast is not None else list(self._peer_indexes)
 
     def _read(self) -> None:
         for _ in range(MAX_READS_PER_TURN):
@@ -132,10 +138,10 @@
                     return
                 continue  # reports that an earlier message could not be delivered
             reception = self._receive(message, (address[0], address[1]))
-            self.figures[reception.value] += 1
+            self.counters[reception.value] += 1
 
     def _receive(self, message: bytes, address: Address) -> Reception:
-        peer = self._numbers.get(address)
+        peer = self._peer_indexes.get(address)
         if peer is None:
             return Reception.UNKNOWN_SENDER
         received = self._filter.receive(peer, message)
--- a/eiderfield/program/peers.py
+++ b/eiderfield/program/peers.py
@@ -30,7 +30,7 @@
 
     def figures(self) -> Figures:
         """Return counts of messages by what happened to them."""
-        return {"peers": dict(self.peers.figures)}
+        return {"peers": dict(self.peers.counters)}
 
 
 def make_peers(config: Config, core: Core, loop: asyncio.AbstractEventLoop) -> PeersPart | None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -27,7 +27,7 @@
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"one"
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"all"
     assert tier.ends[2].recv(300)[ENVELOPE.size :] == b"all"
-    assert tier.port.figures["sent"] == 3
+    assert tier.port.counters["sent"] == 3
 
 
 def test_tell_with_a_message_too_long_sends_nothing(tier):
@@ -35,7 +35,7 @@
     tier.port.send_report(1, b"x" * (room + 1))
     tier.port.send_report(1, b"y" * room)
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"y" * room
-    assert tier.port.figures["too_long"] == 1
+    assert tier.port.counters["too_long"] == 1
 
 
 def test_message_of_an_unknown_sender_is_counted_and_ignored(tier):
@@ -44,7 +44,7 @@
     tier.say(1, 1, 1, b"known")
     tier.read()
     assert tier.heard == [(1, b"known")]
-    assert tier.port.figures["strangers"] == 1
+    assert tier.port.counters["strangers"] == 1
 
 
 def test_messages_duplicated_or_out_of_order_are_ignored_for_each_peer(tier):
@@ -53,7 +53,7 @@
     tier.say(2, 9, 2, b"other")
     tier.read()
     assert tier.heard == [(1, b"1"), (1, b"3"), (1, b"4"), (2, b"other")]
-    assert tier.port.figures["out_of_order"] == 2
+    assert tier.port.counters["out_of_order"] == 2
 
 
 def test_sequence_numbers_wrap_around(tier):
@@ -69,7 +69,7 @@
     tier.say(1, 100, 51, b"late")
     tier.read()
     assert [data for _, data in tier.heard] == [b"old", b"new"]
-    assert tier.port.figures["earlier_life"] == 1
+    assert tier.port.counters["earlier_life"] == 1
 
 
 def test_messages_of_another_version_or_malformed_are_ignored(tier):
@@ -78,8 +78,8 @@
     tier.ends[1].sendto(b"z" * (MAX_MESSAGE_BYTES + 50), tier.addresses[0])
     tier.read()
     assert not tier.heard
-    assert tier.port.figures["other_form"] == 1
-    assert tier.port.figures["malformed"] == 2
+    assert tier.port.counters["other_form"] == 1
+    assert tier.port.counters["malformed"] == 2
 
 
 def test_messages_above_the_rate_are_ignored_for_that_peer_alone(tier):
@@ -90,7 +90,7 @@
     tier.say(2, 1, 1, b"calm")
     for _ in range(8):
         tier.read()
-    assert tier.port.figures["flood"] == 100
+    assert tier.port.counters["flood"] == 100
     assert tier.heard[-1] == (2, b"calm")
     tier.now += 1000.0
     tier.say(1, 1, 5000, b"again")
@@ -115,7 +115,7 @@
     tier.say(1, 1, 1, b"to the next")
     tier.read()
     assert tier.heard == [(1, b"to the next")]
-    assert following.figures["heard"] == 1
+    assert following.counters["heard"] == 1
     tier.port.send_report(1, b"not said")
     following.send_report(1, b"said")
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"said"
