--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -23,19 +23,19 @@
     return status
 
 
-@pytest.mark.parametrize("news", ["nothing", "change", "whole list", "gone and back", "drain and back"])
-def test_a_ban_holds_whatever_the_list_says_until_one_call_back(news):
+@pytest.mark.parametrize("update", ["nothing", "change", "whole list", "gone and back", "drain and back"])
+def test_ban_holds_through_list_updates_until_enable(update):
     console = Console(workers=2)
     dispatcher = console.dispatcher
     assert [ask(console, "disable"), ask(console, "disable")] == [200, 200]
-    if news == "change":
+    if update == "change":
         dispatcher.tell((1, "SERVING"))
-    elif news == "whole list":
+    elif update == "whole list":
         dispatcher.tell((1, "SERVING"), (2, "SERVING"), snapshot=True)
-    elif news == "gone and back":
+    elif update == "gone and back":
         dispatcher.tell((2, "SERVING"), snapshot=True)
         dispatcher.tell((1, "SERVING"))
-    elif news == "drain and back":
+    elif update == "drain and back":
         dispatcher.tell((1, "DRAINING"))
         dispatcher.tell((1, "SERVING"))
     assert state(dispatcher, 1) == EndpointState.DRAINING
@@ -48,7 +48,7 @@
     assert console.figures()["hosts_down"] == 0
 
 
-def test_what_was_about_to_be_sent_to_a_banned_worker_goes_elsewhere():
+def test_request_not_yet_sent_to_banned_worker_is_sent_to_other_worker():
     console = Console(workers=2)
     dispatcher = console.dispatcher
     client = dispatcher.client()
@@ -62,7 +62,7 @@
     assert client.answers()[0][0] == 200
 
 
-def test_a_job_that_runs_at_a_banned_worker_may_end_there():
+def test_request_running_at_banned_worker_finishes_there():
     console = Console(workers=1)
     client, end = console.dispatcher.client(), console.dispatcher.dials[0].up()
     ask(console, "disable")
@@ -70,7 +70,7 @@
     assert client.answers()[0][0] == 200
 
 
-def test_enable_gives_back_what_discovery_last_said():
+def test_enable_restores_last_listed_state():
     console = Console(workers=2)
     ask(console, "disable")
     console.dispatcher.tell((1, "DELETED"))
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("told", [False, True])
-def test_a_worker_given_back_is_cold_unless_discovery_has_told_of_its_start(told):
+def test_unbanned_worker_is_in_slow_start_unless_restart_was_announced(told):
     """It is restarted while it is banned, and discovery tells of that seconds late."""
     console = Console(workers=2)
     dispatcher = console.dispatcher
@@ -100,7 +100,7 @@
     assert worker.entry.ready_at == started
 
 
-def test_only_what_was_ever_listed_can_be_banned():
+def test_disable_of_worker_never_listed_is_not_found():
     console = Console(workers=2)
     assert ask(console, "disable", "w9") == 404
     assert ask(console, "enable", "w9") == 404
@@ -110,13 +110,13 @@
     assert console.call("/-/workers/w1/restart", "POST")[0] == 404
 
 
-def test_names_may_be_written_in_percents():
+def test_worker_name_in_path_may_be_percent_encoded():
     console = Console(workers=1)
     assert ask(console, "disable", "%77%31") == 200
     assert state(console.dispatcher, 1) == EndpointState.DRAINING
 
 
-def test_bans_outlive_the_process(tmp_path):
+def test_bans_persist_across_processes(tmp_path):
     first = Console(bans=tmp_path / "bans")
     ask(first, "disable")
     second = Console(bans=tmp_path / "bans")
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize(
     "text", ["", "{", '{"banned": {"w1"', '{"banned": ["w1"]}', '{"banned": {"w1": "x"}}', "[" * 9999]
 )
-def test_a_torn_file_stops_nothing(tmp_path, text):
+def test_malformed_file_is_ignored_and_replaced_by_next_ban(tmp_path, text):
     (tmp_path / "bans").write_text(text)
     console = Console(bans=tmp_path / "bans")
     assert "file ignored" in console.dispatcher.logged[0]
@@ -138,13 +138,13 @@
     assert json.loads((tmp_path / "bans").read_text())["banned"].keys() == {"w1"}
 
 
-def test_a_ban_that_cannot_be_written_is_in_force_and_says_so(tmp_path):
+def test_ban_that_cannot_be_written_is_in_force_and_answered_with_error(tmp_path):
     console = Console(bans=tmp_path / "none" / "bans")
     assert ask(console, "disable") == 500
     assert state(console.dispatcher, 1) == EndpointState.DRAINING
 
 
-def test_a_caller_that_goes_away_leaves_the_console_working():
+def test_console_works_after_disconnect_of_caller():
     console = Console()
     caller = Client(console.dispatcher, console.listener)
     caller.send(b"POST /-/workers/w1/disa")
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -16,8 +16,8 @@
 from eiderfield.net.table_state import RoutingTableState
 
 # What a write of the file does, with how many calls of the kind it makes.
-KINDS = ["open", "write", "sync", "rename", "unlink"]
-CALLS = [("disable", "w1"), ("disable", "w2"), ("enable", "w1"), ("disable", "w3")]
+OPERATION_KINDS = ["open", "write", "sync", "rename", "unlink"]
+BAN_CALLS = [("disable", "w1"), ("disable", "w2"), ("enable", "w1"), ("disable", "w3")]
 
 
 def banned_on_file(path):
@@ -29,16 +29,18 @@
 
 
 @pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", OPERATION_KINDS)
 @pytest.mark.parametrize("first", range(1, 10))
-def test_each_yes_is_on_file_and_each_ban_comes_back(kind, first, code, tmp_path, monkeypatch):
+def test_successful_answer_means_ban_is_on_file_and_failed_writes_are_retried(
+    kind, first, code, tmp_path, monkeypatch
+):
     """The n-th operation of a kind and all after it fail, until the disk is well again."""
     path = tmp_path / "bans"
     console = Console(workers=3, bans=path)
     in_force = set()
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail(kind, code, first)
-        for call, worker in CALLS:
+        for call, worker in BAN_CALLS:
             status = ask(console, call, worker)
             in_force = in_force | {worker} if call == "disable" else in_force - {worker}
             assert set(console.dispatcher.table.bans.since) == in_force, "in force, written or not"
@@ -47,14 +49,14 @@
                 if status == 200:
                     assert banned_on_file(path) == in_force, "a yes for what is not on file"
                 assert banned_on_file(path) is not None, "a torn file"
-        assert faults.failed or first > len(CALLS), "the kind is not part of a write"
+        assert faults.failed or first > len(BAN_CALLS), "the kind is not part of a write"
         faults.heal()
         console.dispatcher.advance(2.0 * RETRY_INTERVAL_MS)
         assert banned_on_file(path) == in_force, "not written after the disk was well again"
     assert not [line for line in console.dispatcher.logged if "file ignored" in line]
 
 
-def test_a_yes_comes_after_the_file_and_its_folder_are_synced(tmp_path, monkeypatch):
+def test_successful_answer_follows_sync_of_file_and_folder(tmp_path, monkeypatch):
     console = Console(workers=2, bans=tmp_path / "bans")
     with failing_files(tmp_path, monkeypatch) as faults:
         for folder_only in (0, 1):
@@ -66,7 +68,7 @@
 
 
 @pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
-def test_a_write_that_is_cut_short_leaves_the_file_as_it_was(code, tmp_path, monkeypatch):
+def test_partial_write_leaves_file_unchanged(code, tmp_path, monkeypatch):
     path = tmp_path / "bans"
     console = Console(workers=2, bans=path)
     assert ask(console, "disable", "w1") == 200
@@ -78,7 +80,7 @@
     assert [file.name for file in tmp_path.iterdir()] == ["bans"], "a draft stays"
 
 
-def test_a_file_cut_at_any_byte_is_taken_whole_or_named(tmp_path):
+def test_file_truncated_at_any_byte_is_ignored_and_logged(tmp_path):
     path = tmp_path / "bans"
     console = Console(workers=2, bans=path)
     ask(console, "disable", "w1")
@@ -93,7 +95,7 @@
     assert banned_on_file(path) == {"w1", "w2"}
 
 
-def test_a_retry_is_named_once_and_so_is_its_end(tmp_path, monkeypatch):
+def test_retries_and_recovery_are_logged_once_each(tmp_path, monkeypatch):
     console = Console(workers=2, bans=tmp_path / "bans")
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("sync", ERRORS[0])
@@ -106,13 +108,13 @@
     assert len([line for line in console.dispatcher.logged if "written again" in line]) == 1
 
 
-def test_what_the_process_before_could_not_write_is_written_by_the_next(tmp_path):
+def test_ban_taken_over_is_written_by_new_process(tmp_path):
     console = Console(workers=2, bans=tmp_path / "bans")
     console.dispatcher.table.take_over(RoutingTableState(1, (), (), None), {"w2": 5.0})
     assert banned_on_file(tmp_path / "bans") == {"w2"}
 
 
-def test_a_ban_that_another_process_was_told_of_is_written_here_too(tmp_path):
+def test_ban_of_other_process_is_written_here_too(tmp_path):
     console = Console(workers=2, bans=tmp_path / "bans")
     console.dispatcher.table.apply_ban("w2", 5.0)
     console.dispatcher.advance(2.0 * RETRY_INTERVAL_MS)
@@ -120,9 +122,7 @@
 
 
 @pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
-def test_a_file_that_cannot_be_read_at_the_start_is_read_later_and_not_replaced_before(
-    code, tmp_path, monkeypatch
-):
+def test_file_unreadable_at_start_is_read_later_and_not_replaced_before(code, tmp_path, monkeypatch):
     path = tmp_path / "bans"
     before = Console(workers=4, bans=path)
     for worker in ("w1", "w2"):
@@ -141,7 +141,7 @@
     assert banned_on_file(path) == {"w1", "w3"}
 
 
-class SlowDisk:
+class ManualRunner:
     """Attempts that end when the test says so."""
 
     def __init__(self):
@@ -155,8 +155,8 @@
         done(result_of(work))
 
 
-def test_a_ban_during_a_slow_write_is_answered_by_the_write_after_it(tmp_path):
-    disk, answers = SlowDisk(), []
+def test_ban_during_slow_write_is_answered_after_next_write(tmp_path):
+    disk, answers = ManualRunner(), []
     bans = Bans(tmp_path / "bans", print, run=disk.run)
     for worker in ("w1", "w2", "w3"):
         bans.since[worker] = 1.0
@@ -173,9 +173,9 @@
 
 
 @pytest.mark.parametrize("ends", ["in time", "late"])
-def test_the_console_answers_in_time_though_the_disk_takes_longer(tmp_path, ends):
+def test_console_answers_within_timeout_during_slow_write(tmp_path, ends):
     """The rule is a second; the answer waited for the write, however long a sync took."""
-    console, disk = Console(bans=tmp_path / "bans"), SlowDisk()
+    console, disk = Console(bans=tmp_path / "bans"), ManualRunner()
     console.dispatcher.table.bans._run = disk.run
     caller = Client(console.dispatcher, console.listener)
     caller.send(b"POST /-/workers/w1/disable HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
@@ -192,7 +192,7 @@
     assert banned_on_file(tmp_path / "bans") == {"w1"}
 
 
-def test_a_thread_writes_and_the_loop_hears_of_it(tmp_path):
+def test_thread_runner_reports_result_through_loop(tmp_path):
     calls, called = [], threading.Event()
 
     def call_in_loop(call):
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -9,7 +9,7 @@
 from eiderfield.net.discovery.consul import ANSWER_SLACK_MS
 
 
-def test_health_is_followed_by_blocking_queries():
+def test_health_api_is_followed_by_blocking_queries():
     consul = Consul()
     assert consul.query() == "/v1/health/service/claim%20workers"
     consul.answer(7, instance("a", 1), instance("b", 2, "critical"), instance("c", 3, "warning"))
@@ -24,7 +24,7 @@
     assert consul.dispatcher.exchange.endpoints.any_ready
 
 
-def test_the_catalogue_knows_of_no_checks():
+def test_catalog_api_lists_instances_as_ready():
     consul = Consul("catalog")
     assert consul.query().startswith("/v1/catalog/service/")
     consul.answer(
@@ -43,7 +43,7 @@
     assert list(consul.dispatcher.side.addresses.values()) == [("127.0.0.8", 5)]
 
 
-def test_an_index_that_goes_backwards_is_begun_anew_from_nothing():
+def test_index_that_goes_back_is_reset_to_zero():
     consul = Consul()
     consul.query()
     consul.answer(90, instance("a", 1))
@@ -68,7 +68,7 @@
         b"[" * 9999,
     ],
 )
-def test_nonsense_and_cuts_leave_the_table_as_it_was(raw):
+def test_malformed_response_leaves_table_unchanged(raw):
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1))
@@ -80,7 +80,7 @@
     assert consul.query() == "/v1/health/service/claim%20workers"
 
 
-def test_a_silent_consul_is_asked_anew():
+def test_silent_consul_is_disconnected_after_timeout():
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1))
@@ -89,7 +89,7 @@
     assert consul.states() == {"n/a": EndpointState.READY}
 
 
-def test_an_instance_that_appears_later_counts_as_just_started():
+def test_instance_listed_later_without_start_counts_as_just_started():
     consul = Consul()
     consul.answer(7, instance("a", 1), instance("c", 3, since_ms="12"))
     consul.dispatcher.advance(100.0)
@@ -101,7 +101,7 @@
     assert since == {"n/a": 0.0, "n/b": consul.dispatcher.now, "n/c": 12.0}
 
 
-def steps(consul, span, most=400):
+def answered_queries(consul, span, most=400):
     """Lets time pass while the stand-in answers every query at once; gives how many it got."""
     asked = 0
     until = consul.dispatcher.now + span
@@ -113,17 +113,17 @@
             yield asked
 
 
-def test_an_agent_that_answers_at_once_is_not_hammered():
+def test_queries_to_agent_that_answers_at_once_are_paced():
     """Measured before: 45,098 calls in 4 s to one whose index stood still."""
     consul = Consul()
     calls = []
-    for asked in steps(consul, 4000.0):
+    for asked in answered_queries(consul, 4000.0):
         consul.answer(7, instance("a", 1))
         calls.append(asked)
     assert 16 <= calls[-1] <= 8 + 4 * 4 + 1
 
 
-def test_a_change_is_heard_of_at_once_where_changes_are_few():
+def test_query_follows_at_once_where_changes_are_few():
     consul = Consul()
     for index in range(1, 8):
         assert consul.query() is not None
@@ -131,7 +131,7 @@
     consul.dispatcher.advance(60_000.0 * 0.5)
 
 
-def test_broken_answers_are_asked_again_at_the_same_pace():
+def test_queries_after_malformed_responses_are_paced():
     consul = Consul()
     asked = 0
     until = consul.dispatcher.now + 10_000.0
@@ -145,7 +145,7 @@
     assert asked <= 8 + 10 * 4
 
 
-def test_an_empty_list_of_an_agent_that_has_just_begun_takes_nobody_away():
+def test_empty_list_of_restarted_agent_removes_no_worker():
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1), instance("b", 2), instance("c", 3))
@@ -168,7 +168,7 @@
     assert consul.query().endswith("?index=9&wait=30s")
 
 
-def test_a_drain_told_in_a_list_in_doubt_is_kept():
+def test_drain_in_unconfirmed_list_is_applied():
     consul = Consul()
     consul.query()
     consul.answer(7, *[instance(c, n) for n, c in enumerate("abcd", 1)])
@@ -178,7 +178,7 @@
     assert consul.states()["n/b"] == EndpointState.READY
 
 
-def test_without_a_leader_lists_are_in_doubt_until_their_time_ends():
+def test_list_without_leader_is_applied_after_confirmation_timeout():
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1), instance("b", 2), instance("c", 3))
@@ -194,7 +194,7 @@
     assert any("discovery: unconfirmed list applied" in line for line in consul.dispatcher.logged)
 
 
-def test_a_shorter_list_with_a_leader_and_a_going_index_is_no_doubt():
+def test_shorter_list_with_leader_and_growing_index_is_applied():
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1), instance("b", 2), instance("c", 3))
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -28,7 +28,7 @@
     return {"index": 41, "snapshot": True, "endpoints": [endpoint]}
 
 
-def test_a_list_is_read_with_all_its_fields():
+def test_list_with_all_fields_is_parsed():
     address = ("10.1.0.18", 8080)
     endpoint = ListedEndpoint(
         "s-5be2a07c", EndpointStatus.SERVING, address, "a", "m2", 3, weight=1.5, since_ms=12.0
@@ -36,14 +36,14 @@
     assert parse_endpoint_list(document()) == EndpointList(41, True, (endpoint,))
 
 
-def test_what_an_endpoint_may_lack_has_its_usual_value():
+def test_missing_optional_fields_have_defaults():
     bare = {"index": 2, "endpoints": [{"name": "w", "status": "DRAINING", "address": "h:1"}]}
     assert parse_endpoint_list(bare) == EndpointList(
         2, False, (ListedEndpoint("w", EndpointStatus.DRAINING, ("h", 1)),)
     )
 
 
-def test_a_deleted_endpoint_needs_no_address():
+def test_deleted_endpoint_needs_no_address():
     [endpoint] = parse_endpoint_list(document(status="DELETED", address=None)).endpoints
     assert endpoint.status is EndpointStatus.DELETED
     assert endpoint.address is None
@@ -61,7 +61,7 @@
         ({"since_ms": float("inf")}, "since_ms is not a number"),
     ],
 )
-def test_a_faulty_field_is_named(changes, text):
+def test_error_names_faulty_field(changes, text):
     with pytest.raises(EndpointListError, match=text):
         parse_endpoint_list(document(**changes))
 
@@ -77,12 +77,12 @@
         {"index": 1, "endpoints": [5]},
     ],
 )
-def test_what_is_no_list_is_rejected(faulty):
+def test_malformed_list_is_rejected(faulty):
     with pytest.raises(EndpointListError):
         parse_endpoint_list(faulty)
 
 
-def test_a_list_with_one_faulty_endpoint_changes_nothing():
+def test_list_with_one_faulty_endpoint_leaves_table_unchanged():
     dispatcher = InMemoryDispatcher(workers=2)
     before = dispatcher.table.index, dispatcher.table.listed_workers, dispatcher.table.ready_workers
     faulty = {"index": 9, "snapshot": True, "endpoints": [{**WORKER}, {**WORKER, "name": "x", "status": 1}]}
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -37,11 +37,11 @@
     return GOLDEN if request.param == "731b84e" else GOLDEN / request.param
 
 
-def expected(path):
+def expected_content(path):
     return json.loads((path / "expected.json").read_text())
 
 
-def plain(value):
+def through_json(value):
     return json.loads(json.dumps(value))
 
 
@@ -52,7 +52,7 @@
     ("name", "banned"),
     [("two.json", {"w1": 1_700_000_000_123.5, "w-\u00e9/2": 12.0}), ("none.json", {}), ("torn.json", {})],
 )
-def test_a_bans_file_keeps_its_meaning(golden, name, banned, tmp_path):
+def test_recorded_ban_file_is_read_with_same_meaning(golden, name, banned, tmp_path):
     path = tmp_path / "bans.json"
     shutil.copy(golden / "bans" / name, path)
     lines = []
@@ -62,7 +62,7 @@
     assert bool(lines) == (name == "torn.json")
 
 
-def test_bans_are_written_byte_for_byte_as_before(golden, tmp_path):
+def test_bans_are_written_byte_for_byte_as_recorded(golden, tmp_path):
     bans = Bans(tmp_path / "bans.json", print)
     bans.since = {"w1": 1_700_000_000_123.5, "w-\u00e9/2": 12.0}
     written = []
@@ -80,10 +80,10 @@
     recorded = golden / "custody" / request.param
     folder = tmp_path / "folder"
     shutil.copytree(recorded / "folder", folder, symlinks=True)
-    return folder, expected(recorded)
+    return folder, expected_content(recorded)
 
 
-def fields_of(record):
+def stored_fields(record):
     """A record by its stored names."""
     fields = dict(zip(COLUMNS, encode(record), strict=True))
     fields["body"], fields["result"] = record.body.hex(), record.result.hex()
@@ -92,29 +92,29 @@
     return fields
 
 
-def test_a_folder_of_kept_jobs_keeps_its_meaning(golden_folder):
-    folder, told = golden_folder
+def test_recorded_durable_requests_are_read_with_same_meaning(golden_folder):
+    folder, expected = golden_folder
     survey = Inspection(folder)
     jobs = {known.record.id: known for known in survey.jobs()}
-    assert sorted(jobs) == sorted(told["jobs"])
+    assert sorted(jobs) == sorted(expected["jobs"])
     for id_, known in jobs.items():
-        assert fields_of(known.record) == told["jobs"][id_]["record"]
-        assert known.owner == told["jobs"][id_]["owner"]
-        assert list(known.chain) == told["jobs"][id_]["chain"]
-        assert list(survey.folder.ids.holder(id_)) == told["jobs"][id_]["holder"]
-    lives = survey.folder.incarnations.all(besides=survey.fences)
-    assert sorted(lives) == sorted(told["lives"])
-    assert plain(survey.fences) == told["fences"]
-    assert survey.folder.incarnations.heartbeats(lives) == told["beats"]
-    assert survey.folder.end_requests.all() == told["wishes"]
-    assert plain(survey.folder.ids.holder("never-written")) == told["orphan"]
-    assert survey.verify() == told["verify"]
-    assert survey.faults == told["faults"]
-
-
-def test_a_dispatcher_that_starts_on_a_golden_folder_takes_over_all_that_is_open(golden_folder):
+        assert stored_fields(known.record) == expected["jobs"][id_]["record"]
+        assert known.owner == expected["jobs"][id_]["owner"]
+        assert list(known.chain) == expected["jobs"][id_]["chain"]
+        assert list(survey.folder.ids.holder(id_)) == expected["jobs"][id_]["holder"]
+    incarnations = survey.folder.incarnations.all(besides=survey.fences)
+    assert sorted(incarnations) == sorted(expected["lives"])
+    assert through_json(survey.fences) == expected["fences"]
+    assert survey.folder.incarnations.heartbeats(incarnations) == expected["beats"]
+    assert survey.folder.end_requests.all() == expected["wishes"]
+    assert through_json(survey.folder.ids.holder("never-written")) == expected["orphan"]
+    assert survey.verify() == expected["verify"]
+    assert survey.faults == expected["faults"]
+
+
+def test_member_started_on_recorded_folder_takes_over_all_open_requests(golden_folder):
     """All processes of the folder are gone; their boot was another, and their jobs are due on its clock."""
-    folder, told = golden_folder
+    folder, expected = golden_folder
     now = [1000.0]
     settings = DurableRequestSettings(folder, frozenset({0}), lease_ms=LEASE)
     member = Member(settings, "n9", {"report": 3.0}, lambda _line: None, lambda: now[0])
@@ -125,7 +125,7 @@
         member.tick()
         found.update({record.id: record for record in member.take_over()})
     member.close()
-    stored = {id_: job["record"] for id_, job in told["jobs"].items()}
+    stored = {id_: job["record"] for id_, job in expected["jobs"].items()}
     still_open = {id_ for id_, record in stored.items() if record["stage"] != Stage.FINAL}
     assert set(found) == still_open
     for id_, record in found.items():
@@ -134,39 +134,39 @@
         assert record.body.hex() == stored[id_]["body"]
 
 
-def test_a_store_of_the_first_schema_keeps_its_meaning(golden, tmp_path):
+def test_store_of_first_schema_is_read_and_migrated(golden, tmp_path):
     path = tmp_path / "n0.1.db"
     with sqlite3.connect(path) as database:
         database.executescript((golden / "custody" / "first_schema.sql").read_text())
     database.close()
-    as_it_is = RecordStore(path, read_only=True).get("j")
-    assert as_it_is.deadline == 9.0
-    assert as_it_is.stage == Stage.CLAIMED
-    assert as_it_is.attempts[0].worker == "w0"
-    brought_up = RecordStore(path)
-    assert brought_up.version == SCHEMA_VERSION
-    assert brought_up.get("j") == as_it_is
+    read_only_record = RecordStore(path, read_only=True).get("j")
+    assert read_only_record.deadline == 9.0
+    assert read_only_record.stage == Stage.CLAIMED
+    assert read_only_record.attempts[0].worker == "w0"
+    migrated_store = RecordStore(path)
+    assert migrated_store.version == SCHEMA_VERSION
+    assert migrated_store.get("j") == read_only_record
 
 
 # The rollout journal.
 
 
 @pytest.mark.parametrize("name", ROLLOUT)
-def test_a_rollout_journal_keeps_its_meaning(golden, name):
+def test_recorded_rollout_journal_is_read_with_same_meaning(golden, name):
     folder = golden / "rollout" / name
     plan = parse_plan((folder / "plan.toml").read_text())
-    journal, told = read_journal(folder, plan), expected(folder)
-    assert (journal.content.plan_digest, journal.content.change_id) == (told["plan"], told["id"])
-    assert plain(encode_state(journal.state)) == told["state"]
-    assert [encode_entry(entry) for entry in journal.entries] == told["said"]
-    assert [encode_process(record) for record in journal.processes] == told["processes"]
+    journal, expected = read_journal(folder, plan), expected_content(folder)
+    assert (journal.content.plan_digest, journal.content.change_id) == (expected["plan"], expected["id"])
+    assert through_json(encode_state(journal.state)) == expected["state"]
+    assert [encode_entry(entry) for entry in journal.entries] == expected["said"]
+    assert [encode_process(record) for record in journal.processes] == expected["processes"]
     assert CommandFile(folder).pending() is (OperatorCommand.UNDO if name == "paused" else None)
     machine = RolloutStateMachine(plan, journal.state)
-    assert machine.state.phase == told["state"]["phase"]
+    assert machine.state.phase == expected["state"]["phase"]
 
 
 @pytest.mark.parametrize("name", ROLLOUT)
-def test_a_rollout_journal_is_written_byte_for_byte_as_before(golden, name, tmp_path):
+def test_rollout_journal_is_written_byte_for_byte_as_recorded(golden, name, tmp_path):
     folder = golden / "rollout" / name
     journal = read_journal(folder)
     journal.folder = tmp_path
@@ -174,6 +174,6 @@
     assert (tmp_path / "journal.json").read_bytes() == (folder / "journal.json").read_bytes()
 
 
-def test_a_torn_rollout_journal_is_refused_by_name(golden):
+def test_truncated_rollout_journal_raises_error_with_file_name(golden):
     with pytest.raises(JournalError, match=r"journal\.json"):
         read_journal(golden / "rollout" / "torn")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,7 +19,7 @@
     pair.close()
 
 
-def test_handover_passes_listener_table_and_bans_and_stops_the_old_process_from_accepting(pair):
+def test_handover_passes_listener_table_and_bans_and_stops_accepting_in_old_process(pair):
     pair.old.dispatcher.table.ban("w2")
     pair.old.dispatcher.tell((3, "SERVING"), (3, "DELETED"))
     assert not pair.new.done
@@ -35,7 +35,7 @@
     assert pair.new.dispatcher.table.listed_workers == pair.old.dispatcher.table.listed_workers
 
 
-def test_new_process_accepts_only_after_the_old_one_has_stopped(pair):
+def test_new_process_accepts_only_after_old_process_has_stopped(pair):
     pair.wires[1].deliver()
     pair.wires[0].deliver()
     assert pair.new.dispatcher.listener.listening
@@ -43,7 +43,7 @@
     assert not pair.new.done
 
 
-def test_request_id_in_use_at_one_process_is_rejected_by_the_other(pair):
+def test_request_id_in_use_at_one_process_is_rejected_by_other_process(pair):
     first = pair.old.dispatcher.client(id_="before")
     pair.go()
     pair.old.dispatcher.client(id_="after")
@@ -83,7 +83,7 @@
     assert not pair.new.dispatcher.table.bans.since
 
 
-def test_open_attempts_and_work_of_either_process_are_known_to_the_other(pair):
+def test_open_attempts_and_work_of_either_process_are_sent_to_other_process(pair):
     pair.old.dispatcher.client(id_="before")
     pair.go()
     pair.new.dispatcher.client(id_="after")
@@ -100,7 +100,7 @@
     assert work > 0.0
 
 
-def test_learned_state_of_the_policy_is_passed_on(pair):
+def test_learned_state_is_passed_to_new_process(pair):
     module = pair.old.dispatcher.exchange.dispatcher
     module.pacers[0].mean_duration, module.pacers[0].rate = 77.0, 5.0
     learn(module, retry_tokens=0.25, key_counts=(KeyCount(7, 40), KeyCount(8, 2)))
@@ -111,7 +111,7 @@
     assert heir.learned_state().key_counts == ((7, 40), (8, 2))
 
 
-def test_outlier_state_of_a_worker_is_passed_on(pair):
+def test_outlier_state_of_worker_is_passed_to_new_process(pair):
     """Otherwise each new process sends the worker requests that must never run twice to learn it again."""
     old = pair.old.dispatcher.exchange.dispatcher
     [id_] = [w for w in old.workers if w == pair.old.dispatcher.ids.worker("w1")]
@@ -122,7 +122,7 @@
     assert (heir.error_score, heir.ejections, heir.failing) == (2.0, 1, True)
 
 
-def test_connection_limits_are_shared_by_both_processes(pair):
+def test_connection_limits_apply_to_both_processes_together(pair):
     kept = [Client(pair.old.dispatcher) for _ in range(5)]
     pair.go()
     assert pair.new.dispatcher.listener.held_by_other_process == len(kept)
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("when", ["after the question", "after the state", "when all is given"])
-def test_old_process_serves_on_if_the_new_one_dies(pair, when):
+def test_old_process_continues_after_loss_of_new_process(pair, when):
     heard = []
     pair.old.handover.on_successor_lost = lambda: heard.append(True)
     if when == "after the state":
@@ -157,7 +157,7 @@
     assert not any(worker.sibling_attempts for worker in old.exchange.dispatcher.workers.values())
 
 
-def test_new_process_serves_alone_after_the_old_one_has_ended(pair):
+def test_new_process_serves_alone_after_end_of_old_process(pair):
     pair.old.dispatcher.client(id_="r")
     pair.go()
     pair.part(0)
@@ -168,13 +168,13 @@
     assert new.side.connection_limit == new.side.configured_limit
 
 
-def test_new_process_starts_alone_if_the_old_one_does_not_answer(pair):
+def test_new_process_without_answer_starts_alone_after_timeout(pair):
     pair.new.dispatcher.advance(ANSWER_TIMEOUT_MS + 8.0)
     assert pair.new.done
     assert not pair.wires[1].open
 
 
-def test_third_process_waits_until_the_present_handover_has_ended(pair):
+def test_third_process_waits_until_present_handover_has_ended(pair):
     """If it were rejected, it would start beside the others without request ids, bans or clients."""
     pair.go()
     third, other = Side(workers=0), Wire()
@@ -199,7 +199,7 @@
     third.dispatcher.listener.acceptor.listening_socket.close()
 
 
-def test_delayed_process_starts_alone_after_its_timeout(pair):
+def test_new_process_starts_alone_after_timeout_of_delayed_answer(pair):
     pair.wires[1].receive({"is": "wait"}, [])
     pair.new.dispatcher.advance(DELAYED_ANSWER_TIMEOUT_MS + 8.0)
     assert pair.new.done
@@ -212,7 +212,7 @@
 
 @given(WORDS, st.dictionaries(st.sampled_from(KEYS), VALUES, max_size=12))
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
-def test_malformed_messages_leave_both_processes_serving(word, told):
+def test_malformed_message_leaves_both_processes_accepting(word, told):
     pair = Pair().go()
     for side, wire in zip((pair.old, pair.new), pair.wires, strict=True):
         wire.receive({**told, "is": word}, [])
--- a/tests/test_handover_connections.py
+++ b/tests/test_handover_connections.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("cut", [0, 20, -1])
-def test_passed_connection_keeps_the_part_of_a_request_that_was_read(cut):
+def test_passed_connection_keeps_buffered_part_of_request(cut):
     """If it were closed instead, the request would be lost."""
     old, new = InMemoryDispatcher(), InMemoryDispatcher()
     here, there = socket.socketpair()
@@ -35,14 +35,14 @@
         assert heir.answers()[0][0] == 404, "it is one message"
 
 
-def test_connection_with_a_pending_response_is_not_passed():
+def test_connection_with_pending_response_is_not_passed():
     dispatcher = InMemoryDispatcher()
     client = dispatcher.client()
     assert client.connection.detach() is None
     assert client.pipe.open
 
 
-def test_connections_are_passed_in_limited_numbers_at_a_time():
+def test_hand_over_some_passes_limited_number_of_connections():
     """Each holds a descriptor in both processes: all at once would exceed their limit."""
     dispatcher = InMemoryDispatcher(most=64)
     clients = [Client(dispatcher) for _ in range(ACCEPTED_PER_TURN + 5)]
--- a/tests/test_handover_first_form.py
+++ b/tests/test_handover_first_form.py
@@ -9,15 +9,15 @@
 from eiderfield.interface import EndpointState
 
 
-class FirstForm:
+class FirstRevision:
     """The messages of the first revision with a handover.
 
     It has no peers, parked connections or outlier state, and ignores fields that it does not know.
     """
 
-    ASK: ClassVar = {"is": "ask", "form": 1}
-    TAKEN: ClassVar = {"is": "taken", "doors": [LISTEN]}
-    STATE: ClassVar = {
+    TAKEOVER_REQUEST: ClassVar = {"is": "ask", "form": 1}
+    TAKEOVER_ACCEPTED: ClassVar = {"is": "taken", "doors": [LISTEN]}
+    DISPATCHER_STATE: ClassVar = {
         "is": "state",
         "doors": [LISTEN],
         "ids": ["held"],
@@ -48,24 +48,29 @@
             "slots": [[0, 4.0]],
         },
     }
-    YOURS: ClassVar = {"is": "yours", "open": {LISTEN: 3}}
+    LISTENERS_RELEASED: ClassVar = {"is": "yours", "open": {LISTEN: 3}}
 
 
-def test_new_process_takes_over_from_one_of_the_first_form():
+def test_new_process_takes_over_from_process_of_first_revision():
     new = Side(workers=0)
     wire, here = Wire(), Wire()
     wire.peer = here
     new.handover.take_over(wire, new.settle)
     [(asked, _)] = wire.sent
-    assert {**asked, **FirstForm.ASK} == asked, "what the first form asks for is said as it was"
+    assert {**asked, **FirstRevision.TAKEOVER_REQUEST} == asked, (
+        "what the first form asks for is said as it was"
+    )
     with socket.create_server(("127.0.0.1", 0)) as listener:
         classes = len(new.dispatcher.exchange.settings.classes)
-        memory = {**FirstForm.STATE["memory"], "pacers": FirstForm.STATE["memory"]["pacers"] * classes}
-        wire.receive({**FirstForm.STATE, "memory": memory}, [os.dup(listener.fileno())])
+        memory = {
+            **FirstRevision.DISPATCHER_STATE["memory"],
+            "pacers": FirstRevision.DISPATCHER_STATE["memory"]["pacers"] * classes,
+        }
+        wire.receive({**FirstRevision.DISPATCHER_STATE, "memory": memory}, [os.dup(listener.fileno())])
         new.dispatcher.settle()
         assert wire.sent[1][0]["is"] == "taken"
         assert wire.sent[1][0]["doors"] == [LISTEN]
-        wire.receive(FirstForm.YOURS, [])
+        wire.receive(FirstRevision.LISTENERS_RELEASED, [])
     assert new.done
     assert new.takes()
     assert wire.open
@@ -77,19 +82,19 @@
     new.dispatcher.listener.acceptor.listening_socket.close()
 
 
-def test_old_process_hands_over_to_one_of_the_first_form():
+def test_old_process_hands_over_to_process_of_first_revision():
     old = Side()
     old.dispatcher.listener.adopt(old.loop, socket.create_server(("127.0.0.1", 0)))
     wire, there = Wire(), Wire()
     wire.peer = there
     old.handover.accept(wire)
-    wire.receive(FirstForm.ASK, [])
+    wire.receive(FirstRevision.TAKEOVER_REQUEST, [])
     [(told, fds)] = wire.sent
-    assert told.keys() >= FirstForm.STATE.keys()
-    assert told["memory"].keys() >= FirstForm.STATE["memory"].keys()
+    assert told.keys() >= FirstRevision.DISPATCHER_STATE.keys()
+    assert told["memory"].keys() >= FirstRevision.DISPATCHER_STATE["memory"].keys()
     assert len(fds) == 1, "a socket that it does not know of would leak in it"
     os.close(fds[0])
-    wire.receive(FirstForm.TAKEN, [])
+    wire.receive(FirstRevision.TAKEOVER_ACCEPTED, [])
     assert old.handover.handed_over
     assert not old.takes()
     old.dispatcher.client(id_="a")
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -16,13 +16,13 @@
 from eiderfield.net.handover import Handover, HandoverContext
 from eiderfield.net.handover.old_process import MAX_PARKED_BATCH
 
-COPIES = replace(IDLING, keep_copies=True)
+KEEP_COPIES = replace(IDLING, keep_copies=True)
 
 
-class Removal:
+class ParkedTransfer:
     """Two processes, of which the new one takes over from the old one, with their links and loops by hand."""
 
-    def __init__(self, count, idling=COPIES, room=1000):
+    def __init__(self, count, idling=KEEP_COPIES, room=1000):
         self.loop = asyncio.new_event_loop()
         self.old = ListenerHarness(idling, most=1000, loop=self.loop)
         self.new = ListenerHarness(idling, most=room, loop=self.loop)
@@ -100,203 +100,205 @@
 
 
 @pytest.fixture
-def removal():
-    removal = Removal(3 * MAX_PARKED_BATCH + 7)
-    yield removal
-    removal.close()
+def transfer():
+    transfer = ParkedTransfer(3 * MAX_PARKED_BATCH + 7)
+    yield transfer
+    transfer.close()
 
 
-def asked(removal, client, id_):
+def response_statuses(transfer, client, id_):
     """What becomes of a job on a client."""
     client.send(message(id_))
-    removal.settle()
+    transfer.settle()
     return client.statuses()
 
 
-def test_a_full_house_passes_on_in_batches_and_every_phone_is_served_by_the_new_process(removal):
-    removal.go()
-    assert removal.new.listener.parked == len(removal.clients)
-    assert removal.old.listener.parked == 0
-    old = removal.old.listener
-    assert old.figures()["lent"] == len(removal.clients)
+def test_parked_connections_are_passed_in_batches_and_served_by_new_process(transfer):
+    transfer.go()
+    assert transfer.new.listener.parked == len(transfer.clients)
+    assert transfer.old.listener.parked == 0
+    old = transfer.old.listener
+    assert old.figures()["lent"] == len(transfer.clients)
     assert old.connections == 0
-    for number, client in enumerate(removal.clients[:20]):
-        assert asked(removal, client, f"r{number}") == [200]
-    lent = removal.old.listener.figures()["lent"]
-    assert lent == len(removal.clients) - 20, "what woke is the new one's alone"
+    for number, client in enumerate(transfer.clients[:20]):
+        assert response_statuses(transfer, client, f"r{number}") == [200]
+    lent = transfer.old.listener.figures()["lent"]
+    assert lent == len(transfer.clients) - 20, "what woke is the new one's alone"
 
 
-def test_what_is_on_its_way_is_bounded(removal):
+def test_parked_batches_in_flight_are_bounded(transfer):
     seen = 0
     for _ in range(100):
-        on_its_way = sum(len(fds) for wire in removal.wires for _, fds in wire.sent)
+        on_its_way = sum(len(fds) for wire in transfer.wires for _, fds in wire.sent)
         seen = max(seen, on_its_way)
         assert on_its_way <= MAX_PARKED_BATCH
-        if not removal.step():
+        if not transfer.step():
             break
     assert seen == MAX_PARKED_BATCH
 
 
 @pytest.mark.parametrize("steps", [3, 4, 5, 6, 8, 50])
-def test_a_new_process_that_dies_half_way_gives_all_back(removal, steps):
+def test_loss_of_new_process_during_transfer_returns_connections_to_old_process(transfer, steps):
     for _ in range(steps):
-        removal.step()
-    woken = removal.clients[-1]  # the first of its second
-    taken = removal.new.listener.parked
+        transfer.step()
+    woken = transfer.clients[-1]  # the first of its second
+    taken = transfer.new.listener.parked
     if taken:
         woken.send(message("lost"))
-        removal.new.turn()
-        removal.step()  # the old process has heard of it
-    removal.kill(1)
+        transfer.new.turn()
+        transfer.step()  # the old process has heard of it
+    transfer.kill(1)
     for _ in range(5):
-        removal.old.pass_time(8.0)
-    assert removal.old.listener.connections == len(removal.clients) - bool(taken)
+        transfer.old.pass_time(8.0)
+    assert transfer.old.listener.connections == len(transfer.clients) - bool(taken)
     assert woken.open == (not taken), "a connection that the dead process was reading ends with it"
-    for number, client in enumerate(removal.clients[:5]):
-        assert asked(removal, client, f"r{number}") == [200]
-
-
-def test_without_copies_nothing_counts_twice_and_nothing_is_lost_in_a_usual_upgrade():
-    removal = Removal(MAX_PARKED_BATCH + 5, IDLING)
-    removal.go()
-    assert removal.old.listener.figures()["lent"] == 0
-    assert removal.new.listener.parked == MAX_PARKED_BATCH + 5
-    removal.kill(0)
-    assert asked(removal, removal.clients[0], "r") == [200]
-    removal.close()
-
-
-def test_the_end_of_the_old_process_leaves_all_with_the_new_one(removal):
-    removal.go()
-    removal.kill(0)
-    assert removal.new.listener.parked == len(removal.clients)
-    for number, client in enumerate(removal.clients[:5]):
-        assert asked(removal, client, f"r{number}") == [200]
-    assert not removal.new.listener.parking._idle.unreported, "there is nobody to tell any more"
-
-
-def test_what_the_new_process_closes_is_over_for_its_client_though_there_was_a_copy(removal):
-    removal.go()
-    removal.new.pass_time(IDLING.idle_timeout + 2000.0)
-    assert removal.new.listener.parked == 0
-    assert any(client.open for client in removal.clients)
-    removal.go()
-    assert not any(client.open for client in removal.clients)
-    assert removal.old.listener.figures()["lent"] == 0
-
-
-def test_what_the_new_process_has_no_room_for_stays_until_the_old_one_ends():
-    removal = Removal(MAX_PARKED_BATCH + 50, room=MAX_PARKED_BATCH)
-    removal.go()
-    assert removal.new.listener.parked == 50, "both are one dispatcher"
-    assert removal.old.listener.parked == MAX_PARKED_BATCH
-    assert asked(removal, removal.clients[0], "r") == [200], "at the old process"
-    removal.ends[0].pass_clients([LISTEN])
+    for number, client in enumerate(transfer.clients[:5]):
+        assert response_statuses(transfer, client, f"r{number}") == [200]
+
+
+def test_transfer_without_copies_counts_no_connection_twice_and_loses_none():
+    transfer = ParkedTransfer(MAX_PARKED_BATCH + 5, IDLING)
+    transfer.go()
+    assert transfer.old.listener.figures()["lent"] == 0
+    assert transfer.new.listener.parked == MAX_PARKED_BATCH + 5
+    transfer.kill(0)
+    assert response_statuses(transfer, transfer.clients[0], "r") == [200]
+    transfer.close()
+
+
+def test_end_of_old_process_leaves_parked_connections_with_new_process(transfer):
+    transfer.go()
+    transfer.kill(0)
+    assert transfer.new.listener.parked == len(transfer.clients)
+    for number, client in enumerate(transfer.clients[:5]):
+        assert response_statuses(transfer, client, f"r{number}") == [200]
+    assert not transfer.new.listener.parking._idle.unreported, "there is nobody to tell any more"
+
+
+def test_connection_closed_by_new_process_is_closed_for_client_despite_copy(transfer):
+    transfer.go()
+    transfer.new.pass_time(IDLING.idle_timeout + 2000.0)
+    assert transfer.new.listener.parked == 0
+    assert any(client.open for client in transfer.clients)
+    transfer.go()
+    assert not any(client.open for client in transfer.clients)
+    assert transfer.old.listener.figures()["lent"] == 0
+
+
+def test_connections_above_limit_of_new_process_stay_with_old_process_until_it_ends():
+    transfer = ParkedTransfer(MAX_PARKED_BATCH + 50, room=MAX_PARKED_BATCH)
+    transfer.go()
+    assert transfer.new.listener.parked == 50, "both are one dispatcher"
+    assert transfer.old.listener.parked == MAX_PARKED_BATCH
+    assert response_statuses(transfer, transfer.clients[0], "r") == [200], "at the old process"
+    transfer.ends[0].pass_clients([LISTEN])
     for _ in range(40):
-        removal.ends[0].pass_idle_clients()
-        removal.go()
-    assert removal.old.listener.connections == 0
-    assert all(client.open for client in removal.clients)
-    removal.kill(0)
-    assert asked(removal, removal.clients[50], "s") == [200]
-    removal.close()
+        transfer.ends[0].pass_idle_clients()
+        transfer.go()
+    assert transfer.old.listener.connections == 0
+    assert all(client.open for client in transfer.clients)
+    transfer.kill(0)
+    assert response_statuses(transfer, transfer.clients[50], "s") == [200]
+    transfer.close()
 
 
-def test_a_new_process_that_parks_nobody_takes_them_as_they_are():
+def test_new_process_without_parking_adopts_connections_unparked():
     """It has the only descriptor of each: refused, they would be closed."""
-    removal = Removal(30, IDLING)
-    removal.new.listener.parking.close()
-    removal.new.listener.idling = replace(IDLING, park_after=inf)
-    removal.go()
-    assert removal.new.listener.connections == 30
-    assert removal.new.listener.parked == 0
-    assert asked(removal, removal.clients[3], "r") == [200]
-    assert all(client.open for client in removal.clients)
-    removal.close()
-
-
-def test_a_poll_set_that_is_full_refuses_copies_and_takes_up_what_it_alone_has(monkeypatch):
+    transfer = ParkedTransfer(30, IDLING)
+    transfer.new.listener.parking.close()
+    transfer.new.listener.idling = replace(IDLING, park_after=inf)
+    transfer.go()
+    assert transfer.new.listener.connections == 30
+    assert transfer.new.listener.parked == 0
+    assert response_statuses(transfer, transfer.clients[3], "r") == [200]
+    assert all(client.open for client in transfer.clients)
+    transfer.close()
+
+
+def test_full_poll_set_refuses_copied_connections_and_adopts_others_unparked(monkeypatch):
     def full(_self, _fd, _since, _mark=0, _lender=None):
         raise OSError(28, "no space left on device")
 
-    for idling, there in ((IDLING, 30), (COPIES, 0)):
-        removal = Removal(30, idling)
+    for idling, there in ((IDLING, 30), (KEEP_COPIES, 0)):
+        transfer = ParkedTransfer(30, idling)
         with monkeypatch.context() as patched:
             patched.setattr(
-                removal.new.listener.parking._idle, "park", partial(full, removal.new.listener.parking._idle)
+                transfer.new.listener.parking._idle,
+                "park",
+                partial(full, transfer.new.listener.parking._idle),
             )
-            removal.go()
-        assert removal.new.listener.connections == there
-        assert removal.old.listener.connections == 30 - there
-        assert all(client.open for client in removal.clients)
-        assert asked(removal, removal.clients[3], "r") == [200]
-        removal.close()
+            transfer.go()
+        assert transfer.new.listener.connections == there
+        assert transfer.old.listener.connections == 30 - there
+        assert all(client.open for client in transfer.clients)
+        assert response_statuses(transfer, transfer.clients[3], "r") == [200]
+        transfer.close()
 
 
-def test_descriptors_that_run_short_half_way_leave_all_where_they_are(removal, monkeypatch):
-    removal.step()
-    removal.step()
+def test_batch_without_free_descriptors_leaves_connections_in_place(transfer, monkeypatch):
+    transfer.step()
+    transfer.step()
 
     def short(_told, fds=()):
         if fds:
             raise OSError(24, "too many open files")
 
-    monkeypatch.setattr(removal.wires[0], "send", short)
-    removal.go()
+    monkeypatch.setattr(transfer.wires[0], "send", short)
+    transfer.go()
     monkeypatch.undo()
-    removal.settle()
-    assert removal.old.listener.connections + removal.new.listener.connections == len(removal.clients)
-    assert asked(removal, removal.clients[0], "r") == [200]
+    transfer.settle()
+    assert transfer.old.listener.connections + transfer.new.listener.connections == len(transfer.clients)
+    assert response_statuses(transfer, transfer.clients[0], "r") == [200]
 
 
-def test_what_is_parked_later_follows(removal):
-    late = SocketClient(removal.old, handover=ConnectionHandover(True, removal.old.dispatcher.now))
-    removal.go()
-    assert removal.old.listener.connections == 1
-    removal.old.pass_time(IDLING.park_after + 10.0)
-    removal.go()
-    assert removal.old.listener.connections == 0
-    assert asked(removal, late, "r") == [200]
+def test_connection_parked_after_takeover_is_passed(transfer):
+    late = SocketClient(transfer.old, handover=ConnectionHandover(True, transfer.old.dispatcher.now))
+    transfer.go()
+    assert transfer.old.listener.connections == 1
+    transfer.old.pass_time(IDLING.park_after + 10.0)
+    transfer.go()
+    assert transfer.old.listener.connections == 0
+    assert response_statuses(transfer, late, "r") == [200]
 
 
-def test_a_process_of_the_version_before_gets_them_one_by_one():
+def test_new_process_without_batch_support_receives_connections_one_by_one():
     """It does not say that it takes batches."""
-    removal = Removal(20)
-    real = removal.wires[1].send
-    removal.wires[1].send = lambda told, fds=(): real({k: v for k, v in told.items() if k != "parks"}, fds)
-    removal.go()
-    assert removal.old.listener.parked == 20
-    assert removal.new.listener.parked == 0
-    removal.ends[0].pass_clients([LISTEN])
+    transfer = ParkedTransfer(20)
+    real = transfer.wires[1].send
+    transfer.wires[1].send = lambda told, fds=(): real({k: v for k, v in told.items() if k != "parks"}, fds)
+    transfer.go()
+    assert transfer.old.listener.parked == 20
+    assert transfer.new.listener.parked == 0
+    transfer.ends[0].pass_clients([LISTEN])
     for _ in range(5):
-        removal.ends[0].pass_idle_clients()
-        removal.go()
-    assert removal.old.listener.connections == 0
-    assert asked(removal, removal.clients[3], "r") == [200]
-    removal.close()
+        transfer.ends[0].pass_idle_clients()
+        transfer.go()
+    assert transfer.old.listener.connections == 0
+    assert response_statuses(transfer, transfer.clients[3], "r") == [200]
+    transfer.close()
 
 
-def test_a_client_whose_message_a_killed_process_had_read_is_closed():
+def test_connection_read_by_killed_new_process_is_closed():
     """The new process says that a connection is its own alone before it reads a byte of it; the old one
     hears of that and does not keep its copy open for a message that nobody has."""
-    removal = Removal(12)
-    removal.settle()
-    removal.clients[0].send(message("r1"))
-    removal.new.turn(4)
-    removal.kill(1)
-    removal.settle()
-    assert [client.open for client in removal.clients] == [False] + 11 * [True]
-    assert asked(removal, removal.clients[1], "r2") == [200]
-    removal.close()
-
-
-class Passing(RuleBasedStateMachine):
+    transfer = ParkedTransfer(12)
+    transfer.settle()
+    transfer.clients[0].send(message("r1"))
+    transfer.new.turn(4)
+    transfer.kill(1)
+    transfer.settle()
+    assert [client.open for client in transfer.clients] == [False] + 11 * [True]
+    assert response_statuses(transfer, transfer.clients[1], "r2") == [200]
+    transfer.close()
+
+
+class ParkedTransferMachine(RuleBasedStateMachine):
     """Phones speak while they pass on, at any step of it, and the new process may die: each message that was
     sent is answered once, unless its connection was being read by a process that died."""
 
     def __init__(self):
         super().__init__()
-        self.removal = Removal(12)
+        self.transfer = ParkedTransfer(12)
         self.sent = {}
         self.count = 0
         self.dead = False
@@ -306,44 +308,44 @@
         if number not in self.sent:
             self.count += 1
             self.sent[number] = None
-            self.removal.clients[number].send(message(f"m{self.count}"))
+            self.transfer.clients[number].send(message(f"m{self.count}"))
 
     @rule()
     def hear(self):
-        self.removal.step()
+        self.transfer.step()
 
     @rule(which=st.integers(0, 1), turns=st.integers(1, 4))
     def turn(self, which, turns):
-        if which < len(self.removal.harnesses):
-            self.removal.harnesses[which].turn(turns)
+        if which < len(self.transfer.harnesses):
+            self.transfer.harnesses[which].turn(turns)
 
     @rule()
     def settle(self):
-        self.removal.settle()
+        self.transfer.settle()
         for number in list(self.sent):
-            assert self.removal.clients[number].statuses() == [200]
+            assert self.transfer.clients[number].statuses() == [200]
             del self.sent[number]
 
     @precondition(lambda self: not self.dead)
     @rule()
     def die(self):
         self.dead = True
-        held = {a._sock.fileno() for a in self.removal.new.listener.open_connections}
+        held = {a._sock.fileno() for a in self.transfer.new.listener.open_connections}
         lost = len(held)
-        self.removal.kill(1)
-        self.removal.settle()
-        gone = [n for n, client in enumerate(self.removal.clients) if not client.open]
+        self.transfer.kill(1)
+        self.transfer.settle()
+        gone = [n for n, client in enumerate(self.transfer.clients) if not client.open]
         assert len(gone) <= lost
         for number in gone:
             self.sent.pop(number, None)
-            handover = ConnectionHandover(True, self.removal.old.dispatcher.now)
-            self.removal.clients[number] = SocketClient(self.removal.old, handover=handover)
-            assert self.removal.clients[number].ask(f"again{number}") == [200]
+            handover = ConnectionHandover(True, self.transfer.old.dispatcher.now)
+            self.transfer.clients[number] = SocketClient(self.transfer.old, handover=handover)
+            assert self.transfer.clients[number].ask(f"again{number}") == [200]
 
     def teardown(self):
         self.settle()
-        self.removal.close()
+        self.transfer.close()
 
 
-def test_random_steps_of_passing_on():
-    play(Passing, 60, 20)
+def test_random_steps_of_parked_transfer_lose_no_request():
+    play(ParkedTransferMachine, 60, 20)
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -20,20 +20,24 @@
 from eiderfield.net.table_state import EndpointRecord, UnbannedWorker
 
 NAMES = sorted(path.stem for path in GOLDEN.glob("*.json"))
-START = 1_764_600_000_000.0  # of the recorded processes' clocks, which showed Unix time
-STATE_AT = START + 40.0  # when the recorded state was written
-LATER = START + 200.0
+CLOCK_START = 1_764_600_000_000.0  # of the recorded processes' clocks, which showed Unix time
+STATE_AT = CLOCK_START + 40.0  # when the recorded state was written
+READ_AT = CLOCK_START + 200.0
 # Fields that were added after a revision.
-ADDED = {"731b84e": frozenset({"now", "started", "heard"}), "456c0d9": frozenset(), "3888fce": frozenset()}
-TIMED = ("state", "ban", "client", "parked")  # kinds of messages that hold times
+ADDED_FIELDS = {
+    "731b84e": frozenset({"now", "started", "heard"}),
+    "456c0d9": frozenset(),
+    "3888fce": frozenset(),
+}
+TIMED_KINDS = ("state", "ban", "client", "parked")  # kinds of messages that hold times
 
 revisions = pytest.mark.parametrize("revision", FOLDERS)
-revisions_of_this_form = pytest.mark.parametrize("revision", ["456c0d9", "3888fce"])
+revisions_with_present_form = pytest.mark.parametrize("revision", ["456c0d9", "3888fce"])
 
 
-def read_at(revision, name):
+def reading_time(revision, name):
     """When a recorded message is read: a moment after it was written, or in that moment if it says it."""
-    return recorded(revision, name)[0].get("now", STATE_AT if name.startswith("state") else LATER)
+    return recorded(revision, name)[0].get("now", STATE_AT if name.startswith("state") else READ_AT)
 
 
 def codec(now, logged=None):
@@ -43,20 +47,20 @@
 
 def decode(revision, name):
     """A recorded message as the present program reads it."""
-    return codec(read_at(revision, name)).decode(recorded(revision, name)[0])
+    return codec(reading_time(revision, name)).decode(recorded(revision, name)[0])
 
 
-def without(added, value):
+def without_fields(added, value):
     """A message without some fields."""
     if isinstance(value, dict):
-        return {key: without(added, each) for key, each in value.items() if key not in added}
+        return {key: without_fields(added, each) for key, each in value.items() if key not in added}
     if isinstance(value, list):
-        return [without(added, each) for each in value]
+        return [without_fields(added, each) for each in value]
     return value
 
 
 @revisions
-def test_each_kind_of_message_is_recorded(revision):
+def test_recording_holds_each_kind_of_message(revision):
     kinds = {recorded(revision, name)[0]["is"] for name in NAMES}
     words = "ask state taken yours news ban client wait parked got departed"
     assert kinds == set(words.split())
@@ -64,7 +68,7 @@
     assert sorted(path.stem for path in FOLDERS[revision].glob("*.json")) == NAMES
 
 
-SHORT = {
+EXPECTED_MESSAGES = {
     "ask": m.TakeoverRequest(1, False),
     "ask-peers": m.TakeoverRequest(1, True),
     "wait": m.TakeoverDelayed(),
@@ -72,26 +76,26 @@
     "yours": m.ListenersReleased({LISTEN: 5}),
     "news": m.LoadChanged({"new": True}, ()),
     "news-attempts": m.LoadChanged({}, (m.OpenAttempts("w1", 1, 120.0),)),
-    "ban": m.BanChanged("w1", START + 120.0),
+    "ban": m.BanChanged("w1", CLOCK_START + 120.0),
     "ban-end": m.BanChanged("w1", None),
-    "client": m.ConnectionPassed(LISTEN, True, START - 828.0, b"", {LISTEN: 5}),
-    "client-begun": m.ConnectionPassed(LISTEN, False, START - 828.0, b"POST /safe/k HTT", {LISTEN: 5}),
-    "parked": m.ParkedBatch(LISTEN, (START - 1460.0,), (), {LISTEN: 5}),
-    "parked-copies": m.ParkedBatch(LISTEN, (START - 1460.0,), (13,), {LISTEN: 5}),
+    "client": m.ConnectionPassed(LISTEN, True, CLOCK_START - 828.0, b"", {LISTEN: 5}),
+    "client-begun": m.ConnectionPassed(LISTEN, False, CLOCK_START - 828.0, b"POST /safe/k HTT", {LISTEN: 5}),
+    "parked": m.ParkedBatch(LISTEN, (CLOCK_START - 1460.0,), (), {LISTEN: 5}),
+    "parked-copies": m.ParkedBatch(LISTEN, (CLOCK_START - 1460.0,), (13,), {LISTEN: 5}),
     "got": m.ParkedBatchTaken(LISTEN, ()),
     "departed": m.ConnectionsUnparked(LISTEN, (7,)),
 }
 
 
-@pytest.mark.parametrize("name", SHORT)
-def test_a_message_of_731b84e_is_read(name):
-    assert decode("731b84e", name) == SHORT[name]
+@pytest.mark.parametrize("name", EXPECTED_MESSAGES)
+def test_message_of_731b84e_is_decoded(name):
+    assert decode("731b84e", name) == EXPECTED_MESSAGES[name]
 
 
-@revisions_of_this_form
-@pytest.mark.parametrize("name", SHORT)
-def test_a_message_of_a_revision_with_this_form_is_read(revision, name):
-    expected = SHORT[name]
+@revisions_with_present_form
+@pytest.mark.parametrize("name", EXPECTED_MESSAGES)
+def test_message_of_revision_with_present_form_is_decoded(revision, name):
+    expected = EXPECTED_MESSAGES[name]
     if name == "parked-copies":  # keys are numbers of descriptors, which differ from run to run
         expected = replace(expected, keys=tuple(recorded(revision, name)[0]["keys"]))
     assert decode(revision, name) == expected
@@ -99,27 +103,27 @@
 
 @revisions
 @pytest.mark.parametrize("name", ["state", "state-peers"])
-def test_a_recorded_state_is_read(revision, name):
+def test_recorded_state_is_decoded(revision, name):
     state = decode(revision, name)
     assert state.listeners == (LISTEN,)
     assert state.with_peers == (name == "state-peers")
     assert set(state.request_ids) == {"held1", "held2", "held3", "keyed"}
     assert state.attempts == (m.OpenAttempts("w1", 1),)
-    assert state.bans == {"w2": START}
+    assert state.bans == {"w2": CLOCK_START}
     assert state.table.index == 3
-    assert state.table.unbanned_workers == (UnbannedWorker("w6", START, STATE_AT),)
-    started = None if revision == "731b84e" else START - 100.0
-    slow = EndpointRecord("w3", "127.0.0.1:3", "SERVING", "z1", "", 0, 1.0, START - 100.0, started)
+    assert state.table.unbanned_workers == (UnbannedWorker("w6", CLOCK_START, STATE_AT),)
+    started = None if revision == "731b84e" else CLOCK_START - 100.0
+    slow = EndpointRecord("w3", "127.0.0.1:3", "SERVING", "z1", "", 0, 1.0, CLOCK_START - 100.0, started)
     assert state.table.endpoints[2] == slow
     statuses = {endpoint.name: endpoint.status for endpoint in state.table.endpoints}
     assert statuses == {"w4": "DRAINING", "w5": "DELETED"} | dict.fromkeys(
         ("w1", "w2", "w3", "w6"), "SERVING"
     )
     learned = state.learned
-    assert learned.pacers[0] == PacerState(120.0, 4.0, 20.0, START + 290.0)
+    assert learned.pacers[0] == PacerState(120.0, 4.0, 20.0, CLOCK_START + 290.0)
     assert learned.pacers[1] == learned.pacers[2] == PacerState(0.0, None, 0.0, 0.0)
     assert (learned.retry_tokens, learned.served_rate, learned.served_at) == (5.0, 0.75, STATE_AT)
-    assert learned.recent_work == (RecentWork(964320697, ((START + 10.0, 80.0),)),)
+    assert learned.recent_work == (RecentWork(964320697, ((CLOCK_START + 10.0, 80.0),)),)
     assert learned.key_counts == ((11087761916137914656, 4), (11534753796086380509, 1))
     assert learned.slots == ((0, 2.0),)
     assert learned.outliers == (OutlierState(797615265, 2.0, 1),)
@@ -127,18 +131,18 @@
 
 @revisions
 @pytest.mark.parametrize("name", NAMES)
-def test_a_message_that_was_read_is_written_as_before(revision, name):
+def test_decoded_message_is_encoded_as_recorded(revision, name):
     message, _ = recorded(revision, name)
-    again = codec(read_at(revision, name)).encode(decode(revision, name))
-    assert without(ADDED[revision], again) == message
-    assert ("now" in again) == (message["is"] in TIMED)
+    again = codec(reading_time(revision, name)).encode(decode(revision, name))
+    assert without_fields(ADDED_FIELDS[revision], again) == message
+    assert ("now" in again) == (message["is"] in TIMED_KINDS)
 
 
-@revisions_of_this_form
+@revisions_with_present_form
 @pytest.mark.parametrize("name", NAMES)
-def test_a_message_of_a_revision_with_this_form_is_written_byte_for_byte_as_before(revision, name):
+def test_message_of_revision_with_present_form_is_encoded_byte_for_byte_as_recorded(revision, name):
     message, _ = recorded(revision, name)
-    again = codec(read_at(revision, name)).encode(decode(revision, name))
+    again = codec(reading_time(revision, name)).encode(decode(revision, name))
     assert json.dumps(again) == json.dumps(message)
 
 
@@ -187,11 +191,11 @@
 
 
 @pytest.fixture(scope="module")
-def written(tmp_path_factory):
+def scene_messages(tmp_path_factory):
     """All messages of the recorded scene, as the present program writes them."""
     folder = tmp_path_factory.mktemp("handover")
     module = recorder_module()
-    module.Program.Side = partial(Side, start=START)
+    module.Program.Side = partial(Side, start=CLOCK_START)
     module.Program.Wire, module.Program.Given = Wire, ConnectionHandover
     for copies in (False, True):
         module.play(folder, copies)
@@ -200,7 +204,7 @@
 
 def comparable(told, added):
     """A message without what differs from run to run: the order of ids and the numbers of descriptors."""
-    message = without(added, told["message"])
+    message = without_fields(added, told["message"])
     if "ids" in message and isinstance(message["ids"], list):
         message["ids"] = sorted(message["ids"])
     if message.get("keys") and message["is"] == "parked":
@@ -210,29 +214,31 @@
 
 @revisions
 @pytest.mark.parametrize("name", NAMES)
-def test_the_same_scene_is_told_in_the_messages_that_a_revision_accepts(revision, name, written):
+def test_messages_of_recorded_scene_equal_those_of_revision(revision, name, scene_messages):
     """A revision reads these fields and ignores others, so a process of it may come before or after."""
     message, descriptors = recorded(revision, name)
     told = {"message": message, "descriptors": descriptors}
-    assert comparable(written[name], ADDED[revision]) == comparable(told, ADDED[revision])
+    assert comparable(scene_messages[name], ADDED_FIELDS[revision]) == comparable(
+        told, ADDED_FIELDS[revision]
+    )
 
 
-def test_the_recorded_scene_leaves_out_no_kind_of_message(written):
-    assert sorted(written) == NAMES
+def test_recorded_scene_produces_each_kind_of_message(scene_messages):
+    assert sorted(scene_messages) == NAMES
 
 
 @revisions
 @pytest.mark.parametrize("name", [name for name in NAMES if not name.startswith(("wait", "ask"))])
-def test_a_message_without_one_of_its_fields_is_named_as_malformed(revision, name):
+def test_message_without_required_field_is_rejected_by_field_name(revision, name):
     message, _ = recorded(revision, name)
     optional = {"peers", "parks", "is", "now"}
     for key in message.keys() - optional:
         cut = {field: value for field, value in message.items() if field != key}
         with pytest.raises(MalformedMessageError, match=key):
-            codec(LATER).decode(cut)
+            codec(READ_AT).decode(cut)
 
 
-def test_what_cannot_be_read_of_the_learned_state_is_left_out_and_named():
+def test_malformed_learned_state_is_ignored_and_logged():
     message, _ = recorded("731b84e", "state")
     logged = []
     state = codec(STATE_AT, logged).decode({**message, "memory": {**message["memory"], "spent": [1.0]}})
@@ -241,5 +247,5 @@
     assert "spent" in logged[0]
 
 
-def test_the_tests_dispatchers_start_where_the_recorded_ones_did():
-    assert InMemoryDispatcher(start=START).now == START
+def test_in_memory_dispatcher_starts_at_time_of_recorded_clocks():
+    assert InMemoryDispatcher(start=CLOCK_START).now == CLOCK_START
--- a/tests/test_handover_upgrade.py
+++ b/tests/test_handover_upgrade.py
@@ -17,7 +17,10 @@
 from eiderfield.lab.ports import free_port
 
 ENVELOPE = Struct("<BIH")  # of messages between dispatchers
-PATIENT = {**CONFIG["settings"]["classes"][0], "give_up": 300_000}  # however long a process takes to start
+LONG_WAIT_CLASS = {
+    **CONFIG["settings"]["classes"][0],
+    "give_up": 300_000,
+}  # however long a process takes to start
 
 
 def call(port, path, method="GET"):
@@ -25,7 +28,7 @@
         return ask(sock, f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
 
 
-class Releases:
+class Upgrades:
     """Processes of a program that are started beside each other, as the platform does."""
 
     def __init__(self, folder, discovery):
@@ -42,7 +45,7 @@
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{self.discovery}",
             "console": f"127.0.0.1:{console}",
-            "settings": {"classes": [PATIENT]},
+            "settings": {"classes": [LONG_WAIT_CLASS]},
             **self.more,
         }
         path = self.folder / f"config-{console}.json"
@@ -67,57 +70,57 @@
 
 
 @pytest.fixture
-def releases(tmp_path):
+def upgrades(tmp_path):
     worker = HoldingWorker()
     source = DiscoveryServer(worker.port)
-    releases = Releases(tmp_path, source.port)
-    releases.worker, releases.source = worker, source
-    yield releases
-    releases.end()
+    upgrades = Upgrades(tmp_path, source.port)
+    upgrades.worker, upgrades.source = worker, source
+    yield upgrades
+    upgrades.end()
 
 
-def test_upgrade_loses_no_request_and_no_ban(releases):
-    old, console = releases.start()
-    releases.source.asked.get(timeout=30)
-    kept, half, busy = [socket.create_connection(("127.0.0.1", releases.port), 30) for _ in range(3)]
-    releases.worker.let.set()
+def test_upgrade_loses_no_request_and_no_ban(upgrades):
+    old, console = upgrades.start()
+    upgrades.source.asked.get(timeout=30)
+    kept, half, busy = [socket.create_connection(("127.0.0.1", upgrades.port), 30) for _ in range(3)]
+    upgrades.worker.let.set()
     for sock in (kept, half):  # a connection that has brought a job may idle
         assert ask(sock, post("r0"))[0] == 200
-    releases.worker.let.clear()
-    releases.worker.came.clear()
+    upgrades.worker.let.clear()
+    upgrades.worker.came.clear()
     busy.sendall(post("r1"))
-    assert releases.worker.came.wait(30)
+    assert upgrades.worker.came.wait(30)
     assert call(console, "/-/workers/w/disable", "POST")[0] == 200
 
-    new, later = releases.start()
+    new, later = upgrades.start()
     assert call(later, "/-/ready")[0] == 200
     assert json.loads(call(later, "/-/metrics")[1])["hosts_down"] == 1
     assert call(later, "/-/workers/w/enable", "POST")[0] == 200
     half.sendall(post("r2")[:20])
     old.send_signal(signal.SIGTERM)
-    releases.worker.let.set()
+    upgrades.worker.let.set()
     assert ask(busy, b"") == (200, b"cba"), "what the old process has taken it answers"
     assert old.wait(30) == 0
     for sock, data in ((half, post("r2")[20:]), (kept, post("r3")), (busy, post("r4"))):
         assert ask(sock, data) == (200, b"cba"), "its connection went on to the new process"
     assert json.loads(call(later, "/-/metrics")[1])["success"] == {"echo": 3}
-    with socket.create_connection(("127.0.0.1", releases.port), 30) as sock:
+    with socket.create_connection(("127.0.0.1", upgrades.port), 30) as sock:
         assert ask(sock, post("r5")) == (200, b"cba")
     for sock in (kept, busy, half):
         sock.close()
     new.send_signal(signal.SIGTERM)
     assert new.wait(30) == 0
-    assert not list(releases.folder.glob("*.sock*"))
+    assert not list(upgrades.folder.glob("*.sock*"))
 
 
-def test_upgrade_leaves_exactly_one_process_in_touch_with_peers(releases):
+def test_upgrade_leaves_exactly_one_process_exchanging_messages_with_peers(upgrades):
     peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     peer.bind(("127.0.0.1", 0))
     peer.settimeout(30)
     ours, theirs = f"127.0.0.1:{free_port()}", f"127.0.0.1:{peer.getsockname()[1]}"
     policy = {"may_tell": True, "retry_after": True}
-    releases.more = {
-        "settings": {"classes": [PATIENT], "balancers": 2, "me": 0, "policy_limits": policy},
+    upgrades.more = {
+        "settings": {"classes": [LONG_WAIT_CLASS], "balancers": 2, "me": 0, "policy_limits": policy},
         "peer_listen": ours,
         "peers": [ours, theirs],
     }
@@ -125,7 +128,7 @@
     numbers = iter(range(1, 1000))
 
     def say():
-        message = ENVELOPE.pack(1, 7, next(numbers)) + encode_peer_report([(releases.number, 1)])
+        message = ENVELOPE.pack(1, 7, next(numbers)) + encode_peer_report([(upgrades.number, 1)])
         peer.sendto(message, (host, int(port)))
 
     def heard(console, most):
@@ -133,28 +136,28 @@
             pass
         return figures["heard"]
 
-    releases.number = IdMap().worker("w")
-    old, console = releases.start()
-    releases.source.asked.get(timeout=30)
+    upgrades.number = IdMap().worker("w")
+    old, console = upgrades.start()
+    upgrades.source.asked.get(timeout=30)
     say()
     heard(console, 1)
-    busy = socket.create_connection(("127.0.0.1", releases.port), 30)
+    busy = socket.create_connection(("127.0.0.1", upgrades.port), 30)
     busy.sendall(post("r1"))
-    assert releases.worker.came.wait(30)
+    assert upgrades.worker.came.wait(30)
     first = ENVELOPE.unpack_from(message := peer.recv(300))
-    assert list(decode_peer_report(message[ENVELOPE.size :])) == [(releases.number, 1)], (
+    assert list(decode_peer_report(message[ENVELOPE.size :])) == [(upgrades.number, 1)], (
         "its job at the worker"
     )
-    _, later = releases.start()
+    _, later = upgrades.start()
     for _ in range(5):
         say()
     assert heard(later, 5) == 5, "all of them by the next process"
     assert heard(console, 1) == 1, "all of them by the next process"
     old.send_signal(signal.SIGTERM)
-    releases.worker.let.set()
+    upgrades.worker.let.set()
     assert ask(busy, b"") == (200, b"cba")
     assert old.wait(30) == 0
-    while list(decode_peer_report((message := peer.recv(300))[ENVELOPE.size :])) != [(releases.number, 0)]:
+    while list(decode_peer_report((message := peer.recv(300))[ENVELOPE.size :])) != [(upgrades.number, 0)]:
         pass  # told by the next process, whose life is later, though the job was the old one's
     assert ENVELOPE.unpack_from(message)[1] > first[1]
     say()
@@ -163,20 +166,20 @@
     peer.close()
 
 
-def test_upgrades_in_close_succession_lose_no_request(releases):
-    first, _ = releases.start()
-    releases.source.asked.get(timeout=30)
-    busy = socket.create_connection(("127.0.0.1", releases.port), 30)
+def test_upgrades_in_close_succession_lose_no_request(upgrades):
+    first, _ = upgrades.start()
+    upgrades.source.asked.get(timeout=30)
+    busy = socket.create_connection(("127.0.0.1", upgrades.port), 30)
     busy.sendall(post("r1"))
-    assert releases.worker.came.wait(30)
-    second, later = releases.start()
+    assert upgrades.worker.came.wait(30)
+    second, later = upgrades.start()
     assert call(later, "/-/ready")[0] == 200
     first.send_signal(signal.SIGTERM)  # it stays for its job
-    third = releases.launch()
-    releases.worker.let.set()
+    third = upgrades.launch()
+    upgrades.worker.let.set()
     assert ask(busy, b"") == (200, b"cba")
     assert first.wait(30) == 0
-    _, last = releases.up(*third)
+    _, last = upgrades.up(*third)
     assert call(last, "/-/ready")[0] == 200
     second.send_signal(signal.SIGTERM)
     assert ask(busy, post("r2")) == (200, b"cba")
@@ -186,34 +189,34 @@
     busy.close()
 
 
-def test_start_after_a_killed_process_succeeds(releases):
-    releases.worker.let.set()
-    old, _ = releases.start()
+def test_start_after_killed_process_succeeds(upgrades):
+    upgrades.worker.let.set()
+    old, _ = upgrades.start()
     old.kill()
     old.wait()
-    assert list(releases.folder.glob("*.sock"))
-    _, console = releases.start()
-    releases.source.asked.get(timeout=30)
-    with socket.create_connection(("127.0.0.1", releases.port), 30) as sock:
+    assert list(upgrades.folder.glob("*.sock"))
+    _, console = upgrades.start()
+    upgrades.source.asked.get(timeout=30)
+    with socket.create_connection(("127.0.0.1", upgrades.port), 30) as sock:
         assert ask(sock, post("r1")) == (200, b"cba")
     assert call(console, "/-/ready")[0] == 200
 
 
-def test_start_beside_a_stopped_process_succeeds(releases):
-    releases.worker.let.set()
-    old, _ = releases.start()
+def test_start_beside_stopped_process_succeeds(upgrades):
+    upgrades.worker.let.set()
+    old, _ = upgrades.start()
     old.send_signal(signal.SIGSTOP)
     try:
-        _, console = releases.start()
+        _, console = upgrades.start()
         assert call(console, "/-/ready")[0] in (200, 503)  # it is there, whatever it knows by now
     finally:
         old.send_signal(signal.SIGCONT)
 
 
-def test_second_program_at_the_same_address_fails_without_a_shared_folder(releases, tmp_path):
-    releases.start()
+def test_second_program_at_same_address_without_shared_folder_fails(upgrades, tmp_path):
+    upgrades.start()
     other = tmp_path / "other"
     other.mkdir()
-    releases.folder = other  # which shares no folder, so is no upgrade
+    upgrades.folder = other  # which shares no folder, so is no upgrade
     with pytest.raises(AssertionError, match="it ended"):
-        releases.start()
+        upgrades.start()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -20,7 +20,7 @@
     tier.close()
 
 
-def test_tell_sends_to_one_peer_or_to_all(tier):
+def test_send_report_sends_to_one_peer_or_to_all(tier):
     tier.port.send_report(1, b"one")
     tier.port.send_report(-1, b"all")
     tier.port.send_report(7, b"nobody")
@@ -30,7 +30,7 @@
     assert tier.port.counters["sent"] == 3
 
 
-def test_tell_with_a_message_too_long_sends_nothing(tier):
+def test_send_report_with_message_above_limit_sends_nothing(tier):
     room = MAX_MESSAGE_BYTES - ENVELOPE.size
     tier.port.send_report(1, b"x" * (room + 1))
     tier.port.send_report(1, b"y" * room)
@@ -38,7 +38,7 @@
     assert tier.port.counters["too_long"] == 1
 
 
-def test_message_of_an_unknown_sender_is_counted_and_ignored(tier):
+def test_message_of_unknown_sender_is_counted_and_ignored(tier):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         stranger.sendto(ENVELOPE.pack(ENVELOPE_VERSION, 1, 1) + b"x", tier.addresses[0])
     tier.say(1, 1, 1, b"known")
@@ -47,7 +47,7 @@
     assert tier.port.counters["strangers"] == 1
 
 
-def test_messages_duplicated_or_out_of_order_are_ignored_for_each_peer(tier):
+def test_duplicated_and_reordered_messages_are_ignored_per_peer(tier):
     for number in (1, 3, 2, 3, 4):
         tier.say(1, 9, number, b"%d" % number)
     tier.say(2, 9, 2, b"other")
@@ -63,7 +63,7 @@
     assert [data for _, data in tier.heard] == [b"65534", b"65535", b"0", b"1"]
 
 
-def test_message_of_an_earlier_incarnation_is_ignored(tier):
+def test_message_of_earlier_incarnation_is_ignored(tier):
     tier.say(1, 100, 50, b"old")
     tier.say(1, 101, 1, b"new")
     tier.say(1, 100, 51, b"late")
@@ -72,7 +72,7 @@
     assert tier.port.counters["earlier_life"] == 1
 
 
-def test_messages_of_another_version_or_malformed_are_ignored(tier):
+def test_malformed_messages_and_other_versions_are_ignored(tier):
     tier.say(1, 1, 1, version=ENVELOPE_VERSION + 1)
     tier.ends[1].sendto(b"ab", tier.addresses[0])
     tier.ends[1].sendto(b"z" * (MAX_MESSAGE_BYTES + 50), tier.addresses[0])
@@ -82,7 +82,7 @@
     assert tier.port.counters["malformed"] == 2
 
 
-def test_messages_above_the_rate_are_ignored_for_that_peer_alone(tier):
+def test_messages_above_rate_limit_are_ignored_for_that_peer_alone(tier):
     for number in range(int(MAX_MESSAGES_PER_S) + 100):
         tier.say(1, 1, number & 0xFFFF)
         if number % 32 == 31:
@@ -98,7 +98,7 @@
     assert tier.heard[-1] == (1, b"again")
 
 
-def test_open_on_a_port_in_use_is_logged_once(tier):
+def test_open_on_port_in_use_is_logged_once(tier):
     second = tier.new()
     second.open()
     second.send_report(1, b"x")
@@ -107,7 +107,7 @@
     assert "peer_listen" in tier.logged[0]
 
 
-def test_port_handed_over_receives_in_the_next_process(tier):
+def test_port_handed_over_receives_in_next_process(tier):
     tier.now += 1000.0
     following = tier.new()
     following.open(tier.port.sock.dup())
@@ -153,12 +153,12 @@
         ({"settings": {**SETTINGS, "policy_limits": {}}}, "peer_listen"),
     ],
 )
-def test_read_with_faulty_peers_names_the_key(change, key):
+def test_read_of_faulty_peers_raises_error_with_key(change, key):
     told = json.loads(json.dumps({**PLAIN, **change}))
     with pytest.raises(ConfigError, match=f"^{key} "):
         read({name: value for name, value in told.items() if value is not None}, {}, strict=True)
 
 
-def test_read_without_permission_of_the_settings_ignores_peers():
+def test_read_without_permission_in_settings_ignores_peers():
     assert read(PLAIN, {}).peers.peers == (("127.0.0.1", 3), ("127.0.0.1", 4))
     assert read({**PLAIN, "settings": {**SETTINGS, "policy_limits": {"may_tell": False}}}, {}).peers is None
--- a/tests/test_source_keys.py
+++ b/tests/test_source_keys.py
@@ -20,7 +20,7 @@
     ],
     ids=["mapped IPv4", "scope", "host of one /64"],
 )
-def test_source_keys_of_addresses_that_count_as_one_are_equal(one, other):
+def test_source_keys_of_equivalent_addresses_are_equal(one, other):
     assert keys(one) == keys(other)
 
 
@@ -28,7 +28,7 @@
     ("one", "other"),
     [("192.0.2.7", "192.0.2.200"), ("2001:db8:1:2::1", "2001:db8:1:3::1")],
 )
-def test_source_keys_of_one_prefix_differ_in_the_address_alone(one, other):
+def test_source_keys_of_same_prefix_differ_in_address_alone(one, other):
     assert keys(one).prefix == keys(other).prefix
     assert keys(one).address != keys(other).address
 
@@ -37,21 +37,21 @@
     ("one", "other"),
     [("192.0.2.7", "192.0.3.7"), ("2001:db8:1:2::1", "2001:db8:2::1"), ("2001:db8:1:3::1", "2001:db8:2::1")],
 )
-def test_source_keys_of_other_prefixes_differ_in_the_prefix(one, other):
+def test_source_keys_of_different_prefixes_differ_in_prefix(one, other):
     assert keys(one).prefix != keys(other).prefix
 
 
-def test_source_keys_of_both_families_and_longest_prefixes_are_distinct():
+def test_source_keys_of_both_families_with_longest_prefixes_are_distinct():
     addresses = ("0.0.0.0", "::", "0.0.0.1", "::1:0:0:0:0")
     assert len({source_keys(address, 32, 64) for address in addresses}) == len(addresses)
 
 
 @pytest.mark.parametrize("text", ["", "phone", "1.2.3", "1::2::3"])
-def test_source_keys_of_a_malformed_address_raises(text):
+def test_source_keys_of_malformed_address_raises(text):
     with pytest.raises(ValueError, match="not an address"):
         keys(text)
 
 
 @pytest.mark.parametrize("address", ["192.0.2.7", "2001:db8:1:2::1"])
-def test_prefix_key_of_an_address_key_equals_that_of_the_address(address):
+def test_prefix_key_of_address_key_equals_prefix_of_address(address):
     assert prefix_key(keys(address).address, PREFIX_V4, PREFIX_V6) == keys(address).prefix
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -35,7 +35,7 @@
 # Clocks.
 
 
-def test_a_step_moves_no_time_of_the_process(monkeypatch):
+def test_monotonic_clock_is_unchanged_by_step_of_wall_clock(monkeypatch):
     clock = MonotonicClock()
     monkeypatch.setattr(time, "time", lambda: 0.0)
     before = clock()
@@ -43,7 +43,7 @@
     assert 0.0 <= clock() - before < 60_000.0
 
 
-def test_the_process_reads_the_wall_clock_in_one_place_alone():
+def test_only_machine_module_reads_wall_clock():
     """The rest of the dispatcher converts there, or has no business with Unix time."""
     package = Path(eiderfield.__file__).parent
     parts = [package / name for name in ("net", "connections", "policy")]
@@ -58,7 +58,7 @@
 
 
 @steps
-def test_times_are_converted_by_what_the_wall_clock_shows_now(step):
+def test_conversion_uses_present_wall_clock_after_step(step):
     wall = Wall()
     clock = WallClock(lambda: 7000.0, wall)
     assert clock.to_unix(6000.0) == UNIX - 1000.0
@@ -67,7 +67,7 @@
     assert clock.to_unix(6000.0) == UNIX + step - 1000.0
 
 
-def test_a_process_that_is_held_up_between_the_two_clocks_reads_them_again():
+def test_offset_is_measured_again_after_delay_between_clock_readings():
     times = iter([0.0, 150.0, 150.0, 150.5])
     assert WallClock(lambda: next(times), lambda: 1000.0).offset() == 1000.0 - 150.25
 
@@ -76,7 +76,7 @@
 
 
 @steps
-def test_a_step_amid_waits_and_deadlines_moves_none_of_them(machine, step):
+def test_step_during_waits_moves_no_deadline(machine, step):
     dispatcher = machine.dispatcher
     machine.tell(("w", 0), snapshot=True)
     client = dispatcher.client(id_="r1", wait=1000)
@@ -93,7 +93,7 @@
 
 
 @steps
-def test_a_step_makes_no_watch_silent_and_keeps_none_that_is(machine, step):
+def test_step_neither_causes_nor_hides_heartbeat_timeout(machine, step):
     machine.wall.step(step)
     machine.dispatcher.advance(1000.0)
     assert machine.pipe.open
@@ -105,7 +105,7 @@
 
 
 @steps
-def test_a_peer_that_starts_again_after_a_step_is_heard(step):
+def test_peer_restarted_after_step_is_accepted(step):
     tier = Tier()
     life = int(UNIX / 10.0) & 0xFFFFFFFF
     tier.say(1, life, 5, b"first")
@@ -116,7 +116,7 @@
     assert [data for _, data in tier.heard] == [b"first", b"again"]
 
 
-def test_a_message_of_an_earlier_life_counts_no_requests_that_died_with_it():
+def test_message_of_earlier_incarnation_is_rejected_before_timeout():
     tier = Tier()
     tier.say(1, 700, 5, b"later")
     tier.read()
@@ -126,7 +126,7 @@
     assert [data for _, data in tier.heard] == [b"later"]
 
 
-def test_lives_are_numbered_by_unix_time_as_peers_of_731b84e_expect():
+def test_incarnation_is_numbered_by_unix_time_as_peers_of_731b84e_expect():
     tier = Tier()
     tier.port.close()
     port = PeerPort(
@@ -149,7 +149,7 @@
 
 
 @steps
-def test_batch_job_after_a_clock_step_shows_the_time_of_day_and_keeps_its_age(step):
+def test_batch_job_after_step_shows_unix_time_and_expires_by_age(step):
     wall = Wall()
     dispatcher = InMemoryDispatcher(unix=wall)
     wall.runs_with(dispatcher)
@@ -172,7 +172,7 @@
     assert registry.table.known == 1, "the finished one is forgotten by its age"
 
 
-def test_batch_job_ids_of_dispatchers_of_one_name_started_at_the_same_time_differ():
+def test_batch_job_ids_of_dispatchers_with_same_name_and_start_differ():
     limits = JobLimits(9, 9, 1.0, 99)
     job_ids = set()
     for dispatcher in [InMemoryDispatcher() for _ in range(3)]:
--- a/tests/test_wall_clock_bans.py
+++ b/tests/test_wall_clock_bans.py
@@ -19,7 +19,7 @@
 
 
 @steps
-def test_a_step_in_the_middle_of_a_ban_hides_no_start(machine, step):
+def test_unbanned_worker_after_step_during_ban_is_in_slow_start(machine, step):
     """The worker is restarted while it is banned, which discovery has not told when the ban is lifted."""
     machine.tell(("w", machine.wall()))
     machine.dispatcher.advance(500.0)
@@ -35,7 +35,7 @@
 
 
 @steps
-def test_a_step_between_two_starts_moves_no_ban_before_a_start(tmp_path, step):
+def test_stored_ban_after_step_between_processes_is_later_than_worker_start(tmp_path, step):
     first = Machine(bans=tmp_path / "bans.json")
     started = first.wall()
     first.tell(("w", started), snapshot=True)
--- a/tests/test_wall_clock_handover.py
+++ b/tests/test_wall_clock_handover.py
@@ -13,7 +13,7 @@
     return Takeover(request.param)
 
 
-def test_what_the_policy_learnt_keeps_its_age_over_a_step_between_two_starts(takeover):
+def test_learned_state_handed_over_after_step_keeps_its_age(takeover):
     """A pacer would have waited an hour, or a worker in slow start have been sent its work twice."""
     old = takeover.old.dispatcher
     old.advance(500.0)
@@ -30,7 +30,7 @@
     assert work == 80.0
 
 
-def test_slow_start_goes_on_over_a_step_between_two_starts(takeover):
+def test_slow_start_handed_over_after_step_keeps_its_age(takeover):
     takeover.old.dispatcher.advance(3000.0)
     heir = takeover.go().module()
     worker = heir.workers[takeover.old.dispatcher.ids.worker("slow")]
@@ -40,7 +40,7 @@
     assert takeover.age(worker.entry.ready_at) == pytest.approx(3000.0), "discovery's list changes nothing"
 
 
-def test_a_start_that_is_first_announced_after_the_handover_did_not_happen_an_hour_ago():
+def test_start_announced_after_step_and_handover_is_not_dated_before_last_source_contact():
     """The process before has heard discovery a moment ago, so that the worker cannot have been there long."""
     takeover = Takeover(HOUR)
     takeover.old.dispatcher.table.start_times.record_source_contact()
@@ -54,7 +54,7 @@
     assert entry.ready_at == new.now
 
 
-def test_a_ban_keeps_its_place_over_a_step_between_two_starts(takeover):
+def test_ban_handed_over_after_step_keeps_its_age(takeover):
     old = takeover.old.dispatcher
     old.advance(1000.0)
     old.table.ban("banned")
@@ -68,7 +68,7 @@
     assert entry.ready_at == new.now, "it may have been restarted meanwhile"
 
 
-def test_a_lifted_ban_keeps_its_age_over_a_step_between_two_starts(takeover):
+def test_lifted_ban_handed_over_after_step_keeps_its_age(takeover):
     old = takeover.old.dispatcher
     old.advance(1000.0)
     old.table.ban("banned")
@@ -80,7 +80,7 @@
     assert takeover.age(entry.ready_at) == pytest.approx(200.0)
 
 
-def test_a_ban_during_the_handover_is_told_by_its_age(takeover):
+def test_ban_during_handover_is_sent_with_its_age(takeover):
     takeover.go()
     takeover.old.dispatcher.table.ban("slow")
     takeover.new.dispatcher.table.ban("banned")
@@ -91,7 +91,7 @@
 
 
 @steps
-def test_clients_connections_keep_their_age_over_a_step(step):
+def test_connections_passed_after_step_keep_their_age(step):
     """They would all have been closed at once, or have idled for an hour."""
     batch, now = passed_on(ParkedBatch(LISTEN, (5e6 - 9000.0, 5e6), (), {}), step)
     assert batch.since == pytest.approx((now - 9000.0, now))
@@ -100,6 +100,6 @@
 
 
 @steps
-def test_a_time_that_lies_ahead_is_now(step):
+def test_future_time_in_message_is_converted_to_now(step):
     batch, now = passed_on(ParkedBatch(LISTEN, (5e6 + HOUR,), (), {}), step)
     assert batch.since == (now,)
--- a/tests/test_wall_clock_handover_731b84e.py
+++ b/tests/test_wall_clock_handover_731b84e.py
@@ -11,7 +11,7 @@
 STATE_AT = UNIX + 40.0  # what the clock of the recorded process showed
 
 
-def from_731b84e(step, elapsed=0.0):
+def decode_state_of_731b84e(step, elapsed=0.0):
     """The recorded state as a process has it that starts after a step, and its codec and clock."""
     now = 9e9
     process = Process(lambda: STATE_AT + elapsed + step, now)
@@ -19,9 +19,9 @@
 
 
 @steps
-def test_a_step_before_the_handover_of_731b84e_makes_nothing_wait(step):
+def test_state_of_731b84e_after_step_has_no_future_times(step):
     """It would have held the first class back for an hour."""
-    state, process = from_731b84e(step)
+    state, process = decode_state_of_731b84e(step)
     pacer = state.learned.pacers[0]
     assert process.now <= pacer.next_release_at <= process.now + 1000.0 / pacer.rate
     assert state.learned.served_at <= process.now
@@ -32,14 +32,14 @@
 
 
 @steps
-def test_work_that_731b84e_has_just_sent_to_a_worker_in_slow_start_is_not_sent_again(step):
-    state, process = from_731b84e(step)
+def test_recent_work_of_731b84e_after_step_keeps_its_age(step):
+    state, process = decode_state_of_731b84e(step)
     [(at, _)] = state.learned.recent_work[0].sent
     assert process.now - at == 30.0
 
 
 @steps
-def test_a_worker_in_slow_start_stays_so_over_a_step_before_the_handover_of_731b84e(step):
+def test_slow_start_of_731b84e_after_step_keeps_its_age(step):
     """Its clock is that of its start: it would be taken for warm after a step forward."""
     process = Process(lambda: STATE_AT + step, 9e9)
     table = process.codec.decode(recorded("731b84e", "state")[0]).table
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR, -SECONDS])
-def test_a_worker_that_started_after_a_step_back_is_not_warm_by_the_clock_of_731b84e(step):
+def test_worker_started_after_step_back_is_in_slow_start_despite_clock_of_731b84e(step):
     unix = STATE_AT + step
     message = recorded("731b84e", "state")[0]
     for endpoint in message["table"]["endpoints"]:
@@ -64,15 +64,15 @@
     assert process.now - worker.entry.ready_at == 100.0
 
 
-def test_the_state_of_731b84e_is_exact_where_no_step_was():
-    state, process = from_731b84e(0.0, elapsed=50.0)
+def test_state_of_731b84e_without_step_keeps_exact_ages():
+    state, process = decode_state_of_731b84e(0.0, elapsed=50.0)
     assert state.learned.served_at == process.now - 50.0
     assert state.table.unbanned_workers[0].unbanned_at == process.now - 50.0
 
 
 @steps
-def test_clients_that_731b84e_passes_on_after_a_step_are_neither_closed_nor_kept(step):
-    _, process = from_731b84e(step)
+def test_connections_passed_by_731b84e_after_step_have_ages_within_timeouts(step):
+    _, process = decode_state_of_731b84e(step)
     batch = process.codec.decode(recorded("731b84e", "parked")[0])
     idle = {HOUR: 0.0, SECONDS: 1500.0 + SECONDS}.get(step, 1500.0)
     assert process.now - batch.since[0] == idle
@@ -81,7 +81,7 @@
 
 
 @steps
-def test_731b84e_is_told_times_that_its_clock_has_passed(step):
+def test_times_sent_to_731b84e_after_step_are_unix_times(step):
     """It starts after the step, so its clock shows what the wall clock shows then."""
     wall = Wall()
     wall.step(step)
@@ -93,7 +93,7 @@
 
 
 @steps
-def test_731b84e_is_told_of_starts_as_discovery_announced_them(step):
+def test_starts_sent_to_731b84e_are_those_that_discovery_announced(step):
     """Told otherwise, it would take discovery's next list for a new start of each worker."""
     takeover = Takeover(step)
     takeover.old.dispatcher.advance(500.0)
--- a/tests/test_wall_clock_slow_start.py
+++ b/tests/test_wall_clock_slow_start.py
@@ -14,7 +14,7 @@
 
 
 @steps
-def test_a_step_in_the_middle_of_slow_start_changes_nothing_of_it(machine, step):
+def test_step_during_slow_start_keeps_worker_age(machine, step):
     since = machine.wall()
     machine.tell(("new", since))
     machine.dispatcher.advance(2000.0)
@@ -27,7 +27,7 @@
 
 
 @steps
-def test_a_start_after_a_step_is_as_old_as_it_is(machine, step):
+def test_start_after_step_has_its_true_age(machine, step):
     machine.wall.step(step)
     machine.dispatcher.advance(1000.0)
     since = machine.wall()
@@ -37,7 +37,7 @@
 
 
 @steps
-def test_a_start_before_a_step_that_is_announced_after_it_is_as_old_as_it_is(machine, step):
+def test_start_before_step_and_announced_after_it_has_its_true_age(machine, step):
     since = machine.wall()
     machine.dispatcher.advance(500.0)
     machine.wall.step(step)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("ahead", [SECONDS, HOUR])
-def test_an_announced_start_that_lies_ahead_is_now(machine, ahead):
+def test_future_start_counts_as_now_when_first_announced(machine, ahead):
     machine.tell(("new", machine.wall() + ahead))
     assert machine.started("new") == 0.0
     machine.pass_time(COLD)
@@ -55,18 +55,18 @@
     assert machine.started("new") == COLD, "the same announcement once more"
 
 
-def test_a_start_that_is_announced_as_new_did_not_happen_an_hour_ago(machine):
+def test_implausibly_old_start_of_new_worker_counts_as_now(machine):
     machine.tell(("new", machine.wall() - HOUR), ("old", machine.wall() - HOUR))
     assert machine.started("new") == machine.started("old") == 0.0
 
 
-def test_a_start_that_is_announced_late_is_as_old_as_it_says(machine):
+def test_start_announced_late_has_its_announced_age(machine):
     """Many dispatchers share a budget by windows from the start: those that hear later must agree on it."""
     machine.tell(("late", machine.wall() - MAX_ANNOUNCEMENT_DELAY_MS))
     assert machine.started("late") == MAX_ANNOUNCEMENT_DELAY_MS
 
 
-def test_a_start_in_a_silence_of_discovery_is_as_old_as_it_says(machine):
+def test_start_during_silence_of_source_has_its_announced_age(machine):
     machine.dispatcher.advance(1000.0)
     since = machine.wall()
     machine.dispatcher.advance(7000.0)
@@ -75,20 +75,20 @@
 
 
 @pytest.mark.parametrize("age", [0.0, 3000.0, HOUR])
-def test_the_first_list_of_a_process_is_believed(age):
+def test_starts_in_first_list_have_their_announced_ages(age):
     machine = Machine()
     machine.tell(("w", machine.wall() - age), snapshot=True)
     assert machine.started("w") == age
 
 
-def test_a_fresh_start_by_a_clock_that_is_a_little_ahead_is_no_older_after_a_step_back(machine):
+def test_start_by_slightly_fast_clock_after_step_back_counts_as_now(machine):
     machine.wall.step(-SECONDS)
     machine.beat()
     machine.tell(("new", machine.wall() + 3.0))
     assert machine.started("new") == 0.0
 
 
-def test_an_earlier_relation_of_the_clocks_is_forgotten(machine):
+def test_earlier_clock_offset_expires(machine):
     machine.wall.step(SECONDS)
     machine.beat()
     machine.pass_time(MAX_ANNOUNCEMENT_DELAY_MS)
@@ -97,7 +97,7 @@
 
 
 @steps
-def test_an_instance_of_consul_in_slow_start_stays_so_over_a_step(step):
+def test_step_during_slow_start_of_consul_instance_keeps_its_age(step):
     wall, consul = Wall(), Consul()
     dispatcher = consul.dispatcher
     wall.runs_with(dispatcher)
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("off", [-HOUR, HOUR])
-def test_an_instance_of_consul_that_is_new_starts_neither_ahead_nor_an_hour_ago(off):
+def test_implausible_start_of_new_consul_instance_counts_as_now(off):
     wall, consul = Wall(), Consul()
     dispatcher = consul.dispatcher
     wall.runs_with(dispatcher)
