--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -13,7 +13,7 @@
     return dispatcher.exchange.endpoints.states[dispatcher.ids.known(f"w{worker}")]
 
 
-def sent_to(dispatcher):
+def dialed_ports(dispatcher):
     return {dial.address[1] for dial in dispatcher.dials}
 
 
@@ -40,9 +40,9 @@
         dispatcher.tell((1, "SERVING"))
     assert state(dispatcher, 1) == EndpointState.DRAINING
     assert console.figures()["hosts_down"] == 1
-    for n in range(4):
-        dispatcher.client(path="/safe", id_=f"r{n}")
-    assert sent_to(dispatcher) == {2}
+    for number in range(4):
+        dispatcher.client(path="/safe", id_=f"r{number}")
+    assert dialed_ports(dispatcher) == {2}
     assert [ask(console, "enable"), ask(console, "enable")] == [200, 200]
     assert state(dispatcher, 1) == EndpointState.READY
     assert console.figures()["hosts_down"] == 0
@@ -56,9 +56,9 @@
     ask(console, "disable", f"w{dial.address[1]}")
     end = dial.up()
     assert not end.take(), "begun after the yes"
-    [other] = dispatcher.dials
-    assert other.address != dial.address
-    other.up().finish()
+    [other_dial] = dispatcher.dials
+    assert other_dial.address != dial.address
+    other_dial.up().finish()
     assert client.answers()[0][0] == 200
 
 
@@ -80,21 +80,21 @@
     assert state(console.dispatcher, 1) == EndpointState.READY
 
 
-@pytest.mark.parametrize("told", [False, True])
-def test_unbanned_worker_is_in_slow_start_unless_restart_was_announced(told):
+@pytest.mark.parametrize("announced", [False, True])
+def test_unbanned_worker_is_in_slow_start_unless_restart_was_announced(announced):
     """It is restarted while it is banned, and discovery tells of that seconds late."""
     console = Console(workers=2)
     dispatcher = console.dispatcher
     ask(console, "disable")
     dispatcher.advance(100.0)
     started = dispatcher.now
-    if told:
+    if announced:
         dispatcher.tell((1, "SERVING"), since=started)
     dispatcher.advance(3000.0)
     ask(console, "enable")
     worker = dispatcher.exchange.dispatcher.workers[dispatcher.ids.known("w1")]
-    assert worker.entry.ready_at == (started if told else dispatcher.now)
-    dispatcher.tell((1, "SERVING"), since=started if told else 0)  # what was told already, once more
+    assert worker.entry.ready_at == (started if announced else dispatcher.now)
+    dispatcher.tell((1, "SERVING"), since=started if announced else 0)  # what was told already, once more
     assert worker.entry.ready_at >= started
     dispatcher.tell((1, "SERVING"), since=started)
     assert worker.entry.ready_at == started
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -85,13 +85,13 @@
     console = Console(workers=2, bans=path)
     ask(console, "disable", "w1")
     ask(console, "disable", "w2")
-    whole = path.read_bytes()
-    for size in range(len(whole)):
-        path.write_bytes(whole[:size])
+    content = path.read_bytes()
+    for size in range(len(content)):
+        path.write_bytes(content[:size])
         assert banned_on_file(path) is None
-        fresh = Console(workers=2, bans=path)
-        assert state(fresh.dispatcher, 1) == EndpointState.READY
-    path.write_bytes(whole)
+        restarted = Console(workers=2, bans=path)
+        assert state(restarted.dispatcher, 1) == EndpointState.READY
+    path.write_bytes(content)
     assert banned_on_file(path) == {"w1", "w2"}
 
 
@@ -145,14 +145,14 @@
     """Attempts that end when the test says so."""
 
     def __init__(self):
-        self.attempts = []
+        self.operations = []
 
-    def run(self, work, done):
-        self.attempts.append((work, done))
+    def run(self, operation, on_done):
+        self.operations.append((operation, on_done))
 
-    def end_next(self):
-        work, done = self.attempts.pop(0)
-        done(result_of(work))
+    def finish_next(self):
+        operation, on_done = self.operations.pop(0)
+        on_done(result_of(operation))
 
 
 def test_ban_during_slow_write_is_answered_after_next_write(tmp_path):
@@ -161,19 +161,19 @@
     for worker in ("w1", "w2", "w3"):
         bans.since[worker] = 1.0
         bans.save(lambda written, worker=worker: answers.append((worker, written)))
-    assert len(disk.attempts) == 1
+    assert len(disk.operations) == 1
     assert answers == []
-    disk.end_next()
+    disk.finish_next()
     assert answers == [("w1", True)]
     assert banned_on_file(tmp_path / "bans") == {"w1"}
-    disk.end_next()
+    disk.finish_next()
     assert answers == [("w1", True), ("w2", True), ("w3", True)]
     assert banned_on_file(tmp_path / "bans") == {"w1", "w2", "w3"}
-    assert disk.attempts == []
+    assert disk.operations == []
 
 
-@pytest.mark.parametrize("ends", ["in time", "late"])
-def test_console_answers_within_timeout_during_slow_write(tmp_path, ends):
+@pytest.mark.parametrize("write_ends", ["in time", "late"])
+def test_console_answers_within_timeout_during_slow_write(tmp_path, write_ends):
     """The rule is a second; the answer waited for the write, however long a sync took."""
     console, disk = Console(bans=tmp_path / "bans"), ManualRunner()
     console.dispatcher.table.bans._run = disk.run
@@ -181,29 +181,29 @@
     caller.send(b"POST /-/workers/w1/disable HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
     console.dispatcher.settle()
     assert caller.answers() == []
-    if ends == "in time":
-        disk.end_next()
+    if write_ends == "in time":
+        disk.finish_next()
     console.dispatcher.advance(CALL_TIMEOUT_MS)
-    assert [status for status, *_ in caller.answers()] == [200 if ends == "in time" else 500]
-    if ends == "late":
-        disk.end_next()
+    assert [status for status, *_ in caller.answers()] == [200 if write_ends == "in time" else 500]
+    if write_ends == "late":
+        disk.finish_next()
         console.dispatcher.advance(CALL_TIMEOUT_MS)
     assert len(caller.answers()) == 0
     assert banned_on_file(tmp_path / "bans") == {"w1"}
 
 
 def test_thread_runner_reports_result_through_loop(tmp_path):
-    calls, called = [], threading.Event()
+    calls, call_received = [], threading.Event()
 
     def call_in_loop(call):
         calls.append(call)
-        called.set()
+        call_received.set()
 
     answers = []
     bans = Bans(tmp_path / "bans", print, run=thread_runner(call_in_loop, "bans"))
     bans.since["w1"] = 1.0
     bans.save(answers.append)
-    assert called.wait(30.0)
+    assert call_received.wait(30.0)
     assert answers == []
     calls.pop()()
     assert answers == [True]
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    "raw",
+    "body",
     [
         b"{}",
         b"[1]",
@@ -68,11 +68,11 @@
         b"[" * 9999,
     ],
 )
-def test_malformed_response_leaves_table_unchanged(raw):
+def test_malformed_response_leaves_table_unchanged(body):
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1))
-    consul.answer(8, raw=raw)
+    consul.answer(8, raw=body)
     assert not consul.pipe.open
     assert consul.states() == {"n/a": EndpointState.READY}
     consul.dispatcher.advance(1500.0)
@@ -101,25 +101,25 @@
     assert since == {"n/a": 0.0, "n/b": consul.dispatcher.now, "n/c": 12.0}
 
 
-def answered_queries(consul, span, most=400):
+def answered_queries(consul, duration, max_queries=400):
     """Lets time pass while the stand-in answers every query at once; gives how many it got."""
-    asked = 0
-    until = consul.dispatcher.now + span
-    while consul.dispatcher.now < until and asked < most:
+    queries = 0
+    until = consul.dispatcher.now + duration
+    while consul.dispatcher.now < until and queries < max_queries:
         if consul.query() is None:
             consul.dispatcher.advance(10.0)
         else:
-            asked += 1
-            yield asked
+            queries += 1
+            yield queries
 
 
 def test_queries_to_agent_that_answers_at_once_are_paced():
     """Measured before: 45,098 calls in 4 s to one whose index stood still."""
     consul = Consul()
     calls = []
-    for asked in answered_queries(consul, 4000.0):
+    for queries in answered_queries(consul, 4000.0):
         consul.answer(7, instance("a", 1))
-        calls.append(asked)
+        calls.append(queries)
     assert 16 <= calls[-1] <= 8 + 4 * 4 + 1
 
 
@@ -133,16 +133,16 @@
 
 def test_queries_after_malformed_responses_are_paced():
     consul = Consul()
-    asked = 0
+    queries = 0
     until = consul.dispatcher.now + 10_000.0
     while consul.dispatcher.now < until:
         if consul.query() is not None:
-            asked += 1
+            queries += 1
             consul.answer(1, raw=b"nonsense")
         consul.dispatcher.advance(10.0)
         if consul.dispatcher.dials:
             consul.connect()
-    assert asked <= 8 + 10 * 4
+    assert queries <= 8 + 10 * 4
 
 
 def test_empty_list_of_restarted_agent_removes_no_worker():
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -37,8 +37,8 @@
 
 
 def test_missing_optional_fields_have_defaults():
-    bare = {"index": 2, "endpoints": [{"name": "w", "status": "DRAINING", "address": "h:1"}]}
-    assert parse_endpoint_list(bare) == EndpointList(
+    minimal = {"index": 2, "endpoints": [{"name": "w", "status": "DRAINING", "address": "h:1"}]}
+    assert parse_endpoint_list(minimal) == EndpointList(
         2, False, (ListedEndpoint("w", EndpointStatus.DRAINING, ("h", 1)),)
     )
 
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "text"),
+    ("changes", "message"),
     [
         ({"name": ""}, "no name"),
         ({"status": "RESTING"}, "unknown status 'RESTING'"),
@@ -61,8 +61,8 @@
         ({"since_ms": float("inf")}, "since_ms is not a number"),
     ],
 )
-def test_error_names_faulty_field(changes, text):
-    with pytest.raises(EndpointListError, match=text):
+def test_error_names_faulty_field(changes, message):
+    with pytest.raises(EndpointListError, match=message):
         parse_endpoint_list(document(**changes))
 
 
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -94,22 +94,22 @@
 
 def test_recorded_durable_requests_are_read_with_same_meaning(golden_folder):
     folder, expected = golden_folder
-    survey = Inspection(folder)
-    jobs = {known.record.id: known for known in survey.jobs()}
+    inspection = Inspection(folder)
+    jobs = {stored.record.id: stored for stored in inspection.jobs()}
     assert sorted(jobs) == sorted(expected["jobs"])
-    for id_, known in jobs.items():
-        assert stored_fields(known.record) == expected["jobs"][id_]["record"]
-        assert known.owner == expected["jobs"][id_]["owner"]
-        assert list(known.chain) == expected["jobs"][id_]["chain"]
-        assert list(survey.folder.ids.holder(id_)) == expected["jobs"][id_]["holder"]
-    incarnations = survey.folder.incarnations.all(besides=survey.fences)
+    for id_, stored in jobs.items():
+        assert stored_fields(stored.record) == expected["jobs"][id_]["record"]
+        assert stored.owner == expected["jobs"][id_]["owner"]
+        assert list(stored.chain) == expected["jobs"][id_]["chain"]
+        assert list(inspection.folder.ids.holder(id_)) == expected["jobs"][id_]["holder"]
+    incarnations = inspection.folder.incarnations.all(besides=inspection.fences)
     assert sorted(incarnations) == sorted(expected["lives"])
-    assert through_json(survey.fences) == expected["fences"]
-    assert survey.folder.incarnations.heartbeats(incarnations) == expected["beats"]
-    assert survey.folder.end_requests.all() == expected["wishes"]
-    assert through_json(survey.folder.ids.holder("never-written")) == expected["orphan"]
-    assert survey.verify() == expected["verify"]
-    assert survey.faults == expected["faults"]
+    assert through_json(inspection.fences) == expected["fences"]
+    assert inspection.folder.incarnations.heartbeats(incarnations) == expected["beats"]
+    assert inspection.folder.end_requests.all() == expected["wishes"]
+    assert through_json(inspection.folder.ids.holder("never-written")) == expected["orphan"]
+    assert inspection.verify() == expected["verify"]
+    assert inspection.faults == expected["faults"]
 
 
 def test_member_started_on_recorded_folder_takes_over_all_open_requests(golden_folder):
@@ -119,16 +119,16 @@
     settings = DurableRequestSettings(folder, frozenset({0}), lease_ms=LEASE)
     member = Member(settings, "n9", {"report": 3.0}, lambda _line: None, lambda: now[0])
     member.begin()
-    found = {}
+    taken_over = {}
     for _ in range(60):
         now[0] += settings.tick_interval_ms
         member.tick()
-        found.update({record.id: record for record in member.take_over()})
+        taken_over.update({record.id: record for record in member.take_over()})
     member.close()
     stored = {id_: job["record"] for id_, job in expected["jobs"].items()}
     still_open = {id_ for id_, record in stored.items() if record["stage"] != Stage.FINAL}
-    assert set(found) == still_open
-    for id_, record in found.items():
+    assert set(taken_over) == still_open
+    for id_, record in taken_over.items():
         assert record.takeovers == stored[id_]["taken"] + 1
         assert [note.worker for note in record.attempts] == [leg[1] for leg in stored[id_]["legs"]]
         assert record.body.hex() == stored[id_]["body"]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -69,10 +69,10 @@
     assert pair.new.dispatcher.exchange.has_request("r")
 
 
-@pytest.mark.parametrize("who", ["old", "new"])
-def test_ban_and_unban_at_either_process_apply_to_both(pair, who):
+@pytest.mark.parametrize("process_name", ["old", "new"])
+def test_ban_and_unban_at_either_process_apply_to_both(pair, process_name):
     pair.go()
-    side = getattr(pair, who)
+    side = getattr(pair, process_name)
     side.dispatcher.table.ban("w1")
     pair.go()
     assert endpoint_state(pair.old, 1) == endpoint_state(pair.new, 1) == EndpointState.DRAINING
@@ -89,10 +89,12 @@
     pair.new.dispatcher.client(id_="after")
     pair.go()
     for here, there in ((pair.old, pair.new), (pair.new, pair.old)):
-        out = here.dispatcher.exchange.open_attempts_per_worker
-        assert sum(out.values()) == 1
+        open_attempts = here.dispatcher.exchange.open_attempts_per_worker
+        assert sum(open_attempts.values()) == 1
         workers = there.dispatcher.exchange.dispatcher.workers
-        assert {w.entry.worker: w.sibling_attempts for w in workers.values() if w.sibling_attempts} == out
+        assert {
+            w.entry.worker: w.sibling_attempts for w in workers.values() if w.sibling_attempts
+        } == open_attempts
     old, new = pair.old.dispatcher.exchange, pair.new.dispatcher.exchange
     assert old.open_attempts_per_worker != new.open_attempts_per_worker, "fewest jobs of both goes first"
     [worker] = pair.new.dispatcher.exchange.open_attempts_per_worker
@@ -105,10 +107,10 @@
     module.pacers[0].mean_duration, module.pacers[0].rate = 77.0, 5.0
     learn(module, retry_tokens=0.25, key_counts=(KeyCount(7, 40), KeyCount(8, 2)))
     pair.go()
-    heir = pair.new.dispatcher.exchange.dispatcher
-    assert (heir.pacers[0].mean_duration, heir.pacers[0].rate) == (77.0, 5.0)
-    assert heir.learned_state().retry_tokens == 0.25
-    assert heir.learned_state().key_counts == ((7, 40), (8, 2))
+    successor = pair.new.dispatcher.exchange.dispatcher
+    assert (successor.pacers[0].mean_duration, successor.pacers[0].rate) == (77.0, 5.0)
+    assert successor.learned_state().retry_tokens == 0.25
+    assert successor.learned_state().key_counts == ((7, 40), (8, 2))
 
 
 def test_outlier_state_of_worker_is_passed_to_new_process(pair):
@@ -118,15 +120,15 @@
     old.workers[id_].error_score = 2.0
     old.workers[id_].eject(0.0, failing=True)
     pair.go()
-    heir = pair.new.dispatcher.exchange.dispatcher.workers[id_]
-    assert (heir.error_score, heir.ejections, heir.failing) == (2.0, 1, True)
+    successor = pair.new.dispatcher.exchange.dispatcher.workers[id_]
+    assert (successor.error_score, successor.ejections, successor.failing) == (2.0, 1, True)
 
 
 def test_connection_limits_apply_to_both_processes_together(pair):
-    kept = [Client(pair.old.dispatcher) for _ in range(5)]
+    clients = [Client(pair.old.dispatcher) for _ in range(5)]
     pair.go()
-    assert pair.new.dispatcher.listener.held_by_other_process == len(kept)
-    pair.new.dispatcher.listener.max_connections = len(kept)
+    assert pair.new.dispatcher.listener.held_by_other_process == len(clients)
+    pair.new.dispatcher.listener.max_connections = len(clients)
     assert not pair.new.dispatcher.listener.make_room()
     assert (
         pair.old.dispatcher.side.connection_limit
@@ -135,13 +137,13 @@
     )
 
 
-@pytest.mark.parametrize("when", ["after the question", "after the state", "when all is given"])
-def test_old_process_continues_after_loss_of_new_process(pair, when):
-    heard = []
-    pair.old.handover.on_successor_lost = lambda: heard.append(True)
-    if when == "after the state":
+@pytest.mark.parametrize("moment", ["after request", "after state", "after takeover"])
+def test_old_process_continues_after_loss_of_new_process(pair, moment):
+    losses = []
+    pair.old.handover.on_successor_lost = lambda: losses.append(True)
+    if moment == "after state":
         pair.wires[1].deliver()
-    elif when == "when all is given":
+    elif moment == "after takeover":
         pair.go()
         pair.new.dispatcher.client(id_="r")
         pair.go()
@@ -152,7 +154,7 @@
     assert not old.exchange.has_request("r")
     assert old.side.connection_limit == old.side.configured_limit
     assert old.listener.held_by_other_process == 0
-    assert bool(heard) == (when == "when all is given")
+    assert bool(losses) == (moment == "after takeover")
     old.settle()
     assert not any(worker.sibling_attempts for worker in old.exchange.dispatcher.workers.values())
 
@@ -205,17 +207,17 @@
     assert pair.new.done
 
 
-WORDS = st.sampled_from(["ask", "state", "taken", "yours", "news", "ban", "client", "wait", "none"])
+KINDS = st.sampled_from(["ask", "state", "taken", "yours", "news", "ban", "client", "wait", "none"])
 VALUES = st.recursive(st.none() | st.integers(-9, 9) | st.text(max_size=3), lambda v: st.lists(v, max_size=2))
 KEYS = ["form", "doors", "table", "bans", "ids", "legs", "memory", "open", "worker", "since", "door", "begun"]
 
 
-@given(WORDS, st.dictionaries(st.sampled_from(KEYS), VALUES, max_size=12))
+@given(KINDS, st.dictionaries(st.sampled_from(KEYS), VALUES, max_size=12))
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
-def test_malformed_message_leaves_both_processes_accepting(word, told):
+def test_malformed_message_leaves_both_processes_accepting(kind, fields):
     pair = Pair().go()
     for side, wire in zip((pair.old, pair.new), pair.wires, strict=True):
-        wire.receive({**told, "is": word}, [])
+        wire.receive({**fields, "is": kind}, [])
         assert side.dispatcher.listener.listening
     pair.old.dispatcher.settle()
     pair.close()
--- a/tests/test_handover_first_form.py
+++ b/tests/test_handover_first_form.py
@@ -56,8 +56,8 @@
     wire, here = Wire(), Wire()
     wire.peer = here
     new.handover.take_over(wire, new.settle)
-    [(asked, _)] = wire.sent
-    assert {**asked, **FirstRevision.TAKEOVER_REQUEST} == asked, (
+    [(request, _)] = wire.sent
+    assert {**request, **FirstRevision.TAKEOVER_REQUEST} == request, (
         "what the first form asks for is said as it was"
     )
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -89,16 +89,16 @@
     wire.peer = there
     old.handover.accept(wire)
     wire.receive(FirstRevision.TAKEOVER_REQUEST, [])
-    [(told, fds)] = wire.sent
-    assert told.keys() >= FirstRevision.DISPATCHER_STATE.keys()
-    assert told["memory"].keys() >= FirstRevision.DISPATCHER_STATE["memory"].keys()
-    assert len(fds) == 1, "a socket that it does not know of would leak in it"
-    os.close(fds[0])
+    [(message, descriptors)] = wire.sent
+    assert message.keys() >= FirstRevision.DISPATCHER_STATE.keys()
+    assert message["memory"].keys() >= FirstRevision.DISPATCHER_STATE["memory"].keys()
+    assert len(descriptors) == 1, "a socket that it does not know of would leak in it"
+    os.close(descriptors[0])
     wire.receive(FirstRevision.TAKEOVER_ACCEPTED, [])
     assert old.handover.handed_over
     assert not old.takes()
     old.dispatcher.client(id_="a")
     old.dispatcher.settle()
     old.dispatcher.advance(8.0)
-    assert {told["is"] for told, _ in wire.sent} <= {"state", "yours", "news"}, "no words that it lacks"
+    assert {message["is"] for message, _ in wire.sent} <= {"state", "yours", "news"}, "no words that it lacks"
     old.dispatcher.listener.acceptor.listening_socket.close()
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -22,10 +22,10 @@
 class ParkedTransfer:
     """Two processes, of which the new one takes over from the old one, with their links and loops by hand."""
 
-    def __init__(self, count, idling=KEEP_COPIES, room=1000):
+    def __init__(self, count, idling=KEEP_COPIES, max_connections=1000):
         self.loop = asyncio.new_event_loop()
         self.old = ListenerHarness(idling, most=1000, loop=self.loop)
-        self.new = ListenerHarness(idling, most=room, loop=self.loop)
+        self.new = ListenerHarness(idling, most=max_connections, loop=self.loop)
         self.harnesses = [self.old, self.new]
         self.old.listener.acceptor._socket = socket.create_server(("127.0.0.1", 0))
         self.old.listener.acceptor.listening_socket.setblocking(False)
@@ -38,32 +38,32 @@
         self.old.pass_time(IDLING.park_after + 10.0)
         assert self.old.listener.parked == count
         self.new.dispatcher.now = self.old.dispatcher.now
-        self.ends = []
+        self.handovers = []
         self.wires = here, there = Wire(), Wire()
         here.peer, there.peer = there, here
         for harness in self.harnesses:
-            d = harness.dispatcher
+            dispatcher = harness.dispatcher
             context = HandoverContext(
                 loop=self.loop,
-                exchange=d.exchange,
-                table=d.table,
-                workers=d.side,
-                listeners={LISTEN: d.listener},
-                timers=d.wheel,
-                clock=d.clock,
-                log=d.logged.append,
+                exchange=dispatcher.exchange,
+                table=dispatcher.table,
+                workers=dispatcher.side,
+                listeners={LISTEN: dispatcher.listener},
+                timers=dispatcher.wheel,
+                clock=dispatcher.clock,
+                log=dispatcher.logged.append,
             )
-            self.ends.append(Handover(context))
-        self.ends[0].accept(here)
-        self.ends[1].take_over(there, lambda: None)
+            self.handovers.append(Handover(context))
+        self.handovers[0].accept(here)
+        self.handovers[1].take_over(there, lambda: None)
 
-    def step(self):
+    def deliver_once(self):
         """One exchange of what is waiting on the link; whether there was any."""
         return sum(wire.deliver() for wire in self.wires) > 0
 
-    def go(self, most=1000):
-        for _ in range(most):
-            if not self.step():
+    def deliver_all(self, max_rounds=1000):
+        for _ in range(max_rounds):
+            if not self.deliver_once():
                 return
             for harness in self.harnesses:
                 harness.turn(2)
@@ -75,20 +75,20 @@
                 harness.pass_time(8.0)
                 harness.turn()
                 harness.work()
-            self.go()
+            self.deliver_all()
 
     def kill(self, which):
         """The new process (1) or the old one (0) dies.
 
         The kernel closes what it alone holds, and still delivers what it had sent."""
-        dead = self.harnesses[which]
+        killed = self.harnesses[which]
         self.wires[which].close()
-        dead.listener.parking.on_departure = lambda _keys: None
-        for connection in dead.listener.open_connections:
+        killed.listener.parking.on_departure = lambda _keys: None
+        for connection in killed.listener.open_connections:
             connection.abort()
-        dead.listener.close()
-        dead.turn()
-        self.harnesses = [harness for harness in self.harnesses if harness is not dead]
+        killed.listener.close()
+        killed.turn()
+        self.harnesses = [harness for harness in self.harnesses if harness is not killed]
         self.wires[which].deliver()
         self.wires[1 - which].lost()
 
@@ -114,7 +114,7 @@
 
 
 def test_parked_connections_are_passed_in_batches_and_served_by_new_process(transfer):
-    transfer.go()
+    transfer.deliver_all()
     assert transfer.new.listener.parked == len(transfer.clients)
     assert transfer.old.listener.parked == 0
     old = transfer.old.listener
@@ -127,38 +127,38 @@
 
 
 def test_parked_batches_in_flight_are_bounded(transfer):
-    seen = 0
+    largest = 0
     for _ in range(100):
-        on_its_way = sum(len(fds) for wire in transfer.wires for _, fds in wire.sent)
-        seen = max(seen, on_its_way)
-        assert on_its_way <= MAX_PARKED_BATCH
-        if not transfer.step():
+        in_flight = sum(len(descriptors) for wire in transfer.wires for _, descriptors in wire.sent)
+        largest = max(largest, in_flight)
+        assert in_flight <= MAX_PARKED_BATCH
+        if not transfer.deliver_once():
             break
-    assert seen == MAX_PARKED_BATCH
+    assert largest == MAX_PARKED_BATCH
 
 
 @pytest.mark.parametrize("steps", [3, 4, 5, 6, 8, 50])
 def test_loss_of_new_process_during_transfer_returns_connections_to_old_process(transfer, steps):
     for _ in range(steps):
-        transfer.step()
-    woken = transfer.clients[-1]  # the first of its second
+        transfer.deliver_once()
+    active_client = transfer.clients[-1]  # the first of its second
     taken = transfer.new.listener.parked
     if taken:
-        woken.send(message("lost"))
+        active_client.send(message("lost"))
         transfer.new.turn()
-        transfer.step()  # the old process has heard of it
+        transfer.deliver_once()  # the old process has heard of it
     transfer.kill(1)
     for _ in range(5):
         transfer.old.pass_time(8.0)
     assert transfer.old.listener.connections == len(transfer.clients) - bool(taken)
-    assert woken.open == (not taken), "a connection that the dead process was reading ends with it"
+    assert active_client.open == (not taken), "a connection that the dead process was reading ends with it"
     for number, client in enumerate(transfer.clients[:5]):
         assert response_statuses(transfer, client, f"r{number}") == [200]
 
 
 def test_transfer_without_copies_counts_no_connection_twice_and_loses_none():
     transfer = ParkedTransfer(MAX_PARKED_BATCH + 5, IDLING)
-    transfer.go()
+    transfer.deliver_all()
     assert transfer.old.listener.figures()["lent"] == 0
     assert transfer.new.listener.parked == MAX_PARKED_BATCH + 5
     transfer.kill(0)
@@ -167,7 +167,7 @@
 
 
 def test_end_of_old_process_leaves_parked_connections_with_new_process(transfer):
-    transfer.go()
+    transfer.deliver_all()
     transfer.kill(0)
     assert transfer.new.listener.parked == len(transfer.clients)
     for number, client in enumerate(transfer.clients[:5]):
@@ -176,25 +176,25 @@
 
 
 def test_connection_closed_by_new_process_is_closed_for_client_despite_copy(transfer):
-    transfer.go()
+    transfer.deliver_all()
     transfer.new.pass_time(IDLING.idle_timeout + 2000.0)
     assert transfer.new.listener.parked == 0
     assert any(client.open for client in transfer.clients)
-    transfer.go()
+    transfer.deliver_all()
     assert not any(client.open for client in transfer.clients)
     assert transfer.old.listener.figures()["lent"] == 0
 
 
 def test_connections_above_limit_of_new_process_stay_with_old_process_until_it_ends():
-    transfer = ParkedTransfer(MAX_PARKED_BATCH + 50, room=MAX_PARKED_BATCH)
-    transfer.go()
+    transfer = ParkedTransfer(MAX_PARKED_BATCH + 50, max_connections=MAX_PARKED_BATCH)
+    transfer.deliver_all()
     assert transfer.new.listener.parked == 50, "both are one dispatcher"
     assert transfer.old.listener.parked == MAX_PARKED_BATCH
     assert response_statuses(transfer, transfer.clients[0], "r") == [200], "at the old process"
-    transfer.ends[0].pass_clients([LISTEN])
+    transfer.handovers[0].pass_clients([LISTEN])
     for _ in range(40):
-        transfer.ends[0].pass_idle_clients()
-        transfer.go()
+        transfer.handovers[0].pass_idle_clients()
+        transfer.deliver_all()
     assert transfer.old.listener.connections == 0
     assert all(client.open for client in transfer.clients)
     transfer.kill(0)
@@ -207,7 +207,7 @@
     transfer = ParkedTransfer(30, IDLING)
     transfer.new.listener.parking.close()
     transfer.new.listener.idling = replace(IDLING, park_after=inf)
-    transfer.go()
+    transfer.deliver_all()
     assert transfer.new.listener.connections == 30
     assert transfer.new.listener.parked == 0
     assert response_statuses(transfer, transfer.clients[3], "r") == [200]
@@ -216,7 +216,7 @@
 
 
 def test_full_poll_set_refuses_copied_connections_and_adopts_others_unparked(monkeypatch):
-    def full(_self, _fd, _since, _mark=0, _lender=None):
+    def refuse(_self, _fd, _since, _mark=0, _lender=None):
         raise OSError(28, "no space left on device")
 
     for idling, there in ((IDLING, 30), (KEEP_COPIES, 0)):
@@ -225,9 +225,9 @@
             patched.setattr(
                 transfer.new.listener.parking._idle,
                 "park",
-                partial(full, transfer.new.listener.parking._idle),
+                partial(refuse, transfer.new.listener.parking._idle),
             )
-            transfer.go()
+            transfer.deliver_all()
         assert transfer.new.listener.connections == there
         assert transfer.old.listener.connections == 30 - there
         assert all(client.open for client in transfer.clients)
@@ -236,15 +236,15 @@
 
 
 def test_batch_without_free_descriptors_leaves_connections_in_place(transfer, monkeypatch):
-    transfer.step()
-    transfer.step()
+    transfer.deliver_once()
+    transfer.deliver_once()
 
-    def short(_told, fds=()):
-        if fds:
+    def send_without_descriptors(_message, descriptors=()):
+        if descriptors:
             raise OSError(24, "too many open files")
 
-    monkeypatch.setattr(transfer.wires[0], "send", short)
-    transfer.go()
+    monkeypatch.setattr(transfer.wires[0], "send", send_without_descriptors)
+    transfer.deliver_all()
     monkeypatch.undo()
     transfer.settle()
     assert transfer.old.listener.connections + transfer.new.listener.connections == len(transfer.clients)
@@ -252,27 +252,29 @@
 
 
 def test_connection_parked_after_takeover_is_passed(transfer):
-    late = SocketClient(transfer.old, handover=ConnectionHandover(True, transfer.old.dispatcher.now))
-    transfer.go()
+    late_client = SocketClient(transfer.old, handover=ConnectionHandover(True, transfer.old.dispatcher.now))
+    transfer.deliver_all()
     assert transfer.old.listener.connections == 1
     transfer.old.pass_time(IDLING.park_after + 10.0)
-    transfer.go()
+    transfer.deliver_all()
     assert transfer.old.listener.connections == 0
-    assert response_statuses(transfer, late, "r") == [200]
+    assert response_statuses(transfer, late_client, "r") == [200]
 
 
 def test_new_process_without_batch_support_receives_connections_one_by_one():
     """It does not say that it takes batches."""
     transfer = ParkedTransfer(20)
-    real = transfer.wires[1].send
-    transfer.wires[1].send = lambda told, fds=(): real({k: v for k, v in told.items() if k != "parks"}, fds)
-    transfer.go()
+    send_message = transfer.wires[1].send
+    transfer.wires[1].send = lambda fields, descriptors=(): send_message(
+        {k: v for k, v in fields.items() if k != "parks"}, descriptors
+    )
+    transfer.deliver_all()
     assert transfer.old.listener.parked == 20
     assert transfer.new.listener.parked == 0
-    transfer.ends[0].pass_clients([LISTEN])
+    transfer.handovers[0].pass_clients([LISTEN])
     for _ in range(5):
-        transfer.ends[0].pass_idle_clients()
-        transfer.go()
+        transfer.handovers[0].pass_idle_clients()
+        transfer.deliver_all()
     assert transfer.old.listener.connections == 0
     assert response_statuses(transfer, transfer.clients[3], "r") == [200]
     transfer.close()
@@ -301,18 +303,18 @@
         self.transfer = ParkedTransfer(12)
         self.sent = {}
         self.count = 0
-        self.dead = False
+        self.killed = False
 
     @rule(number=st.integers(0, 11))
-    def speak(self, number):
+    def send_request(self, number):
         if number not in self.sent:
             self.count += 1
             self.sent[number] = None
             self.transfer.clients[number].send(message(f"m{self.count}"))
 
     @rule()
-    def hear(self):
-        self.transfer.step()
+    def deliver(self):
+        self.transfer.deliver_once()
 
     @rule(which=st.integers(0, 1), turns=st.integers(1, 4))
     def turn(self, which, turns):
@@ -326,17 +328,17 @@
             assert self.transfer.clients[number].statuses() == [200]
             del self.sent[number]
 
-    @precondition(lambda self: not self.dead)
+    @precondition(lambda self: not self.killed)
     @rule()
-    def die(self):
-        self.dead = True
-        held = {a._sock.fileno() for a in self.transfer.new.listener.open_connections}
-        lost = len(held)
+    def kill_new_process(self):
+        self.killed = True
+        open_connections = {a._sock.fileno() for a in self.transfer.new.listener.open_connections}
+        open_count = len(open_connections)
         self.transfer.kill(1)
         self.transfer.settle()
-        gone = [n for n, client in enumerate(self.transfer.clients) if not client.open]
-        assert len(gone) <= lost
-        for number in gone:
+        closed = [n for n, client in enumerate(self.transfer.clients) if not client.open]
+        assert len(closed) <= open_count
+        for number in closed:
             self.sent.pop(number, None)
             handover = ConnectionHandover(True, self.transfer.old.dispatcher.now)
             self.transfer.clients[number] = SocketClient(self.transfer.old, handover=handover)
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -50,12 +50,12 @@
     return codec(reading_time(revision, name)).decode(recorded(revision, name)[0])
 
 
-def without_fields(added, value):
+def remove_fields(added, value):
     """A message without some fields."""
     if isinstance(value, dict):
-        return {key: without_fields(added, each) for key, each in value.items() if key not in added}
+        return {key: remove_fields(added, item) for key, item in value.items() if key not in added}
     if isinstance(value, list):
-        return [without_fields(added, each) for each in value]
+        return [remove_fields(added, item) for item in value]
     return value
 
 
@@ -133,17 +133,17 @@
 @pytest.mark.parametrize("name", NAMES)
 def test_decoded_message_is_encoded_as_recorded(revision, name):
     message, _ = recorded(revision, name)
-    again = codec(reading_time(revision, name)).encode(decode(revision, name))
-    assert without_fields(ADDED_FIELDS[revision], again) == message
-    assert ("now" in again) == (message["is"] in TIMED_KINDS)
+    encoded = codec(reading_time(revision, name)).encode(decode(revision, name))
+    assert remove_fields(ADDED_FIELDS[revision], encoded) == message
+    assert ("now" in encoded) == (message["is"] in TIMED_KINDS)
 
 
 @revisions_with_present_form
 @pytest.mark.parametrize("name", NAMES)
 def test_message_of_revision_with_present_form_is_encoded_byte_for_byte_as_recorded(revision, name):
     message, _ = recorded(revision, name)
-    again = codec(reading_time(revision, name)).encode(decode(revision, name))
-    assert json.dumps(again) == json.dumps(message)
+    encoded = codec(reading_time(revision, name)).encode(decode(revision, name))
+    assert json.dumps(encoded) == json.dumps(message)
 
 
 def teach(dispatcher):
@@ -202,14 +202,14 @@
     return {path.stem: json.loads(path.read_text()) for path in folder.glob("*.json")}
 
 
-def comparable(told, added):
+def comparable(recorded_message, added):
     """A message without what differs from run to run: the order of ids and the numbers of descriptors."""
-    message = without_fields(added, told["message"])
+    message = remove_fields(added, recorded_message["message"])
     if "ids" in message and isinstance(message["ids"], list):
         message["ids"] = sorted(message["ids"])
     if message.get("keys") and message["is"] == "parked":
         message["keys"] = len(message["keys"])
-    return told["descriptors"], message
+    return recorded_message["descriptors"], message
 
 
 @revisions
@@ -217,9 +217,9 @@
 def test_messages_of_recorded_scene_equal_those_of_revision(revision, name, scene_messages):
     """A revision reads these fields and ignores others, so a process of it may come before or after."""
     message, descriptors = recorded(revision, name)
-    told = {"message": message, "descriptors": descriptors}
+    recorded_message = {"message": message, "descriptors": descriptors}
     assert comparable(scene_messages[name], ADDED_FIELDS[revision]) == comparable(
-        told, ADDED_FIELDS[revision]
+        recorded_message, ADDED_FIELDS[revision]
     )
 
 
@@ -233,9 +233,9 @@
     message, _ = recorded(revision, name)
     optional = {"peers", "parks", "is", "now"}
     for key in message.keys() - optional:
-        cut = {field: value for field, value in message.items() if field != key}
+        incomplete = {field: value for field, value in message.items() if field != key}
         with pytest.raises(MalformedMessageError, match=key):
-            codec(READ_AT).decode(cut)
+            codec(READ_AT).decode(incomplete)
 
 
 def test_malformed_learned_state_is_ignored_and_logged():
--- a/tests/test_handover_upgrade.py
+++ b/tests/test_handover_upgrade.py
@@ -33,23 +33,23 @@
 
     def __init__(self, folder, discovery):
         self.folder, self.discovery, self.port = folder, discovery, free_port()
-        self.running, self.more = [], {}
+        self.running, self.extra_config = [], {}
 
     def start(self):
-        return self.up(*self.launch())
+        return self.wait_until_listening(*self.launch())
 
     def launch(self):
         console = free_port()
-        told = {
+        config = {
             **CONFIG,
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{self.discovery}",
             "console": f"127.0.0.1:{console}",
             "settings": {"classes": [LONG_WAIT_CLASS]},
-            **self.more,
+            **self.extra_config,
         }
         path = self.folder / f"config-{console}.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(config))
         environ = {**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(self.folder)}
         process = subprocess.Popen(
             [sys.executable, "-m", "eiderfield"], cwd=ROOT, env=environ, stderr=subprocess.PIPE, text=True
@@ -57,7 +57,7 @@
         self.running.append(process)
         return process, console
 
-    def up(self, process, console):
+    def wait_until_listening(self, process, console):
         while "listens on" not in (line := process.stderr.readline()):
             assert line, "it ended"
         threading.Thread(target=process.stderr.read, daemon=True).start()
@@ -82,9 +82,9 @@
 def test_upgrade_loses_no_request_and_no_ban(upgrades):
     old, console = upgrades.start()
     upgrades.source.asked.get(timeout=30)
-    kept, half, busy = [socket.create_connection(("127.0.0.1", upgrades.port), 30) for _ in range(3)]
+    idle, partly_sent, busy = [socket.create_connection(("127.0.0.1", upgrades.port), 30) for _ in range(3)]
     upgrades.worker.let.set()
-    for sock in (kept, half):  # a connection that has brought a job may idle
+    for sock in (idle, partly_sent):  # a connection that has brought a job may idle
         assert ask(sock, post("r0"))[0] == 200
     upgrades.worker.let.clear()
     upgrades.worker.came.clear()
@@ -92,21 +92,21 @@
     assert upgrades.worker.came.wait(30)
     assert call(console, "/-/workers/w/disable", "POST")[0] == 200
 
-    new, later = upgrades.start()
-    assert call(later, "/-/ready")[0] == 200
-    assert json.loads(call(later, "/-/metrics")[1])["hosts_down"] == 1
-    assert call(later, "/-/workers/w/enable", "POST")[0] == 200
-    half.sendall(post("r2")[:20])
+    new, new_console = upgrades.start()
+    assert call(new_console, "/-/ready")[0] == 200
+    assert json.loads(call(new_console, "/-/metrics")[1])["hosts_down"] == 1
+    assert call(new_console, "/-/workers/w/enable", "POST")[0] == 200
+    partly_sent.sendall(post("r2")[:20])
     old.send_signal(signal.SIGTERM)
     upgrades.worker.let.set()
     assert ask(busy, b"") == (200, b"cba"), "what the old process has taken it answers"
     assert old.wait(30) == 0
-    for sock, data in ((half, post("r2")[20:]), (kept, post("r3")), (busy, post("r4"))):
+    for sock, data in ((partly_sent, post("r2")[20:]), (idle, post("r3")), (busy, post("r4"))):
         assert ask(sock, data) == (200, b"cba"), "its connection went on to the new process"
-    assert json.loads(call(later, "/-/metrics")[1])["success"] == {"echo": 3}
+    assert json.loads(call(new_console, "/-/metrics")[1])["success"] == {"echo": 3}
     with socket.create_connection(("127.0.0.1", upgrades.port), 30) as sock:
         assert ask(sock, post("r5")) == (200, b"cba")
-    for sock in (kept, busy, half):
+    for sock in (idle, busy, partly_sent):
         sock.close()
     new.send_signal(signal.SIGTERM)
     assert new.wait(30) == 0
@@ -117,30 +117,32 @@
     peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     peer.bind(("127.0.0.1", 0))
     peer.settimeout(30)
-    ours, theirs = f"127.0.0.1:{free_port()}", f"127.0.0.1:{peer.getsockname()[1]}"
+    own_address, peer_address = f"127.0.0.1:{free_port()}", f"127.0.0.1:{peer.getsockname()[1]}"
     policy = {"may_tell": True, "retry_after": True}
-    upgrades.more = {
+    upgrades.extra_config = {
         "settings": {"classes": [LONG_WAIT_CLASS], "balancers": 2, "me": 0, "policy_limits": policy},
-        "peer_listen": ours,
-        "peers": [ours, theirs],
+        "peer_listen": own_address,
+        "peers": [own_address, peer_address],
     }
-    host, port = ours.split(":")
+    host, port = own_address.split(":")
     numbers = iter(range(1, 1000))
 
-    def say():
+    def send_report():
         message = ENVELOPE.pack(1, 7, next(numbers)) + encode_peer_report([(upgrades.number, 1)])
         peer.sendto(message, (host, int(port)))
 
-    def heard(console, most):
-        while (figures := json.loads(call(console, "/-/metrics")[1])["peers"]).get("heard", 0) < most:
+    def wait_for_accepted(console, expected_count):
+        while (figures := json.loads(call(console, "/-/metrics")[1])["peers"]).get(
+            "heard", 0
+        ) < expected_count:
             pass
         return figures["heard"]
 
     upgrades.number = IdMap().worker("w")
     old, console = upgrades.start()
     upgrades.source.asked.get(timeout=30)
-    say()
-    heard(console, 1)
+    send_report()
+    wait_for_accepted(console, 1)
     busy = socket.create_connection(("127.0.0.1", upgrades.port), 30)
     busy.sendall(post("r1"))
     assert upgrades.worker.came.wait(30)
@@ -148,11 +150,11 @@
     assert list(decode_peer_report(message[ENVELOPE.size :])) == [(upgrades.number, 1)], (
         "its job at the worker"
     )
-    _, later = upgrades.start()
+    _, new_console = upgrades.start()
     for _ in range(5):
-        say()
-    assert heard(later, 5) == 5, "all of them by the next process"
-    assert heard(console, 1) == 1, "all of them by the next process"
+        send_report()
+    assert wait_for_accepted(new_console, 5) == 5, "all of them by the next process"
+    assert wait_for_accepted(console, 1) == 1, "all of them by the next process"
     old.send_signal(signal.SIGTERM)
     upgrades.worker.let.set()
     assert ask(busy, b"") == (200, b"cba")
@@ -160,8 +162,8 @@
     while list(decode_peer_report((message := peer.recv(300))[ENVELOPE.size :])) != [(upgrades.number, 0)]:
         pass  # told by the next process, whose life is later, though the job was the old one's
     assert ENVELOPE.unpack_from(message)[1] > first[1]
-    say()
-    heard(later, 6)
+    send_report()
+    wait_for_accepted(new_console, 6)
     busy.close()
     peer.close()
 
@@ -172,20 +174,20 @@
     busy = socket.create_connection(("127.0.0.1", upgrades.port), 30)
     busy.sendall(post("r1"))
     assert upgrades.worker.came.wait(30)
-    second, later = upgrades.start()
-    assert call(later, "/-/ready")[0] == 200
+    second, new_console = upgrades.start()
+    assert call(new_console, "/-/ready")[0] == 200
     first.send_signal(signal.SIGTERM)  # it stays for its job
     third = upgrades.launch()
     upgrades.worker.let.set()
     assert ask(busy, b"") == (200, b"cba")
     assert first.wait(30) == 0
-    _, last = upgrades.up(*third)
-    assert call(last, "/-/ready")[0] == 200
+    _, last_console = upgrades.wait_until_listening(*third)
+    assert call(last_console, "/-/ready")[0] == 200
     second.send_signal(signal.SIGTERM)
     assert ask(busy, post("r2")) == (200, b"cba")
     assert second.wait(30) == 0
     assert ask(busy, post("r3")) == (200, b"cba")
-    assert json.loads(call(last, "/-/metrics")[1])["success"]["echo"] >= 1
+    assert json.loads(call(last_console, "/-/metrics")[1])["success"]["echo"] >= 1
     busy.close()
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -39,8 +39,8 @@
 
 
 def test_message_of_unknown_sender_is_counted_and_ignored(tier):
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-        stranger.sendto(ENVELOPE.pack(ENVELOPE_VERSION, 1, 1) + b"x", tier.addresses[0])
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
+        unknown_sender.sendto(ENVELOPE.pack(ENVELOPE_VERSION, 1, 1) + b"x", tier.addresses[0])
     tier.say(1, 1, 1, b"known")
     tier.read()
     assert tier.heard == [(1, b"known")]
@@ -109,17 +109,17 @@
 
 def test_port_handed_over_receives_in_next_process(tier):
     tier.now += 1000.0
-    following = tier.new()
-    following.open(tier.port.sock.dup())
+    next_port = tier.new()
+    next_port.open(tier.port.sock.dup())
     tier.port.pause()
     tier.say(1, 1, 1, b"to the next")
     tier.read()
     assert tier.heard == [(1, b"to the next")]
-    assert following.counters["heard"] == 1
+    assert next_port.counters["heard"] == 1
     tier.port.send_report(1, b"not said")
-    following.send_report(1, b"said")
+    next_port.send_report(1, b"said")
     assert tier.ends[1].recv(300)[ENVELOPE.size :] == b"said"
-    following.close()
+    next_port.close()
     tier.port.resume()
     tier.say(1, 1, 2, b"back")
     tier.read()
@@ -154,9 +154,9 @@
     ],
 )
 def test_read_of_faulty_peers_raises_error_with_key(change, key):
-    told = json.loads(json.dumps({**PLAIN, **change}))
+    config = json.loads(json.dumps({**PLAIN, **change}))
     with pytest.raises(ConfigError, match=f"^{key} "):
-        read({name: value for name, value in told.items() if value is not None}, {}, strict=True)
+        read({name: value for name, value in config.items() if value is not None}, {}, strict=True)
 
 
 def test_read_without_permission_in_settings_ignores_peers():
--- a/tests/test_source_keys.py
+++ b/tests/test_source_keys.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("one", "other"),
+    ("first", "second"),
     [
         ("::ffff:192.0.2.7", "192.0.2.7"),
         ("fe80::1%eth0", "fe80::1"),
@@ -20,25 +20,25 @@
     ],
     ids=["mapped IPv4", "scope", "host of one /64"],
 )
-def test_source_keys_of_equivalent_addresses_are_equal(one, other):
-    assert keys(one) == keys(other)
+def test_source_keys_of_equivalent_addresses_are_equal(first, second):
+    assert keys(first) == keys(second)
 
 
 @pytest.mark.parametrize(
-    ("one", "other"),
+    ("first", "second"),
     [("192.0.2.7", "192.0.2.200"), ("2001:db8:1:2::1", "2001:db8:1:3::1")],
 )
-def test_source_keys_of_same_prefix_differ_in_address_alone(one, other):
-    assert keys(one).prefix == keys(other).prefix
-    assert keys(one).address != keys(other).address
+def test_source_keys_of_same_prefix_differ_in_address_alone(first, second):
+    assert keys(first).prefix == keys(second).prefix
+    assert keys(first).address != keys(second).address
 
 
 @pytest.mark.parametrize(
-    ("one", "other"),
+    ("first", "second"),
     [("192.0.2.7", "192.0.3.7"), ("2001:db8:1:2::1", "2001:db8:2::1"), ("2001:db8:1:3::1", "2001:db8:2::1")],
 )
-def test_source_keys_of_different_prefixes_differ_in_prefix(one, other):
-    assert keys(one).prefix != keys(other).prefix
+def test_source_keys_of_different_prefixes_differ_in_prefix(first, second):
+    assert keys(first).prefix != keys(second).prefix
 
 
 def test_source_keys_of_both_families_with_longest_prefixes_are_distinct():
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -53,8 +53,8 @@
         package / "batch" / name
         for name in ("front.py", "messages.py", "registry.py", "remote.py", "replies.py")
     ]
-    reads = {path.name for path in files if re.search(r"\btime\.time\b|datetime", path.read_text())}
-    assert reads == {"machine.py"}
+    reading_files = {path.name for path in files if re.search(r"\btime\.time\b|datetime", path.read_text())}
+    assert reading_files == {"machine.py"}
 
 
 @steps
@@ -107,11 +107,11 @@
 @steps
 def test_peer_restarted_after_step_is_accepted(step):
     tier = Tier()
-    life = int(UNIX / 10.0) & 0xFFFFFFFF
-    tier.say(1, life, 5, b"first")
+    incarnation = int(UNIX / 10.0) & 0xFFFFFFFF
+    tier.say(1, incarnation, 5, b"first")
     tier.read()
     tier.now += INCARNATION_TIMEOUT_MS
-    tier.say(1, (life + int(step / 10.0)) & 0xFFFFFFFF, 1, b"again")
+    tier.say(1, (incarnation + int(step / 10.0)) & 0xFFFFFFFF, 1, b"again")
     tier.read()
     assert [data for _, data in tier.heard] == [b"first", b"again"]
 
@@ -140,9 +140,9 @@
     )
     port.open()
     port.send_report(1, b"x")
-    life = int.from_bytes(tier.ends[1].recv(256)[1:5], "little")
+    incarnation = int.from_bytes(tier.ends[1].recv(256)[1:5], "little")
     port.close()
-    assert life == int(UNIX / 10.0) & 0xFFFFFFFF
+    assert incarnation == int(UNIX / 10.0) & 0xFFFFFFFF
 
 
 # The batch front.
--- a/tests/test_wall_clock_bans.py
+++ b/tests/test_wall_clock_bans.py
@@ -46,7 +46,7 @@
     second = Machine(bans=tmp_path / "bans.json", start=77e9)
     second.wall.step(step)
     second.tell(("w", started), snapshot=True)
-    entry = second.dispatcher.exchange.endpoints.states[second.dispatcher.ids.worker("w")]
-    assert entry == EndpointState.DRAINING
+    endpoint_state = second.dispatcher.exchange.endpoints.states[second.dispatcher.ids.worker("w")]
+    assert endpoint_state == EndpointState.DRAINING
     second.dispatcher.table.unban("w")
     assert second.started("w") == 0.0
--- a/tests/test_wall_clock_handover.py
+++ b/tests/test_wall_clock_handover.py
@@ -21,19 +21,19 @@
     module.pacers[0].rate, module.pacers[0].next_release_at = 4.0, old.now + 250.0
     learn(module, served_rate=0.5, served_at=old.now - 100.0)
     module.workers[old.ids.worker("slow")].recent_sends.append((old.now - 30.0, 80.0))
-    heir = takeover.go().module()
-    assert takeover.age(heir.pacers[0].next_release_at) == pytest.approx(-250.0)
-    assert takeover.age(heir.learned_state().served_at) == pytest.approx(100.0)
-    assert heir.learned_state().served_rate == 0.5
-    [(at, work)] = heir.workers[old.ids.worker("slow")].recent_sends
+    successor = takeover.go().module()
+    assert takeover.age(successor.pacers[0].next_release_at) == pytest.approx(-250.0)
+    assert takeover.age(successor.learned_state().served_at) == pytest.approx(100.0)
+    assert successor.learned_state().served_rate == 0.5
+    [(at, work)] = successor.workers[old.ids.worker("slow")].recent_sends
     assert takeover.age(at) == pytest.approx(30.0)
     assert work == 80.0
 
 
 def test_slow_start_handed_over_after_step_keeps_its_age(takeover):
     takeover.old.dispatcher.advance(3000.0)
-    heir = takeover.go().module()
-    worker = heir.workers[takeover.old.dispatcher.ids.worker("slow")]
+    successor = takeover.go().module()
+    worker = successor.workers[takeover.old.dispatcher.ids.worker("slow")]
     assert takeover.age(worker.entry.ready_at) == pytest.approx(3000.0)
     takeover.new.dispatcher.table.load(takeover.list)
     takeover.new.dispatcher.settle()
@@ -95,8 +95,8 @@
     """They would all have been closed at once, or have idled for an hour."""
     batch, now = passed_on(ParkedBatch(LISTEN, (5e6 - 9000.0, 5e6), (), {}), step)
     assert batch.since == pytest.approx((now - 9000.0, now))
-    begun, now = passed_on(ConnectionPassed(LISTEN, True, 5e6 - 2000.0, b"POST", {}), step)
-    assert begun.since == pytest.approx(now - 2000.0), "its message has 0.8 s left"
+    partial_request, now = passed_on(ConnectionPassed(LISTEN, True, 5e6 - 2000.0, b"POST", {}), step)
+    assert partial_request.since == pytest.approx(now - 2000.0), "its message has 0.8 s left"
 
 
 @steps
--- a/tests/test_wall_clock_slow_start.py
+++ b/tests/test_wall_clock_slow_start.py
@@ -115,14 +115,14 @@
     assert ages["n/c"] == pytest.approx(1000.0)
 
 
-@pytest.mark.parametrize("off", [-HOUR, HOUR])
-def test_implausible_start_of_new_consul_instance_counts_as_now(off):
+@pytest.mark.parametrize("error", [-HOUR, HOUR])
+def test_implausible_start_of_new_consul_instance_counts_as_now(error):
     wall, consul = Wall(), Consul()
     dispatcher = consul.dispatcher
     wall.runs_with(dispatcher)
     dispatcher.table.start_times = StartTimes(dispatcher.clock, WallClock(dispatcher.clock, wall))
     consul.answer(7, instance("a", 1))
     dispatcher.advance(100.0)
-    consul.answer(8, instance("a", 1), instance("b", 2, since_ms=str(wall() + off)))
+    consul.answer(8, instance("a", 1), instance("b", 2, since_ms=str(wall() + error)))
     worker = dispatcher.exchange.dispatcher.workers[dispatcher.ids.worker("n/b")]
     assert worker.entry.ready_at == dispatcher.now
