--- a/eiderfield/net/handover/channel.py
+++ b/eiderfield/net/handover/channel.py
@@ -1,4 +1,4 @@
-"""The channel of typed messages to the other process."""
+"""Channel for typed messages to the other process of a handover."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class Channel:
-    """Sends and receives messages over a link, while there is one.
+    """Sends and receives messages over a link. Without a link, messages to be sent are dropped.
 
     Attributes:
-        receive: Called with each message and its descriptors. Descriptors that are still in the list when it
-            returns are closed.
-        on_lost: Called when the link is lost, or closed because of a message that is not understood.
+        receive: Called with each message and its descriptors. Descriptors that it leaves in the list are
+            closed when it returns.
+        on_lost: Called when the link is lost, or closed because a message was malformed or not supported.
     """
 
     def __init__(self, new_codec: Callable[[], Codec], log: Callable[[str], None]) -> None:
-        """Creates a channel without a link; `new_codec` creates the codec of each link."""
+        """Create a channel without a link; `new_codec` is called to create the codec of each link."""
         self.receive: Callable[[Message, list[int]], None] = _ignore_message
         self.on_lost: Callable[[], None] = lambda: None
         self._new_codec = new_codec
@@ -30,28 +30,28 @@
 
     @property
     def connected(self) -> bool:
-        """Whether there is a link."""
+        """Whether the channel has a link."""
         return self._link is not None
 
     @property
     def flushed(self) -> bool:
-        """Whether no message waits to be sent."""
+        """Whether no message is waiting in the link's send buffer."""
         return self._link is None or self._link.flushed
 
     def attach(self, link: Link) -> None:
-        """Use a link from now on."""
+        """Send and receive over `link` from now on."""
         self._codec = self._new_codec()
         self._link = link
         link.receive = self.receive_fields
         link.lost = self.close_as_lost
 
     def send(self, message: Message, descriptors: Sequence[int] = ()) -> None:
-        """Send a message with copies of descriptors; raises `OSError` if they cannot be copied."""
+        """Send a message and duplicates of descriptors; raises `OSError` if they cannot be duplicated."""
         if self._link is not None:
             self._link.send(self._codec.encode(message), descriptors)
 
     def receive_fields(self, fields: dict[str, Any], descriptors: list[int]) -> None:
-        """Decode and deliver a message; end the link if that fails."""
+        """Decode a message and pass it to `receive`; close the link as lost if either fails."""
         try:
             self.receive(self._codec.decode(fields), descriptors)
         except (KeyError, TypeError, ValueError, AttributeError, OSError) as error:
@@ -61,17 +61,17 @@
             close_all(descriptors)
 
     def close(self) -> None:
-        """Close the link without a call of `on_lost`."""
+        """Close the link without calling `on_lost`."""
         if self._link is not None:
             self._link.close()
             self._link = None
 
     def close_as_lost(self) -> None:
-        """Close the link and report it as lost."""
+        """Close the link and call `on_lost`."""
         if self._link is not None:
             self.close()
             self.on_lost()
 
 
 def _ignore_message(_message: Message, _descriptors: list[int]) -> None:
-    """Drop a message that comes before a receiver is set."""
+    """Drop a message that is received before `Channel.receive` is set."""
--- a/eiderfield/net/handover/codec.py
+++ b/eiderfield/net/handover/codec.py
@@ -1,4 +1,4 @@
-"""Codec of the messages of one link."""
+"""Codec for the messages of one link."""
 
 from __future__ import annotations
 
@@ -11,10 +11,16 @@
 
 
 class Codec:
-    """Converts messages, whose times are of this process's clock, to and from the wire form."""
+    """Converts messages to and from the wire form. Times in messages are on this process's clock."""
 
     def __init__(self, clock: Callable[[], float], wall: WallClock, log: Callable[[str], None]) -> None:
-        """Creates a codec for the process with this clock; `wall` relates the clock to Unix time."""
+        """Create a codec.
+
+        Args:
+            clock: The process's clock, in ms.
+            wall: Converts times of `clock` to Unix time.
+            log: Called with a line for operators.
+        """
         self._clock = clock
         self._wall = wall
         self._decoder = Decoder(clock, wall, log)
--- a/eiderfield/net/handover/context.py
+++ b/eiderfield/net/handover/context.py
@@ -1,4 +1,4 @@
-"""The parts of a dispatcher that a handover concerns."""
+"""The parts of a dispatcher that take part in a handover."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @dataclass(slots=True)
 class HandoverContext:
-    """What both roles of a handover work with."""
+    """The parts of a dispatcher that both roles of a handover use."""
 
     loop: asyncio.AbstractEventLoop
     exchange: Exchange
     table: RoutingTable
     workers: WorkerPool
-    listeners: Mapping[str, Listener]  # those that are passed on, by names that both processes know
+    listeners: Mapping[str, Listener]  # listeners to be handed over; both processes use the same names
     timers: Timers
     clock: Callable[[], float]
     log: Callable[[str], None]
-    peers: PeerPort | None = None  # the socket for other dispatchers, if there is one
+    peers: PeerPort | None = None  # port for messages of other dispatchers, if one is configured
--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -1,4 +1,4 @@
-"""Decoder of the handover's messages. `encoder` documents the wire form."""
+"""Decoder for the messages of a handover. `encoder` documents the wire form."""
 
 from __future__ import annotations
 
@@ -29,29 +29,35 @@
 from eiderfield.net.handover.sender_clock import SenderClock, estimated_clock, exact_clock
 from eiderfield.net.table_state import EndpointRecord, RoutingTableState, UnbannedWorker
 
-MAX_KIND_IN_ERROR = 20  # characters of an unknown kind of message that an error quotes
+MAX_KIND_IN_ERROR = 20  # characters of an unknown message kind that are quoted in an error
 
 
 class Decoder:
-    """Decodes the messages that come over one link."""
+    """Decodes the messages received over one link."""
 
     def __init__(self, clock: Callable[[], float], wall: WallClock, log: Callable[[str], None]) -> None:
-        """Creates a decoder that converts the messages' times to those of `clock`."""
+        """Create a decoder that converts the sender's times to times of `clock`."""
         self._clock = clock
         self._wall = wall
         self._log = log
-        self._estimated: SenderClock | None = None  # of a sender that does not include its clock's reading
+        self._estimated: SenderClock | None = None  # used if the sender does not include its clock reading
 
     def decode(self, values: Mapping[str, object]) -> Message:
         """Decode a message; raises `MalformedMessageError`."""
         fields = Fields(values)
         kind = fields.text("is")
         if kind not in self._DECODERS:
-            raise MalformedMessageError("is", f"names no message: {kind[:MAX_KIND_IN_ERROR]!r}")
+            raise MalformedMessageError("is", f"is not a known message kind: {kind[:MAX_KIND_IN_ERROR]!r}")
         return self._DECODERS[kind](self, fields)
 
     def _sender_clock(self, fields: Fields, past_times: Callable[[], list[float]] = list) -> SenderClock:
-        """Return the sender's clock; `past_times` returns the times of past events in the message."""
+        """Return the sender's clock when it sent the message.
+
+        Args:
+            fields: The message.
+            past_times: Returns the times of past events in the message, by the sender's clock. It is called
+                only if the clock has to be estimated from them.
+        """
         now = self._clock()
         if "now" in fields:
             return exact_clock(now, fields.number("now"))
@@ -94,7 +100,10 @@
         )
 
     def _decode_learned_state(self, value: object, sender: SenderClock) -> LearnedState | None:
-        """Return None if the state is malformed: the new process can start without it."""
+        """Decode the learned state.
+
+        Return None if it is malformed, since the new process can start without learned state.
+        """
         try:
             return decode_learned_state(value, sender)
         except MalformedMessageError as error:
@@ -169,11 +178,11 @@
 
 
 def _decode_bytes(value: str, name: str) -> bytes:
-    """Return the bytes that are sent as a text, one character each."""
+    """Return the bytes that a string encodes as one character (Latin-1) per byte."""
     try:
         return value.encode("latin-1")
     except UnicodeEncodeError:
-        raise MalformedMessageError(name, "holds characters that are not bytes") from None
+        raise MalformedMessageError(name, "has characters outside Latin-1") from None
 
 
 def _decode_table(fields: Fields, sender: SenderClock) -> RoutingTableState:
@@ -208,7 +217,7 @@
 
 
 def _unbanned_workers(table: Fields) -> list[UnbannedWorker]:
-    """Return the workers whose bans were lifted, with times by the sender's clock."""
+    """Return the workers whose bans were lifted, with times on the sender's clock."""
     return [
         UnbannedWorker(text(name, "cold"), number(banned_at, "cold"), number(unbanned_at, "cold"))
         for name, banned_at, unbanned_at in table.rows("cold", 3)
--- a/eiderfield/net/handover/encoder.py
+++ b/eiderfield/net/handover/encoder.py
@@ -1,8 +1,8 @@
-"""Encoder of the handover's messages.
+"""Encoder for the messages of a handover.
 
-The wire form is that of revision 731b84e, recorded in `tests/golden/handover`. Fields were added since:
-`now` in every message with times, `started` of an endpoint and `heard` of the table. Older processes
-ignore them, and messages of older processes lack them.
+The wire form is that of revision 731b84e, recorded in `tests/golden/handover`, with three fields added since:
+`now` in every message that holds times, `started` in an endpoint and `heard` in the routing table. Processes
+of that revision ignore these fields and do not send them.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 )
 from eiderfield.net.table_state import EndpointRecord, RoutingTableState
 
-WireMessage = dict[str, Any]  # what `Link` carries
+WireMessage = dict[str, Any]  # the JSON object that `Link` sends
 
 
 def encode(message: Message, now: float, unix_offset: float) -> WireMessage:
     """Return the wire form of a message.
 
     Args:
-        message: The message, with times of this process's clock.
-        now: The time on this process's clock.
-        unix_offset: Unix time minus this process's clock, in ms; added to all times.
+        message: The message, with times on this process's clock.
+        now: The current time on this process's clock, in ms.
+        unix_offset: Unix time minus this process's clock, in ms; added to all times of the message.
     """
     if type(message) in _TIMED_ENCODERS:
         kind, encode_timed = _TIMED_ENCODERS[type(message)]
--- a/eiderfield/net/handover/errors.py
+++ b/eiderfield/net/handover/errors.py
@@ -1,10 +1,10 @@
 """Errors of a handover.
 
     HandoverError
-    ├── MalformedMessageError      a field is missing or has another type
-    └── UnsupportedVersionError    the other process speaks another version of the protocol
+    ├── MalformedMessageError      a field is missing or has the wrong type
+    └── UnsupportedVersionError    the other process uses another version of the protocol
 
-After any of them each of the two processes continues on its own.
+After any of these errors the link is closed and each process continues independently of the other.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 
 class HandoverError(EiderfieldError, ValueError):
-    """The other process cannot be understood."""
+    """A message of the other process cannot be processed."""
 
 
 class MalformedMessageError(HandoverError):
-    """A message lacks a field, or a field has another type than the protocol says."""
+    """A message lacks a required field, or a field has a type that the protocol does not allow."""
 
     def __init__(self, field: str, problem: str) -> None:
-        """Names the field and what is wrong with it."""
+        """Create an error about `field`; `problem` completes the sentence that begins with its name."""
         super().__init__(f"{field} {problem}")
         self.field = field
 
 
 class UnsupportedVersionError(HandoverError):
-    """The other process speaks another version of the protocol."""
+    """The other process uses another version of the protocol."""
 
     def __init__(self, version: int, supported: int) -> None:
-        """Names the version of the other process and the one that is supported here."""
+        """Create an error; `version` is the other process's, `supported` the one of this process."""
         super().__init__(f"protocol version {version} is not supported (supported: {supported})")
         self.version = version
         self.supported = supported
--- a/eiderfield/net/handover/fields.py
+++ b/eiderfield/net/handover/fields.py
@@ -1,7 +1,7 @@
-"""Typed access to the fields of a message that was decoded from JSON.
+"""Typed access to the fields of a JSON message.
 
-Every function and method raises `MalformedMessageError` with the name of the field if the value is
-missing or has another type.
+Unless its docstring says otherwise, a function or method raises `MalformedMessageError` with the name of the
+field if the value is missing or has another type.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     """The fields of a JSON object."""
 
     def __init__(self, values: Mapping[str, object]) -> None:
-        """Wraps a decoded object."""
+        """Create an accessor for the fields of a decoded object."""
         self._values = values
 
     def __contains__(self, name: str) -> bool:
@@ -24,17 +24,17 @@
         return name in self._values
 
     def required(self, name: str) -> object:
-        """Return the value of a field, of whatever type."""
+        """Return the value of a field, which may have any type."""
         if name not in self._values:
             raise MalformedMessageError(name, "is missing")
         return self._values[name]
 
     def flag(self, name: str) -> bool:
-        """Return whether a field is present and true."""
+        """Return whether a field is present and `true`; any other value counts as false."""
         return self._values.get(name) is True
 
     def text(self, name: str) -> str:
-        """Return a text."""
+        """Return a string."""
         return text(self.required(name), name)
 
     def number(self, name: str) -> float:
@@ -46,7 +46,7 @@
         return optional_number(self._values.get(name), name)
 
     def integer(self, name: str) -> int:
-        """Return a whole number."""
+        """Return an integer."""
         return integer(self.required(name), name)
 
     def nested(self, name: str) -> Fields:
@@ -70,11 +70,11 @@
         return [row(value, length, name) for value in self.sequence(name)]
 
     def optional_rows(self, name: str, length: int) -> list[Sequence[object]]:
-        """Return an array of arrays, or nothing if the field is missing."""
+        """Return an array of arrays of `length` values each, empty if the field is missing."""
         return self.rows(name, length) if name in self else []
 
     def texts(self, name: str) -> tuple[str, ...]:
-        """Return an array of texts."""
+        """Return an array of strings."""
         return tuple(text(value, name) for value in self.sequence(name))
 
     def numbers(self, name: str) -> tuple[float, ...]:
@@ -82,11 +82,11 @@
         return tuple(number(value, name) for value in self.sequence(name))
 
     def integers(self, name: str) -> tuple[int, ...]:
-        """Return an array of whole numbers."""
+        """Return an array of integers."""
         return tuple(integer(value, name) for value in self.sequence(name))
 
     def counts(self, name: str) -> dict[str, int]:
-        """Return an object of whole numbers."""
+        """Return an object whose values are integers."""
         return {key: integer(count, f"{name}.{key}") for key, count in self.items(name).items()}
 
 
@@ -113,9 +113,9 @@
 
 
 def text(value: object, name: str) -> str:
-    """Return `value` if it is a text."""
+    """Return `value` if it is a string."""
     if not isinstance(value, str):
-        raise MalformedMessageError(name, "is not a text")
+        raise MalformedMessageError(name, "is not a string")
     return value
 
 
@@ -132,7 +132,7 @@
 
 
 def integer(value: object, name: str) -> int:
-    """Return `value` if it is a whole number."""
+    """Return `value` if it is an integer."""
     if isinstance(value, bool) or not isinstance(value, int):
-        raise MalformedMessageError(name, "is not a whole number")
+        raise MalformedMessageError(name, "is not an integer")
     return value
--- a/eiderfield/net/handover/learned_state.py
+++ b/eiderfield/net/handover/learned_state.py
@@ -1,13 +1,13 @@
-"""Codec of the policy's learned state.
+"""Codec for the policy's learned state.
 
-The wire form:
+The wire form is an object with these fields, each an array:
 
-    pacers    by class: [mean run time, rate, uncut rate, next release]
-    spent     [retry tokens, served rate, its time]
-    cold      [worker, [[time, work], ...]] of each worker in slow start
-    keys      [key, count]
-    slots     [machine kind, slots]
-    erring    [worker, faults, strikes]; missing before revision 731b84e
+    pacers    for each class: [mean duration, rate, rate before it was cut, time of the next release]
+    spent     [retry tokens, average served rate, end of the time that the average covers]
+    cold      for each worker in slow start: [worker, [[time sent, work], ...]]
+    keys      for each counted key: [key, number of requests]
+    slots     for each kind of machine: [kind, slots]
+    erring    for each outlier: [worker, error score, ejections]; revisions before 731b84e do not send it
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def encode_learned_state(learned: LearnedState, offset: float) -> dict[str, Any]:
-    """Return the wire form, with `offset` ms added to all times."""
+    """Return the wire form of a learned state, with `offset` ms added to all times."""
     return {
         "pacers": [_encode_pacer(pacer, offset) for pacer in learned.pacers],
         "spent": [learned.retry_tokens, learned.served_rate, learned.served_at + offset],
@@ -60,7 +60,7 @@
 
 
 def decode_learned_state(value: object, sender: SenderClock) -> LearnedState:
-    """Decode the wire form; raises `MalformedMessageError`."""
+    """Decode a learned state; raises `MalformedMessageError`."""
     fields = Fields(mapping(value, "memory"))
     retry_tokens, served_rate, served_at = row(fields.required("spent"), 3, "spent")
     return LearnedState(
@@ -81,8 +81,8 @@
             for kind, slots in fields.rows("slots", 2)
         ),
         outliers=tuple(
-            OutlierState(integer(worker, "erring"), number(faults, "erring"), integer(strikes, "erring"))
-            for worker, faults, strikes in fields.optional_rows("erring", 3)
+            OutlierState(integer(worker, "erring"), number(score, "erring"), integer(ejections, "erring"))
+            for worker, score, ejections in fields.optional_rows("erring", 3)
         ),
     )
 
@@ -90,7 +90,7 @@
 def _decode_pacer(values: Sequence[object], sender: SenderClock) -> PacerState:
     mean_duration, rate, uncut_rate, next_release_at = values
     limit = optional_number(rate, "pacers")
-    interval = MS_PER_SECOND / limit if limit else 0.0  # from one release to the next
+    interval = MS_PER_SECOND / limit if limit else 0.0  # between two releases
     return PacerState(
         mean_duration=number(mean_duration, "pacers"),
         rate=limit,
@@ -105,9 +105,9 @@
 
 
 def past_events(value: object) -> list[float]:
-    """Return the times of past events in the wire form, by the sender's clock.
+    """Return the times of past events in the wire form, on the sender's clock.
 
-    A malformed value has none: decoding it reports the error.
+    Return an empty list if `value` is malformed; `decode_learned_state` reports the error.
     """
     try:
         fields = Fields(mapping(value, "memory"))
@@ -117,4 +117,4 @@
             times += [number(row(sent, 2, "cold")[0], "cold") for sent in sequence(work, "cold")]
     except MalformedMessageError:
         return []
-    return [at for at in times if at > 0.0]  # 0 means never
+    return [at for at in times if at > 0.0]  # 0 stands for an event that has not happened
--- a/eiderfield/net/handover/load_updates.py
+++ b/eiderfield/net/handover/load_updates.py
@@ -1,4 +1,4 @@
-"""Updates to the other process on request ids in use and open attempts."""
+"""Notifications to the other process about request ids in use and open attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LoadUpdates:
-    """Collects changes that the exchange reports and sends them once a tick.
+    """Collects the changes that the exchange reports and sends them in one message per tick of the timers.
 
     Implements `exchange.protocols.OtherProcess`.
     """
@@ -22,12 +22,12 @@
         clock: Callable[[], float],
         send: Callable[[LoadChanged], None],
     ) -> None:
-        """Creates an empty collection; `send` is called with the changes of a tick."""
+        """Create an empty collection; `send` is called with the collected changes."""
         self._ids = ids
         self._timers = timers
         self._clock = clock
         self._send = send
-        self._request_ids: dict[str, bool] = {}  # whether each was taken, or released
+        self._request_ids: dict[str, bool] = {}  # True if the id was taken, False if it was released
         self._attempts: dict[int, OpenAttempts] = {}  # by worker
         self._flush_scheduled = False
 
@@ -42,7 +42,7 @@
         self._schedule_flush()
 
     def attempts_changed(self, worker: int, count: int, work: float) -> None:
-        """Record the open attempts at a worker, and the work that was just sent there."""
+        """Record the number of open attempts at a worker, and the work that was just sent to it."""
         work_before = self._attempts[worker].work if worker in self._attempts else 0.0
         self._attempts[worker] = OpenAttempts(self._ids.name(worker), count, work_before + work)
         self._schedule_flush()
--- a/eiderfield/net/handover/message_kinds.py
+++ b/eiderfield/net/handover/message_kinds.py
@@ -1,4 +1,4 @@
-"""The words by which the wire form names the kinds of messages."""
+"""Kinds of messages in the wire form."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class MessageKind(StrEnum):
-    """The field `is` of a message. The words are those of revision 731b84e."""
+    """Value of the field `is` of a message. The values are those of revision 731b84e and must not change."""
 
     TAKEOVER_REQUEST = "ask"
     TAKEOVER_DELAYED = "wait"
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -1,10 +1,15 @@
-"""The new process's role in a handover: it asks, takes the state and the listeners, then the connections.
+"""The new process's role in a handover: it adopts the state, listeners and clients of the old process.
 
-    idle ──(ask)──> asking ──(state taken)──> not accepting yet ──(listeners released)──> serving
-                      └──(no answer in time, or link lost)──> serving on its own
+    idle ──(request_takeover)──> waiting ──(state received)──> passive ──(listeners released)──> accepting
+                                   └──(timeout, or link lost)──> accepting without the old process's state
 
-Invariants: no start waits longer than the timeouts below, no two processes accept at one listener, and each
-descriptor is served or closed.
+A passive process has the listeners but does not accept connections yet.
+
+Invariants:
+
+- The start of a process is delayed by no more than the timeouts below.
+- The two processes never accept at the same listener at the same time.
+- Every received descriptor is either served or closed.
 """
 
 from __future__ import annotations
@@ -30,36 +35,42 @@
     TakeoverRequest,
 )
 
-ANSWER_TIMEOUT_MS = 1500.0  # after which the new process starts on its own
-DELAYED_ANSWER_TIMEOUT_MS = 5000.0  # the same after a `TakeoverDelayed`
-_TAKEN = -1  # in a list of descriptors: one that is not to be closed
+ANSWER_TIMEOUT_MS = 1500.0  # from the request until the new process starts without the old one's state
+DELAYED_ANSWER_TIMEOUT_MS = 5000.0  # replaces `ANSWER_TIMEOUT_MS` when a `TakeoverDelayed` is received
+_TAKEN = -1  # replaces a descriptor in a list whose remaining descriptors are closed
 
 
 class NewProcess:
-    """Takes over from the process at the other end of a channel."""
+    """Takes over from the process at the other end of the channel."""
 
     def __init__(self, context: HandoverContext, channel: Channel, share_updates: Callable[[], None]) -> None:
-        """Creates the role; `share_updates` starts the updates on this process's load and bans."""
+        """Create the role.
+
+        Args:
+            context: The parts of the dispatcher that take part in the handover.
+            channel: The channel to the old process.
+            share_updates: Called to start sending this process's changes of load and bans.
+        """
         self._context = context
         self._channel = channel
         self._share_updates = share_updates
         self._on_finished: Callable[[], None] | None = None
         self._timer: Timer | None = None
-        self._adopted_listeners: list[str] = []  # names of the listeners of the old process
+        self._adopted_listeners: list[str] = []  # names of the listeners received from the old process
 
     def request_takeover(self, on_finished: Callable[[], None]) -> None:
-        """Ask the old process to hand over; `on_finished` is called after success or failure."""
+        """Request a handover; `on_finished` is called once, after success or failure."""
         self._on_finished = on_finished
         self._start_timer(ANSWER_TIMEOUT_MS)
         self._channel.send(TakeoverRequest(PROTOCOL_VERSION, with_peers=self._context.peers is not None))
 
     def extend_timeout(self, _message: TakeoverDelayed) -> None:
-        """Wait longer: the old process first has to finish another handover."""
+        """Extend the timeout: the old process has to finish another handover first."""
         if self._timer is not None:
             self._start_timer(DELAYED_ANSWER_TIMEOUT_MS)
 
     def take_state(self, state: DispatcherState, descriptors: list[int]) -> None:
-        """Take the old process's state and listeners, without accepting yet."""
+        """Adopt the old process's state and listeners, without accepting connections yet."""
         if state.with_peers:
             self._adopt_peers(socket.socket(fileno=descriptors.pop()))
         self._adopt_listeners(state.listeners, descriptors)
@@ -77,7 +88,7 @@
         self._channel.send(TakeoverAccepted(tuple(self._adopted_listeners), takes_parked=True))
 
     def start_accepting(self, message: ListenersReleased) -> None:
-        """Accept at the adopted listeners: the old process has stopped."""
+        """Accept connections at the adopted listeners: the old process has stopped doing so."""
         self._update_counts(message.connection_counts)
         self._context.workers.share_connections(True)
         if self._context.peers is not None:
@@ -87,7 +98,7 @@
         self.finish()
 
     def take_parked(self, message: ParkedBatch, descriptors: list[int]) -> None:
-        """Take a batch of parked connections and return those for which there is no room."""
+        """Adopt a batch of parked connections; report those for which there is no capacity as refused."""
         self._update_counts(message.connection_counts)
         parking = self._context.listeners[message.listener].parking
         refused = []
@@ -100,7 +111,7 @@
         self._channel.send(ParkedBatchTaken(message.listener, tuple(refused)))
 
     def take_connection(self, message: ConnectionPassed, descriptors: list[int]) -> None:
-        """Serve a client connection from now on."""
+        """Adopt a client connection."""
         self._update_counts(message.connection_counts)
         [descriptor] = descriptors
         descriptors.clear()
@@ -108,7 +119,7 @@
         self._context.listeners[message.listener].adopt_connection(socket.socket(fileno=descriptor), state)
 
     def finish(self) -> None:
-        """End the wait for the old process and call `on_finished`, once."""
+        """Stop waiting for the old process; call `on_finished` unless it was called before."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -148,7 +159,7 @@
         self._channel.send(ConnectionsUnparked(name, tuple(keys)))
 
     def _update_counts(self, connection_counts: Mapping[str, int]) -> None:
-        """Count the old process's connections within the limits of this process's listeners."""
+        """Count the old process's connections towards the limits of this process's listeners."""
         for name, count in connection_counts.items():
             if name in self._context.listeners:
                 self._context.listeners[name].held_by_other_process = count
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -1,13 +1,14 @@
-"""The old process's role in a handover: it sends its state and listeners, then the client connections.
+"""The old process's role in a handover: it sends its state and listeners, then its client connections.
 
     serving ──(takeover request)──> state sent ──(takeover accepted)──> handed over ──(no clients)──> ended
                                         └──(link lost)──> serving
 
-Parked connections follow in batches, the next one once the last one was taken; the old process may keep
-copies of their descriptors until it ends. When it shuts down it passes the remaining connections.
+After the handover the old process sends its parked connections in batches, one batch at a time: the next one
+is sent when the new process has answered the last one. The old process may keep copies of their descriptors
+until it ends. When it shuts down, it passes the remaining connections one by one.
 
-Invariants: no two processes read one connection, and no connection is passed while a response on it is
-pending.
+Invariants: the two processes never read the same connection, and no connection is passed while a response on
+it is pending.
 """
 
 from __future__ import annotations
@@ -34,25 +35,31 @@
     TakeoverRequest,
 )
 
-MAX_PARKED_BATCH = 100  # connections of a message: about 1 ms of work in either process
+MAX_PARKED_BATCH = 100  # connections per message, which take either process about 1 ms
 
 
 class OldProcess:
-    """Hands over to the process at the other end of a channel."""
+    """Hands over to the process at the other end of the channel."""
 
     def __init__(self, context: HandoverContext, channel: Channel, share_updates: Callable[[], None]) -> None:
-        """Creates the role; `share_updates` starts the updates on this process's load and bans."""
+        """Create the role.
+
+        Args:
+            context: The parts of the dispatcher that take part in the handover.
+            channel: The channel to the new process.
+            share_updates: Called to start sending this process's changes of load and bans.
+        """
         self.handed_over = False
         self._context = context
         self._channel = channel
         self._share_updates = share_updates
-        self._shared_listeners: list[str] = []  # names of the listeners that the new process has too
-        self._sends_batches = False  # whether the new process takes parked connections in batches
-        self._batch_pending = False  # whether a batch was sent and not taken yet
+        self._shared_listeners: list[str] = []  # names of the listeners that the new process has adopted
+        self._sends_batches = False  # whether parked connections are sent in batches
+        self._batch_pending = False  # whether the new process has not answered the last batch yet
 
     @property
     def flushed(self) -> bool:
-        """Whether the new process has received everything that was sent."""
+        """Whether no message is waiting to be sent, and no batch to be answered."""
         return not self._channel.connected or (self._channel.flushed and not self._batch_pending)
 
     def send_state(self, request: TakeoverRequest) -> None:
@@ -91,7 +98,7 @@
         self._shared_listeners = [name for name in message.listeners if name in context.listeners]
         for name in self._shared_listeners:
             context.listeners[name].set_passive(True)
-        if context.peers is not None:  # the new process exchanges messages with peers for both
+        if context.peers is not None:  # the new process uses the socket for both processes
             context.peers.pause()
         context.workers.share_connections(True)
         context.log(
@@ -125,7 +132,7 @@
         )
         try:
             self._channel.send(message, descriptors)
-        except OSError as error:  # too few descriptors: the connections are passed one by one at the end
+        except OSError as error:  # too few descriptors: `pass_clients` passes the connections one by one
             self._context.log(f"handover: parked connections not passed in batches (error={error})")
             self._sends_batches = self._batch_pending = False
             listener.parking.take_back(descriptors)
@@ -134,26 +141,27 @@
             listener.parking.close_lent(descriptors)
 
     def batch_taken(self, message: ParkedBatchTaken) -> None:
-        """Take back the refused connections of a batch, or send the next one."""
+        """Take back the refused connections of a batch, or send the next batch if none was refused."""
         self._batch_pending = False
         self._context.listeners[message.listener].parking.take_back(list(message.refused))
-        if message.refused:  # the new process's listener is full: further batches would only come back
+        if message.refused:  # the new process's listener is full and would refuse further batches as well
             self._sends_batches = False
         else:
             self._send_next_batch()
 
     def close_unparked_copies(self, message: ConnectionsUnparked) -> None:
-        """Close the copies of parked connections that are the new process's alone."""
+        """Close the copies of connections that are no longer parked at the new process."""
         self._context.listeners[message.listener].parking.close_lent(list(message.keys))
 
     def pass_clients(self, listeners: list[str]) -> None:
-        """Pass client connections from now on, each once no response on it is pending."""
+        """Start passing client connections to the new process, each once no response is pending on it."""
         for name in listeners:
             if self.handed_over and name in self._shared_listeners:
                 self._context.listeners[name].successor = partial(self._pass_connection, name)
 
     def _pass_connection(self, name: str, detach: Detach) -> bool:
-        # A stalled process would leave a connection that it was sent unread: it is tried again later.
+        # Send nothing more to a new process that has stopped reading: the client would not be served. The
+        # listener tries again later.
         if not self.flushed or (detached := detach()) is None:
             return False
         state = detached.state
@@ -172,7 +180,7 @@
         return {name: self._context.listeners[name].connections for name in self._shared_listeners}
 
     def resume_alone(self) -> bool:
-        """Serve alone again after the new process is gone; return whether it had taken over."""
+        """Reset the role after the loss of the new process; return whether that process had taken over."""
         was_handed_over, self.handed_over = self.handed_over, False
         self._sends_batches = self._batch_pending = False
         return was_handed_over
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -1,12 +1,18 @@
 """One process's end of a handover, in either role.
 
-    request -> state -> accepted -> released    once
-    parked batch -> batch taken                 repeated while there are parked connections
-    departed <-                                 parked connections whose copies the old process closes
-    load changed, ban changed <->               whenever either changes
-    connection passed ->                        when the old process shuts down
-
-From the state message on, either process sends its changes: request ids, open attempts, bans.
+Messages between the old process (left) and the new one (right), and when they are sent:
+
+    <── TakeoverRequest          once, at the start of the new process
+    ──> DispatcherState
+    <── TakeoverAccepted
+    ──> ListenersReleased
+    ──> ParkedBatch              repeatedly, while the old process has parked connections
+    <── ParkedBatchTaken
+    <── ConnectionsUnparked      when copies of connections at the old process have to be closed
+    <─> LoadChanged, BanChanged  on each change at either process, from `DispatcherState` on
+    ──> ConnectionPassed         when the old process shuts down
+
+A process that receives the link of a further new process during a handover answers with `TakeoverDelayed`.
 """
 
 from __future__ import annotations
@@ -43,26 +49,26 @@
 
 @dataclass(slots=True)
 class _WaitingProcess:
-    """A further process that waits until the present handover is over."""
+    """A further new process, which waits until the present handover has ended."""
 
     link: Link
-    received: list[dict[str, Any]] = field(default_factory=list)  # wire messages, not handled yet
+    received: list[dict[str, Any]] = field(default_factory=list)  # messages in wire form, not handled yet
 
     def receive(self, fields: dict[str, Any], descriptors: list[int]) -> None:
-        """Keep a message for later."""
+        """Store a message until the process is attached."""
         self.received.append(fields)
         close_all(descriptors)
 
 
 class Handover:
-    """This process's end of a handover, from its predecessor and to its successor.
+    """This process's end of the handovers from its predecessor and to its successor.
 
     Attributes:
-        on_successor_lost: Called when the process that had taken over is gone.
+        on_successor_lost: Called when the link to a successor that had taken over is lost.
     """
 
     def __init__(self, context: HandoverContext, wall: WallClock | None = None) -> None:
-        """Creates an end without a link; without `wall`, the process's clock shows Unix time."""
+        """Create an end without a link; without `wall`, times of the process's clock are Unix times."""
         self.on_successor_lost: Callable[[], None] = lambda: None
         self._context = context
         self._wall = wall or WallClock(context.clock, context.clock)
@@ -91,7 +97,7 @@
 
     @property
     def peers(self) -> PeerPort | None:
-        """The socket for other dispatchers, which is passed on too."""
+        """The port for messages of other dispatchers, whose socket is handed over too."""
         return self._context.peers
 
     @peers.setter
@@ -100,7 +106,7 @@
 
     @property
     def listeners(self) -> Mapping[str, Listener]:
-        """The listeners that are passed on, by name."""
+        """The listeners to be handed over, by name."""
         return self._context.listeners
 
     @property
@@ -110,16 +116,22 @@
 
     @property
     def flushed(self) -> bool:
-        """Whether the other process has received everything that was sent."""
+        """Whether nothing is waiting to be sent to, or to be answered by, the new process."""
         return self._old.flushed
 
     def take_over(self, link: Link, on_finished: Callable[[], None]) -> None:
-        """Take over from the process at the other end; `on_finished` is called after success or failure."""
+        """Take over from the process at the other end of `link`.
+
+        `on_finished` is called once, after success or failure.
+        """
         self._channel.attach(link)
         self._new.request_takeover(on_finished)
 
     def accept(self, link: Link) -> None:
-        """Accept the link of a new process. One may wait until the present handover is over."""
+        """Accept the link of a new process.
+
+        During another handover, one further process may wait until it has ended; links of others are closed.
+        """
         if not self._channel.connected:
             self._channel.attach(link)
         elif self._waiting is not None:
@@ -131,11 +143,11 @@
             link.send(self._new_codec().encode(TakeoverDelayed()))
 
     def pass_clients(self, listeners: list[str]) -> None:
-        """Pass client connections from now on, each once no response on it is pending."""
+        """Start passing client connections to the new process, each once no response is pending on it."""
         self._old.pass_clients(listeners)
 
     def pass_idle_clients(self) -> None:
-        """Pass the client connections that can be passed now."""
+        """Pass a bounded number of the client connections that can be passed now."""
         for listener in self.listeners.values():
             listener.hand_over_some()
 
@@ -187,7 +199,7 @@
         self._context.table.apply_ban(message.worker, message.since)
 
     def _link_lost(self) -> None:
-        """Continue alone: the other process is gone or was not understood."""
+        """Continue without the other process: its link was lost, or one of its messages was rejected."""
         context = self._context
         had_handed_over = self._old.resume_alone()
         context.exchange.other_process.ended()
@@ -203,7 +215,7 @@
 
 
 def _make_independent(listener: Listener) -> None:
-    """Let a listener continue without another process."""
+    """Let a listener serve and park clients without another process."""
     listener.successor = None
     listener.held_by_other_process = 0
     listener.parking.on_park = _do_nothing
@@ -215,4 +227,4 @@
 
 
 def _do_nothing(*_arguments: object) -> None:
-    """Ignore what a listener reports to another process."""
+    """Ignore a report that a listener addresses to another process."""
