--- a/eiderfield/net/clients/acceptor.py
+++ b/eiderfield/net/clients/acceptor.py
@@ -22,7 +22,7 @@
 from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept
 
 ACCEPTED_PER_TURN = 16  # connections accepted, or handed over, in a turn of the loop
-ACCEPT_RETRY = RETRY_MS  # ms until accepting is tried again when nothing could be evicted
+ACCEPT_RETRY_MS = RETRY_MS  # ms until accepting is tried again when nothing could be evicted
 BACKLOG = 512
 
 
@@ -145,7 +145,7 @@
         if self._loop is not None and self._socket is not None and not self._paused:
             self._paused = True
             self._loop.remove_reader(self._socket)
-            self._owner.timers.at(self._owner.clock() + ACCEPT_RETRY, self.resume)
+            self._owner.timers.at(self._owner.clock() + ACCEPT_RETRY_MS, self.resume)
 
 
 def open_socket(address: tuple[str, int], share: bool) -> socket.socket:
--- a/eiderfield/net/clients/arrivals.py
+++ b/eiderfield/net/clients/arrivals.py
@@ -12,7 +12,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-PRECISION = 50.0  # ms; bytes that arrive closer together count as arrived together
+ARRIVAL_PRECISION_MS = 50.0  # ms; bytes that arrive closer together count as arrived together
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,7 +31,7 @@
 
     def record(self, count: int, now: float) -> None:
         """Record that `count` bytes have arrived."""
-        if not self._arrivals or now >= self._arrivals[-1].at + PRECISION:
+        if not self._arrivals or now >= self._arrivals[-1].at + ARRIVAL_PRECISION_MS:
             self._arrivals.append(_Arrival(self._received_bytes, now))
         self._received_bytes += count
 
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -37,11 +37,11 @@
 from eiderfield.net.departures import DepartureWatch, has_left
 from eiderfield.net.http import Head, MalformedMessageError, response_bytes
 
-LINGER_TIME = 1000.0  # ms for which input is discarded after a last response, so that it gets through
-LINGER_BYTES = 262_144  # input discarded meanwhile; more stays unread, for 60 MB of it cost a core
-PIPELINED_BYTES = 16384  # bytes that may arrive while a response is awaited
+LINGER_TIME_MS = 1000.0  # ms for which input is discarded after a last response, so that it gets through
+MAX_DISCARDED_BYTES = 262_144  # input discarded meanwhile; more stays unread, for 60 MB of it cost a core
+MAX_PIPELINED_BYTES = 16384  # bytes that may arrive while a response is awaited
 MESSAGES_PER_TURN = 16  # messages of one connection taken in a turn of the loop
-EVICTION_GRACE = 500.0  # ms for which a half-sent message, or an undelivered response, prevents eviction
+EVICTION_GRACE_MS = 500.0  # ms for which a half-sent message, or an undelivered response, prevents eviction
 
 REQUEST_TIMEOUT = 408
 INTERNAL_SERVER_ERROR = 500
@@ -172,7 +172,7 @@
         if self.phase == Phase.READING:
             self.listener.open_connections.mark_active(self)
             self._read_messages()
-        elif self._reader.buffered > PIPELINED_BYTES:
+        elif self._reader.buffered > MAX_PIPELINED_BYTES:
             self._flow.pause()
 
     def eof_received(self) -> bool:
@@ -267,7 +267,7 @@
         if self.phase == Phase.LINGERING or self.is_idle:
             return self._last_response_arrived()
         # Half a message has arrived: the rest may lie in the socket, and a request that was read is answered.
-        slow = not self.proven and self.listener.clock() >= self._reader.last_byte_at + EVICTION_GRACE
+        slow = not self.proven and self.listener.clock() >= self._reader.last_byte_at + EVICTION_GRACE_MS
         return slow and not self._has_unread_bytes
 
     @property
@@ -276,7 +276,7 @@
 
     def _last_response_arrived(self) -> bool:
         """Return whether the client has the last response, or had time for it: a reset would discard it."""
-        overdue = self.listener.clock() >= self._timer.started_at + EVICTION_GRACE
+        overdue = self.listener.clock() >= self._timer.started_at + EVICTION_GRACE_MS
         return overdue or not self._answered or self._sock is None or not unsent_bytes(self._sock.fileno())
 
     # Ends of the connection in this process.
@@ -345,13 +345,13 @@
                 self._transport.write_eof()
             if not self._throttled:
                 self._resume_reading()
-        self._timer.call_at(now + LINGER_TIME, self.abort)
+        self._timer.call_at(now + LINGER_TIME_MS, self.abort)
 
     def _discard_input(self, count: int) -> None:
         if not self._discarded_bytes:
             self.listener.count_discarded_input()
         self._discarded_bytes += count
-        if self._discarded_bytes > LINGER_BYTES and self._transport is not None:
+        if self._discarded_bytes > MAX_DISCARDED_BYTES and self._transport is not None:
             self._transport.pause_reading()
 
     # Time limits.
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -25,8 +25,8 @@
 from eiderfield.net.clients.parking import ConnectionParking
 from eiderfield.net.departures import DepartureWatch
 
-USAGE_INTERVAL = 100.0  # ms between two measurements of memory
-REJECTIONS_AT_ONCE = 64  # connections that are being answered 503; more are closed without a response
+USAGE_INTERVAL_MS = 100.0  # ms between two measurements of memory
+MAX_PENDING_REJECTIONS = 64  # connections that are being answered 503; more are closed without a response
 
 
 class Listener:
@@ -312,7 +312,7 @@
         """Report the usage to admission control, on which the idle time of parked connections may depend."""
         assert self.admission is not None
         now = self.clock()
-        if now < self._usage_updated_at + USAGE_INTERVAL:
+        if now < self._usage_updated_at + USAGE_INTERVAL_MS:
             return
         self._usage_updated_at = now
         limit = self.idle_limit()
@@ -338,7 +338,7 @@
 
     def _reject(self, sock: socket.socket, rejection: Rejection) -> None:
         """Close a connection that is not admitted, and respond to a few; these are evicted first."""
-        if not rejection.answer or self._rejected >= REJECTIONS_AT_ONCE:
+        if not rejection.answer or self._rejected >= MAX_PENDING_REJECTIONS:
             sock.close()
             return
         self._rejected += 1
--- a/eiderfield/net/memory.py
+++ b/eiderfield/net/memory.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-_PAGE = os.sysconf("SC_PAGE_SIZE")
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 _MEMORY_STATUS = Path("/proc/self/statm")
 
 
@@ -16,7 +16,7 @@
     def share() -> float:
         try:
             with _MEMORY_STATUS.open("rb", buffering=0) as file:
-                resident = int(file.read(128).split()[1]) * _PAGE
+                resident = int(file.read(128).split()[1]) * _PAGE_BYTES
         except (OSError, ValueError, IndexError):
             return 0.0
         return resident / (limit_mb * 1024 * 1024)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,8 +13,8 @@
     Watermarks,
 )
 from eiderfield.net.clients import ConnectionHandover
-from eiderfield.net.clients.connection import LINGER_TIME
-from eiderfield.net.clients.listener import REJECTIONS_AT_ONCE
+from eiderfield.net.clients.connection import LINGER_TIME_MS
+from eiderfield.net.clients.listener import MAX_PENDING_REJECTIONS
 from eiderfield.net.wheel import TICK_MS
 
 
@@ -24,7 +24,7 @@
     assert [client.statuses() for client in greedy] == [[], [], [], [503], [503]]
     assert greedy[4].advice == "1.500"
     assert SocketClient(harness, address="192.0.2.2").ask("honest") == [200]
-    harness.pass_time(LINGER_TIME + TICK_MS)
+    harness.pass_time(LINGER_TIME_MS + TICK_MS)
     assert not greedy[4].open
     assert harness.admission.figures()["address_held"] == 2
     harness.close()
@@ -52,9 +52,9 @@
 def test_rejected_connections_receive_few_responses_at_once_and_none_above_the_rate():
     harness = ListenerHarness(most=1000, address_quota=Quota(max_connections=1))
     flood = [SocketClient(harness)]
-    flood += [SocketClient(harness) for _ in range(REJECTIONS_AT_ONCE + 10)]
+    flood += [SocketClient(harness) for _ in range(MAX_PENDING_REJECTIONS + 10)]
     told = [client.statuses() for client in flood]
-    assert told.count([503]) == REJECTIONS_AT_ONCE
+    assert told.count([503]) == MAX_PENDING_REJECTIONS
     assert told.count([]) == 11
     harness.close()
     harness = ListenerHarness(most=1000, address_quota=Quota(connections_per_s=1.0, burst=2.0))
@@ -77,7 +77,7 @@
     another = SocketClient(harness)
     assert another.ask("again") == [200]
     assert clients[1].ask("woken") == [200]
-    harness.pass_time(LINGER_TIME + TICK_MS)
+    harness.pass_time(LINGER_TIME_MS + TICK_MS)
     assert SocketClient(harness).statuses() == [503]
     harness.pass_time(IDLING.idle_timeout + 2000.0)
     assert not harness.listener.connections
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -8,7 +8,7 @@
 from support.real_sockets import ListenerHarness, SocketClient, message
 
 from eiderfield.interface import StartAttempt, TimerFired
-from eiderfield.net.clients.connection import MESSAGES_PER_TURN, PIPELINED_BYTES
+from eiderfield.net.clients.connection import MAX_PIPELINED_BYTES, MESSAGES_PER_TURN
 from eiderfield.net.loop import Driver
 
 
@@ -61,7 +61,9 @@
     end = dial.up()
     assert end.take() == ["r0"]
     number = 0
-    while client_takes(client, message(f"more{number}")) and number < 2 * PIPELINED_BYTES // len(message()):
+    while client_takes(client, message(f"more{number}")) and number < 2 * MAX_PIPELINED_BYTES // len(
+        message()
+    ):
         number += 1
         harness.turn(1)
     [connection] = harness.listener.open_connections
@@ -94,7 +96,7 @@
     while client_takes(client, message(f"m{count}")):
         count += 1
         harness.turn(count % MESSAGES_PER_TURN == 0)
-    assert count * len(message()) > PIPELINED_BYTES
+    assert count * len(message()) > MAX_PIPELINED_BYTES
     assert harness.listener.departures._watched
     while len(statuses) < count:
         harness.work()
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -10,7 +10,7 @@
 from eiderfield.connections.settings import IdleSettings
 from eiderfield.lab.ports import free_port
 from eiderfield.net.clients import Phase
-from eiderfield.net.clients.connection import EVICTION_GRACE, LINGER_TIME
+from eiderfield.net.clients.connection import EVICTION_GRACE_MS, LINGER_TIME_MS
 from eiderfield.net.shutdown_times import (
     ACCEPT_TIME_MS,
     KILL_DELAY_MS,
@@ -107,7 +107,7 @@
     harness.listener.close_idle()
     harness.turn()
     assert harness.listener.open_connections
-    harness.pass_time(LINGER_TIME + 2 * TICK_MS)
+    harness.pass_time(LINGER_TIME_MS + 2 * TICK_MS)
     assert not harness.listener.open_connections
     assert rest(client).startswith(b"HTTP/1.1 200 ")
 
@@ -121,7 +121,7 @@
     [connection] = harness.listener.open_connections
     assert connection.phase == Phase.LINGERING
     assert not harness.listener.make_room(), "its answer has not arrived"
-    harness.pass_time(EVICTION_GRACE + 2 * TICK_MS)
+    harness.pass_time(EVICTION_GRACE_MS + 2 * TICK_MS)
     assert harness.listener.make_room()
     harness.turn()
     assert client.statuses() == [404]
@@ -143,7 +143,7 @@
 def test_an_idle_connection_that_never_reads_its_answer_gives_way_after_a_while():
     harness = ListenerHarness(KEPT, most=1)
     client = served(harness)
-    harness.pass_time(EVICTION_GRACE + 2 * TICK_MS)
+    harness.pass_time(EVICTION_GRACE_MS + 2 * TICK_MS)
     assert harness.listener.make_room()
     client.sock.close()
     harness.close()
@@ -157,7 +157,7 @@
     whole = message("r0")
     client.send(whole[:20])
     harness.turn()
-    harness.pass_time(EVICTION_GRACE + 2 * TICK_MS)
+    harness.pass_time(EVICTION_GRACE_MS + 2 * TICK_MS)
     if rest_comes:
         client.send(whole[20:])  # the loop has not read it yet
     assert harness.listener.make_room() is not rest_comes
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -6,7 +6,7 @@
 
 from eiderfield.interface import EndpointState
 from eiderfield.net.backoff import DIAL_TIMEOUT
-from eiderfield.net.clients.connection import EVICTION_GRACE
+from eiderfield.net.clients.connection import EVICTION_GRACE_MS
 from eiderfield.net.console import CALL_TIMEOUT_MS
 from eiderfield.net.discovery.platform import PlatformWatch
 from eiderfield.net.discovery.watch import HEARTBEAT_TIMEOUT_MS
@@ -122,7 +122,7 @@
     hanging = [Client(console.dispatcher, console.listener) for _ in range(CALLERS)]
     for caller in hanging:
         caller.send(b"GET /-/re")
-    console.dispatcher.advance(EVICTION_GRACE)
+    console.dispatcher.advance(EVICTION_GRACE_MS)
     assert console.listener.make_room()
     assert console.call("/-/ready")[0] == 200
     console.dispatcher.advance(CALL_TIMEOUT_MS + 2 * TICK_MS)
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -8,8 +8,8 @@
 
 from eiderfield.connections.settings import IDLE_TIMEOUT_MS, MESSAGE_TIMEOUT_MS
 from eiderfield.net.clients import ClientConnection, Phase
-from eiderfield.net.clients.acceptor import ACCEPT_RETRY, ACCEPTED_PER_TURN
-from eiderfield.net.clients.connection import EVICTION_GRACE, LINGER_BYTES, LINGER_TIME
+from eiderfield.net.clients.acceptor import ACCEPT_RETRY_MS, ACCEPTED_PER_TURN
+from eiderfield.net.clients.connection import EVICTION_GRACE_MS, LINGER_TIME_MS, MAX_DISCARDED_BYTES
 from eiderfield.net.wheel import TICK_MS, Wheel
 
 OWED = 3000.0  # ms from connecting within which a rude client must have an error or a close
@@ -61,7 +61,7 @@
     client.send(b"POST /none HTTP/1.1\r\n\r\nPOST /safe/a HTTP/1.1\r\nX-Request-Id: r1\r\n\r\n")
     assert [status for status, *_ in client.answers()] == [404]
     assert not dispatcher.dials
-    dispatcher.advance(LINGER_TIME + TICK_MS)
+    dispatcher.advance(LINGER_TIME_MS + TICK_MS)
     assert not client.pipe.open
 
 
@@ -70,11 +70,11 @@
     client = Client(dispatcher)
     client.send(b"POST /safe/a HTTP/1.1\r\nX-Request-Id: r1\r\nContent-Length: 60000000\r\n\r\n")
     assert client.answers()[0][0] == 413
-    client.send(b"x" * (LINGER_BYTES - 1000))
+    client.send(b"x" * (MAX_DISCARDED_BYTES - 1000))
     assert not client.pipe.paused
     client.send(b"x" * 2000)
     assert client.pipe.paused
-    dispatcher.advance(LINGER_TIME + TICK_MS)
+    dispatcher.advance(LINGER_TIME_MS + TICK_MS)
     assert not client.pipe.open
 
 
@@ -173,7 +173,7 @@
     client.send(b"GET /ready HTTP/1.1\r\n\r\n")
     client.connection.close()
     assert client.pipe.open
-    dispatcher.advance(LINGER_TIME + TICK_MS)
+    dispatcher.advance(LINGER_TIME_MS + TICK_MS)
     assert not client.pipe.open
 
 
@@ -198,7 +198,7 @@
     assert dispatcher.listener.make_room()
     assert not silent.pipe.open
     assert usual.pipe.open
-    dispatcher.advance(EVICTION_GRACE)
+    dispatcher.advance(EVICTION_GRACE_MS)
     busy = dispatcher.client(id_="r7")
     assert dispatcher.listener.make_room()
     assert not half.pipe.open
@@ -260,7 +260,7 @@
     dispatcher.listener.acceptor.accept()
     assert listener.asked == 1
     assert not loop.reading
-    dispatcher.advance(ACCEPT_RETRY + TICK_MS)
+    dispatcher.advance(ACCEPT_RETRY_MS + TICK_MS)
     assert loop.reading
 
 
@@ -300,7 +300,7 @@
     slow, stopped = Client(dispatcher), Client(dispatcher)
     for client in (slow, stopped):
         client.send(b"POST /sa")
-    dispatcher.advance(EVICTION_GRACE)
+    dispatcher.advance(EVICTION_GRACE_MS)
     slow.send(b"fe/a HTTP/1.1\r\n")
     assert dispatcher.listener.make_room()
     assert slow.pipe.open
@@ -310,7 +310,7 @@
     assert not dispatcher.listener.make_room(), "what has just come in is not given up for want of room"
     assert slow.pipe.open
     assert other.pipe.open
-    dispatcher.advance(MESSAGE_TIMEOUT_MS - EVICTION_GRACE - 100.0)
+    dispatcher.advance(MESSAGE_TIMEOUT_MS - EVICTION_GRACE_MS - 100.0)
     slow.send(b"X-Request-Id: r1\r\n\r\n")
     assert dispatcher.dials, "a job may take that long to come in"
 
