--- a/eiderfield/connections/admission.py
+++ b/eiderfield/connections/admission.py
@@ -186,8 +186,8 @@
         timeouts = self.settings.timeouts
         expires_at = started_at + timeouts.message
         if timeouts.min_body_rate > 0.0:
-            time_bought = 1000.0 * received / timeouts.min_body_rate
-            expires_at = min(expires_at, head_at + timeouts.body_grace + time_bought)
+            earned_time = 1000.0 * received / timeouts.min_body_rate
+            expires_at = min(expires_at, head_at + timeouts.body_grace + earned_time)
         return Limit(expires_at, Reason.SLOW_BODY)
 
     def count_slow_message(self, limit: Limit) -> None:
--- a/eiderfield/connections/sources.py
+++ b/eiderfield/connections/sources.py
@@ -80,10 +80,10 @@
         self.keys: dict[int, int] = {}  # by entry
         self.connections = array("I")
         self.incomplete_messages = array("I")
-        self.unused = 0  # entries without a connection
+        self.unused_count = 0  # entries without a connection
         self._entries: dict[int, int] = {}  # by key
         self._free: list[int] = []  # entries that were forgotten
-        self._spent = array("f")  # tokens spent and not regained, as of `updated_at`
+        self._spent_by_entry = array("f")  # tokens spent and not regained, as of `updated_at`
         self.updated_at = array("d")
 
     def __len__(self) -> int:
@@ -97,16 +97,16 @@
             return entry
         if self._free:
             entry = self._free.pop()
-            self._spent[entry], self.updated_at[entry] = 0.0, now
+            self._spent_by_entry[entry], self.updated_at[entry] = 0.0, now
         else:
             entry = len(self.connections)
             self.connections.append(0)
             self.incomplete_messages.append(0)
-            self._spent.append(0.0)
+            self._spent_by_entry.append(0.0)
             self.updated_at.append(now)
         self._entries[key] = entry
         self.keys[entry] = key
-        self.unused += 1
+        self.unused_count += 1
         return entry
 
     def spent_tokens(self, entry: int, now: float) -> float:
@@ -114,12 +114,12 @@
         rate = self.quota.connections_per_s
         if rate == inf:
             return 0.0
-        return max(0.0, self._spent[entry] - max(0.0, now - self.updated_at[entry]) * rate / 1000.0)
+        return max(0.0, self._spent_by_entry[entry] - max(0.0, now - self.updated_at[entry]) * rate / 1000.0)
 
     def take_token(self, entry: int, now: float) -> None:
         """Take a token out of a source's bucket."""
         if self.quota.connections_per_s < inf:
-            self._spent[entry] = self.spent_tokens(entry, now) + 1.0
+            self._spent_by_entry[entry] = self.spent_tokens(entry, now) + 1.0
             self.updated_at[entry] = now
 
     def token_wait(self, entry: int, now: float) -> float:
@@ -130,17 +130,17 @@
 
     def add_connection(self, entry: int) -> None:
         """Count a connection."""
-        self.unused -= not self.connections[entry]
+        self.unused_count -= not self.connections[entry]
         self.connections[entry] += 1
 
     def remove_connection(self, entry: int) -> None:
         """Count a closed connection off."""
         self.connections[entry] -= 1
-        self.unused += not self.connections[entry]
+        self.unused_count += not self.connections[entry]
 
     def forget_unused(self, now: float) -> None:
         """Forget the sources that have no connection and a full bucket, once there are many without one."""
-        if self.unused <= FORGET_THRESHOLD + len(self) // 2:
+        if self.unused_count <= FORGET_THRESHOLD + len(self) // 2:
             return
         forgotten = [
             key
@@ -151,4 +151,4 @@
             entry = self._entries.pop(key)
             del self.keys[entry]
             self._free.append(entry)
-        self.unused -= len(forgotten)
+        self.unused_count -= len(forgotten)
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -106,17 +106,17 @@
         path = head.target.partition("?")[0]
         match path.split("/")[1:]:
             case ["-", "ready"]:
-                if _allowed(connection, head, "GET"):
+                if _check_method(connection, head, "GET"):
                     self._answer_readiness(connection)
             case ["-", "metrics"]:
-                if _allowed(connection, head, "GET"):
+                if _check_method(connection, head, "GET"):
                     _write_json(connection, self._figures())
             case ["-", "config"]:
-                if _allowed(connection, head, "GET"):
+                if _check_method(connection, head, "GET"):
                     _write_json(connection, self._config())
             case ["-", "workers", name, "disable" | "enable" as call]:
-                if _allowed(connection, head, "POST"):
-                    self._maintain(listener, connection, unquote(name), call == "disable")
+                if _check_method(connection, head, "POST"):
+                    self._set_worker_disabled(listener, connection, unquote(name), call == "disable")
             case _:
                 connection.reject(NOT_FOUND, "no such call")
         return None
@@ -128,7 +128,9 @@
     def _figures(self) -> dict[str, Any]:
         return figures(self._exchange, self._table, self._program_figures(), self._clock())
 
-    def _maintain(self, listener: ListenerStatus, connection: Responder, name: str, disable: bool) -> None:
+    def _set_worker_disabled(
+        self, listener: ListenerStatus, connection: Responder, name: str, disable: bool
+    ) -> None:
         """Disable or enable a worker; respond once this is written to disk, or has failed or timed out."""
         response = _MaintenanceResponse(connection, name, disable)
         change = self._table.ban if disable else self._table.unban
@@ -164,7 +166,7 @@
         self.write_ended(False)
 
 
-def _allowed(connection: Responder, head: Head, method: str) -> bool:
+def _check_method(connection: Responder, head: Head, method: str) -> bool:
     if head.method != method:
         connection.reject(METHOD_NOT_ALLOWED, f"this call is a {method}", Allow=method)
     return head.method == method
--- a/eiderfield/net/http/parser.py
+++ b/eiderfield/net/http/parser.py
@@ -52,9 +52,9 @@
         self._max_body = max_body
         self._buffer = bytearray()
         self._state = _State.HEAD
-        self._left = 0  # bytes outstanding of the body or of the chunk
-        self._body_size = 0  # bytes of the body so far
-        self._trailer_size = 0
+        self._remaining_bytes = 0  # bytes outstanding of the body or of the chunk
+        self._body_bytes = 0  # bytes of the body so far
+        self._trailer_bytes = 0
 
     @property
     def buffered(self) -> int:
@@ -112,8 +112,8 @@
         del self._buffer[: end + 4]
         head = parse_head(text, self._is_response)
         framing = framing_of(head, self._is_response)
-        self._body_size = 0
-        self._left = framing.length
+        self._body_bytes = 0
+        self._remaining_bytes = framing.length
         self._count_body(framing.length)
         self._state = _AFTER_HEAD[framing.end]
         return head
@@ -126,10 +126,10 @@
             self._buffer.clear()
             self._count_body(len(data))
             return data
-        data = bytes(self._buffer[: self._left])
+        data = bytes(self._buffer[: self._remaining_bytes])
         del self._buffer[: len(data)]
-        self._left -= len(data)
-        if not self._left:
+        self._remaining_bytes -= len(data)
+        if not self._remaining_bytes:
             self._state = _State.DONE if self._state == _State.FIXED else _State.CHUNK_END
         return data
 
@@ -164,21 +164,21 @@
         size = line.partition(b";")[0].strip(b" \t")
         if not _CHUNK_SIZE.match(size):
             raise MalformedMessageError("a chunk's size is not a number")
-        self._left = int(size, 16)
-        self._trailer_size = 0
-        self._state = _State.CHUNK if self._left else _State.TRAILER
-        self._count_body(self._left)
+        self._remaining_bytes = int(size, 16)
+        self._trailer_bytes = 0
+        self._state = _State.CHUNK if self._remaining_bytes else _State.TRAILER
+        self._count_body(self._remaining_bytes)
 
     def _add_to_trailer(self, line: bytes) -> None:
         """Skip a line of the trailer; an empty one ends it."""
         if not line:
             self._state = _State.DONE
             return
-        self._trailer_size += len(line)
-        if self._trailer_size > MAX_HEAD_BYTES:
+        self._trailer_bytes += len(line)
+        if self._trailer_bytes > MAX_HEAD_BYTES:
             raise MalformedMessageError("the trailer is too long", CONTENT_TOO_LARGE)
 
     def _count_body(self, received: int) -> None:
-        self._body_size += received
-        if self._max_body and self._body_size > self._max_body:
+        self._body_bytes += received
+        if self._max_body and self._body_bytes > self._max_body:
             raise MalformedMessageError("the body is too long", CONTENT_TOO_LARGE)
--- a/eiderfield/net/memory.py
+++ b/eiderfield/net/memory.py
@@ -10,7 +10,7 @@
 _MEMORY_STATUS = Path("/proc/self/statm")
 
 
-def share_of(limit_mb: int) -> Callable[[], float]:
+def memory_share_of(limit_mb: int) -> Callable[[], float]:
     """Return a function for the share of a limit in MB that is resident now, 0 where that is unknown."""
 
     def share() -> float:
--- a/eiderfield/program/listeners.py
+++ b/eiderfield/program/listeners.py
@@ -16,7 +16,7 @@
 from eiderfield.net.clients import Front, Listener
 from eiderfield.net.console import CALL_TIMEOUT_MS, ConsoleFront
 from eiderfield.net.faults import RETRY_MS, is_shortage
-from eiderfield.net.memory import share_of
+from eiderfield.net.memory import memory_share_of
 from eiderfield.program.core import Core
 from eiderfield.program.log import log
 from eiderfield.program.part import Figures, Part
@@ -48,7 +48,7 @@
         config.admission.timeouts.message,
         config.idling,
         AdmissionControl(config.admission, connections),
-        share_of(config.memory_mb),
+        memory_share_of(config.memory_mb),
     )
     listener.parking.log = log
     return listener
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -227,7 +227,7 @@
             == sum(control.prefixes.incomplete_messages)
             == len(begun)
         )
-        assert control.addresses.unused == sum(
+        assert control.addresses.unused_count == sum(
             not control.addresses.connections[e] for e in control.addresses.keys
         )
 
