--- a/eiderfield/connections/idle_connections.py
+++ b/eiderfield/connections/idle_connections.py
@@ -88,13 +88,13 @@
         expired: connections closed after their idle timeout, so far.
         closed_by_client: connections that the client closed, so far.
         evicted: connections closed for new ones, so far.
-        unreported: keys of borrowed connections that have left, until the lender is told.
+        unreported_keys: keys of borrowed connections that have left, until the lender is told.
     """
 
     def __init__(self, on_close: Callable[[int], None] = lambda _tag: None) -> None:
         """Create an empty poll set; `on_close` is called with the tag of each connection closed here."""
         self.woken = self.expired = self.closed_by_client = self.evicted = 0
-        self.unreported: list[int] = []
+        self.unreported_keys: list[int] = []
         self._on_close = on_close
         self._poll = select.epoll()
         self._table = IdleTable()
@@ -147,7 +147,7 @@
         entry = self._table.remove(fd)
         self._poll.unregister(fd)
         if fd < len(self._lender_keys) and self._lender_keys[fd]:
-            self.unreported.append(self._lender_keys[fd] - 1)
+            self.unreported_keys.append(self._lender_keys[fd] - 1)
             self._lender_keys[fd] = 0
         return WokenConnection(fd, entry.idle_since, entry.tag)
 
@@ -235,7 +235,7 @@
     def forget_lender(self) -> None:
         """Record that the lender has ended: borrowed connections belong to this process alone."""
         self._lender_keys = array("i")
-        self.unreported.clear()
+        self.unreported_keys.clear()
 
     def _close(self, fd: int) -> None:
         connection = self.detach(fd)
--- a/eiderfield/net/clients/acceptor.py
+++ b/eiderfield/net/clients/acceptor.py
@@ -40,7 +40,7 @@
     def clock(self) -> float:
         """Return the current time in ms."""
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Return whether one more connection may be accepted, after an eviction if it needs one."""
 
     def accept_connection(self, sock: socket.socket, address: str) -> None:
@@ -108,7 +108,7 @@
             # Room is made for a client that waits: an eviction while nobody waits would be for nothing.
             if self._owner.full and not self.client_waits_in_backlog():
                 return
-            if not self._owner.make_room():
+            if not self._owner.ensure_capacity():
                 # Clients wait in the backlog until a connection ends: closing one would lose its request.
                 self._pause()
                 return
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -134,13 +134,13 @@
         buffered = None if handover is None else handover.buffered
         self._reader = MessageReader(listener.clock, self._idle_since, buffered)
         self._timer = ConnectionTimer(listener, self._reader, self.time_limit_reached, self._idle_since)
-        self._flow = FlowControl(sock, listener.departures, self._client_left)
+        self._flow = FlowControl(sock, listener.departures, self._handle_disconnect)
         self._on_departure: ClientDeparted | None = None
         self._keep_alive = False  # whether the client wants the connection kept open after the response
-        self._taking_messages = False
+        self._reading_messages = False
         self._throttled = False  # whether no more messages are taken for now
         self._discarded_bytes = 0
-        self._answered = handover is not None  # whether any response was written
+        self._response_written = handover is not None  # whether any response was written
         self._timer.restart(self.proven, self._idle_since, self._idle_since)
 
     # Called by asyncio.
@@ -177,7 +177,7 @@
 
     def eof_received(self) -> bool:
         """Treat the end of the client's sending as its departure."""
-        self._client_left()
+        self._handle_disconnect()
         return False
 
     def connection_lost(self, _error: Exception | None) -> None:
@@ -212,17 +212,19 @@
         """Write the response and close the connection."""
         self._write_response(status, body, False, headers)
 
-    def _write_response(self, status: int, body: bytes, keep: bool, headers: dict[str, str]) -> None:
+    def _write_response(self, status: int, body: bytes, keep_alive: bool, headers: dict[str, str]) -> None:
         if self.phase != Phase.WAITING or self._transport is None:
             return
         self._on_departure = None
         # During a shutdown a response closes the connection, unless another message has begun to arrive.
-        keep = (
-            keep and self._keep_alive and (not self.listener.keep_alive_disabled or self._reader.buffered > 0)
+        keep_alive = (
+            keep_alive
+            and self._keep_alive
+            and (not self.listener.keep_alive_disabled or self._reader.buffered > 0)
         )
-        self._transport.write(response_bytes(status, body, keep, **headers))
-        self._answered = True
-        if not keep:
+        self._transport.write(response_bytes(status, body, keep_alive, **headers))
+        self._response_written = True
+        if not keep_alive:
             self._start_lingering()
             return
         self.phase = Phase.READING
@@ -233,7 +235,7 @@
         self._timer.restart(self.proven, self._idle_since, self._reader.first_byte_at())
         if self.listener.successor is not None:  # the next process serves it once this call is over
             self.listener.timers.at(self._idle_since, partial(self.listener.hand_over, self))
-        if not self._taking_messages:  # else the caller's loop goes on: pipelined messages must not nest
+        if not self._reading_messages:  # else the caller's loop goes on: pipelined messages must not nest
             self._read_messages()
 
     def _reject_message(self, error: MalformedMessageError, **headers: str) -> None:
@@ -277,7 +279,12 @@
     def _last_response_arrived(self) -> bool:
         """Return whether the client has the last response, or had time for it: a reset would discard it."""
         overdue = self.listener.clock() >= self._timer.started_at + EVICTION_GRACE_MS
-        return overdue or not self._answered or self._sock is None or not unsent_bytes(self._sock.fileno())
+        return (
+            overdue
+            or not self._response_written
+            or self._sock is None
+            or not unsent_bytes(self._sock.fileno())
+        )
 
     # Ends of the connection in this process.
 
@@ -287,7 +294,7 @@
         The descriptor stays open, with what lies unread in the socket. The state includes the part of the
         next message that was read already.
         """
-        if self.phase != Phase.READING or self._taking_messages or self._throttled:
+        if self.phase != Phase.READING or self._reading_messages or self._throttled:
             return None
         buffered = self._reader.partial_head
         if buffered is None or self._sock is None or self._transport is None:
@@ -307,7 +314,9 @@
         """
         if self.phase in (Phase.CLOSED, Phase.LINGERING):
             return
-        if self._answered or (self._transport is not None and self._transport.get_write_buffer_size()):
+        if self._response_written or (
+            self._transport is not None and self._transport.get_write_buffer_size()
+        ):
             self._start_lingering()
         else:
             self.abort()
@@ -320,7 +329,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def _client_left(self) -> None:
+    def _handle_disconnect(self) -> None:
         """Close the connection: the client has closed it or ended its sending, and waits for no response."""
         self.connection_lost(None)
         if self._transport is not None:
@@ -358,7 +367,7 @@
 
     def apply_limits(self) -> None:
         """Apply changed limits to what this connection is doing."""
-        if self.phase == Phase.READING and not self._taking_messages and not self._throttled:
+        if self.phase == Phase.READING and not self._reading_messages and not self._throttled:
             self._timer.restart(self.proven, self._idle_since, self._timer.started_at)
 
     def time_limit_reached(self) -> None:
@@ -389,16 +398,16 @@
 
     def _read_messages(self) -> None:
         """Take what has arrived, a bounded number of messages at a time."""
-        if self._taking_messages or self.phase != Phase.READING or self._throttled:
+        if self._reading_messages or self.phase != Phase.READING or self._throttled:
             return
-        self._taking_messages = True
+        self._reading_messages = True
         try:
             taken = self._take_messages()
         except MalformedMessageError as error:
             self._reject_message(error)
             return
         finally:
-            self._taking_messages = False
+            self._reading_messages = False
         if self.phase != Phase.READING:
             return
         if taken == MESSAGES_PER_TURN:  # let other connections have their turn
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -80,11 +80,11 @@
         self.parking = ConnectionParking(self)
         self.acceptor = Acceptor(self)
         self.departures: DepartureWatch | None = None
-        self._discarded = 0  # closed connections of whose input some was discarded
-        self._departed = 0  # clients that disconnected before their response
+        self._discarded_input_count = 0  # closed connections of whose input some was discarded
+        self._disconnect_count = 0  # clients that disconnected before their response
         self.memory_usage = memory_usage
         self._usage_updated_at = -inf
-        self._rejected = 0  # connections that are being answered 503
+        self._pending_rejections = 0  # connections that are being answered 503
         self._loop: asyncio.AbstractEventLoop | None = None
         self._attaching: set[asyncio.Task[None]] = set()
 
@@ -117,8 +117,8 @@
         """Return the console's figures of connections, open ones and earlier ones."""
         return {
             "open": self.connections,
-            "departed": self._departed,
-            "discarded": self._discarded,
+            "departed": self._disconnect_count,
+            "discarded": self._discarded_input_count,
             **self.parking.figures(),
         }
 
@@ -216,7 +216,7 @@
         """Pass a connection to the next process; return whether it was possible."""
         return self.successor is not None and self.successor(connection.detach)
 
-    def hand_over_some(self) -> None:
+    def hand_over_batch(self) -> None:
         """Pass a bounded number of connections to the next process.
 
         Until the loop's next turn each of them holds a descriptor in both processes, and the two may have no
@@ -224,10 +224,10 @@
         """
         if self.successor is None:
             return
-        detachers = [connection.detach for connection in self.open_connections.between_requests()]
-        detachers += self.parking.detachers(ACCEPTED_PER_TURN)
+        detach_calls = [connection.detach for connection in self.open_connections.between_requests()]
+        detach_calls += self.parking.detach_calls(ACCEPTED_PER_TURN)
         handed_over = 0
-        for detach in detachers:
+        for detach in detach_calls:
             handed_over += self.successor(detach)
             if handed_over >= ACCEPTED_PER_TURN:
                 return
@@ -261,17 +261,17 @@
 
     def count_departure(self) -> None:
         """Count a client that disconnected before its response."""
-        self._departed += 1
+        self._disconnect_count += 1
 
     def count_discarded_input(self) -> None:
         """Count a connection of whose input some was discarded after its last response."""
-        self._discarded += 1
+        self._discarded_input_count += 1
 
     def remove(self, connection: ClientConnection) -> None:
         """Release what a closed connection holds."""
         self.open_connections.remove(connection)
         if connection.rejection is not None:
-            self._rejected -= 1
+            self._pending_rejections -= 1
         connection.admission.release()
         self.resume_accepting()
 
@@ -287,16 +287,16 @@
         """Whether one more connection needs an eviction."""
         if self.admission is None:
             return not self.has_capacity
-        held = self.connections + self.held_by_other_process
-        self._update_usage(held)
-        return held >= self.admission.capacity
+        open_count = self.connections + self.held_by_other_process
+        self._update_usage(open_count)
+        return open_count >= self.admission.capacity
 
     @property
     def has_waiting_clients(self) -> bool:
         """Whether clients wait in the backlog for whom there is no capacity, or no descriptor."""
         return self.acceptor.has_waiting_clients
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Return whether one more connection may be accepted, after an eviction if it needs one."""
         if not self.full:
             return True
@@ -308,7 +308,7 @@
         evicted = any(evict[kind]() for kind in EVICTION_ORDER)
         return evicted and not self.full
 
-    def _update_usage(self, held: int) -> None:
+    def _update_usage(self, open_count: int) -> None:
         """Report the usage to admission control, on which the idle time of parked connections may depend."""
         assert self.admission is not None
         now = self.clock()
@@ -316,7 +316,7 @@
             return
         self._usage_updated_at = now
         limit = self.idle_limit()
-        self.admission.update_usage(now, held, self.memory_usage())
+        self.admission.update_usage(now, open_count, self.memory_usage())
         if limit != self.idle_limit():
             self.parking.arm()
 
@@ -338,10 +338,10 @@
 
     def _reject(self, sock: socket.socket, rejection: Rejection) -> None:
         """Close a connection that is not admitted, and respond to a few; these are evicted first."""
-        if not rejection.answer or self._rejected >= MAX_PENDING_REJECTIONS:
+        if not rejection.answer or self._pending_rejections >= MAX_PENDING_REJECTIONS:
             sock.close()
             return
-        self._rejected += 1
+        self._pending_rejections += 1
         connection = ClientConnection(self, sock, rejection=rejection)
         self.open_connections.add(connection)
         self._attach(connection, sock)
--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -85,7 +85,8 @@
     Attributes:
         log: called once when the system refuses a poll set.
         on_park: called when one more connection is parked.
-        on_departure: called with the lender's keys of borrowed connections that are not parked any more.
+        on_borrowed_removed: called with the keys, at the lender, of borrowed connections that are no longer
+            parked here.
     """
 
     def __init__(self, listener: ParkingOwner) -> None:
@@ -97,7 +98,7 @@
         self._expiry: Timer | None = None
         self.log: Callable[[str], None] = _ignore
         self.on_park: Callable[[], None] = _ignore
-        self.on_departure: Callable[[list[int]], None] = _ignore
+        self.on_borrowed_removed: Callable[[list[int]], None] = _ignore
 
     def __len__(self) -> int:
         """Return the number of parked connections."""
@@ -108,7 +109,7 @@
         if self._idle is not None:
             return
         try:
-            self._idle = IdleConnections(self._release)
+            self._idle = IdleConnections(self._release_ticket)
         except OSError as error:
             if not self._refusal_logged:
                 self._refusal_logged = True
@@ -159,21 +160,21 @@
         """Close a bounded number of the parked connections on which no request can cross."""
         if self._idle is not None:
             self._idle.close_idle(CLOSED_PER_PASS)
-            self._report_departures()
+            self._report_removed_keys()
 
     def evict_one(self) -> bool:
         """Close the longest idle connection that may be evicted; return whether there was one."""
         if self._idle is None:
             return False
         evicted = self._idle.evict_one()
-        self._report_departures()
+        self._report_removed_keys()
         return evicted
 
     def expire(self) -> None:
         """Close a bounded number of the connections whose idle time is over; the next pass closes more."""
         if self._idle is not None:
             self._idle.expire(self._listener.clock(), self._listener.idle_limit())
-            self._report_departures()
+            self._report_removed_keys()
             self.arm()
             self._listener.resume_accepting()
 
@@ -197,7 +198,7 @@
         if self._idle is None:
             return
         woken = self._idle.poll_ready()
-        self._report_departures()
+        self._report_removed_keys()
         for connection in woken:
             self._unpark(connection)
         self._listener.resume_accepting()  # some may have closed
@@ -206,7 +207,7 @@
         handover = ConnectionHandover(True, woken.idle_since)
         self._listener.resume(socket.socket(fileno=woken.fd), handover, _ticket_of(woken.tag))
 
-    def _release(self, tag: int) -> None:
+    def _release_ticket(self, tag: int) -> None:
         """Release what a parked connection holds that is closed."""
         ticket = _ticket_of(tag)
         if ticket is not None:
@@ -214,24 +215,24 @@
 
     # The next process, and the previous one.
 
-    def detachers(self, most: int) -> list[Detach]:
-        """Return calls that give away one parked connection each, at most `most`, the longest idle first."""
+    def detach_calls(self, limit: int) -> list[Detach]:
+        """Return calls that give away one parked connection each, at most `limit`, the longest idle first."""
         if self._idle is None:
             return []
-        return [partial(self._detach, fd) for fd in self._idle.longest_idle(most)]
+        return [partial(self._detach, fd) for fd in self._idle.longest_idle(limit)]
 
     def _detach(self, fd: int) -> DetachedConnection | None:
         """Give a parked connection away, if it is still parked."""
         if self._idle is None or fd not in self._idle:
             return None
         woken = self._idle.detach(fd)
-        self._report_departures()
-        self._release(woken.tag)
+        self._report_removed_keys()
+        self._release_ticket(woken.tag)
         return DetachedConnection(fd, ConnectionHandover(True, woken.idle_since))
 
-    def lend(self, most: int) -> list[LentConnection]:
-        """Lend at most `most` parked connections to the next process; copies of them stay here."""
-        return [] if self._idle is None else self._idle.lend(most)
+    def lend(self, limit: int) -> list[LentConnection]:
+        """Lend at most `limit` parked connections to the next process; copies of them stay here."""
+        return [] if self._idle is None else self._idle.lend(limit)
 
     def borrow(self, fd: int, since: float, key: int | None) -> bool:
         """Take a parked connection of the previous process.
@@ -259,7 +260,7 @@
                 listener.resume(sock, ConnectionHandover(True, since), ticket)
                 return True
             sock.detach()
-            self._release(_tag_of(ticket))
+            self._release_ticket(_tag_of(ticket))
             return False
         sock.detach()
         self._arm_if_unarmed()
@@ -289,8 +290,8 @@
         if self._idle is not None:
             self._idle.forget_lender()
 
-    def _report_departures(self) -> None:
+    def _report_removed_keys(self) -> None:
         """Report to the lender what is not parked any more, before a byte of it is read."""
-        if self._idle is not None and self._idle.unreported:
-            keys, self._idle.unreported = self._idle.unreported, []
-            self.on_departure(keys)
+        if self._idle is not None and self._idle.unreported_keys:
+            keys, self._idle.unreported_keys = self._idle.unreported_keys, []
+            self.on_borrowed_removed(keys)
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -73,7 +73,7 @@
             context.exchange.resume(state.learned, context.clock())
         self._share_updates()
         for name in self._adopted:
-            context.listeners[name].parking.on_departure = partial(self._report_departed, name)
+            context.listeners[name].parking.on_borrowed_removed = partial(self._report_departed, name)
         self._channel.send(TakeoverAccepted(tuple(self._adopted), takes_parked=True))
 
     def start_accepting(self, message: ListenersReleased) -> None:
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -137,7 +137,7 @@
     def pass_idle_clients(self) -> None:
         """Pass the client connections that can be passed now."""
         for listener in self.listeners.values():
-            listener.hand_over_some()
+            listener.hand_over_batch()
 
     def close(self) -> None:
         """Close all links."""
@@ -207,7 +207,7 @@
     listener.successor = None
     listener.held_by_other_process = 0
     listener.parking.on_park = _do_nothing
-    listener.parking.on_departure = _do_nothing
+    listener.parking.on_borrowed_removed = _do_nothing
     listener.parking.forget_lender()
     listener.parking.take_back_all()
     if listener.passive:
--- a/eiderfield/net/http/writer.py
+++ b/eiderfield/net/http/writer.py
@@ -31,11 +31,11 @@
 }
 
 
-def response_bytes(status: int, body: bytes = b"", keep: bool = True, **headers: str) -> bytes:
+def response_bytes(status: int, body: bytes = b"", keep_alive: bool = True, **headers: str) -> bytes:
     """Encode a response. Keywords are headers, with underscores in place of hyphens."""
     lines = [f"HTTP/1.1 {status} {_REASONS.get(status, 'Other')}", f"Content-Length: {len(body)}"]
     lines += _header_lines(headers)
-    if not keep:
+    if not keep_alive:
         lines.append("Connection: close")
     return _message(lines, body)
 
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -88,7 +88,7 @@
         harness.dispatcher.now += IDLING.idle_timeout + 2000.0
         harness.listener.parking.expire()
     elif why == "make room":
-        assert not harness.listener.make_room()
+        assert not harness.listener.ensure_capacity()
     elif why == "end":
         harness.listener.keep_alive_disabled = True
         harness.listener.close_idle()
@@ -120,9 +120,9 @@
     harness.turn()
     [connection] = harness.listener.open_connections
     assert connection.phase == Phase.LINGERING
-    assert not harness.listener.make_room(), "its answer has not arrived"
+    assert not harness.listener.ensure_capacity(), "its answer has not arrived"
     harness.pass_time(EVICTION_GRACE_MS + 2 * TICK_MS)
-    assert harness.listener.make_room()
+    assert harness.listener.ensure_capacity()
     harness.turn()
     assert client.statuses() == [404]
     harness.close()
@@ -132,9 +132,9 @@
     """Closed at once, with a request that crosses the close it is a reset, which takes the answer along."""
     harness = ListenerHarness(KEPT, most=1)
     client = served(harness)
-    assert not harness.listener.make_room(), "its answer has not arrived"
+    assert not harness.listener.ensure_capacity(), "its answer has not arrived"
     assert client.statuses() == [200]
-    assert harness.listener.make_room()
+    assert harness.listener.ensure_capacity()
     harness.turn()
     assert not client.open
     harness.close()
@@ -144,7 +144,7 @@
     harness = ListenerHarness(KEPT, most=1)
     client = served(harness)
     harness.pass_time(EVICTION_GRACE_MS + 2 * TICK_MS)
-    assert harness.listener.make_room()
+    assert harness.listener.ensure_capacity()
     client.sock.close()
     harness.close()
 
@@ -160,7 +160,7 @@
     harness.pass_time(EVICTION_GRACE_MS + 2 * TICK_MS)
     if rest_comes:
         client.send(whole[20:])  # the loop has not read it yet
-    assert harness.listener.make_room() is not rest_comes
+    assert harness.listener.ensure_capacity() is not rest_comes
     harness.turn()
     harness.work()
     assert client.statuses() == ([200] if rest_comes else [])
@@ -175,7 +175,7 @@
     client.send(b"POST /none HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
     harness.turn()
     assert client.statuses() == [404]
-    assert harness.listener.make_room()
+    assert harness.listener.ensure_capacity()
     harness.close()
 
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -123,7 +123,7 @@
     for caller in hanging:
         caller.send(b"GET /-/re")
     console.dispatcher.advance(EVICTION_GRACE_MS)
-    assert console.listener.make_room()
+    assert console.listener.ensure_capacity()
     assert console.call("/-/ready")[0] == 200
     console.dispatcher.advance(CALL_TIMEOUT_MS + 2 * TICK_MS)
     assert all(not caller.pipe.open or caller.pipe.ended for caller in hanging)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -127,7 +127,7 @@
     pair.go()
     assert pair.new.dispatcher.listener.held_by_other_process == len(kept)
     pair.new.dispatcher.listener.max_connections = len(kept)
-    assert not pair.new.dispatcher.listener.make_room()
+    assert not pair.new.dispatcher.listener.ensure_capacity()
     assert (
         pair.old.dispatcher.side.connection_limit
         == pair.new.dispatcher.side.connection_limit
--- a/tests/test_handover_connections.py
+++ b/tests/test_handover_connections.py
@@ -47,7 +47,7 @@
     dispatcher = InMemoryDispatcher(most=64)
     clients = [Client(dispatcher) for _ in range(ACCEPTED_PER_TURN + 5)]
     dispatcher.listener.successor = lambda let_go: let_go.__self__.abort() is None
-    dispatcher.listener.hand_over_some()
+    dispatcher.listener.hand_over_batch()
     assert sum(client.pipe.open for client in clients) == 5
-    dispatcher.listener.hand_over_some()
+    dispatcher.listener.hand_over_batch()
     assert not dispatcher.listener.connections
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -83,7 +83,7 @@
         The kernel closes what it alone holds, and still delivers what it had sent."""
         dead = self.harnesses[which]
         self.wires[which].close()
-        dead.listener.parking.on_departure = lambda _keys: None
+        dead.listener.parking.on_borrowed_removed = lambda _keys: None
         for connection in dead.listener.open_connections:
             connection.abort()
         dead.listener.close()
@@ -172,7 +172,7 @@
     assert removal.new.listener.parked == len(removal.clients)
     for number, client in enumerate(removal.clients[:5]):
         assert asked(removal, client, f"r{number}") == [200]
-    assert not removal.new.listener.parking._idle.unreported, "there is nobody to tell any more"
+    assert not removal.new.listener.parking._idle.unreported_keys, "there is nobody to tell any more"
 
 
 def test_what_the_new_process_closes_is_over_for_its_client_though_there_was_a_copy(removal):
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -182,7 +182,7 @@
     dispatcher = InMemoryDispatcher(most=1)
     connection = ClientConnection(dispatcher.listener)
     dispatcher.listener.open_connections.add(connection)
-    assert dispatcher.listener.make_room()
+    assert dispatcher.listener.ensure_capacity()
     assert connection.phase == Phase.CLOSED
 
     pipe = Pipe(connection)
@@ -195,16 +195,16 @@
     usual = served(dispatcher, Client(dispatcher))
     silent, half = Client(dispatcher), Client(dispatcher)
     half.send(b"POST /safe")
-    assert dispatcher.listener.make_room()
+    assert dispatcher.listener.ensure_capacity()
     assert not silent.pipe.open
     assert usual.pipe.open
     dispatcher.advance(EVICTION_GRACE_MS)
     busy = dispatcher.client(id_="r7")
-    assert dispatcher.listener.make_room()
+    assert dispatcher.listener.ensure_capacity()
     assert not half.pipe.open
     assert usual.pipe.open
     Client(dispatcher).post(id_="r8")
-    assert dispatcher.listener.make_room()
+    assert dispatcher.listener.ensure_capacity()
     assert not usual.pipe.open
     assert busy.pipe.open
 
@@ -302,12 +302,12 @@
         client.send(b"POST /sa")
     dispatcher.advance(EVICTION_GRACE_MS)
     slow.send(b"fe/a HTTP/1.1\r\n")
-    assert dispatcher.listener.make_room()
+    assert dispatcher.listener.ensure_capacity()
     assert slow.pipe.open
     assert not stopped.pipe.open
     other = Client(dispatcher)
     other.send(b"POST")
-    assert not dispatcher.listener.make_room(), "what has just come in is not given up for want of room"
+    assert not dispatcher.listener.ensure_capacity(), "what has just come in is not given up for want of room"
     assert slow.pipe.open
     assert other.pipe.open
     dispatcher.advance(MESSAGE_TIMEOUT_MS - EVICTION_GRACE_MS - 100.0)
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -225,7 +225,7 @@
     assert third.ask("t") == [200]
     assert fourth.ask("f") == [200]
     assert harness.listener.connections == 4
-    assert harness.listener.make_room()
+    assert harness.listener.ensure_capacity()
     assert first.open
     assert not second.open
 
@@ -316,7 +316,7 @@
         return True
 
     harness.listener.successor = take
-    harness.listener.hand_over_some()
+    harness.listener.hand_over_batch()
     assert not harness.listener.connections
     assert heir.listener.connections == 2
     for client, id_ in ((quiet, "q"), (speaks, None)):
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -210,14 +210,14 @@
 def test_connections_of_clients_and_workers_stay_within_their_limits():
     dispatcher = InMemoryDispatcher(workers=1, most=3, worker_connections=2)
     idle = [Client(dispatcher) for _ in range(3)]
-    assert dispatcher.listener.make_room()
+    assert dispatcher.listener.ensure_capacity()
     assert not idle[0].pipe.open
     Client(dispatcher)
     for client in (idle[1], idle[2]):
         client.post(id_=f"r{id(client)}")
-    assert dispatcher.listener.make_room()
+    assert dispatcher.listener.ensure_capacity()
     dispatcher.client(id_="r9")
-    assert not dispatcher.listener.make_room()
+    assert not dispatcher.listener.ensure_capacity()
     assert dispatcher.side.connection_count <= 2
 
 
