--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -389,7 +389,10 @@
         self._reject_message(MalformedMessageError("the message took too long", REQUEST_TIMEOUT))
 
     def _end_idle_time(self) -> None:
-        if not self.proven or self.listener.clock() >= self._idle_since + self.listener.idling.idle_timeout:
+        if (
+            not self.proven
+            or self.listener.clock() >= self._idle_since + self.listener.idle_settings.idle_timeout
+        ):
             self.close()
         elif not self.listener.park(self):
             self._timer.restart(self.proven, self._idle_since)
--- a/eiderfield/net/clients/connection_timer.py
+++ b/eiderfield/net/clients/connection_timer.py
@@ -19,7 +19,7 @@
         """Timers on the listener's clock."""
 
     @property
-    def idling(self) -> IdleSettings:
+    def idle_settings(self) -> IdleSettings:
         """How long a connection may idle between requests."""
 
     @property
@@ -61,8 +61,8 @@
         self.limits_message = self._reader.in_message
         self.started_at = settings.clock() if started_at is None else started_at
         if proven and not self.limits_message:
-            idling = settings.idling
-            at = min(idle_since + idling.idle_timeout, settings.clock() + idling.park_after)
+            idle_settings = settings.idle_settings
+            at = min(idle_since + idle_settings.idle_timeout, settings.clock() + idle_settings.park_after)
             self._timer = settings.timers.at(at, self._on_expiry, patient=True)
         else:
             self._timer = settings.timers.at(self.message_limit().at, self._on_expiry)
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -38,7 +38,7 @@
         clock: gives the current time in ms.
         max_connections: how many connections may be open, parked ones among them.
         message_timeout: ms for a message from its first byte, where there is no admission control.
-        idling: how long connections may idle.
+        idle_settings: how long connections may idle.
         admission: decides which connections are admitted; None admits all.
         memory_usage: gives the share of the process's memory that is in use, from 0 to 1.
         open_connections: the connections that are not parked.
@@ -59,7 +59,7 @@
         clock: Callable[[], float],
         max_connections: int,
         message_timeout: float = MESSAGE_TIMEOUT_MS,
-        idling: IdleSettings | None = None,
+        idle_settings: IdleSettings | None = None,
         admission: AdmissionControl | None = None,
         memory_usage: Callable[[], float] = lambda: 0.0,
     ) -> None:
@@ -69,7 +69,7 @@
         self.clock = clock
         self.max_connections = max_connections
         self.message_timeout = message_timeout
-        self.idling = idling or IdleSettings()
+        self.idle_settings = idle_settings or IdleSettings()
         self.admission = admission
         self.draining = False
         self.keep_alive_disabled = False
@@ -141,7 +141,7 @@
         """Accept on a socket that listens already."""
         self._loop = loop
         self.acceptor.open(loop, sock)
-        self.set_idle_limits(self.idling)
+        self.set_idle_limits(self.idle_settings)
 
     def set_passive(self, passive: bool) -> None:
         """Leave accepting to another process that has the socket, or accept again."""
@@ -178,28 +178,28 @@
             connection.apply_limits()
         self.parking.arm()
 
-    def set_idle_limits(self, idling: IdleSettings) -> None:
+    def set_idle_limits(self, idle_settings: IdleSettings) -> None:
         """Set how long connections may idle, also parked ones."""
-        self.idling = idling
+        self.idle_settings = idle_settings
         if self._loop is not None:
             if self.departures is None:
                 self.departures = DepartureWatch(self._loop)
-            if idling.park_after < inf:
+            if idle_settings.park_after < inf:
                 self.parking.open(self._loop)
         self.parking.arm()
 
     def idle_limit(self) -> float:
         """Return for how many ms a connection may idle now."""
         if self.admission is None:
-            return self.idling.idle_timeout
-        return self.admission.idle_limit(self.idling.idle_timeout)
+            return self.idle_settings.idle_timeout
+        return self.admission.idle_limit(self.idle_settings.idle_timeout)
 
     # Parked connections.
 
     @property
     def may_park(self) -> bool:
         """Whether idle connections are to be parked, rather than closed or handed over."""
-        return self.successor is None and not self.keep_alive_disabled and self.idling.park_after < inf
+        return self.successor is None and not self.keep_alive_disabled and self.idle_settings.park_after < inf
 
     def park(self, connection: ClientConnection) -> bool:
         """Park an idle connection; return whether it was possible."""
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -114,7 +114,7 @@
 
     def _send_batch(self, name: str, listener: Listener, batch: list[LentConnection]) -> None:
         descriptors = [descriptor for descriptor, _ in batch]
-        keeps_copies = listener.idling.keep_copies
+        keeps_copies = listener.idle_settings.keep_copies
         message = ParkedBatch(
             listener=name,
             since=tuple(since for _, since in batch),
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -206,7 +206,7 @@
     """It has the only descriptor of each: refused, they would be closed."""
     removal = Removal(30, IDLING)
     removal.new.listener.parking.close()
-    removal.new.listener.idling = replace(IDLING, park_after=inf)
+    removal.new.listener.idle_settings = replace(IDLING, park_after=inf)
     removal.go()
     assert removal.new.listener.connections == 30
     assert removal.new.listener.parked == 0
