--- a/eiderfield/batch/front.py
+++ b/eiderfield/batch/front.py
@@ -31,7 +31,7 @@
     send_not_found,
     send_status,
 )
-from eiderfield.net.clients.front import ClientDeparted, ListenerStatus, Responder
+from eiderfield.net.clients.front import ClientDisconnectCallback, ListenerStatus, Responder
 from eiderfield.net.http import Head
 from eiderfield.net.http import status as http_status
 
@@ -63,7 +63,7 @@
 
     def handle_message(
         self, listener: ListenerStatus, connection: Responder, head: Head, body: bytes
-    ) -> ClientDeparted | None:
+    ) -> ClientDisconnectCallback | None:
         """Respond at once, or return what to call if the client leaves before the response."""
         try:
             connection.proven = True  # a batch client's errors are answers like others: it may stay
@@ -74,7 +74,7 @@
 
     def _route(
         self, listener: ListenerStatus, connection: Responder, head: Head, body: bytes
-    ) -> ClientDeparted | None:
+    ) -> ClientDisconnectCallback | None:
         path, _, query = head.target.partition("?")
         match head.method, path.split("/")[1:]:
             case "POST", ["v1", "jobs"]:
@@ -107,7 +107,7 @@
     ) -> None:
         when_accepted(jobs, partial(send_accepted, connection, response))
 
-    def _route_local(self, message: JobMessage) -> ClientDeparted | None:
+    def _route_local(self, message: JobMessage) -> ClientDisconnectCallback | None:
         """Handle a message about a job of this dispatcher."""
         match message.method, message.subpath:
             case "GET", []:
@@ -135,7 +135,7 @@
             return True
         return job_id not in self._registry.table
 
-    def _route_remote(self, message: JobMessage) -> ClientDeparted | None:
+    def _route_remote(self, message: JobMessage) -> ClientDisconnectCallback | None:
         """Handle a message about a job that the durable store has to be asked about."""
         assert self._lookup is not None
         match message.method, message.subpath:
@@ -160,7 +160,7 @@
         until = message.listener.clock() + timeout_ms
         return RemoteWait(lookup, message.connection, message.job_id, until, self._to_unix)
 
-    def _wait(self, message: JobMessage) -> ClientDeparted | None:
+    def _wait(self, message: JobMessage) -> ClientDisconnectCallback | None:
         timeout_ms = parse_wait_timeout(message.query)
         connection, job_id = message.connection, message.job_id
         if self._registry.job_status(job_id).state.final:
--- a/eiderfield/connections/idle_connections.py
+++ b/eiderfield/connections/idle_connections.py
@@ -118,17 +118,23 @@
         """Return the descriptor to watch: it is readable when an idle connection is."""
         return self._poll.fileno()
 
-    def park(self, fd: int, idle_since: float, tag: int = 0, lender: int | None = None) -> None:
+    def park(self, fd: int, idle_since: float, tag: int = 0, lender_key: int | None = None) -> None:
         """Take over a descriptor that has been idle since `idle_since`.
 
-        `lender` is its key at the process that lends it. Raises `OSError` if it cannot be polled; it remains
-        the caller's then.
+        Args:
+            fd: the descriptor.
+            idle_since: in ms.
+            tag: a number of the caller's, of up to 32 bits.
+            lender_key: the connection's key at the process that lends it, None if it is not borrowed.
+
+        Raises:
+            OSError: the kernel cannot poll the descriptor, which then stays the caller's.
         """
         self._poll.register(fd, _WATCHED)
         self._table.add(fd, idle_since, tag)
-        if lender is not None:
+        if lender_key is not None:
             self._lender_keys.extend([0] * (fd + 1 - len(self._lender_keys)))
-            self._lender_keys[fd] = lender + 1
+            self._lender_keys[fd] = lender_key + 1
 
     def poll_ready(self, limit: int = WOKEN_PER_POLL) -> list[WokenConnection]:
         """Remove and return at most `limit` connections with unread bytes; close those the client closed."""
--- a/eiderfield/net/clients/__init__.py
+++ b/eiderfield/net/clients/__init__.py
@@ -22,13 +22,13 @@
 
 from eiderfield.net.clients.connection import ClientConnection, Phase
 from eiderfield.net.clients.detached import ConnectionHandover, Detach, DetachedConnection
-from eiderfield.net.clients.front import ClientDeparted, Front, ListenerStatus, Responder
+from eiderfield.net.clients.front import ClientDisconnectCallback, Front, ListenerStatus, Responder
 from eiderfield.net.clients.listener import Listener
 from eiderfield.net.clients.request_front import DurableIntake, RequestFront
 
 __all__ = [
     "ClientConnection",
-    "ClientDeparted",
+    "ClientDisconnectCallback",
     "ConnectionHandover",
     "Detach",
     "DetachedConnection",
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -32,7 +32,7 @@
 from eiderfield.net.clients.connection_timer import ConnectionTimer, TimerSettings
 from eiderfield.net.clients.detached import ConnectionHandover, Detach, DetachedConnection
 from eiderfield.net.clients.flow_control import FlowControl
-from eiderfield.net.clients.front import ClientDeparted, Front, ListenerStatus
+from eiderfield.net.clients.front import ClientDisconnectCallback, Front, ListenerStatus
 from eiderfield.net.clients.message_reader import MessageReader
 from eiderfield.net.departures import DepartureWatch, has_left
 from eiderfield.net.http import Head, MalformedMessageError, response_bytes
@@ -91,7 +91,7 @@
     def hand_over(self, connection: ClientConnection) -> bool:
         """Pass a connection to the next process; return whether it was possible."""
 
-    def count_departure(self) -> None:
+    def count_disconnect(self) -> None:
         """Count a client that disconnected before its response."""
 
     def count_discarded_input(self) -> None:
@@ -135,7 +135,7 @@
         self._reader = MessageReader(listener.clock, self._idle_since, buffered)
         self._timer = ConnectionTimer(listener, self._reader, self.time_limit_reached, self._idle_since)
         self._flow = FlowControl(sock, listener.departures, self._handle_disconnect)
-        self._on_departure: ClientDeparted | None = None
+        self._on_disconnect: ClientDisconnectCallback | None = None
         self._keep_alive = False  # whether the client wants the connection kept open after the response
         self._reading_messages = False
         self._throttled = False  # whether no more messages are taken for now
@@ -185,10 +185,10 @@
         if self.phase == Phase.CLOSED:
             return
         self._release()
-        on_departure, self._on_departure = self._on_departure, None
-        if on_departure is not None:
-            self.listener.count_departure()
-            on_departure()
+        on_disconnect, self._on_disconnect = self._on_disconnect, None
+        if on_disconnect is not None:
+            self.listener.count_disconnect()
+            on_disconnect()
 
     def pause_writing(self) -> None:
         """Take no more messages from a client that leaves its responses unread."""
@@ -215,7 +215,7 @@
     def _write_response(self, status: int, body: bytes, keep_alive: bool, headers: dict[str, str]) -> None:
         if self.phase != Phase.WAITING or self._transport is None:
             return
-        self._on_departure = None
+        self._on_disconnect = None
         # During a shutdown a response closes the connection, unless another message has begun to arrive.
         keep_alive = (
             keep_alive
@@ -445,7 +445,7 @@
         self._keep_alive = head.keep_alive
         try:
             body = bytes(self._reader.body)
-            on_departure = self.listener.front.handle_message(self.listener, self, head, body)
+            on_disconnect = self.listener.front.handle_message(self.listener, self, head, body)
         except MalformedMessageError:
             raise
         except Exception as error:  # passed on to asyncio, it would close the connection without a response
@@ -453,7 +453,7 @@
             self.finish(INTERNAL_SERVER_ERROR, b"failed\n", Content_Type="text/plain")
             return
         if self.phase == Phase.WAITING:  # else the response is written
-            self._on_departure = on_departure
+            self._on_disconnect = on_disconnect
             self.listener.open_connections.mark_busy(self)
 
     def _begin_message(self) -> None:
--- a/eiderfield/net/clients/flow_control.py
+++ b/eiderfield/net/clients/flow_control.py
@@ -20,12 +20,12 @@
         self,
         sock: socket.socket | None,
         departures: DepartureWatch | None,
-        on_departure: Callable[[], None],
+        on_disconnect: Callable[[], None],
     ) -> None:
-        """Call `on_departure` when the client leaves while reading is paused; without a watch, not at all."""
+        """Call `on_disconnect` if the client disconnects while reading is paused; never without `departures`."""
         self._sock = sock
         self._departures = departures
-        self._on_departure = on_departure
+        self._on_disconnect = on_disconnect
         self.paused = False
         self._transport: asyncio.Transport | None = None
         self._closed = False
@@ -43,7 +43,7 @@
         if self._closed or self._departures is None or self._sock is None:
             return
         if (fd := self._sock.fileno()) >= 0:
-            self._departures.watch(fd, self._on_departure)
+            self._departures.watch(fd, self._on_disconnect)
 
     def resume(self) -> bool:
         """Read again; return whether reading was paused."""
--- a/eiderfield/net/clients/front.py
+++ b/eiderfield/net/clients/front.py
@@ -12,7 +12,7 @@
 from eiderfield.exchange.timers import Timers
 from eiderfield.net.http import Head
 
-ClientDeparted = Callable[[], object]  # called once if the client disconnects before its response
+ClientDisconnectCallback = Callable[[], object]  # called once if the client disconnects before its response
 
 
 class ListenerStatus(Protocol):
@@ -62,7 +62,7 @@
 
     def handle_message(
         self, listener: ListenerStatus, connection: Responder, head: Head, body: bytes
-    ) -> ClientDeparted | None:
+    ) -> ClientDisconnectCallback | None:
         """Respond on `connection`, now or later.
 
         Returns:
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -259,7 +259,7 @@
         if self._loop is not None:
             self._loop.call_exception_handler({"message": "a front failed", "exception": error})
 
-    def count_departure(self) -> None:
+    def count_disconnect(self) -> None:
         """Count a client that disconnected before its response."""
         self._disconnect_count += 1
 
--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -234,30 +234,30 @@
         """Lend at most `limit` parked connections to the next process; copies of them stay here."""
         return [] if self._idle is None else self._idle.lend(limit)
 
-    def borrow(self, fd: int, since: float, key: int | None) -> bool:
+    def borrow(self, fd: int, idle_since: float, lender_key: int | None) -> bool:
         """Take a parked connection of the previous process.
 
         Args:
             fd: its descriptor.
-            since: when it became idle, in ms.
-            key: its key at the previous process if a copy stays there, else None.
+            idle_since: when it became idle, in ms.
+            lender_key: its key at the previous process if a copy stays there, else None.
 
         Returns:
             Whether it was taken. Without a copy it always is: this process alone has it.
         """
         listener = self._listener
-        if key is not None and (self._idle is None or not listener.has_capacity):
+        if lender_key is not None and (self._idle is None or not listener.has_capacity):
             return False
         sock = socket.socket(fileno=fd)
         if self._idle is None:  # nothing is parked here, and no other process has this connection
-            listener.adopt_connection(sock, ConnectionHandover(True, since))
+            listener.adopt_connection(sock, ConnectionHandover(True, idle_since))
             return True
         ticket = listener.register(sock)
         try:
-            self._idle.park(fd, min(since, listener.clock()), _tag_of(ticket), key)
+            self._idle.park(fd, min(idle_since, listener.clock()), _tag_of(ticket), lender_key)
         except OSError:  # the kernel has no room for it in a poll set
-            if key is None:
-                listener.resume(sock, ConnectionHandover(True, since), ticket)
+            if lender_key is None:
+                listener.resume(sock, ConnectionHandover(True, idle_since), ticket)
                 return True
             sock.detach()
             self._release_ticket(_tag_of(ticket))
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -9,7 +9,7 @@
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.idmap import IdMap, plain
-from eiderfield.net.clients.front import ClientDeparted, ListenerStatus, Responder
+from eiderfield.net.clients.front import ClientDisconnectCallback, ListenerStatus, Responder
 from eiderfield.net.clients.request_headers import check_ids, read_resource_needs, read_timeout
 from eiderfield.net.http import Head, MalformedMessageError
 
@@ -20,7 +20,7 @@
     def is_durable(self, class_index: int) -> bool:
         """Return whether requests of a class are durable."""
 
-    def accept(self, request: Request, on_answer: Callable[[Answer], None]) -> ClientDeparted:
+    def accept(self, request: Request, on_answer: Callable[[Answer], None]) -> ClientDisconnectCallback:
         """Accept a request, or join its client to a known one; return what to call when it leaves."""
 
 
@@ -44,7 +44,7 @@
 
     def handle_message(
         self, listener: ListenerStatus, connection: Responder, head: Head, body: bytes
-    ) -> ClientDeparted | None:
+    ) -> ClientDisconnectCallback | None:
         """Submit a request, or respond whether this dispatcher is ready."""
         path = head.target.partition("?")[0]
         if path == "/ready":
@@ -72,7 +72,7 @@
         else:
             connection.answer(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
 
-    def _submit(self, connection: Responder, request: Request) -> ClientDeparted | None:
+    def _submit(self, connection: Responder, request: Request) -> ClientDisconnectCallback | None:
         if self._durable is not None and self._durable.is_durable(request.class_index):
             connection.proven = True
             return self._durable.accept(request, partial(write_answer, connection, durable=True))
