--- a/eiderfield/connections/admission.py
+++ b/eiderfield/connections/admission.py
@@ -8,14 +8,15 @@
     admit ──> ticket ──> begin_message <──> end_message ──> release
       └────> Rejection
 
-The listener is normal or overloaded, by the shares of descriptors and of memory in use (`OverloadDetector`).
-While overloaded it requires heads sooner, lets idle connections stay for less time and limits one address to
-a share of the connections. At full capacity a new connection, which may bring a request, replaces one that
-may be evicted. While memory is scarce the capacity is the number of connections at its beginning: memory in
-use is not certain to be returned, so a lower capacity could reject every client for ever.
+The listener is overloaded while a large share of its descriptors or of the memory is in use
+(`OverloadDetector`). An overloaded listener applies shorter timeouts to heads and to parked connections, and
+limits each address to a share of the connections. At full capacity a new connection replaces one that may be
+evicted, because the new one may carry a request. While memory is scarce, the capacity is the number of
+connections that were open when the shortage began: freed memory is not certain to return to the system, so a
+capacity that falls with the number of connections could reject every client for ever.
 
 Invariants: each ticket is released once, after its message has ended; a message's time limit counts from its
-first byte and is never extended beyond the limit of the complete message.
+first byte and never exceeds the limit of the complete message.
 """
 
 from __future__ import annotations
@@ -30,12 +31,12 @@
 from eiderfield.connections.settings import AdmissionSettings
 from eiderfield.connections.sources import SourceTable, prefix_key, source_keys
 
-MIN_CAPACITY = 16  # connections, however scarce memory is
+MIN_CAPACITY = 16  # connections that may be open even while memory is scarce
 DEFAULT_MAX_CONNECTIONS = 1024
 
 
 class Reason(Enum):
-    """Why a connection is rejected or a message ended. The values are the names of the console's figures."""
+    """Why a connection is rejected or a message is aborted. The values are names of the console's figures."""
 
     ADDRESS_CONNECTIONS = "address_held"
     ADDRESS_RATE = "address_rate"
@@ -51,12 +52,12 @@
 class ConnectionKind(Enum):
     """The kinds of connections that may be evicted for a new one."""
 
-    UNPROVEN = "unproven"  # has sent no request yet, or has received its last response
+    UNPROVEN = "unproven"  # has sent no request yet, or its last response is written
     PARKED = "parked"
-    IDLE = "idle"  # idle for a short time only
+    IDLE = "idle"  # idle and not parked
 
 
-# The order in which kinds are evicted; within a kind the longest idle goes first.
+# The order in which kinds are evicted. Within a kind the longest idle connection is evicted first.
 EVICTION_ORDER = (ConnectionKind.UNPROVEN, ConnectionKind.PARKED, ConnectionKind.IDLE)
 
 
@@ -66,8 +67,8 @@
 
     Attributes:
         reason: the limit that was reached.
-        answer: whether the client receives a 503 response; otherwise the connection is just closed.
-        retry_after: advice to the client, in ms.
+        answer: whether the client receives a 503 response; if not, the connection is closed without one.
+        retry_after: the delay that the response advises, in ms.
     """
 
     reason: Reason
@@ -77,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limit:
-    """A time limit: when it expires, in ms, and the reason to count then."""
+    """A time limit: when it expires, in ms, and the reason to count if it is exceeded."""
 
     at: float
     reason: Reason | None = None
@@ -89,14 +90,14 @@
     def __init__(
         self, settings: AdmissionSettings | None = None, max_connections: int = DEFAULT_MAX_CONNECTIONS
     ) -> None:
-        """Create the control of a listener without connections."""
+        """Create admission control for a listener that has no connections."""
         self.settings = settings or AdmissionSettings()
         self.counts: Counter[str] = Counter()  # rejections and slow messages by reason
         self.addresses = SourceTable(self.settings.address_quota)
         self.prefixes = SourceTable(self.settings.prefix_quota)
-        self._prefix_entries = array("I")  # by the address's entry, which is the ticket
+        self._prefix_entries = array("I")  # the prefix's entry, by the address's entry (the ticket)
         self._max_connections = max_connections
-        self._memory_capacity = inf  # connections at the time when memory became scarce
+        self._memory_capacity = inf  # connections open when memory became scarce, else infinity
         self._descriptors = OverloadDetector()
         self._memory = OverloadDetector()
 
@@ -142,18 +143,18 @@
         return ticket
 
     def release(self, ticket: int) -> None:
-        """Count a closed connection off."""
+        """Stop counting a connection that is closed."""
         self.addresses.remove_connection(ticket)
         self.prefixes.remove_connection(self._prefix_entries[ticket])
 
     def idle_limit(self, idle_timeout: float) -> float:
-        """Return how long a connection may be idle now, in place of the configured `idle_timeout`."""
+        """Return the idle timeout that applies now, where `idle_timeout` is configured."""
         return min(idle_timeout, self.settings.overloaded_idle_timeout) if self.overloaded else idle_timeout
 
     # Messages.
 
     def begin_message(self, ticket: int) -> Rejection | None:
-        """Count a message of which the first byte has come; return a rejection if its source has too many."""
+        """Count a message whose first byte has arrived; return a rejection if its source has too many."""
         addresses, prefixes, prefix = self.addresses, self.prefixes, self._prefix_entries[ticket]
         reason = None
         if addresses.incomplete_messages[ticket] >= addresses.quota.max_incomplete_messages:
@@ -168,7 +169,7 @@
         return None
 
     def end_message(self, ticket: int) -> None:
-        """Count a message off that is complete or given up."""
+        """Stop counting a message that is complete or aborted."""
         self.addresses.incomplete_messages[ticket] -= 1
         self.prefixes.incomplete_messages[self._prefix_entries[ticket]] -= 1
 
@@ -179,7 +180,7 @@
         return Limit(started_at + min(timeouts.message, timeouts.head, allowed), Reason.SLOW_HEAD)
 
     def body_limit(self, started_at: float, head_at: float, received: int) -> Limit:
-        """Return until when more than `received` bytes of a body must have come.
+        """Return the time limit for the next byte of a body of which `received` bytes have arrived.
 
         The message started at `started_at`, and its head was complete at `head_at`.
         """
@@ -208,7 +209,7 @@
         }
 
     def reconfigure(self, settings: AdmissionSettings) -> None:
-        """Apply new settings. They also limit open connections, but none is closed for them."""
+        """Apply new settings. Open connections count towards the new limits, but none is closed."""
         old, self.settings = self.settings, settings
         if (settings.prefix_v4, settings.prefix_v6) != (old.prefix_v4, old.prefix_v6):
             self._recount_prefixes()
@@ -237,7 +238,7 @@
             if table.connections[entry] >= table.quota.max_connections:
                 return self._rejection_for(connections_reason)
             wait = table.token_wait(entry, now)
-            if wait > 0.0:  # no response: answering each of a source's connections would cost the others
+            if wait > 0.0:  # no response: responding to a flood of connections would slow the other clients
                 return Rejection(rate_reason, False, wait)
         address_limit = self.settings.overloaded_address_share * self._max_connections
         if self.overloaded and self.addresses.connections[ticket] >= address_limit:
@@ -248,7 +249,7 @@
         return Rejection(reason, True, self.settings.retry_after)
 
     def _recount_prefixes(self) -> None:
-        """Rebuild the counts of prefixes after their length has changed; their buckets are full again."""
+        """Rebuild the counts of prefixes after their length has changed; their token buckets start full."""
         settings, addresses = self.settings, self.addresses
         prefixes = SourceTable(settings.prefix_quota)
         for ticket, address_key in addresses.keys.items():
--- a/eiderfield/connections/idle_connections.py
+++ b/eiderfield/connections/idle_connections.py
@@ -7,10 +7,11 @@
       │  └──(closed by the client, nothing unread)──> closed
       └──(expired, or evicted)──> closed
 
-During a handover idle connections go to the next process in batches. The old process may keep a copy of each
-descriptor outside its poll set: the connection is lent, so that a next process that dies loses no client. The
-next process reports each connection that leaves its poll set, before a byte of it is read, and the old one
-closes its copy. While a copy is open, a connection that the next process closes stays open for its client.
+During a handover, idle connections are passed to the next process in batches. The old process may keep a copy
+of each descriptor outside its poll set. Such a connection is lent: if the next process dies, the old one
+parks its copy again, and no client is disconnected. The next process reports each connection that it removes
+from its poll set, before it reads a byte of it, and the old process then closes its copy. Until then the
+client's connection stays open, even if the next process has closed its descriptor.
 
     idle ──(lend)──> lent ──(reported by the next process)──> copy closed
       ^                └──(the next process has ended)──┐
@@ -34,9 +35,9 @@
 
 from eiderfield.connections.idle_table import IdleTable
 
-WOKEN_PER_POLL = 8  # connections returned by one poll: about 1 ms to create them anew
-EXPIRED_PER_PASS = 4  # connections closed in one pass as expired: about 0.1 ms, and 1,000 per second
-EVICTION_CANDIDATES = 32  # connections examined for one that may be evicted
+WOKEN_PER_POLL = 8  # connections returned by one poll; it takes about 1 ms to resume them
+EXPIRED_PER_PASS = 4  # expired connections closed in one pass, which takes about 0.1 ms; 1,000 per second
+EVICTION_CANDIDATES = 32  # connections examined to find one that may be evicted
 
 _WATCHED = select.EPOLLIN | select.EPOLLRDHUP
 
@@ -84,11 +85,11 @@
     """Idle connections by descriptor. Times are in ms.
 
     Attributes:
-        woken: connections returned because of received bytes, so far.
-        expired: connections closed after their idle timeout, so far.
-        closed_by_client: connections that the client closed, so far.
-        evicted: connections closed for new ones, so far.
-        unreported_keys: keys of borrowed connections that have left, until the lender is told.
+        woken: how many connections were returned because bytes had arrived.
+        expired: how many connections were closed after their idle timeout.
+        closed_by_client: how many connections the client closed.
+        evicted: how many connections were closed for new ones.
+        unreported_keys: keys, at the lender, of borrowed connections whose removal is not reported to it yet.
     """
 
     def __init__(self, on_close: Callable[[int], None] = lambda _tag: None) -> None:
@@ -137,7 +138,10 @@
             self._lender_keys[fd] = lender_key + 1
 
     def poll_ready(self, limit: int = WOKEN_PER_POLL) -> list[WokenConnection]:
-        """Remove and return at most `limit` connections with unread bytes; close those the client closed."""
+        """Remove and return at most `limit` connections with unread bytes.
+
+        A connection that is ready without unread bytes was closed by its client, and is closed here.
+        """
         woken = []
         for fd, _ in self._poll.poll(0, limit):
             if unread_bytes(fd):
@@ -170,12 +174,12 @@
     def expire(self, now: float, idle_timeout: float, limit: int = EXPIRED_PER_PASS) -> None:
         """Close at most `limit` connections that have been idle for `idle_timeout`.
 
-        One that has just received bytes stays, and is returned by the next poll.
+        A connection with unread bytes stays, and the next poll returns it.
         """
         for fd in self._table.expired(now, idle_timeout, limit):
             if unread_bytes(fd):
                 entry = self._table.remove(fd)
-                self._table.add(fd, max(entry.idle_since, now), entry.tag)  # not to be found here again
+                self._table.add(fd, max(entry.idle_since, now), entry.tag)  # the next pass skips it
             else:
                 self.expired += 1
                 self._close(fd)
@@ -233,7 +237,7 @@
             entry = self._lent.remove(fd)
             try:
                 self.park(fd, entry.idle_since, entry.tag)
-            except OSError:  # the kernel has no room for it in a poll set
+            except OSError:  # the kernel's limit of epoll watches is reached
                 os.close(fd)
                 self._on_close(entry.tag)
         return len(self._lent)
--- a/eiderfield/connections/idle_table.py
+++ b/eiderfield/connections/idle_table.py
@@ -1,14 +1,14 @@
 """Table of idle connections by descriptor, in the order in which they became idle. No I/O and no clock.
 
-A descriptor is a small number that indexes arrays: when the connection became idle, a tag of its owner, and
-its neighbours in a list. There is a doubly linked list for each second of that time, so that the longest idle
-connections and the expired ones are found without visiting the others:
+A descriptor is a small number and indexes the arrays: the time when the connection became idle, its owner's
+tag, and its neighbours in a doubly linked list. There is one list for each second in which connections became
+idle, so that the longest idle and the expired connections are found without visiting the others:
 
     heads: second -> first descriptor of that second's list <-> next <-> next ...
 
-The table stores when connections became idle and no deadlines: the idle timeout is an argument of each query,
-so a new timeout applies to the connections that are there. Adding, removing and each expiry take constant
-time. A list is in no order within its second.
+The table stores no deadlines: the idle timeout is an argument of each query, so a changed timeout applies to
+the connections that are already in the table. Adding, removing and expiring a connection take constant
+time. The connections of one list are in no order.
 
 Invariant: a descriptor is in one list at most, and once. `add` raises `ValueError` for a descriptor that is
 in the table, `remove` raises `KeyError` for one that is not.
@@ -20,9 +20,9 @@
 from math import inf
 from typing import NamedTuple
 
-BUCKET_MS = 1000.0  # the time that one list spans
+BUCKET_MS = 1000.0  # the time span of one list
 NO_NEIGHBOUR = -1
-_ABSENT = -2  # in place of the next descriptor, of one that is not in the table
+_ABSENT = -2  # in `_next`, for a descriptor that is not in the table
 _SPARE_FRACTION = 8  # arrays grow by an eighth at least, since each growth copies them
 
 
@@ -43,7 +43,7 @@
         self._next = array("i")
         self._previous = array("i")
         self._heads: dict[int, int] = {}
-        self._first_bucket: int | None = None  # the earliest that holds a connection; None if not known
+        self._first_bucket: int | None = None  # the earliest that has connections; None if it is unknown
         self._count = 0
 
     def __len__(self) -> int:
@@ -61,7 +61,7 @@
         return sum(column.itemsize * len(column) for column in arrays)
 
     def add(self, descriptor: int, idle_since: float, tag: int = 0) -> None:
-        """Add a connection that has been idle since `idle_since`; `tag` is the owner's, of up to 32 bits."""
+        """Add a connection that has been idle since `idle_since`; `tag` has up to 32 bits."""
         if descriptor in self:
             raise ValueError(f"descriptor {descriptor} is in the table already")
         if descriptor < 0:
@@ -97,7 +97,7 @@
         return entry
 
     def expired(self, now: float, idle_timeout: float, limit: int) -> list[int]:
-        """Return at most `limit` connections idle for `idle_timeout` and up to a bucket more."""
+        """Return at most `limit` connections idle for `idle_timeout` and up to `BUCKET_MS` more."""
         found: list[int] = []
         for bucket in self._expired_buckets(now, idle_timeout):
             descriptor = self._heads[bucket]
@@ -138,7 +138,7 @@
 
     def _earliest_bucket(self) -> int | None:
         if self._first_bucket is None and self._heads:
-            self._first_bucket = min(self._heads)  # at most one for each second of the idle timeout
+            self._first_bucket = min(self._heads)  # there is at most one for each second of the idle timeout
         return self._first_bucket
 
     def _expired_buckets(self, now: float, idle_timeout: float) -> list[int]:
--- a/eiderfield/connections/overload.py
+++ b/eiderfield/connections/overload.py
@@ -8,7 +8,7 @@
 
 
 class OverloadDetector:
-    """Whether a resource is scarce."""
+    """Decides whether a resource is scarce, from the share of it that is in use."""
 
     def __init__(self) -> None:
         """Create a detector of a resource that is not scarce."""
--- a/eiderfield/connections/settings.py
+++ b/eiderfield/connections/settings.py
@@ -15,9 +15,9 @@
     """Limits of connections that have sent a request.
 
     Attributes:
-        idle_timeout: after which an idle connection is closed.
+        idle_timeout: time after which an idle connection is closed.
         park_after: idle time after which a connection is parked; infinity for never.
-        keep_copies: whether a process keeps copies of the descriptors that it hands over, until it ends.
+        keep_copies: whether a process keeps copies of the parked connections that it hands over.
     """
 
     idle_timeout: float = IDLE_TIMEOUT_MS
@@ -30,10 +30,10 @@
     """Limits of one source: an address, or a prefix of addresses.
 
     Attributes:
-        max_connections: open at one time.
-        max_incomplete_messages: of which the first byte has been received, but not the last.
+        max_connections: connections open at one time.
+        max_incomplete_messages: messages whose first byte has been received, but not the last.
         connections_per_s: rate of new connections in the long run.
-        burst: new connections at once.
+        burst: new connections that may come at once; the size of the token bucket.
     """
 
     max_connections: float = inf
@@ -47,10 +47,10 @@
     """Time limits of a message, from its first byte on.
 
     Attributes:
-        message: for the complete message, whatever the other limits allow.
+        message: for the complete message; an upper bound of the other limits.
         head: for its head.
         min_body_rate: bytes per second that a body must reach.
-        body_grace: after the head, before that rate is required.
+        body_grace: time after the head before that rate is required.
         overloaded_head: for the head while the listener is overloaded.
     """
 
@@ -80,10 +80,12 @@
         prefix_v6: length of a prefix of IPv6 addresses, in bits.
         descriptors: watermarks of the connections in use.
         memory: watermarks of the memory in use.
-        overloaded_address_share: of the capacity, for one address while the listener is overloaded.
-        overloaded_idle_timeout: of parked connections while the listener is overloaded.
-        min_overload_time: for which a listener stays overloaded, so that the state does not oscillate.
-        retry_after: delay that a rejection advises.
+        overloaded_address_share: share of all connections that one address may have while the listener is
+            overloaded.
+        overloaded_idle_timeout: idle timeout of parked connections while the listener is overloaded.
+        min_overload_time: shortest time for which a listener stays overloaded, so that the state does not
+            oscillate.
+        retry_after: delay that a 503 response advises.
         timeouts: time limits of a message.
     """
 
--- a/eiderfield/connections/sources.py
+++ b/eiderfield/connections/sources.py
@@ -3,8 +3,8 @@
 A source has an entry, a small number that indexes arrays. Each entry counts connections and incomplete
 messages, and holds a token bucket for new connections. Times are in ms.
 
-Invariants: no count is below zero; an entry is not forgotten while it has a connection or while its bucket is
-not full, for the source could come back with a new one.
+Invariants: no count is below zero; an entry is not removed while it has a connection or while its bucket is
+not full, because a source that returns would otherwise get a full bucket.
 """
 
 from __future__ import annotations
@@ -16,13 +16,11 @@
 
 from eiderfield.connections.settings import Quota
 
-FORGET_THRESHOLD = (
-    1024  # entries without a connection, above which those that may be forgotten are looked for
-)
+FORGET_THRESHOLD = 1024  # entries without a connection; above this number unused entries are removed
 
 _V4_MAPPED = bytes(10) + b"\xff\xff"
 _V4_BITS = 32
-_V6_NETWORK_BITS = 64  # IPv6 addresses count by their /64, which a single host may have to itself
+_V6_NETWORK_BITS = 64  # IPv6 addresses are counted by /64, since one host may have a whole /64
 _V6_BITS = 128
 
 
@@ -82,7 +80,7 @@
         self.incomplete_messages = array("I")
         self.unused_count = 0  # entries without a connection
         self._entries: dict[int, int] = {}  # by key
-        self._free: list[int] = []  # entries that were forgotten
+        self._free: list[int] = []  # removed entries, to be used again
         self._spent_by_entry = array("f")  # tokens spent and not regained, as of `updated_at`
         self.updated_at = array("d")
 
@@ -91,7 +89,7 @@
         return len(self._entries)
 
     def entry(self, key: int, now: float) -> int:
-        """Return the entry of a source, which is created if it has none."""
+        """Return the entry of a source; create it if there is none."""
         entry = self._entries.get(key)
         if entry is not None:
             return entry
@@ -123,7 +121,7 @@
             self.updated_at[entry] = now
 
     def token_wait(self, entry: int, now: float) -> float:
-        """Return how long until a source's bucket has a token again; 0 if it has one."""
+        """Return the time until a source's bucket has a token, in ms; 0 if it has one now."""
         rate = self.quota.connections_per_s
         missing = self.spent_tokens(entry, now) + 1.0 - self.quota.burst
         return 1000.0 * missing / rate if rate < inf and missing > 0.0 else 0.0
@@ -134,12 +132,12 @@
         self.connections[entry] += 1
 
     def remove_connection(self, entry: int) -> None:
-        """Count a closed connection off."""
+        """Stop counting a connection that is closed."""
         self.connections[entry] -= 1
         self.unused_count += not self.connections[entry]
 
     def forget_unused(self, now: float) -> None:
-        """Forget the sources that have no connection and a full bucket, once there are many without one."""
+        """Remove the entries that have no connection and a full bucket, if many have no connection."""
         if self.unused_count <= FORGET_THRESHOLD + len(self) // 2:
             return
         forgotten = [
--- a/eiderfield/net/clients/flow_control.py
+++ b/eiderfield/net/clients/flow_control.py
@@ -22,7 +22,7 @@
         departures: DepartureWatch | None,
         on_disconnect: Callable[[], None],
     ) -> None:
-        """Call `on_disconnect` if the client disconnects while reading is paused; never without `departures`."""
+        """Call `on_disconnect` if the client disconnects while reading is paused; needs `departures`."""
         self._sock = sock
         self._departures = departures
         self._on_disconnect = on_disconnect
