--- a/eiderfield/net/clients/acceptor.py
+++ b/eiderfield/net/clients/acceptor.py
@@ -22,7 +22,7 @@
 from eiderfield.net.faults import RETRY_MS, Cause, classify_accept_error
 
 ACCEPTED_PER_TURN = 16  # connections accepted, or handed over, in a turn of the loop
-ACCEPT_RETRY = RETRY_MS  # ms until accepting is tried again when nothing could be evicted
+ACCEPT_RETRY_MS = RETRY_MS  # ms until accepting is tried again when nothing could be evicted
 BACKLOG = 512
 
 
@@ -40,7 +40,7 @@
     def clock(self) -> float:
         """Return the current time in ms."""
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Return whether one more connection may be accepted, after an eviction if it needs one."""
 
     def accept_connection(self, sock: socket.socket, address: str) -> None:
@@ -108,7 +108,7 @@
             # Room is made for a client that waits: an eviction while nobody waits would be for nothing.
             if self._owner.full and not self.client_waits_in_backlog():
                 return
-            if not self._owner.make_room():
+            if not self._owner.ensure_capacity():
                 # Clients wait in the backlog until a connection ends: closing one would lose its request.
                 self._pause()
                 return
@@ -145,7 +145,7 @@
         if self._loop is not None and self._socket is not None and not self._paused:
             self._paused = True
             self._loop.remove_reader(self._socket)
-            self._owner.timers.call_at(self._owner.clock() + ACCEPT_RETRY, self.resume)
+            self._owner.timers.call_at(self._owner.clock() + ACCEPT_RETRY_MS, self.resume)
 
 
 def open_socket(address: tuple[str, int], share: bool) -> socket.socket:
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -32,16 +32,16 @@
 from eiderfield.net.clients.connection_timer import ConnectionTimer, TimerSettings
 from eiderfield.net.clients.detached import ConnectionHandover, Detach, DetachedConnection
 from eiderfield.net.clients.flow_control import FlowControl
-from eiderfield.net.clients.front import ClientDeparted, Front, ListenerStatus
+from eiderfield.net.clients.front import ClientDisconnectCallback, Front, ListenerStatus
 from eiderfield.net.clients.message_reader import MessageReader
 from eiderfield.net.departures import DepartureWatch, has_peer_closed
 from eiderfield.net.http import Head, MalformedMessageError, response_bytes
 
-LINGER_TIME = 1000.0  # ms for which input is discarded after a last response, so that it gets through
-LINGER_BYTES = 262_144  # input discarded meanwhile; more stays unread, for 60 MB of it cost a core
-PIPELINED_BYTES = 16384  # bytes that may arrive while a response is awaited
+LINGER_TIME_MS = 1000.0  # ms for which input is discarded after a last response, so that it gets through
+MAX_DISCARDED_BYTES = 262_144  # input discarded meanwhile; more stays unread, for 60 MB of it cost a core
+MAX_PIPELINED_BYTES = 16384  # bytes that may arrive while a response is awaited
 MESSAGES_PER_TURN = 16  # messages of one connection taken in a turn of the loop
-EVICTION_GRACE = 500.0  # ms for which a half-sent message, or an undelivered response, prevents eviction
+EVICTION_GRACE_MS = 500.0  # ms for which a half-sent message, or an undelivered response, prevents eviction
 
 REQUEST_TIMEOUT = 408
 INTERNAL_SERVER_ERROR = 500
@@ -91,7 +91,7 @@
     def hand_over(self, connection: ClientConnection) -> bool:
         """Pass a connection to the next process; return whether it was possible."""
 
-    def count_departure(self) -> None:
+    def count_disconnect(self) -> None:
         """Count a client that disconnected before its response."""
 
     def count_discarded_input(self) -> None:
@@ -134,13 +134,13 @@
         buffered = None if handover is None else handover.buffered
         self._reader = MessageReader(listener.clock, self._idle_since, buffered)
         self._timer = ConnectionTimer(listener, self._reader, self.time_limit_reached, self._idle_since)
-        self._flow = FlowControl(sock, listener.departures, self._client_left)
-        self._on_departure: ClientDeparted | None = None
+        self._flow = FlowControl(sock, listener.departures, self._handle_disconnect)
+        self._on_disconnect: ClientDisconnectCallback | None = None
         self._keep_alive = False  # whether the client wants the connection kept open after the response
-        self._taking_messages = False
+        self._reading_messages = False
         self._throttled = False  # whether no more messages are taken for now
         self._discarded_bytes = 0
-        self._answered = handover is not None  # whether any response was written
+        self._response_written = handover is not None  # whether any response was written
         self._timer.restart(self.proven, self._idle_since, self._idle_since)
 
     # Called by asyncio.
@@ -172,12 +172,12 @@
         if self.phase == Phase.READING:
             self.listener.open_connections.mark_active(self)
             self._read_messages()
-        elif self._reader.buffered > PIPELINED_BYTES:
+        elif self._reader.buffered > MAX_PIPELINED_BYTES:
             self._flow.pause()
 
     def eof_received(self) -> bool:
         """Treat the end of the client's sending as its departure."""
-        self._client_left()
+        self._handle_disconnect()
         return False
 
     def connection_lost(self, _error: Exception | None) -> None:
@@ -185,10 +185,10 @@
         if self.phase == Phase.CLOSED:
             return
         self._release()
-        on_departure, self._on_departure = self._on_departure, None
-        if on_departure is not None:
-            self.listener.count_departure()
-            on_departure()
+        on_disconnect, self._on_disconnect = self._on_disconnect, None
+        if on_disconnect is not None:
+            self.listener.count_disconnect()
+            on_disconnect()
 
     def pause_writing(self) -> None:
         """Take no more messages from a client that leaves its responses unread."""
@@ -212,17 +212,19 @@
         """Write the response and close the connection."""
         self._write_response(status, body, False, headers)
 
-    def _write_response(self, status: int, body: bytes, keep: bool, headers: dict[str, str]) -> None:
+    def _write_response(self, status: int, body: bytes, keep_alive: bool, headers: dict[str, str]) -> None:
         if self.phase != Phase.WAITING or self._transport is None:
             return
-        self._on_departure = None
+        self._on_disconnect = None
         # During a shutdown a response closes the connection, unless another message has begun to arrive.
-        keep = (
-            keep and self._keep_alive and (not self.listener.keep_alive_disabled or self._reader.buffered > 0)
+        keep_alive = (
+            keep_alive
+            and self._keep_alive
+            and (not self.listener.keep_alive_disabled or self._reader.buffered > 0)
         )
-        self._transport.write(response_bytes(status, body, keep, **headers))
-        self._answered = True
-        if not keep:
+        self._transport.write(response_bytes(status, body, keep_alive, **headers))
+        self._response_written = True
+        if not keep_alive:
             self._start_lingering()
             return
         self.phase = Phase.READING
@@ -233,7 +235,7 @@
         self._timer.restart(self.proven, self._idle_since, self._reader.first_byte_at())
         if self.listener.successor is not None:  # the next process serves it once this call is over
             self.listener.timers.call_at(self._idle_since, partial(self.listener.hand_over, self))
-        if not self._taking_messages:  # else the caller's loop goes on: pipelined messages must not nest
+        if not self._reading_messages:  # else the caller's loop goes on: pipelined messages must not nest
             self._read_messages()
 
     def _reject_message(self, error: MalformedMessageError, **headers: str) -> None:
@@ -267,7 +269,7 @@
         if self.phase == Phase.LINGERING or self.is_idle:
             return self._last_response_arrived()
         # Half a message has arrived: the rest may lie in the socket, and a request that was read is answered.
-        slow = not self.proven and self.listener.clock() >= self._reader.last_byte_at + EVICTION_GRACE
+        slow = not self.proven and self.listener.clock() >= self._reader.last_byte_at + EVICTION_GRACE_MS
         return slow and not self._has_unread_bytes
 
     @property
@@ -276,8 +278,13 @@
 
     def _last_response_arrived(self) -> bool:
         """Return whether the client has the last response, or had time for it: a reset would discard it."""
-        overdue = self.listener.clock() >= self._timer.started_at + EVICTION_GRACE
-        return overdue or not self._answered or self._sock is None or not unsent_bytes(self._sock.fileno())
+        overdue = self.listener.clock() >= self._timer.started_at + EVICTION_GRACE_MS
+        return (
+            overdue
+            or not self._response_written
+            or self._sock is None
+            or not unsent_bytes(self._sock.fileno())
+        )
 
     # Ends of the connection in this process.
 
@@ -287,7 +294,7 @@
         The descriptor stays open, with what lies unread in the socket. The state includes the part of the
         next message that was read already.
         """
-        if self.phase != Phase.READING or self._taking_messages or self._throttled:
+        if self.phase != Phase.READING or self._reading_messages or self._throttled:
             return None
         buffered = self._reader.partial_head
         if buffered is None or self._sock is None or self._transport is None:
@@ -307,7 +314,9 @@
         """
         if self.phase in (Phase.CLOSED, Phase.LINGERING):
             return
-        if self._answered or (self._transport is not None and self._transport.get_write_buffer_size()):
+        if self._response_written or (
+            self._transport is not None and self._transport.get_write_buffer_size()
+        ):
             self._start_lingering()
         else:
             self.abort()
@@ -320,7 +329,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def _client_left(self) -> None:
+    def _handle_disconnect(self) -> None:
         """Close the connection: the client has closed it or ended its sending, and waits for no response."""
         self.connection_lost(None)
         if self._transport is not None:
@@ -345,20 +354,20 @@
                 self._transport.write_eof()
             if not self._throttled:
                 self._resume_reading()
-        self._timer.call_at(now + LINGER_TIME, self.abort)
+        self._timer.call_at(now + LINGER_TIME_MS, self.abort)
 
     def _discard_input(self, count: int) -> None:
         if not self._discarded_bytes:
             self.listener.count_discarded_input()
         self._discarded_bytes += count
-        if self._discarded_bytes > LINGER_BYTES and self._transport is not None:
+        if self._discarded_bytes > MAX_DISCARDED_BYTES and self._transport is not None:
             self._transport.pause_reading()
 
     # Time limits.
 
     def apply_limits(self) -> None:
         """Apply changed limits to what this connection is doing."""
-        if self.phase == Phase.READING and not self._taking_messages and not self._throttled:
+        if self.phase == Phase.READING and not self._reading_messages and not self._throttled:
             self._timer.restart(self.proven, self._idle_since, self._timer.started_at)
 
     def time_limit_reached(self) -> None:
@@ -380,7 +389,10 @@
         self._reject_message(MalformedMessageError("the message took too long", REQUEST_TIMEOUT))
 
     def _end_idle_time(self) -> None:
-        if not self.proven or self.listener.clock() >= self._idle_since + self.listener.idling.idle_timeout:
+        if (
+            not self.proven
+            or self.listener.clock() >= self._idle_since + self.listener.idle_settings.idle_timeout
+        ):
             self.close()
         elif not self.listener.park(self):
             self._timer.restart(self.proven, self._idle_since)
@@ -389,16 +401,16 @@
 
     def _read_messages(self) -> None:
         """Take what has arrived, a bounded number of messages at a time."""
-        if self._taking_messages or self.phase != Phase.READING or self._throttled:
+        if self._reading_messages or self.phase != Phase.READING or self._throttled:
             return
-        self._taking_messages = True
+        self._reading_messages = True
         try:
             taken = self._take_messages()
         except MalformedMessageError as error:
             self._reject_message(error)
             return
         finally:
-            self._taking_messages = False
+            self._reading_messages = False
         if self.phase != Phase.READING:
             return
         if taken == MESSAGES_PER_TURN:  # let other connections have their turn
@@ -433,7 +445,7 @@
         self._keep_alive = head.keep_alive
         try:
             body = bytes(self._reader.body)
-            on_departure = self.listener.front.handle_message(self.listener, self, head, body)
+            on_disconnect = self.listener.front.handle_message(self.listener, self, head, body)
         except MalformedMessageError:
             raise
         except Exception as error:  # passed on to asyncio, it would close the connection without a response
@@ -441,7 +453,7 @@
             self.finish(INTERNAL_SERVER_ERROR, b"failed\n", Content_Type="text/plain")
             return
         if self.phase == Phase.WAITING:  # else the response is written
-            self._on_departure = on_departure
+            self._on_disconnect = on_disconnect
             self.listener.open_connections.mark_busy(self)
 
     def _begin_message(self) -> None:
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -25,8 +25,8 @@
 from eiderfield.net.clients.parking import ConnectionParking
 from eiderfield.net.departures import DepartureWatch
 
-USAGE_INTERVAL = 100.0  # ms between two measurements of memory
-REJECTIONS_AT_ONCE = 64  # connections that are being answered 503; more are closed without a response
+USAGE_INTERVAL_MS = 100.0  # ms between two measurements of memory
+MAX_PENDING_REJECTIONS = 64  # connections that are being answered 503; more are closed without a response
 
 
 class Listener:
@@ -38,7 +38,7 @@
         clock: gives the current time in ms.
         max_connections: how many connections may be open, parked ones among them.
         message_timeout: ms for a message from its first byte, where there is no admission control.
-        idling: how long connections may idle.
+        idle_settings: how long connections may idle.
         admission: decides which connections are admitted; None admits all.
         memory_usage: gives the share of the process's memory that is in use, from 0 to 1.
         open_connections: the connections that are not parked.
@@ -59,7 +59,7 @@
         clock: Callable[[], float],
         max_connections: int,
         message_timeout: float = MESSAGE_TIMEOUT_MS,
-        idling: IdleSettings | None = None,
+        idle_settings: IdleSettings | None = None,
         admission: AdmissionControl | None = None,
         memory_usage: Callable[[], float] = lambda: 0.0,
     ) -> None:
@@ -69,7 +69,7 @@
         self.clock = clock
         self.max_connections = max_connections
         self.message_timeout = message_timeout
-        self.idling = idling or IdleSettings()
+        self.idle_settings = idle_settings or IdleSettings()
         self.admission = admission
         self.draining = False
         self.keep_alive_disabled = False
@@ -80,11 +80,11 @@
         self.parking = ConnectionParking(self)
         self.acceptor = Acceptor(self)
         self.departures: DepartureWatch | None = None
-        self._discarded = 0  # closed connections of whose input some was discarded
-        self._departed = 0  # clients that disconnected before their response
+        self._discarded_input_count = 0  # closed connections of whose input some was discarded
+        self._disconnect_count = 0  # clients that disconnected before their response
         self.memory_usage = memory_usage
         self._usage_updated_at = -inf
-        self._rejected = 0  # connections that are being answered 503
+        self._pending_rejections = 0  # connections that are being answered 503
         self._loop: asyncio.AbstractEventLoop | None = None
         self._attaching: set[asyncio.Task[None]] = set()
 
@@ -117,8 +117,8 @@
         """Return the console's figures of connections, open ones and earlier ones."""
         return {
             "open": self.connections,
-            "departed": self._departed,
-            "discarded": self._discarded,
+            "departed": self._disconnect_count,
+            "discarded": self._discarded_input_count,
             **self.parking.figures(),
         }
 
@@ -141,7 +141,7 @@
         """Accept on a socket that listens already."""
         self._loop = loop
         self.acceptor.open(loop, sock)
-        self.set_idle_limits(self.idling)
+        self.set_idle_limits(self.idle_settings)
 
     def set_passive(self, passive: bool) -> None:
         """Leave accepting to another process that has the socket, or accept again."""
@@ -178,28 +178,28 @@
             connection.apply_limits()
         self.parking.arm()
 
-    def set_idle_limits(self, idling: IdleSettings) -> None:
+    def set_idle_limits(self, idle_settings: IdleSettings) -> None:
         """Set how long connections may idle, also parked ones."""
-        self.idling = idling
+        self.idle_settings = idle_settings
         if self._loop is not None:
             if self.departures is None:
                 self.departures = DepartureWatch(self._loop)
-            if idling.park_after < inf:
+            if idle_settings.park_after < inf:
                 self.parking.open(self._loop)
         self.parking.arm()
 
     def idle_limit(self) -> float:
         """Return for how many ms a connection may idle now."""
         if self.admission is None:
-            return self.idling.idle_timeout
-        return self.admission.idle_limit(self.idling.idle_timeout)
+            return self.idle_settings.idle_timeout
+        return self.admission.idle_limit(self.idle_settings.idle_timeout)
 
     # Parked connections.
 
     @property
     def may_park(self) -> bool:
         """Whether idle connections are to be parked, rather than closed or handed over."""
-        return self.successor is None and not self.keep_alive_disabled and self.idling.park_after < inf
+        return self.successor is None and not self.keep_alive_disabled and self.idle_settings.park_after < inf
 
     def park(self, connection: ClientConnection) -> bool:
         """Park an idle connection; return whether it was possible."""
@@ -216,7 +216,7 @@
         """Pass a connection to the next process; return whether it was possible."""
         return self.successor is not None and self.successor(connection.detach)
 
-    def hand_over_some(self) -> None:
+    def hand_over_batch(self) -> None:
         """Pass a bounded number of connections to the next process.
 
         Until the loop's next turn each of them holds a descriptor in both processes, and the two may have no
@@ -224,10 +224,10 @@
         """
         if self.successor is None:
             return
-        detachers = [connection.detach for connection in self.open_connections.between_requests()]
-        detachers += self.parking.detachers(ACCEPTED_PER_TURN)
+        detach_calls = [connection.detach for connection in self.open_connections.between_requests()]
+        detach_calls += self.parking.detach_calls(ACCEPTED_PER_TURN)
         handed_over = 0
-        for detach in detachers:
+        for detach in detach_calls:
             handed_over += self.successor(detach)
             if handed_over >= ACCEPTED_PER_TURN:
                 return
@@ -259,19 +259,19 @@
         if self._loop is not None:
             self._loop.call_exception_handler({"message": "a front failed", "exception": error})
 
-    def count_departure(self) -> None:
+    def count_disconnect(self) -> None:
         """Count a client that disconnected before its response."""
-        self._departed += 1
+        self._disconnect_count += 1
 
     def count_discarded_input(self) -> None:
         """Count a connection of whose input some was discarded after its last response."""
-        self._discarded += 1
+        self._discarded_input_count += 1
 
     def remove(self, connection: ClientConnection) -> None:
         """Release what a closed connection holds."""
         self.open_connections.remove(connection)
         if connection.rejection is not None:
-            self._rejected -= 1
+            self._pending_rejections -= 1
         connection.admission.release()
         self.resume_accepting()
 
@@ -287,16 +287,16 @@
         """Whether one more connection needs an eviction."""
         if self.admission is None:
             return not self.has_capacity
-        held = self.connections + self.held_by_other_process
-        self._update_usage(held)
-        return held >= self.admission.capacity
+        open_count = self.connections + self.held_by_other_process
+        self._update_usage(open_count)
+        return open_count >= self.admission.capacity
 
     @property
     def has_waiting_clients(self) -> bool:
         """Whether clients wait in the backlog for whom there is no capacity, or no descriptor."""
         return self.acceptor.has_waiting_clients
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Return whether one more connection may be accepted, after an eviction if it needs one."""
         if not self.full:
             return True
@@ -308,15 +308,15 @@
         evicted = any(evict[kind]() for kind in EVICTION_ORDER)
         return evicted and not self.full
 
-    def _update_usage(self, held: int) -> None:
+    def _update_usage(self, open_count: int) -> None:
         """Report the usage to admission control, on which the idle time of parked connections may depend."""
         assert self.admission is not None
         now = self.clock()
-        if now < self._usage_updated_at + USAGE_INTERVAL:
+        if now < self._usage_updated_at + USAGE_INTERVAL_MS:
             return
         self._usage_updated_at = now
         limit = self.idle_limit()
-        self.admission.update_usage(now, held, self.memory_usage())
+        self.admission.update_usage(now, open_count, self.memory_usage())
         if limit != self.idle_limit():
             self.parking.arm()
 
@@ -338,10 +338,10 @@
 
     def _reject(self, sock: socket.socket, rejection: Rejection) -> None:
         """Close a connection that is not admitted, and respond to a few; these are evicted first."""
-        if not rejection.answer or self._rejected >= REJECTIONS_AT_ONCE:
+        if not rejection.answer or self._pending_rejections >= MAX_PENDING_REJECTIONS:
             sock.close()
             return
-        self._rejected += 1
+        self._pending_rejections += 1
         connection = ClientConnection(self, sock, rejection=rejection)
         self.open_connections.add(connection)
         self._attach(connection, sock)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -129,7 +129,7 @@
     pair.go()
     assert pair.new.dispatcher.listener.held_by_other_process == len(clients)
     pair.new.dispatcher.listener.max_connections = len(clients)
-    assert not pair.new.dispatcher.listener.make_room()
+    assert not pair.new.dispatcher.listener.ensure_capacity()
     assert (
         pair.old.dispatcher.side.connection_limit
         == pair.new.dispatcher.side.connection_limit
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -83,7 +83,7 @@
         The kernel closes what it alone holds, and still delivers what it had sent."""
         killed = self.harnesses[which]
         self.wires[which].close()
-        killed.listener.parking.on_departure = lambda _keys: None
+        killed.listener.parking.on_borrowed_removed = lambda _keys: None
         for connection in killed.listener.open_connections:
             connection.abort()
         killed.listener.close()
@@ -172,7 +172,7 @@
     assert transfer.new.listener.parked == len(transfer.clients)
     for number, client in enumerate(transfer.clients[:5]):
         assert response_statuses(transfer, client, f"r{number}") == [200]
-    assert not transfer.new.listener.parking._idle.unreported, "there is nobody to tell any more"
+    assert not transfer.new.listener.parking._idle.unreported_keys, "there is nobody to tell any more"
 
 
 def test_connection_closed_by_new_process_is_closed_for_client_despite_copy(transfer):
@@ -206,7 +206,7 @@
     """It has the only descriptor of each: refused, they would be closed."""
     transfer = ParkedTransfer(30, IDLING)
     transfer.new.listener.parking.close()
-    transfer.new.listener.idling = replace(IDLING, park_after=inf)
+    transfer.new.listener.idle_settings = replace(IDLING, park_after=inf)
     transfer.deliver_all()
     assert transfer.new.listener.connections == 30
     assert transfer.new.listener.parked == 0
