--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -183,8 +183,10 @@
         listener.parking.borrow, listener.adopt_connection = listener.borrow, listener.admit
 
     def park_by_present_names(side, copies):
+        listener = side.dispatcher.listener
+        listener.idling = listener.idle_settings
         park(side, copies)
-        side.dispatcher.listener.parking.lend = side.dispatcher.listener.lend
+        listener.idle_settings, listener.parking.lend = listener.idling, listener.lend
 
     module.accept_all, module.park = accept_by_present_names, park_by_present_names
     return module
