--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -28,49 +28,53 @@
 from eiderfield.net.http import MalformedMessageError
 from eiderfield.net.wheel import TICK_MS
 
-SERVICE = 125.0  # ms of the source's time that a call takes
-PATIENCE = 2000.0  # ms that a call waits in line; one that has waited longer fails, its place used up
+SERVICE_MS = 125.0  # ms of the source's time that a call takes
+QUEUE_TIMEOUT_MS = 2000.0  # ms that a call waits in line; one that has waited longer fails, its place used up
 
 
-def served(backoffs, until, calls, service=SERVICE):
+def times_of_first_list(backoffs, until, calls, service=SERVICE_MS):
     """When each dispatcher has its list: `calls` are the times of the first calls. None for who has none."""
-    line, free, done = [(at, number) for number, at in enumerate(calls)], 0.0, [None] * len(calls)
+    line, free_at, received_at = [(at, number) for number, at in enumerate(calls)], 0.0, [None] * len(calls)
     heapq.heapify(line)
     while line and line[0][0] <= until:
         at, number = heapq.heappop(line)
-        begins = max(at, free)
-        if begins - at > PATIENCE:  # it waits in vain, and the source finds out only when it gets to it
-            free = begins + service
-            heapq.heappush(line, (at + PATIENCE + backoffs[number].next_wait(at + PATIENCE), number))
+        begins = max(at, free_at)
+        if (
+            begins - at > QUEUE_TIMEOUT_MS
+        ):  # it waits in vain, and the source finds out only when it gets to it
+            free_at = begins + service
+            heapq.heappush(
+                line, (at + QUEUE_TIMEOUT_MS + backoffs[number].next_wait(at + QUEUE_TIMEOUT_MS), number)
+            )
         else:
-            free = begins + service
+            free_at = begins + service
             backoffs[number].reset()
-            done[number] = free
-    return done
+            received_at[number] = free_at
+    return received_at
 
 
-def forty(sharers=40):
+def forty_backoffs(sharers=40):
     return [Backoff(sharers, number, Random(number)) for number in range(40)]
 
 
-def test_forty_dispatchers_that_start_together_are_soon_followers_all():
+def test_forty_dispatchers_starting_together_all_receive_a_list_within_20_s():
     """Discovery failed 24 of 40 calls made at once, and none of those 24 ever got through again in 30 s, for
     waits that doubled to 1 s for everybody kept 27 calls a second at its listener."""
-    backoffs = forty()
-    done = served(backoffs, 30_000.0, [backoff.first_wait(True) for backoff in backoffs])
-    assert all(at is not None and at < 20_000.0 for at in done)
-    assert served(forty(1), 30_000.0, [0.0] * 40).count(None) > 10
+    backoffs = forty_backoffs()
+    received_at = times_of_first_list(backoffs, 30_000.0, [backoff.first_wait(True) for backoff in backoffs])
+    assert all(at is not None and at < 20_000.0 for at in received_at)
+    assert times_of_first_list(forty_backoffs(1), 30_000.0, [0.0] * 40).count(None) > 10
 
 
-def test_a_first_call_is_made_well_within_the_grace_of_a_drain():
+def test_first_call_is_made_within_the_drain_grace():
     """With first calls spread over 6 s one that had restarted sent to workers that were gone: it would have
     been told of them, had it asked."""
-    assert max(backoff.first_wait(True) for backoff in forty()) < 500.0
+    assert max(backoff.first_wait(True) for backoff in forty_backoffs()) < 500.0
     assert Backoff().first_wait(True) == Backoff(4, 3).first_wait(False) == 0.0
 
 
 @pytest.mark.parametrize("sharers", [4, 40, 200, 1000])
-def test_no_number_of_sharers_makes_a_first_call_or_a_first_wait_longer_than_what_counts_as_told(sharers):
+def test_first_call_and_first_wait_are_bounded_for_any_number_of_sharers(sharers):
     """The 150th of 214 that restarted called 1.2 s after its start: a drain that its agent held all that time
     bound after 0.5 s, and three requests went to drained workers 0.59 s after. First waits were 20 s."""
     all_ = [Backoff(sharers, number, Random(number), grace=500.0) for number in range(sharers)]
@@ -82,23 +86,27 @@
 
 
 @pytest.mark.parametrize(("service", "within"), [(25.0, 12_000.0), (12.5, 12_000.0)])
-def test_two_hundred_that_start_together_are_all_told_by_a_slow_source(service, within):
+def test_two_hundred_dispatchers_starting_together_all_receive_a_list_from_a_slow_source(service, within):
     backoffs = [Backoff(200, number, Random(number)) for number in range(200)]
-    done = served(backoffs, within, [backoff.first_wait(True) for backoff in backoffs], service)
-    assert all(at is not None for at in done)
+    received_at = times_of_first_list(
+        backoffs, within, [backoff.first_wait(True) for backoff in backoffs], service
+    )
+    assert all(at is not None for at in received_at)
 
 
-def test_what_the_bound_costs_at_a_source_too_slow_for_it():
+def test_overloaded_source_serves_only_some_of_two_hundred_dispatchers():
     """Of 20 calls a second, 200 callers that wait for 4.4 s at most leave none free for long: no wait that
     keeps the 6 s can tell them all, and the waits of up to 80 s that did broke the 6 s. Stated so that a
     change of either shows."""
     backoffs = [Backoff(200, number, Random(number)) for number in range(200)]
-    done = served(backoffs, 120_000.0, [backoff.first_wait(True) for backoff in backoffs], 50.0)
-    assert sum(at is not None for at in done) == 42
+    received_at = times_of_first_list(
+        backoffs, 120_000.0, [backoff.first_wait(True) for backoff in backoffs], 50.0
+    )
+    assert sum(at is not None for at in received_at) == 42
 
 
 @pytest.mark.parametrize("sharers", [1, 4, 9, 40, 200, 1000])
-def test_no_number_of_failures_makes_a_wait_longer_than_leaves_time_to_be_told(sharers):
+def test_waits_are_bounded_after_any_number_of_failures(sharers):
     """Waits once grew to 80 s at 200 sharers, so that a source of 20 calls a second told them all in the end.
     But a change counts as told 6 s after the source could be reached, whatever calls failed before that."""
     to_list = DIAL_TIMEOUT + FIRST_LIST_TIME
@@ -113,7 +121,7 @@
         now += wait
 
 
-def test_a_source_that_fails_at_once_is_asked_as_often_as_the_pace_allows():
+def test_calls_to_a_source_that_fails_at_once_are_rate_limited():
     backoff, now = Backoff(4, 3, Random(1)), 0.0
     for _ in range(400):
         backoff.reset()  # it tells its list and ends, again and again
@@ -121,14 +129,14 @@
     assert now >= 400 / 4.2 * 1000.0 - 8 * 250.0
 
 
-def test_few_dispatchers_wait_as_short_as_ever():
+def test_waits_of_few_sharers_are_short():
     waits = [Backoff(FEW_SHARERS, 0, Random(1)).next_wait(0.0) for _ in range(3)]
     assert all(LEAST_SHARE_OF_WAIT * WAIT_PER_SHARER <= wait <= WAIT_PER_SHARER for wait in waits)
     backoff = Backoff(4, 0, Random(1))
     assert max(backoff.next_wait(9e3 * n) for n in range(20)) <= backoff.longest_wait == MAX_WAIT_OF_FEW
 
 
-def test_waits_are_bounded_grow_with_failures_and_begin_anew_after_a_list():
+def test_waits_grow_with_failures_up_to_a_bound_and_reset_after_a_list():
     backoff = Backoff(40, 0, Random(2))
     waits = [backoff.next_wait(9e3 * n) for n in range(30)]
     assert max(waits[:1]) <= WAIT_PER_SHARER * 40
@@ -140,7 +148,7 @@
     assert LEAST_SHARE_OF_WAIT * WAIT_PER_SHARER * 40 <= backoff.next_wait(1e6) <= WAIT_PER_SHARER * 40
 
 
-def follow(number, index, sharers=40):
+def start_watch(number, index, sharers=40):
     """A dispatcher whose table is or isn't known, and its watch of port 8500."""
     dispatcher = InMemoryDispatcher(workers=1)
     dispatcher.table.index = index
@@ -157,20 +165,20 @@
     return dispatcher
 
 
-def test_a_dispatcher_that_holds_a_list_waits_for_its_turn_and_one_without_does_not():
-    dispatcher = follow(7, 3)
+def test_first_call_is_delayed_only_for_a_dispatcher_that_holds_a_list():
+    dispatcher = start_watch(7, 3)
     dispatcher.advance(7 * min(FIRST_CALL_SPACING, FIRST_CALLS_SHARE * 500.0 / 40) - 6.0)
     assert not dispatcher.dials
     dispatcher.advance(10.0)
     assert len(dispatcher.dials) == 1
-    assert len(follow(7, None).dials) == 1
+    assert len(start_watch(7, None).dials) == 1
 
 
 @pytest.mark.parametrize(("sharers", "number"), [(1, 0), (40, 39), (200, 199)])
-def test_a_source_that_says_nothing_has_a_call_waiting_whenever_it_comes_back(sharers, number):
+def test_silent_source_always_has_a_pending_call(sharers, number):
     """Discovery was down for 8 s, its agents silent; dispatchers called again after up to 11.9 s. What
     the agent then held counted as told at once: 63 requests went to drained workers 0.58 s after or later."""
-    dispatcher = follow(number, 3, sharers)
+    dispatcher = start_watch(number, 3, sharers)
     gap, calls = 0.0, 0
     for _ in range(200):  # 20 s of silence, looked at every 100 ms
         dispatcher.advance(100.0)
@@ -184,13 +192,15 @@
     assert 6 <= calls <= 9, "and it does not hammer"
 
 
-@pytest.mark.parametrize("bad", [b"garbage\n", b'{"index":1}\n', b'{"index":"x","endpoints":[]}\n', b"[]\n"])
-def test_garbage_changes_nothing_and_is_followed_by_a_drawn_wait_that_the_log_names(bad):
-    dispatcher = follow(0, 3)
+@pytest.mark.parametrize(
+    "malformed", [b"garbage\n", b'{"index":1}\n', b'{"index":"x","endpoints":[]}\n', b"[]\n"]
+)
+def test_malformed_list_changes_nothing_and_reopens_the_watch_after_a_logged_wait(malformed):
+    dispatcher = start_watch(0, 3)
     before = dict(dispatcher.exchange.endpoints.states)
     feed = dispatcher.dials[-1].up()
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    feed.pipe.send(head + b"%x\r\n%s\r\n" % (len(bad), bad))
+    feed.pipe.send(head + b"%x\r\n%s\r\n" % (len(malformed), malformed))
     assert dispatcher.exchange.endpoints.states == before
     assert not feed.pipe.open
     assert "watch reopened (reason=" in dispatcher.logged[-1], json.dumps(dispatcher.logged)
@@ -206,7 +216,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def told(status, index=4, indent=None):
+def endpoint_list(status, index=4, indent=None):
     entry = {"name": "w1", "address": "127.0.0.1:1", "status": status, "since_ms": 0}
     list_ = {"index": index, "snapshot": True, "endpoints": [entry]}
     return json.dumps(list_, indent=indent).encode() + b"\n"
@@ -249,7 +259,7 @@
 
 
 def sends_half_a_line(_dispatcher, dial):
-    dial.up().pipe.send(HEAD + chunk(told("SERVING")[:40]))
+    dial.up().pipe.send(HEAD + chunk(endpoint_list("SERVING")[:40]))
 
 
 def dribbles(dispatcher, dial):
@@ -279,50 +289,48 @@
 
 
 @pytest.mark.parametrize(("sharers", "number"), [(1, 0), (40, 39), (200, 199)])
-@pytest.mark.parametrize("fault", FAULTS)
+@pytest.mark.parametrize("fail", FAULTS)
 @pytest.mark.parametrize("span", [400.0, 5_000.0, 31_700.0])
-def test_a_source_that_fails_for_a_while_has_told_its_list_6_s_after_it_can_be_reached(
-    fault, span, sharers, number
-):
+def test_list_is_received_within_6_s_after_a_failed_source_is_reachable_again(fail, span, sharers, number):
     """At 200 sharers the first wait was drawn from 1.5 to 6 s and doubled up to 80 s, so that a drain was
     heard of more than 6 s after discovery could tell it; and any byte counted as a sign of life, so that a
     source that dribbled one was never left."""
-    dispatcher = follow(number, 3, sharers)
+    dispatcher = start_watch(number, 3, sharers)
     until = dispatcher.now + span
     while dispatcher.now < until:
-        while dispatcher.dials and dispatcher.dials[0].address[1] == 8500 and fault is not hangs:
-            fault(dispatcher, dispatcher.dials[0])
+        while dispatcher.dials and dispatcher.dials[0].address[1] == 8500 and fail is not hangs:
+            fail(dispatcher, dispatcher.dials[0])
         dispatcher.advance(10.0)
     reachable, drained, hung = dispatcher.now, False, list(dispatcher.dials)  # what hung goes on hanging
     while not drained:
         for dial in [dial for dial in dispatcher.dials if dial not in hung]:
-            dial.up().pipe.send(HEAD + chunk(told("DRAINING")))
+            dial.up().pipe.send(HEAD + chunk(endpoint_list("DRAINING")))
         drained = [*dispatcher.exchange.endpoints.states.values()] == [EndpointState.DRAINING]
         dispatcher.advance(10.0)
         assert dispatcher.now - reachable <= NOTIFIED_AFTER
 
 
 @pytest.mark.parametrize(("sharers", "number"), [(1, 0), (40, 39), (200, 199)])
-@pytest.mark.parametrize("breaks", [stream_ends, stream_is_reset])
-def test_a_watch_that_breaks_is_open_again_within_the_grace_of_a_drain(breaks, sharers, number):
+@pytest.mark.parametrize("break_stream", [stream_ends, stream_is_reset])
+def test_broken_watch_is_reopened_within_the_drain_grace(break_stream, sharers, number):
     """What the agent holds counts at once: at 20 dispatchers a watch that was reset was opened anew after
     0.5 to 2 s, while a drain binds after half a second."""
-    dispatcher = follow(number, 3, sharers)
+    dispatcher = start_watch(number, 3, sharers)
     dispatcher.advance(FIRST_CALLS_SHARE * 500.0)
     feed = dispatcher.dials[0].up()
-    feed.pipe.send(HEAD + chunk(told("SERVING")))
+    feed.pipe.send(HEAD + chunk(endpoint_list("SERVING")))
     dispatcher.advance(1000.0)
-    breaks(feed)
+    break_stream(feed)
     dispatcher.advance(FIRST_CALLS_SHARE * 500.0 + TICK_MS)
-    dispatcher.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING")))
+    dispatcher.dials[0].up().pipe.send(HEAD + chunk(endpoint_list("DRAINING")))
     assert [*dispatcher.exchange.endpoints.states.values()] == [EndpointState.DRAINING]
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
 @pytest.mark.parametrize("step", [1, 7, 64, 10_000])
-def test_lists_may_come_indented_and_in_pieces(indent, step):
+def test_json_stream_accepts_indented_lists_in_chunks_of_any_size(indent, step):
     """Only a list on one line was understood: an indented one was garbage, again and again."""
-    first = told("SERVING", 4, indent)[:-1]
+    first = endpoint_list("SERVING", 4, indent)[:-1]
     odd = json.dumps({"index": 5, "note": 'a } in "quotes" and a \\', "x": []}, indent=indent).encode()
     stream = b"\n" + first + b"\n\n" + odd + b"\n" + first + b"\n"
     lines, found = JsonStream(10_000), []
@@ -337,14 +345,14 @@
 
 
 @pytest.mark.parametrize("indent", [None, 2])
-def test_a_list_is_whole_with_its_last_bracket(indent):
+def test_json_stream_yields_a_list_at_its_closing_bracket(indent):
     """Its line feed may come with the next empty line, 2 s later: a drain binds after half a second."""
-    lines, text = JsonStream(10_000), told("DRAINING", 4, indent)
+    lines, text = JsonStream(10_000), endpoint_list("DRAINING", 4, indent)
     assert not [part for part in lines.feed(text[:-2]) if part]
     assert [json.loads(part)["index"] for part in lines.feed(text[-2:-1])] == [4]
 
 
-def test_a_list_without_end_is_bounded():
+def test_json_stream_rejects_a_list_above_its_size_limit():
     lines = JsonStream(1000)
 
     def feed_repeatedly():
@@ -356,7 +364,7 @@
 
 
 @pytest.mark.parametrize("indent", [None, 2])
-def test_a_watch_takes_an_indented_list(indent):
-    dispatcher = follow(0, 3)
-    dispatcher.dials[0].up().pipe.send(HEAD + chunk(told("DRAINING", indent=indent)))
+def test_watch_accepts_an_indented_list(indent):
+    dispatcher = start_watch(0, 3)
+    dispatcher.dials[0].up().pipe.send(HEAD + chunk(endpoint_list("DRAINING", indent=indent)))
     assert [*dispatcher.exchange.endpoints.states.values()] == [EndpointState.DRAINING]
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -11,18 +11,18 @@
 from eiderfield.interface import MAX_WRITE_DELAY_MS, Effect, Scope, StartAttempt
 from eiderfield.net.loop import Driver
 
-SLACK = 150.0  # ms by which a worker may be told too much (standing test)
-READING = 50.0  # ms that reading a request may take (protocol page)
-WINDOW = 400.0  # ms in which workers discard the repeat of a keyed request
+SLACK_MS = 150.0  # ms by which a worker may be told too much (standing test)
+READING_MS = 50.0  # ms that reading a request may take (protocol page)
+REPEAT_WINDOW_MS = 400.0  # ms in which workers discard the repeat of a keyed request
 
 
-class Delays:
+class WriteDelays:
     """A dispatcher that is held up after each reading of its clock for a write."""
 
     def __init__(self, dispatcher):
         self.dispatcher = dispatcher
-        self.sent = []  # how much longer than its client waits each worker was told that it would
-        self.gives_up = {}  # by request, when its client gives up
+        self.excess_ms = []  # how much longer than its client waits each worker was told that it would
+        self.client_deadlines = {}  # by request, when its client gives up
         calls = dispatcher.side.calls
         message, calls.request_for = calls.request_for, self.message
         self._message = message
@@ -32,65 +32,67 @@
         self.dispatcher.now += MAX_WRITE_DELAY_MS
         head = data.split(b"\r\n\r\n")[0].decode().lower()
         fields = dict(line.split(": ") for line in head.split("\r\n")[1:])
-        left = self.gives_up[fields["x-request-id"]] - self.dispatcher.now
-        self.sent.append(float(fields["x-deadline-ms"]) - left)
+        left = self.client_deadlines[fields["x-request-id"]] - self.dispatcher.now
+        self.excess_ms.append(float(fields["x-deadline-ms"]) - left)
         return data
 
     def client(self, path, id_, wait, **headers):
         """A client whose request was sent `READING` before the dispatcher reads it."""
-        self.gives_up[id_] = self.dispatcher.now - READING + wait
+        self.client_deadlines[id_] = self.dispatcher.now - READING_MS + wait
         client = Client(self.dispatcher)
         client.post(path=path, id_=id_, wait=wait, **headers)
         return client
 
 
-def slow_site(**more):
+def settings_with_long_deadlines(**more):
     return replace(
         SITE, classes=tuple(replace(cls, deadline_ms=5000.0) for cls in (SAFE, UNSAFE, KEYED)), **more
     )
 
 
 @pytest.mark.parametrize("wait", [1000, 400, 120])
-def test_a_first_attempt_is_told_no_more_than_its_client_has_left(wait):
+def test_first_attempt_announces_at_most_the_time_left_to_its_client(wait):
     """A dispatcher that was held up for all of the slack told its worker the time that reading took too."""
-    dispatcher = InMemoryDispatcher(slow_site(), workers=1)
-    delays = Delays(dispatcher)
+    dispatcher = InMemoryDispatcher(settings_with_long_deadlines(), workers=1)
+    delays = WriteDelays(dispatcher)
     delays.client("/safe/a", "r1", wait)
     dispatcher.dials[0].up()
-    assert len(delays.sent) == 1
-    assert delays.sent[0] <= SLACK
+    assert len(delays.excess_ms) == 1
+    assert delays.excess_ms[0] <= SLACK_MS
 
 
 @pytest.mark.parametrize("up_after", [0.0, 90.0])
-def test_a_retry_is_told_what_is_left_when_it_is_written(up_after):
-    dispatcher = InMemoryDispatcher(slow_site(), workers=2)
-    delays = Delays(dispatcher)
+def test_retry_announces_the_time_left_when_it_is_written(up_after):
+    dispatcher = InMemoryDispatcher(settings_with_long_deadlines(), workers=2)
+    delays = WriteDelays(dispatcher)
     delays.client("/safe/a", "r1", 2000)
     dispatcher.dials[0].up().status(503, X_Not_Run="1")
     [dial] = dispatcher.dials
     dispatcher.advance(up_after)
     dial.up()
-    assert len(delays.sent) == 2
-    assert max(delays.sent) <= SLACK
+    assert len(delays.excess_ms) == 2
+    assert max(delays.excess_ms) <= SLACK_MS
 
 
-def test_a_hedged_request_is_told_what_is_left_when_it_is_written():
-    dispatcher = InMemoryDispatcher(slow_site(hedging_allowed=True, progress_interval_ms=100.0), workers=2)
-    delays = Delays(dispatcher)
+def test_hedged_attempt_announces_the_time_left_when_it_is_written():
+    dispatcher = InMemoryDispatcher(
+        settings_with_long_deadlines(hedging_allowed=True, progress_interval_ms=100.0), workers=2
+    )
+    delays = WriteDelays(dispatcher)
     delays.client("/safe/a", "r1", 3000)
     first = dispatcher.dials[0].up()
     first.take()
     first.say({"id": "r1", "from": "w", "state": "started"})
-    while not dispatcher.dials and dispatcher.now < delays.gives_up["r1"]:
+    while not dispatcher.dials and dispatcher.now < delays.client_deadlines["r1"]:
         dispatcher.advance(20.0)
     dispatcher.dials[0].up()
     assert first.pipe.open
-    assert len(delays.sent) == 2
-    assert max(delays.sent) <= SLACK
+    assert len(delays.excess_ms) == 2
+    assert max(delays.excess_ms) <= SLACK_MS
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a", "/keyed/a"])
-def test_an_attempt_whose_time_is_over_once_its_connection_is_up_is_not_begun(path):
+def test_attempt_past_its_deadline_is_not_written_to_a_new_connection(path):
     """Its timer may be late by as much as the process was held up."""
     dispatcher = InMemoryDispatcher(workers=1)
     client = Client(dispatcher)
@@ -103,29 +105,29 @@
     assert [status for status, *_ in client.answers()] == [503], "and it is known never to have run"
 
 
-def keyed_site(scope=Scope.ALL):
-    cls = replace(KEYED, repeat_window_ms=WINDOW, scope=scope)
+def settings_with_repeat_window(scope=Scope.ALL):
+    cls = replace(KEYED, repeat_window_ms=REPEAT_WINDOW_MS, scope=scope)
     return replace(SITE, classes=(SAFE, UNSAFE, cls))
 
 
 def first_attempt_breaks(dispatcher):
     """A keyed request whose first attempt may have run; gives the client, and when that attempt was sent."""
     client = dispatcher.client(path="/keyed/a", Idempotency_Key="k")
-    sent = dispatcher.now
+    sent_at = dispatcher.now
     end = dispatcher.dials[0].up()
     end.take()
     end.pipe.break_off()
     dispatcher.settle()
-    return client, sent
+    return client, sent_at
 
 
 @pytest.mark.parametrize("late", [0.0, 2.0])
-def test_a_retry_that_comes_up_late_begins_in_the_window_though_it_is_held_up(late):
+def test_retry_on_a_late_connection_is_written_only_within_the_repeat_window(late):
     """It was looked at when the retry was decided, up to 0.1 s of dialling before."""
-    dispatcher = InMemoryDispatcher(keyed_site(), workers=2)
-    client, sent = first_attempt_breaks(dispatcher)
+    dispatcher = InMemoryDispatcher(settings_with_repeat_window(), workers=2)
+    client, sent_at = first_attempt_breaks(dispatcher)
     [dial] = dispatcher.dials
-    dispatcher.now = sent + WINDOW - MAX_WRITE_DELAY_MS - 1.0 + late
+    dispatcher.now = sent_at + REPEAT_WINDOW_MS - MAX_WRITE_DELAY_MS - 1.0 + late
     end = dial.up()
     assert bool(end.pipe.written) is (late == 0.0)
     if late:
@@ -133,11 +135,11 @@
         assert [status for status, *_ in client.answers()] == [503], "the class is safe to send anew"
 
 
-def test_a_retry_in_a_group_that_comes_up_after_the_window_fails():
-    dispatcher = InMemoryDispatcher(keyed_site(Scope.ZONE), workers=4)
-    client, sent = first_attempt_breaks(dispatcher)
+def test_zone_scoped_retry_after_the_repeat_window_fails():
+    dispatcher = InMemoryDispatcher(settings_with_repeat_window(Scope.ZONE), workers=4)
+    client, sent_at = first_attempt_breaks(dispatcher)
     [dial] = dispatcher.dials
-    dispatcher.now = sent + WINDOW - MAX_WRITE_DELAY_MS + 1.0
+    dispatcher.now = sent_at + REPEAT_WINDOW_MS - MAX_WRITE_DELAY_MS + 1.0
     end = dial.up()
     dispatcher.advance(20.0)
     assert not end.pipe.written
@@ -146,10 +148,13 @@
 
 @pytest.mark.parametrize(
     ("since", "again"),
-    [(WINDOW - MAX_WRITE_DELAY_MS - 5.0, True), (WINDOW - MAX_WRITE_DELAY_MS + 5.0, False)],
+    [
+        (REPEAT_WINDOW_MS - MAX_WRITE_DELAY_MS - 5.0, True),
+        (REPEAT_WINDOW_MS - MAX_WRITE_DELAY_MS + 5.0, False),
+    ],
 )
-def test_no_retry_is_decided_that_could_leave_after_its_window(since, again):
-    dispatcher = InMemoryDispatcher(keyed_site(), workers=2)
+def test_retry_that_could_leave_after_the_repeat_window_is_not_started(since, again):
+    dispatcher = InMemoryDispatcher(settings_with_repeat_window(), workers=2)
     client = dispatcher.client(path="/keyed/a", Idempotency_Key="k")
     end = dispatcher.dials[0].up()
     end.take()
@@ -164,7 +169,7 @@
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a", "/keyed/a"])
 @pytest.mark.parametrize("wait", [0, 1, 3, 4, 5, 20, 60])
 @pytest.mark.parametrize("worker", ["drops it", "hands it back", "never comes up"])
-def test_with_very_little_time_left_there_is_one_answer_in_time(path, wait, worker):
+def test_request_with_little_time_left_gets_one_answer_in_time(path, wait, worker):
     """Workers may drop such requests without a word."""
     dispatcher = InMemoryDispatcher(workers=2)
     client = Client(dispatcher)
@@ -188,10 +193,10 @@
 
     def __init__(self, harness):
         self.ours, self.theirs = socket.socketpair()
-        harness.loop.add_reader(self.theirs, self.heard)
+        harness.loop.add_reader(self.theirs, self.on_readable)
         self.harness = harness
 
-    def heard(self):
+    def on_readable(self):
         self.harness.loop.remove_reader(self.theirs)
         self.harness.dispatcher.tell((1, "DRAINING"))
 
@@ -217,9 +222,7 @@
 
 
 @pytest.mark.parametrize("first", ["request", "drain"])
-def test_a_drain_that_lies_in_its_socket_is_heard_before_a_request_that_lies_in_another_is_sent(
-    harness, first
-):
+def test_pending_drain_is_read_before_a_pending_request_is_sent(harness, first):
     client = SocketClient(harness)
     client.send(message("r0"))
     harness.turn(12)
@@ -235,21 +238,21 @@
     assert not harness.dispatcher.dials
 
 
-def test_a_drain_told_while_a_turn_is_held_up_is_kept_within_its_grace(harness):
+def test_drain_during_a_delayed_turn_is_obeyed_within_its_grace(harness):
     """The decision, the drain, 0.15 s, the write: that is the last one that the draining worker gets."""
     client = SocketClient(harness)
     client.send(message("r0"))
     harness.turn(12)
     harness.dispatcher.dials[0].up().finish()
     harness.turn(12)
-    dispatcher, told_at, sent_at = harness.dispatcher, [], []
+    dispatcher, drained_at, sent_at = harness.dispatcher, [], []
     handle = dispatcher.exchange.dispatcher.handle
 
     def held_up(now, events):
         actions = handle(now, events)
         if any(isinstance(action, StartAttempt) for action in actions):
             harness.discovery.tell()
-            told_at.append(dispatcher.now)
+            drained_at.append(dispatcher.now)
             dispatcher.now += MAX_WRITE_DELAY_MS
         return actions
 
@@ -261,6 +264,6 @@
         client.send(message(f"m{number}"))
         harness.turn(12)
     harness.pass_time(3000.0)
-    assert len(told_at) == 1
-    assert sent_at == [told_at[0] + MAX_WRITE_DELAY_MS]
+    assert len(drained_at) == 1
+    assert sent_at == [drained_at[0] + MAX_WRITE_DELAY_MS]
     assert SITE.drain_grace_ms > MAX_WRITE_DELAY_MS
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -22,14 +22,14 @@
 )
 from eiderfield.model.learned_state import KindSlots
 
-ONE = replace(BASE, dispatcher_count=1, load_report_fields=("inflight", "qps", "x0"))
+ONE_DISPATCHER = replace(BASE, dispatcher_count=1, load_report_fields=("inflight", "qps", "x0"))
 
 
 def sends(actions):
     return [action for action in actions if isinstance(action, StartAttempt)]
 
 
-def failing(site, cls):
+def node_with_failing_worker(site, cls):
     """Return a dispatcher whose worker 1 of two has failed requests until it counts as failing."""
     node = Node(site, workers=2)
     for _ in range(40):
@@ -49,22 +49,22 @@
 
 
 def test_failing_worker_is_used_only_while_no_other_is_free():
-    node = failing(BASE, 0)
+    node = node_with_failing_worker(BASE, 0)
     _, first = node.arrive(cls=0)
     assert [s.worker for s in sends(first)] == [2]
     _, second = node.arrive(cls=0)
     assert [s.worker for s in sends(second)] == [1], "its good answers are better than waiting"
 
 
-@pytest.mark.parametrize(("cls", "there"), [(0, True), (2, True), (1, False)])
-def test_unsafe_requests_are_kept_from_a_failing_worker(cls, there):
-    node = failing(replace(BASE, classes=(SAFE, UNSAFE, KEYED)), 0)
+@pytest.mark.parametrize(("cls", "is_allowed"), [(0, True), (2, True), (1, False)])
+def test_unsafe_requests_are_kept_from_a_failing_worker(cls, is_allowed):
+    node = node_with_failing_worker(replace(BASE, classes=(SAFE, UNSAFE, KEYED)), 0)
     assert [s.worker for s in sends(node.arrive(cls=cls)[1])] == [2]
-    assert bool(sends(node.arrive(cls=cls)[1])) is there
+    assert bool(sends(node.arrive(cls=cls)[1])) is is_allowed
 
 
 def test_failing_worker_is_ejected_and_tried_again_where_all_classes_are_unsafe():
-    node = failing(replace(BASE, classes=(UNSAFE,)), 0)
+    node = node_with_failing_worker(replace(BASE, classes=(UNSAFE,)), 0)
     node.arrive()
     assert not node.play()
     assert not sends(node.arrive()[1])
@@ -72,7 +72,7 @@
 
 
 def test_refused_connection_ejects_a_failing_worker():
-    node = failing(BASE, 0)
+    node = node_with_failing_worker(BASE, 0)
     node.arrive(cls=0)
     id_, actions = node.arrive(cls=0)
     assert [s.worker for s in sends(actions)] == [1]
@@ -80,15 +80,15 @@
     assert 1 in node.dispatcher.snapshot(node.now).avoided_workers
 
 
-@pytest.mark.parametrize(("ran", "again"), [(1.0, True), (600.0, False)])
-def test_error_costs_the_retry_budget_the_time_that_it_ran(ran, again):
+@pytest.mark.parametrize(("ran_ms", "is_retried"), [(1.0, True), (600.0, False)])
+def test_error_costs_the_retry_budget_the_time_that_it_ran(ran_ms, is_retried):
     node = Node(BASE)
     id_, actions = node.arrive(cls=0)
     worker = sends(actions)[0].worker
     node.play(AttemptProgressed(id_, 0, worker, ProgressKind.STARTED, 0.0))
     learn(node.dispatcher, retry_tokens=0.1)
-    ended = node.play(AttemptEnded(id_, 0, worker, Outcome.ERROR, ran, False), at=node.now + ran)
-    assert bool(sends(ended)) is again
+    ended = node.play(AttemptEnded(id_, 0, worker, Outcome.ERROR, ran_ms, False), at=node.now + ran_ms)
+    assert bool(sends(ended)) is is_retried
 
 
 def test_broken_connection_costs_the_retry_budget_a_whole_run():
@@ -121,7 +121,9 @@
 
 
 def test_request_of_several_slots_waits_at_a_worker_once_it_would_be_late():
-    node = node_with_slots(replace(ONE, classes=(replace(SAFE, late_weight=0.0),)), slots=2.0, workers=1)
+    node = node_with_slots(
+        replace(ONE_DISPATCHER, classes=(replace(SAFE, late_weight=0.0),)), slots=2.0, workers=1
+    )
     first, _ = node.arrive(cls=0)
     node.play(AttemptProgressed(first, 0, 1, ProgressKind.STARTED, 0.0))
     large, actions = node.arrive(cls=0, slots=2.0)
@@ -130,7 +132,7 @@
 
 
 def test_nothing_waits_at_a_worker_with_one_dispatcher_and_reports():
-    node = node_with_slots(ONE, slots=2.0, workers=1)
+    node = node_with_slots(ONE_DISPATCHER, slots=2.0, workers=1)
     for expected in (True, True, False):
         id_, actions = node.arrive(cls=0)
         assert bool(sends(actions)) is expected
@@ -139,7 +141,7 @@
 
 
 def test_one_request_may_wait_at_a_worker_without_reports():
-    node = node_with_slots(replace(ONE, load_report_fields=()), slots=1.0, workers=1)
+    node = node_with_slots(replace(ONE_DISPATCHER, load_report_fields=()), slots=1.0, workers=1)
     for expected in (True, True, False):  # the third finds the second waiting, and so the slots are known
         assert bool(sends(node.arrive(cls=0)[1])) is expected
         if expected:
@@ -148,8 +150,8 @@
 
 def test_peers_report_slots_and_respect_those_reported():
     site = replace(BASE, dispatcher_count=2, gossip_allowed=True)
-    told = [a for a in Node(site, workers=2).arrive(cls=0, slots=3.0)[1] if isinstance(a, SendPeerReport)]
-    assert told[0].data[-1] == 3
+    reports = [a for a in Node(site, workers=2).arrive(cls=0, slots=3.0)[1] if isinstance(a, SendPeerReport)]
+    assert reports[0].data[-1] == 3
     other = Node(replace(site, dispatcher_index=1), workers=1)
     other.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1),)))
     learn(other.dispatcher, slots=(KindSlots(0, 4.0),))
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -29,36 +29,36 @@
 from eiderfield.policy.slow_start import SlowStart
 
 
-def with_times(aim, **changes):
+def with_objective(objective_ms, **changes):
     classes = [
-        replace(cls, latency_objective_ms=aim, objective_stretch=0.0, **changes)
+        replace(cls, latency_objective_ms=objective_ms, objective_stretch=0.0, **changes)
         for cls in (SAFE, KEYED, UNSAFE)
     ]
     return replace(BASE, classes=tuple(classes))
 
 
 VARIANTS = {
-    "objective 20 ms": with_times(20.0),
-    "objective 60 s": with_times(60_000.0),
-    "window below the time that a process may be held up": with_times(
+    "objective 20 ms": with_objective(20.0),
+    "objective 60 s": with_objective(60_000.0),
+    "window below the time that a process may be held up": with_objective(
         300.0, repeat_window_ms=MAX_WRITE_DELAY_MS - 1.0
     ),
-    "window 5 min": with_times(300.0, repeat_window_ms=300_000.0),
+    "window 5 min": with_objective(300.0, repeat_window_ms=300_000.0),
     "warm-up 0.5 s": replace(BASE, slow_start_window_ms=500.0, slow_start_share=0.05),
     "warm-up 600 s": replace(BASE, slow_start_window_ms=600_000.0, slow_start_share=0.0),
     "fall 50 ms": replace(BASE, recovery_ramp_ms=50.0),
     "fall 60 s": replace(BASE, recovery_ramp_ms=60_000.0),
-    "200 dispatchers": replace(with_times(20.0), dispatcher_count=200, dispatcher_index=77),
-    "notes each 50 ms": replace(with_times(20.0), progress_interval_ms=50.0),
+    "200 dispatchers": replace(with_objective(20.0), dispatcher_count=200, dispatcher_index=77),
+    "notes each 50 ms": replace(with_objective(20.0), progress_interval_ms=50.0),
     "notes each 10 s, no cancel": replace(
-        with_times(60_000.0), progress_interval_ms=10_000.0, cancellation_allowed=False
+        with_objective(60_000.0), progress_interval_ms=10_000.0, cancellation_allowed=False
     ),
     "tick 20 ms": replace(BASE, clock_resolution_ms=20.0, answer_slack_ms=0.0),
 }
 
 
 @pytest.mark.parametrize("variant", VARIANTS)
-def test_rules_hold_under_drawn_events(variant):
+def test_rules_hold_under_random_events(variant):
     for seed in range(20):
         EventPlayer(VARIANTS[variant], random.Random(seed)).run(120)
 
@@ -71,19 +71,19 @@
 # Proof that the model's checks can fail.
 
 
-def test_the_model_finds_a_missing_answer(monkeypatch):
+def test_driven_fleet_detects_a_missing_answer(monkeypatch):
     monkeypatch.setattr(Dispatcher, "_expire", lambda _self, _now: None)
     with pytest.raises(RuleBrokenError, match="no answer"):
         CASES["no worker for 3 s, objective 20 ms"].play()
 
 
-def test_the_model_finds_too_much_sent_to_a_warming_worker(monkeypatch):
+def test_driven_fleet_detects_too_much_work_sent_to_a_warming_worker(monkeypatch):
     monkeypatch.setattr(SlowStart, "budget_left", lambda _self, _worker, _now: float("inf"))
     with pytest.raises(RuleBrokenError, match="warming worker"):
         CASES["one of two restarts, run 5 ms, warm-up 600 s"].play()
 
 
-def test_the_model_finds_an_attempt_at_a_draining_worker(monkeypatch):
+def test_driven_fleet_detects_an_attempt_at_a_draining_worker(monkeypatch):
     fleet = DrivenFleet(settings_of(SHORT), Load(4.0, 5.0))
     fleet.run(100.0)
     monkeypatch.setattr(fleet.nodes[0], "handle", lambda _now, _events: [StartAttempt(0, 1)])
@@ -101,7 +101,7 @@
 # Slow start.
 
 
-def test_a_warming_worker_gets_nothing_beyond_the_attempts_that_are_remembered(monkeypatch):
+def test_warming_worker_is_sent_no_more_requests_than_are_recorded(monkeypatch):
     monkeypatch.setattr(endpoint, "MAX_RECENT_SENDS", 8)
     monkeypatch.setattr(slow_start, "MAX_RECENT_SENDS", 8)
     settings = replace(
@@ -127,7 +127,7 @@
     assert 1 <= sent <= 8
 
 
-def test_a_warming_worker_without_a_window_is_no_fault():
+def test_warming_worker_without_a_ramp_window_is_sent_requests():
     node = Node(
         replace(BASE, slow_start_window_ms=1000.0, recovery_ramp_ms=0.0, dispatcher_count=200), workers=1
     )
@@ -139,8 +139,8 @@
 # Objectives, windows, deadlines.
 
 
-def test_an_objective_of_zero_is_no_fault():
-    node = Node(with_times(0.0, deadline_ms=200.0))
+def test_request_with_a_latency_objective_of_zero_is_served():
+    node = Node(with_objective(0.0, deadline_ms=200.0))
     id_, actions = node.arrive(due=200.0)
     worker = sends(actions)[0].worker
     node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=1.0)
@@ -149,9 +149,9 @@
 
 
 @pytest.mark.parametrize("window", [1.0, MAX_WRITE_DELAY_MS - 1.0, MAX_WRITE_DELAY_MS + 20.0, 300_000.0])
-def test_a_keyed_request_begins_no_attempt_near_the_end_of_its_window(window):
+def test_keyed_request_is_not_retried_near_the_end_of_its_repeat_window(window):
     for wait in (10.0, MAX_WRITE_DELAY_MS, 1000.0, 200_000.0):
-        node = Node(with_times(20.0, repeat_window_ms=window, deadline_ms=300_000.0), workers=4)
+        node = Node(with_objective(20.0, repeat_window_ms=window, deadline_ms=300_000.0), workers=4)
         id_, actions = node.arrive(cls=1, due=300_000.0)
         first = sends(actions)[0]
         node.now = wait
@@ -160,11 +160,11 @@
 
 
 @pytest.mark.parametrize("deadline", [1.0, 60.0, 200.0, 300_000.0])
-def test_a_worker_is_told_no_more_than_what_is_left_to_the_client(deadline):
+def test_announced_deadline_is_at_most_the_time_left_to_the_client(deadline):
     request = Request("id", 0, deadline, "/safe/1")
     head = attempt_request(request, 0.0).decode()
-    told = int(head.split("X-Deadline-Ms: ")[1].split("\r\n")[0])
-    assert 1 <= told <= max(1.0, deadline)
+    announced = int(head.split("X-Deadline-Ms: ")[1].split("\r\n")[0])
+    assert 1 <= announced <= max(1.0, deadline)
 
 
 # Times of the process.
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("sharers", [1, 200, 3200])
-def test_no_wait_between_calls_outlasts_what_counts_as_told(sharers):
+def test_waits_between_calls_leave_time_to_receive_a_list(sharers):
     backoff = Backoff(sharers, sharers - 1)
     now = 0.0
     for _ in range(50):
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("deadline", [0.0, 200.0, 1000.0, 3000.0, 300_000.0])
-def test_every_answer_comes_before_a_kill(deadline):
+def test_shutdown_answers_every_request_before_the_kill(deadline):
     times = ShutdownTimes.of(deadline)
     kill = min(deadline, MAX_DEADLINE_MS) + KILL_DELAY_MS
     assert 0.0 < times.close_listeners_after < times.disable_keep_alive_after < times.answered_after < kill
--- a/tests/test_idmap.py
+++ b/tests/test_idmap.py
@@ -7,7 +7,7 @@
 from eiderfield.idmap import IdMap, stable_number
 
 
-def test_the_platforms_names_stand_for_their_numbers():
+def test_platform_names_map_to_the_numbers_they_contain():
     """Two dispatchers, or the simulator, that number a worker differently would send a key to other homes."""
     assert IdMap().worker("s-1a82eb72") == 0x1A82EB72
     assert IdMap.key_number("7f3a9c21e0b4d655") == 0x7F3A9C21E0B4D655
@@ -18,11 +18,11 @@
 def test_other_names_get_the_same_number_in_every_process():
     script = "from eiderfield.idmap import stable_number; print(stable_number('node-1/w', 4))"
     root = Path(__file__).parent.parent
-    told = subprocess.check_output([sys.executable, "-c", script], cwd=root, text=True)
-    assert int(told) == stable_number("node-1/w", 4) < 1 << 32
+    output = subprocess.check_output([sys.executable, "-c", script], cwd=root, text=True)
+    assert int(output) == stable_number("node-1/w", 4) < 1 << 32
 
 
-def test_two_names_never_share_a_number():
+def test_colliding_names_get_different_numbers():
     ids = IdMap()
     assert ids.worker("s-0000002a") == 42
     assert ids.worker("0000002a") == 43
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -29,14 +29,14 @@
 
 
 def ignore_drains(real):
-    def listed(self, event, now):
+    def report_all_ready(self, event, now):
         ready = [replace(entry, state=EndpointState.READY) for entry in event.endpoints]
         real(self, replace(event, endpoints=tuple(ready)), now)
 
-    return listed
+    return report_all_ready
 
 
-BROKEN = {
+BROKEN_RULES = {
     "rule 1": ("plain", lambda m: m.setattr(Dispatcher, "_expire", lambda _self, _now: None)),
     "rule 2: unsafe": (
         "all unsafe",
@@ -84,10 +84,10 @@
 }
 
 
-@pytest.mark.parametrize("fault", BROKEN)
-def test_a_broken_dispatcher_is_caught(fault, monkeypatch):
-    variant, breaks = BROKEN[fault]
-    breaks(monkeypatch)
+@pytest.mark.parametrize("fault", BROKEN_RULES)
+def test_violated_rule_is_detected(fault, monkeypatch):
+    variant, break_rule = BROKEN_RULES[fault]
+    break_rule(monkeypatch)
 
     def run_seeds():
         for seed in range(400):
@@ -97,7 +97,7 @@
         run_seeds()
 
 
-def test_the_same_events_give_the_same_actions(monkeypatch):
+def test_same_seed_and_events_give_same_actions(monkeypatch):
     logs = []
     for _ in range(2):
         player = EventPlayer(VARIANTS["tenants"], random.Random(5))
--- a/tests/test_policy_boundaries.py
+++ b/tests/test_policy_boundaries.py
@@ -19,19 +19,19 @@
     assert len(FILES) >= 18
 
 
-def test_size(lines):
+def test_module_has_at_most_500_lines(lines):
     assert len([line for line in lines if line.strip()]) <= 500
 
 
-def test_line_length(lines):
+def test_lines_have_at_most_110_characters(lines):
     assert max(map(len, lines)) <= 110
 
 
-def test_names_the_interface_in_its_opening_lines():
+def test_dispatcher_module_names_the_interface_in_its_first_lines():
     assert any("eiderfield/interface.py" in line for line in DISPATCHER.read_text().splitlines()[:4])
 
 
-def test_reads_no_clock_and_does_no_io(lines):
+def test_module_reads_no_clock_and_does_no_io(lines):
     text = "\n".join(lines)
     for word in ("import time", "datetime", "import os", "import sys", "open(", "print(", "socket"):
         assert word not in text
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -25,7 +25,7 @@
 from eiderfield.policy.selection import NO_HOME_WARM_UP_SHARE
 
 
-def window(pacer, start, sent, fulls, waiting=False):
+def play_window(pacer, start, sent, fulls, waiting=False):
     for n in range(sent):
         pacer.count_send(start + n)
     pacer.accepted_in_window -= fulls
@@ -34,24 +34,24 @@
 
 def test_rate_is_reduced_by_the_contribution_formula_down_to_its_floor_and_raised_again():
     pacer = Pacer(0.3, 100.0)
-    window(pacer, 0.0, 40, 0)
+    play_window(pacer, 0.0, 40, 0)
     assert pacer.rate is None
-    window(pacer, 1000.0, 40, 10)  # D = R = 40/s, E = 30/s: 40 + (40/40)(30 - 40)
+    play_window(pacer, 1000.0, 40, 10)  # D = R = 40/s, E = 30/s: 40 + (40/40)(30 - 40)
     assert pacer.rate == pytest.approx(30.0)
-    window(pacer, 2000.0, 20, 10)  # D = 30, R = 20, E = 10: 30 + (30/20)(10 - 20)
+    play_window(pacer, 2000.0, 20, 10)  # D = 30, R = 20, E = 10: 30 + (30/20)(10 - 20)
     assert pacer.rate == pytest.approx(15.0)
-    window(pacer, 3000.0, 10, 10)  # all refused: the floor, 0.3 of 40
+    play_window(pacer, 3000.0, 10, 10)  # all refused: the floor, 0.3 of 40
     assert pacer.rate == pytest.approx(12.0)
-    window(pacer, 4000.0, 10, 0)  # clean: times 1.25
+    play_window(pacer, 4000.0, 10, 0)  # clean: times 1.25
     assert pacer.rate == pytest.approx(15.0)
     for at in range(5, 10):
-        window(pacer, at * 1000.0, 10, 0)
+        play_window(pacer, at * 1000.0, 10, 0)
     assert pacer.rate is None  # above 40 with nothing waiting: unpaced again
 
 
 def test_late_full_in_a_window_without_attempts_reduces_no_rate():
     pacer = Pacer(0.3, 100.0)
-    window(pacer, 0.0, 0, 3)
+    play_window(pacer, 0.0, 0, 3)
     assert pacer.rate is None
 
 
@@ -61,8 +61,8 @@
 
 
 def test_only_full_counts_as_not_accepted():
-    lost_by = {Outcome.FULL: 1, Outcome.TIMEOUT: 0, Outcome.CONNECT_FAILED: 0, Outcome.RESET: 0}
-    for outcome, lost in lost_by.items():
+    refused_by = {Outcome.FULL: 1, Outcome.TIMEOUT: 0, Outcome.CONNECT_FAILED: 0, Outcome.RESET: 0}
+    for outcome, lost in refused_by.items():
         node = Node()
         id_, actions = node.arrive(cls=1)
         pacer = node.dispatcher.pacers[1]
@@ -191,13 +191,13 @@
 
     tenants = (Tenant("a", 2.0, 1.0),)
     node = Node(replace(BASE, classes=(SAFE, UNSAFE), tenants=tenants, over_quota_weight=0.01), 0)
-    worths = []
+    weights = []
     for _ in range(4):
         id_, _ = node.arrive(cls=1)
         queue_id = node.dispatcher.requests[id_].queue_id
-        worths.append(node.dispatcher._queues.by_id[queue_id].weight)
+        weights.append(node.dispatcher._queues.by_id[queue_id].weight)
     full, reduced = UNSAFE.priority_weight, 0.01 * UNSAFE.priority_weight
-    assert worths == [full, full, reduced, reduced]  # a share of 2 a second, saved up for a second
+    assert weights == [full, full, reduced, reduced]  # a share of 2 a second, saved up for a second
 
 
 def test_grb_is_bounded_by_count():
@@ -208,7 +208,7 @@
     assert refused == [False] * (GRB_REQUESTS_PER_WORKER * 4) + [True]
 
 
-def sent_to(node, key, count):
+def workers_used(node, key, count):
     """The workers that took requests of one key, each ended at once."""
     used = set()
     for _ in range(count):
@@ -220,7 +220,7 @@
     return used
 
 
-def keyed(key):
+def request_with_key(key):
     pacer = Pacer(0.3, 100.0)
     queue_id = QueueId(class_index=1, tenant_index=0, over_quota=False)
     return QueuedRequest(0, key, 5000.0, 0.0, queue_id, pacer, UNSAFE, 100.0, 100.0, 5000.0, 5000.0)
@@ -230,23 +230,24 @@
     """Jobs waited for such homes while other workers were idle."""
     node = Node(workers=6)
     node.now = 1.0
-    first, second = (w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), node.now))
+    first, second = (w.entry.worker for w in node.dispatcher._selector.homes(request_with_key(101), node.now))
     workers = node.dispatcher.workers
     workers[first].consecutive_fulls, workers[first].full_until = 2, 500.0
     workers[second].ejections = 1
-    homes = {w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), node.now)}
+    homes = {w.entry.worker for w in node.dispatcher._selector.homes(request_with_key(101), node.now)}
     assert len(homes) == 2
     assert not homes & {first, second}
-    assert first in {w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), 600.0)}
+    assert first in {w.entry.worker for w in node.dispatcher._selector.homes(request_with_key(101), 600.0)}
 
 
 def test_rare_key_has_the_same_two_homes_at_every_dispatcher():
     first, second = Node(workers=8, seed=1), Node(workers=8, seed=2)
     for node in (first, second):
         for key in range(100, 140):
-            sent_to(node, key, 1)
+            workers_used(node, key, 1)
     homes = [
-        [w.entry.worker for w in n.dispatcher._selector.homes(keyed(101), n.now)] for n in (first, second)
+        [w.entry.worker for w in n.dispatcher._selector.homes(request_with_key(101), n.now)]
+        for n in (first, second)
     ]
     assert homes[0] == homes[1]
     assert len(homes[0]) == 2
@@ -255,7 +256,7 @@
 def test_frequent_key_has_as_many_homes_as_its_share_needs():
     """Incident ia7713c: two homes for a key that fills more than two workers."""
     node = Node(workers=8)
-    assert len(sent_to(node, 7, 60)) > 2  # all the traffic: every worker
+    assert len(workers_used(node, 7, 60)) > 2  # all the traffic: every worker
 
 
 def test_worker_in_its_first_warm_up_is_no_home():
@@ -268,28 +269,28 @@
         )
     )
     for key in range(1, 20):
-        assert sent_to(node, key, 1) <= {1, 2, 3, 4}
-        assert sent_to(node, key, 1)
+        assert workers_used(node, key, 1) <= {1, 2, 3, 4}
+        assert workers_used(node, key, 1)
 
 
 def test_key_counts_are_bounded(monkeypatch):
     monkeypatch.setattr("eiderfield.policy.affinity.MAX_COUNTED_REQUESTS", 50)
     node = Node(workers=2)
     for key in range(1, 300):
-        sent_to(node, key, 1)
+        workers_used(node, key, 1)
     assert len(node.dispatcher._key_counts.by_key) <= 50
     assert len(node.dispatcher._fleet.key_orders) <= 51
 
 
-def late_site():
+def settings_with_late_requests():
     return replace(BASE, classes=(replace(SAFE, late_weight=0.0, objective_stretch=0.0), UNSAFE))
 
 
 def test_late_request_is_released_after_those_in_time():
     """On overloaded days requests went in their order, so that each made the next one late as well."""
-    node = Node(late_site(), workers=1)
+    node = Node(settings_with_late_requests(), workers=1)
     node.arrive()
-    late = [node.arrive()[0] for _ in range(3)]
+    late_requests = [node.arrive()[0] for _ in range(3)]
     node.now = 400.0  # past their aim of 300 ms
     fresh, _ = node.arrive()
     order = []
@@ -300,17 +301,17 @@
         worker.full_until = 0.0
         actions += node.end(id_, attempt, 1, Outcome.OK, final=True)
         order += [s.request_id for s in sends(actions)]
-    assert order == [fresh, *late], "and what is late is sent all the same once nothing else waits"
+    assert order == [fresh, *late_requests], "and what is late is sent all the same once nothing else waits"
 
 
 def test_late_request_is_shed_first_unless_late_answers_are_useful():
-    node = Node(late_site(), workers=1)
+    node = Node(settings_with_late_requests(), workers=1)
     node.arrive(cls=1)
-    late = [node.arrive()[0] for _ in range(3)]
+    late_requests = [node.arrive()[0] for _ in range(3)]
     node.play(at=400.0)
     node.play(at=401.0)
     actions = [a for _ in range(40) for a in node.arrive(cls=1)[1]]
-    assert [a.request_id for a in actions if isinstance(a, RejectRequest)][:3] == late[::-1]
+    assert [a.request_id for a in actions if isinstance(a, RejectRequest)][:3] == late_requests[::-1]
     node = Node(replace(BASE, classes=(SAFE, UNSAFE)), workers=1)
     node.arrive()
     node.arrive()
@@ -351,7 +352,7 @@
             EndpointListKind.DELTA, 2, tuple(Endpoint(w, ready_at=started) for w in range(5, 30))
         )
     )
-    assert all(sent_to(node, key, 1) for key in range(1, 20))
+    assert all(workers_used(node, key, 1) for key in range(1, 20))
 
 
 def test_attempts_of_the_other_process_count_in_selection_and_slow_start():
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -19,7 +19,7 @@
 )
 
 
-def kinds(actions):
+def action_types(actions):
     return [type(a) for a in actions]
 
 
@@ -35,13 +35,13 @@
     _, actions = node.arrive(cls=1, due=100.0)
     assert len(sends(actions)) == 1
     actions = node.play(at=97.0)
-    assert FailRequest in kinds(actions)
-    assert RejectRequest not in kinds(actions)
-    assert CancelAttempt in kinds(actions)
+    assert FailRequest in action_types(actions)
+    assert RejectRequest not in action_types(actions)
+    assert CancelAttempt in action_types(actions)
 
 
 def test_unsafe_request_is_retried_only_if_it_never_ran():
-    for outcome, again in (
+    for outcome, is_retried in (
         (Outcome.FULL, True),
         (Outcome.CONNECT_FAILED, True),
         (Outcome.RESET, False),
@@ -52,26 +52,26 @@
         node = Node()
         id_, actions = node.arrive(cls=1)
         actions = node.end(id_, 0, sends(actions)[0].worker, outcome)
-        assert bool(sends(actions)) is again, outcome
-        assert (FailRequest in kinds(actions)) is not again, outcome
-        assert RejectRequest not in kinds(actions)
+        assert bool(sends(actions)) is is_retried, outcome
+        assert (FailRequest in action_types(actions)) is not is_retried, outcome
+        assert RejectRequest not in action_types(actions)
 
 
 def test_keyed_request_that_may_have_run_is_retried_in_its_cell_and_window_only():
     keyed = replace(KEYED, scope=Scope.CELL)
-    for workers, later, again in ((4, 10.0, True), (2, 10.0, False), (4, 2500.0, False)):
+    for workers, elapsed, is_retried in ((4, 10.0, True), (2, 10.0, False), (4, 2500.0, False)):
         node = Node(replace(BASE, classes=(keyed,)), workers=workers)
         id_, actions = node.arrive()
         first = sends(actions)[0].worker
-        node.now = later
+        node.now = elapsed
         actions = node.end(id_, 0, first, Outcome.RESET)
         got = sends(actions)
-        assert bool(got) is again
-        if again:
+        assert bool(got) is is_retried
+        if is_retried:
             assert got[0].worker % 2 == first % 2
             assert got[0].worker != first
         else:  # its only group member is under suspicion: held; its window is over: failed
-            assert (FailRequest in kinds(actions)) is (later > keyed.repeat_window_ms)
+            assert (FailRequest in action_types(actions)) is (elapsed > keyed.repeat_window_ms)
 
 
 def test_draining_worker_is_sent_nothing(node):
@@ -94,7 +94,7 @@
     worker = sends(actions)[0].worker
     actions = node.play(AttemptEnded(id_, 0, worker, Outcome.RESET, 5.0, False), ClientDisconnected(id_))
     assert not sends(actions)
-    assert FailRequest not in kinds(actions)
+    assert FailRequest not in action_types(actions)
 
 
 def test_outcome_after_the_final_answer_changes_nothing(node):
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -27,7 +27,7 @@
 PROBING = replace(
     BASE, workers_report_start=False, probing_allowed=True, load_report_fields=("x0",), dispatcher_count=40
 )
-SITES = {
+SETTINGS = {
     **VARIANTS,
     "reports and probes": PROBING,
     "peers": replace(BASE, gossip_allowed=True, dispatcher_count=6, progress_interval_ms=40.0),
@@ -63,7 +63,7 @@
 FLEETS = {"4x12": (4, 12), "12x24": (12, 24)}  # dispatchers, workers
 
 
-def record(digest, dispatcher, number=0):
+def record_actions(digest, dispatcher, number=0):
     """Feeds each action of a dispatcher to a digest."""
     real = dispatcher.handle
 
@@ -82,8 +82,8 @@
     """The digest of the actions under drawn events."""
     digest = hashlib.sha256()
     for seed in range(6):
-        player = EventPlayer(SITES[variant], random.Random(seed))
-        record(digest, player.node)
+        player = EventPlayer(SETTINGS[variant], random.Random(seed))
+        record_actions(digest, player.node)
         player.run(250)
     return digest.hexdigest()[:16]
 
@@ -94,7 +94,7 @@
     nodes, workers = FLEETS[size]
     digest, fleet = hashlib.sha256(), SimulatedFleet(nodes, workers, load=0.9)
     for number, dispatcher in enumerate(fleet.nodes):
-        record(digest, dispatcher, number)
+        record_actions(digest, dispatcher, number)
     fleet.run(3000.0)
     fleet.fall_silent([1, 2])
     fleet.run(6000.0)
@@ -104,8 +104,8 @@
 
 
 @pytest.mark.parametrize("revision", RECORDED)
-@pytest.mark.parametrize("variant", SITES)
-def test_decisions_under_drawn_events_are_those_recorded(revision, variant):
+@pytest.mark.parametrize("variant", SETTINGS)
+def test_decisions_under_random_events_are_those_recorded(revision, variant):
     assert digest_of_events(variant) == RECORDED[revision]["events"][variant]
 
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         ("TEXT active=7, rps=2, x0=0.61", (7.0, 2.0, 0.61)),
         ("TEXT x0=3", (NAN, NAN, 3.0)),
@@ -35,12 +35,12 @@
         ("TEXT", ()),
     ],
 )
-def test_from_text_returns_the_figures(text, told):
-    assert repr(from_text(text, FIELDS)) == repr(told)
+def test_from_text_returns_the_figures(text, expected):
+    assert repr(from_text(text, FIELDS)) == repr(expected)
 
 
 @pytest.mark.parametrize(
-    ("found", "told"),
+    ("parsed", "expected"),
     [
         ({"active": 1, "rps": 2.5, "x0": 3}, (1.0, 2.5, 3.0)),
         ({"x0": True, "rps": "2"}, ()),
@@ -49,31 +49,31 @@
         (None, ()),
     ],
 )
-def test_from_object_returns_the_figures(found, told):
-    assert repr(from_object(found, FIELDS)) == repr(told)
+def test_from_object_returns_the_figures(parsed, expected):
+    assert repr(from_object(parsed, FIELDS)) == repr(expected)
 
 
 @hypothesis_settings(derandomize=True, database=None, deadline=None)
 @given(st.binary(max_size=200))
-def test_from_body_of_any_other_body_returns_no_report(body):
+def test_from_body_of_random_bytes_returns_only_valid_figures(body):
     for value in from_body(body, FIELDS):
         assert math.isnan(value) or 0.0 <= value <= 1e6
 
 
-def told(monkeypatch, how):
+def received_load_reports(monkeypatch, respond):
     """The load report that the policy receives with the end of an attempt."""
     loads = []
     real = Dispatcher._attempt_ended
 
-    def heard(module, event, now):
+    def record_load_report(module, event, now):
         loads.append(event.load_report)
         return real(module, event, now)
 
-    monkeypatch.setattr(Dispatcher, "_attempt_ended", heard)
+    monkeypatch.setattr(Dispatcher, "_attempt_ended", record_load_report)
     dispatcher = InMemoryDispatcher(DEPLOYMENTS["admissions"])
     dispatcher.client(path="/safe")
     end = dispatcher.dials[0].up()
-    how(end, end.take()[0])
+    respond(end, end.take()[0])
     return loads
 
 
@@ -82,16 +82,20 @@
     for state in ("done", "failed", "returned", "lost"):
         more = {"result": "r"} if state == "done" else {}
         line = {"from": "w", "state": state, "load": load, **more}
-        heard = told(monkeypatch, lambda end, id_, line=line: end.say({"id": id_, **line}, end=True))
-        assert heard[0] == (2, 1, 3)
+        received = received_load_reports(
+            monkeypatch, lambda end, id_, line=line: end.say({"id": id_, **line}, end=True)
+        )
+        assert received[0] == (2, 1, 3)
     text = "TEXT active=2, rps=1, x0=3"
-    heard = told(monkeypatch, lambda end, _id: end.status(503, X_Not_Run="1", X_Load=text))
-    assert heard[0] == (2, 1, 3)
+    received = received_load_reports(
+        monkeypatch, lambda end, _id: end.status(503, X_Not_Run="1", X_Load=text)
+    )
+    assert received[0] == (2, 1, 3)
 
 
 def test_malformed_load_report_leaves_its_response_valid(monkeypatch):
     line = {"from": "w", "state": "done", "result": "r", "load": {"x0": "all"}}
-    assert told(monkeypatch, lambda end, id_: end.say({"id": id_, **line}, end=True)) == [()]
+    assert received_load_reports(monkeypatch, lambda end, id_: end.say({"id": id_, **line}, end=True)) == [()]
 
 
 def ended(node, id_, worker, load, outcome=Outcome.OK):
@@ -113,7 +117,7 @@
     assert not sends(node.arrive()[1]), "it said 'full' a moment ago"
 
 
-def test_restarted_worker_is_judged_without_old_reports_and_faults():
+def test_restarted_worker_loses_old_reports_and_errors():
     node = Node(replace(BASE, load_report_fields=FIELDS, slow_start_window_ms=0.0), workers=1)
     worker = node.dispatcher.workers[1]
     node.now = 100.0
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -32,21 +32,23 @@
 from eiderfield.policy.outlier_detection import SHORT_WAIT_DURATIONS
 
 FLEET = tuple(Endpoint(w, zone=w % 2, kind=w // 2 % 2) for w in range(1, 41))
-TALKING = replace(BASE, dispatcher_count=3, gossip_allowed=True)
-SILENT = replace(
+GOSSIPING = replace(BASE, dispatcher_count=3, gossip_allowed=True)
+PROBING = replace(
     BASE, workers_report_start=False, probing_allowed=True, load_report_fields=("x0",), dispatcher_count=8
 )
 
 
-def part(me, balancers, fleet=FLEET, **more):
-    node = Node(replace(BASE, dispatcher_index=me, dispatcher_count=balancers, **more), workers=0)
+def create_node(own_index, dispatcher_count, fleet=FLEET, **more):
+    node = Node(
+        replace(BASE, dispatcher_index=own_index, dispatcher_count=dispatcher_count, **more), workers=0
+    )
     node.play(EndpointsUpdated(EndpointListKind.FULL, 2, fleet))
     return node
 
 
 def test_subsets_of_many_dispatchers_share_the_fleet_evenly():
     """Each of 152 dispatchers sent to all of 207 workers and learned of none (antigua-reparto-later)."""
-    nodes = [part(me, 40) for me in range(40)]
+    nodes = [create_node(own_index, 40) for own_index in range(40)]
     used = Counter(w.entry.worker for n in nodes for w in n.dispatcher.subset)
     assert set(used.values()) == {4}
     assert len(used) == 40
@@ -56,23 +58,23 @@
         assert max(zones.values()) == 1
 
 
-def test_dispatcher_leaves_its_subset_only_for_retries_bound_elsewhere():
-    node = part(3, 40)
-    mine = {w.entry.worker for w in node.dispatcher.subset}
+def test_requests_without_keys_are_sent_only_to_the_subset():
+    node = create_node(3, 40)
+    subset_workers = {w.entry.worker for w in node.dispatcher.subset}
     for _ in range(4):
         id_, actions = node.arrive()
         (sent,) = sends(actions)
-        assert sent.worker in mine
+        assert sent.worker in subset_workers
         node.play(AttemptProgressed(id_, 0, sent.worker, 1, 0.0))
 
 
-@pytest.mark.parametrize(("balancers", "fleet"), [(3, FLEET), (40, FLEET[:5])])
-def test_fleet_of_few_dispatchers_or_workers_is_one_group(balancers, fleet):
-    assert len(part(0, balancers, fleet).dispatcher.subset) == len(fleet)
+@pytest.mark.parametrize(("dispatcher_count", "fleet"), [(3, FLEET), (40, FLEET[:5])])
+def test_fleet_of_few_dispatchers_or_workers_is_one_group(dispatcher_count, fleet):
+    assert len(create_node(0, dispatcher_count, fleet).dispatcher.subset) == len(fleet)
 
 
 def test_keyed_requests_have_homes_in_the_whole_fleet():
-    node = part(3, 40)
+    node = create_node(3, 40)
     used = set()
     for key in range(1, 60):
         id_, actions = node.arrive(affinity_key=key)
@@ -91,7 +93,7 @@
 
 
 def test_slots_are_reported_to_every_peer_as_requests_start_and_end():
-    node = Node(TALKING, workers=1)
+    node = Node(GOSSIPING, workers=1)
     id_, actions = node.arrive()
     told = [a for a in actions if isinstance(a, SendPeerReport)]
     assert [a.peer for a in told] == [1, 2]
@@ -104,7 +106,7 @@
 
 def test_peers_are_dropped_when_the_fleet_becomes_one_group():
     """The list of peers outlived the part that it was made for."""
-    node = part(0, 40, gossip_allowed=True)
+    node = create_node(0, 40, gossip_allowed=True)
     assert len(node.dispatcher.peers) == 9
     node.play(EndpointsUpdated(EndpointListKind.FULL, 3, FLEET[:4]))
     assert len(node.dispatcher.subset) == 4
@@ -112,13 +114,13 @@
 
 
 def test_nothing_is_reported_where_gossip_is_not_allowed():
-    node = Node(replace(TALKING, gossip_allowed=False), workers=1)
+    node = Node(replace(GOSSIPING, gossip_allowed=False), workers=1)
     assert not [a for a in node.arrive()[1] if isinstance(a, SendPeerReport)]
 
 
 def test_worker_full_of_peers_requests_is_chosen_last_and_then_not_at_all():
     """A dispatcher that sees a sixth of a worker's queue took it for idle (xela-reparto-later)."""
-    node = Node(TALKING, workers=3)
+    node = Node(GOSSIPING, workers=3)
     node.play(PeerReportReceived(1, encode_peer_report([(1, 2), (2, 2)])))
     assert sends(node.arrive()[1])[0].worker == 3
     node.play(PeerReportReceived(2, encode_peer_report([(1, 1), (2, 1)])))
@@ -129,7 +131,7 @@
 
 def test_peer_report_expires():
     """Otherwise a dispatcher that is lost with its zone would keep workers full for ever."""
-    node = Node(TALKING, workers=1)
+    node = Node(GOSSIPING, workers=1)
     node.play(PeerReportReceived(1, encode_peer_report([(1, 3)])))
     assert not sends(node.arrive()[1])
     assert sends(node.play(TimerFired(0), at=2100.0))
@@ -139,7 +141,7 @@
     "data", [b"", b"\x01", b"\x01\x00\x00\x00", encode_peer_report([(99, 1)]), b"\xff" * 256]
 )
 def test_malformed_peer_report_changes_nothing(data):
-    node = Node(TALKING, workers=2)
+    node = Node(GOSSIPING, workers=2)
     node.play(PeerReportReceived(7, data))
     assert sends(node.arrive()[1])
 
@@ -150,19 +152,19 @@
     assert next(iter(decode_peer_report(data))) == (0, 255)
 
 
-def silent(**more):
+def create_probing_node(**more):
     """Return one of eight dispatchers without gossip, and the four of eight workers in its subset."""
-    node = Node(replace(SILENT, **more), workers=8)
+    node = Node(replace(PROBING, **more), workers=8)
     return node, [w.entry.worker for w in node.dispatcher.subset]
 
 
 def test_request_waits_for_probes_and_goes_where_a_slot_is_free():
     """antigua-reparto-later: without starts nothing else shows that a worker's slots are taken."""
-    node, mine = silent()
+    node, subset_workers = create_probing_node()
     _, actions = node.arrive()
     probed = [a.worker for a in actions if isinstance(a, ProbeWorker)]
     assert len(set(probed)) == 3
-    assert set(probed) < set(mine)
+    assert set(probed) < set(subset_workers)
     assert not sends(actions)
     assert not sends(node.play(ProbeCompleted(probed[0], Outcome.OK, 1.0, (0.0,)), at=2.0))
     got = node.play(ProbeCompleted(probed[1], Outcome.OK, 1.0, (1.0,)), at=3.0)
@@ -170,7 +172,7 @@
 
 
 def test_unanswered_probes_delay_a_request_for_a_short_time_only():
-    node, _ = silent()
+    node, _ = create_probing_node()
     node.arrive()
     assert not sends(node.play(TimerFired(0), at=11.0))  # the fourth of the part is asked
     assert len(sends(node.play(TimerFired(0), at=22.0))) == 1
@@ -180,17 +182,17 @@
     "more", [{"workers_report_start": True}, {"probing_allowed": False}, {"dispatcher_count": 3}]
 )
 def test_no_probes_where_starts_are_reported_or_probes_not_allowed_or_dispatchers_few(more):
-    node, _ = silent(**more)
+    node, _ = create_probing_node(**more)
     _, actions = node.arrive()
     assert len(sends(actions)) == 1
     assert not [a for a in actions if isinstance(a, ProbeWorker)]
 
 
 def test_fresh_report_makes_probes_unnecessary():
-    node, mine = silent()
-    node.play(ProbeCompleted(mine[2], Outcome.OK, 1.0, (2.0,)))
+    node, subset_workers = create_probing_node()
+    node.play(ProbeCompleted(subset_workers[2], Outcome.OK, 1.0, (2.0,)))
     _, actions = node.arrive()
-    assert [a.worker for a in actions if isinstance(a, StartAttempt | ProbeWorker)] == [mine[2]]
+    assert [a.worker for a in actions if isinstance(a, StartAttempt | ProbeWorker)] == [subset_workers[2]]
 
 
 def test_rate_per_warm_worker_is_bounded_when_most_of_a_subset_is_warming():
@@ -203,13 +205,16 @@
     assert node.dispatcher._slow_start.rate_per_warm_worker == pytest.approx(2.0)
 
 
-def cold_day(nodes, rate, work):
+def play_slow_start(nodes, rate, work):
     """Play dispatchers that together serve `rate` requests per second on ten workers, one started at 60 s.
 
     Returns the most that was sent to that one in a window, and all that was, as shares of what rule 4 allows.
     """
     settings = replace(BASE, classes=(SAFE,), dispatcher_count=nodes)
-    many = [Node(replace(settings, dispatcher_index=me), workers=10, seed=me) for me in range(nodes)]
+    many = [
+        Node(replace(settings, dispatcher_index=own_index), workers=10, seed=own_index)
+        for own_index in range(nodes)
+    ]
     each = rate * work / 1000.0 / nodes  # what one node has served in a ms
     for node in many:
         learn(node.dispatcher, served_rate=each, served_at=60_000.0)
@@ -244,30 +249,30 @@
 
     Six in ten workers had been replaced; the new ones were idle until the end of their slow start.
     """
-    worst, used = cold_day(nodes, rate, work)
+    worst, used = play_slow_start(nodes, rate, work)
     assert worst <= 1.0, (worst, used)
     assert used >= 0.4, (worst, used)
 
 
 def test_slow_start_budget_that_covers_a_request_is_used_first():
     """Dispatchers whose threshold allowed a request sent it elsewhere; half of the new workers were idle."""
-    node = Node(CROWD, workers=8)
+    node = Node(MANY_DISPATCHERS_SETTINGS, workers=8)
     dispatcher, node.now = node.dispatcher, 60_000.0
     learn(dispatcher, served_rate=100.0, served_at=node.now)
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=node.now - 4000.0),)))
     drawn = dispatcher.workers[3].budget_threshold
     learn(dispatcher, key_counts=(KeyCount(7, 100),))  # a hot key: all workers are its homes
     assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [3], drawn
-    few = Node(replace(CROWD, dispatcher_count=MANY_DISPATCHERS), workers=8)
+    few = Node(replace(MANY_DISPATCHERS_SETTINGS, dispatcher_count=MANY_DISPATCHERS), workers=8)
     learn(few.dispatcher, served_rate=100.0, served_at=60_000.0)
     few.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=56_000.0),)), at=60_000.0)
     assert {send.worker for _ in range(7) for send in sends(few.arrive(affinity_key=7)[1])} > {3}
 
 
-CROWD = replace(BASE, dispatcher_count=40, hedging_allowed=False, zone_count=4)
+MANY_DISPATCHERS_SETTINGS = replace(BASE, dispatcher_count=40, hedging_allowed=False, zone_count=4)
 
 
-def waiting(settings=CROWD, cls=0, workers=8, **more):
+def node_with_waiting_request(settings=MANY_DISPATCHERS_SETTINGS, cls=0, workers=8, **more):
     """Return a dispatcher with one request that waits at a worker, the request's id, and that worker."""
     node = Node(settings, workers=workers)
     id_, actions = node.arrive(cls=cls, affinity_key=7, **more)
@@ -283,10 +288,10 @@
 
     Each of forty dispatchers sees a fortieth of a worker's queue.
     """
-    node, id_, worker = waiting()
-    patience = SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms
-    assert not cancels(node.play(TimerFired(0), at=patience - 2.0))
-    assert cancels(node.play(TimerFired(0), at=patience + 2.0)) == [CancelAttempt(id_, 0)]
+    node, id_, worker = node_with_waiting_request()
+    short_wait = SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms
+    assert not cancels(node.play(TimerFired(0), at=short_wait - 2.0))
+    assert cancels(node.play(TimerFired(0), at=short_wait + 2.0)) == [CancelAttempt(id_, 0)]
     again = sends(node.end(id_, 0, worker, Outcome.CANCELLED))
     assert [send.request_id for send in again] == [id_]
     assert again[0].worker != worker
@@ -296,13 +301,15 @@
 
 
 def test_request_that_does_not_start_soon_is_not_moved_with_few_dispatchers():
-    node, _, _ = waiting(replace(CROWD, dispatcher_count=MANY_DISPATCHERS))
+    node, _, _ = node_with_waiting_request(
+        replace(MANY_DISPATCHERS_SETTINGS, dispatcher_count=MANY_DISPATCHERS)
+    )
     assert not cancels(node.play(TimerFired(0), at=2.0 * SAFE.latency_objective_ms))
 
 
 def test_request_is_not_moved_while_all_queues_are_long():
     """While new workers loaded their data, each request moved from queue to queue, four attempts each."""
-    node, id_, worker = waiting()
+    node, id_, worker = node_with_waiting_request()
     node.dispatcher._outliers.mean_wait_ms = 400.0
     assert not cancels(node.play(TimerFired(0), at=395.0))
     assert cancels(node.play(TimerFired(0), at=405.0)) == [CancelAttempt(id_, 0)]
@@ -320,7 +327,7 @@
 def test_pause_after_a_wait_is_bounded_with_many_dispatchers():
     """One node of forty sees two slots at most where there are six, and left the worker to the others so long
     that requests went where their data was not."""
-    node, id_, worker = waiting()
+    node, id_, worker = node_with_waiting_request()
     node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=50.0)
     assert node.dispatcher.workers[worker].full_until == 50.0 + MAX_PAUSE_PER_WAIT * 50.0
 
@@ -328,8 +335,8 @@
 def test_key_has_fewer_homes_with_many_dispatchers():
     """Requests that are cancelled where they wait need fewer homes, and find their data more often."""
     homes = []
-    for balancers in (MANY_DISPATCHERS, 40):
-        node = Node(replace(CROWD, dispatcher_count=balancers), workers=40)
+    for dispatcher_count in (MANY_DISPATCHERS, 40):
+        node = Node(replace(MANY_DISPATCHERS_SETTINGS, dispatcher_count=dispatcher_count), workers=40)
         learn(node.dispatcher, key_counts=(KeyCount(1, 800), KeyCount(2, 200)))
         id_, _ = node.arrive(affinity_key=2)
         request = node.dispatcher.requests[id_]
@@ -338,29 +345,29 @@
     assert homes[0] > homes[1] >= 10, homes
 
 
-def test_worker_that_refuses_a_connection_at_its_limit_pauses_and_is_not_ejected():
+def test_worker_that_refuses_one_connection_is_used_again_after_a_pause():
     """Forty dispatchers fill a worker's table of connections; the next dial fails though it serves."""
-    node, id_, worker = waiting()
+    node, id_, worker = node_with_waiting_request()
     [again] = sends(node.end(id_, 0, worker, Outcome.CONNECT_FAILED))
     assert again.worker != worker, "the request goes elsewhere at once"
     node.end(id_, 1, again.worker, Outcome.OK, final=True)
-    full = node.dispatcher.workers[worker]
-    assert not node.dispatcher._selector.is_free(full, node.now + 400.0)
-    assert node.dispatcher._selector.is_free(full, node.now + 600.0)
+    refusing = node.dispatcher.workers[worker]
+    assert not node.dispatcher._selector.is_free(refusing, node.now + 400.0)
+    assert node.dispatcher._selector.is_free(refusing, node.now + 600.0)
     node.now += 600.0
     for _ in range(40):  # a trial comes, and its answer makes an end of the matter
         for send in sends(node.arrive(affinity_key=7)[1]):
             node.end(send.request_id, 0, send.worker, Outcome.OK, final=True)
-    assert full.ejections == 0
+    assert refusing.ejections == 0
     assert worker not in node.dispatcher.snapshot(node.now).avoided_workers
 
 
 def test_cancelled_unstarted_attempt_costs_no_retry_tokens():
-    node, id_, worker = waiting()
+    node, id_, worker = node_with_waiting_request()
     learn(node.dispatcher, retry_tokens=0.0)
     node.play(TimerFired(0), at=SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms + 2.0)
     assert sends(node.end(id_, 0, worker, Outcome.CANCELLED)), "it costs no work, and so no budget"
-    node, id_, worker = waiting()
+    node, id_, worker = node_with_waiting_request()
     learn(node.dispatcher, retry_tokens=0.0)
     node.play(AttemptProgressed(id_, 0, worker, 1, 0.0), at=10.0)
     assert not sends(node.end(id_, 0, worker, Outcome.RESET))
@@ -368,8 +375,8 @@
 
 def test_keyed_retry_without_home_in_its_group_goes_to_another_worker_of_the_group():
     """Cancelled requests waited for homes in other zones until their clients gave up."""
-    zonal = replace(CROWD.classes[2], scope=Scope.ZONE, repeat_window_ms=20_000.0)
-    node = Node(replace(CROWD, classes=(SAFE, zonal)), workers=30)
+    zonal = replace(MANY_DISPATCHERS_SETTINGS.classes[2], scope=Scope.ZONE, repeat_window_ms=20_000.0)
+    node = Node(replace(MANY_DISPATCHERS_SETTINGS, classes=(SAFE, zonal)), workers=30)
     learn(node.dispatcher, key_counts=(KeyCount(1, 1000),))  # beside which the others are rare
     for key in range(2, 20):
         id_, actions = node.arrive(cls=1, affinity_key=key)
@@ -396,7 +403,9 @@
     assert sends(node.arrive()[1])
 
 
-FULL = replace(CROWD, dispatcher_count=200, classes=(replace(SAFE, late_weight=0.0),))
+WITHOUT_LATE_WEIGHT = replace(
+    MANY_DISPATCHERS_SETTINGS, dispatcher_count=200, classes=(replace(SAFE, late_weight=0.0),)
+)
 
 
 def test_few_requests_do_not_make_rare_keys_frequent_with_many_dispatchers():
@@ -404,7 +413,7 @@
 
     Counted with itself, the first request of a key made 4% of the 25 that each of 218 dispatchers had seen.
     """
-    dispatcher = (node := Node(FULL, workers=150)).dispatcher
+    dispatcher = (node := Node(WITHOUT_LATE_WEIGHT, workers=150)).dispatcher
     requests = []
     for key in range(1, 26):
         id_, actions = node.arrive(affinity_key=key)
@@ -417,25 +426,25 @@
 
 def test_share_of_a_key_estimated_by_many_dispatchers_is_right_on_average():
     """A frequent key keeps the homes that it needs, with dispatchers that saw twenty requests each."""
-    guesses = []
-    for me in range(200):
-        node = Node(replace(FULL, dispatcher_index=me), workers=2, seed=me)
+    estimates = []
+    for own_index in range(200):
+        node = Node(replace(WITHOUT_LATE_WEIGHT, dispatcher_index=own_index), workers=2, seed=own_index)
         for turn in range(20):
-            key = 1 if stable_hash(me, turn) % 10 < 2 else 1000 + turn  # a fifth of all
+            key = 1 if stable_hash(own_index, turn) % 10 < 2 else 1000 + turn  # a fifth of all
             node.dispatcher._key_counts.by_key[key] += 1
             node.dispatcher._key_counts.total += 1
         seen = node.dispatcher._key_counts.by_key
-        guesses += [(seen[key] - 1) / 19.0 for key in seen.elements() if key == 1]
-    assert len(guesses) / 4000.0 == pytest.approx(0.2, abs=0.02)
-    assert sum(guesses) / len(guesses) == pytest.approx(0.2, abs=0.03)
+        estimates += [(seen[key] - 1) / 19.0 for key in seen.elements() if key == 1]
+    assert len(estimates) / 4000.0 == pytest.approx(0.2, abs=0.02)
+    assert sum(estimates) / len(estimates) == pytest.approx(0.2, abs=0.03)
 
 
-def test_each_wait_of_a_request_is_twice_the_last():
+def test_wait_of_each_further_attempt_is_doubled():
     """278 of 900 rejected requests had used their five attempts in under a second (split+mass).
 
     Four of them were cancelled after 0.06 s each, so that one refused connection was the end.
     """
-    node, id_, _ = waiting(FULL)
+    node, id_, _ = node_with_waiting_request(WITHOUT_LATE_WEIGHT)
     soon = SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms
     for number in range(3):
         node.dispatcher._key_counts.by_key[7] = node.dispatcher._key_counts.total = (
@@ -448,9 +457,9 @@
         assert [s.request_id for s in sends(node.end(id_, number, 0, Outcome.CANCELLED))] == [id_]
 
 
-def crowded(settings=FULL, **more):
+def node_with_long_queues(settings=WITHOUT_LATE_WEIGHT, **more):
     """Return a dispatcher that has seen long queues at all workers, and a request that waits at one."""
-    node, id_, _ = waiting(settings, **more)
+    node, id_, _ = node_with_waiting_request(settings, **more)
     node.dispatcher._outliers.mean_wait_ms = 2.0 * SAFE.latency_objective_ms
     return node, id_
 
@@ -460,7 +469,7 @@
 
     For 15 s after a burst, at half its load, 85% of what was served was late.
     """
-    node, id_ = crowded()
+    node, id_ = node_with_long_queues()
     timely = node.dispatcher.requests[id_].latest_useful_start
     assert cancels(node.play(TimerFired(0), at=timely + 1.0)) == [CancelAttempt(id_, 0)], (
         "before the queued mean is over"
@@ -472,11 +481,11 @@
 
 def test_late_request_is_kept_where_queues_are_short_or_dispatchers_few_or_late_answers_useful():
     for settings, queued in (
-        (FULL, 0.0),
-        (replace(FULL, dispatcher_count=MANY_DISPATCHERS), 600.0),
-        (CROWD, 600.0),
+        (WITHOUT_LATE_WEIGHT, 0.0),
+        (replace(WITHOUT_LATE_WEIGHT, dispatcher_count=MANY_DISPATCHERS), 600.0),
+        (MANY_DISPATCHERS_SETTINGS, 600.0),
     ):
-        node, id_, worker = waiting(settings)
+        node, id_, worker = node_with_waiting_request(settings)
         dispatcher = node.dispatcher
         dispatcher._outliers.mean_wait_ms = queued
         for number, wait in enumerate((5.0, 5.0)):
@@ -490,7 +499,7 @@
 
 def test_client_retry_counts_its_objective_from_the_first_try():
     """Refused requests came back with what was left of 5 s and were taken to be in time for another aim."""
-    node = Node(FULL, workers=8)
+    node = Node(WITHOUT_LATE_WEIGHT, workers=8)
     first, _ = node.arrive(due=5000.0)
     again, _ = node.arrive(due=4400.0, is_client_retry=True)
     requests = node.dispatcher.requests
@@ -502,8 +511,8 @@
 def test_key_is_counted_with_the_request_itself_with_few_dispatchers():
     """Without it, an overloaded day of four dispatchers fell from 0.84 to 0.77 in the simulator."""
     homes = []
-    for balancers in (MANY_DISPATCHERS, MANY_DISPATCHERS + 1):
-        node = Node(replace(FULL, dispatcher_count=balancers), workers=12)
+    for dispatcher_count in (MANY_DISPATCHERS, MANY_DISPATCHERS + 1):
+        node = Node(replace(WITHOUT_LATE_WEIGHT, dispatcher_count=dispatcher_count), workers=12)
         id_, _ = node.arrive(affinity_key=7)
         request = node.dispatcher.requests[id_]
         request.attempts.clear()
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -21,15 +21,15 @@
     whole fleet had served lately was divided by the few that were still warm."""
     fleet = SimulatedFleet(nodes, workers, load=0.9)
     fleet.run(5000.0)
-    new = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[part]
-    cold = replaced(fleet, range(1, new + 1))
+    replaced_count = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[part]
+    replacements = replace_workers(fleet, range(1, replaced_count + 1))
     fleet.run(14_000.0)
-    worst = max(fleet.worst(worker, 14_000.0) for worker in cold)
+    worst = max(fleet.worst(worker, 14_000.0) for worker in replacements)
     assert not fleet.broken, fleet.broken[:3]
     print(nodes, workers, part, round(worst, 2))
     assert worst <= 1.0
-    assert max(fleet.slow_start_use(worker, 14_000.0) for worker in cold) <= 1.0
-    assert fleet.sent_to(cold, 0.0) > 20 * new, "and they are not starved"
+    assert max(fleet.slow_start_use(worker, 14_000.0) for worker in replacements) <= 1.0
+    assert fleet.sent_to(replacements, 0.0) > 20 * replaced_count, "and they are not starved"
 
 
 @pytest.mark.parametrize("part", ["one", "third", "six in ten"])
@@ -38,21 +38,21 @@
     """Requests cost 0.25 to 2.5 of the mean; a tenth of the dispatchers have five times the traffic."""
     fleet = SimulatedFleet(nodes, workers, load=0.9, traffic=uneven, costs=MIXED)
     fleet.run(4000.0)
-    new = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[part]
-    warming = replaced(fleet, range(1, new + 1))
+    replaced_count = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[part]
+    warming = replace_workers(fleet, range(1, replaced_count + 1))
     fleet.run(9000.0)
     used = max(fleet.slow_start_use(worker, 9000.0) for worker in warming)
     print(nodes, workers, part, round(used, 2))
     assert not fleet.broken, fleet.broken[:3]
     assert used <= 1.0
-    assert fleet.sent_to(warming, 0.0) > 10 * new, "and they are not starved"
+    assert fleet.sent_to(warming, 0.0) > 10 * replaced_count, "and they are not starved"
 
 
 @pytest.mark.parametrize("traffic", [even, uneven])
 @pytest.mark.parametrize(("nodes", "workers"), [(1, 8), (20, 24), (40, 24)])
 def test_a_returning_zone_stays_within_the_slow_start_budget_with_mixed_costs(nodes, workers, traffic):
     fleet = SimulatedFleet(nodes, workers, load=0.65, traffic=traffic, costs=MIXED)
-    zone = lost_zone_returns(fleet)
+    zone = return_lost_zone(fleet)
     fleet.run(14_000.0)
     used = max(fleet.slow_start_use(worker, 14_000.0) for worker in zone)
     print(nodes, workers, traffic.__name__, round(used, 2))
@@ -67,7 +67,7 @@
     assert slow_start_budget(0.33) == pytest.approx(15.46875 + 3.0 * 15.46875**0.5 + 3.0)
 
 
-def lost_zone_returns(fleet):
+def return_lost_zone(fleet):
     """A zone falls silent, is told to be gone and comes back to warm up; its workers."""
     fleet.run(4000.0)
     zone = [worker for worker, simulated in fleet.simulated_workers.items() if simulated.entry.zone == 2]
@@ -87,13 +87,13 @@
     return zone
 
 
-def replaced(fleet, workers):
+def replace_workers(fleet, workers):
     """Replace workers by newly started ones; return the numbers of the new ones."""
     places = [fleet.simulated_workers[worker].entry for worker in workers]
     gone = [replace(entry, state=EndpointState.GONE) for entry in places]
-    cold = [replace(entry, worker=1000 + entry.worker, ready_at=fleet.now) for entry in places]
-    fleet.change(*gone, *cold)
-    return [entry.worker for entry in cold]
+    replacements = [replace(entry, worker=1000 + entry.worker, ready_at=fleet.now) for entry in places]
+    fleet.change(*gone, *replacements)
+    return [entry.worker for entry in replacements]
 
 
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
 def test_zone_that_returns_after_a_loss_is_not_overloaded(nodes, workers):
     fleet = SimulatedFleet(nodes, workers, load=0.65)
-    zone = lost_zone_returns(fleet)
+    zone = return_lost_zone(fleet)
     fleet.run(18_000.0)
     assert not fleet.broken, fleet.broken[:3]
     assert max(fleet.worst(worker, 18_000.0) for worker in zone) <= 1.0
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -25,43 +25,45 @@
 from eiderfield.policy.slow_start import SlowStart
 from eiderfield.policy.subsetting import AFFINITY_SUBSET_SIZE, DISPATCHERS_PER_WORKER, MIN_SUBSET_SIZE
 
-SITE = replace(BASE, hedging_allowed=False, zone_count=4)
+SETTINGS = replace(BASE, hedging_allowed=False, zone_count=4)
 
 
-def fleet(size):
+def endpoints_of(size):
     return [Endpoint(1 + number, zone=number % 4, kind=number // 4 % 2) for number in range(size)]
 
 
-def node_of(size, me=0, dispatchers=None, has_affinity=True, entries=None):
+def create_node(size, own_index=0, dispatchers=None, has_affinity=True, entries=None):
     """A dispatcher that knows a fleet and, if it is keyed, has seen a request with a key."""
-    node = Node(replace(SITE, dispatcher_count=dispatchers or size, dispatcher_index=me), workers=0)
-    node.play(EndpointsUpdated(EndpointListKind.FULL, 1, tuple(entries or fleet(size))))
+    node = Node(
+        replace(SETTINGS, dispatcher_count=dispatchers or size, dispatcher_index=own_index), workers=0
+    )
+    node.play(EndpointsUpdated(EndpointListKind.FULL, 1, tuple(entries or endpoints_of(size))))
     if has_affinity:
-        serve(node, affinity_key=1)
+        serve_request(node, affinity_key=1)
     return node
 
 
-def serve(node, **more):
+def serve_request(node, **more):
     id_, actions = node.arrive(**more)
     for send in sends(actions):
         node.play(AttemptEnded(id_, 0, send.worker, Outcome.OK, 10.0, True))
     return [send.worker for send in sends(actions)]
 
 
-def members(node):
+def subset_numbers(node):
     return {worker.entry.worker for worker in node.dispatcher.subset}
 
 
 @pytest.fixture
-def examined(monkeypatch):
+def examined_workers(monkeypatch):
     """Counts how often a worker is looked at: asked whether it is free, hashed for a key, or for a group."""
     count = Counter()
 
-    def counted(owner, name, weigh):
+    def count_calls(owner, name, amount):
         real = getattr(owner, name)
 
         def call(*args):
-            count[name] += weigh(args)
+            count[name] += amount(args)
             return real(*args)
 
         monkeypatch.setattr(owner, name, call)
@@ -72,15 +74,15 @@
         (Fleet, "is_usable"),
         (SlowStart, "capacity_share"),
     ):
-        counted(owner, name, lambda _args: 1)
-    counted(affinity, "stable_hash", lambda _args: 1)
-    counted(subsetting, "stable_hash", lambda _args: 1)
-    counted(affinity, "stable_hashes_up_to", lambda args: len(args[1]))
-    counted(subsetting, "place_of", lambda _args: 1)
+        count_calls(owner, name, lambda _args: 1)
+    count_calls(affinity, "stable_hash", lambda _args: 1)
+    count_calls(subsetting, "stable_hash", lambda _args: 1)
+    count_calls(affinity, "stable_hashes_up_to", lambda args: len(args[1]))
+    count_calls(subsetting, "place_of", lambda _args: 1)
     return count
 
 
-def cost(count, calls, times=50):
+def max_counts(count, calls, times=50):
     """The most that one call costs of each count."""
     most = Counter()
     for number in range(times):
@@ -92,54 +94,60 @@
 
 @pytest.mark.parametrize("size", [200, 3200])
 @pytest.mark.parametrize("has_affinity", [False, True])
-def test_list_change_costs_no_walk_over_the_fleet(size, has_affinity, examined):
+def test_list_change_costs_no_walk_over_the_fleet(size, has_affinity, examined_workers):
     """22 ms for each change at 3,200 workers, 1.5 ms at 200: all was compared and sorted anew."""
-    node = node_of(size, has_affinity=has_affinity)
+    node = create_node(size, has_affinity=has_affinity)
 
     def change(number):
         old, new = Endpoint(1 + number, zone=number % 4, kind=number // 4 % 2), Endpoint(10_000 + number)
         node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(old, state=EndpointState.GONE), new)))
 
-    most = cost(examined, change)
+    most = max_counts(examined_workers, change)
     assert most.total() <= 20 + subsetting.MAX_DONOR_GROUPS * (MIN_SUBSET_SIZE + 1), most
 
 
 @pytest.mark.parametrize("size", [200, 3200])
-def test_request_of_a_known_key_costs_no_walk_over_the_fleet(size, examined):
-    node = node_of(size)
+def test_request_of_a_known_key_costs_no_walk_over_the_fleet(size, examined_workers):
+    node = create_node(size)
     for key in range(100, 1100):
-        serve(node, affinity_key=key)
-    assert cost(examined, lambda number: serve(node, affinity_key=100 + number)).total() <= 40
+        serve_request(node, affinity_key=key)
+    assert (
+        max_counts(examined_workers, lambda number: serve_request(node, affinity_key=100 + number)).total()
+        <= 40
+    )
 
 
 @pytest.mark.parametrize(("dispatchers", "size"), [(200, 200), (3200, 3200), (200, 3200)])
-def test_request_of_a_new_key_hashes_a_subset_once(dispatchers, size, examined):
-    node = node_of(size, dispatchers=dispatchers)
+def test_request_of_a_new_key_hashes_a_subset_once(dispatchers, size, examined_workers):
+    node = create_node(size, dispatchers=dispatchers)
     for key in range(100, 1100):
-        serve(node, affinity_key=key)
-    most = cost(examined, lambda number: serve(node, affinity_key=2000 + number))
+        serve_request(node, affinity_key=key)
+    most = max_counts(examined_workers, lambda number: serve_request(node, affinity_key=2000 + number))
     assert most["stable_hashes_up_to"] <= AFFINITY_SUBSET_SIZE * 1.1
     assert (most - Counter(stable_hashes_up_to=size)).total() <= 40, most
 
 
 @pytest.mark.parametrize("has_affinity", [False, True])
-def test_request_without_a_key_considers_a_bounded_number_of_workers(has_affinity, examined):
+def test_request_without_a_key_considers_a_bounded_number_of_workers(has_affinity, examined_workers):
     """Also where one dispatcher has the whole fleet to itself."""
-    node = node_of(3200, dispatchers=1, has_affinity=has_affinity)
-    assert cost(examined, lambda _number: serve(node)).total() <= 3 * MAX_CANDIDATES
+    node = create_node(3200, dispatchers=1, has_affinity=has_affinity)
+    assert max_counts(examined_workers, lambda _number: serve_request(node)).total() <= 3 * MAX_CANDIDATES
 
 
-def test_frequent_key_considers_a_bounded_number_of_its_homes(examined):
-    node = node_of(3200, dispatchers=1)
-    assert cost(examined, lambda _number: serve(node, affinity_key=1)).total() <= 6 * MAX_CANDIDATES
+def test_frequent_key_considers_a_bounded_number_of_its_homes(examined_workers):
+    node = create_node(3200, dispatchers=1)
+    assert (
+        max_counts(examined_workers, lambda _number: serve_request(node, affinity_key=1)).total()
+        <= 6 * MAX_CANDIDATES
+    )
 
 
 @pytest.mark.parametrize("size", [200, 3200])
-def test_waiting_requests_cost_no_walk_over_the_fleet(size, examined):
+def test_waiting_requests_cost_no_walk_over_the_fleet(size, examined_workers):
     """The next wake-up was sought, and silence looked for, over all workers in each turn."""
-    node = node_of(size)
+    node = create_node(size)
     for key in range(100, 1100):
-        serve(node, affinity_key=key)
+        serve_request(node, affinity_key=key)
     busy, _ = node.arrive(affinity_key=7)
     for worker in node.dispatcher._fleet.key_orders.first_workers(7, 20)[0]:
         worker.full_until = 1e9
@@ -150,7 +158,7 @@
     def wake(number):
         node.play(at=100.0 + number)
 
-    assert cost(examined, wake).total() <= 40 * len(waiting)
+    assert max_counts(examined_workers, wake).total() <= 40 * len(waiting)
 
 
 # Subsets.
@@ -163,20 +171,20 @@
     if has_affinity:
         size, dispatchers = 1600, 16
     nodes = [
-        node_of(size, me, dispatchers, has_affinity)
-        for me in range(0, dispatchers, max(1, dispatchers // 100))
+        create_node(size, own_index, dispatchers, has_affinity)
+        for own_index in range(0, dispatchers, max(1, dispatchers // 100))
     ]
     rng = random.Random(1)
-    entries = {entry.worker: entry for entry in fleet(size)}
+    entries = {entry.worker: entry for entry in endpoints_of(size)}
     for number in range(20):
-        before = [members(node) for node in nodes]
+        before = [subset_numbers(node) for node in nodes]
         gone = entries.pop(rng.choice(sorted(entries)))
         new = replace(gone, worker=10_000 + number)
         entries[new.worker] = new
-        for news in ((replace(gone, state=EndpointState.GONE),), (new,)):
+        for updates in ((replace(gone, state=EndpointState.GONE),), (new,)):
             for node in nodes:
-                node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, news))
-            after = [members(node) for node in nodes]
+                node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, updates))
+            after = [subset_numbers(node) for node in nodes]
             changed = [old ^ now for old, now in zip(before, after, strict=True) if old != now]
             moved = set().union(*changed)
             own = {gone.worker, new.worker}
@@ -190,31 +198,31 @@
 
 def test_small_subsets_stay_even_and_cover_the_fleet_through_changes():
     size, rng = 120, random.Random(2)
-    nodes = [node_of(size, me, size, has_affinity=False) for me in range(size)]
-    entries = {entry.worker: entry for entry in fleet(size)}
+    nodes = [create_node(size, own_index, size, has_affinity=False) for own_index in range(size)]
+    entries = {entry.worker: entry for entry in endpoints_of(size)}
     for number in range(60):
-        news = []
+        updates = []
         for _ in range(2):
             gone = entries.pop(rng.choice(sorted(entries)))
-            news.append(replace(gone, state=EndpointState.GONE))
+            updates.append(replace(gone, state=EndpointState.GONE))
         if number % 4:
-            news += [replace(gone, worker=1000 + 2 * number + more) for more in range(2)]
-        entries.update((entry.worker, entry) for entry in news if entry.state == EndpointState.READY)
+            updates += [replace(gone, worker=1000 + 2 * number + more) for more in range(2)]
+        entries.update((entry.worker, entry) for entry in updates if entry.state == EndpointState.READY)
         for node in nodes:
-            node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, tuple(news)))
-        sizes = Counter(len(members(node)) for node in nodes)
+            node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, tuple(updates)))
+        sizes = Counter(len(subset_numbers(node)) for node in nodes)
         assert max(sizes) - min(sizes) <= 1, sizes
-        sharers = Counter(worker for node in nodes for worker in members(node))
-        assert set(sharers) == set(entries)
-        assert min(sharers.values()) >= DISPATCHERS_PER_WORKER
-        assert max(sharers.values()) <= 2 * DISPATCHERS_PER_WORKER
+        dispatchers_per_worker = Counter(worker for node in nodes for worker in subset_numbers(node))
+        assert set(dispatchers_per_worker) == set(entries)
+        assert min(dispatchers_per_worker.values()) >= DISPATCHERS_PER_WORKER
+        assert max(dispatchers_per_worker.values()) <= 2 * DISPATCHERS_PER_WORKER
     assert min(sizes) >= MIN_SUBSET_SIZE - 1
 
 
 def test_small_subsets_keep_a_mix_of_zones_and_kinds():
     size, rng = 160, random.Random(3)
-    nodes = [node_of(size, me, size, has_affinity=False) for me in range(0, size, 4)]
-    entries = {entry.worker: entry for entry in fleet(size)}
+    nodes = [create_node(size, own_index, size, has_affinity=False) for own_index in range(0, size, 4)]
+    entries = {entry.worker: entry for entry in endpoints_of(size)}
     for number in range(80):
         gone = entries.pop(rng.choice(sorted(entries)))
         new = replace(gone, worker=1000 + number)
@@ -229,15 +237,16 @@
 
 @pytest.mark.parametrize(("dispatchers", "size"), [(200, 3200), (3200, 3200)])
 def test_large_subsets_cover_the_fleet_evenly_by_zone_and_kind(dispatchers, size):
-    groups = node_of(size, 0, dispatchers).dispatcher.group_count
+    groups = create_node(size, 0, dispatchers).dispatcher.group_count
     group_of = {
-        me: subsetting.group_of_dispatcher(me, dispatchers, groups, True) for me in range(dispatchers)
+        own_index: subsetting.group_of_dispatcher(own_index, dispatchers, groups, True)
+        for own_index in range(dispatchers)
     }
-    sharers = Counter(group_of.values())
-    assert max(sharers.values()) - min(sharers.values()) <= 3
-    one_of_each = {group: me for me, group in group_of.items()}
-    nodes = [node_of(size, me, dispatchers) for me in one_of_each.values()]
-    assert sorted(worker for node in nodes for worker in members(node)) == list(range(1, size + 1))
+    dispatchers_per_worker = Counter(group_of.values())
+    assert max(dispatchers_per_worker.values()) - min(dispatchers_per_worker.values()) <= 3
+    one_of_each = {group: own_index for own_index, group in group_of.items()}
+    nodes = [create_node(size, own_index, dispatchers) for own_index in one_of_each.values()]
+    assert sorted(worker for node in nodes for worker in subset_numbers(node)) == list(range(1, size + 1))
     for node in nodes:
         subset = node.dispatcher.subset
         assert 0.9 * size / groups <= len(subset) <= 1.1 * size / groups
@@ -248,24 +257,27 @@
 
 
 @pytest.mark.parametrize("zones", [3, 4, 5])
-def test_the_dispatchers_of_one_zone_still_serve_every_part_of_a_large_fleet(zones):
+def test_dispatchers_of_one_zone_serve_every_group_of_a_large_fleet(zones):
     """Were a zone's dispatchers all of one group, the loss of the zone would leave its workers idle."""
-    groups = node_of(3200, 0, 200).dispatcher.group_count
-    seen = {subsetting.group_of_dispatcher(me, 200, groups, has_affinity=True) for me in range(0, 200, zones)}
+    groups = create_node(3200, 0, 200).dispatcher.group_count
+    seen = {
+        subsetting.group_of_dispatcher(own_index, 200, groups, has_affinity=True)
+        for own_index in range(0, 200, zones)
+    }
     assert groups > 1
     assert seen == set(range(groups))
 
 
 @pytest.mark.parametrize(("dispatchers", "size"), [(4, 12), (200, 200), (40, 60), (200, 400), (3, 3200)])
-def test_fleets_of_the_usual_size_and_of_few_dispatchers_are_not_split_for_keys(dispatchers, size):
-    assert len(members(node_of(size, 0, dispatchers))) == size
+def test_small_fleet_or_few_dispatchers_with_affinity_use_one_group(dispatchers, size):
+    assert len(subset_numbers(create_node(size, 0, dispatchers))) == size
 
 
 def test_large_fleet_of_varying_size_is_not_repartitioned():
     """Where the number of groups changes, all homes of keys do."""
-    node = node_of(3200, 0, 3200)
+    node = create_node(3200, 0, 3200)
     groups = node.dispatcher.group_count
-    entries = fleet(3200)
+    entries = endpoints_of(3200)
     for away in (600, 1200):
         node.play(EndpointsUpdated(EndpointListKind.FULL, 2, tuple(entries[away:])))
         assert node.dispatcher.group_count == groups
@@ -277,16 +289,16 @@
 
 
 def test_all_dispatchers_of_a_group_find_the_same_homes_after_any_history():
-    old, rng = node_of(3200, 0, 3200), random.Random(4)
-    entries = {entry.worker: entry for entry in fleet(3200)}
+    old, rng = create_node(3200, 0, 3200), random.Random(4)
+    entries = {entry.worker: entry for entry in endpoints_of(3200)}
     for number in range(300):
         gone = entries.pop(rng.choice(sorted(entries)))
         new = replace(gone, worker=10_000 + number)
         entries[new.worker] = new
         old.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(gone, state=EndpointState.GONE), new)))
-        serve(old, affinity_key=rng.randrange(1, 400))
-    young = node_of(3200, 0, 3200, entries=list(entries.values()))
-    assert members(old) == members(young)
+        serve_request(old, affinity_key=rng.randrange(1, 400))
+    young = create_node(3200, 0, 3200, entries=list(entries.values()))
+    assert subset_numbers(old) == subset_numbers(young)
     for key in range(1, 400):
         homes = [node.dispatcher._fleet.key_orders.first_workers(key, 4)[0][:4] for node in (old, young)]
         assert [w.entry.worker for w in homes[0]] == [w.entry.worker for w in homes[1]]
@@ -317,7 +329,9 @@
     """A cell may have no other worker in this dispatcher's subset."""
     cellular = replace(KEYED, scope=Scope.CELL, repeat_window_ms=20_000.0)
     entries = [Endpoint(1 + n, zone=n % 4, cell=n // 2) for n in range(3200)]
-    node = Node(replace(SITE, classes=(SAFE, cellular), dispatcher_count=3200, dispatcher_index=3), workers=0)
+    node = Node(
+        replace(SETTINGS, classes=(SAFE, cellular), dispatcher_count=3200, dispatcher_index=3), workers=0
+    )
     node.play(EndpointsUpdated(EndpointListKind.FULL, 1, tuple(entries)))
     for key in (5, 6, 7, 8):
         id_, actions = node.arrive(cls=1, affinity_key=key if has_affinity else 0)
