--- a/eiderfield/adapter.py
+++ b/eiderfield/adapter.py
@@ -1,4 +1,8 @@
-"""Hosts many dispatchers on the simulator's wire: batches on standard input, replies on standard output."""
+"""Runs many dispatchers for the simulator.
+
+Reads batches of events from standard input and writes one reply to each to standard output, in the format of
+`eiderfield.wire`.
+"""
 
 from __future__ import annotations
 
@@ -15,22 +19,22 @@
 
 
 class Host:
-    """Dispatchers of one process, by node. They share the decoder and nothing else."""
+    """The dispatchers of one process, by node number. They share only the decoder."""
 
     def __init__(self) -> None:
-        """Start without any dispatcher."""
+        """Create a host without dispatchers."""
         self._decoder = Decoder()
         self._dispatchers: dict[int, Dispatcher] = {}
 
     def handle_batch(self, now: float, body: bytes, count: int) -> bytes:
         """Pass the events of a batch to their dispatchers; return the reply frame.
 
-        A failure of one dispatcher is reported in the reply and ends this dispatcher alone.
+        A dispatcher that fails is removed and reported in the reply; the others continue.
 
         Args:
             now: The clock of the batch, in ms.
             body: The frame without its header.
-            count: The number of its records.
+            count: The number of records in the frame.
 
         Raises:
             WireError: The frame is malformed.
@@ -39,7 +43,7 @@
         events_by_node: dict[int, list[Event]] = {}
         for node, record in self._decoder.records(body, count):
             if isinstance(record, Create | Retire):
-                events_by_node.pop(node, None)  # a node that was killed no longer replies
+                events_by_node.pop(node, None)  # a removed dispatcher does not reply to earlier events
                 self._dispatchers.pop(node, None)
                 if isinstance(record, Create):
                     replies += self._create(node, record)
@@ -50,7 +54,7 @@
         return encode_reply(replies)
 
     def _create(self, node: int, record: Create) -> list[bytes]:
-        """Create a dispatcher; return what this adds to the reply."""
+        """Create a dispatcher; return the records for the reply: one for a failure, else none."""
         try:
             self._dispatchers[node] = Dispatcher(parse_settings(record.text), record.seed)
         except SettingsError as error:
@@ -61,7 +65,7 @@
         return []
 
     def _handle_events(self, node: int, now: float, events: list[Event]) -> list[bytes]:
-        """Return the actions of a dispatcher as records, none if there is no such dispatcher."""
+        """Pass events to a dispatcher; return its actions as records, none if there is no such dispatcher."""
         dispatcher = self._dispatchers.get(node)
         if dispatcher is None:
             return []
@@ -74,7 +78,7 @@
 
 
 def read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """Read `size` bytes, fewer only at the end of the input."""
+    """Read `size` bytes, or fewer at the end of the input."""
     data = stream.read(size)
     while len(data) < size:
         chunk = stream.read(size - len(data))
@@ -105,7 +109,7 @@
 
 
 def main() -> int:
-    """Run the adapter; return 0 at the end of input, 1 after one line on a malformed frame."""
+    """Run the adapter; return 0 at the end of input, 1 after reporting a malformed frame in one line."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/eiderfield/idmap.py
+++ b/eiderfield/idmap.py
@@ -1,4 +1,4 @@
-"""Map between outside names and the numbers that the policy uses."""
+"""Maps names of workers, zones, machine kinds, cells and routing keys to the numbers that the policy uses."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 def stable_number(text: str, size: int) -> int:
-    """Return a number of `size` bytes, the same for a text in every process, and never 0 (none).
+    """Return a number of `size` bytes that is the same for a text in every process, and never 0.
 
-    A text that ends in a hexadecimal number of this size, as the platform's names and keys do, maps to
-    that number: keys then have the same home workers as in the simulator, and the two can be compared.
+    The number 0 stands for none. A text that ends in a hexadecimal number of this size, as the platform's
+    names and keys do, maps to that number: keys then have the same home workers as in the simulator, whose
+    results can be compared.
     """
     digits = text[-2 * size :]
     if len(digits) == 2 * size and _HEX.issuperset(digits) and text[: -2 * size] in ("", "s-"):
@@ -26,7 +27,7 @@
 
 
 def normalize_name(name: str) -> str:
-    """Return a name as the settings write it: with _ for spaces, commas and line ends."""
+    """Return a name in the form that the settings use: with _ for spaces, commas and line ends."""
     return name.translate(_NAME_REPLACEMENTS)
 
 
@@ -34,7 +35,7 @@
     """Numbers of workers, zones, machine kinds and cells."""
 
     def __init__(self, zones: Sequence[str] = (), kinds: Sequence[str] = ()) -> None:
-        """Creates a map; zones and kinds are numbered by their places in the settings' lists."""
+        """Create a map in which zones and kinds are numbered by their positions in the settings' lists."""
         self._zones = {name: number for number, name in enumerate(zones)}
         self._kinds = {name: number for number, name in enumerate(kinds)}
         self._cells: dict[str, int] = {}
@@ -44,19 +45,19 @@
     def worker(self, name: str) -> int:
         """Return a worker's number.
 
-        It is the same at every dispatcher, so that keys have the same home workers everywhere.
+        It is the same at every dispatcher, so that a key has the same home workers at all of them.
         """
         number = self._workers.get(name)
         if number is None:
             number = stable_number(name, WORKER_NUMBER_BYTES)
-            while number in self._names:  # the later of two names with one number takes the next one
+            while number in self._names:  # taken by another name: try the next number
                 number = (number + 1) % (1 << (8 * WORKER_NUMBER_BYTES))
             self._workers[name] = number
             self._names[number] = name
         return number
 
     def find_worker(self, name: str) -> int | None:
-        """Return the number of a worker that has one already."""
+        """Return the number of a worker, None if it has not been given one."""
         return self._workers.get(name)
 
     def worker_name(self, worker: int) -> str:
@@ -72,15 +73,15 @@
         return next((name for name, number in self._kinds.items() if number == kind), "")
 
     def zone(self, name: str) -> int:
-        """Return a zone's number; a name that the settings do not list takes the next one."""
+        """Return a zone's number; a name that the settings do not list gets the next number."""
         return self._zones.setdefault(name, len(self._zones))
 
     def kind(self, name: str) -> int:
-        """Return a machine kind's number; a name that the settings do not list takes the next one."""
+        """Return a machine kind's number; a name that the settings do not list gets the next number."""
         return self._kinds.setdefault(name, len(self._kinds))
 
     def cell(self, name: str) -> int:
-        """Return the number of a cell that the list names instead of numbering it."""
+        """Return the number of a cell that the endpoint list gives by name instead of by number."""
         return self._cells.setdefault(name, len(self._cells))
 
     @staticmethod
--- a/eiderfield/interface.py
+++ b/eiderfield/interface.py
@@ -1,4 +1,4 @@
-"""Public face of the dispatcher: settings, events and actions.
+"""Public interface of the dispatcher's policy: settings, events and actions.
 
 A `Dispatcher` is created with `Settings`; its method `handle` takes events and returns actions. All times are
 in milliseconds of the caller's clock. The types are defined in the modules of `eiderfield.model`.
--- a/eiderfield/model/__init__.py
+++ b/eiderfield/model/__init__.py
@@ -1,1 +1,1 @@
-"""Types that the policy shares with those that drive it; `eiderfield.interface` is their public face."""
+"""Types that the policy and its callers share; `eiderfield.interface` exports them."""
--- a/eiderfield/model/actions.py
+++ b/eiderfield/model/actions.py
@@ -12,7 +12,7 @@
 class StartAttempt:
     """Send a request to a worker.
 
-    `timeout_ms` 0 lets the attempt run until the deadline. `expected_work` is its likely cost.
+    With `timeout_ms` 0 the attempt may run until the deadline. `expected_work` is its expected cost.
     """
 
     request_id: int
@@ -33,7 +33,7 @@
 class RejectRequest:
     """Answer a request with a rejection: it did not run, and the client may retry.
 
-    `retry_after_ms` advises how long to wait before that, 0 for no advice.
+    `retry_after_ms` is the time that the client is advised to wait before the retry, 0 for no advice.
     """
 
     request_id: int
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Post `TimerFired` with `token` at the time `fires_at`."""
+    """Deliver `TimerFired` with `token` at the time `fires_at`."""
 
     fires_at: float
     token: int
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class ProbeWorker:
-    """Ask a worker whether it is alive; post `ProbeCompleted`."""
+    """Probe a worker; deliver `ProbeCompleted` with the result."""
 
     worker: int
 
--- a/eiderfield/model/endpoints.py
+++ b/eiderfield/model/endpoints.py
@@ -15,7 +15,7 @@
 
 
 class EndpointListKind(IntEnum):
-    """What an endpoint list holds: changes, all workers, all as last stored, or nothing as a call failed."""
+    """What a list holds: changes, all workers, a stored copy of all workers, or nothing after a failed call."""
 
     DELTA = 0
     FULL = 1
@@ -27,8 +27,8 @@
 class Endpoint:
     """One worker of the endpoint list.
 
-    `zone`, `kind` and `cell` are indexes. `weight` is its capacity relative to others. `ready_at` is when it
-    last started, 0 if that is long ago.
+    `zone`, `kind` and `cell` are indexes. `weight` is the worker's capacity relative to others. `ready_at` is
+    when it last started, 0 if that is long ago.
     """
 
     worker: int
--- a/eiderfield/model/events.py
+++ b/eiderfield/model/events.py
@@ -21,11 +21,11 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A request was accepted; it is owed exactly one final answer before `deadline`.
+    """A request was accepted; the dispatcher must give it exactly one final answer before `deadline`.
 
     `tenant_index` and `class_index` refer to the settings; `affinity_key` is 0 for none.
-    `expected_work` is 0 if unknown. `earlier_attempts` are those of a failed dispatcher from which the
-    request was taken over.
+    `expected_work` is 0 if unknown. `earlier_attempts` are the attempts of the failed dispatcher from which
+    the request was taken over.
     """
 
     request_id: int
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The stream of an attempt started: the request stays with this attempt and has no deadline any more."""
+    """The stream of an attempt started: the request stays with this attempt and no longer has a deadline."""
 
     request_id: int
     attempt_number: int
@@ -63,8 +63,8 @@
 class AttemptEnded:
     """An attempt ended.
 
-    `outcome` is an `Outcome`, or another status of the worker's. `is_final` is true if the request is over.
-    `load_report` is the worker's load report, empty if there is none; it may be old and inexact.
+    `outcome` is an `Outcome`, or another status code of the worker. `is_final` is true if the request is
+    over. `load_report` is the worker's load report, empty if there is none; it may be old and inexact.
     """
 
     request_id: int
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client of a request disconnected: its answer will not be delivered."""
+    """The client of a request disconnected: an answer can no longer be delivered."""
 
     request_id: int
 
@@ -104,7 +104,7 @@
 
 @dataclass(slots=True)
 class ProbeCompleted:
-    """A probe that `ProbeWorker` asked for ended; the fields are as those of `AttemptEnded`."""
+    """A probe requested by `ProbeWorker` ended; the fields mean the same as in `AttemptEnded`."""
 
     worker: int
     outcome: int
@@ -122,10 +122,10 @@
 
 @dataclass(slots=True)
 class SiblingReportReceived:
-    """The other process of this dispatcher sent a report, during the handover of a restart.
+    """The other process of this dispatcher sent a report during the handover of a restart.
 
-    `open_attempts` are those that it has at the worker, `added_work` is the expected work of those that it
-    sent there since its last report.
+    `open_attempts` is the number of its open attempts at the worker. `added_work` is the expected work of the
+    attempts that it has sent to the worker since its last report.
     """
 
     worker: int
--- a/eiderfield/model/hashing.py
+++ b/eiderfield/model/hashing.py
@@ -18,7 +18,7 @@
 def stable_hashes_up_to(key: int, workers: Iterable[int], bound: int) -> list[tuple[int, int]]:
     """Return the hashes that do not exceed `bound`, each with its worker.
 
-    Computes `stable_hash` inline: a call for each of thousands of workers would take too long.
+    `stable_hash` is computed inline, because a call for each of thousands of workers would take too long.
     """
     return [
         (value, worker)
--- a/eiderfield/model/learned_state.py
+++ b/eiderfield/model/learned_state.py
@@ -1,4 +1,4 @@
-"""What a policy has learned and spent, which the next process in its place continues with.
+"""State that a policy has accumulated and that the next process of its dispatcher continues with.
 
 All times are in milliseconds of the clock of the process that holds the state.
 """
@@ -17,14 +17,14 @@
 
 
 class KeyCount(NamedTuple):
-    """How many requests of a routing key were received."""
+    """The number of requests that were received with a routing key."""
 
     key: int
     requests: int
 
 
 class KindSlots(NamedTuple):
-    """The most slots that were seen at a worker of a machine kind."""
+    """The largest number of slots that was seen at a worker of a machine kind."""
 
     kind: int
     slots: float
@@ -36,13 +36,13 @@
 
     mean_duration: float  # ms, or ms per unit of work; see `Pacer`
     rate: float | None  # requests a second, None for no limit
-    uncut_rate: float  # requests a second, before the rate was cut
+    uncut_rate: float  # requests a second, before the rate was first reduced
     next_release_at: float
 
 
 @dataclass(slots=True, frozen=True)
 class RecentWork:
-    """The work that was sent to a worker in slow start."""
+    """The work that was sent to a worker during its slow start."""
 
     worker: int
     sent: tuple[SentWork, ...]
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OutlierState:
-    """A worker that fails requests."""
+    """A worker that is marked as failing some requests."""
 
     worker: int
     error_score: float
@@ -59,12 +59,12 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedState:
-    """What the policy of a process has learned and spent."""
+    """The state of a policy that its successor process continues with."""
 
     pacers: tuple[PacerState, ...]  # by class
     retry_tokens: float
     served_rate: float  # work served in a ms, averaged
-    served_at: float  # the end of the time that the average covers
+    served_at: float  # the time up to which `served_rate` is averaged
     recent_work: tuple[RecentWork, ...]
     key_counts: tuple[KeyCount, ...]
     slots: tuple[KindSlots, ...]
--- a/eiderfield/model/outcomes.py
+++ b/eiderfield/model/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts and probes, and what is known of an attempt before its outcome."""
+"""Outcomes of attempts and probes, and the progress of attempts before their outcome."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 class ProgressKind(IntEnum):
-    """What is known of an attempt that has not ended.
+    """The progress of an attempt that has not ended.
 
-    `UNKNOWN` is posted after this process itself was stopped: silence of the worker then proves nothing.
+    `UNKNOWN` is reported after this process itself was stopped: silence of the worker then proves nothing.
     """
 
     UNKNOWN = 0
--- a/eiderfield/model/peer_report.py
+++ b/eiderfield/model/peer_report.py
@@ -1,4 +1,4 @@
-"""Encoding of the report that a dispatcher sends to its peers: its slots in use at each worker.
+"""Encoding of the report that a dispatcher sends to its peers: the slots that it uses at each worker.
 
 An entry is the worker's number (u32) and the slots (u8), little-endian.
 """
@@ -8,8 +8,8 @@
 from collections.abc import Iterator, Sequence
 from struct import Struct
 
-MAX_ENTRIES = 51  # that fit within a message
-MAX_SLOTS = 255  # that an entry can hold
+MAX_ENTRIES = 51  # entries that fit into a message of 256 bytes
+MAX_SLOTS = 255  # largest number of slots that an entry can hold
 
 _ENTRY = Struct("<IB")
 
--- a/eiderfield/model/settings.py
+++ b/eiderfield/model/settings.py
@@ -6,11 +6,11 @@
 from enum import IntEnum
 
 MAX_WRITE_DELAY_MS = 150.0
-"""Longest time for which a process may be held up between reading its clock and writing an attempt."""
+"""Longest delay of a process between reading its clock and writing an attempt."""
 
 
 class Effect(IntEnum):
-    """What it does to run a request more than once."""
+    """The effect of running a request more than once."""
 
     SAFE = 0
     KEYED = 1
@@ -30,9 +30,9 @@
     """Class of requests: its weight, latency objective and deadline, and whether requests may be retried.
 
     A request meets its objective if it is answered within `latency_objective_ms` plus `objective_stretch`
-    times its own running time; it then counts `priority_weight`, later `late_weight`. `kind` is the kind of
-    worker that is required, -1 for any. Workers discard a repeat of a keyed request within
-    `repeat_window_ms` of the first attempt.
+    times its own running time. Its value is `priority_weight` if it meets the objective, else `late_weight`.
+    `kind` is the kind of worker that is required, -1 for any. Workers discard a repeat of a keyed request
+    within `repeat_window_ms` of the first attempt.
     """
 
     name: str
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """Tenant and its quota: the requests a second that all dispatchers together accept at full weight."""
+    """A tenant and its quota: the requests a second that all dispatchers together accept at full weight."""
 
     name: str
     quota_per_s: float
--- a/eiderfield/model/snapshot.py
+++ b/eiderfield/model/snapshot.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class Snapshot:
-    """Queued requests, open attempts, rate of each class, and listed workers that are sent nothing now."""
+    """Queued requests, open attempts, the rate of each class, and listed workers that get no requests now."""
 
     queued_requests: int = 0
     open_attempts: int = 0
