--- a/eiderfield/model/endpoints.py
+++ b/eiderfield/model/endpoints.py
@@ -15,7 +15,7 @@
 
 
 class EndpointListKind(IntEnum):
-    """What a list holds: changes, all workers, a stored copy of all workers, or nothing after a failed call."""
+    """What a list holds: changes, all workers, a stored copy of all workers, or nothing (the call failed)."""
 
     DELTA = 0
     FULL = 1
--- a/eiderfield/policy/admission.py
+++ b/eiderfield/policy/admission.py
@@ -1,7 +1,7 @@
-"""Admission control: tenant quotas, and when a request has to be shed.
+"""Admission control: tenant quotas and load shedding.
 
-The GRB is bounded in the number of requests and in the time that they would wait. Bounded by number alone it
-held seconds of work for latency objectives of half a second (incident i1da742).
+The GRB is bounded both in the number of requests and in the time that they would wait. When it was bounded
+by number alone, it held seconds of work for latency objectives of half a second (incident i1da742).
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from eiderfield.policy.request_table import RequestTable
 from eiderfield.policy.retry_rules import may_reject
 
-GRB_REQUESTS_PER_WORKER = 4  # requests in the GRB for each worker
+GRB_REQUESTS_PER_WORKER = 4  # requests that the GRB may hold for each worker
 MAX_GRB_WAIT_FACTOR = 4.0  # the GRB is full when the wait exceeds this multiple of the newest request's slack
-MIN_GRB_WORKERS = 4  # for which the GRB has room, even if there are fewer
-QUOTA_BURST_S = 2.0  # of a tenant's quota that can be saved up
+MIN_GRB_WORKERS = 4  # number of workers for which the GRB has room at least
+QUOTA_BURST_S = 2.0  # seconds of its quota that a tenant can accumulate
 MS_PER_S = 1000.0
 
 
@@ -28,7 +28,7 @@
     """Token buckets for this dispatcher's share of each tenant's quota."""
 
     def __init__(self, context: Context) -> None:
-        """Create buckets that hold one second's quota each."""
+        """Create buckets that each hold the quota of one second."""
         self._context = context
         self._shares: list[float] = []  # requests per second
         self.apply_settings()
@@ -44,7 +44,7 @@
         self._shares = [tenant.quota_per_s / settings.dispatcher_count for tenant in settings.tenants]
 
     def is_over(self, tenant: int, client_retry: bool, now: float) -> bool:
-        """Return whether a tenant is above its quota, of which a client's retry uses nothing."""
+        """Return whether a tenant is above its quota; a client's retry does not use any of the quota."""
         if tenant >= len(self._shares):
             return bool(self._shares)  # a tenant that the settings do not list has no quota
         share, (since, tokens) = self._shares[tenant], self._credit[tenant]
@@ -55,12 +55,12 @@
 
 
 def expected_wait(queues: ClassQueues, open_attempts: int) -> float:
-    """Return how long a request would wait behind all held ones, in ms, with `open_attempts` in progress."""
+    """Return how long a request would wait behind all held requests, in ms, with so many open attempts."""
     return queues.held_duration_ms / max(1, open_attempts)
 
 
 def is_full(queues: ClassQueues, wait: float, slack: float, workers: int) -> bool:
-    """Return whether a request has to be shed, given the slack and the expected wait of the newest one."""
+    """Return whether a request has to be shed, given the newest request's slack and expected wait."""
     max_held = GRB_REQUESTS_PER_WORKER * max(MIN_GRB_WORKERS, workers)
     return queues.held_count > max_held or (
         queues.held_count > SLB_SIZE and wait > MAX_GRB_WAIT_FACTOR * slack
@@ -68,7 +68,7 @@
 
 
 class AdmissionController:
-    """Creates requests from what clients send, and sheds requests while the buffers are full."""
+    """Creates the records of received requests, and sheds requests while the buffers are full."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         queues: ClassQueues,
         completion: RequestCompletion,
     ) -> None:
-        """Create a controller whose tenants have used nothing of their quotas."""
+        """Create a controller that has not yet counted any request against a quota."""
         self._fleet = fleet
         self._requests = requests
         self._queues = queues
@@ -90,14 +90,14 @@
         self._quotas.apply_settings()
 
     def create_request(self, event: RequestReceived, now: float) -> QueuedRequest:
-        """Return the request that has come in, with its queue, expected duration and slack."""
+        """Return the record of a received request, with its queue, expected duration and slack."""
         queue_id = self._queue_id(event, now)
         queue = self._queues.by_id[queue_id]
         request_class, pacer = queue.request_class, queue.pacer
         duration = pacer.expected_duration_ms(event.expected_work)
         time_left = event.deadline - now
         pacer.longest_time_limit_ms = max(pacer.longest_time_limit_ms, time_left)
-        # A client's retry comes with what is left of its time; its objective counts from the first try.
+        # A client's retry states only the time that it has left; its objective counts from the first attempt.
         age = pacer.longest_time_limit_ms - time_left if event.is_client_retry else 0.0
         work = event.expected_work or duration
         objective = request_class.latency_objective_ms + request_class.objective_stretch * work - age
@@ -118,7 +118,7 @@
         )
 
     def shed_if_full(self, newest: QueuedRequest) -> None:
-        """Answer one held request if the GRB is full after the newest one has been added to it."""
+        """Reject one held request if the GRB is full after `newest` has been added to it."""
         wait = expected_wait(self._queues, self._requests.open_attempts)
         if not is_full(self._queues, wait, newest.slack_ms, len(self._fleet.subset)):
             return
--- a/eiderfield/policy/affinity.py
+++ b/eiderfield/policy/affinity.py
@@ -1,13 +1,13 @@
 """Key affinity: requests with the same key go to the same few workers, the homes of the key.
 
 The homes are found by rendezvous hashing: the workers are ordered by a hash of the key and the worker,
-which is the same at every dispatcher, and the first usable ones are the homes. Only the first part of a
-key's order is kept. A change of the endpoint list is appended to a log, and applied to an order when that
-is used next: a change costs the same however many keys there are, and an order one hash for each change
-since its last use.
+which is the same at every dispatcher, and the first usable workers are the homes. Only the first part of a
+key's order is kept. A change of the endpoint list is appended to a log, and applied to an order when the
+order is next used. The cost of a change therefore does not grow with the number of keys, and the use of an
+order costs one hash for each change since its last use.
 
-Invariants: an order lacks none of the first workers of its key; it does not depend on the sequence of
-changes.
+Invariants: an order contains all of the first workers of its key up to its bound; it does not depend on the
+sequence of changes.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from eiderfield.model.learned_state import KeyCount
 from eiderfield.policy.endpoint import Worker
 
-MIN_HOMES = 2  # homes of a key at least: one may be busy
+MIN_HOMES = 2  # minimum number of homes of a key, because one may be busy
 HOME_FACTOR = 2.0  # homes of a key, as a multiple of its share of the requests times the workers
-HOME_FACTOR_MANY_DISPATCHERS = 1.5  # the same with many dispatchers, which cancel requests that wait
+HOME_FACTOR_MANY_DISPATCHERS = 1.5  # fewer with many dispatchers, which cancel requests that wait
 MAX_COUNTED_REQUESTS = 5000  # requests with keys after which all counts are halved
 MAX_KEYS_HANDED_OVER = 500  # most frequent keys that are passed on to the next process
-MIN_ORDER_LENGTH = 12  # workers that a new order holds at least: two homes, and substitutes for them
-MIN_CHANGES_KEPT = 256  # an order that lacks more of the last changes is computed anew
+MIN_ORDER_LENGTH = 12  # workers that a new order holds at least: two homes and substitutes for them
+MIN_CHANGES_KEPT = 256  # an order that has missed more changes is computed anew
 
 
 @dataclass(slots=True, eq=False)
@@ -46,7 +46,7 @@
     hashes: list[int]
     workers: list[Worker]
     bound: int
-    applied_changes: int  # of all changes since the start
+    applied_changes: int  # number of changes since the start that the order includes
 
 
 _MAX_HASH = (1 << 64) - 1
@@ -60,7 +60,7 @@
         self._workers: dict[int, Worker] = {}
         self._orders: dict[int, _Order] = {}
         self._changes: list[_Change] = []
-        self._dropped_changes = 0  # changes before the first that is kept
+        self._dropped_changes = 0  # number of changes that precede the first one kept
 
     def __len__(self) -> int:
         """Return the number of keys whose order is kept."""
@@ -87,9 +87,9 @@
         self._append(_Change(worker, False))
 
     def first_workers(self, key: int, count: int) -> tuple[list[Worker], bool]:
-        """Return at least the first `count` workers of a key, and whether these are all.
+        """Return at least the first `count` workers of a key, and whether these are all workers.
 
-        The list is that of the order itself and must not be modified.
+        The list belongs to the order and must not be modified.
         """
         order = self._orders.get(key)
         if order is None or order.applied_changes < self._dropped_changes:
@@ -107,7 +107,7 @@
             del self._changes[:MIN_CHANGES_KEPT]
 
     def _compute(self, key: int, count: int) -> _Order:
-        """Hash every worker once and keep those up to a bound, below which twice the `count` are expected."""
+        """Hash every worker and keep those up to a bound, below which twice `count` workers are expected."""
         share = 2 * count / max(1, len(self._workers))
         bound = int(share * _MAX_HASH) if share < 1.0 else _MAX_HASH
         found = sorted(stable_hashes_up_to(key, self._workers, bound))
@@ -141,7 +141,7 @@
         self.total = 0
 
     def count(self, key: int) -> bool:
-        """Count a request; return whether all counts were halved, which forgets keys of one request."""
+        """Count a request; return whether all counts were halved, which drops keys with a single request."""
         self.by_key[key] += 1
         self.total += 1
         if self.total <= MAX_COUNTED_REQUESTS:
@@ -151,17 +151,17 @@
         return True
 
     def home_count(self, key: int, workers: int, many_dispatchers: bool) -> int:
-        """Return how many homes a key needs among so many workers (incident ia7713c).
+        """Return how many homes a key needs among this number of workers (incident ia7713c).
 
-        One of many dispatchers leaves the present request out of the count: each sees so few requests that a
-        single one would make a rare key look frequent.
+        With many dispatchers the current request is left out of the count: each dispatcher sees so few
+        requests that a single one would make a rare key look frequent.
         """
         share = (self.by_key[key] - many_dispatchers) / max(1, self.total - many_dispatchers)
         factor = HOME_FACTOR_MANY_DISPATCHERS if many_dispatchers else HOME_FACTOR
         return max(MIN_HOMES, ceil(factor * share * workers))
 
     def most_common(self) -> tuple[KeyCount, ...]:
-        """Return the counts of the most frequent keys, which the next process should know."""
+        """Return the counts of the most frequent keys, for the next process."""
         return tuple(
             KeyCount(key, requests) for key, requests in self.by_key.most_common(MAX_KEYS_HANDED_OVER)
         )
--- a/eiderfield/policy/attempt_outcomes.py
+++ b/eiderfield/policy/attempt_outcomes.py
@@ -1,8 +1,8 @@
-"""Updates of a worker's health, and of its class's rate control, when an attempt starts or ends.
+"""Updates a worker's health, and the rate control of a request's class, when an attempt starts or ends.
 
 An answer in time ends an ejection. A failed connection, a second reset in a row or too many errors eject the
-worker. 'Full' holds back further requests for a while, and counts as refused for the rate of the class if no
-other worker is free. Times are milliseconds.
+worker. A worker that answers 'full' is sent nothing for a while; the refusal reduces the rate of the class
+if no other worker is free. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from eiderfield.policy.request import AttemptRecord
 from eiderfield.policy.selection import EndpointSelector
 
-FULL_PAUSE_MS = 200.0  # during which a full worker is sent nothing: about the time until a place is free
-MAX_FULL_PAUSES = 2  # pauses in a row after which a worker that answers 'full' each time is tried again
+FULL_PAUSE_MS = 200.0  # pause in sending to a full worker: about the time until it has a free slot
+MAX_FULL_PAUSES = 2  # longest pause of a worker that answers 'full' repeatedly, in pauses
 MAX_PAUSE_PER_WAIT = 5.0  # longest pause after a wait at a worker, as a multiple of that wait
 
 
@@ -39,7 +39,7 @@
         self._selector = selector
 
     def record_start(self, attempt: AttemptRecord, now: float) -> None:
-        """Record that an attempt, which had waited at its worker, has started to run."""
+        """Record that an attempt, which until then waited at its worker, has started to run."""
         worker = self._fleet.workers[attempt.entry.worker]
         waited = now - attempt.sent_at
         attempt.started_at = now
@@ -47,13 +47,14 @@
         worker.unstarted_attempts -= 1
         self._outliers.record_wait(waited)
         self._reports.record_start(worker)
-        # One waiting request of each dispatcher makes a long queue (i1da742): let the others go first.
+        # If each dispatcher has one request waiting here, the worker's queue is long (i1da742): this
+        # dispatcher pauses so that the others can send first.
         other_dispatchers = self._fleet.subset.dispatchers_per_worker / self._reports.slots_of(worker) - 1.0
         worker.full_until = max(worker.full_until, now + waited * min(MAX_PAUSE_PER_WAIT, other_dispatchers))
         self._fleet.paused_workers[worker.entry.worker] = worker
 
     def record_end(self, attempt: AttemptRecord, event: AttemptEnded, now: float) -> None:
-        """Update the worker's health, and its class's rate control, from the outcome of an attempt."""
+        """Update the worker's health, and the rate control of the request's class, from an outcome."""
         worker, outcome = self._fleet.workers[attempt.entry.worker], event.outcome
         if outcome == Outcome.OK:
             self._record_answer(attempt, worker, event, now)
@@ -64,12 +65,12 @@
         elif outcome == Outcome.RESET:
             worker.consecutive_resets += 1
             worker.full_until = now + FULL_PAUSE_MS
-            # A single connection can break under a worker that is well.
+            # A single connection can break although its worker is healthy.
             if worker.consecutive_resets > 1 and now >= worker.ejected_until:
                 worker.eject(now)
         elif outcome == Outcome.ERROR:
             worker.record_activity(now)
-            # A worker that fails fast has the fewest requests in flight and would attract even more.
+            # A worker that fails fast has the fewest requests in flight, and so would attract even more.
             if worker.error_score > MAX_ERROR_SCORE:
                 worker.eject(now, failing=self._context.trial_effect != Effect.UNSAFE)
         elif outcome == Outcome.CANCELLED and attempt.started_at is None:
@@ -91,7 +92,7 @@
         worker.record_activity(now)
         worker.consecutive_fulls += 1
         worker.full_until = now + FULL_PAUSE_MS * min(worker.consecutive_fulls, MAX_FULL_PAUSES)
-        # Neither a draining worker's refusal nor one worker's, while others are free, is a sign of overload.
+        # A refusal is no sign of overload if the worker is draining or while other workers are free.
         if worker.entry.state == EndpointState.READY and not self._selector.is_any_free(now):
             attempt.request.pacer.accepted_in_window -= 1
 
@@ -99,5 +100,5 @@
         waited = now - attempt.sent_at
         if waited >= self._outliers.short_wait_ms(attempt.request):
             self._outliers.record_wait(waited)
-            # Where one request has waited too long, the next one would too.
+            # The next request would wait too long at this worker as well.
             worker.full_until = now + 2.0 * FULL_PAUSE_MS
--- a/eiderfield/policy/attempt_starter.py
+++ b/eiderfield/policy/attempt_starter.py
@@ -1,4 +1,4 @@
-"""The start of attempts: the one place where a request is sent to a worker.
+"""Starts attempts: the only module that sends a request to a worker.
 
 Invariant: no attempt is started that rule 2 (repeats), rule 3 (the endpoint list) or rule 4 (slow start)
 forbids, whatever the caller has checked.
@@ -19,7 +19,7 @@
 
 
 class AttemptStarter:
-    """Starts attempts and records each at its request, its worker and its class."""
+    """Starts attempts and records each of them at its request, its worker and its class."""
 
     def __init__(
         self,
--- a/eiderfield/policy/completion.py
+++ b/eiderfield/policy/completion.py
@@ -1,6 +1,6 @@
-"""The end of a request: its final answer by this dispatcher, and the cancellation of its open attempts.
+"""Ends requests: gives the final answer of this dispatcher and cancels open attempts.
 
-Invariants: a request gets one final answer; it is rejected only where rule 2 lets its client repeat it.
+Invariants: a request gets one final answer; it is rejected only if rule 2 lets its client repeat it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class RequestCompletion:
-    """Removes requests that are over, and answers those that no worker has answered."""
+    """Removes finished requests, and answers requests that no worker has answered."""
 
     def __init__(self, context: Context, requests: RequestTable, queues: ClassQueues) -> None:
         """Create the only part of a dispatcher that removes requests from the table."""
@@ -23,7 +23,7 @@
         self._queues = queues
 
     def finish(self, request: QueuedRequest) -> None:
-        """Remove a request that is over and cancel its open attempts, to free workers that support it."""
+        """Remove a finished request and cancel its open attempts, which frees workers that support it."""
         request.answered = True
         self._queues.remove(self._requests.by_id.pop(request.id))
         for attempt in request.attempts:
--- a/eiderfield/policy/context.py
+++ b/eiderfield/policy/context.py
@@ -1,4 +1,4 @@
-"""State shared by the parts of one dispatcher's policy: settings, random numbers, and pending actions."""
+"""State that the parts of one dispatcher's policy share: settings, random numbers and pending actions."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from eiderfield.interface import Action, Effect, Settings
 
-MANY_DISPATCHERS = 8  # above which one dispatcher sees only a small part of a worker's requests
+MANY_DISPATCHERS = 8  # with more, one dispatcher sees only a small part of a worker's requests
 
 
 @dataclass(slots=True, eq=False)
@@ -16,7 +16,7 @@
 
     settings: Settings
     random: random.Random
-    actions: list[Action] = field(default_factory=list)  # of the present call
+    actions: list[Action] = field(default_factory=list)  # returned by the current call of `handle`
 
     @property
     def many_dispatchers(self) -> bool:
@@ -31,10 +31,10 @@
 
     @property
     def sees_all_slots(self) -> bool:
-        """Whether no request at a worker is unknown: there is one dispatcher, and reports hold free slots."""
+        """Whether all used slots are known: there is one dispatcher, and load reports hold free slots."""
         return self.settings.dispatcher_count == 1 and self.free_slots_column >= 0
 
     @property
     def trial_effect(self) -> Effect:
-        """The effect of the class that is safest to repeat, whose requests try a half-open worker."""
+        """The effect of the class that is safest to repeat; its requests try half-open workers."""
         return min(request_class.effect for request_class in self.settings.classes)
--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -1,16 +1,17 @@
 """The dispatcher: handles events, keeps track of requests and attempts, and returns actions.
 
-Types, events and actions: `eiderfield/interface.py`; reasons: `docs/design.md`. No clock, no I/O; times: ms.
+`eiderfield/interface.py` defines its types, events and actions; `docs/design.md` gives the reasons. The
+module does no I/O and reads no clock; times are in ms.
 
-A request, from its arrival to its one final answer:
+The path of a request from its arrival to its only final answer:
 
     waits in the GRB --> waits in the SLB of its class --> attempt at a worker --(served)--> its result
          |                      |   ^                           |
          |                      |   '---------------------------' (failed, cancelled or silent; retried)
          '--(shed, or its deadline is near)--> rejected if rule 2 allows it, else failed
 
-Invariants: a request gets exactly one final answer, before its client's time ends; no attempt is started for
-a client that has gone, or against the retry rules, the endpoint list or a slow start budget.
+Invariants: a request gets exactly one final answer, before its client's deadline; no attempt is started for a
+client that has disconnected, or against the retry rules, the endpoint list or a slow start budget.
 """
 
 from __future__ import annotations
@@ -61,15 +62,15 @@
 from eiderfield.policy.selection import EndpointSelector
 from eiderfield.policy.timer import Timer
 
-QUEUE_CHECK_INTERVAL_MS = 200.0  # after which waiting requests are released again, even without an event
-DEADLINE_TICKS = 2.0  # clock ticks before its deadline at which a request is answered
+QUEUE_CHECK_INTERVAL_MS = 200.0  # longest time between two attempts to release waiting requests
+DEADLINE_TICKS = 2.0  # a request is answered so many clock ticks before its deadline
 
 
 class Dispatcher:
-    """The policy of one dispatcher. Pass it events in order; carry out the actions it returns in order."""
+    """The policy of one dispatcher. The caller passes events, and carries out the actions, in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Create a dispatcher that knows no worker; `seed` is that of its random draws."""
+        """Create a dispatcher that knows no worker; `seed` initializes its random number generator."""
         if not settings.classes:
             raise ValueError("settings.classes is empty")
         self._now = 0.0
@@ -154,7 +155,7 @@
         return self._queues.pacers
 
     def snapshot(self, now: float | None = None) -> Snapshot:
-        """Return what waits and what is in progress, the rates, and the listed workers that are avoided."""
+        """Return the queued requests, open attempts, rates, and the listed workers that get no requests."""
         at = self._now if now is None else now
         avoided = [
             worker.entry.worker
@@ -165,7 +166,7 @@
         return Snapshot(self._queues.held_count, self._requests.open_attempts, rates, frozenset(avoided))
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings of the same classes and tenants; accepted requests keep theirs."""
+        """Apply new settings with the same classes and tenants; accepted requests keep the old settings."""
         if not settings.classes:
             raise ValueError("settings.classes is empty")
         self._context.settings = settings
@@ -175,7 +176,7 @@
         self._state.update_after_repartition()
 
     def learned_state(self) -> LearnedState:
-        """Return what the next process in this dispatcher's place needs to continue."""
+        """Return the state that the next process of this dispatcher needs to continue."""
         return LearnedState(
             pacers=self._queues.pacer_states(),
             retry_tokens=self._retry_budget.tokens,
@@ -188,10 +189,10 @@
         )
 
     def resume(self, learned: LearnedState) -> None:
-        """Continue with what the previous process has learned. The endpoint list must be known.
+        """Continue with the learned state of the previous process. The endpoint list must be known.
 
         Raises:
-            ValueError: the state is that of another number of classes.
+            ValueError: The state has a different number of classes.
         """
         self._queues.resume(learned.pacers)
         self._retry_budget.tokens = learned.retry_tokens
@@ -205,13 +206,13 @@
             self._state.update_after_repartition()
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
-        """Handle what has come in up to the time `now`, and return the actions to carry out."""
+        """Handle the events that were received until `now`, and return the actions to carry out."""
         if now < self._now:
             raise ValueError(f"time runs backwards: {now} after {self._now}")
         self._now = now
         actions = self._context.actions = []
         self._watch_endpoints()
-        for event in events:  # all before any attempt: a later event may end the request of an earlier one
+        for event in events:  # before any attempt is started: a later event may end the request
             if type(event) not in self._handlers:
                 raise ValueError(f"unknown event {event!r}")
             self._handlers[type(event)](event, now)
@@ -281,8 +282,8 @@
             self._count_key(request.key)
         answer_by = request.deadline - DEADLINE_TICKS * self._context.settings.clock_resolution_ms
         self._requests.add(request, answer_by)
-        for entry, sent_at in event.earlier_attempts:  # of a lost dispatcher: they may have run or still run
-            self._fleet.get_or_add(entry)  # adds a worker that was never listed, for the attempt names it
+        for entry, sent_at in event.earlier_attempts:  # sent by a failed dispatcher; they may still run
+            self._fleet.get_or_add(entry)  # the attempt may name a worker that was never listed
             attempt = AttemptRecord(request, len(request.attempts), entry, sent_at, sent_at, open=False)
             request.attempts.append(attempt)
         self._queues.add(request, self._queues.by_id[request.queue_id].grb)
@@ -291,7 +292,7 @@
         self._admission.shed_if_full(request)
 
     def _is_retry_forbidden(self, request: QueuedRequest, now: float) -> bool:
-        """Return whether workers are ready, but none that the request may be sent to."""
+        """Return whether workers are ready, but the request may be sent to none of them."""
         any_ready = bool(self._fleet.ready.by_number)
         return any_ready and not self._selector.may_retry_anywhere(request, now)
 
@@ -305,7 +306,7 @@
     def _attempt_ended(self, event: AttemptEnded, now: float) -> None:
         request, attempt = self._requests.find_attempt(event.request_id, event.attempt_number)
         if attempt is None or not attempt.open:
-            return  # an attempt of an earlier process in this dispatcher's place
+            return  # the attempt was sent by an earlier process of this dispatcher
         outcome, worker = event.outcome, self._fleet.workers[attempt.entry.worker]
         self._fleet.remove_attempt(attempt, worker)
         self._requests.open_attempts -= 1
@@ -336,7 +337,7 @@
             self._outcomes.record_start(attempt, now)
 
     def _expire(self, now: float) -> None:
-        """Answer the requests whose deadline is near (rule 1)."""
+        """Answer the requests whose deadline is about to be reached (rule 1)."""
         for request in self._requests.expired(now):
             self._completion.answer(request)
 
@@ -344,13 +345,13 @@
         return worker.entry.state == EndpointState.READY and self._fleet.is_usable(worker, now)
 
     def _watch_endpoints(self) -> None:
-        """Open the subscription to the endpoint list if the settings ask for it, anew after a failure."""
+        """Subscribe to the endpoint list if the settings ask for it, and again after a failure."""
         if self._context.settings.subscribes_to_endpoints and not self._watching:
             self._watching = True
             self._context.actions.append(WatchEndpoints(True))
 
     def _schedule_timer(self, now: float) -> None:
-        """Set the timer to the earliest time at which something may change without an event."""
+        """Set the timer to the earliest time at which a decision may be due without an event."""
         at = min(self._requests.next_deadline(), self._outliers.next_check)
         if self._queues.held_count:
             times = [*self._fleet.pause_ends(now), self._reports.probes_pending_until]
@@ -361,7 +362,7 @@
 
 
 def may_free_a_worker(events: list[Event]) -> bool:
-    """Return whether a waiting request may find a worker after these events: not after mere progress."""
+    """Return whether these events can free a worker: progress of attempts, other than starts, cannot."""
     if not events:
         return True
     return any(
