--- a/eiderfield/policy/fleet.py
+++ b/eiderfield/policy/fleet.py
@@ -1,7 +1,7 @@
 """The fleet as this dispatcher knows it: all workers of the endpoint list, and its subset of them.
 
 The cost of a change of one worker does not grow with the size of the fleet. Workers that are gone are kept,
-for they may still have open attempts, and may come back.
+because they may still have open attempts and may come back.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     place_of,
 )
 
-MAX_CANDIDATES = 256  # workers considered for a request without a key; of a larger subset, so many at random
+MAX_CANDIDATES = 256  # workers considered for a request without a key; a larger subset is sampled
 
 
 class Fleet:
@@ -35,18 +35,18 @@
         """Create a fleet without workers."""
         self.workers: dict[int, Worker] = {}
         self.ready = ReadyWorkers()
-        self.key_orders = KeyOrders()  # of the subset
+        self.key_orders = KeyOrders()  # orders of the workers of the subset
         self.subset = Subset(self.key_orders.add, self.key_orders.remove)
         self.has_affinity = False  # whether any request so far had a key
         self.with_open_attempts: dict[int, Worker] = {}  # by number
-        self.paused_workers: dict[int, Worker] = {}  # those that may be ejected or full
-        self.warming_workers: dict[int, Worker] = {}  # those that may be warming up
+        self.paused_workers: dict[int, Worker] = {}  # may contain workers that are no longer ejected or full
+        self.warming_workers: dict[int, Worker] = {}  # may contain workers that have warmed up since
         self._context = context
-        self._majority_silent: bool | None = None  # of the subset; None: not counted yet
+        self._majority_silent: bool | None = None  # whether most of the subset is silent; None: not counted
         self.repartition()
 
     def apply_entries(self, entries: Iterable[Endpoint], whole: bool, now: float) -> bool:
-        """Apply changes, or a `whole` endpoint list; return whether the fleet was repartitioned."""
+        """Apply changes or, if `whole`, a full endpoint list; return whether the fleet was repartitioned."""
         is_first_list = not self.ready.by_number
         listed = set()
         for entry in entries:
@@ -63,14 +63,14 @@
         return False
 
     def get_or_add(self, entry: Endpoint) -> Worker:
-        """Return the worker of an entry, and add it as gone if it has never been listed."""
+        """Return the worker of an entry; add it with the state GONE if it has never been listed."""
         worker = self.workers.get(entry.worker)
         if worker is None:
             worker = self.workers[entry.worker] = Worker(replace(entry, state=EndpointState.GONE))
         return worker
 
     def add_attempt(self, attempt: AttemptRecord, worker: Worker, now: float) -> None:
-        """Record at its worker that an attempt has been started."""
+        """Record at the worker that an attempt has been started."""
         request = attempt.request
         worker.open_attempts[request.id, attempt.number] = attempt
         worker.unstarted_attempts += 1
@@ -81,17 +81,17 @@
         self.with_open_attempts[worker.entry.worker] = worker
 
     def remove_attempt(self, attempt: AttemptRecord, worker: Worker) -> None:
-        """Record at its worker that an attempt has ended."""
+        """Record at the worker that an attempt has ended."""
         attempt.open = False
         worker.own_slots -= attempt.request.slots
         worker.open_attempts.pop((attempt.request.id, attempt.number), None)
         worker.unstarted_attempts -= attempt.started_at is None
         if not worker.open_attempts:
             self.with_open_attempts.pop(worker.entry.worker, None)
-            worker.silent = False  # without open attempts only a new one can show whether it answers
+            worker.silent = False  # only a new attempt can show whether the worker answers
 
     def enable_affinity(self) -> bool:
-        """Note that requests have keys; return whether the fleet was repartitioned for it."""
+        """Record that requests have keys; return whether the fleet was repartitioned for them."""
         if self.has_affinity:
             return False
         self.has_affinity = True
@@ -99,7 +99,7 @@
         return True
 
     def repartition(self) -> None:
-        """Divide the fleet into groups anew, and take this dispatcher's group as its subset."""
+        """Partition the fleet into groups again, and set the subset to this dispatcher's group."""
         settings, groups = self._context.settings, self._group_count()
         group = group_of_dispatcher(
             settings.dispatcher_index, settings.dispatcher_count, groups, self.has_affinity
@@ -109,7 +109,7 @@
         self.key_orders.reset(self.subset.workers)
 
     def apply_settings(self) -> None:
-        """Apply new settings, by which other workers may be warming up and the groups may differ."""
+        """Apply new settings, which may change the set of warming workers and the groups."""
         self.warming_workers = {number: w for number, w in self.workers.items() if w.entry.ready_at > 0.0}
         self.repartition()
 
@@ -123,13 +123,13 @@
         )
 
     def reset_silence_count(self) -> None:
-        """Forget whether most workers are silent, so that they are counted again."""
+        """Discard the count of silent workers, so that they are counted again."""
         self._majority_silent = None
 
     def is_usable(self, worker: Worker, now: float) -> bool:
         """Return whether the worker is neither silent nor ejected.
 
-        If most workers are silent, the cause is probably not theirs, so they are used all the same.
+        If most workers are silent, the cause is probably elsewhere, and silent workers are used nevertheless.
         """
         if not worker.silent:
             return now >= worker.ejected_until or worker.failing
@@ -139,7 +139,7 @@
         return self._majority_silent
 
     def pause_ends(self, now: float) -> list[float]:
-        """Return when full or ejected workers of the subset may be sent requests again."""
+        """Return the times at which full or ejected workers of the subset may be sent requests again."""
         over = [n for n, w in self.paused_workers.items() if max(w.full_until, w.ejected_until) <= now]
         for number in over:
             del self.paused_workers[number]
@@ -147,7 +147,7 @@
         return [time for worker in paused_workers for time in (worker.full_until, worker.ejected_until)]
 
     def recent_work(self) -> tuple[RecentWork, ...]:
-        """Return the work that workers have been sent lately while they warmed up."""
+        """Return the work that was recently sent to workers during their slow start."""
         return tuple(
             RecentWork(worker.entry.worker, tuple(SentWork(at, work) for at, work in worker.recent_sends))
             for worker in self.workers.values()
@@ -155,14 +155,14 @@
         )
 
     def resume_recent_work(self, recent_work: Iterable[RecentWork]) -> None:
-        """Continue with the work that the previous process had sent to warming workers."""
+        """Add the work that the previous process had sent to warming workers."""
         for recent in recent_work:
             if recent.worker in self.workers:
                 sends = self.workers[recent.worker].recent_sends
                 sends.extend((sent.at, sent.work) for sent in recent.sent)
 
     def failing_workers(self) -> tuple[OutlierState, ...]:
-        """Return the workers that fail some requests at once."""
+        """Return the workers that are marked as failing."""
         return tuple(
             OutlierState(worker.entry.worker, worker.error_score, worker.ejections)
             for worker in self.workers.values()
@@ -170,7 +170,7 @@
         )
 
     def resume_failing_workers(self, outliers: Iterable[OutlierState]) -> None:
-        """Continue with the workers that the previous process knew to be failing."""
+        """Mark the workers as failing that the previous process had marked."""
         for outlier in outliers:
             worker = self.workers.get(outlier.worker)
             if worker is not None:
@@ -179,7 +179,7 @@
                 worker.failing = True
 
     def _apply_entry(self, entry: Endpoint, now: float, is_first_list: bool) -> None:
-        """Apply one entry; a first list leaves the subset to the repartition that follows it."""
+        """Apply one entry; with a first list the subset is left to the repartition that follows."""
         worker = self.get_or_add(entry)
         old = worker.entry
         if entry == old:
--- a/eiderfield/policy/fleet_state.py
+++ b/eiderfield/policy/fleet_state.py
@@ -1,4 +1,4 @@
-"""What one dispatcher knows of the workers, as one argument for the parts that choose and use them."""
+"""The state of the workers, as one argument for the parts of the policy that select and use workers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class FleetState:
-    """The workers, and what is known of their slots and of their slow start budgets."""
+    """The workers, their slots, their slow start budgets and the reports of peers."""
 
     fleet: Fleet
     slow_start: SlowStart
@@ -27,6 +27,6 @@
         return cls(fleet, SlowStart(context, fleet), LoadReports(context, fleet), Gossip(context, fleet))
 
     def update_after_repartition(self) -> None:
-        """Choose anew what depends on the subset: whether workers are probed, and the peers."""
+        """Update what depends on the subset: whether workers are probed, and the peers."""
         self.reports.update_probing()
         self.gossip.update_peers()
--- a/eiderfield/policy/gossip.py
+++ b/eiderfield/policy/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: dispatchers that share workers report to each other the slots that their requests take there.
+"""Gossip: dispatchers that share workers report to each other the slots that their requests take.
 
 Reports are not acknowledged. One that is lost is replaced by the next. Each expires after
 `PEER_REPORT_TTL_MS`, because its sender may have died.
@@ -12,7 +12,7 @@
 from eiderfield.policy.fleet import Fleet
 from eiderfield.policy.subsetting import DISPATCHERS_PER_WORKER_WITH_GOSSIP, group_of_dispatcher
 
-PEER_REPORT_TTL_MS = 2000.0  # after which a peer's report expires
+PEER_REPORT_TTL_MS = 2000.0  # lifetime of a peer's report
 
 
 class Gossip:
@@ -20,13 +20,13 @@
 
     def __init__(self, context: Context, fleet: Fleet) -> None:
         """Create a sender without peers."""
-        self.peers: list[int] = []  # dispatchers that reports are sent to
+        self.peers: list[int] = []  # dispatchers to which reports are sent
         self._changed: dict[int, Worker] = {}  # workers whose own slots changed in this call
         self._context = context
         self._fleet = fleet
 
     def update_peers(self) -> None:
-        """Set the peers to the other dispatchers of the same group, or to none if they are too many."""
+        """Set the peers to the other dispatchers of the same group, or to none if there are too many."""
         settings, subset = self._context.settings, self._fleet.subset
         dispatchers, groups, has_affinity = (
             settings.dispatcher_count,
@@ -44,7 +44,7 @@
             self.peers = [index for index in members if index != settings.dispatcher_index]
 
     def mark_changed(self, worker: Worker) -> None:
-        """Note that the slots of own requests at a worker have changed."""
+        """Record that the slots of own requests at a worker have changed."""
         self._changed[worker.entry.worker] = worker
 
     def record_report(self, peer: int, data: bytes, now: float) -> None:
@@ -60,7 +60,7 @@
                 )
 
     def send_reports(self) -> None:
-        """Report to the peers the workers at which own slots have changed in this call."""
+        """Report own slots to the peers, for the workers at which they have changed in this call."""
         counts = [(number, round(w.own_slots) + w.sibling_attempts) for number, w in self._changed.items()]
         data = encode_peer_report(counts)
         if data:
--- a/eiderfield/policy/load_reports.py
+++ b/eiderfield/policy/load_reports.py
@@ -1,8 +1,8 @@
-"""Slots of workers: how many a worker has, from load reports and starts, and whether one is free.
+"""Slots of workers: how many a worker has, from load reports and starts, and whether a slot is free.
 
 Reports that come with answers are seconds old: they show how many slots a worker has, not how many are free
 now. A fresh report, such as the answer to a probe, shows whether a slot is free. Where workers report
-starts, the slots of the started requests are the least that a worker has.
+starts, a worker has at least the slots that its started requests take.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from eiderfield.policy.endpoint import Worker
 from eiderfield.policy.fleet import Fleet
 
-DEFAULT_SLOTS = 2.0  # assumed of a worker until it shows more
-LOAD_REPORT_TTL_MS = 500.0  # after which a report of free slots expires: less than a short request takes
-PROBES_PER_ROUND = 3  # workers probed at a time, when no report shows a free slot
-PROBE_WAIT_MS = 10.0  # for which requests wait for the probes' answers
-PROBE_INTERVAL_MS = 200.0  # between two probes of one worker, at least
+DEFAULT_SLOTS = 2.0  # slots that a worker is assumed to have until it shows more
+LOAD_REPORT_TTL_MS = 500.0  # lifetime of a report of free slots: shorter than a short request
+PROBES_PER_ROUND = 3  # workers probed at a time if no report shows a free slot
+PROBE_WAIT_MS = 10.0  # time that requests wait for the answers to probes
+PROBE_INTERVAL_MS = 200.0  # minimum time between two probes of one worker
 
 
 class LoadReports:
-    """Slots of workers, and the probes that ask for them."""
+    """The slots of workers, and the probes that ask workers for their free slots."""
 
     def __init__(self, context: Context, fleet: Fleet) -> None:
         """Create a state in which every worker has the default slots."""
         self.slots_per_kind: defaultdict[int, float] = defaultdict(
             lambda: DEFAULT_SLOTS
-        )  # the most seen of a kind
-        self.probes_pending_until = 0.0  # until when requests wait for the answers to probes
+        )  # the most slots seen at a worker of each kind
+        self.probes_pending_until = 0.0  # the time until which requests wait for the answers to probes
         self.probing = False
         self._context = context
         self._fleet = fleet
@@ -39,8 +39,9 @@
     def update_probing(self) -> None:
         """Set whether workers are probed.
 
-        A dispatcher probes if starts are not reported and it sees too little of the workers by itself: not if
-        the fleet is one group, nor if its subset is large, as it is where requests have keys.
+        A dispatcher probes if workers do not report starts and if its own requests show too little of their
+        load. It does not probe if the fleet is one group, or if requests have keys, since subsets then are
+        large.
         """
         settings, fleet = self._context.settings, self._fleet
         sees_enough = settings.workers_report_start or fleet.subset.group_count == 1 or fleet.has_affinity
@@ -61,7 +62,7 @@
         return tuple(KindSlots(kind, slots) for kind, slots in self.slots_per_kind.items())
 
     def resume(self, slots: Iterable[KindSlots]) -> None:
-        """Continue with the slots that the previous process had seen."""
+        """Continue with the slots that the previous process has seen."""
         self.slots_per_kind.update({entry.kind: entry.slots for entry in slots})
 
     def record_start(self, worker: Worker) -> None:
@@ -75,13 +76,13 @@
         return self.slots_per_kind[worker.entry.kind]
 
     def free_slot_evidence(self, worker: Worker, now: float) -> float:
-        """Return 1 if a fresh report shows a free slot, -1 if it shows none, 0 without a fresh report."""
+        """Return 1 if a recent report shows a free slot, -1 if it shows none, 0 without a recent report."""
         if not self.probing or now > worker.reported_at + LOAD_REPORT_TTL_MS:
             return 0.0
         return 1.0 if worker.slots_free >= 1 else -1.0
 
     def probe(self, now: float) -> bool:
-        """Probe some workers that have not reported lately; return whether requests wait for the answers."""
+        """Probe workers that have not reported recently; return whether requests wait for the answers."""
         probed_before = now - PROBE_INTERVAL_MS
         unreported = [
             w for w in self._fleet.subset.workers if max(w.reported_at, w.probed_at) < probed_before
--- a/eiderfield/policy/queues.py
+++ b/eiderfield/policy/queues.py
@@ -1,10 +1,10 @@
 """Queues of the requests that wait in this dispatcher, by class and tenant.
 
-A request waits in two stages. It first enters the global request buffer (GRB), of which each class has its
-part and whose total size is bounded. From there it moves to the second-level buffer (SLB) of its class, which
-is short; requests are released from it in the order of arrival, at the rate of the class. While an SLB is
-nearly full, requests of its class stay in the GRB. Requests that can only be answered too late to be of use
-move to a third buffer, so that they do not delay the requests behind them.
+A request waits in two stages. It first enters the global request buffer (GRB), whose total size is bounded
+and in which each class has its own part. From there it moves to the second-level buffer (SLB) of its class,
+which is short; requests are released from it in the order of arrival, at the rate of the class. While an SLB
+is nearly full, requests of its class stay in the GRB. Requests that can only be answered too late to be
+useful move to a third buffer, so that they do not delay the requests behind them.
 
 Invariants: a request is in at most one buffer; an answered request is in none.
 """
@@ -21,9 +21,9 @@
 from eiderfield.policy.rate_control import OTHER_CLASS_FLOOR_SHARE, TOP_CLASS_FLOOR_SHARE, Pacer
 from eiderfield.policy.request import QueuedRequest, QueueId
 
-MIN_DEFAULT_DURATION_MS = 1.0  # of a class before any request has run: a latency objective may be 0
+MIN_DEFAULT_DURATION_MS = 1.0  # least duration assumed before any request has run: an objective may be 0
 SLB_SIZE = 8  # requests in a second-level buffer: enough to keep workers busy between two events
-NEARLY_FULL_SHARE = 0.75  # share of the SLB's size at which the class stays in the GRB
+NEARLY_FULL_SHARE = 0.75  # share of the SLB's size from which requests of the class stay in the GRB
 
 
 @dataclass(slots=True, eq=False)
@@ -35,17 +35,19 @@
     weight: float
     grb: OrderedDict[int, QueuedRequest] = field(default_factory=OrderedDict)
     slb: OrderedDict[int, QueuedRequest] = field(default_factory=OrderedDict)
-    late: OrderedDict[int, QueuedRequest] = field(default_factory=OrderedDict)  # too late to be of use
+    late: OrderedDict[int, QueuedRequest] = field(
+        default_factory=OrderedDict
+    )  # can only be answered too late to be useful
 
     def has_room(self) -> bool:
-        """Return whether the SLB is not nearly full. With a high floor it grows as the rate is reduced."""
+        """Return whether the SLB is not nearly full; that of a top class grows as its rate is reduced."""
         size = float(SLB_SIZE)
         if self.pacer.rate is not None and self.pacer.floor_share == TOP_CLASS_FLOOR_SHARE:
             size *= max(1.0, self.pacer.uncut_rate / self.pacer.rate)
         return len(self.slb) < NEARLY_FULL_SHARE * size
 
     def move_late_requests(self, now: float) -> None:
-        """Move requests that can no longer be answered in time to the buffer of late ones."""
+        """Move requests that can no longer be answered in time to the buffer of late requests."""
         for queue in (self.slb, self.grb):
             late = [
                 request for request in islice(queue.values(), SLB_SIZE) if now > request.latest_useful_start
@@ -84,7 +86,7 @@
         self.held_duration_ms = 0.0  # the sum of expected running times
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings of the same classes and tenants; held requests keep their class as it was."""
+        """Apply new settings with the same classes and tenants; held requests keep the old class settings."""
         new_queues = ClassQueues(settings)
         for queue, new in zip(self.by_id.values(), new_queues.by_id.values(), strict=True):
             queue.request_class = new.request_class
@@ -93,17 +95,17 @@
         self._sort()
 
     def pacer_states(self) -> tuple[PacerState, ...]:
-        """Return what rate control has learned of each class."""
+        """Return the state of each class's rate control."""
         return tuple(
             PacerState(pacer.mean_duration, pacer.rate, pacer.uncut_rate, pacer.next_release_at)
             for pacer in self.pacers
         )
 
     def resume(self, states: Iterable[PacerState]) -> None:
-        """Continue with what rate control of the previous process had learned, class by class.
+        """Continue with the rate control state of the previous process, class by class.
 
         Raises:
-            ValueError: the number of classes is another one.
+            ValueError: The number of classes is different.
         """
         for pacer, state in zip(self.pacers, states, strict=True):
             pacer.mean_duration = state.mean_duration
@@ -119,7 +121,7 @@
         self.held_duration_ms += request.expected_duration_ms
 
     def add_first(self, request: QueuedRequest) -> None:
-        """Put a request that is retried at the head of its class, for it has waited longest."""
+        """Put a request that is retried at the head of its class's SLB, because it has waited longest."""
         slb = self.by_id[request.queue_id].slb
         self.add(request, slb)
         slb.move_to_end(request.id, last=False)
@@ -153,7 +155,7 @@
     def shed_order(self) -> Iterator[QueuedRequest]:
         """Yield held requests in the order in which they are shed.
 
-        Late requests come first, then the lowest weight (the GRB before the SLB), the newest first.
+        Late requests come first, then those of the lowest weight (GRB before SLB); of each, the newest first.
         """
         buffers = [(queue.weight, queue.grb) for queue in self.by_weight]
         buffers += [(queue.weight, queue.slb) for queue in self.by_weight]
--- a/eiderfield/policy/rate_control.py
+++ b/eiderfield/policy/rate_control.py
@@ -2,9 +2,9 @@
 
 A class has no rate limit until workers answer 'full'. From then on its requests are released at a rate D,
 which the contribution formula of the design sets at the end of each window: D + C x (E - R), where R is the
-rate of attempts and E the rate of those that were accepted. The contribution C = D / R estimates the part
-of the traffic at the workers that comes from this dispatcher. A window without a refusal raises the rate;
-the limit ends when the rate is back at its value before the first cut and no request of the class waits.
+rate of attempts and E the rate of accepted attempts. The contribution C = D / R estimates the part of the
+traffic at the workers that comes from this dispatcher. A window without a refusal raises the rate; the
+limit ends when the rate is back at its value before the first reduction and no request of the class waits.
 
 Invariants: a rate is never below the floor of its class, and no outcome but 'full' reduces a rate.
 """
@@ -15,10 +15,10 @@
 
 WINDOW_MS = 1000.0  # the design's delta-T: long enough for some answers of each class, shorter than a burst
 RATE_INCREASE_FACTOR = 1.25  # factor on a reduced rate after a window without 'full'
-TOP_CLASS_FLOOR_SHARE = 0.7  # share of its uncut rate that the class of highest priority weight keeps
-OTHER_CLASS_FLOOR_SHARE = 0.3  # the same for each other class
-MIN_RATE_PER_S = 0.5  # requests per second: enough to notice that workers accept requests again
-DURATION_WEIGHT = 0.05  # of one request in the mean running time
+TOP_CLASS_FLOOR_SHARE = 0.7  # share of its unreduced rate that a class of the highest priority weight keeps
+OTHER_CLASS_FLOOR_SHARE = 0.3  # share of its unreduced rate that any other class keeps
+MIN_RATE_PER_S = 0.5  # enough to notice that workers accept requests again
+DURATION_WEIGHT = 0.05  # weight of one request in the mean running time
 MS_PER_S = 1000.0
 
 
@@ -28,10 +28,10 @@
 
     floor_share: float
     default_duration_ms: float
-    mean_duration: float = 0.0  # ms; of requests that state their expected work: per unit of work
-    longest_time_limit_ms: float = 0.0  # the longest that any client has allowed
+    mean_duration: float = 0.0  # ms, or ms per unit of work for requests that state their expected work
+    longest_time_limit_ms: float = 0.0  # the longest time limit of any client
     rate: float | None = None  # requests per second; None: no limit
-    uncut_rate: float = 0.0  # the rate before the first cut
+    uncut_rate: float = 0.0  # the rate before it was first reduced
     next_release_at: float = 0.0
     window_start: float = 0.0
     sent_in_window: int = 0
@@ -44,7 +44,7 @@
         return self.mean_duration or self.default_duration_ms
 
     def record_duration(self, duration_ms: float, expected_work: float) -> None:
-        """Update the mean running time with that of a request which has ended."""
+        """Update the mean running time with the running time of a request that has ended."""
         observed = duration_ms / (expected_work or 1.0)
         if self.mean_duration:
             self.mean_duration += DURATION_WEIGHT * (observed - self.mean_duration)
@@ -52,7 +52,7 @@
             self.mean_duration = observed
 
     def count_send(self, now: float) -> None:
-        """Count an attempt and, while the rate is limited, set when the next may be released."""
+        """Count an attempt; while the rate is limited, set when the next request may be released."""
         self.sent_in_window += 1
         self.accepted_in_window += 1
         if self.rate is not None:
@@ -63,9 +63,9 @@
         return self.rate is not None and now < self.next_release_at
 
     def close_window(self, now: float, waiting: bool) -> None:
-        """Reduce the rate if attempts were refused in this window, else raise a reduced one.
+        """Reduce the rate if attempts were refused in this window, else raise a reduced rate.
 
-        `waiting` says whether requests of the class wait here. The rate is set by the contribution formula.
+        `waiting` says whether requests of the class wait here. The contribution formula sets the rate.
         """
         windows_per_s = MS_PER_S / (now - self.window_start)
         sent = windows_per_s * self.sent_in_window
--- a/eiderfield/policy/release.py
+++ b/eiderfield/policy/release.py
@@ -1,4 +1,4 @@
-"""The release of waiting requests to workers.
+"""Releases waiting requests to workers.
 
 Requests move from the GRB to the SLBs and from there to workers: by priority weight, in the order of arrival
 within a buffer, at the rate of their class.
@@ -39,7 +39,7 @@
         self._starter = starter
 
     def release(self, now: float) -> None:
-        """Fill the SLBs and send requests from them, unless the answers to probes are awaited first."""
+        """Fill the SLBs and send requests from them, unless they have to wait for the answers to probes."""
         for queue in self._queues.by_weight:
             queue.move_late_requests(now)
             self._answer_late_under_load(queue, now)
@@ -55,7 +55,7 @@
             free = self._release_from(queue, requests, free, now)
 
     def _answer_late_under_load(self, queue: ClassQueue, now: float) -> None:
-        """Answer late requests that would only make others late as well."""
+        """Answer late requests that would only make other requests late."""
         late_under_load = [
             request for request in queue.late.values() if self._outliers.is_late_under_load(request, now)
         ]
@@ -70,8 +70,8 @@
     ) -> list[Worker] | None:
         """Send the first requests of one buffer, at the rate of its class.
 
-        `free` are the workers that can take a request without a key, None while they have not been looked up.
-        Returns them as they are afterwards.
+        `free` are the workers that can take a request without a key, None if they have not been looked up.
+        Returns the workers that are still free afterwards.
         """
         for request in requests:
             if queue.pacer.must_wait(now):
@@ -86,5 +86,5 @@
                 if free and worker in free and not self._selector.is_free(worker, now):
                     free.remove(worker)
             elif not request.key and not request.attempts and request.slots <= 1.0:
-                break  # the next request of this buffer would hardly find a worker either
+                break  # the next request of this buffer is unlikely to find a worker either
         return free
--- a/eiderfield/policy/request.py
+++ b/eiderfield/policy/request.py
@@ -3,7 +3,7 @@
 Until it is answered, a request waits in a queue of its class, has an open attempt at a worker, or both
 where hedging is allowed. What may be done with it follows from the records of its attempts alone
 (`retry_rules.py`): an attempt counts as one that may have run until an outcome proves that it did not, and
-its record is kept after its end. Times are milliseconds of the caller's clock.
+its record is kept after its end. Times are in milliseconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptRecord:
-    """One attempt of a request: where it was sent, and what has been heard of it."""
+    """One attempt of a request: where it was sent, and its progress."""
 
     request: QueuedRequest
     number: int
-    entry: Endpoint  # as it was listed at the send: a worker may come back in another zone or cell
+    entry: Endpoint  # as listed when the attempt was sent: a worker may come back in another zone or cell
     sent_at: float
-    last_activity_at: float  # of this attempt alone: a connection can fall silent though its worker is well
+    last_activity_at: float  # of this attempt alone: its connection can break while its worker is healthy
     started_at: float | None = None
     open: bool = True
-    superseded: bool = False
+    superseded: bool = False  # cancelled, or hedged by a further attempt
     may_have_run: bool = True  # until an outcome proves that it did not
 
 
@@ -50,15 +50,15 @@
     queue_id: QueueId
     pacer: Pacer  # the rate control of its class
     request_class: RequestClass
-    budget_cost: float  # work charged to the slow start budget of a worker
+    budget_cost: float  # work that is charged to the slow start budget of a worker
     expected_duration_ms: float
     slack_ms: float  # how long it could wait on arrival and still be answered in time
-    latest_useful_start: float  # an attempt sent later can only bring a late answer
-    slots: float = 1.0  # of a worker, taken while it runs
+    latest_useful_start: float  # an attempt that is sent later can only give a late answer
+    slots: float = 1.0  # slots that it takes at a worker while it runs
     attempts: list[AttemptRecord] = field(default_factory=list)
     queue: OrderedDict[int, QueuedRequest] | None = None  # the buffer in which it waits, None if in none
     answered: bool = False
-    streaming: bool = False  # its stream has started
+    streaming: bool = False  # the stream of its response has started
 
     def first_possible_run(self) -> AttemptRecord | None:
         """Return the first attempt that may have run or may still run, or None."""
--- a/eiderfield/policy/request_table.py
+++ b/eiderfield/policy/request_table.py
@@ -1,6 +1,6 @@
 """The requests that have no final answer yet, their deadlines, and attempts that outlive their request.
 
-Invariant: a request is in the table from its arrival until its one final answer, or until its client is gone.
+Invariant: a request is in the table from its arrival until its final answer or its client's disconnection.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
         """Create an empty table."""
         self.by_id: dict[int, QueuedRequest] = {}
         self.late_attempts: dict[AttemptId, AttemptRecord] = {}  # open attempts of answered requests
-        self.open_attempts = 0  # of all requests
-        self._deadlines: list[tuple[float, int]] = []  # a heap of times and request ids
+        self.open_attempts = 0  # number of open attempts of all requests
+        self._deadlines: list[tuple[float, int]] = []  # heap of times and request ids
 
     def add(self, request: QueuedRequest, answer_by: float) -> None:
         """Add a request that has to be answered at the time `answer_by`."""
@@ -30,7 +30,7 @@
         heapq.heappush(self._deadlines, (answer_by, request.id))
 
     def find_attempt(self, request_id: int, number: int) -> tuple[QueuedRequest | None, AttemptRecord | None]:
-        """Return an attempt and its request; None for a request that is answered, or what is not known."""
+        """Return a request and its attempt; None for an answered request, and for what is unknown."""
         request = self.by_id.get(request_id)
         attempts = request.attempts if request is not None else []
         if number < len(attempts):
@@ -38,7 +38,7 @@
         return request, self.late_attempts.get((request_id, number))
 
     def expired(self, now: float) -> Iterator[QueuedRequest]:
-        """Yield each request that has to be answered now; one with a started stream has no deadline."""
+        """Yield each request that has to be answered now; requests with a started stream have no deadline."""
         while self._deadlines and self._deadlines[0][0] <= now:
             _, request_id = heapq.heappop(self._deadlines)
             request = self.by_id.get(request_id)
--- a/eiderfield/policy/retries.py
+++ b/eiderfield/policy/retries.py
@@ -1,8 +1,8 @@
-"""Retries, hedging and cancellation: what is done about an attempt that has failed or makes no progress.
+"""Retries, hedging and cancellation: handles attempts that have failed or make no progress.
 
 A request whose last attempt has ended is queued again, within the retry rules and the retry budget, or
-answered. An attempt that makes no progress is left as it is while a second one is queued, if hedging is
-allowed; otherwise it is cancelled, and its end is handled as that of any other attempt.
+answered. If hedging is allowed, an attempt that makes no progress continues while a second attempt is queued;
+otherwise it is cancelled, and its end is handled like that of any other attempt.
 """
 
 from __future__ import annotations
@@ -41,9 +41,9 @@
         self._completion = completion
 
     def retry_or_answer(self, request: QueuedRequest, now: float, failed: bool) -> None:
-        """Queue a request again that has no open attempt any more, or answer it.
+        """Queue a request that has no open attempt left again, or answer it.
 
-        `failed` says whether its last attempt ended in an error of the worker.
+        `failed` says whether its last attempt ended with an error of the worker.
         """
         if self._take_retry(request, now, failed):
             self._queues.add_first(request)
@@ -77,6 +77,6 @@
     def _cancel(self, attempt: AttemptRecord) -> None:
         attempt.superseded = True
         self._context.actions.append(CancelAttempt(attempt.request.id, attempt.number))
-        # The next attempt at a silent worker has to open a connection: an old one may be what is silent.
+        # The next attempt at a silent worker must open a new connection: only the old one may be broken.
         if self._fleet.workers[attempt.entry.worker].silent:
             self._context.actions.append(CloseIdleConnections(attempt.entry.worker))
--- a/eiderfield/policy/retry_rules.py
+++ b/eiderfield/policy/retry_rules.py
@@ -1,10 +1,10 @@
 """Retry rules: whether a request may be sent again, to which workers, and what the retry costs.
 
 Whether a request may be retried or rejected follows from the records of its attempts alone (rule 2): it is
-sent again only as its class allows, and rejected only if its client may safely repeat it. A hedged request
+sent again only if its class allows it, and rejected only if its client may safely repeat it. A hedged request
 has a second attempt while the first is in progress, which the settings must allow. In addition, a retry
-budget limits retries of requests that may have run to a share of all attempts, so that retries do not add
-to an overload.
+budget limits the retries of requests that may have run to a share of all attempts, so that retries do not
+add to an overload.
 
 Invariants: no two attempts at once where hedging is not allowed; no retry outside the repeat window or the
 scope of the class; no rejection of a request that may have run and may not be repeated.
@@ -17,7 +17,7 @@
 from eiderfield.policy.ready import ReadyWorkers
 from eiderfield.policy.request import QueuedRequest
 
-RETRY_BURST = 5.0  # tokens that the retry budget holds at most
+RETRY_BURST = 5.0  # largest number of tokens in the retry budget
 RETRY_SHARE = 0.1  # tokens earned by each attempt: the share of retries among attempts
 
 
@@ -44,7 +44,7 @@
 
 
 def may_reject(request: QueuedRequest) -> bool:
-    """Return whether rule 2 allows a rejection: it tells the client that it may safely repeat the request."""
+    """Return whether rule 2 allows a rejection, which tells the client that a repeat is safe."""
     request_class = request.request_class
     if request_class.effect == Effect.SAFE:
         return True
@@ -54,7 +54,7 @@
 
 
 def retry_group(request: QueuedRequest, ready: ReadyWorkers) -> dict[int, Worker]:
-    """Return the ready workers that discard a repeat of the request: it may go to all of them or to none."""
+    """Return the ready workers that discard a repeat of the request; the rules allow all or none of them."""
     request_class = request.request_class
     first = request.first_possible_run()
     if first is None or request_class.effect != Effect.KEYED or request_class.scope == Scope.ALL:
@@ -65,14 +65,14 @@
 
 
 class RetryBudget:
-    """A token bucket for retries of requests that may have run; a token pays for one whole run."""
+    """A token bucket for retries of requests that may have run; one token pays for one whole run."""
 
     def __init__(self) -> None:
         """Create a full bucket."""
         self.tokens = RETRY_BURST
 
     def count_attempt(self) -> None:
-        """Earn the part of a retry that each attempt is worth."""
+        """Add the share of a token that each attempt earns."""
         self.tokens = min(RETRY_BURST, self.tokens + RETRY_SHARE)
 
     def spend(self, cost: float) -> None:
@@ -81,10 +81,10 @@
 
 
 def retry_cost(request: QueuedRequest, now: float, starts_reported: bool, failed: bool) -> float:
-    """Return the cost of a further attempt in tokens: the part of a run that the last one may have used.
+    """Return the cost of a further attempt in tokens: the part of a run that the last attempt may have used.
 
-    `starts_reported`: whether workers report the start of a request; `failed`: whether the last attempt ended
-    in an error, so that what it used is known.
+    `starts_reported` says whether workers report the start of a request. `failed` says whether the last
+    attempt ended with an error, in which case its running time is known.
     """
     last = request.attempts[-1]
     started = last.started_at is not None
--- a/eiderfield/policy/selection.py
+++ b/eiderfield/policy/selection.py
@@ -2,11 +2,11 @@
 
 The candidates are the workers of the subset or, for a request with a key, the homes of the key; a retry may
 go only to workers that discard a repeat. The candidates that are free and suit the request are ranked. The
-lowest rank is chosen, and ties are broken at random. As the design has it, the rank is the number of own
-requests at the worker; before that come the properties of which a worker with them is used only if there is
-none without: slow, failing, or in another zone.
+lowest rank is selected, and ties are broken at random. Workers that are slow, failing or in another zone rank
+behind all workers that are not, and are used only if there are no others; among equals, the rank is the
+number of own requests at the worker.
 
-Invariant: no request causes a walk over the whole fleet.
+Invariant: no request causes a scan of the whole fleet.
 """
 
 from __future__ import annotations
@@ -21,18 +21,16 @@
 from eiderfield.policy.request import QueuedRequest
 from eiderfield.policy.retry_rules import may_send, retry_group
 
-EXTRA_REQUESTS = 1  # beyond its slots, at a worker that reports no starts, to keep its slots busy
+EXTRA_REQUESTS = 1  # requests that a worker may have beyond its slots, to keep the slots busy
 SLOW_WORKER_SLOWDOWN = 2.3  # slowdown above which a worker counts as slow
-NO_HOME_WARM_UP_SHARE = (
-    0.1  # first share of the warm-up, in which a worker is no home: most requests would be late
-)
-SEARCH_FACTOR = 4  # growth of the part of a key's order that is searched while it holds too few homes
+NO_HOME_WARM_UP_SHARE = 0.1  # first share of the warm-up, in which most requests to a home would be late
+SEARCH_FACTOR = 4  # growth of the searched part of a key's order while it holds too few homes
 
-Rank = tuple[float, bool, int]  # tier, whether in another zone, own requests; the lowest is best
+Rank = tuple[float, bool, int]  # tier, whether in another zone, number of own requests; the lowest is best
 
 
 class EndpointSelector:
-    """Chooses workers for requests, and tells which requests could be sent at all."""
+    """Selects workers for requests, and decides whether a request may be sent to any worker."""
 
     def __init__(
         self,
@@ -67,15 +65,15 @@
         return any(self._fleet.is_usable(worker, now) for worker in group.values())
 
     def is_any_free(self, now: float) -> bool:
-        """Return whether any candidate can take one more own request now."""
+        """Return whether any candidate can take another own request now."""
         return any(self.is_free(worker, now) for worker in self._fleet.candidates())
 
     def free_workers(self, now: float) -> list[Worker]:
-        """Return the candidates that can take one more own request without a key now."""
+        """Return the candidates that can take another own request without a key now."""
         return [worker for worker in self._fleet.candidates() if self.is_free(worker, now)]
 
     def is_free(self, worker: Worker, now: float) -> bool:
-        """Return whether the worker can take one more own request now; update its slow start budget."""
+        """Return whether the worker can take another own request now; update its slow start budget."""
         half_open = worker.ejections and not worker.failing
         if now < worker.full_until or (half_open and worker.open_attempts):
             return False
@@ -97,7 +95,7 @@
         return self._context.random.choice([worker for rank, worker in ranked if rank == lowest])
 
     def homes(self, request: QueuedRequest, now: float) -> list[Worker]:
-        """Return the free homes of the request's key, which has the more homes the more frequent it is."""
+        """Return the free homes of the request's key; a more frequent key has more homes."""
         if not self.may_retry_anywhere(request, now):
             return []
         count = self._key_counts.home_count(
@@ -116,10 +114,10 @@
         if request.first_possible_run() is None:
             return free
         legal = [worker for worker in free if self.is_attempt_allowed(request, worker, now)]
-        return legal or self._free_in_group(request, now)  # the subset may hold none of the group
+        return legal or self._free_in_group(request, now)  # the subset may hold no worker of the retry group
 
     def _sample_of_homes(self, request: QueuedRequest, count: int, now: float) -> list[Worker]:
-        """Return free homes among a random sample, for a key of hundreds of homes."""
+        """Return free homes from a random sample, for a key with hundreds of homes."""
         group = retry_group(request, self._fleet.ready)
         order, _ = self._fleet.key_orders.first_workers(request.key, count)
         sample = self._context.random.sample(order[:count], min(MAX_CANDIDATES, len(order)))
@@ -129,7 +127,8 @@
     def _available_homes(self, request: QueuedRequest, count: int, now: float) -> list[Worker]:
         """Return the first workers of the key that can be its homes, `count` of them warm.
 
-        Warming workers are homes in addition: their budgets may not cover any request (incident ia7713c).
+        Warming workers are additional homes, because their budgets may not cover any request (incident
+        ia7713c).
         """
         searched = 2 * count
         while True:
@@ -142,7 +141,7 @@
     def _homes_in(
         self, order: list[Worker], request: QueuedRequest, count: int, now: float
     ) -> tuple[list[Worker], int]:
-        """Return the homes within a part of a key's order, and how many of them are warm: `count` at most."""
+        """Return the homes in a part of a key's order, and how many of them are warm, at most `count`."""
         group = retry_group(request, self._fleet.ready)
         unrestricted = group is self._fleet.ready.by_number
         homes: list[Worker] = []
@@ -157,7 +156,7 @@
         return homes, warm_count
 
     def _must_leave_subset(self, request: QueuedRequest, homes: list[Worker]) -> bool:
-        """Return whether the subset holds no further worker to which a retry may go."""
+        """Return whether the subset holds no further worker to which a retry may be sent."""
         group = retry_group(request, self._fleet.ready)
         if group is self._fleet.ready.by_number or self._fleet.subset.group_count == 1:
             return False
@@ -165,12 +164,12 @@
         return all(worker.entry.worker in tried for worker in homes)
 
     def _free_in_group(self, request: QueuedRequest, now: float) -> list[Worker]:
-        """Return the free workers to which a request may go, inside the subset or not."""
+        """Return the free workers to which a request may be sent, in the subset or outside it."""
         group = retry_group(request, self._fleet.ready).values()
         return [w for w in group if self.is_attempt_allowed(request, w, now) and self.is_free(w, now)]
 
     def _is_full(self, worker: Worker, now: float) -> bool:
-        """Return whether a worker has as many requests as it should have, as far as this dispatcher knows."""
+        """Return whether a worker has as many requests as it may have, as far as this dispatcher knows."""
         limit = self._reports.slots_of(worker) + EXTRA_REQUESTS
         if self._context.settings.workers_report_start:
             is_full = (
@@ -183,7 +182,7 @@
         return is_full or (bool(self._gossip.peers) and worker.slots_in_use(now) >= limit)
 
     def _is_available_home(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
-        """Return whether requests may wait for this home: not if just started, full or half open."""
+        """Return whether requests may wait for this home: not if it just started, is full or half open."""
         if worker.consecutive_fulls > 1 and now < worker.full_until:
             return False
         if not self._may_try(worker, request, now):
@@ -192,19 +191,20 @@
         return self._fleet.is_usable(worker, now) and not self._slow_start.is_warming(worker, horizon)
 
     def _may_try(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
-        """Return whether the request may try the worker, which after an ejection takes only the safest."""
+        """Return whether the request may try the worker; after an ejection only the safest class may."""
         if not worker.ejections:
             return True
         is_overdue = not worker.failing and now >= worker.ejected_until + BASE_EJECTION_MS
         return is_overdue or request.request_class.effect <= max(self._context.trial_effect, worker.failing)
 
     def _can_take(self, worker: Worker, request: QueuedRequest, now: float) -> bool:
-        """Return whether a free worker can take this request: its kind, its slots, rule 2 and rule 4."""
+        """Return whether a free worker can take this request, by its kind, its slots, rule 2 and rule 4."""
         if not self._may_try(worker, request, now):
             return False
         if request.request_class.kind >= 0 and worker.entry.kind != request.request_class.kind:
             return False
-        # A request that waits for several slots keeps them empty; if all slots are known, none needs to wait.
+        # A request that waits at a worker for several slots keeps slots empty. If all used slots are known,
+        # no request needs to wait at a worker.
         must_fit = request.slots > 1.0 or self._context.sees_all_slots
         if must_fit and worker.slots_in_use(now) and not self._fits(worker, request, now):
             return False
@@ -229,12 +229,15 @@
         tier = 1.0 if exceeds_slots else -self._reports.free_slot_evidence(worker, now)
         tier += 2.0 * worker.failing + is_slow
         if self._context.many_dispatchers and worker.slow_start_left < inf:
-            tier -= 1.0  # a slow start budget that covers a request is used at once
+            tier -= 1.0  # a slow start budget that covers a request is used first
         in_other_zone = settings.cross_zone_cost > 0.0 and worker.entry.zone != settings.zone_index
         load = (len(worker.open_attempts) + worker.sibling_attempts + 1) * (slowdown if is_slow else 1.0)
         return tier, in_other_zone, ceil(load)
 
 
 def any_member(group: dict[int, Worker]) -> list[Worker]:
-    """Return one worker of a group of which all or none may be sent a request; nothing of an empty group."""
+    """Return one worker of a retry group, in a list; an empty list for an empty group.
+
+    The retry rules allow either all workers of the group or none, so that it is enough to check one.
+    """
     return [next(iter(group.values()))] if group else []
--- a/eiderfield/policy/subsetting.py
+++ b/eiderfield/policy/subsetting.py
@@ -1,9 +1,9 @@
 """Subsetting: which of the ready workers this dispatcher sends requests to.
 
-Each of many dispatchers uses a part of the fleet only. Otherwise it would use each worker too rarely to learn
-anything about it, and keep a connection to every one. The dispatchers compute their subsets from the endpoint
-list and the settings alone, without communication. The fleet is partitioned into groups, and the subset of a
-dispatcher is one of them, which it shares with some other dispatchers:
+Each of many dispatchers uses only a part of the fleet. Otherwise it would use each worker too rarely to learn
+anything about it, and would keep a connection to all of them. The dispatchers compute their subsets from the
+endpoint list and the settings alone, without communication. The fleet is partitioned into groups, and the
+subset of a dispatcher is one group, which it shares with some other dispatchers:
 
     BalancedPartition  groups of a few workers, of equal size and an equal mix of zones and kinds. A worker
                        stays in its group until it leaves; a new one is added to the smallest group.
@@ -12,7 +12,7 @@
                        of a group agree on its members, as they must to find the same homes for a key.
 
 Invariants: every ready worker is in a group; a change of one worker moves that worker and, to keep the sizes
-equal, at most one other; no change costs a walk over the whole fleet.
+equal, at most one other; no change costs a scan of the whole fleet.
 """
 
 from __future__ import annotations
@@ -27,16 +27,18 @@
 from eiderfield.interface import Endpoint, stable_hash
 from eiderfield.policy.endpoint import Worker
 
-MIN_SUBSET_SIZE = 4  # workers in a subset at least: enough to tolerate the loss of some
-DISPATCHERS_PER_WORKER = 4  # that share a group; with more, each would see too little of a worker
-DISPATCHERS_PER_WORKER_WITH_GOSSIP = 9  # the same where they report to each other: limits the reports
-# Workers in a subset where requests have keys. A fleet of 3,200 may cost 2.5 times the connections of one of
-# 200, plus 40 (docs/standing.md): that makes 540 with one connection to a worker, the upper bound of this.
+MIN_SUBSET_SIZE = 4  # minimum number of workers in a subset: enough to tolerate the loss of some
+DISPATCHERS_PER_WORKER = 4  # dispatchers that share a group; with more, each would see too little of a worker
+DISPATCHERS_PER_WORKER_WITH_GOSSIP = 9  # dispatchers that share a group with gossip: limits the reports
+# Workers in a subset if requests have keys. A fleet of 3,200 workers may cost 2.5 times the connections of a
+# fleet of 200, plus 40 (docs/standing.md): 540 with one connection to each worker, the upper bound here.
 AFFINITY_SUBSET_SIZE = 500
 GROUP_COUNT_TOLERANCE = 0.1  # share by which the number of groups may deviate before a repartition
-AFFINITY_SIZE_TOLERANCE = 0.5  # share by which a keyed subset may be too small: a repartition moves homes
-MAX_DONOR_GROUPS = 8  # groups among which a worker is chosen to refill another group
-GOLDEN_RATIO = 0.6180339887498949  # the fractional parts of its multiples are spread evenly over 0 to 1
+AFFINITY_SIZE_TOLERANCE = (
+    0.5  # share by which a subset may be too small, as a repartition moves homes of keys
+)
+MAX_DONOR_GROUPS = 8  # groups from which a worker is selected to refill another group
+GOLDEN_RATIO = 0.6180339887498949  # the fractional parts of its multiples are evenly spread from 0 to 1
 
 Place = tuple[int, int, int]  # zone, kind and number of a worker: their order in a subset
 
@@ -67,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """A worker that has changed its group; None is no group."""
+    """The move of a worker from one group to another; None stands for no group."""
 
     place: Place
     source: int | None
@@ -80,20 +82,20 @@
     group_count: int
 
     def repartition(self, places: Iterable[Place], groups: int, /) -> None:
-        """Divide all ready workers into so many groups."""
+        """Divide all ready workers into `groups` groups."""
 
     def add(self, place: Place) -> list[Move]:
-        """Add a worker; return who has changed its group."""
+        """Add a worker; return the moves between groups."""
 
     def remove(self, place: Place) -> list[Move]:
-        """Remove a worker; return who has changed its group."""
+        """Remove a worker; return the moves between groups."""
 
     def group_of(self, place: Place) -> int:
         """Return the group of a worker that has been added."""
 
 
 class BalancedPartition:
-    """Groups whose sizes differ by one at most, each with the same mix of zones and kinds."""
+    """Groups whose sizes differ by at most one, each with the same mix of zones and kinds."""
 
     def __init__(self) -> None:
         """Create one empty group."""
@@ -104,7 +106,7 @@
         self._sizes_per_kind: Counter[tuple[int, int, int]] = Counter()  # by zone, kind and group
 
     def repartition(self, places: Iterable[Place], groups: int) -> None:
-        """Divide all ready workers: in their order, each goes to the next group."""
+        """Divide all ready workers: they are dealt to the groups in turn, in the order of their places."""
         self.group_count = groups
         self._group_of.clear()
         self._members = [{} for _ in range(groups)]
@@ -114,7 +116,7 @@
             self._add_member(place, number % groups)
 
     def add(self, place: Place) -> list[Move]:
-        """Add a worker to the smallest group, among equals to that with fewest of its zone and kind."""
+        """Add a worker to the smallest group; a tie goes to the group with fewest of its zone and kind."""
         smallest = min(self._sizes)
         candidates = [group for group, size in enumerate(self._sizes) if size == smallest]
         zone, kind, worker = place
@@ -126,7 +128,7 @@
         return [Move(place, None, target)]
 
     def remove(self, place: Place) -> list[Move]:
-        """Remove a worker; if its group is then two short, one of the largest gives a worker to it."""
+        """Remove a worker; if its group is then two smaller than the largest, move a worker to it."""
         group = self._group_of[place]
         self._remove_member(place)
         moves = [Move(place, group, None)]
@@ -139,7 +141,7 @@
         return self._group_of[place]
 
     def _refill(self, group: int) -> Move:
-        """Move a worker to a group from one of the largest, of the zone and kind that it lacks most."""
+        """Move a worker from one of the largest groups, of the zone and kind that this group lacks most."""
         largest = max(self._sizes)
         donors = [donor for donor, size in enumerate(self._sizes) if size == largest]
         first = bisect_left(donors, group)
@@ -174,14 +176,14 @@
 
 
 class HashedPartition:
-    """Groups by rendezvous hashing: of nearly equal size if each has hundreds of workers."""
+    """Groups by rendezvous hashing, which are of nearly equal size if each has hundreds of workers."""
 
     def __init__(self) -> None:
         """Create one group."""
         self.group_count = 1
 
     def repartition(self, _places: Iterable[Place], groups: int) -> None:
-        """Set the number of groups; workers move only to new groups, or from those that are gone."""
+        """Set the number of groups; workers move only to new groups or from removed ones."""
         self.group_count = groups
 
     def add(self, place: Place) -> list[Move]:
@@ -202,12 +204,12 @@
     """The workers of one dispatcher's group, in the order of their places."""
 
     def __init__(self, on_added: Callable[[Worker], None], on_removed: Callable[[Worker], None]) -> None:
-        """Create an empty subset, which reports each single change of its workers."""
+        """Create an empty subset; it calls `on_added` and `on_removed` for each single change."""
         self.workers: list[Worker] = []
-        self.dispatchers_per_worker = 1.0  # that use the same group
+        self.dispatchers_per_worker = 1.0  # dispatchers that use the same group
         self.group_count = 1
         self._group = 0
-        self._places: list[Place] = []  # of `workers`, in the same order
+        self._places: list[Place] = []  # places of `workers`, in the same order
         self._ready: dict[Place, Worker] = {}
         self._partition: Partition = BalancedPartition()
         self._on_added = on_added
@@ -231,7 +233,7 @@
         group: int,
         dispatchers_per_worker: float,
     ) -> None:
-        """Partition the ready workers and set the subset to one group; reports no single changes."""
+        """Partition the ready workers and set the subset to one group, without calls for single changes."""
         self._ready = {place_of(worker.entry): worker for worker in ready}
         self._partition = HashedPartition() if has_affinity else BalancedPartition()
         self._partition.repartition(self._ready, groups)
@@ -242,7 +244,7 @@
         self.workers = [self._ready[place] for place in self._places]
 
     def add(self, worker: Worker) -> None:
-        """Add a worker that has become ready, to whatever group it belongs."""
+        """Add a worker that has become ready to its group, which may be another than this subset."""
         place = place_of(worker.entry)
         self._ready[place] = worker
         self._apply(self._partition.add(place))
@@ -269,8 +271,8 @@
 def group_of_dispatcher(index: int, dispatchers: int, groups: int, has_affinity: bool) -> int:
     """Return the group of a dispatcher.
 
-    Where requests have keys, dispatchers with neighbouring indices are spread over the groups, so that a part
-    of the dispatchers, such as those of one zone, still serves all groups.
+    If requests have keys, dispatchers with neighbouring indices are spread over the groups, so that a part of
+    the dispatchers, such as those of one zone, still serves all groups.
     """
     if has_affinity:
         return int((index * GOLDEN_RATIO) % 1.0 * groups)
--- a/eiderfield/policy/timer.py
+++ b/eiderfield/policy/timer.py
@@ -1,4 +1,4 @@
-"""The timer of a dispatcher: at most one is pending, and only the latest one counts."""
+"""The timer of a dispatcher: only the timer that was set last is in effect."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Timer:
-    """Requests the `TimerFired` event at the earliest time at which something may change by itself."""
+    """Sets a timer for the earliest time at which a decision may be due without an event."""
 
     def __init__(self, context: Context) -> None:
         """Create a timer that is not pending."""
@@ -18,7 +18,7 @@
         self._token = 0
 
     def fired(self, event: TimerFired) -> None:
-        """Clear the pending timer, unless the event is that of a timer which has been replaced since."""
+        """Clear the pending timer, unless the event belongs to a timer that has been replaced."""
         if event.token == self._token:
             self._pending_at = 0.0
 
