--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -119,7 +119,10 @@
         return attempt.sent_at + STUCK_DURATIONS / SHORT_WAIT_DURATIONS * self.short_wait_ms(attempt.request)
 
     def _short_wait_until(self, attempt: AttemptRecord) -> float:
-        """Return when a waiting attempt is stuck, with many dispatchers; the wait doubles with each attempt."""
+        """Return when a waiting attempt is stuck, with many dispatchers.
+
+        The time that an attempt may wait doubles with each attempt of its request.
+        """
         short = self.short_wait_ms(attempt.request)
         wait_until = attempt.sent_at + max(short, self.mean_wait_ms) * 2.0**attempt.number
         if self.mean_wait_ms <= short:
