--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""A source that many dispatchers share: who calls it when: at a start, after failures, after garbage."""
+"""Calls of many dispatchers to a shared discovery source: at start, after failures and malformed lists."""
 
 import heapq
 import json
@@ -28,20 +28,18 @@
 from eiderfield.net.http import MalformedMessageError
 from eiderfield.net.wheel import TICK_MS
 
-SERVICE_MS = 125.0  # ms of the source's time that a call takes
-QUEUE_TIMEOUT_MS = 2000.0  # ms that a call waits in line; one that has waited longer fails, its place used up
+SERVICE_MS = 125.0  # time of the source that a call takes
+QUEUE_TIMEOUT_MS = 2000.0  # a call that has waited longer in the source's queue fails
 
 
 def times_of_first_list(backoffs, until, calls, service=SERVICE_MS):
-    """When each dispatcher has its list: `calls` are the times of the first calls. None for who has none."""
+    """Return when each dispatcher has its list, None for never; `calls` are the times of the first calls."""
     line, free_at, received_at = [(at, number) for number, at in enumerate(calls)], 0.0, [None] * len(calls)
     heapq.heapify(line)
     while line and line[0][0] <= until:
         at, number = heapq.heappop(line)
         begins = max(at, free_at)
-        if (
-            begins - at > QUEUE_TIMEOUT_MS
-        ):  # it waits in vain, and the source finds out only when it gets to it
+        if begins - at > QUEUE_TIMEOUT_MS:  # the call has failed, but the source still spends its time on it
             free_at = begins + service
             heapq.heappush(
                 line, (at + QUEUE_TIMEOUT_MS + backoffs[number].next_wait(at + QUEUE_TIMEOUT_MS), number)
@@ -58,8 +56,10 @@
 
 
 def test_forty_dispatchers_starting_together_all_receive_a_list_within_20_s():
-    """Discovery failed 24 of 40 calls made at once, and none of those 24 ever got through again in 30 s, for
-    waits that doubled to 1 s for everybody kept 27 calls a second at its listener."""
+    """Of 40 simultaneous calls 24 failed, and none of those 24 dispatchers got a list within 30 s.
+
+    Waits that doubled to 1 s for every dispatcher kept 27 calls a second at the source's listener.
+    """
     backoffs = forty_backoffs()
     received_at = times_of_first_list(backoffs, 30_000.0, [backoff.first_wait(True) for backoff in backoffs])
     assert all(at is not None and at < 20_000.0 for at in received_at)
@@ -67,16 +67,18 @@
 
 
 def test_first_call_is_made_within_the_drain_grace():
-    """With first calls spread over 6 s one that had restarted sent to workers that were gone: it would have
-    been told of them, had it asked."""
+    """With first calls spread over 6 s, a restarted dispatcher sent requests to workers that were gone."""
     assert max(backoff.first_wait(True) for backoff in forty_backoffs()) < 500.0
     assert Backoff().first_wait(True) == Backoff(4, 3).first_wait(False) == 0.0
 
 
 @pytest.mark.parametrize("sharers", [4, 40, 200, 1000])
 def test_first_call_and_first_wait_are_bounded_for_any_number_of_sharers(sharers):
-    """The 150th of 214 that restarted called 1.2 s after its start: a drain that its agent held all that time
-    bound after 0.5 s, and three requests went to drained workers 0.59 s after. First waits were 20 s."""
+    """A restarted dispatcher called its agent too late to learn of a drain within its grace.
+
+    The 150th of 214 dispatchers called 1.2 s after its start. The agent held a drain whose grace was 0.5 s,
+    and three requests were sent to drained workers 0.59 s after it. First waits were up to 20 s.
+    """
     all_ = [Backoff(sharers, number, Random(number), grace=500.0) for number in range(sharers)]
     firsts = [backoff.first_wait(True) for backoff in all_]
     assert max(firsts) <= FIRST_CALLS_SHARE * 500.0
@@ -95,9 +97,11 @@
 
 
 def test_overloaded_source_serves_only_some_of_two_hundred_dispatchers():
-    """Of 20 calls a second, 200 callers that wait for 4.4 s at most leave none free for long: no wait that
-    keeps the 6 s can tell them all, and the waits of up to 80 s that did broke the 6 s. Stated so that a
-    change of either shows."""
+    """A source of 20 calls a second cannot serve 200 callers that each wait for at most 4.4 s.
+
+    Waits within the limit of 6 s cannot serve all callers; waits of up to 80 s did, but broke that limit. The
+    number of dispatchers served is asserted so that a change of either shows.
+    """
     backoffs = [Backoff(200, number, Random(number)) for number in range(200)]
     received_at = times_of_first_list(
         backoffs, 120_000.0, [backoff.first_wait(True) for backoff in backoffs], 50.0
@@ -107,8 +111,10 @@
 
 @pytest.mark.parametrize("sharers", [1, 4, 9, 40, 200, 1000])
 def test_waits_are_bounded_after_any_number_of_failures(sharers):
-    """Waits once grew to 80 s at 200 sharers, so that a source of 20 calls a second told them all in the end.
-    But a change counts as told 6 s after the source could be reached, whatever calls failed before that."""
+    """With 200 sharers waits grew to 80 s, but a change counts as notified 6 s after the source is reachable.
+
+    Calls that failed before do not extend this limit.
+    """
     to_list = DIAL_TIMEOUT + FIRST_LIST_TIME
     assert MAX_WAIT + to_list == NOTIFIED_AFTER
     assert HEARTBEAT_TIMEOUT_MS + to_list < NOTIFIED_AFTER
@@ -124,7 +130,7 @@
 def test_calls_to_a_source_that_fails_at_once_are_rate_limited():
     backoff, now = Backoff(4, 3, Random(1)), 0.0
     for _ in range(400):
-        backoff.reset()  # it tells its list and ends, again and again
+        backoff.reset()  # the source sends its list and ends the watch, again and again
         now += backoff.next_wait(now)
     assert now >= 400 / 4.2 * 1000.0 - 8 * 250.0
 
@@ -144,12 +150,12 @@
     assert min(waits[4:]) >= LEAST_SHARE_OF_WAIT * backoff.longest_wait
     assert len(set(waits)) == 30
     backoff.reset()
-    assert backoff.next_wait(1e6) == backoff.first_wait(True), "after a list the first call comes in its turn"
+    assert backoff.next_wait(1e6) == backoff.first_wait(True), "the call after a list waits for its turn"
     assert LEAST_SHARE_OF_WAIT * WAIT_PER_SHARER * 40 <= backoff.next_wait(1e6) <= WAIT_PER_SHARER * 40
 
 
 def start_watch(number, index, sharers=40):
-    """A dispatcher whose table is or isn't known, and its watch of port 8500."""
+    """Return a dispatcher with a list of this index, or with none, and start its watch of port 8500."""
     dispatcher = InMemoryDispatcher(workers=1)
     dispatcher.table.index = index
     watcher = PlatformWatch(
@@ -176,20 +182,23 @@
 
 @pytest.mark.parametrize(("sharers", "number"), [(1, 0), (40, 39), (200, 199)])
 def test_silent_source_always_has_a_pending_call(sharers, number):
-    """Discovery was down for 8 s, its agents silent; dispatchers called again after up to 11.9 s. What
-    the agent then held counted as told at once: 63 requests went to drained workers 0.58 s after or later."""
+    """After 8 s in which discovery was down and its agents silent, calls were made up to 11.9 s later.
+
+    What the agent holds counts as notified at once: 63 requests were sent to drained workers 0.58 s or more
+    after the drain.
+    """
     dispatcher = start_watch(number, 3, sharers)
     gap, calls = 0.0, 0
-    for _ in range(200):  # 20 s of silence, looked at every 100 ms
+    for _ in range(200):  # 20 s of silence, checked every 100 ms
         dispatcher.advance(100.0)
         while dispatcher.dials:
             dispatcher.dials[0].up()
             calls += 1
         gap = 0.0 if dispatcher.ends and dispatcher.ends[-1].pipe.open else gap + 100.0
         assert gap <= (100.0 if calls else FIRST_CALLS_SHARE * 500.0), (
-            "it would not hear of a drain within the grace"
+            "a drain would not be received within its grace"
         )
-    assert 6 <= calls <= 9, "and it does not hammer"
+    assert 6 <= calls <= 9, "the source is not called more often than needed"
 
 
 @pytest.mark.parametrize(
@@ -206,7 +215,7 @@
     assert "watch reopened (reason=" in dispatcher.logged[-1], json.dumps(dispatcher.logged)
     assert "index=3 wait_ms=" in dispatcher.logged[-1], json.dumps(dispatcher.logged)
     dispatcher.advance(40.0 * WAIT_PER_SHARER + 5.0)
-    assert len(dispatcher.dials) == 1, "and it comes back"
+    assert len(dispatcher.dials) == 1, "the dispatcher calls again"
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -227,7 +236,7 @@
 
 
 def hangs(dispatcher, dial):
-    """Its connection never comes up."""
+    """The connection is never established."""
 
 
 def says_nothing(_dispatcher, dial):
@@ -263,7 +272,7 @@
 
 
 def dribbles(dispatcher, dial):
-    """A byte of a line that never ends now and then."""
+    """Sends a byte of a line that never ends every 300 ms."""
     feed = dial.up()
     feed.pipe.send(HEAD)
 
@@ -292,16 +301,18 @@
 @pytest.mark.parametrize("fail", FAULTS)
 @pytest.mark.parametrize("span", [400.0, 5_000.0, 31_700.0])
 def test_list_is_received_within_6_s_after_a_failed_source_is_reachable_again(fail, span, sharers, number):
-    """At 200 sharers the first wait was drawn from 1.5 to 6 s and doubled up to 80 s, so that a drain was
-    heard of more than 6 s after discovery could tell it; and any byte counted as a sign of life, so that a
-    source that dribbled one was never left."""
+    """A drain was received more than 6 s after discovery was reachable.
+
+    With 200 sharers the first wait was drawn from 1.5 to 6 s and doubled up to 80 s. Any byte counted as
+    activity, so that a source that sent a byte now and then was never given up.
+    """
     dispatcher = start_watch(number, 3, sharers)
     until = dispatcher.now + span
     while dispatcher.now < until:
         while dispatcher.dials and dispatcher.dials[0].address[1] == 8500 and fail is not hangs:
             fail(dispatcher, dispatcher.dials[0])
         dispatcher.advance(10.0)
-    reachable, drained, hung = dispatcher.now, False, list(dispatcher.dials)  # what hung goes on hanging
+    reachable, drained, hung = dispatcher.now, False, list(dispatcher.dials)  # pending dials stay pending
     while not drained:
         for dial in [dial for dial in dispatcher.dials if dial not in hung]:
             dial.up().pipe.send(HEAD + chunk(endpoint_list("DRAINING")))
@@ -313,8 +324,10 @@
 @pytest.mark.parametrize(("sharers", "number"), [(1, 0), (40, 39), (200, 199)])
 @pytest.mark.parametrize("break_stream", [stream_ends, stream_is_reset])
 def test_broken_watch_is_reopened_within_the_drain_grace(break_stream, sharers, number):
-    """What the agent holds counts at once: at 20 dispatchers a watch that was reset was opened anew after
-    0.5 to 2 s, while a drain binds after half a second."""
+    """With 20 dispatchers a watch that was reset was reopened after 0.5 to 2 s.
+
+    What the agent holds counts as notified at once, and a drain must be obeyed after half a second.
+    """
     dispatcher = start_watch(number, 3, sharers)
     dispatcher.advance(FIRST_CALLS_SHARE * 500.0)
     feed = dispatcher.dials[0].up()
@@ -329,7 +342,7 @@
 @pytest.mark.parametrize("indent", [None, 1, 4])
 @pytest.mark.parametrize("step", [1, 7, 64, 10_000])
 def test_json_stream_accepts_indented_lists_in_chunks_of_any_size(indent, step):
-    """Only a list on one line was understood: an indented one was garbage, again and again."""
+    """Only a list on a single line was accepted; an indented list was rejected as malformed each time."""
     first = endpoint_list("SERVING", 4, indent)[:-1]
     odd = json.dumps({"index": 5, "note": 'a } in "quotes" and a \\', "x": []}, indent=indent).encode()
     stream = b"\n" + first + b"\n\n" + odd + b"\n" + first + b"\n"
@@ -346,7 +359,10 @@
 
 @pytest.mark.parametrize("indent", [None, 2])
 def test_json_stream_yields_a_list_at_its_closing_bracket(indent):
-    """Its line feed may come with the next empty line, 2 s later: a drain binds after half a second."""
+    """The line feed after a list may arrive 2 s later with the next empty line: too late for a drain.
+
+    A drain must be obeyed after half a second.
+    """
     lines, text = JsonStream(10_000), endpoint_list("DRAINING", 4, indent)
     assert not [part for part in lines.feed(text[:-2]) if part]
     assert [json.loads(part)["index"] for part in lines.feed(text[-2:-1])] == [4]
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines and windows of attempts where the process is held up between reading its clock and writing."""
+"""Deadlines and repeat windows of attempts with a process that is delayed between clock and write."""
 
 import socket
 from dataclasses import replace
@@ -11,18 +11,18 @@
 from eiderfield.interface import MAX_WRITE_DELAY_MS, Effect, Scope, StartAttempt
 from eiderfield.net.loop import Driver
 
-SLACK_MS = 150.0  # ms by which a worker may be told too much (standing test)
-READING_MS = 50.0  # ms that reading a request may take (protocol page)
-REPEAT_WINDOW_MS = 400.0  # ms in which workers discard the repeat of a keyed request
+SLACK_MS = 150.0  # by which a deadline announced to a worker may exceed the client's (standing test)
+READING_MS = 50.0  # time that reading a request may take (protocol page)
+REPEAT_WINDOW_MS = 400.0  # time in which workers discard the repeat of a keyed request
 
 
 class WriteDelays:
-    """A dispatcher that is held up after each reading of its clock for a write."""
+    """Delays a dispatcher after each time that it reads its clock for a write."""
 
     def __init__(self, dispatcher):
         self.dispatcher = dispatcher
-        self.excess_ms = []  # how much longer than its client waits each worker was told that it would
-        self.client_deadlines = {}  # by request, when its client gives up
+        self.excess_ms = []  # by how much each deadline announced to a worker exceeds the client's
+        self.client_deadlines = {}  # by request id
         calls = dispatcher.side.calls
         message, calls.request_for = calls.request_for, self.message
         self._message = message
@@ -37,7 +37,7 @@
         return data
 
     def client(self, path, id_, wait, **headers):
-        """A client whose request was sent `READING` before the dispatcher reads it."""
+        """Return a client whose request was sent `READING_MS` before the dispatcher reads it."""
         self.client_deadlines[id_] = self.dispatcher.now - READING_MS + wait
         client = Client(self.dispatcher)
         client.post(path=path, id_=id_, wait=wait, **headers)
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("wait", [1000, 400, 120])
 def test_first_attempt_announces_at_most_the_time_left_to_its_client(wait):
-    """A dispatcher that was held up for all of the slack told its worker the time that reading took too."""
+    """A dispatcher that was delayed for all of the slack did not subtract the time that reading took."""
     dispatcher = InMemoryDispatcher(settings_with_long_deadlines(), workers=1)
     delays = WriteDelays(dispatcher)
     delays.client("/safe/a", "r1", wait)
@@ -93,16 +93,16 @@
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a", "/keyed/a"])
 def test_attempt_past_its_deadline_is_not_written_to_a_new_connection(path):
-    """Its timer may be late by as much as the process was held up."""
+    """The attempt's timer may fire late by as much as the process was delayed."""
     dispatcher = InMemoryDispatcher(workers=1)
     client = Client(dispatcher)
     client.post(path=path, wait=60, Idempotency_Key="k")
     [dial] = dispatcher.dials
-    dispatcher.now += 61.0  # no timer has gone off
+    dispatcher.now += 61.0  # no timer has fired
     end = dial.up()
     assert not end.pipe.written
     dispatcher.advance(50.0)
-    assert [status for status, *_ in client.answers()] == [503], "and it is known never to have run"
+    assert [status for status, *_ in client.answers()] == [503], "the request is known not to have run"
 
 
 def settings_with_repeat_window(scope=Scope.ALL):
@@ -111,7 +111,7 @@
 
 
 def first_attempt_breaks(dispatcher):
-    """A keyed request whose first attempt may have run; gives the client, and when that attempt was sent."""
+    """Send a keyed request whose first attempt may have run; return its client and when it was sent."""
     client = dispatcher.client(path="/keyed/a", Idempotency_Key="k")
     sent_at = dispatcher.now
     end = dispatcher.dials[0].up()
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("late", [0.0, 2.0])
 def test_retry_on_a_late_connection_is_written_only_within_the_repeat_window(late):
-    """It was looked at when the retry was decided, up to 0.1 s of dialling before."""
+    """The window was checked only when the retry was decided, up to 0.1 s before its connection was open."""
     dispatcher = InMemoryDispatcher(settings_with_repeat_window(), workers=2)
     client, sent_at = first_attempt_breaks(dispatcher)
     [dial] = dispatcher.dials
@@ -132,7 +132,7 @@
     assert bool(end.pipe.written) is (late == 0.0)
     if late:
         dispatcher.advance(20.0)
-        assert [status for status, *_ in client.answers()] == [503], "the class is safe to send anew"
+        assert [status for status, *_ in client.answers()] == [503], "the client may safely repeat it"
 
 
 def test_zone_scoped_retry_after_the_repeat_window_fails():
@@ -168,28 +168,28 @@
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a", "/keyed/a"])
 @pytest.mark.parametrize("wait", [0, 1, 3, 4, 5, 20, 60])
-@pytest.mark.parametrize("worker", ["drops it", "hands it back", "never comes up"])
+@pytest.mark.parametrize("worker", ["drops the request", "declines the request", "is unreachable"])
 def test_request_with_little_time_left_gets_one_answer_in_time(path, wait, worker):
-    """Workers may drop such requests without a word."""
+    """Workers may drop such requests without an answer."""
     dispatcher = InMemoryDispatcher(workers=2)
     client = Client(dispatcher)
     client.post(path=path, wait=wait, Idempotency_Key="k")
-    for dial in list(dispatcher.dials) if worker != "never comes up" else ():
+    for dial in list(dispatcher.dials) if worker != "is unreachable" else ():
         end = dial.up()
-        if worker == "hands it back" and end.take():
+        if worker == "declines the request" and end.take():
             end.status(504, X_Not_Run="1")
     dispatcher.advance(wait + SITE.answer_slack_ms + SITE.clock_resolution_ms)
     sent_unsafe = path == "/unsafe/a" and any(end.came for end in dispatcher.ends)
     statuses = [status for status, *_ in client.answers()]
     assert len(statuses) == 1
     assert statuses[0] in (502, 503)
-    assert not (sent_unsafe and worker == "drops it" and statuses == [503]), "it may have run"
+    assert not (sent_unsafe and worker == "drops the request" and statuses == [503]), "it may have run"
     assert not dispatcher.exchange.unanswered
     assert SITE.classes[1].effect == Effect.UNSAFE
 
 
 class Discovery:
-    """A watch on a real socket: a byte that comes on it tells that the worker drains."""
+    """A watch on a real socket; a byte that arrives on it reports that the worker drains."""
 
     def __init__(self, harness):
         self.ours, self.theirs = socket.socketpair()
@@ -239,7 +239,10 @@
 
 
 def test_drain_during_a_delayed_turn_is_obeyed_within_its_grace(harness):
-    """The decision, the drain, 0.15 s, the write: that is the last one that the draining worker gets."""
+    """The drain arrives after the decision, and the write follows 0.15 s later.
+
+    That attempt must be the last one that the draining worker gets.
+    """
     client = SocketClient(harness)
     client.send(message("r0"))
     harness.turn(12)
