--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a subprocess on its standard streams."""
+"""Tests of the adapter as a subprocess, through its standard streams."""
 
 import struct
 import subprocess
@@ -54,7 +54,7 @@
 
 
 def first_attempt(reply):
-    """Return the node and the request of a reply that starts with an attempt."""
+    """Return the node and the request id of a reply that begins with the start of an attempt."""
     code, node, request_id = struct.unpack_from("<BHQ", reply[1])
     assert code == ActionCode.START_ATTEMPT
     return node, request_id
@@ -102,7 +102,7 @@
 
 @pytest.fixture(scope="module")
 def failing_nodes():
-    """Node 0 has wrong settings, node 2 gets a request of an unknown class, and node 1 is sound."""
+    """Run node 0 with invalid settings, node 2 with a request of an unknown class, and a healthy node 1."""
     wrong = GOOD.replace("classes.0.value=1.0\n", "")
     return run_adapter(
         frame(
@@ -145,7 +145,7 @@
 
 
 def replies_to_requests(nodes):
-    """Return the replies to forty requests of each node."""
+    """Return the replies to forty requests for each node."""
     data = frame(
         0.0,
         *(create_dispatcher(n, seed=n) for n in nodes),
--- a/tests/test_idmap.py
+++ b/tests/test_idmap.py
@@ -1,4 +1,4 @@
-"""Numbers of names: the same in every process, and one for each name."""
+"""Numbers of names: the same in every process, and different for different names."""
 
 import subprocess
 import sys
@@ -8,7 +8,7 @@
 
 
 def test_platform_names_map_to_the_numbers_they_contain():
-    """Two dispatchers, or the simulator, that number a worker differently would send a key to other homes."""
+    """Dispatchers, or the simulator, that number a worker differently would send a key to different homes."""
     assert IdMap().worker("s-1a82eb72") == 0x1A82EB72
     assert IdMap.key_number("7f3a9c21e0b4d655") == 0x7F3A9C21E0B4D655
     assert IdMap.key_number("0" * 16) == 1
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The four rules under drawn event sequences, and proof that each check can fail."""
+"""The four rules under random event sequences, and tests that each check detects a violation."""
 
 import random
 from dataclasses import replace
--- a/tests/test_policy_boundaries.py
+++ b/tests/test_policy_boundaries.py
@@ -1,4 +1,4 @@
-"""The limits that the operators set for the decisions, for each file of their package."""
+"""Limits that the operators set for each module of the policy: size, line length, no clock and no I/O."""
 
 from pathlib import Path
 
--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -1,4 +1,4 @@
-"""The design's steps, each with figures worked out by hand."""
+"""The mechanisms of the policy, each with expected figures that were calculated by hand."""
 
 from dataclasses import replace
 from math import inf
@@ -42,11 +42,11 @@
     assert pacer.rate == pytest.approx(15.0)
     play_window(pacer, 3000.0, 10, 10)  # all refused: the floor, 0.3 of 40
     assert pacer.rate == pytest.approx(12.0)
-    play_window(pacer, 4000.0, 10, 0)  # clean: times 1.25
+    play_window(pacer, 4000.0, 10, 0)  # no refusal: times 1.25
     assert pacer.rate == pytest.approx(15.0)
     for at in range(5, 10):
         play_window(pacer, at * 1000.0, 10, 0)
-    assert pacer.rate is None  # above 40 with nothing waiting: unpaced again
+    assert pacer.rate is None  # above 40 with nothing waiting: no limit any more
 
 
 def test_late_full_in_a_window_without_attempts_reduces_no_rate():
@@ -80,13 +80,16 @@
 
 
 def test_full_reduces_no_rate_while_another_worker_is_free():
-    """A worker that took nothing held a class at its floor for ten seconds, with most of the fleet idle."""
+    """A single worker that refused everything kept a class at its floor rate for 10 s.
+
+    Most of the fleet was idle meanwhile.
+    """
     node = Node()
     id_, actions = node.arrive(cls=1)
     pacer = node.dispatcher.pacers[1]
     node.end(id_, 0, sends(actions)[0].worker, Outcome.FULL)
     assert pacer.sent_in_window - 1 == pacer.accepted_in_window - 1 == 1, (
-        "sent again, and neither send counted as not accepted"
+        "the request was sent again, and neither attempt counts as refused"
     )
 
 
@@ -122,7 +125,7 @@
     queue = ClassQueue(SAFE, Pacer(0.7, 100.0), 1.0)
     for n in range(6):
         queue.slb[n] = None
-    assert not queue.has_room()  # 6 of 8 is near-full
+    assert not queue.has_room()  # 6 of 8 is nearly full
     queue.pacer.rate, queue.pacer.uncut_rate = 20.0, 40.0
     assert queue.has_room()  # 6 of 16
     rest = ClassQueue(SAFE, Pacer(0.3, 100.0), 1.0)
@@ -209,7 +212,7 @@
 
 
 def workers_used(node, key, count):
-    """The workers that took requests of one key, each ended at once."""
+    """Send requests of one key, each of which ends at once; return the workers that they were sent to."""
     used = set()
     for _ in range(count):
         id_, actions = node.arrive(affinity_key=key)
@@ -227,7 +230,7 @@
 
 
 def test_home_that_is_full_or_half_open_is_replaced_by_the_next_worker_of_the_key():
-    """Jobs waited for such homes while other workers were idle."""
+    """Requests waited for such homes while other workers were idle."""
     node = Node(workers=6)
     node.now = 1.0
     first, second = (w.entry.worker for w in node.dispatcher._selector.homes(request_with_key(101), node.now))
@@ -254,9 +257,9 @@
 
 
 def test_frequent_key_has_as_many_homes_as_its_share_needs():
-    """Incident ia7713c: two homes for a key that fills more than two workers."""
+    """A key that needs more than two workers had only two homes (incident ia7713c)."""
     node = Node(workers=8)
-    assert len(workers_used(node, 7, 60)) > 2  # all the traffic: every worker
+    assert len(workers_used(node, 7, 60)) > 2  # the key has all the traffic
 
 
 def test_worker_in_its_first_warm_up_is_no_home():
@@ -287,11 +290,11 @@
 
 
 def test_late_request_is_released_after_those_in_time():
-    """On overloaded days requests went in their order, so that each made the next one late as well."""
+    """Under overload, requests that were released in order of arrival each made the next one late as well."""
     node = Node(settings_with_late_requests(), workers=1)
     node.arrive()
     late_requests = [node.arrive()[0] for _ in range(3)]
-    node.now = 400.0  # past their aim of 300 ms
+    node.now = 400.0  # later than their latency objective of 300 ms
     fresh, _ = node.arrive()
     order = []
     for _ in range(4):
@@ -301,7 +304,7 @@
         worker.full_until = 0.0
         actions += node.end(id_, attempt, 1, Outcome.OK, final=True)
         order += [s.request_id for s in sends(actions)]
-    assert order == [fresh, *late_requests], "and what is late is sent all the same once nothing else waits"
+    assert order == [fresh, *late_requests], "late requests are sent once no other request waits"
 
 
 def test_late_request_is_shed_first_unless_late_answers_are_useful():
@@ -320,9 +323,9 @@
 
 
 def test_warming_worker_is_a_home_within_its_budget_after_the_first_part_of_its_warm_up():
-    """Passed by until it is warm, a worker that operators gave back stood idle for many seconds."""
+    """A worker that operators returned to service was idle for many seconds, until it was warm."""
     node = Node(replace(BASE, hedging_allowed=False), workers=1)
-    for _ in range(40):  # what a worker serves is learnt from what it served
+    for _ in range(40):  # the budget follows from the work that workers have served
         node.now += 100.0
         [send] = sends(node.arrive(affinity_key=7)[1])
         node.end(send.request_id, 0, send.worker, Outcome.OK, final=True, elapsed=90.0)
@@ -356,7 +359,7 @@
 
 
 def test_attempts_of_the_other_process_count_in_selection_and_slow_start():
-    """Two processes of one dispatcher during an upgrade would both fill a worker, or overload a new one."""
+    """During an upgrade the two processes of a dispatcher would both fill a worker, or overload a new one."""
     node = Node(replace(BASE, hedging_allowed=False), workers=2)
     node.play(SiblingReportReceived(1, 2, 0.0))
     for _ in range(2):
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, case by case, on the actions alone."""
+"""The four rules, case by case, as seen in the policy's actions alone."""
 
 from dataclasses import replace
 
@@ -70,7 +70,7 @@
         if is_retried:
             assert got[0].worker % 2 == first % 2
             assert got[0].worker != first
-        else:  # its only group member is under suspicion: held; its window is over: failed
+        else:  # held while a reset pauses the only worker of its cell; failed after its window
             assert (FailRequest in action_types(actions)) is (elapsed > keyed.repeat_window_ms)
 
 
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,11 +1,11 @@
-"""The decisions of seeded event sequences, as three earlier revisions made them.
+"""The decisions for seeded event sequences are those that three earlier revisions made.
 
-`BEFORE_THE_PACKAGE` are those from before the decisions became a package; those of 456c0d9 and 3888fce are in
-`tests/golden/REVISION/decisions`.
+`BEFORE_THE_PACKAGE` has the digests from before the policy became a package; those of 456c0d9 and 3888fce are
+in `tests/golden/REVISION/decisions`.
 
-A digest covers every action in its order, in the simulator's wire form with the expected work of each
-attempt, so that it outlasts names. A change of behaviour that is meant changes digests: the commit says
-which, and why.
+A digest covers every action in order, in the simulator's wire format with the expected work of each attempt,
+so that it does not depend on names. An intended change of behaviour changes digests: the commit says which
+and why.
 """
 
 import hashlib
@@ -64,7 +64,7 @@
 
 
 def record_actions(digest, dispatcher, number=0):
-    """Feeds each action of a dispatcher to a digest."""
+    """Update a digest with each action that a dispatcher returns."""
     real = dispatcher.handle
 
     def handle(now, events):
@@ -79,7 +79,7 @@
 
 @cache
 def digest_of_events(variant):
-    """The digest of the actions under drawn events."""
+    """Return the digest of the actions under random events."""
     digest = hashlib.sha256()
     for seed in range(6):
         player = EventPlayer(SETTINGS[variant], random.Random(seed))
@@ -90,7 +90,7 @@
 
 @cache
 def digest_of_fleet(size):
-    """The digest of the actions of a simulated fleet, some workers of which fall silent for a while."""
+    """Return the digest of the actions of a simulated fleet in which some workers are silent for a while."""
     nodes, workers = FLEETS[size]
     digest, fleet = hashlib.sha256(), SimulatedFleet(nodes, workers, load=0.9)
     for number, dispatcher in enumerate(fleet.nodes):
