--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""The same tests of the policy and of the network code for every deployment of the table."""
+"""Tests of the policy and of the network code, for each deployment in `support.deployments`."""
 
 from __future__ import annotations
 
@@ -100,14 +100,14 @@
         assert end.take() == ["r1"]
         end.pipe.break_off()
         dispatcher.settle()
-        if cls.effect == Effect.UNSAFE:  # it may have run: no word of coming again
+        if cls.effect == Effect.UNSAFE:  # it may have run: the answer must not invite a retry
             assert [status for status, _, _ in client.answers()] == [502]
             assert not dispatcher.dials
         for _ in range(20):
             while dispatcher.dials:
                 dispatcher.dials[0].up().pipe.break_off()
             dispatcher.advance(100.0)
-        assert len(client.answers()) == (cls.effect != Effect.UNSAFE), "once, and before the client leaves"
+        assert len(client.answers()) == (cls.effect != Effect.UNSAFE), "one answer, before the deadline"
         assert sum(len(end.came) for end in dispatcher.ends) <= DEPLOYMENTS[name].max_attempts
 
 
@@ -117,7 +117,7 @@
         fresh = dispatcher_of(name)
         client = send_request(fresh, cls)
         fresh.dials[0].refuse()
-        while not fresh.dials:  # at once at a second worker; the only one rests for a while
+        while not fresh.dials:  # at once at a second worker; a single worker is paused first
             assert not client.answers()
             fresh.advance(20.0)
 
@@ -155,7 +155,7 @@
 
 
 def execute(dispatcher, action):
-    """Lets the policy decide an action in one turn."""
+    """Let the policy return an action in one turn; return the log lines of failed actions."""
     dispatcher.exchange.dispatcher.handle = lambda _now, _events: [action]
     dispatcher.exchange.turn(dispatcher.now)
     del dispatcher.exchange.dispatcher.handle
@@ -184,8 +184,8 @@
     events = [RequestReceived(n, 0, 5000.0, tenant_index=1) for n in range(1, 41)]
     events += [RequestReceived(n, 0, 5000.0, tenant_index=0) for n in range(41, 51)]
     refused = {action.request_id for action in of_type(node.play(*events), RejectRequest)}
-    assert refused, "only of the one that is over its share"
-    assert refused <= set(range(1, 41)), "only of the one that is over its share"
+    assert refused, "only requests of the tenant over its quota are shed"
+    assert refused <= set(range(1, 41)), "only requests of the tenant over its quota are shed"
 
 
 def test_two_answers_of_a_hedged_request_in_one_turn_give_one_response():
@@ -193,7 +193,7 @@
     client = send_request(dispatcher, dispatcher.exchange.settings.classes[0])
     first = dispatcher.dials[0].up()
     first.say({"id": "r1", "from": "w", "state": "started"})
-    while not dispatcher.dials:  # silence: the class may have a second copy
+    while not dispatcher.dials:  # the worker is silent: the request is hedged
         dispatcher.advance(50.0)
     second = dispatcher.dials[0].up()
     assert second.take() == ["r1"]
@@ -218,7 +218,7 @@
     else:
         dispatcher.dials[0].up(stuck=break_point == "within").pipe.break_off()
     dispatcher.settle()
-    if break_point == "after":  # it may have run: the truth, at once, and no word of coming again
+    if break_point == "after":  # it may have run: an answer at once that does not invite a retry
         assert [status for status, _, _ in client.answers()] == [502]
         assert not dispatcher.dials
     else:
@@ -243,7 +243,7 @@
         learn(node.dispatcher, slots=(KindSlots(0, 2.0),))
     sent = [node.arrive(cls=0, slots=2.0)[1] for node in nodes]
     assert all(of_type(actions, StartAttempt) for actions in sent), (
-        "neither could know: one waits at the worker"
+        "neither knows of the other: one request waits at the worker"
     )
     for index, (node, actions) in enumerate(zip(nodes, reversed(sent), strict=True)):
         node.play(*[PeerReportReceived(1 - index, tell.data) for tell in of_type(actions, SendPeerReport)])
@@ -255,4 +255,4 @@
     learn(node.dispatcher, slots=(KindSlots(0, 4.0),))
     id_, _ = node.arrive(cls=0)
     node.play(AttemptEnded(id_, 0, 1, Outcome.OK, 1.0, True, load_report=(9.0, 9.0, 0.0)))
-    assert of_type(node.arrive(cls=0)[1], StartAttempt), "what was free seconds ago is no limit"
+    assert of_type(node.arrive(cls=0)[1], StartAttempt), "a report of free slots is too old to be a limit"
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -1,4 +1,4 @@
-"""Workers that fail requests at once, requests of several slots, and what a repeat costs of the budget."""
+"""Workers that fail requests at once, requests of several slots, and the cost of retries in tokens."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
             )
         if node.dispatcher.workers[1].ejections:
             return node
-    raise AssertionError("the failing worker was never known for one")
+    raise AssertionError("the failing worker was never marked")
 
 
 def test_failing_worker_is_used_only_while_no_other_is_free():
@@ -53,7 +53,7 @@
     _, first = node.arrive(cls=0)
     assert [s.worker for s in sends(first)] == [2]
     _, second = node.arrive(cls=0)
-    assert [s.worker for s in sends(second)] == [1], "its good answers are better than waiting"
+    assert [s.worker for s in sends(second)] == [1], "a failing worker is better than waiting"
 
 
 @pytest.mark.parametrize(("cls", "is_allowed"), [(0, True), (2, True), (1, False)])
@@ -68,7 +68,7 @@
     node.arrive()
     assert not node.play()
     assert not sends(node.arrive()[1])
-    assert sends(node.play(at=node.now + 4001.0)), "one trial once its pause is over"
+    assert sends(node.play(at=node.now + 4001.0)), "one trial is sent after the ejection"
 
 
 def test_refused_connection_ejects_a_failing_worker():
@@ -110,11 +110,11 @@
 def test_request_of_several_slots_waits_in_the_dispatcher_until_they_are_free():
     node = node_with_slots(BASE, workers=1)
     first, actions = node.arrive(cls=0, slots=2.0)
-    assert sends(actions), "an empty worker always takes one"
+    assert sends(actions), "an idle worker takes a request of any size"
     node.play(AttemptProgressed(first, 0, 1, ProgressKind.STARTED, 0.0))
     assert not sends(node.arrive(cls=0, slots=4.0)[1])
     small, actions = node.arrive(cls=0, slots=1.0)
-    assert [s.request_id for s in sends(actions)] == [small], "who fits passes the one that does not"
+    assert [s.request_id for s in sends(actions)] == [small], "a request that fits is sent first"
     node.play(AttemptProgressed(small, 0, 1, ProgressKind.STARTED, 0.0))
     node.play(AttemptEnded(small, 0, 1, Outcome.OK, 5.0, True), at=5.0)
     assert [s.request_id for s in sends(node.play(AttemptEnded(first, 0, 1, Outcome.OK, 5.0, True)))] == [2]
@@ -142,7 +142,7 @@
 
 def test_one_request_may_wait_at_a_worker_without_reports():
     node = node_with_slots(replace(ONE_DISPATCHER, load_report_fields=()), slots=1.0, workers=1)
-    for expected in (True, True, False):  # the third finds the second waiting, and so the slots are known
+    for expected in (True, True, False):  # the second waits at the worker, so that the third may not
         assert bool(sends(node.arrive(cls=0)[1])) is expected
         if expected:
             node.play(AttemptProgressed(1, 0, 1, ProgressKind.STARTED, 0.0))
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -1,4 +1,4 @@
-"""The rules under settings far from those of any one deployment, on a driven clock."""
+"""The rules under extreme settings, on a simulated clock."""
 
 import random
 from dataclasses import replace
@@ -40,20 +40,18 @@
 VARIANTS = {
     "objective 20 ms": with_objective(20.0),
     "objective 60 s": with_objective(60_000.0),
-    "window below the time that a process may be held up": with_objective(
-        300.0, repeat_window_ms=MAX_WRITE_DELAY_MS - 1.0
-    ),
-    "window 5 min": with_objective(300.0, repeat_window_ms=300_000.0),
+    "repeat window below the write delay": with_objective(300.0, repeat_window_ms=MAX_WRITE_DELAY_MS - 1.0),
+    "repeat window 5 min": with_objective(300.0, repeat_window_ms=300_000.0),
     "warm-up 0.5 s": replace(BASE, slow_start_window_ms=500.0, slow_start_share=0.05),
     "warm-up 600 s": replace(BASE, slow_start_window_ms=600_000.0, slow_start_share=0.0),
-    "fall 50 ms": replace(BASE, recovery_ramp_ms=50.0),
-    "fall 60 s": replace(BASE, recovery_ramp_ms=60_000.0),
+    "recovery ramp 50 ms": replace(BASE, recovery_ramp_ms=50.0),
+    "recovery ramp 60 s": replace(BASE, recovery_ramp_ms=60_000.0),
     "200 dispatchers": replace(with_objective(20.0), dispatcher_count=200, dispatcher_index=77),
-    "notes each 50 ms": replace(with_objective(20.0), progress_interval_ms=50.0),
-    "notes each 10 s, no cancel": replace(
+    "progress every 50 ms": replace(with_objective(20.0), progress_interval_ms=50.0),
+    "progress every 10 s, no cancellation": replace(
         with_objective(60_000.0), progress_interval_ms=10_000.0, cancellation_allowed=False
     ),
-    "tick 20 ms": replace(BASE, clock_resolution_ms=20.0, answer_slack_ms=0.0),
+    "clock resolution 20 ms": replace(BASE, clock_resolution_ms=20.0, answer_slack_ms=0.0),
 }
 
 
@@ -68,7 +66,7 @@
     CASES[name].play()
 
 
-# Proof that the model's checks can fail.
+# The checks of the driven fleet detect violations.
 
 
 def test_driven_fleet_detects_a_missing_answer(monkeypatch):
@@ -167,7 +165,7 @@
     assert 1 <= announced <= max(1.0, deadline)
 
 
-# Times of the process.
+# Calls to discovery, and shutdown.
 
 
 @pytest.mark.parametrize("grace", [0.0, 250.0, 500.0, 30_000.0])
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -61,7 +61,7 @@
 
 
 def received_load_reports(monkeypatch, respond):
-    """The load report that the policy receives with the end of an attempt."""
+    """Return the load reports that the policy receives with the ends of attempts."""
     loads = []
     real = Dispatcher._attempt_ended
 
@@ -114,7 +114,7 @@
     node = Node(replace(BASE, load_report_fields=FIELDS), workers=1)
     id_, _ = node.arrive()
     ended(node, id_, 1, (0.0, 0.0, 5.0), Outcome.FULL)
-    assert not sends(node.arrive()[1]), "it said 'full' a moment ago"
+    assert not sends(node.arrive()[1]), "the worker has just answered 'full'"
 
 
 def test_restarted_worker_loses_old_reports_and_errors():
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Many dispatchers with uneven traffic on a simulated clock: the effects of all of them together."""
+"""Many dispatchers with uneven traffic on a simulated clock: the combined effects of their decisions."""
 
 from dataclasses import replace
 
@@ -10,15 +10,18 @@
 pytestmark = pytest.mark.long
 
 SIZES = [(4, 12), (40, 24), (200, 40)]
-# One node, few, which keep the budget by parts of it, and the first numbers of many, which keep it by lots.
+# A single dispatcher; few, which divide the budget; and the smallest numbers of many, which draw thresholds.
 OTHER_SIZES = [(1, 8), (2, 8), (12, 16), (20, 24), (30, 24)]
 
 
 @pytest.mark.parametrize("part", ["one", "third", "six in ten"])
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
 def test_warming_workers_are_not_overloaded_by_all_dispatchers_together(nodes, workers, part):
-    """Six in ten replaced at once were sent 1.11 of rule 4 by forty nodes and 1.04 by two hundred: what the
-    whole fleet had served lately was divided by the few that were still warm."""
+    """Six in ten workers replaced at once were sent 1.11 of what rule 4 allows by forty dispatchers.
+
+    With two hundred dispatchers it was 1.04. The work that the whole fleet had recently served was divided by
+    the few workers that were still warm.
+    """
     fleet = SimulatedFleet(nodes, workers, load=0.9)
     fleet.run(5000.0)
     replaced_count = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[part]
@@ -35,7 +38,7 @@
 @pytest.mark.parametrize("part", ["one", "third", "six in ten"])
 @pytest.mark.parametrize(("nodes", "workers"), OTHER_SIZES)
 def test_warming_workers_stay_within_the_slow_start_budget_with_mixed_costs(nodes, workers, part):
-    """Requests cost 0.25 to 2.5 of the mean; a tenth of the dispatchers have five times the traffic."""
+    """Requests cost 0.25 to 2.5 times the mean; a tenth of the dispatchers have five times the traffic."""
     fleet = SimulatedFleet(nodes, workers, load=0.9, traffic=uneven, costs=MIXED)
     fleet.run(4000.0)
     replaced_count = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[part]
@@ -62,17 +65,17 @@
 
 
 def test_the_slow_start_budget_is_that_of_the_standing_test():
-    """N + 3 x root of N + 3 calls under 30, else N + 2 x root of N + 2; N being 46.9 for a whole worker."""
+    """N + 3 sqrt(N) + 3 calls for N below 30, else N + 2 sqrt(N) + 2; N is 46.9 at full capacity."""
     assert slow_start_budget(1.0) == pytest.approx(46.875 + 2.0 * 46.875**0.5 + 2.0)
     assert slow_start_budget(0.33) == pytest.approx(15.46875 + 3.0 * 15.46875**0.5 + 3.0)
 
 
 def return_lost_zone(fleet):
-    """A zone falls silent, is told to be gone and comes back to warm up; its workers."""
+    """Let a zone fall silent, be listed as gone and return to warm up; return its workers."""
     fleet.run(4000.0)
     zone = [worker for worker, simulated in fleet.simulated_workers.items() if simulated.entry.zone == 2]
     fleet.fall_silent(zone)
-    fleet.run(7000.0)  # discovery tells late
+    fleet.run(7000.0)  # discovery reports the loss late
     fleet.change(
         *(replace(fleet.simulated_workers[worker].entry, state=EndpointState.GONE) for worker in zone)
     )
@@ -88,7 +91,7 @@
 
 
 def replace_workers(fleet, workers):
-    """Replace workers by newly started ones; return the numbers of the new ones."""
+    """Replace workers by newly started workers; return the numbers of these."""
     places = [fleet.simulated_workers[worker].entry for worker in workers]
     gone = [replace(entry, state=EndpointState.GONE) for entry in places]
     replacements = [replace(entry, worker=1000 + entry.worker, ready_at=fleet.now) for entry in places]
@@ -125,7 +128,7 @@
 
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
 def test_silent_fifth_of_the_fleet_costs_no_answer_and_is_used_again(nodes, workers):
-    """No list change announces it, and one of 200 dispatchers uses a given worker every few seconds."""
+    """No list change announces it, and each of 200 dispatchers uses a worker only every few seconds."""
     fleet = SimulatedFleet(nodes, workers, load=0.6)
     fleet.run(4000.0)
     silent = list(range(1, workers // 5 + 1))
