--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -34,18 +34,20 @@
 
 def times_of_first_list(backoffs, until, calls, service=SERVICE_MS):
     """Return when each dispatcher has its list, None for never; `calls` are the times of the first calls."""
-    line, free_at, received_at = [(at, number) for number, at in enumerate(calls)], 0.0, [None] * len(calls)
-    heapq.heapify(line)
-    while line and line[0][0] <= until:
-        at, number = heapq.heappop(line)
-        begins = max(at, free_at)
-        if begins - at > QUEUE_TIMEOUT_MS:  # the call has failed, but the source still spends its time on it
-            free_at = begins + service
+    queue, free_at, received_at = [(at, number) for number, at in enumerate(calls)], 0.0, [None] * len(calls)
+    heapq.heapify(queue)
+    while queue and queue[0][0] <= until:
+        at, number = heapq.heappop(queue)
+        started_at = max(at, free_at)
+        if (
+            started_at - at > QUEUE_TIMEOUT_MS
+        ):  # the call has failed, but the source still spends its time on it
+            free_at = started_at + service
             heapq.heappush(
-                line, (at + QUEUE_TIMEOUT_MS + backoffs[number].next_wait(at + QUEUE_TIMEOUT_MS), number)
+                queue, (at + QUEUE_TIMEOUT_MS + backoffs[number].next_wait(at + QUEUE_TIMEOUT_MS), number)
             )
         else:
-            free_at = begins + service
+            free_at = started_at + service
             backoffs[number].reset()
             received_at[number] = free_at
     return received_at
@@ -231,69 +233,69 @@
     return json.dumps(list_, indent=indent).encode() + b"\n"
 
 
-def refuses(_dispatcher, dial):
+def refuses_connection(_dispatcher, dial):
     dial.refuse()
 
 
-def hangs(dispatcher, dial):
+def never_connects(dispatcher, dial):
     """The connection is never established."""
 
 
-def says_nothing(_dispatcher, dial):
+def sends_no_response(_dispatcher, dial):
     dial.up()
 
 
-def ends_early(_dispatcher, dial):
+def ends_response_early(_dispatcher, dial):
     dial.up().pipe.send(HEAD + b"0\r\n\r\n")
 
 
-def is_reset(_dispatcher, dial):
+def resets_connection(_dispatcher, dial):
     dial.up().pipe.break_off()
 
 
-def answers_503(_dispatcher, dial):
+def responds_503(_dispatcher, dial):
     dial.up().pipe.send(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
 
 
-def answers_garbage(_dispatcher, dial):
+def sends_malformed_list(_dispatcher, dial):
     dial.up().pipe.send(HEAD + chunk(b"garbage\n"))
 
 
-def stream_ends(feed):
+def ends_stream(feed):
     feed.pipe.send(b"0\r\n\r\n")
 
 
-def stream_is_reset(feed):
+def resets_stream(feed):
     feed.pipe.break_off()
 
 
-def sends_half_a_line(_dispatcher, dial):
+def sends_partial_line(_dispatcher, dial):
     dial.up().pipe.send(HEAD + chunk(endpoint_list("SERVING")[:40]))
 
 
-def dribbles(dispatcher, dial):
+def sends_single_bytes(dispatcher, dial):
     """Sends a byte of a line that never ends every 300 ms."""
     feed = dial.up()
     feed.pipe.send(HEAD)
 
-    def drop():
+    def send_byte():
         if feed.pipe.open:
             feed.pipe.send(chunk(b" "))
-            dispatcher.wheel.at(dispatcher.now + 300.0, drop)
+            dispatcher.wheel.at(dispatcher.now + 300.0, send_byte)
 
-    drop()
+    send_byte()
 
 
 FAULTS = [
-    refuses,
-    hangs,
-    says_nothing,
-    ends_early,
-    is_reset,
-    answers_503,
-    answers_garbage,
-    sends_half_a_line,
-    dribbles,
+    refuses_connection,
+    never_connects,
+    sends_no_response,
+    ends_response_early,
+    resets_connection,
+    responds_503,
+    sends_malformed_list,
+    sends_partial_line,
+    sends_single_bytes,
 ]
 
 
@@ -309,12 +311,12 @@
     dispatcher = start_watch(number, 3, sharers)
     until = dispatcher.now + span
     while dispatcher.now < until:
-        while dispatcher.dials and dispatcher.dials[0].address[1] == 8500 and fail is not hangs:
+        while dispatcher.dials and dispatcher.dials[0].address[1] == 8500 and fail is not never_connects:
             fail(dispatcher, dispatcher.dials[0])
         dispatcher.advance(10.0)
-    reachable, drained, hung = dispatcher.now, False, list(dispatcher.dials)  # pending dials stay pending
+    reachable, drained, pending = dispatcher.now, False, list(dispatcher.dials)  # pending dials stay pending
     while not drained:
-        for dial in [dial for dial in dispatcher.dials if dial not in hung]:
+        for dial in [dial for dial in dispatcher.dials if dial not in pending]:
             dial.up().pipe.send(HEAD + chunk(endpoint_list("DRAINING")))
         drained = [*dispatcher.exchange.endpoints.states.values()] == [EndpointState.DRAINING]
         dispatcher.advance(10.0)
@@ -322,7 +324,7 @@
 
 
 @pytest.mark.parametrize(("sharers", "number"), [(1, 0), (40, 39), (200, 199)])
-@pytest.mark.parametrize("break_stream", [stream_ends, stream_is_reset])
+@pytest.mark.parametrize("break_stream", [ends_stream, resets_stream])
 def test_broken_watch_is_reopened_within_the_drain_grace(break_stream, sharers, number):
     """With 20 dispatchers a watch that was reset was reopened after 0.5 to 2 s.
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -200,7 +200,7 @@
         self.harness.loop.remove_reader(self.theirs)
         self.harness.dispatcher.tell((1, "DRAINING"))
 
-    def tell(self):
+    def send_drain(self):
         self.ours.send(b"d")
 
     def close(self):
@@ -229,9 +229,9 @@
     harness.dispatcher.dials[0].up().finish()
     harness.turn(12)
     assert client.statuses() == [200]
-    tell = [lambda: client.send(message("r1")), harness.discovery.tell]
-    for call in tell if first == "request" else reversed(tell):
-        call()
+    calls = [lambda: client.send(message("r1")), harness.discovery.send_drain]
+    for action in calls if first == "request" else reversed(calls):
+        action()
     harness.turn(12)
     [end] = harness.dispatcher.ends
     assert end.take() == []
@@ -254,7 +254,7 @@
     def held_up(now, events):
         actions = handle(now, events)
         if any(isinstance(action, StartAttempt) for action in actions):
-            harness.discovery.tell()
+            harness.discovery.send_drain()
             drained_at.append(dispatcher.now)
             dispatcher.now += MAX_WRITE_DELAY_MS
         return actions
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -114,12 +114,12 @@
 @pytest.mark.parametrize("name", [name for name in NAMES if DEPLOYMENTS[name].max_attempts > 1])
 def test_request_whose_connection_was_refused_is_retried_for_every_class(name):
     for cls in DEPLOYMENTS[name].classes:
-        fresh = dispatcher_of(name)
-        client = send_request(fresh, cls)
-        fresh.dials[0].refuse()
-        while not fresh.dials:  # at once at a second worker; a single worker is paused first
+        dispatcher = dispatcher_of(name)
+        client = send_request(dispatcher, cls)
+        dispatcher.dials[0].refuse()
+        while not dispatcher.dials:  # at once at a second worker; a single worker is paused first
             assert not client.answers()
-            fresh.advance(20.0)
+            dispatcher.advance(20.0)
 
 
 def test_tenant_is_found_by_name_and_an_unknown_one_has_no_quota(dispatcher, monkeypatch):
@@ -238,7 +238,7 @@
 
 def test_dispatchers_send_nothing_to_a_worker_whose_slots_their_peers_report_taken():
     settings = replace(DEPLOYMENTS["admissions"], tenants=())
-    nodes = [Node(replace(settings, dispatcher_index=me), workers=1, seed=me) for me in (0, 1)]
+    nodes = [Node(replace(settings, dispatcher_index=index), workers=1, seed=index) for index in (0, 1)]
     for node in nodes:
         learn(node.dispatcher, slots=(KindSlots(0, 2.0),))
     sent = [node.arrive(cls=0, slots=2.0)[1] for node in nodes]
@@ -246,7 +246,9 @@
         "neither knows of the other: one request waits at the worker"
     )
     for index, (node, actions) in enumerate(zip(nodes, reversed(sent), strict=True)):
-        node.play(*[PeerReportReceived(1 - index, tell.data) for tell in of_type(actions, SendPeerReport)])
+        node.play(
+            *[PeerReportReceived(1 - index, report.data) for report in of_type(actions, SendPeerReport)]
+        )
     assert not any(of_type(node.arrive(cls=0, slots=2.0)[1], StartAttempt) for node in nodes)
 
 
--- a/tests/test_errors_and_slots.py
+++ b/tests/test_errors_and_slots.py
@@ -29,9 +29,9 @@
     return [action for action in actions if isinstance(action, StartAttempt)]
 
 
-def node_with_failing_worker(site, cls):
+def node_with_failing_worker(settings, cls):
     """Return a dispatcher whose worker 1 of two has failed requests until it counts as failing."""
-    node = Node(site, workers=2)
+    node = Node(settings, workers=2)
     for _ in range(40):
         actions = node.arrive(cls=cls)[1]
         while found := sends(actions):
@@ -100,9 +100,9 @@
     assert not sends(node.play(AttemptEnded(id_, 0, worker, Outcome.RESET, 1.0, False), at=node.now + 1.0))
 
 
-def node_with_slots(site, slots=4.0, workers=2):
+def node_with_slots(settings, slots=4.0, workers=2):
     """Return a dispatcher that knows how many slots the workers of its one kind have."""
-    node = Node(site, workers=workers)
+    node = Node(settings, workers=workers)
     learn(node.dispatcher, slots=(KindSlots(0, slots),))
     return node
 
@@ -113,10 +113,10 @@
     assert sends(actions), "an idle worker takes a request of any size"
     node.play(AttemptProgressed(first, 0, 1, ProgressKind.STARTED, 0.0))
     assert not sends(node.arrive(cls=0, slots=4.0)[1])
-    small, actions = node.arrive(cls=0, slots=1.0)
-    assert [s.request_id for s in sends(actions)] == [small], "a request that fits is sent first"
-    node.play(AttemptProgressed(small, 0, 1, ProgressKind.STARTED, 0.0))
-    node.play(AttemptEnded(small, 0, 1, Outcome.OK, 5.0, True), at=5.0)
+    small_request, actions = node.arrive(cls=0, slots=1.0)
+    assert [s.request_id for s in sends(actions)] == [small_request], "a request that fits is sent first"
+    node.play(AttemptProgressed(small_request, 0, 1, ProgressKind.STARTED, 0.0))
+    node.play(AttemptEnded(small_request, 0, 1, Outcome.OK, 5.0, True), at=5.0)
     assert [s.request_id for s in sends(node.play(AttemptEnded(first, 0, 1, Outcome.OK, 5.0, True)))] == [2]
 
 
@@ -126,9 +126,9 @@
     )
     first, _ = node.arrive(cls=0)
     node.play(AttemptProgressed(first, 0, 1, ProgressKind.STARTED, 0.0))
-    large, actions = node.arrive(cls=0, slots=2.0)
+    large_request, actions = node.arrive(cls=0, slots=2.0)
     assert not sends(actions)
-    assert [s.request_id for s in sends(node.play(at=500.0))] == [large]
+    assert [s.request_id for s in sends(node.play(at=500.0))] == [large_request]
 
 
 def test_nothing_waits_at_a_worker_with_one_dispatcher_and_reports():
@@ -149,11 +149,13 @@
 
 
 def test_peers_report_slots_and_respect_those_reported():
-    site = replace(BASE, dispatcher_count=2, gossip_allowed=True)
-    reports = [a for a in Node(site, workers=2).arrive(cls=0, slots=3.0)[1] if isinstance(a, SendPeerReport)]
+    settings = replace(BASE, dispatcher_count=2, gossip_allowed=True)
+    reports = [
+        a for a in Node(settings, workers=2).arrive(cls=0, slots=3.0)[1] if isinstance(a, SendPeerReport)
+    ]
     assert reports[0].data[-1] == 3
-    other = Node(replace(site, dispatcher_index=1), workers=1)
-    other.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1),)))
-    learn(other.dispatcher, slots=(KindSlots(0, 4.0),))
-    other.play(PeerReportReceived(0, encode_peer_report([(1, 3)])))
-    assert not sends(other.arrive(cls=0, slots=3.0)[1])
+    peer = Node(replace(settings, dispatcher_index=1), workers=1)
+    peer.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1),)))
+    learn(peer.dispatcher, slots=(KindSlots(0, 4.0),))
+    peer.play(PeerReportReceived(0, encode_peer_report([(1, 3)])))
+    assert not sends(peer.arrive(cls=0, slots=3.0)[1])
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -95,9 +95,9 @@
 def test_slots_are_reported_to_every_peer_as_requests_start_and_end():
     node = Node(GOSSIPING, workers=1)
     id_, actions = node.arrive()
-    told = [a for a in actions if isinstance(a, SendPeerReport)]
-    assert [a.peer for a in told] == [1, 2]
-    assert list(decode_peer_report(told[0].data)) == [(1, 1)]
+    peer_reports = [a for a in actions if isinstance(a, SendPeerReport)]
+    assert [a.peer for a in peer_reports] == [1, 2]
+    assert list(decode_peer_report(peer_reports[0].data)) == [(1, 1)]
     actions = node.end(id_, 0, 1, Outcome.OK, final=True)
     assert [list(decode_peer_report(a.data)) for a in actions if isinstance(a, SendPeerReport)] == [
         [(1, 0)]
@@ -199,8 +199,8 @@
     """A returning zone was sent too much work: that of six workers was divided by the only warm worker."""
     node = Node(BASE, workers=6)
     learn(node.dispatcher, served_rate=6.0, served_at=60_000.0)
-    cold = tuple(Endpoint(w, ready_at=60_000.0) for w in range(2, 7))
-    node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, cold), at=60_000.0)
+    warming_entries = tuple(Endpoint(w, ready_at=60_000.0) for w in range(2, 7))
+    node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, warming_entries), at=60_000.0)
     node.arrive(expected_work=1.0)
     assert node.dispatcher._slow_start.rate_per_warm_worker == pytest.approx(2.0)
 
@@ -261,9 +261,9 @@
     dispatcher, node.now = node.dispatcher, 60_000.0
     learn(dispatcher, served_rate=100.0, served_at=node.now)
     node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=node.now - 4000.0),)))
-    drawn = dispatcher.workers[3].budget_threshold
+    threshold = dispatcher.workers[3].budget_threshold
     learn(dispatcher, key_counts=(KeyCount(7, 100),))  # a frequent key: all workers are its homes
-    assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [3], drawn
+    assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [3], threshold
     few = Node(replace(MANY_DISPATCHERS_SETTINGS, dispatcher_count=MANY_DISPATCHERS), workers=8)
     learn(few.dispatcher, served_rate=100.0, served_at=60_000.0)
     few.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(3, ready_at=56_000.0),)), at=60_000.0)
@@ -478,9 +478,9 @@
     assert cancels(node.play(TimerFired(0), at=timely + 1.0)) == [CancelAttempt(id_, 0)], (
         "before the mean wait is over"
     )
-    [told] = [a for a in node.end(id_, 0, 0, Outcome.CANCELLED) if isinstance(a, RejectRequest)]
-    assert told.request_id == id_
-    assert told.retry_after_ms > 0.0
+    [rejection] = [a for a in node.end(id_, 0, 0, Outcome.CANCELLED) if isinstance(a, RejectRequest)]
+    assert rejection.request_id == id_
+    assert rejection.retry_after_ms > 0.0
 
 
 def test_late_request_is_kept_where_queues_are_short_or_dispatchers_few_or_late_answers_useful():
@@ -496,8 +496,8 @@
             node.play(TimerFired(0), at=node.now + wait)
             node.end(id_, number, worker, Outcome.CONNECT_FAILED)
         dispatcher._outliers.mean_wait_ms, node.now = queued, 2000.0
-        told = node.end(id_, 2, worker, Outcome.CONNECT_FAILED)
-        assert not [a for a in told if isinstance(a, RejectRequest)]
+        actions = node.end(id_, 2, worker, Outcome.CONNECT_FAILED)
+        assert not [a for a in actions if isinstance(a, RejectRequest)]
         assert id_ in dispatcher.requests
 
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -99,8 +99,10 @@
     node = create_node(size, has_affinity=has_affinity)
 
     def change(number):
-        old, new = Endpoint(1 + number, zone=number % 4, kind=number // 4 % 2), Endpoint(10_000 + number)
-        node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(old, state=EndpointState.GONE), new)))
+        previous, new = Endpoint(1 + number, zone=number % 4, kind=number // 4 % 2), Endpoint(10_000 + number)
+        node.play(
+            EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(previous, state=EndpointState.GONE), new))
+        )
 
     most = max_counts(examined_workers, change)
     assert most.total() <= 20 + subsetting.MAX_DONOR_GROUPS * (MIN_SUBSET_SIZE + 1), most
@@ -185,7 +187,7 @@
             for node in nodes:
                 node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, updates))
             after = [subset_numbers(node) for node in nodes]
-            changed = [old ^ now for old, now in zip(before, after, strict=True) if old != now]
+            changed = [previous ^ now for previous, now in zip(before, after, strict=True) if previous != now]
             moved = set().union(*changed)
             own = {gone.worker, new.worker}
             assert moved <= own if has_affinity else len(moved - own) <= 1, (
@@ -278,8 +280,8 @@
     node = create_node(3200, 0, 3200)
     groups = node.dispatcher.group_count
     entries = endpoints_of(3200)
-    for away in (600, 1200):
-        node.play(EndpointsUpdated(EndpointListKind.FULL, 2, tuple(entries[away:])))
+    for removed_count in (600, 1200):
+        node.play(EndpointsUpdated(EndpointListKind.FULL, 2, tuple(entries[removed_count:])))
         assert node.dispatcher.group_count == groups
         node.play(EndpointsUpdated(EndpointListKind.FULL, 3, tuple(entries)))
     assert node.dispatcher.group_count == groups
@@ -289,18 +291,23 @@
 
 
 def test_all_dispatchers_of_a_group_find_the_same_homes_after_any_history():
-    old, rng = create_node(3200, 0, 3200), random.Random(4)
+    previous, rng = create_node(3200, 0, 3200), random.Random(4)
     entries = {entry.worker: entry for entry in endpoints_of(3200)}
     for number in range(300):
         gone = entries.pop(rng.choice(sorted(entries)))
         new = replace(gone, worker=10_000 + number)
         entries[new.worker] = new
-        old.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(gone, state=EndpointState.GONE), new)))
-        serve_request(old, affinity_key=rng.randrange(1, 400))
-    young = create_node(3200, 0, 3200, entries=list(entries.values()))
-    assert subset_numbers(old) == subset_numbers(young)
+        previous.play(
+            EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(gone, state=EndpointState.GONE), new))
+        )
+        serve_request(previous, affinity_key=rng.randrange(1, 400))
+    new_dispatcher = create_node(3200, 0, 3200, entries=list(entries.values()))
+    assert subset_numbers(previous) == subset_numbers(new_dispatcher)
     for key in range(1, 400):
-        homes = [node.dispatcher._fleet.key_orders.first_workers(key, 4)[0][:4] for node in (old, young)]
+        homes = [
+            node.dispatcher._fleet.key_orders.first_workers(key, 4)[0][:4]
+            for node in (previous, new_dispatcher)
+        ]
         assert [w.entry.worker for w in homes[0]] == [w.entry.worker for w in homes[1]]
 
 
@@ -316,12 +323,12 @@
             orders.add(workers[number])
         key, count = rng.choice([7, 8, 9, rng.randrange(10, 200)]), rng.choice([2, 2, 5, 30])
         if rng.random() < 0.3:  # the order of a rarely used key has missed many changes
-            found, whole = orders.first_workers(key, count)
+            found, is_whole = orders.first_workers(key, count)
             wanted = sorted(workers, key=lambda worker: stable_hash(key, worker))
             numbers = [worker.entry.worker for worker in found]
             assert numbers == wanted[: len(numbers)]
-            assert len(numbers) >= count or whole
-            assert not whole or len(numbers) == len(wanted)
+            assert len(numbers) >= count or is_whole
+            assert not is_whole or len(numbers) == len(wanted)
 
 
 @pytest.mark.parametrize("has_affinity", [0, 5])
