--- a/eiderfield/policy/attempt_outcomes.py
+++ b/eiderfield/policy/attempt_outcomes.py
@@ -78,10 +78,10 @@
 
     def _record_answer(self, attempt: AttemptRecord, worker: Worker, event: AttemptEnded, now: float) -> None:
         request, pacer = attempt.request, attempt.request.pacer
-        late = event.elapsed_ms >= SILENT_DURATIONS * max(
+        is_late = event.elapsed_ms >= SILENT_DURATIONS * max(
             pacer.expected_duration_ms(request.expected_work), request.request_class.latency_objective_ms
         )
-        worker.record_activity(now, not late)
+        worker.record_activity(now, not is_late)
         pacer.record_duration(
             event.elapsed_ms if attempt.started_at is None else now - attempt.started_at,
             request.expected_work,
--- a/eiderfield/policy/fleet.py
+++ b/eiderfield/policy/fleet.py
@@ -45,14 +45,14 @@
         self._majority_silent: bool | None = None  # whether most of the subset is silent; None: not counted
         self.repartition()
 
-    def apply_entries(self, entries: Iterable[Endpoint], whole: bool, now: float) -> bool:
-        """Apply changes or, if `whole`, a full endpoint list; return whether the fleet was repartitioned."""
+    def apply_entries(self, entries: Iterable[Endpoint], is_full_list: bool, now: float) -> bool:
+        """Apply changes or a full endpoint list; return whether the fleet was repartitioned."""
         is_first_list = not self.ready.by_number
         listed = set()
         for entry in entries:
             listed.add(entry.worker)
             self._apply_entry(entry, now, is_first_list)
-        if whole:
+        if is_full_list:
             for number in self.workers.keys() - listed:
                 worker = self.workers[number]
                 if worker.entry.state != EndpointState.GONE:
@@ -140,8 +140,8 @@
 
     def pause_ends(self, now: float) -> list[float]:
         """Return the times at which full or ejected workers of the subset may be sent requests again."""
-        over = [n for n, w in self.paused_workers.items() if max(w.full_until, w.ejected_until) <= now]
-        for number in over:
+        ended = [n for n, w in self.paused_workers.items() if max(w.full_until, w.ejected_until) <= now]
+        for number in ended:
             del self.paused_workers[number]
         paused_workers = [worker for worker in self.paused_workers.values() if worker in self.subset]
         return [time for worker in paused_workers for time in (worker.full_until, worker.ejected_until)]
--- a/eiderfield/policy/outlier_detection.py
+++ b/eiderfield/policy/outlier_detection.py
@@ -79,8 +79,8 @@
 
     def is_late_under_load(self, request: QueuedRequest, now: float) -> bool:
         """Return whether a request will be late and, as all queues are long, would make others late too."""
-        late = self._context.many_dispatchers and now >= request.latest_useful_start
-        return late and self.mean_wait_ms > self.short_wait_ms(request)
+        is_late = self._context.many_dispatchers and now >= request.latest_useful_start
+        return is_late and self.mean_wait_ms > self.short_wait_ms(request)
 
     def _check_worker(self, worker: Worker, now: float) -> None:
         if worker.silent:
@@ -90,8 +90,8 @@
             worker.silent = True
             worker.eject(now)
             self._fleet.paused_workers[worker.entry.worker] = worker
-            text = f"worker {worker.entry.worker} silent, {len(worker.open_attempts)} jobs out"
-            self._context.actions.append(LogMessage(text))
+            message = f"worker {worker.entry.worker} silent, {len(worker.open_attempts)} jobs out"
+            self._context.actions.append(LogMessage(message))
         else:
             self.next_check = min(self.next_check, silent_at)
 
--- a/eiderfield/policy/subsetting.py
+++ b/eiderfield/policy/subsetting.py
@@ -144,9 +144,11 @@
         """Move a worker from one of the largest groups, of the zone and kind that this group lacks most."""
         largest = max(self._sizes)
         donors = [donor for donor, size in enumerate(self._sizes) if size == largest]
-        first = bisect_left(donors, group)
-        chosen = [donors[(first + step) % len(donors)] for step in range(min(MAX_DONOR_GROUPS, len(donors)))]
-        candidates = [place for donor in chosen for place in self._members[donor]]
+        start = bisect_left(donors, group)
+        donor_groups = [
+            donors[(start + offset) % len(donors)] for offset in range(min(MAX_DONOR_GROUPS, len(donors)))
+        ]
+        candidates = [place for donor in donor_groups for place in self._members[donor]]
 
         def rank(place: Place) -> tuple[int, int]:
             zone, kind, worker = place
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -291,22 +291,22 @@
 
 
 def test_all_dispatchers_of_a_group_find_the_same_homes_after_any_history():
-    previous, rng = create_node(3200, 0, 3200), random.Random(4)
+    long_running, rng = create_node(3200, 0, 3200), random.Random(4)
     entries = {entry.worker: entry for entry in endpoints_of(3200)}
     for number in range(300):
         gone = entries.pop(rng.choice(sorted(entries)))
         new = replace(gone, worker=10_000 + number)
         entries[new.worker] = new
-        previous.play(
+        long_running.play(
             EndpointsUpdated(EndpointListKind.DELTA, 2, (replace(gone, state=EndpointState.GONE), new))
         )
-        serve_request(previous, affinity_key=rng.randrange(1, 400))
+        serve_request(long_running, affinity_key=rng.randrange(1, 400))
     new_dispatcher = create_node(3200, 0, 3200, entries=list(entries.values()))
-    assert subset_numbers(previous) == subset_numbers(new_dispatcher)
+    assert subset_numbers(long_running) == subset_numbers(new_dispatcher)
     for key in range(1, 400):
         homes = [
             node.dispatcher._fleet.key_orders.first_workers(key, 4)[0][:4]
-            for node in (previous, new_dispatcher)
+            for node in (long_running, new_dispatcher)
         ]
         assert [w.entry.worker for w in homes[0]] == [w.entry.worker for w in homes[1]]
 
