--- a/eiderfield/policy/dispatcher.py
+++ b/eiderfield/policy/dispatcher.py
@@ -62,8 +62,8 @@
 from eiderfield.policy.selection import EndpointSelector
 from eiderfield.policy.timer import Timer
 
-QUEUE_CHECK_INTERVAL_MS = 200.0  # longest time between two attempts to release waiting requests
-DEADLINE_TICKS = 2.0  # a request is answered so many clock ticks before its deadline
+QUEUE_CHECK_INTERVAL_MS = 200.0  # longest time until the release of waiting requests is tried again
+DEADLINE_TICKS = 2.0  # clock ticks before its deadline at which a request is answered
 
 
 class Dispatcher:
--- a/eiderfield/policy/endpoint.py
+++ b/eiderfield/policy/endpoint.py
@@ -25,7 +25,7 @@
 MAX_EJECTION_MS = 4000.0
 ERROR_DECAY = 0.8  # factor on the error score with each attempt that ends
 MAX_ERROR_SCORE = 1.5  # above it a worker is ejected: two errors in a row, or one in three
-SLOWDOWN_PRIOR_REQUESTS = 3.0  # requests of typical duration that are added to a worker's own requests
+SLOWDOWN_PRIOR_REQUESTS = 3.0  # requests of typical duration that are assumed besides the observed requests
 SLOWDOWN_MEMORY_MS = 5000.0  # time after which a request no longer counts in its worker's slowdown
 MAX_RECENT_SENDS = 1024  # sends to a warming worker that are recorded: no more are made in one window
 
@@ -44,7 +44,7 @@
     sibling_attempts: int = 0  # open attempts of the other process of this dispatcher during an upgrade
     last_activity_at: float = 0.0
     full_until: float = 0.0
-    ejections: int = 0  # since the last answer in time
+    ejections: int = 0  # number of ejections since the last answer in time
     recent_durations: float = 0.0  # decaying sum over ended requests, in typical durations
     recent_completions: float = 0.0  # decaying number of completed requests
     slowdown_updated_at: float = 0.0
--- a/eiderfield/policy/retries.py
+++ b/eiderfield/policy/retries.py
@@ -41,7 +41,7 @@
         self._completion = completion
 
     def retry_or_answer(self, request: QueuedRequest, now: float, failed: bool) -> None:
-        """Queue a request that has no open attempt left again, or answer it.
+        """Queue a request again that has no open attempt left, or answer it.
 
         `failed` says whether its last attempt ended with an error of the worker.
         """
--- a/eiderfield/policy/slow_start.py
+++ b/eiderfield/policy/slow_start.py
@@ -23,7 +23,7 @@
 RATE_INTERVAL_MS = 200.0  # time between two updates of the rate per warm worker
 BUDGET_MARGIN = 0.5  # share of the allowance that is used
 BUDGET_MARGIN_MANY_DISPATCHERS = (
-    0.6  # the same with many dispatchers, each of which a threshold keeps to its part
+    0.6  # larger with many dispatchers, because thresholds keep each of them to its part
 )
 HASH_RANGE = 2.0**64
 
--- a/eiderfield/policy/subsetting.py
+++ b/eiderfield/policy/subsetting.py
@@ -246,7 +246,7 @@
         self.workers = [self._ready[place] for place in self._places]
 
     def add(self, worker: Worker) -> None:
-        """Add a worker that has become ready to its group, which may be another than this subset."""
+        """Add a worker that has become ready to its group, which may not be this dispatcher's group."""
         place = place_of(worker.entry)
         self._ready[place] = worker
         self._apply(self._partition.add(place))
