--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -200,7 +200,12 @@
         queue_id = node.dispatcher.requests[id_].queue_id
         weights.append(node.dispatcher._queues.by_id[queue_id].weight)
     full, reduced = UNSAFE.priority_weight, 0.01 * UNSAFE.priority_weight
-    assert weights == [full, full, reduced, reduced]  # a share of 2 a second, saved up for a second
+    assert weights == [
+        full,
+        full,
+        reduced,
+        reduced,
+    ]  # a quota of 2 requests per second, accumulated for one second
 
 
 def test_grb_is_bounded_by_count():
@@ -230,7 +235,7 @@
 
 
 def test_home_that_is_full_or_half_open_is_replaced_by_the_next_worker_of_the_key():
-    """Requests waited for such homes while other workers were idle."""
+    """Requests waited for full and half-open homes while other workers were idle."""
     node = Node(workers=6)
     node.now = 1.0
     first, second = (w.entry.worker for w in node.dispatcher._selector.homes(request_with_key(101), node.now))
@@ -343,7 +348,9 @@
         < (NO_HOME_WARM_UP_SHARE + 0.1) * BASE.slow_start_window_ms
     )
     node.dispatcher.workers[1].recent_sends.append((node.now, inf))
-    assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [2], "its budget is spent"
+    assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [2], (
+        "the budget of worker 1 is spent"
+    )
 
 
 def test_warming_homes_without_budget_delay_no_key():
