--- a/tests/test_policy_mechanisms.py
+++ b/tests/test_policy_mechanisms.py
@@ -1,4 +1,4 @@
-"""The design's steps, each with figures worked out by hand."""
+"""The mechanisms of the policy, each with expected figures that were calculated by hand."""
 
 from dataclasses import replace
 from math import inf
@@ -25,7 +25,7 @@
 from eiderfield.policy.selection import NO_HOME_WARM_UP_SHARE
 
 
-def window(pacer, start, sent, fulls, waiting=False):
+def play_window(pacer, start, sent, fulls, waiting=False):
     for n in range(sent):
         pacer.count_send(start + n)
     pacer.accepted_in_window -= fulls
@@ -34,24 +34,24 @@
 
 def test_rate_is_reduced_by_the_contribution_formula_down_to_its_floor_and_raised_again():
     pacer = Pacer(0.3, 100.0)
-    window(pacer, 0.0, 40, 0)
+    play_window(pacer, 0.0, 40, 0)
     assert pacer.rate is None
-    window(pacer, 1000.0, 40, 10)  # D = R = 40/s, E = 30/s: 40 + (40/40)(30 - 40)
+    play_window(pacer, 1000.0, 40, 10)  # D = R = 40/s, E = 30/s: 40 + (40/40)(30 - 40)
     assert pacer.rate == pytest.approx(30.0)
-    window(pacer, 2000.0, 20, 10)  # D = 30, R = 20, E = 10: 30 + (30/20)(10 - 20)
+    play_window(pacer, 2000.0, 20, 10)  # D = 30, R = 20, E = 10: 30 + (30/20)(10 - 20)
     assert pacer.rate == pytest.approx(15.0)
-    window(pacer, 3000.0, 10, 10)  # all refused: the floor, 0.3 of 40
+    play_window(pacer, 3000.0, 10, 10)  # all refused: the floor, 0.3 of 40
     assert pacer.rate == pytest.approx(12.0)
-    window(pacer, 4000.0, 10, 0)  # clean: times 1.25
+    play_window(pacer, 4000.0, 10, 0)  # no refusal: times 1.25
     assert pacer.rate == pytest.approx(15.0)
     for at in range(5, 10):
-        window(pacer, at * 1000.0, 10, 0)
-    assert pacer.rate is None  # above 40 with nothing waiting: unpaced again
+        play_window(pacer, at * 1000.0, 10, 0)
+    assert pacer.rate is None  # above 40 with nothing waiting: no limit any more
 
 
 def test_late_full_in_a_window_without_attempts_reduces_no_rate():
     pacer = Pacer(0.3, 100.0)
-    window(pacer, 0.0, 0, 3)
+    play_window(pacer, 0.0, 0, 3)
     assert pacer.rate is None
 
 
@@ -61,8 +61,8 @@
 
 
 def test_only_full_counts_as_not_accepted():
-    lost_by = {Outcome.FULL: 1, Outcome.TIMEOUT: 0, Outcome.CONNECT_FAILED: 0, Outcome.RESET: 0}
-    for outcome, lost in lost_by.items():
+    refused_by = {Outcome.FULL: 1, Outcome.TIMEOUT: 0, Outcome.CONNECT_FAILED: 0, Outcome.RESET: 0}
+    for outcome, lost in refused_by.items():
         node = Node()
         id_, actions = node.arrive(cls=1)
         pacer = node.dispatcher.pacers[1]
@@ -80,13 +80,16 @@
 
 
 def test_full_reduces_no_rate_while_another_worker_is_free():
-    """A worker that took nothing held a class at its floor for ten seconds, with most of the fleet idle."""
+    """A single worker that refused everything kept a class at its floor rate for 10 s.
+
+    Most of the fleet was idle meanwhile.
+    """
     node = Node()
     id_, actions = node.arrive(cls=1)
     pacer = node.dispatcher.pacers[1]
     node.end(id_, 0, sends(actions)[0].worker, Outcome.FULL)
     assert pacer.sent_in_window - 1 == pacer.accepted_in_window - 1 == 1, (
-        "sent again, and neither send counted as not accepted"
+        "the request was sent again, and neither attempt counts as refused"
     )
 
 
@@ -122,7 +125,7 @@
     queue = ClassQueue(SAFE, Pacer(0.7, 100.0), 1.0)
     for n in range(6):
         queue.slb[n] = None
-    assert not queue.has_room()  # 6 of 8 is near-full
+    assert not queue.has_room()  # 6 of 8 is nearly full
     queue.pacer.rate, queue.pacer.uncut_rate = 20.0, 40.0
     assert queue.has_room()  # 6 of 16
     rest = ClassQueue(SAFE, Pacer(0.3, 100.0), 1.0)
@@ -191,13 +194,18 @@
 
     tenants = (Tenant("a", 2.0, 1.0),)
     node = Node(replace(BASE, classes=(SAFE, UNSAFE), tenants=tenants, over_quota_weight=0.01), 0)
-    worths = []
+    weights = []
     for _ in range(4):
         id_, _ = node.arrive(cls=1)
         queue_id = node.dispatcher.requests[id_].queue_id
-        worths.append(node.dispatcher._queues.by_id[queue_id].weight)
+        weights.append(node.dispatcher._queues.by_id[queue_id].weight)
     full, reduced = UNSAFE.priority_weight, 0.01 * UNSAFE.priority_weight
-    assert worths == [full, full, reduced, reduced]  # a share of 2 a second, saved up for a second
+    assert weights == [
+        full,
+        full,
+        reduced,
+        reduced,
+    ]  # a quota of 2 requests per second, accumulated for one second
 
 
 def test_grb_is_bounded_by_count():
@@ -208,8 +216,8 @@
     assert refused == [False] * (GRB_REQUESTS_PER_WORKER * 4) + [True]
 
 
-def sent_to(node, key, count):
-    """The workers that took requests of one key, each ended at once."""
+def workers_used(node, key, count):
+    """Send requests of one key, each of which ends at once; return the workers that they were sent to."""
     used = set()
     for _ in range(count):
         id_, actions = node.arrive(affinity_key=key)
@@ -220,42 +228,43 @@
     return used
 
 
-def keyed(key):
+def request_with_key(key):
     pacer = Pacer(0.3, 100.0)
     queue_id = QueueId(class_index=1, tenant_index=0, over_quota=False)
     return QueuedRequest(0, key, 5000.0, 0.0, queue_id, pacer, UNSAFE, 100.0, 100.0, 5000.0, 5000.0)
 
 
 def test_home_that_is_full_or_half_open_is_replaced_by_the_next_worker_of_the_key():
-    """Jobs waited for such homes while other workers were idle."""
+    """Requests waited for full and half-open homes while other workers were idle."""
     node = Node(workers=6)
     node.now = 1.0
-    first, second = (w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), node.now))
+    first, second = (w.entry.worker for w in node.dispatcher._selector.homes(request_with_key(101), node.now))
     workers = node.dispatcher.workers
     workers[first].consecutive_fulls, workers[first].full_until = 2, 500.0
     workers[second].ejections = 1
-    homes = {w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), node.now)}
+    homes = {w.entry.worker for w in node.dispatcher._selector.homes(request_with_key(101), node.now)}
     assert len(homes) == 2
     assert not homes & {first, second}
-    assert first in {w.entry.worker for w in node.dispatcher._selector.homes(keyed(101), 600.0)}
+    assert first in {w.entry.worker for w in node.dispatcher._selector.homes(request_with_key(101), 600.0)}
 
 
 def test_rare_key_has_the_same_two_homes_at_every_dispatcher():
     first, second = Node(workers=8, seed=1), Node(workers=8, seed=2)
     for node in (first, second):
         for key in range(100, 140):
-            sent_to(node, key, 1)
+            workers_used(node, key, 1)
     homes = [
-        [w.entry.worker for w in n.dispatcher._selector.homes(keyed(101), n.now)] for n in (first, second)
+        [w.entry.worker for w in n.dispatcher._selector.homes(request_with_key(101), n.now)]
+        for n in (first, second)
     ]
     assert homes[0] == homes[1]
     assert len(homes[0]) == 2
 
 
 def test_frequent_key_has_as_many_homes_as_its_share_needs():
-    """Incident ia7713c: two homes for a key that fills more than two workers."""
+    """A key that needs more than two workers had only two homes (incident ia7713c)."""
     node = Node(workers=8)
-    assert len(sent_to(node, 7, 60)) > 2  # all the traffic: every worker
+    assert len(workers_used(node, 7, 60)) > 2  # the key has all the traffic
 
 
 def test_worker_in_its_first_warm_up_is_no_home():
@@ -268,29 +277,29 @@
         )
     )
     for key in range(1, 20):
-        assert sent_to(node, key, 1) <= {1, 2, 3, 4}
-        assert sent_to(node, key, 1)
+        assert workers_used(node, key, 1) <= {1, 2, 3, 4}
+        assert workers_used(node, key, 1)
 
 
 def test_key_counts_are_bounded(monkeypatch):
     monkeypatch.setattr("eiderfield.policy.affinity.MAX_COUNTED_REQUESTS", 50)
     node = Node(workers=2)
     for key in range(1, 300):
-        sent_to(node, key, 1)
+        workers_used(node, key, 1)
     assert len(node.dispatcher._key_counts.by_key) <= 50
     assert len(node.dispatcher._fleet.key_orders) <= 51
 
 
-def late_site():
+def settings_with_late_requests():
     return replace(BASE, classes=(replace(SAFE, late_weight=0.0, objective_stretch=0.0), UNSAFE))
 
 
 def test_late_request_is_released_after_those_in_time():
-    """On overloaded days requests went in their order, so that each made the next one late as well."""
-    node = Node(late_site(), workers=1)
+    """Under overload, requests that were released in order of arrival each made the next one late as well."""
+    node = Node(settings_with_late_requests(), workers=1)
     node.arrive()
-    late = [node.arrive()[0] for _ in range(3)]
-    node.now = 400.0  # past their aim of 300 ms
+    late_requests = [node.arrive()[0] for _ in range(3)]
+    node.now = 400.0  # later than their latency objective of 300 ms
     fresh, _ = node.arrive()
     order = []
     for _ in range(4):
@@ -300,17 +309,17 @@
         worker.full_until = 0.0
         actions += node.end(id_, attempt, 1, Outcome.OK, final=True)
         order += [s.request_id for s in sends(actions)]
-    assert order == [fresh, *late], "and what is late is sent all the same once nothing else waits"
+    assert order == [fresh, *late_requests], "late requests are sent once no other request waits"
 
 
 def test_late_request_is_shed_first_unless_late_answers_are_useful():
-    node = Node(late_site(), workers=1)
+    node = Node(settings_with_late_requests(), workers=1)
     node.arrive(cls=1)
-    late = [node.arrive()[0] for _ in range(3)]
+    late_requests = [node.arrive()[0] for _ in range(3)]
     node.play(at=400.0)
     node.play(at=401.0)
     actions = [a for _ in range(40) for a in node.arrive(cls=1)[1]]
-    assert [a.request_id for a in actions if isinstance(a, RejectRequest)][:3] == late[::-1]
+    assert [a.request_id for a in actions if isinstance(a, RejectRequest)][:3] == late_requests[::-1]
     node = Node(replace(BASE, classes=(SAFE, UNSAFE)), workers=1)
     node.arrive()
     node.arrive()
@@ -319,9 +328,9 @@
 
 
 def test_warming_worker_is_a_home_within_its_budget_after_the_first_part_of_its_warm_up():
-    """Passed by until it is warm, a worker that operators gave back stood idle for many seconds."""
+    """A worker that operators returned to service was idle for many seconds, until it was warm."""
     node = Node(replace(BASE, hedging_allowed=False), workers=1)
-    for _ in range(40):  # what a worker serves is learnt from what it served
+    for _ in range(40):  # the budget follows from the work that workers have served
         node.now += 100.0
         [send] = sends(node.arrive(affinity_key=7)[1])
         node.end(send.request_id, 0, send.worker, Outcome.OK, final=True, elapsed=90.0)
@@ -339,7 +348,9 @@
         < (NO_HOME_WARM_UP_SHARE + 0.1) * BASE.slow_start_window_ms
     )
     node.dispatcher.workers[1].recent_sends.append((node.now, inf))
-    assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [2], "its budget is spent"
+    assert [send.worker for send in sends(node.arrive(affinity_key=7)[1])] == [2], (
+        "the budget of worker 1 is spent"
+    )
 
 
 def test_warming_homes_without_budget_delay_no_key():
@@ -351,11 +362,11 @@
             EndpointListKind.DELTA, 2, tuple(Endpoint(w, ready_at=started) for w in range(5, 30))
         )
     )
-    assert all(sent_to(node, key, 1) for key in range(1, 20))
+    assert all(workers_used(node, key, 1) for key in range(1, 20))
 
 
 def test_attempts_of_the_other_process_count_in_selection_and_slow_start():
-    """Two processes of one dispatcher during an upgrade would both fill a worker, or overload a new one."""
+    """During an upgrade the two processes of a dispatcher would both fill a worker, or overload a new one."""
     node = Node(replace(BASE, hedging_allowed=False), workers=2)
     node.play(SiblingReportReceived(1, 2, 0.0))
     for _ in range(2):
