--- a/eiderfield/exchange/actions.py
+++ b/eiderfield/exchange/actions.py
@@ -66,7 +66,7 @@
                     case FailRequest():
                         self.fail_request(action)
                     case _:
-                        self._execute_for_dispatcher(action)
+                        self._execute_other(action)
             except Exception as error:  # an adapter that fails must not lose the turn's other actions
                 name = type(action).__name__
                 self.context.log(f"exchange: action failed (action={name} error={error!r})\n{format_exc()}")
@@ -79,12 +79,14 @@
             context.log(f"exchange: attempt not started, its request has ended (request={action.request_id})")
             return
         attempt = Attempt(pending, len(pending.attempts), action.worker, now)
-        any_open = any(other.open for other in pending.attempts)
+        has_open_attempt = any(other.open for other in pending.attempts)
         pending.attempts.append(attempt)
         pending.started_at = 0.0  # that of an earlier attempt, if any
         settings = context.settings
         # Guards against a fault of the policy, which is notified that the attempt was never sent.
-        if len(pending.attempts) > settings.max_attempts or (any_open and not settings.hedging_allowed):
+        if len(pending.attempts) > settings.max_attempts or (
+            has_open_attempt and not settings.hedging_allowed
+        ):
             self.metrics.prevented_violations["attempts"] += 1
             self.attempts.end(attempt, Outcome.NOT_SENT)
             return
@@ -131,7 +133,7 @@
             )
             self.requests.finish(pending, answer)
 
-    def _execute_for_dispatcher(
+    def _execute_other(
         self,
         action: SetTimer
         | ProbeWorker
--- a/eiderfield/exchange/event_queue.py
+++ b/eiderfield/exchange/event_queue.py
@@ -30,7 +30,7 @@
         """Return the events that the next turn will handle."""
         return [*self._endpoint_updates, *self._events]
 
-    def take(self) -> list[Event]:
+    def take_all(self) -> list[Event]:
         """Remove all events and return them."""
         events = self.pending()
         self._endpoint_updates, self._events = [], []
--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -49,7 +49,7 @@
 from eiderfield.model.learned_state import LearnedState
 from eiderfield.policy.dispatcher import Dispatcher
 
-LOGGED_STALL_MS = 1000.0  # event loop stalls from this length on are logged
+MIN_LOGGED_STALL_MS = 1000.0  # shorter stalls of the event loop are not logged
 
 
 class Exchange:
@@ -118,7 +118,7 @@
         return self._events.pending()
 
     @property
-    def unanswered(self) -> int:
+    def pending_request_count(self) -> int:
         """The number of requests without a final answer."""
         return len(self._requests.pending)
 
@@ -151,23 +151,30 @@
         on_answer: Callable[[Answer], None],
         durable: bool = False,
         earlier_attempts: Iterable[EarlierAttempt] = (),
-        client_waits: Callable[[], bool] | None = None,
+        is_client_connected: Callable[[], bool] | None = None,
     ) -> int:
-        """Accept a request and return its number. `on_answer` is called once, after this has returned.
+        """Accept a request and return its number.
 
-        `client_waits` returns whether the client is still connected, also if its close has not been read yet.
-        `earlier_attempts` are those that a lost dispatcher started: worker, and time of the start.
-        Raises `RequestIdInUseError`.
+        Args:
+            request: The request.
+            on_answer: Called once with the final answer, after this method has returned.
+            durable: Whether the request is persisted, so that another dispatcher can take it over.
+            earlier_attempts: The attempts that a lost dispatcher started, each with its worker and start time.
+            is_client_connected: Returns False once the client has closed, even if the close is not read yet.
+
+        Raises:
+            RequestIdInUseError: Another request uses the id.
         """
         earlier = tuple(earlier_attempts)
-        pending = self._requests.add(request, on_answer, durable, client_waits)
+        pending = self._requests.add(request, on_answer, durable, is_client_connected)
         for number, (endpoint, sent_at) in enumerate(earlier):
             pending.attempts.append(
                 Attempt(pending, number, endpoint.worker, sent_at, open=False, may_have_run=True)
             )
         # The policy answers just before the deadline; this guards against a fault of the policy.
         pending.timer = self._context.timers.call_at(
-            request.deadline + self._context.settings.answer_slack_ms, lambda: self._answer_overdue(pending)
+            request.deadline + self._context.settings.answer_slack_ms,
+            lambda: self._fail_overdue_request(pending),
         )
         self._events.post(
             RequestReceived(
@@ -185,7 +192,7 @@
         )
         return pending.id
 
-    def _answer_overdue(self, pending: PendingRequest) -> None:
+    def _fail_overdue_request(self, pending: PendingRequest) -> None:
         """Fail a request that the policy did not answer before its deadline."""
         if pending.answered:
             return
@@ -198,7 +205,7 @@
     def release_request(self, id_: int) -> None:
         """End a request without an answer: another dispatcher took it over and will answer it."""
         if (pending := self._requests.pending.get(id_)) is not None:
-            self._end_without_answer(pending, StopReason.TAKEN_OVER)
+            self._end_unanswered(pending, StopReason.TAKEN_OVER)
 
     def cancel_request(self, id_: int) -> Answer | None:
         """End a request for which no client waits; return None if it has its final answer already."""
@@ -208,10 +215,10 @@
         answer = Answer(
             Verdict.TERMINATED, may_have_run=may_have_run(pending), attempts=len(pending.attempts)
         )
-        self._end_without_answer(pending, StopReason.CLIENT_GONE)
+        self._end_unanswered(pending, StopReason.CLIENT_GONE)
         return answer
 
-    def _end_without_answer(self, pending: PendingRequest, reason: StopReason) -> None:
+    def _end_unanswered(self, pending: PendingRequest, reason: StopReason) -> None:
         self._requests.finish(pending)
         self._attempts.stop_all(pending, reason)
         self._events.post(ClientDisconnected(pending.id))
@@ -264,13 +271,14 @@
 
     # Called by the event loop.
 
-    def process_resumed(self, span: float) -> None:
-        """Record that the event loop stalled for `span` ms and has read since what arrived meanwhile.
+    def process_resumed(self, stall_ms: float) -> None:
+        """Record that the event loop stalled for `stall_ms` and has since read the data received meanwhile.
 
-        The silence of a worker with an open attempt counts from now on: this process could not hear it.
+        Workers with an open attempt count as silent from now on only: until now this process could not read
+        what they sent.
         """
-        if span >= LOGGED_STALL_MS:
-            self._context.log(f"exchange: event loop stalled (ms={span:.0f})")
+        if stall_ms >= MIN_LOGGED_STALL_MS:
+            self._context.log(f"exchange: event loop stalled (ms={stall_ms:.0f})")
         for attempt in self._attempts.open.values():
             self._events.post(
                 AttemptProgressed(
@@ -280,7 +288,7 @@
 
     def turn(self, now: float) -> None:
         """Pass the events since the last turn to the policy in one call, and carry out its actions."""
-        events = self._events.take()
+        events = self._events.take_all()
         for event in events:
             if isinstance(event, AttemptEnded):
                 event.elapsed_ms = now - event.elapsed_ms  # it held when the attempt was sent
@@ -288,5 +296,5 @@
                 pending = self._requests.pending.get(event.request_id)
                 if pending is not None:
                     pending.started_at = pending.started_at or now
-        self._requests.timestamp(now)
+        self._requests.record_times(now)
         self._actions.execute(self.dispatcher.handle(now, events), now)
--- a/eiderfield/exchange/protocols.py
+++ b/eiderfield/exchange/protocols.py
@@ -40,7 +40,7 @@
     It is notified of what it must know so that both together keep the limits on ids and attempts.
     """
 
-    def request_taken(self, id_: str) -> None:
+    def id_acquired(self, id_: str) -> None:
         """Notify that a request with this id was accepted."""
 
     def id_released(self, id_: str) -> None:
--- a/eiderfield/exchange/request.py
+++ b/eiderfield/exchange/request.py
@@ -83,7 +83,7 @@
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
     durable: bool = False  # whether `DurableRequests` persists it
-    client_waits: Callable[[], bool] | None = None  # checked before each attempt starts; None: always
+    is_client_connected: Callable[[], bool] | None = None  # checked before each attempt starts; None: always
     running: bool = False
     received_at: float = 0.0  # ms, the turn that passed it to the policy
     started_at: float = 0.0  # ms, the turn in which its start at a worker was reported; 0: not reported
--- a/eiderfield/exchange/request_table.py
+++ b/eiderfield/exchange/request_table.py
@@ -21,43 +21,43 @@
         self._context = context
         self._metrics = metrics
         self._other_process = other_process
-        self._last_number = 0
-        self._new: list[PendingRequest] = []  # since the last turn
-        self._served: list[PendingRequest] = []  # since the last turn
+        self._last_id = 0
+        self._received_since_turn: list[PendingRequest] = []  # since the last turn
+        self._served_since_turn: list[PendingRequest] = []  # since the last turn
 
-    def has_id(self, id_: str) -> bool:
+    def has_id(self, request_id: str) -> bool:
         """Return whether a request of this dispatcher's processes uses the id."""
-        return id_ in self.ids or id_ in self._other_process.request_ids
+        return request_id in self.ids or request_id in self._other_process.request_ids
 
     def add(
         self,
         request: Request,
         on_answer: Callable[[Answer], None],
         durable: bool,
-        client_waits: Callable[[], bool] | None,
+        is_client_connected: Callable[[], bool] | None,
     ) -> PendingRequest:
         """Add a request; raises `RequestIdInUseError`."""
-        id_ = request.id
-        if id_ in self.ids or id_ in self._other_process.request_ids:
-            raise RequestIdInUseError(id_)
-        self._last_number += 1
+        request_id = request.id
+        if request_id in self.ids or request_id in self._other_process.request_ids:
+            raise RequestIdInUseError(request_id)
+        self._last_id += 1
         pending = PendingRequest(
-            self._last_number, request, on_answer, durable=durable, client_waits=client_waits
+            self._last_id, request, on_answer, durable=durable, is_client_connected=is_client_connected
         )
         self.pending[pending.id] = pending
-        self.ids.add(id_)
-        self._new.append(pending)
+        self.ids.add(request_id)
+        self._received_since_turn.append(pending)
         if self._other_process.process is not None:
-            self._other_process.process.request_taken(id_)
+            self._other_process.process.id_acquired(request_id)
         return pending
 
-    def timestamp(self, now: float) -> None:
+    def record_times(self, now: float) -> None:
         """Set the arrival time of new requests, and record the response times of those just served."""
-        for pending in self._new:
+        for pending in self._received_since_turn:
             pending.received_at = now
-        self._new.clear()
-        self._metrics.record_served(self._served, self._context.settings.classes, now)
-        self._served.clear()
+        self._received_since_turn.clear()
+        self._metrics.record_served(self._served_since_turn, self._context.settings.classes, now)
+        self._served_since_turn.clear()
 
     def finish(self, pending: PendingRequest, answer: Answer | None = None) -> None:
         """Remove a request and give its final answer; None ends it without one."""
@@ -70,7 +70,7 @@
             return
         self._metrics.final_answers[pending.request.class_index, answer.verdict] += 1
         if answer.verdict is Verdict.SERVED:
-            self._served.append(pending)
+            self._served_since_turn.append(pending)
         if pending.durable and self._context.durable_requests is not None:
             self._context.durable_requests.finish(pending, answer)
         else:
--- a/eiderfield/exchange/worker_reports.py
+++ b/eiderfield/exchange/worker_reports.py
@@ -45,7 +45,7 @@
             return False
         if now > latest_start(attempt, self._context.settings.classes[pending.request.class_index]):
             return False
-        if pending.client_waits is not None and not pending.client_waits():
+        if pending.is_client_connected is not None and not pending.is_client_connected():
             return False
         durable_requests = self._context.durable_requests
         return not pending.durable or durable_requests is None or durable_requests.may_write(attempt)
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -81,7 +81,9 @@
             return None
         connection.proven = True
         id_ = self._exchange.submit(
-            request, partial(write_answer, connection), client_waits=lambda: connection.client_connected
+            request,
+            partial(write_answer, connection),
+            is_client_connected=lambda: connection.client_connected,
         )
         return partial(self._exchange.cancel_request, id_)
 
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -64,7 +64,7 @@
         "backend_calls": metrics.attempts_written,
         "called_off": dict(metrics.cancelled_attempts),
         "spoilt_answers": metrics.malformed_responses,
-        "inflight": exchange.unanswered,
+        "inflight": exchange.pending_request_count,
     }
 
 
--- a/eiderfield/net/handover/load_updates.py
+++ b/eiderfield/net/handover/load_updates.py
@@ -31,7 +31,7 @@
         self._attempts: dict[int, OpenAttempts] = {}  # by worker
         self._flush_scheduled = False
 
-    def request_taken(self, id_: str) -> None:
+    def id_acquired(self, id_: str) -> None:
         """Record that a request with this id was accepted."""
         self._request_ids[id_] = True
         self._schedule_flush()
--- a/eiderfield/program/core.py
+++ b/eiderfield/program/core.py
@@ -93,7 +93,7 @@
     @property
     def busy(self) -> bool:
         """Whether a request has no answer yet."""
-        return bool(self._core.exchange.unanswered)
+        return bool(self._core.exchange.pending_request_count)
 
     def stop(self) -> None:
         """Close the connections to workers."""
--- a/eiderfield/program/shutdown.py
+++ b/eiderfield/program/shutdown.py
@@ -85,7 +85,7 @@
             return
         for listener in self._listeners:
             listener.stop_listening()
-        if not self._exchange.unanswered and not any(each.connections for each in self._listeners):
+        if not self._exchange.pending_request_count and not any(each.connections for each in self._listeners):
             self._send_clients_away()
 
     def _send_clients_away(self) -> None:
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -378,7 +378,7 @@
     assert set(finished_run.answers.values()) == {1}
     assert len(finished_run.answers) == JOB_COUNT
     assert finished_run.batch.registry.table.unfinished == 0
-    assert not finished_run.dispatcher.exchange.unanswered
+    assert not finished_run.dispatcher.exchange.pending_request_count
 
 
 @one_process
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -44,7 +44,7 @@
         harness.turn(12)
     assert not harness.dispatcher.dials
     assert end.take() == []
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert harness.listener.figures()["departed"] == 3
     assert first.send(message("r9")), "who stays is served"
     assert harness.turn(12) or end.take() == ["r9"], "who stays is served"
@@ -74,7 +74,7 @@
         client.sock.shutdown(socket.SHUT_RDWR)
     harness.turn()
     assert not end.pipe.open
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert not harness.listener.open_connections
     harness.pass_time(2000.0)
     assert not harness.dispatcher.dials
@@ -119,7 +119,7 @@
     client.sock.close()
     harness.turn()
     assert not harness.listener.open_connections
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert not end.pipe.open
 
 
@@ -134,7 +134,7 @@
         assert dial.up().take() == [f"r{number}"]
         client.sock.close()
         harness.turn()
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert SocketClient(harness).ask("stays") == [200]
 
 
@@ -162,7 +162,7 @@
     harness.turn()
     assert end.take() == []
     assert end.came == ["r0"]
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert end.pipe.open, "the connection is as good as before"
     del harness.dispatcher.exchange.dispatcher.handle  # from now on the class's own decides
     assert first.ask("r2") == [200]
@@ -179,7 +179,7 @@
     end = dial.up()  # before the loop's next turn, in which the close is read
     assert not end.pipe.written
     harness.turn()
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert not harness.dispatcher.dials
 
 
@@ -210,7 +210,7 @@
             break
         dispatcher.settle()
     assert end.pipe.open
-    assert dispatcher.exchange.unanswered == 1
+    assert dispatcher.exchange.pending_request_count == 1
     return end
 
 
@@ -228,7 +228,7 @@
     assert not harness.dispatcher.dials
     harness.pass_time(1000.0)
     assert end.came == ["r0"]
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
 
 
 def test_the_retry_of_a_client_that_stays_is_sent_at_that_moment(harness):
@@ -252,7 +252,7 @@
     harness.turn()
     assert end.take() == []
     assert end.came == ["r0"]
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
 
 
 def test_a_hedged_request_is_not_begun_for_a_client_that_has_left():
@@ -270,5 +270,5 @@
     assert not second.pipe.written
     harness.turn()
     assert not first.pipe.open
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     harness.close()
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -70,7 +70,7 @@
     client.send(message("r1"))  # after the look, before the loop's next turn
     harness.turn()
     assert rest(client).startswith(b"HTTP/1.1 200 ")
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert [end.came for end in harness.dispatcher.ends] == [["r0"]]
     assert harness.listener.figures()["discarded"] == 1
     client.sock.close()
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -170,7 +170,7 @@
         self.dispatcher.advance(13_000.0)
         self.look()
         assert not self.clients, "never answered"
-        assert not self.dispatcher.exchange.unanswered
+        assert not self.dispatcher.exchange.pending_request_count
 
 
 def run(examples):
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -179,7 +179,7 @@
     assert len(statuses) == 1
     assert statuses[0] in (502, 503)
     assert not (sent_unsafe and worker == "drops it" and statuses == [503]), "it may have run"
-    assert not dispatcher.exchange.unanswered
+    assert not dispatcher.exchange.pending_request_count
     assert SITE.classes[1].effect == Effect.UNSAFE
 
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -204,7 +204,7 @@
     dispatcher.settle = settle
     dispatcher.settle()
     assert [(status, body) for status, _, body in client.answers()] == [(200, b"second")]
-    assert dispatcher.exchange.unanswered == 0
+    assert dispatcher.exchange.pending_request_count == 0
     assert not dispatcher.exchange.has_request("r1")
 
 
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -134,7 +134,7 @@
     kept.run()
     kept.dispatcher.advance(1000.0)
     assert not kept.dispatcher.dials
-    assert not kept.dispatcher.exchange.unanswered
+    assert not kept.dispatcher.exchange.pending_request_count
 
 
 def test_a_client_that_leaves_while_its_job_is_written_down_has_nothing_begun(kept):
@@ -144,7 +144,7 @@
     kept.run()
     kept.dispatcher.advance(1000.0)
     assert not kept.dispatcher.dials
-    assert not kept.dispatcher.exchange.unanswered
+    assert not kept.dispatcher.exchange.pending_request_count
     assert kept.coordinator.idle
 
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -76,8 +76,8 @@
 
 def test_events_are_taken_once(events):
     events.post(TimerFired(1))
-    assert events.take() == [TimerFired(1)]
-    assert events.take() == []
+    assert events.take_all() == [TimerFired(1)]
+    assert events.take_all() == []
 
 
 def test_a_whole_list_removes_the_workers_that_it_leaves_out(endpoints):
@@ -105,10 +105,10 @@
     other_process = OtherProcessState(events)
     other_process.update_request_ids(["a", "b"], [])
     other_process.update_attempts(1, 2, 5.0)
-    events.take()
+    events.take_all()
     other_process.ended()
     assert other_process.request_ids == set()
-    assert events.take() == [SiblingReportReceived(1, 0, 0.0)]
+    assert events.take_all() == [SiblingReportReceived(1, 0, 0.0)]
 
 
 def test_an_id_that_the_other_process_released_is_free(events):
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -117,7 +117,7 @@
     end.status(status)
     assert client.answers()[0][0] == 400
     assert not dispatcher.dials
-    assert not dispatcher.exchange.unanswered
+    assert not dispatcher.exchange.pending_request_count
     assert all(not w.ejections for w in dispatcher.exchange.dispatcher.workers.values())
 
 
@@ -127,7 +127,7 @@
     client = dispatcher.client()
     dispatcher.dials[0].up().status(status)
     assert not client.answers()
-    assert dispatcher.exchange.unanswered
+    assert dispatcher.exchange.pending_request_count
 
 
 @pytest.mark.parametrize(
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -166,7 +166,7 @@
         late = asked > answered and client.sent_at[-1] > told_at + 700.0
         assert not late, "it came long after SIGTERM and SIGKILL finds it unanswered"
         assert asked == answered or (client.open and longest > MAX_DEADLINE_MS), "closed without an answer"
-    assert not running.program.core.exchange.unanswered or longest > MAX_DEADLINE_MS
+    assert not running.program.core.exchange.pending_request_count or longest > MAX_DEADLINE_MS
 
 
 @pytest.mark.parametrize(
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -204,7 +204,7 @@
     client.pipe.break_off()
     dispatcher.settle()
     assert not end.pipe.open
-    assert not dispatcher.exchange.unanswered
+    assert not dispatcher.exchange.pending_request_count
 
 
 def test_connections_of_clients_and_workers_stay_within_their_limits():
@@ -254,7 +254,7 @@
     client.send(message)
     assert [answer[0] for answer in client.answers()] == [status]
     assert not dispatcher.dials
-    assert not dispatcher.exchange.unanswered
+    assert not dispatcher.exchange.pending_request_count
 
 
 def test_thousands_of_pipelined_messages_do_not_recurse():
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -240,7 +240,7 @@
     dispatcher.advance(1000.0)
     assert not client.answers()
     assert not dispatcher.dials
-    assert not dispatcher.exchange.unanswered
+    assert not dispatcher.exchange.pending_request_count
 
 
 def test_failure_of_both_attempts_in_one_turn_yields_one_response():
@@ -255,7 +255,7 @@
     dispatcher.settle()
     dispatcher.advance(6000.0)
     assert [status for status, *_ in client.answers()] == [503], "safe, so that a rejection does no harm"
-    assert not dispatcher.exchange.unanswered
+    assert not dispatcher.exchange.pending_request_count
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a", "/keyed/a"])
@@ -284,7 +284,7 @@
     assert status == (502 if path == "/unsafe/a" and ran else 503)
     came = sum(len(end.came) for end in dispatcher.ends)
     assert came <= (1 if path == "/unsafe/a" and ran else SITE.max_attempts)
-    assert not dispatcher.exchange.unanswered
+    assert not dispatcher.exchange.pending_request_count
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/keyed/a", "/unsafe/a"])
