--- a/eiderfield/adapter.py
+++ b/eiderfield/adapter.py
@@ -37,7 +37,7 @@
         """
         replies: list[bytes] = []
         events_by_node: dict[int, list[Event]] = {}
-        for node, record in self._decoder.records(body, count):
+        for node, record in self._decoder.decode(body, count):
             if isinstance(record, Create | Retire):
                 events_by_node.pop(node, None)  # a node that was killed no longer replies
                 self._dispatchers.pop(node, None)
--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -159,7 +159,7 @@
             request: The request.
             on_answer: Called once with the final answer, after this method has returned.
             durable: Whether the request is persisted, so that another dispatcher can take it over.
-            earlier_attempts: The attempts that a lost dispatcher started, each with its worker and start time.
+            earlier_attempts: The attempts that a lost dispatcher started, with worker and start time.
             is_client_connected: Returns False once the client has closed, even if the close is not read yet.
 
         Raises:
--- a/eiderfield/net/link_socket.py
+++ b/eiderfield/net/link_socket.py
@@ -14,8 +14,8 @@
 from eiderfield.net.link import Link
 
 MAX_PATH_BYTES = 100  # of a path that fits into a Unix address
-BACKLOG = 2
-OWNER_ONLY = 0o600
+LISTEN_BACKLOG = 2
+SOCKET_MODE = 0o600
 
 _PEER_CREDENTIALS = struct.Struct("3i")  # process, user, group
 
@@ -33,16 +33,16 @@
     def open(self) -> None:
         """Replace the socket of an earlier process at the path; raises `OSError` if that fails."""
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        draft = self._path.with_name(f"{self._path.name}.{os.getpid()}")
+        temporary_path = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         try:
             with suppress(FileNotFoundError):
-                draft.unlink()
-            with _short_path(draft) as address:
+                temporary_path.unlink()
+            with _socket_address(temporary_path) as address:
                 listener.bind(address)
-            draft.chmod(OWNER_ONLY)
-            listener.listen(BACKLOG)
+            temporary_path.chmod(SOCKET_MODE)
+            listener.listen(LISTEN_BACKLOG)
             listener.setblocking(False)
-            draft.replace(self._path)
+            temporary_path.replace(self._path)
         except OSError:
             listener.close()
             raise
@@ -89,7 +89,7 @@
         return None
     sock.setblocking(False)  # a peer that does not respond must not block the start
     try:
-        with _short_path(path) as address:
+        with _socket_address(path) as address:
             sock.connect(address)
     except OSError:
         sock.close()
@@ -108,13 +108,13 @@
 
 
 @contextmanager
-def _short_path(path: Path) -> Iterator[str]:
+def _socket_address(path: Path) -> Iterator[str]:
     """Yield an address for the path; a path too long for one is given by its directory's descriptor."""
     if len(os.fsencode(path)) <= MAX_PATH_BYTES:
         yield str(path)
         return
-    folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
+    directory = os.open(path.parent, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
-        yield f"/proc/self/fd/{folder}/{path.name}"
+        yield f"/proc/self/fd/{directory}/{path.name}"
     finally:
-        os.close(folder)
+        os.close(directory)
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -155,7 +155,7 @@
         """Report the loss, which may also be the regular end of the response."""
         if self.state == ConnectionState.BUSY:
             with suppress(ValueError, RecursionError):
-                for event in self._reader.finish():
+                for event in self._reader.feed_eof():
                     self._handle(event)
             self._abort(classify_loss(exc))
         self.close()
--- a/eiderfield/net/worker_response.py
+++ b/eiderfield/net/worker_response.py
@@ -70,19 +70,19 @@
                     yield part
             elif isinstance(part, bytes):
                 if self._request_id is not None:
-                    yield from self._updates(part)
+                    yield from self._complete_updates(part)
                 elif self._keeps_body:
-                    self._keep_body(part)
+                    self._append_body(part)
             elif self.head is not None:
-                yield from self._end(part)
+                yield from self._end_events(part)
 
-    def finish(self) -> Iterator[ResponseEvent]:
+    def feed_eof(self) -> Iterator[ResponseEvent]:
         """Yield the events that the end of the connection completes, which may end the response."""
         end = self._parser.finish()
         if end is not None:
-            yield from self._end(end)
+            yield from self._end_events(end)
 
-    def _updates(self, data: bytes) -> Iterator[Update]:
+    def _complete_updates(self, data: bytes) -> Iterator[Update]:
         self._line += data
         while (length := self._line.find(b"\n")) >= 0:
             line = bytes(self._line[:length])
@@ -98,12 +98,12 @@
             return None
         return parse_update(line, self._request_id)
 
-    def _keep_body(self, data: bytes) -> None:
+    def _append_body(self, data: bytes) -> None:
         self.body += data
         if len(self.body) > MAX_LINE_BYTES:
             raise MalformedMessageError("a load report is too long")
 
-    def _end(self, end: End) -> Iterator[ResponseEvent]:
+    def _end_events(self, end: End) -> Iterator[ResponseEvent]:
         update = self._parse_line(bytes(self._line))  # the last line may lack its line feed
         self._line.clear()
         if update is not None:
--- a/eiderfield/settings_text.py
+++ b/eiderfield/settings_text.py
@@ -87,26 +87,26 @@
             raise SettingsError(key, f"must be true or false: {text}")
         return text == "true"
 
-    def words(self, key: str) -> list[str]:
+    def list_items(self, key: str) -> list[str]:
         """Return the items of a list, none if the key is absent."""
-        return [word for word in self._values.get(key, "").split(",") if word]
+        return [item for item in self._values.get(key, "").split(",") if item]
 
     def choice(self, key: str, choices: Mapping[str, T], default: str | None = None) -> T:
         """Return what `choices` gives for the word."""
-        word = self.text(key, default)
-        if word not in choices:
-            raise SettingsError(key, f"must be one of {', '.join(choices)}: {word}")
-        return choices[word]
+        name = self.text(key, default)
+        if name not in choices:
+            raise SettingsError(key, f"must be one of {', '.join(choices)}: {name}")
+        return choices[name]
 
     def list_item(self, key: str, index: int, default: float) -> float:
         """Return a number of a list, `default` if the list is too short."""
-        words = self.words(key)
-        if index >= len(words):
+        items = self.list_items(key)
+        if index >= len(items):
             return default
         try:
-            return float(words[index])
+            return float(items[index])
         except ValueError:
-            raise SettingsError(key, f"is not a list of numbers: {words[index]}") from None
+            raise SettingsError(key, f"is not a list of numbers: {items[index]}") from None
 
     def list_integer(self, key: str, index: int, default: int) -> int:
         """Return a number of a list without its fraction, `default` if the list is too short."""
@@ -144,12 +144,12 @@
 
 
 def _zone_count(reader: SettingsReader, key: str) -> int:
-    return max(1, len(reader.words(key)))
+    return max(1, len(reader.list_items(key)))
 
 
 def _load_report_fields(reader: SettingsReader, key: str) -> tuple[str, ...]:
     reports_load = reader.text("load_info.how", "none") != "none"
-    return tuple(reader.words(key)) if reports_load else ()
+    return tuple(reader.list_items(key)) if reports_load else ()
 
 
 EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
--- a/eiderfield/wire.py
+++ b/eiderfield/wire.py
@@ -159,7 +159,7 @@
             EventCode.ATTEMPT_PROGRESSED: self._attempt_progressed,
         }
 
-    def records(self, body: bytes, count: int) -> Iterator[tuple[int, Record]]:
+    def decode(self, body: bytes, count: int) -> Iterator[tuple[int, Record]]:
         """Yield each record with its node, in order.
 
         Args:
@@ -177,7 +177,7 @@
                 if code == EventCode.ENDPOINT_TABLE:
                     offset = self._store_table(body, offset)
                     continue
-                node, record, offset = self._decode(code, body, offset)
+                node, record, offset = self._decode_record(code, body, offset)
             except (struct.error, IndexError):
                 raise _error(f"record {index} is cut short", offset) from None
             if offset > end:
@@ -201,7 +201,7 @@
         self._tables[number] = tuple(endpoints)
         return end
 
-    def _decode(self, code: int, body: bytes, offset: int) -> tuple[int, Record, int]:
+    def _decode_record(self, code: int, body: bytes, offset: int) -> tuple[int, Record, int]:
         """Return the node of a record, what it holds, and where the next one starts, as do all decoders."""
         decode = self._decoders.get(code)
         if decode is None:
@@ -211,7 +211,7 @@
     def _create(self, body: bytes, offset: int) -> tuple[int, Create, int]:
         node, seed, size = _CREATE.unpack_from(body, offset)
         offset += _CREATE.size
-        text = self._bytes(body, offset, size).decode("utf-8", "replace")
+        text = self._read_bytes(body, offset, size).decode("utf-8", "replace")
         return node, Create(seed, text), offset + size
 
     def _retire(self, body: bytes, offset: int) -> tuple[int, Retire, int]:
@@ -254,7 +254,7 @@
     def _attempt_ended(self, body: bytes, offset: int) -> tuple[int, AttemptEnded, int]:
         fields = _ATTEMPT_ENDED.unpack_from(body, offset)
         node, request_id, worker, outcome, info, elapsed_ms, attempt_number, is_final, size = fields
-        load_report, offset = self._load_report(body, offset + _ATTEMPT_ENDED.size, size)
+        load_report, offset = self._read_load_report(body, offset + _ATTEMPT_ENDED.size, size)
         event = AttemptEnded(
             request_id, attempt_number, worker, outcome, elapsed_ms, bool(is_final), info, load_report
         )
@@ -270,13 +270,13 @@
 
     def _probe_completed(self, body: bytes, offset: int) -> tuple[int, ProbeCompleted, int]:
         node, worker, outcome, elapsed_ms, size = _PROBE_COMPLETED.unpack_from(body, offset)
-        load_report, offset = self._load_report(body, offset + _PROBE_COMPLETED.size, size)
+        load_report, offset = self._read_load_report(body, offset + _PROBE_COMPLETED.size, size)
         return node, ProbeCompleted(worker, outcome, elapsed_ms, load_report), offset
 
     def _peer_report_received(self, body: bytes, offset: int) -> tuple[int, PeerReportReceived, int]:
         node, peer, size = _PEER_REPORT_RECEIVED.unpack_from(body, offset)
         offset += _PEER_REPORT_RECEIVED.size
-        return node, PeerReportReceived(peer, self._bytes(body, offset, size)), offset + size
+        return node, PeerReportReceived(peer, self._read_bytes(body, offset, size)), offset + size
 
     def _attempt_progressed(self, body: bytes, offset: int) -> tuple[int, AttemptProgressed, int]:
         node, request_id, attempt_number, worker, code, share = _ATTEMPT_PROGRESSED.unpack_from(body, offset)
@@ -285,17 +285,17 @@
         return node, event, offset + _ATTEMPT_PROGRESSED.size
 
     @staticmethod
-    def _bytes(body: bytes, offset: int, size: int) -> bytes:
+    def _read_bytes(body: bytes, offset: int, size: int) -> bytes:
         if offset + size > len(body):
             raise IndexError
         return body[offset : offset + size]
 
     @staticmethod
-    def _load_report(body: bytes, offset: int, size: int) -> tuple[tuple[float, ...], int]:
+    def _read_load_report(body: bytes, offset: int, size: int) -> tuple[tuple[float, ...], int]:
         if size == 0:
             return (), offset
-        figures = _LOAD_REPORTS[size] if size < len(_LOAD_REPORTS) else struct.Struct(f"<{size}f")
-        return figures.unpack_from(body, offset), offset + figures.size
+        layout = _LOAD_REPORTS[size] if size < len(_LOAD_REPORTS) else struct.Struct(f"<{size}f")
+        return layout.unpack_from(body, offset), offset + layout.size
 
 
 def _error(problem: str, offset: int) -> WireError:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -37,7 +37,7 @@
 
 def decode(*hexes):
     """Return the records of a frame with their nodes."""
-    return list(wire.Decoder().records(bytes.fromhex("".join(hexes)), len(hexes)))
+    return list(wire.Decoder().decode(bytes.fromhex("".join(hexes)), len(hexes)))
 
 
 REQUEST_RECORD = (
