--- a/eiderfield/exchange/other_process.py
+++ b/eiderfield/exchange/other_process.py
@@ -41,7 +41,7 @@
             self._workers.discard(worker)
         self._events.post(SiblingReportReceived(worker, count, work))
 
-    def ended(self) -> None:
+    def detach(self) -> None:
         """Forget the other process, its requests and its attempts."""
         self.process = None
         self.request_ids.clear()
--- a/eiderfield/net/clients/acceptor.py
+++ b/eiderfield/net/clients/acceptor.py
@@ -19,10 +19,10 @@
 from typing import Protocol
 
 from eiderfield.exchange.timers import Timers
-from eiderfield.net.faults import RETRY_MS, Cause, classify_accept_error
+from eiderfield.net.faults import RETRY_DELAY_MS, Cause, classify_accept_error
 
 ACCEPTED_PER_TURN = 16  # connections accepted, or handed over, in a turn of the loop
-ACCEPT_RETRY = RETRY_MS  # ms until accepting is tried again when nothing could be evicted
+ACCEPT_RETRY = RETRY_DELAY_MS  # ms until accepting is tried again when nothing could be evicted
 BACKLOG = 512
 
 
--- a/eiderfield/net/dialer.py
+++ b/eiderfield/net/dialer.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from eiderfield.config.address import Address
-from eiderfield.net.faults import RETRY_MS, Cause, classify_dial_error
+from eiderfield.net.faults import RETRY_DELAY_MS, Cause, classify_dial_error
 
-_RETRY_S = RETRY_MS / 1000.0
+_RETRY_DELAY_S = RETRY_DELAY_MS / 1000.0
 
 
 class Dialer:
@@ -53,4 +53,4 @@
                 on_failed()
                 return
             on_delayed(cause)
-            await asyncio.sleep(_RETRY_S)
+            await asyncio.sleep(_RETRY_DELAY_S)
--- a/eiderfield/net/faults.py
+++ b/eiderfield/net/faults.py
@@ -5,7 +5,7 @@
 worker: counted against it, a single shortage here would eject every worker at once. Callers classify their
 errors by this module; no other one reads the errnos of accept, connect, send or recv.
 
-A dial that fails with `LOCAL` is retried after `RETRY_MS` within its caller's time limit, and so is an
+A dial that fails with `LOCAL` is retried after `RETRY_DELAY_MS` within its caller's time limit, and so is an
 accept. `CONNECTION` is a fault of the connection or of its peer: the next call may be made at once.
 
 `ROUTE` is the response of this host's routing table or packet filter to a connect, before a packet is sent
@@ -26,7 +26,7 @@
 import socket
 from enum import Enum
 
-RETRY_MS = 20.0  # delay until a call that failed for lack of a resource is retried
+RETRY_DELAY_MS = 20.0  # delay until a call that failed for lack of a resource is retried
 
 
 class Cause(Enum):
@@ -75,7 +75,7 @@
 )
 
 
-def is_shortage(error: OSError) -> bool:
+def is_resource_shortage(error: OSError) -> bool:
     """Return whether this process or this host temporarily lacks a resource."""
     return error.errno in RESOURCE_ERRNOS
 
@@ -101,4 +101,4 @@
 
 def classify_loss(error: Exception | None) -> Cause:
     """Return the cause of a lost connection, given the error of its last send or recv; None for a close."""
-    return Cause.LOCAL if isinstance(error, OSError) and is_shortage(error) else Cause.CONNECTION
+    return Cause.LOCAL if isinstance(error, OSError) and is_resource_shortage(error) else Cause.CONNECTION
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -190,7 +190,7 @@
         """Continue alone: the other process is gone or was not understood."""
         context = self._context
         had_handed_over = self._old.take_back()
-        context.exchange.other_process.ended()
+        context.exchange.other_process.detach()
         context.table.on_ban = None
         context.workers.share_connections(False)
         for listener in self.listeners.values():
--- a/eiderfield/net/link.py
+++ b/eiderfield/net/link.py
@@ -3,7 +3,7 @@
 Packets carry JSON together with descriptors. asyncio has no transport for descriptors, so the socket is
 read and written with the loop's plain readers and writers.
 
-    open ──(the system lacks memory for a packet)──> waiting ──(RETRY_MS)──> open open or waiting ──(the
+    open ──(the system lacks memory for a packet)──> waiting ──(RETRY_DELAY_MS)──> open open or waiting ──(the
     peer closes, fails, or sends a malformed message)──> closed, and `on_lost` is called once
                  └──(`close`)──> closed
 
@@ -22,13 +22,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from eiderfield.net.faults import RETRY_MS, Cause, classify_loss
+from eiderfield.net.faults import RETRY_DELAY_MS, Cause, classify_loss
 
 MAX_PACKET_BYTES = 60_000  # of a message, well within a socket's buffer
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # also of all that may wait to be written
 MAX_DESCRIPTORS = 250  # with a message: the kernel allows 253 with a packet
 
-_RETRY_S = RETRY_MS / 1000.0
+_RETRY_DELAY_S = RETRY_DELAY_MS / 1000.0
 _CONTINUED, _FINAL = b"+", b"."  # the first byte of a packet: whether the message continues
 
 
@@ -121,7 +121,7 @@
             return
         # The system lacks room, for example for descriptors in flight, but reports the socket as writable.
         self._loop.remove_writer(self._sock)
-        self._loop.call_later(_RETRY_S, self._write)
+        self._loop.call_later(_RETRY_DELAY_S, self._write)
 
     # Reading.
 
@@ -147,7 +147,7 @@
             self._fail()
             return
         self._loop.remove_reader(self._sock)
-        self._loop.call_later(_RETRY_S, self._resume_reading)
+        self._loop.call_later(_RETRY_DELAY_S, self._resume_reading)
 
     def _resume_reading(self) -> None:
         if self._open:
--- a/eiderfield/net/link_socket.py
+++ b/eiderfield/net/link_socket.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from eiderfield.net.faults import RETRY_MS, Cause, classify_accept_error
+from eiderfield.net.faults import RETRY_DELAY_MS, Cause, classify_accept_error
 from eiderfield.net.link import Link
 
 MAX_PATH_BYTES = 100  # of a path that fits into a Unix address
@@ -69,7 +69,7 @@
         except OSError as error:
             if classify_accept_error(error) is Cause.LOCAL:  # retried later: an immediate retry would spin
                 self._loop.remove_reader(self._listener)
-                self._loop.call_later(RETRY_MS / 1000.0, self._resume_accepting, self._listener)
+                self._loop.call_later(RETRY_DELAY_MS / 1000.0, self._resume_accepting, self._listener)
             return
         if _belongs_to_this_user(sock):
             self._on_link(Link(self._loop, sock))
--- a/eiderfield/net/selector.py
+++ b/eiderfield/net/selector.py
@@ -3,14 +3,14 @@
 epoll_ctl fails with ENOMEM, or with ENOSPC at the user's limit of watches. asyncio does not handle that:
 one of its callbacks fails, and the connection stays open but is never read again, so that a request on it
 is never answered. This selector keeps such a registration and retries it before a poll, at most every
-`RETRY_MS`, until it succeeds or is withdrawn. Meanwhile its descriptor reports no events.
+`RETRY_DELAY_MS`, until it succeeds or is withdrawn. Meanwhile its descriptor reports no events.
 
     register ──(success)──> registered
-        └──(no resources)──> pending ──(after RETRY_MS at the earliest)──> registered
+        └──(no resources)──> pending ──(after RETRY_DELAY_MS at the earliest)──> registered
                                 └──(unregister)──> removed
 
 Invariants: a registration is held by the kernel or by `_pending`; a poll does not wait for longer than
-`RETRY_MS` while one is pending.
+`RETRY_DELAY_MS` while one is pending.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from contextlib import suppress
 from typing import Any
 
-from eiderfield.net.faults import RETRY_MS, is_shortage
+from eiderfield.net.faults import RETRY_DELAY_MS, is_resource_shortage
 
-_RETRY_S = RETRY_MS / 1000.0
+_RETRY_DELAY_S = RETRY_DELAY_MS / 1000.0
 
 
 class RetryingSelector(selectors.EpollSelector):
@@ -40,11 +40,11 @@
         try:
             return super().register(fileobj, events, data)
         except OSError as error:
-            if not is_shortage(error):
+            if not is_resource_shortage(error):
                 raise
-        key = selectors.SelectorKey(fileobj, _descriptor(fileobj), events, data)
+        key = selectors.SelectorKey(fileobj, _fileno(fileobj), events, data)
         if not self._pending:
-            self._retry_at = time.monotonic() + _RETRY_S
+            self._retry_at = time.monotonic() + _RETRY_DELAY_S
         self._pending[key.fd] = key
         return key
 
@@ -54,19 +54,19 @@
         Changed events are registered anew, since a failed modification would leave the old ones in the
         kernel.
         """
-        if events == self.get_key(fileobj).events and _descriptor(fileobj) not in self._pending:
+        if events == self.get_key(fileobj).events and _fileno(fileobj) not in self._pending:
             return super().modify(fileobj, events, data)
         self.unregister(fileobj)
         return self.register(fileobj, events, data)
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
         """Remove a descriptor; raises `KeyError` if it is not registered."""
-        pending = self._pending.pop(_descriptor(fileobj), None)
+        pending = self._pending.pop(_fileno(fileobj), None)
         return pending if pending is not None else super().unregister(fileobj)
 
     def get_key(self, fileobj: Any) -> selectors.SelectorKey:
         """Return the registration of a descriptor; raises `KeyError` if there is none."""
-        pending = self._pending.get(_descriptor(fileobj))
+        pending = self._pending.get(_fileno(fileobj))
         return pending if pending is not None else super().get_key(fileobj)
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
@@ -74,14 +74,14 @@
         if self._pending:
             self._register_pending()
         if self._pending:
-            timeout = _RETRY_S if timeout is None else min(timeout, _RETRY_S)
+            timeout = _RETRY_DELAY_S if timeout is None else min(timeout, _RETRY_DELAY_S)
         return super().select(timeout)
 
     def _register_pending(self) -> None:
         now = time.monotonic()
         if now < self._retry_at:
             return
-        self._retry_at = now + _RETRY_S
+        self._retry_at = now + _RETRY_DELAY_S
         pending, self._pending = self._pending, {}
         for key in pending.values():
             with suppress(OSError, ValueError, KeyError):  # the owner has closed it meanwhile
@@ -93,5 +93,5 @@
     return asyncio.SelectorEventLoop(RetryingSelector())
 
 
-def _descriptor(fileobj: Any) -> int:
+def _fileno(fileobj: Any) -> int:
     return fileobj if isinstance(fileobj, int) else int(fileobj.fileno())
--- a/eiderfield/program/listeners.py
+++ b/eiderfield/program/listeners.py
@@ -15,7 +15,7 @@
 from eiderfield.connections.admission import AdmissionControl
 from eiderfield.net.clients import Front, Listener
 from eiderfield.net.console import CALL_TIMEOUT_MS, ConsoleFront
-from eiderfield.net.faults import RETRY_MS, is_shortage
+from eiderfield.net.faults import RETRY_DELAY_MS, is_resource_shortage
 from eiderfield.net.memory import share_of
 from eiderfield.program.core import Core
 from eiderfield.program.log import log
@@ -75,18 +75,18 @@
                 self._listen(bound, may_share)
             except OSError as error:
                 text = f"{bound.kind}: cannot listen on {host}:{port} ({error})"
-                if not is_shortage(error):
+                if not is_resource_shortage(error):
                     raise ConfigError(text) from None
                 if not waiting:
                     log(f"{text}; trying again until it can")
                 waiting = True
-                await asyncio.sleep(RETRY_MS / 1000.0)
+                await asyncio.sleep(RETRY_DELAY_MS / 1000.0)
 
     def _listen(self, bound: BoundListener, may_share: bool) -> None:
         try:
             bound.listener.listen(self._loop, bound.address)
         except OSError as error:
-            if is_shortage(error) or not (may_share and self._process_before):
+            if is_resource_shortage(error) or not (may_share and self._process_before):
                 raise
             bound.listener.listen(self._loop, bound.address, share=True)
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -106,7 +106,7 @@
     other_process.update_request_ids(["a", "b"], [])
     other_process.update_attempts(1, 2, 5.0)
     events.take_all()
-    other_process.ended()
+    other_process.detach()
     assert other_process.request_ids == set()
     assert events.take_all() == [SiblingReportReceived(1, 0, 0.0)]
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -17,7 +17,13 @@
 from eiderfield.config.errors import ConfigError
 from eiderfield.interface import Outcome
 from eiderfield.net.clients.acceptor import ACCEPTED_PER_TURN
-from eiderfield.net.faults import RETRY_MS, Cause, classify_accept_error, classify_dial_error, classify_loss
+from eiderfield.net.faults import (
+    RETRY_DELAY_MS,
+    Cause,
+    classify_accept_error,
+    classify_dial_error,
+    classify_loss,
+)
 from eiderfield.net.link import Link
 from eiderfield.net.link_socket import LinkListener
 from eiderfield.net.selector import RetryingSelector, new_event_loop
@@ -95,14 +101,14 @@
     """A shortage of descriptors for a second once ejected every worker."""
     client = dispatcher.client(path="/unsafe/a")
     [dial] = dispatcher.dials
-    for _ in range(int(DIAL_TIMEOUT_MS / RETRY_MS)):
+    for _ in range(int(DIAL_TIMEOUT_MS / RETRY_DELAY_MS)):
         dial.on_delayed(Cause.LOCAL)
-        dispatcher.advance(RETRY_MS)
-    dispatcher.advance(RETRY_MS)
+        dispatcher.advance(RETRY_DELAY_MS)
+    dispatcher.advance(RETRY_DELAY_MS)
     assert dial.cancelled
     assert dispatcher.outcomes == [Outcome.NOT_SENT]
     assert not dispatcher.exchange.snapshot(dispatcher.now).avoided_workers
-    dispatcher.advance(RETRY_MS)
+    dispatcher.advance(RETRY_DELAY_MS)
     dispatcher.dials[0].up().finish()
     assert client.answers()[0][0] == 200
 
@@ -118,7 +124,7 @@
     for _ in range(200):
         dial.on_delayed(Cause.LOCAL)
         dispatcher.settle()
-        dispatcher.advance(RETRY_MS)
+        dispatcher.advance(RETRY_DELAY_MS)
     assert not [line for line in dispatcher.logged if "silent" in line]
 
 
@@ -199,7 +205,7 @@
             port.turn(40)
             assert failing.calls[Call.ACCEPT] == tries, "it spins"
             assert port.listener.has_waiting_clients, "a port that closes now would reset the client"
-            port.dispatcher.advance(RETRY_MS + TICK_MS)
+            port.dispatcher.advance(RETRY_DELAY_MS + TICK_MS)
         port.turn()
         assert port.listener.connections == 1
         assert not port.listener.has_waiting_clients
@@ -220,7 +226,7 @@
         port.turn(40)
         assert failing.calls[Call.ACCEPT] == ACCEPTED_PER_TURN
         failing.failure = None
-        port.dispatcher.advance(RETRY_MS + TICK_MS)
+        port.dispatcher.advance(RETRY_DELAY_MS + TICK_MS)
         port.turn()
         assert port.listener.connections == 1
 
@@ -262,7 +268,7 @@
     selector.selector.select(0)
     assert selector.failing.calls[Call.REGISTER] == tries, "no more than one try in RETRY_MS"
     selector.failing.failure = None
-    selector.now += RETRY_MS / 1000.0
+    selector.now += RETRY_DELAY_MS / 1000.0
     [(key, events)] = selector.selector.select(0)
     assert (key.fd, key.data, events) == (fd, "data", selectors.EVENT_READ)
 
@@ -273,7 +279,7 @@
     selector.selector.register(selector.near, selectors.EVENT_READ)
     for timeout in (None, 5.0, 0.0):
         selector.selector.select(timeout)
-    assert waits == [RETRY_MS / 1000.0, RETRY_MS / 1000.0, 0.0]
+    assert waits == [RETRY_DELAY_MS / 1000.0, RETRY_DELAY_MS / 1000.0, 0.0]
 
 
 def test_pending_registration_can_be_modified_and_unregistered(selector):
@@ -292,7 +298,7 @@
     selector.selector.modify(selector.near, selectors.EVENT_READ | selectors.EVENT_WRITE, 2)
     assert selector.selector.select(0) == [], "nothing is told of the old mask"
     selector.failing.failure = None
-    selector.now += RETRY_MS / 1000.0
+    selector.now += RETRY_DELAY_MS / 1000.0
     [(key, events)] = selector.selector.select(0)
     assert (key.data, events) == (2, selectors.EVENT_WRITE)
 
@@ -301,7 +307,7 @@
     selector.selector.register(selector.near.fileno(), selectors.EVENT_READ)
     selector.near.close()
     selector.failing.failure = None
-    selector.now += RETRY_MS / 1000.0
+    selector.now += RETRY_DELAY_MS / 1000.0
     assert selector.selector.select(0) == []
 
 
@@ -333,7 +339,7 @@
     def run(self):
         calls, self.calls = self.calls, []
         for wait, call, args in calls:
-            assert wait == RETRY_MS / 1000.0
+            assert wait == RETRY_DELAY_MS / 1000.0
             call(*args)
 
 
