--- a/eiderfield/exchange/actions.py
+++ b/eiderfield/exchange/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the actions that the policy decides."""
+"""Executes the actions that the policy returns."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class ActionExecutor:
-    """Carries out actions in order; one that fails is logged and does not stop the others."""
+    """Executes actions in order. An action that fails is logged, and the next ones are still executed."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         attempts: AttemptTable,
         metrics: Metrics,
     ) -> None:
-        """Carry out actions on these parts of an exchange."""
+        """Create an executor that acts on these parts of an exchange."""
         self.context = context
         self.endpoints = endpoints
         self.requests = requests
@@ -53,7 +53,7 @@
         self._events = events
 
     def execute(self, actions: Iterable[Action], now: float) -> None:
-        """Carry out the actions of a turn at time `now` (ms)."""
+        """Execute the actions of a turn at time `now` (ms)."""
         for action in actions:
             try:
                 match action:
@@ -67,12 +67,12 @@
                         self.fail_request(action)
                     case _:
                         self._execute_other(action)
-            except Exception as error:  # an adapter that fails must not lose the turn's other actions
+            except Exception as error:  # the error of one adapter must not stop the other actions of the turn
                 name = type(action).__name__
                 self.context.log(f"exchange: action failed (action={name} error={error!r})\n{format_exc()}")
 
     def start_attempt(self, action: StartAttempt, now: float) -> None:
-        """Start an attempt, unless its request has ended or it exceeds the limits on attempts."""
+        """Start an attempt, unless its request has ended or the settings do not allow another attempt."""
         context = self.context
         pending = self.requests.pending.get(action.request_id)
         if pending is None or context.worker_side is None:
@@ -81,9 +81,9 @@
         attempt = Attempt(pending, len(pending.attempts), action.worker, now)
         has_open_attempt = any(other.open for other in pending.attempts)
         pending.attempts.append(attempt)
-        pending.started_at = 0.0  # that of an earlier attempt, if any
+        pending.started_at = 0.0  # discards the start of an earlier attempt
         settings = context.settings
-        # Guards against a fault of the policy, which is notified that the attempt was never sent.
+        # Guards against a fault of the policy. The policy is notified that the attempt was never sent.
         if len(pending.attempts) > settings.max_attempts or (
             has_open_attempt and not settings.hedging_allowed
         ):
@@ -102,7 +102,7 @@
             context.worker_side.start(attempt)
 
     def _claim_ended(self, attempt: Attempt, may_start: bool) -> None:
-        """Start an attempt of a durable request once it is stored, or end it if it must not start."""
+        """Start an attempt whose claim is stored, or end it if it must not start."""
         if attempt.open and self.context.worker_side is not None:
             if may_start:
                 self.context.worker_side.start(attempt)
@@ -110,12 +110,12 @@
                 self.attempts.end(attempt, Outcome.NOT_SENT)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
-        """Stop an attempt if it is still open."""
+        """Stop the attempt if it is still open."""
         if (attempt := self.attempts.open.get((action.request_id, action.attempt_number))) is not None:
             self.attempts.stop(attempt, StopReason.POLICY)
 
     def reject_request(self, action: RejectRequest) -> None:
-        """Answer a request that is still pending: not served, the client may retry."""
+        """Answer a request with `Verdict.DECLINED` if it is still pending; its client may retry it."""
         if (pending := self.requests.pending.get(action.request_id)) is not None:
             answer = Answer(
                 Verdict.DECLINED,
@@ -126,7 +126,7 @@
             self.requests.finish(pending, answer)
 
     def fail_request(self, action: FailRequest) -> None:
-        """Answer a request that is still pending: failed."""
+        """Answer a request with `Verdict.FAILED` if it is still pending."""
         if (pending := self.requests.pending.get(action.request_id)) is not None:
             answer = Answer(
                 Verdict.FAILED, may_have_run=may_have_run(pending), attempts=len(pending.attempts)
@@ -143,7 +143,7 @@
         | WatchEndpoints
         | FetchEndpoints,
     ) -> None:
-        """Carry out an action that concerns no single request."""
+        """Execute an action that is not about a single request."""
         context = self.context
         match action:
             case SetTimer(at, token):
--- a/eiderfield/exchange/attempt_table.py
+++ b/eiderfield/exchange/attempt_table.py
@@ -1,4 +1,4 @@
-"""Holds the open attempts, and stops and ends them."""
+"""Table of the open attempts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class StopReason(StrEnum):
-    """Why the exchange stopped an attempt; the console shows these words."""
+    """Why the exchange stopped an attempt. The console shows the values."""
 
     CLIENT_GONE = "nobody waits"
     POLICY = "decided"
@@ -31,7 +31,10 @@
 
 
 class AttemptTable:
-    """Open attempts by request and number, also those of answered requests, and their number per worker."""
+    """Open attempts by request id and attempt number, and their number per worker.
+
+    An attempt stays open after its request is answered, until it ends itself.
+    """
 
     def __init__(
         self,
@@ -41,7 +44,7 @@
         other_process: OtherProcessState,
         metrics: Metrics,
     ) -> None:
-        """Create an empty table; ends of attempts are posted to `events`."""
+        """Create an empty table that posts the ends of attempts to `events`."""
         self.open: dict[tuple[int, int], Attempt] = {}
         self._context = context
         self._events = events
@@ -56,13 +59,13 @@
         return {worker: count for worker, count in self._open_per_worker.items() if count}
 
     def add(self, attempt: Attempt, work: float) -> None:
-        """Add an attempt that is about to start; `work` is its expected work."""
+        """Add an attempt that is about to start; `work` is the work expected of it."""
         self.open[attempt.pending.id, attempt.number] = attempt
         self._open_per_worker[attempt.worker] += 1
         self._notify_other_process(attempt.worker, work)
 
     def stop(self, attempt: Attempt, reason: str, outcome: Outcome = Outcome.CANCELLED) -> None:
-        """Abort an open attempt. If its last byte was not sent, it is known never to have run."""
+        """Abort an open attempt. It ends as never sent if its last byte has not been sent yet."""
         if attempt.open and self._context.worker_side is not None:
             self._metrics.cancelled_attempts[reason] += 1
             self._context.worker_side.stop(attempt)
@@ -74,7 +77,10 @@
             self.stop(attempt, reason)
 
     def end(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
-        """Record the end of an attempt and notify the policy; does nothing if it has ended before."""
+        """Record the end of an attempt and notify the policy. Does nothing if it has ended already.
+
+        `load` is the worker's load report.
+        """
         if not attempt.open:
             return
         pending = attempt.pending
@@ -89,7 +95,7 @@
             self._context.durable_requests.attempt_ended(attempt)
         if attempt.timer is not None:
             attempt.timer.cancel()
-        # Until the turn, which knows the time, `elapsed` holds when the attempt was sent.
+        # `Exchange.turn`, which knows the time, replaces `sent_at` by the elapsed time.
         self._events.post(
             AttemptEnded(
                 pending.id,
@@ -108,10 +114,10 @@
 
 
 def latest_start(attempt: Attempt, cls: RequestClass) -> float:
-    """Return the time (ms) at which an attempt must have started.
+    """Return the time (ms) by which an attempt must have started.
 
-    That is the client's deadline and, if an earlier attempt of a keyed request may have run, the end of the
-    window in which workers discard a repeat.
+    This is the client's deadline. If an earlier attempt of a keyed request may have run, it is also the end
+    of the window in which workers discard a repeated request.
     """
     deadline = attempt.pending.request.deadline
     if cls.effect != Effect.KEYED:
--- a/eiderfield/exchange/context.py
+++ b/eiderfield/exchange/context.py
@@ -1,4 +1,4 @@
-"""The settings and the adapters that the parts of the exchange share."""
+"""The settings and adapters shared by the parts of the exchange."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Context:
-    """The settings in force, and the adapters; those that are optional or not attached yet are None."""
+    """The current settings, and the adapters. An adapter is None if it is not attached."""
 
     settings: Settings
     timers: Timers
--- a/eiderfield/exchange/endpoint_table.py
+++ b/eiderfield/exchange/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the exchange last received it."""
+"""Table of the workers in the endpoint list that was received last."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class EndpointTable:
-    """The state of each worker, in force at once for every attempt that has not started."""
+    """The state of each worker. A change applies at once to every attempt that has not started."""
 
     def __init__(self) -> None:
-        """Create a table without workers."""
+        """Create an empty table."""
         self.states: dict[int, EndpointState] = {}
-        self._endpoints: dict[int, Endpoint] = {}  # each worker that was ever listed, as last listed
+        self._endpoints: dict[int, Endpoint] = {}  # every worker ever listed, as last listed
 
     @property
     def any_ready(self) -> bool:
-        """Whether any worker accepts requests."""
+        """Whether at least one worker accepts requests."""
         return EndpointState.READY in self.states.values()
 
     def update(self, kind: EndpointListKind, endpoints: Iterable[Endpoint]) -> None:
-        """Apply a change of the list, or a whole list; workers that a whole list leaves out are gone."""
+        """Apply a delta or a full list. Workers that a full list does not name are set to gone."""
         if kind != EndpointListKind.DELTA:
             self.states = dict.fromkeys(self.states, EndpointState.GONE)
         for endpoint in endpoints:
@@ -29,5 +29,5 @@
             self._endpoints[endpoint.worker] = endpoint
 
     def endpoint(self, worker: int) -> Endpoint:
-        """Return a worker as last listed; an endpoint without a place, and gone, if it never was."""
+        """Return a worker as last listed; one that was never listed is gone and has the default zone."""
         return self._endpoints.get(worker, Endpoint(worker, state=EndpointState.GONE))
--- a/eiderfield/exchange/errors.py
+++ b/eiderfield/exchange/errors.py
@@ -10,26 +10,26 @@
 
 
 class RequestIdInUseError(ExchangeError):
-    """A request with this id is pending or has an open attempt.
+    """The request id is used by another request, which is pending or has an open attempt.
 
     Attributes:
-        id: The id of the refused request.
+        id: The request id.
     """
 
     def __init__(self, id_: str) -> None:
-        """Create an error for a refused request."""
-        super().__init__(f"request {id_} is there already")
+        """Create an error for the request id `id_`."""
+        super().__init__(f"request id {id_} is already in use")
         self.id = id_
 
 
 class FixedSettingError(ExchangeError):
-    """A new value of a setting takes effect only in a new process.
+    """A setting was changed that only a new process can apply.
 
     Attributes:
-        key: Full name of the setting.
+        key: The full name of the setting.
     """
 
     def __init__(self, key: str, reason: str) -> None:
-        """`reason` follows the key in the message."""
+        """Create an error whose message is `key` followed by `reason`."""
         super().__init__(f"{key} {reason}")
         self.key = key
--- a/eiderfield/exchange/event_queue.py
+++ b/eiderfield/exchange/event_queue.py
@@ -1,4 +1,4 @@
-"""Collects the events of a turn of the event loop."""
+"""Queue of the events that the next turn passes to the policy."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class EventQueue:
-    """The events for the next turn, in the order in which the policy handles them."""
+    """The events for the next turn, in the order in which the policy handles them: endpoint updates first."""
 
     def __init__(self, wake: Callable[[], None]) -> None:
-        """Call `wake` for each event; it makes the event loop run a turn."""
+        """Create an empty queue. `wake` is called for each event; it schedules a turn of the event loop."""
         self._wake = wake
         self._endpoint_updates: list[EndpointsUpdated] = []
         self._events: list[Event] = []
@@ -22,12 +22,12 @@
         self._wake()
 
     def post_endpoint_update(self, update: EndpointsUpdated) -> None:
-        """Add a change of the endpoint list; these precede all other events of the turn."""
+        """Add a change of the endpoint list, which precedes all other events of the turn."""
         self._endpoint_updates.append(update)
         self._wake()
 
     def pending(self) -> list[Event]:
-        """Return the events that the next turn will handle."""
+        """Return the events that the next turn handles, without removing them."""
         return [*self._endpoint_updates, *self._events]
 
     def take_all(self) -> list[Event]:
--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -1,8 +1,9 @@
 """Owns requests and their attempts between the client side and the worker side.
 
-The client side submits requests and gets one final answer for each. The worker side reports how attempts end.
-Each turn of the event loop passes the events since the last one to the policy and carries out its actions.
-Performs no I/O and reads no clock; all times are in milliseconds of the caller's clock.
+The client side submits requests and receives one final answer for each. The worker side reports how attempts
+end. Each turn of the event loop passes the events since the previous turn to the policy and executes the
+actions that the policy returns. The module performs no I/O and reads no clock; all times are in milliseconds
+of the caller's clock.
 """
 
 from __future__ import annotations
@@ -53,14 +54,14 @@
 
 
 class Exchange:
-    """Joins the client side, the worker side and the policy.
+    """Connects the client side, the worker side and the policy.
 
     Attributes:
         metrics: Counters of requests and attempts.
         dispatcher: The policy.
-        endpoints: The endpoint list; change it by `update_endpoints`.
-        worker_reports: Receives what the worker side reports.
-        other_process: What the previous or next process of this dispatcher has in flight.
+        endpoints: The endpoint list; `update_endpoints` changes it.
+        worker_reports: Receives the reports of the worker side.
+        other_process: The requests and attempts of the previous or next process of this dispatcher.
     """
 
     def __init__(
@@ -71,7 +72,15 @@
         wake: Callable[[], None],
         log: Callable[[str], None],
     ) -> None:
-        """Call `wake` whenever a turn is due; `seed` is that of the policy's random choices."""
+        """Create an exchange without adapters.
+
+        Args:
+            settings: The settings of the policy.
+            seed: The seed of the policy's random choices.
+            timers: Schedules calls on the event loop.
+            wake: Called whenever a turn is due.
+            log: Called with each line to be logged.
+        """
         self.metrics = Metrics()
         self.dispatcher = Dispatcher(settings, seed)
         self._wake = wake
@@ -95,7 +104,7 @@
         self._context.worker_side = worker_side
 
     def attach_durable_requests(self, durable_requests: DurableRequests) -> None:
-        """Set what persists the requests that are submitted as durable."""
+        """Set the adapter that persists the requests submitted as durable."""
         self._context.durable_requests = durable_requests
 
     def attach_peer_channel(self, peer_channel: PeerChannel) -> None:
@@ -104,7 +113,7 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings in force."""
+        """The current settings."""
         return self._context.settings
 
     @property
@@ -123,15 +132,15 @@
         return len(self._requests.pending)
 
     def snapshot(self, now: float) -> Snapshot:
-        """Return what the policy holds, and which workers it avoids."""
+        """Return the state of the policy, which includes the workers that it avoids."""
         return self.dispatcher.snapshot(now)
 
     def check_settings(self, settings: Settings) -> None:
-        """Raise `FixedSettingError` for a change that only a new process can take."""
+        """Raise `FixedSettingError` if only a new process can apply `settings`."""
         check_settings(self._context.settings, settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply settings that passed `check_settings`. Pending requests keep their class."""
+        """Apply settings that `check_settings` accepted. Pending requests keep their class."""
         self.dispatcher.apply_settings(settings)
         self._context.settings = settings
         self._wake()
@@ -139,9 +148,9 @@
     # Called by the client side.
 
     def has_request(self, id_: str) -> bool:
-        """Return whether a request of this id is pending or has an open attempt.
+        """Return whether a request with this id is pending or has an open attempt.
 
-        Those of the other process count too.
+        The requests of the other process are included.
         """
         return self._requests.has_id(id_)
 
@@ -171,7 +180,7 @@
             pending.attempts.append(
                 Attempt(pending, number, endpoint.worker, sent_at, open=False, may_have_run=True)
             )
-        # The policy answers just before the deadline; this guards against a fault of the policy.
+        # Guards against a fault of the policy, which should answer before the deadline.
         pending.timer = self._context.timers.call_at(
             request.deadline + self._context.settings.answer_slack_ms,
             lambda: self._fail_overdue_request(pending),
@@ -193,7 +202,7 @@
         return pending.id
 
     def _fail_overdue_request(self, pending: PendingRequest) -> None:
-        """Fail a request that the policy did not answer before its deadline."""
+        """Fail a request that the policy has not answered by its deadline."""
         if pending.answered:
             return
         self._context.log(f"exchange: request unanswered at its deadline (request={pending.id})")
@@ -203,12 +212,15 @@
         self._events.post(ClientDisconnected(pending.id))
 
     def release_request(self, id_: int) -> None:
-        """End a request without an answer: another dispatcher took it over and will answer it."""
+        """End a request without an answer, because another dispatcher took it over and will answer it."""
         if (pending := self._requests.pending.get(id_)) is not None:
             self._end_unanswered(pending, StopReason.TAKEN_OVER)
 
     def cancel_request(self, id_: int) -> Answer | None:
-        """End a request for which no client waits; return None if it has its final answer already."""
+        """End a request for which no client waits any longer.
+
+        Returns its final answer, which is not passed to `on_answer`, or None if it was answered already.
+        """
         pending = self._requests.pending.get(id_)
         if pending is None:
             return None
@@ -224,7 +236,7 @@
         self._events.post(ClientDisconnected(pending.id))
 
     def request_state(self, id_: int) -> RequestState | None:
-        """Return the state of a request, None once it has its final answer."""
+        """Return the state of a request, or None once it has its final answer."""
         pending = self._requests.pending.get(id_)
         if pending is None:
             return None
@@ -238,7 +250,7 @@
 
     @property
     def request_ids(self) -> list[str]:
-        """The ids in use by requests of this process."""
+        """The ids that requests of this process use."""
         return list(self._requests.ids)
 
     @property
@@ -251,8 +263,8 @@
         return self.dispatcher.learned_state()
 
     def resume(self, learned: LearnedState, now: float) -> None:
-        """Continue from the learned state of another process; one that does not fit is ignored."""
-        self.turn(now)  # passes on the endpoint list, to which the learned state refers
+        """Continue from the learned state of another process. State that the policy rejects is ignored."""
+        self.turn(now)  # passes the endpoint list, to which the learned state refers, to the policy
         try:
             self.dispatcher.resume(learned)
         except (ValueError, TypeError, LookupError, AttributeError) as error:
@@ -261,12 +273,12 @@
     # Called by discovery and by the peer channel.
 
     def update_endpoints(self, kind: EndpointListKind, version: int, endpoints: tuple[Endpoint, ...]) -> None:
-        """Apply a change of the endpoint list, in force at once for every attempt that has not started."""
+        """Apply a change of the endpoint list, at once to every attempt that has not started."""
         self.endpoints.update(kind, endpoints)
         self._events.post_endpoint_update(EndpointsUpdated(kind, version, endpoints))
 
     def peer_report_received(self, peer: int, data: bytes) -> None:
-        """Record a report of another dispatcher of the tier."""
+        """Record a report received from another dispatcher of the tier."""
         self._events.post(PeerReportReceived(peer, data))
 
     # Called by the event loop.
@@ -287,11 +299,11 @@
             )
 
     def turn(self, now: float) -> None:
-        """Pass the events since the last turn to the policy in one call, and carry out its actions."""
+        """Pass the events since the previous turn to the policy in one call, and execute its actions."""
         events = self._events.take_all()
         for event in events:
             if isinstance(event, AttemptEnded):
-                event.elapsed_ms = now - event.elapsed_ms  # it held when the attempt was sent
+                event.elapsed_ms = now - event.elapsed_ms  # until now it held `sent_at`
             elif isinstance(event, AttemptProgressed) and event.kind == ProgressKind.STARTED:
                 pending = self._requests.pending.get(event.request_id)
                 if pending is not None:
--- a/eiderfield/exchange/metrics.py
+++ b/eiderfield/exchange/metrics.py
@@ -1,4 +1,4 @@
-"""Counts requests and attempts since the start of the process. `net/console.py` names the figures."""
+"""Counters of requests and attempts since the start of the process. `net/console.py` names them."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True)
 class ResponseTimes:
-    """Sums over ln(response time in ms), from which mean and deviation follow."""
+    """Sums over ln(response time in ms), from which the mean and the standard deviation are computed."""
 
     count: int = 0
     sum: float = 0.0
     sum_of_squares: float = 0.0
 
     def record(self, milliseconds: float) -> None:
-        """Add one response time; below 1 ms it counts as 1 ms."""
+        """Add a response time. Times below 1 ms count as 1 ms."""
         logarithm = log(max(1.0, milliseconds))
         self.count += 1
         self.sum += logarithm
@@ -29,25 +29,25 @@
 
 @dataclass(slots=True)
 class Metrics:
-    """The counters of the exchange. Those by class have the index of the class as key."""
+    """The counters of the exchange. Counters per class are keyed by the class index."""
 
     final_answers: Counter[tuple[int, Verdict]] = field(default_factory=Counter)
     served_within_objective: Counter[int] = field(default_factory=Counter)
     response_times: dict[int, ResponseTimes] = field(default_factory=dict)
     attempts_written: int = 0  # attempts whose last byte was sent
-    cancelled_attempts: Counter[str] = field(default_factory=Counter)  # by reason
+    cancelled_attempts: Counter[str] = field(default_factory=Counter)  # by `StopReason`
     malformed_responses: int = 0
-    prevented_violations: Counter[str] = field(default_factory=Counter)  # by rule that a guard enforced
+    prevented_violations: Counter[str] = field(default_factory=Counter)  # by the rule that a guard enforced
 
     def response_time_sums(self, class_index: int) -> tuple[int, float, float]:
-        """Return count, sum and sum of squares of the logarithms of a class's response times."""
+        """Return the count, the sum and the sum of squares of the logarithms of a class's response times."""
         times = self.response_times.get(class_index, ResponseTimes())
         return times.count, times.sum, times.sum_of_squares
 
     def record_served(
         self, served: Iterable[PendingRequest], classes: Sequence[RequestClass], now: float
     ) -> None:
-        """Record the response times of served requests, and which met their latency objective."""
+        """Record the response times of served requests, and count those within their latency objective."""
         for pending in served:
             class_index = pending.request.class_index
             cls = classes[class_index]
--- a/eiderfield/exchange/request.py
+++ b/eiderfield/exchange/request.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """One request as a client sent it. After `deadline` (ms) no client waits for its answer."""
+    """A request as sent by a client. After `deadline` (ms) no client waits for its answer."""
 
     id: str
     class_index: int
@@ -22,13 +22,13 @@
     idempotency_key: str = ""
     subject: int = 0
     is_client_retry: bool = False
-    tenant_index: int = 0  # index in the settings; their number for a tenant that they do not name
+    tenant_index: int = 0  # index in the settings; for a tenant that they do not name, the number of tenants
     slots: float = 1.0
     memory: float = 0.0
 
 
 class Verdict(Enum):
-    """The kind of a final answer."""
+    """The kind of final answer."""
 
     SERVED = "served"
     DECLINED = "declined"
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The final answer to a request. `retry_after` is in milliseconds, 0 for no advice."""
+    """The final answer to a request. `retry_after` is in ms; 0 means no advice."""
 
     verdict: Verdict
     result: bytes = b""
@@ -50,7 +50,7 @@
 
 
 class RequestState(Enum):
-    """The state of a request without a final answer."""
+    """The state of a request that has no final answer."""
 
     QUEUED = "queued"  # no attempt is open
     SENT = "sent"  # an attempt is open, and no worker has reported a start
@@ -59,15 +59,16 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request at a worker.
+    """An attempt to serve a request at one worker.
 
-    `may_have_run` is set once its last byte is sent, and cleared if its outcome proves that it never ran.
+    `may_have_run` is set when the last byte of the attempt is sent, and cleared if its outcome proves that
+    the worker never ran the request.
     """
 
     pending: PendingRequest
     number: int
     worker: int
-    sent_at: float  # ms, when the policy decided it
+    sent_at: float  # ms, the time at which the policy decided on the attempt
     open: bool = True
     may_have_run: bool = False
     timer: Timer | None = None
@@ -75,7 +76,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """An accepted request, until its final answer and the end of its last attempt."""
+    """An accepted request, which exists until it is answered and its last attempt has ended."""
 
     id: int
     request: Request
@@ -83,10 +84,10 @@
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
     durable: bool = False  # whether `DurableRequests` persists it
-    is_client_connected: Callable[[], bool] | None = None  # checked before each attempt starts; None: always
+    is_client_connected: Callable[[], bool] | None = None  # called before each attempt starts; None: always
     running: bool = False
-    received_at: float = 0.0  # ms, the turn that passed it to the policy
-    started_at: float = 0.0  # ms, the turn in which its start at a worker was reported; 0: not reported
+    received_at: float = 0.0  # ms, time of the turn that passed the request to the policy
+    started_at: float = 0.0  # ms, time of the turn in which a worker reported the start; 0 if none did
     timer: Timer | None = None
 
 
--- a/eiderfield/exchange/request_table.py
+++ b/eiderfield/exchange/request_table.py
@@ -1,4 +1,4 @@
-"""Holds the requests that have no final answer yet, and the request ids in use."""
+"""Table of the requests without a final answer, and of the request ids in use."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class RequestTable:
-    """Pending requests by number, and the ids that no other request may use."""
+    """Pending requests by number, and the request ids that new requests must not use."""
 
     def __init__(self, context: Context, metrics: Metrics, other_process: OtherProcessState) -> None:
-        """Create an empty table; the ids of `other_process` are in use too."""
+        """Create an empty table. The ids of `other_process` count as in use too."""
         self.pending: dict[int, PendingRequest] = {}
-        self.ids: set[str] = set()  # of requests without a final answer or with an open attempt
+        self.ids: set[str] = set()  # of requests that are pending or have an open attempt
         self._context = context
         self._metrics = metrics
         self._other_process = other_process
         self._last_id = 0
-        self._received_since_turn: list[PendingRequest] = []  # since the last turn
-        self._served_since_turn: list[PendingRequest] = []  # since the last turn
+        self._received_since_turn: list[PendingRequest] = []
+        self._served_since_turn: list[PendingRequest] = []
 
     def has_id(self, request_id: str) -> bool:
-        """Return whether a request of this dispatcher's processes uses the id."""
+        """Return whether a request in this or the other process uses the id."""
         return request_id in self.ids or request_id in self._other_process.request_ids
 
     def add(
@@ -36,7 +36,7 @@
         durable: bool,
         is_client_connected: Callable[[], bool] | None,
     ) -> PendingRequest:
-        """Add a request; raises `RequestIdInUseError`."""
+        """Add a request; raises `RequestIdInUseError` if its id is in use."""
         request_id = request.id
         if request_id in self.ids or request_id in self._other_process.request_ids:
             raise RequestIdInUseError(request_id)
@@ -52,7 +52,10 @@
         return pending
 
     def record_times(self, now: float) -> None:
-        """Set the arrival time of new requests, and record the response times of those just served."""
+        """Set `received_at` of the requests received since the last turn, and record those served since then.
+
+        Called in each turn, at the time `now`.
+        """
         for pending in self._received_since_turn:
             pending.received_at = now
         self._received_since_turn.clear()
@@ -60,7 +63,7 @@
         self._served_since_turn.clear()
 
     def finish(self, pending: PendingRequest, answer: Answer | None = None) -> None:
-        """Remove a request and give its final answer; None ends it without one."""
+        """Remove a request and pass it its final answer; it gets none if `answer` is None."""
         pending.answered = True
         del self.pending[pending.id]
         self.release_id(pending)
@@ -77,7 +80,7 @@
             pending.on_answer(answer)
 
     def release_id(self, pending: PendingRequest) -> None:
-        """Release the request's id if it is answered and its last attempt has ended."""
+        """Release the id of a request that is answered and has no open attempt."""
         if pending.answered and not any(attempt.open for attempt in pending.attempts):
             self.ids.discard(pending.request.id)
             if self._other_process.process is not None:
--- a/eiderfield/exchange/settings_check.py
+++ b/eiderfield/exchange/settings_check.py
@@ -1,12 +1,12 @@
-"""Checks which settings of the policy a running process can take."""
+"""Checks whether a running process can apply changed settings of the policy."""
 
 from __future__ import annotations
 
 from eiderfield.exchange.errors import FixedSettingError
 from eiderfield.interface import Settings
 
-# Keys of the settings, each with the field of `Settings` that holds it. Requests refer to classes and tenants
-# by index, so their names and order stay; their numbers may change.
+# Keys of the settings, each with the attribute of `Settings` that holds its value. Requests refer to classes
+# and tenants by index, so their names and their order are fixed; their other values may change.
 _FIXED_NAME_LISTS = {"classes": "classes", "projects": "tenants"}
 _FIXED_SETTINGS = {
     "load_info.columns": "load_report_fields",
@@ -18,7 +18,7 @@
 
 
 def check_settings(current: Settings, new: Settings) -> None:
-    """Raise `FixedSettingError` for a change that only a new process can take."""
+    """Raise `FixedSettingError` if only a new process can apply the change from `current` to `new`."""
     for key, attribute in _FIXED_NAME_LISTS.items():
         old_names = [item.name for item in getattr(current, attribute)]
         new_names = [item.name for item in getattr(new, attribute)]
--- a/eiderfield/exchange/worker_reports.py
+++ b/eiderfield/exchange/worker_reports.py
@@ -1,4 +1,4 @@
-"""Receives what the worker side reports of attempts and probes."""
+"""Receives the reports of the worker side about attempts and probes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class WorkerReports:
-    """Records the progress and the end of attempts, and decides whether one may still start."""
+    """Records the progress and the end of attempts, and decides whether an attempt may still start."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         attempts: AttemptTable,
         metrics: Metrics,
     ) -> None:
-        """Record reports in these parts of an exchange."""
+        """Create a receiver that records reports in these parts of an exchange."""
         self._context = context
         self._events = events
         self._endpoints = endpoints
@@ -33,10 +33,10 @@
         self._metrics = metrics
 
     def may_write(self, attempt: Attempt, now: float) -> bool:
-        """Return whether an attempt whose connection is established may still start.
+        """Return whether an attempt may still start now that its connection is established.
 
-        Since the policy decided it, its worker may have started to drain, its client may have left, and its
-        deadline or the window for repeats may have passed.
+        Since the policy decided on it, the worker may have started to drain, the client may have
+        disconnected, and the deadline or the window for repeated requests may have passed.
         """
         pending = attempt.pending
         if not attempt.open or pending.answered:
@@ -63,7 +63,10 @@
             self._events.post(AttemptProgressed(pending.id, attempt.number, attempt.worker, kind, share))
 
     def record_result(self, attempt: Attempt, result: bytes, load: tuple[float, ...] = ()) -> None:
-        """Record a whole result; the first one is the final answer. `load` is the worker's load report."""
+        """Record a complete result, which is the final answer if the request has none.
+
+        `load` is the worker's load report.
+        """
         if not attempt.open:
             return
         pending = attempt.pending
@@ -73,12 +76,15 @@
         self._attempts.end(attempt, Outcome.OK, load)
 
     def record_malformed_response(self, worker: int, reason: str) -> None:
-        """Record that a response of a worker is malformed or does not match its request."""
+        """Record that a worker's response is malformed or does not match its request."""
         self._metrics.malformed_responses += 1
         self._context.log(f"exchange: malformed response (worker={worker} reason={reason})")
 
     def record_rejection(self, attempt: Attempt) -> None:
-        """Record that a worker rejected the request itself: the worker is healthy, a retry is useless."""
+        """Record that a worker rejected a request as invalid.
+
+        The worker is healthy, and a retry would be rejected too, so the request is answered.
+        """
         if not attempt.open:
             return
         pending = attempt.pending
@@ -90,7 +96,7 @@
         self._attempts.end(attempt, Outcome.ERROR)
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
-        """Record the end of an attempt without a result. `load` is the worker's load report."""
+        """Record that an attempt ended without a result. `load` is the worker's load report."""
         self._attempts.end(attempt, outcome, load)
 
     def probe_completed(
