--- a/eiderfield/settings_text.py
+++ b/eiderfield/settings_text.py
@@ -1,10 +1,10 @@
-"""Parser of the settings text: one `key=value` a line, as the simulator's wire carries it.
+"""Parser of the settings text, which has one `key=value` per line, as sent by the simulator.
 
-A list of values is joined by commas. A list of tables gives its length as `NAME.count` and its items as
-`NAME.0`, `NAME.1` and so on. Unknown keys are ignored.
+The values of a list are separated by commas. A list of tables has its length in `NAME.count` and its items
+in `NAME.0`, `NAME.1` and so on. Unknown keys are ignored.
 
-Tables below map each key to the field that it sets, with parser and default. They are the only place where
-the operators' words meet the names of the fields.
+`CLASS_FIELDS`, `TENANT_FIELDS` and `SETTINGS_FIELDS` map each key to the attribute that it sets, with its
+parser and its default. Only they relate the keys that operators use to the names of attributes.
 """
 
 from __future__ import annotations
@@ -21,28 +21,28 @@
 
 
 class SettingsError(EiderfieldError, ValueError):
-    """A setting is missing or wrong.
+    """A setting is missing or invalid.
 
     Attributes:
-        key: Name of the faulty setting.
-        problem: What is wrong; continues the sentence that starts with the key.
+        key: The key of the setting.
+        problem: The predicate of a sentence whose subject is the key, for example "is missing".
     """
 
     def __init__(self, key: str, problem: str) -> None:
-        """`key` and `problem` make up the message."""
+        """Create an error with the message `setting KEY PROBLEM`."""
         super().__init__(f"setting {key} {problem}")
         self.key = key
         self.problem = problem
 
 
 class SettingsReader:
-    """Typed access to the values of a settings text. Without a default, a key is required.
+    """Typed access to the values of a settings text.
 
-    Every method raises `SettingsError` for a value that is missing or wrong.
+    Every method raises `SettingsError` for an invalid value, or for a missing key without a default.
     """
 
     def __init__(self, text: str) -> None:
-        """Split `text` into keys and values; a line without `=` is ignored."""
+        """Read the keys and values of `text`. Lines without `=` are ignored."""
         self._values: dict[str, str] = {}
         for line in text.splitlines():
             key, separator, value = line.partition("=")
@@ -81,25 +81,25 @@
         return int(value)
 
     def flag(self, key: str) -> bool:
-        """Return true or false, false if the key is absent."""
+        """Return a value that is `true` or `false`; false if the key is missing."""
         text = self._values.get(key, "false")
         if text not in ("true", "false"):
             raise SettingsError(key, f"must be true or false: {text}")
         return text == "true"
 
     def list_items(self, key: str) -> list[str]:
-        """Return the items of a list, none if the key is absent."""
+        """Return the items of a list, which is empty if the key is missing."""
         return [item for item in self._values.get(key, "").split(",") if item]
 
     def choice(self, key: str, choices: Mapping[str, T], default: str | None = None) -> T:
-        """Return what `choices` gives for the word."""
+        """Return the entry of `choices` for the value of a key."""
         name = self.text(key, default)
         if name not in choices:
             raise SettingsError(key, f"must be one of {', '.join(choices)}: {name}")
         return choices[name]
 
     def list_item(self, key: str, index: int, default: float) -> float:
-        """Return a number of a list, `default` if the list is too short."""
+        """Return the number at an index of a list, or `default` if the list is too short."""
         items = self.list_items(key)
         if index >= len(items):
             return default
@@ -109,7 +109,7 @@
             raise SettingsError(key, f"is not a list of numbers: {items[index]}") from None
 
     def list_integer(self, key: str, index: int, default: int) -> int:
-        """Return a number of a list without its fraction, `default` if the list is too short."""
+        """Return the number at an index of a list, truncated, or `default` if the list is too short."""
         value = self.list_item(key, index, default)
         if not math.isfinite(value):
             raise SettingsError(key, f"is not a list of finite numbers: {value}")
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingField:
-    """One row of a table: the key in the text, the field that it sets, and the parser with its default."""
+    """The key of a setting, the attribute that it sets, and the parser of its value with the default."""
 
     key: str
     field: str
@@ -155,7 +155,7 @@
 EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
-# Keys are those below `classes.N.`; the name, and what is a list over all classes, are read by `_read_class`.
+# Keys below `classes.N.`. `_read_class` reads the name, and the values that are lists over all classes.
 CLASS_FIELDS = (
     SettingField("value", "priority_weight", _number()),
     SettingField("goal_time", "latency_objective_ms", _number()),
@@ -167,7 +167,7 @@
     SettingField("streamed", "streamed", _flag),
 )
 
-# Keys are those below `projects.N.`; the name is read by `_read_tenant`.
+# Keys below `projects.N.`. `_read_tenant` reads the name.
 TENANT_FIELDS = (
     SettingField("quota_per_s", "quota_per_s", _number()),
     SettingField("fraction", "share", _number(0.0)),
@@ -207,7 +207,7 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Return the settings of a text; raise `SettingsError` for a key that is missing or wrong."""
+    """Return the settings of a text; raise `SettingsError` for a missing key or an invalid value."""
     reader = SettingsReader(text)
     classes = tuple(_read_class(reader, index) for index in range(reader.integer("classes.count", low=1)))
     tenants = tuple(_read_tenant(reader, index) for index in range(reader.integer("projects.count", 0)))
@@ -241,5 +241,5 @@
 def _read_fields(
     reader: SettingsReader, fields: tuple[SettingField, ...], prefix: str = ""
 ) -> dict[str, Any]:
-    """Return the value of each field by its name."""
+    """Return the parsed values of the keys, by the names of the attributes that they set."""
     return {row.field: row.parse(reader, f"{prefix}{row.key}") for row in fields}
--- a/eiderfield/wire.py
+++ b/eiderfield/wire.py
@@ -1,7 +1,8 @@
-"""Codec of the simulator's wire: a frame is a header and records, one record for each event or action.
+"""Codec of the simulator's wire format. A frame is a header followed by one record per event or action.
 
-Everything is little-endian without padding. A record starts with its code (u8) and the node (u16), the
-number of the dispatcher that it is for or from; `Decoder` reads events, `encode` writes actions.
+All fields are little-endian and unpadded. A record starts with its code (u8) and its node (u16), which is
+the number of the dispatcher that receives the event or returned the action. `Decoder` decodes events, and
+`encode` encodes actions.
 """
 
 from __future__ import annotations
@@ -41,12 +42,12 @@
     WatchEndpoints,
 )
 
-HEADER = struct.Struct("<IId")  # of a batch: count of records, bytes of the frame, clock
-REPLY_HEADER = struct.Struct("<II")  # count of records, bytes of the frame
+HEADER = struct.Struct("<IId")  # of a received frame: number of records, size of the frame in bytes, clock
+REPLY_HEADER = struct.Struct("<II")  # of a sent frame: number of records, size of the frame in bytes
 
 
 class EventCode:
-    """Codes of records that are received; plain integers, which pack faster than members of an enum."""
+    """Codes of received records. They are plain integers, which `struct` packs faster than enum members."""
 
     CREATE = 0
     ENDPOINTS_UPDATED = 1
@@ -63,7 +64,7 @@
 
 
 class ActionCode:
-    """Codes of records that are sent, see `EventCode`."""
+    """Codes of sent records. They are plain integers, as those of `EventCode`."""
 
     CLOSE_IDLE_CONNECTIONS = 0
     CANCEL_ATTEMPT = 1
@@ -79,7 +80,7 @@
     FAIL_REQUEST = 11
 
 
-# Fields of received records after the code, and of the entries of an endpoint table.
+# Layouts of received records without the code, and of an entry of an endpoint table.
 _CREATE = struct.Struct("<HQI")
 _ENDPOINTS_UPDATED = struct.Struct("<HBQI")
 _REQUEST_RECEIVED = struct.Struct("<HQBHQddffB")
@@ -93,13 +94,13 @@
 _ENDPOINT_TABLE = struct.Struct("<II")
 _ENDPOINT = struct.Struct("<IHHHBfd")
 _ATTEMPT_PROGRESSED = struct.Struct("<HQHIBf")
-_LOAD_REPORTS = [struct.Struct(f"<{size}f") for size in range(17)]  # by the number of figures
+_LOAD_REPORTS = [struct.Struct(f"<{size}f") for size in range(17)]  # by the number of values
 
 # Flags of a received request.
-_WORK_IS_KNOWN = 1  # the expected work may be relied on
+_WORK_IS_KNOWN = 1  # the expected work is valid
 _IS_CLIENT_RETRY = 2
 
-# Fields of sent records, the code included.
+# Layouts of sent records with the code.
 _NODE = struct.Struct("<BH")
 _REQUEST = struct.Struct("<BHQ")
 _WORKER = struct.Struct("<BHI")
@@ -120,12 +121,12 @@
 
 
 class WireError(EiderfieldError, ValueError):
-    """A frame cannot be decoded; the message names the fault and its byte within the frame."""
+    """A frame cannot be decoded. The message names the problem and the offset in the frame."""
 
 
 @dataclass(slots=True)
 class Create:
-    """A node starts, with the seed of its random numbers and the text of its settings."""
+    """Starts a node with a seed for its random numbers and the text of its settings."""
 
     seed: int
     text: str
@@ -133,17 +134,17 @@
 
 @dataclass(slots=True)
 class Retire:
-    """A node was killed."""
+    """Removes a node that the simulator has killed."""
 
 
 Record = Event | Create | Retire
 
 
 class Decoder:
-    """Decodes the records of batches; stores the endpoint tables, which later records refer to by number."""
+    """Decodes the records of frames. Stores the endpoint tables, to which later records refer by number."""
 
     def __init__(self) -> None:
-        """Start without any table."""
+        """Create a decoder without endpoint tables."""
         self._tables: dict[int, tuple[Endpoint, ...]] = {}
         self._decoders: dict[int, Callable[[bytes, int], tuple[int, Record, int]]] = {
             EventCode.CREATE: self._create,
@@ -164,7 +165,7 @@
 
         Args:
             body: The frame without its header.
-            count: The number of records that the header gives.
+            count: The number of records according to the header.
 
         Raises:
             WireError: The frame is malformed.
@@ -187,7 +188,7 @@
             raise _error(f"{end - offset} bytes left over after the records", offset)
 
     def _store_table(self, body: bytes, offset: int) -> int:
-        """Store an endpoint table; return where the next record starts."""
+        """Store an endpoint table; return the offset of the next record."""
         number, size = _ENDPOINT_TABLE.unpack_from(body, offset)
         offset += _ENDPOINT_TABLE.size
         end: int = offset + size * _ENDPOINT.size
@@ -202,7 +203,10 @@
         return end
 
     def _decode_record(self, code: int, body: bytes, offset: int) -> tuple[int, Record, int]:
-        """Return the node of a record, what it holds, and where the next one starts, as do all decoders."""
+        """Return the node of a record, its decoded content, and the offset of the next record.
+
+        The methods in `_decoders` return the same.
+        """
         decode = self._decoders.get(code)
         if decode is None:
             raise _error(f"unknown event code {code}", offset - 1)
@@ -299,7 +303,7 @@
 
 
 def _error(problem: str, offset: int) -> WireError:
-    """Return an error at an offset of the frame's body; its message counts bytes of the whole frame."""
+    """Return an error at an offset in the frame's body. Its message gives the offset in the whole frame."""
     return WireError(f"{problem} (frame byte {offset + HEADER.size})")
 
 
@@ -309,7 +313,7 @@
 
 
 def encode_fatal(node: int, text: str) -> bytes:
-    """Return the record by which a node reports that its decisions have failed."""
+    """Return the record that reports that the dispatcher of a node could not be created or has failed."""
     return _encode_text(ActionCode.FATAL, node, text)
 
 
