--- a/eiderfield/net/__init__.py
+++ b/eiderfield/net/__init__.py
@@ -1,4 +1,4 @@
-"""The adapters on sockets: the event loop, HTTP, clients, workers, discovery, peers, console and handover.
+"""The adapters that use sockets: event loop, HTTP, clients, workers, discovery, peers, console and handover.
 
-They know the exchange, and it knows none of them.
+The adapters import the exchange; the exchange does not import them.
 """
--- a/eiderfield/net/dialer.py
+++ b/eiderfield/net/dialer.py
@@ -1,4 +1,4 @@
-"""Opens connections on the event loop's sockets, and retries dials that a fault of this host delays."""
+"""Opens connections on the event loop, and retries dials that fail because of a fault of this host."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
 
 
 class Dialer:
-    """Dials on one event loop (implements `dialing.Dial`)."""
+    """Opens connections on one event loop. The method `dial` implements `dialing.Dial`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Create a dialer without pending dials."""
+        """Create a dialer that uses `loop`."""
         self._loop = loop
-        self._tasks: set[asyncio.Task[None]] = set()  # the loop holds weak references to tasks only
+        self._tasks: set[asyncio.Task[None]] = (
+            set()
+        )  # keeps the tasks alive: the loop has only weak references
 
     def dial(
         self,
@@ -26,10 +28,10 @@
         on_failed: Callable[[], None],
         on_delayed: Callable[[Cause], None] = lambda _cause: None,
     ) -> asyncio.Task[None]:
-        """Connect a protocol to an address, or call `on_failed`.
+        """Connect `protocol` to an address, or call `on_failed`.
 
-        After a fault of this host `on_delayed` is called instead, and the dial is retried until the caller
-        cancels it at its time limit.
+        After a fault of this host, `on_delayed` is called instead, and the dial is retried until the caller
+        cancels the returned task.
         """
         task = self._loop.create_task(self._connect(protocol, address, on_failed, on_delayed))
         self._tasks.add(task)
--- a/eiderfield/net/dialing.py
+++ b/eiderfield/net/dialing.py
@@ -1,4 +1,4 @@
-"""Protocols for opening connections. `net/dialer.py` implements them on real sockets."""
+"""Interfaces for opening connections. `net/dialer.py` implements them with sockets."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class PendingDial(Protocol):
-    """A connection that is being established."""
+    """An attempt to establish a connection."""
 
     def cancel(self) -> object:
-        """Cancel the dial; the protocol may still be connected if this comes too late."""
+        """Cancel the dial. The protocol is still connected if the connection was established already."""
 
 
 class Dial(Protocol):
-    """Connects a protocol to an address, or calls `on_failed`; neither within the call itself."""
+    """Function that connects a protocol to an address, or calls `on_failed`, after it has returned."""
 
     def __call__(
         self,
@@ -27,4 +27,4 @@
         on_failed: Callable[[], None],
         on_delayed: Callable[[Cause], None] = ...,
     ) -> PendingDial:
-        """Start a dial; `on_delayed` is called each time that a fault of this host delays it."""
+        """Start a dial. `on_delayed` is called each time it fails because of a fault of this host."""
--- a/eiderfield/net/faults.py
+++ b/eiderfield/net/faults.py
@@ -1,23 +1,27 @@
-"""Classification of failed system calls on sockets: a fault of this host, or of the peer.
-
-A call fails because this host lacks a resource (descriptors, memory, ports, a route), or because of the
-peer (it refuses or resets the connection, or cannot be reached). A fault of this host says nothing about a
-worker: counted against it, a single shortage here would eject every worker at once. Callers classify their
-errors by this module; no other one reads the errnos of accept, connect, send or recv.
-
-A dial that fails with `LOCAL` is retried after `RETRY_DELAY_MS` within its caller's time limit, and so is an
-accept. `CONNECTION` is a fault of the connection or of its peer: the next call may be made at once.
-
-`ROUTE` is the response of this host's routing table or packet filter to a connect, before a packet is sent
-(ENETUNREACH, ENETDOWN, EACCES, EPERM). A lost default route or a link that is down causes it for every
-address, so it is treated as a fault of this host and retried. It may also apply to one worker's address
-alone. The evidence for that is data received from other workers meanwhile; then it counts against that
-worker, whose attempts would otherwise each wait for the full time limit of a dial. EHOSTUNREACH is a fault
-of the peer: its network reports that nobody responds at that address (ARP, neighbour discovery), while the
-routes to other workers are not affected.
-
-asyncio cannot distinguish a connect that fails with EAGAIN (no local port or routing entry, on some
-kernels) from one in progress; it appears as a connection that is lost before anything is written.
+"""Classifies failed system calls on sockets as faults of this host or of the peer.
+
+A call fails either because this host lacks a resource (descriptors, memory, ports, a route) or because of
+the peer (it refuses or resets the connection, or cannot be reached). A fault of this host says nothing about
+the worker at the other end. If such faults counted against workers, a single shortage on this host would
+eject every worker at once. Callers classify their errors by this module; no other module reads the errnos
+of accept, connect, send or recv.
+
+`LOCAL`: this host lacks a resource. A dial is retried after `RETRY_DELAY_MS` until its caller's time limit;
+an accept is retried after the same delay.
+
+`CONNECTION`: a fault of the connection or of its peer. The next call may be made at once. EHOSTUNREACH
+belongs here: the peer's network reports that no host responds at that address (ARP, neighbour discovery),
+while the routes to other workers are not affected.
+
+`ROUTE`: this host's routing table or packet filter rejects a connect before any packet is sent (ENETUNREACH,
+ENETDOWN, EACCES, EPERM). If the default route is lost or a link is down, this happens for every address, so
+it is treated as a fault of this host and retried. It may also concern the address of a single worker. If
+data was received from other workers meanwhile, the failure therefore counts against the worker; otherwise
+each of its attempts would wait for the full time limit of a dial.
+
+A connect may fail with EAGAIN if there is no local port or routing entry, on some kernels. asyncio cannot
+distinguish this from a connect in progress. It appears as a connection that is lost before any byte is
+written.
 """
 
 from __future__ import annotations
@@ -26,7 +30,7 @@
 import socket
 from enum import Enum
 
-RETRY_DELAY_MS = 20.0  # delay until a call that failed for lack of a resource is retried
+RETRY_DELAY_MS = 20.0  # before a call that failed for lack of a resource is retried
 
 
 class Cause(Enum):
@@ -37,8 +41,8 @@
     CONNECTION = "the connection or its peer"
 
 
-# Descriptors of this process or of the host, memory, buffers, watches of poll sets, descriptors in flight
-# through Unix sockets.
+# Shortages of descriptors in this process or on the host, of memory, of buffers, of epoll watches, and of
+# room for descriptors in flight through Unix sockets.
 RESOURCE_ERRNOS = frozenset(
     {
         errno.EMFILE,
@@ -51,8 +55,8 @@
 )
 _ROUTE_ERRNOS = frozenset({errno.ENETUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM})
 _RESOLVER_ERRORS = frozenset({socket.EAI_AGAIN, socket.EAI_MEMORY, socket.EAI_SYSTEM})
-# Errors of the pending connection that accept(2) reports: it has left the queue, and the next call returns
-# the next one. EPERM is a packet filter's rejection of that connection.
+# Errors of one pending connection that accept(2) reports. The connection has left the queue, and the next
+# call returns the next connection. EPERM means that a packet filter rejected the connection.
 _PENDING_CONNECTION_ERRNOS = frozenset(
     {
         errno.ECONNABORTED,
@@ -76,14 +80,14 @@
 
 
 def is_resource_shortage(error: OSError) -> bool:
-    """Return whether this process or this host temporarily lacks a resource."""
+    """Return whether a call failed because this process or this host temporarily lacks a resource."""
     return error.errno in RESOURCE_ERRNOS
 
 
 def classify_dial_error(error: Exception) -> Cause:
     """Return the cause of a failed dial."""
     number = error.errno if isinstance(error, OSError) else None
-    if isinstance(error, socket.gaierror):  # its numbers are not errnos
+    if isinstance(error, socket.gaierror):  # its error numbers are EAI_* values, not errnos
         return Cause.LOCAL if number in _RESOLVER_ERRORS else Cause.CONNECTION
     if number in RESOURCE_ERRNOS or number == errno.EADDRNOTAVAIL:
         return Cause.LOCAL
@@ -93,12 +97,15 @@
 def classify_accept_error(error: OSError) -> Cause:
     """Return the cause of a failed accept.
 
-    An error that is not known to be the connection's own is a fault of this host: the listener pauses, so
-    that a call that keeps failing does not spin.
+    An error that is not known to concern only the pending connection is classified as a fault of this host.
+    The listener then pauses, so that a call that fails every time does not run in a busy loop.
     """
     return Cause.CONNECTION if error.errno in _PENDING_CONNECTION_ERRNOS else Cause.LOCAL
 
 
 def classify_loss(error: Exception | None) -> Cause:
-    """Return the cause of a lost connection, given the error of its last send or recv; None for a close."""
+    """Return the cause of a lost connection.
+
+    `error` is the error of its last send or recv, or None if the peer closed the connection.
+    """
     return Cause.LOCAL if isinstance(error, OSError) and is_resource_shortage(error) else Cause.CONNECTION
--- a/eiderfield/net/link.py
+++ b/eiderfield/net/link.py
@@ -1,13 +1,14 @@
-"""The Unix socket between the two processes of a handover, which carries messages with file descriptors.
+"""The link between the two processes of a handover: a Unix socket that transmits file descriptors.
 
-Packets carry JSON together with descriptors. asyncio has no transport for descriptors, so the socket is
-read and written with the loop's plain readers and writers.
+A message is a JSON object, sent in one or more packets, of which the last one carries the descriptors.
+asyncio has no transport for descriptors, so the link uses `add_reader` and `add_writer` of the event loop.
 
-    open ──(the system lacks memory for a packet)──> waiting ──(RETRY_DELAY_MS)──> open open or waiting ──(the
-    peer closes, fails, or sends a malformed message)──> closed, and `on_lost` is called once
-                 └──(`close`)──> closed
+    open ──(the system lacks memory for a packet)──> waiting ──(RETRY_DELAY_MS)──> open
+    open or waiting ──(the peer closes, fails, or sends a malformed message)──> closed, `on_lost` called
+    open or waiting ──(`close`)──> closed
 
-Invariants: messages are received complete and in order; every received descriptor is passed on or closed.
+Invariants: messages are received complete and in order. Every received descriptor is passed to `on_message`
+or closed.
 """
 
 from __future__ import annotations
@@ -24,38 +25,38 @@
 
 from eiderfield.net.faults import RETRY_DELAY_MS, Cause, classify_loss
 
-MAX_PACKET_BYTES = 60_000  # of a message, well within a socket's buffer
-MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # also of all that may wait to be written
-MAX_DESCRIPTORS = 250  # with a message: the kernel allows 253 with a packet
+MAX_PACKET_BYTES = 60_000  # small enough for the socket's buffer
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # of one message, and of all unsent packets together
+MAX_DESCRIPTORS = 250  # per message; the kernel allows 253 per packet
 
 _RETRY_DELAY_S = RETRY_DELAY_MS / 1000.0
-_CONTINUED, _FINAL = b"+", b"."  # the first byte of a packet: whether the message continues
+_CONTINUED, _FINAL = b"+", b"."  # first byte of a packet: more packets of the message follow, or none
 
 
 @dataclass(slots=True, frozen=True)
 class _Packet:
-    """A packet to be written. The descriptors are copies that the link owns."""
+    """A packet that is not sent yet. The link owns its descriptors, which are copies."""
 
     data: bytes
     descriptors: list[int]
 
 
 class Link:
-    """One end of the socket.
+    """One end of a link.
 
     Attributes:
-        receive: called with the fields and the descriptors of each message; set by the owner.
-        lost: called once when the link fails; set by the owner.
+        on_message: Called with the fields and the descriptors of each message. Set by the owner.
+        on_lost: Called once if the link fails. Set by the owner.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        """Take over a connected socket."""
+        """Create a link that owns the connected socket `sock`."""
         self.on_message: Callable[[dict[str, Any], list[int]], None] = _ignore_message
         self.on_lost: Callable[[], None] = lambda: None
         self._loop = loop
         self._sock = sock
         self._open = True
-        self._received = bytearray()  # of an incomplete message
+        self._received = bytearray()  # the received part of an incomplete message
         self._unsent_packets: deque[_Packet] = deque()
         self._unsent_bytes = 0
         sock.setblocking(False)
@@ -63,11 +64,11 @@
 
     @property
     def flushed(self) -> bool:
-        """Whether everything that was sent has been written."""
+        """Whether all packets have been written to the socket."""
         return not self._unsent_packets
 
     def send(self, fields: Mapping[str, Any], descriptors: Sequence[int] = ()) -> None:
-        """Send a message with copies of descriptors; raises `OSError` if these cannot be copied."""
+        """Send a message with copies of `descriptors`; raises `OSError` if they cannot be copied."""
         if not self._open:
             return
         copies = _copies(descriptors)
@@ -75,11 +76,11 @@
             self._unsent_packets.append(packet)
             self._unsent_bytes += len(packet.data)
         self._write()
-        if self._unsent_bytes > MAX_MESSAGE_BYTES:  # the peer does not read: the link is of no use
+        if self._unsent_bytes > MAX_MESSAGE_BYTES:  # the peer does not read
             self._fail()
 
     def close(self) -> None:
-        """Close the link; nothing is reported after that."""
+        """Close the link. No callback is called after that."""
         if not self._open:
             return
         self._open = False
@@ -119,7 +120,7 @@
         if classify_loss(error) is not Cause.LOCAL:
             self._fail()
             return
-        # The system lacks room, for example for descriptors in flight, but reports the socket as writable.
+        # The system lacks room, for example for descriptors in flight, although the socket is writable.
         self._loop.remove_writer(self._sock)
         self._loop.call_later(_RETRY_DELAY_S, self._write)
 
@@ -154,7 +155,7 @@
             self._loop.add_reader(self._sock, self._read)
 
     def _process_packet(self, data: bytes, descriptors: list[int]) -> None:
-        """Add a packet to the message being received, and pass the message on if it is complete."""
+        """Append a packet to the message being received, and call `on_message` once that is complete."""
         self._received += data[1:]
         if data[:1] == _CONTINUED and len(self._received) <= MAX_MESSAGE_BYTES:
             return
@@ -171,7 +172,7 @@
 
 
 def close_descriptors(descriptors: Sequence[int]) -> None:
-    """Close descriptors; errors are ignored."""
+    """Close descriptors, ignoring errors."""
     for descriptor in descriptors:
         with suppress(OSError):
             os.close(descriptor)
@@ -184,7 +185,7 @@
 def _copies(descriptors: Sequence[int]) -> list[int]:
     copies: list[int] = []
     try:
-        copies.extend(map(os.dup, descriptors))  # keeps the copies made before an error
+        copies.extend(map(os.dup, descriptors))  # if one fails, `copies` holds the earlier ones
     except OSError:
         close_descriptors(copies)
         raise
@@ -192,7 +193,7 @@
 
 
 def _packets(message: bytes, descriptors: list[int]) -> list[_Packet]:
-    """Split a message into packets, the last of which carries the descriptors."""
+    """Split a message into packets. The last one carries the descriptors."""
     parts = [message[start : start + MAX_PACKET_BYTES] for start in range(0, len(message), MAX_PACKET_BYTES)]
     packets = [_Packet(_CONTINUED + part, []) for part in parts[:-1]]
     return [*packets, _Packet(_FINAL + parts[-1], descriptors)]
--- a/eiderfield/net/link_socket.py
+++ b/eiderfield/net/link_socket.py
@@ -1,4 +1,7 @@
-"""The Unix socket at a path by which the two processes of a handover connect, for a single user."""
+"""The Unix socket at which the next process of a dispatcher connects for a handover.
+
+Only processes of the same user can connect.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from eiderfield.net.faults import RETRY_DELAY_MS, Cause, classify_accept_error
 from eiderfield.net.link import Link
 
-MAX_PATH_BYTES = 100  # of a path that fits into a Unix address
+MAX_PATH_BYTES = 100  # limit for a path that is used as a Unix address
 LISTEN_BACKLOG = 2
 SOCKET_MODE = 0o600
 
@@ -21,17 +24,17 @@
 
 
 class LinkListener:
-    """Listens for the next process, which takes over."""
+    """Listens for the next process of this dispatcher, which takes over from this one."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, path: Path, on_link: Callable[[Link], None]) -> None:
-        """Create a listener that is not open; `on_link` receives each link that is established."""
+        """Create a listener that is not open yet; `on_link` is called with each established link."""
         self._loop = loop
         self._path = path
         self._on_link = on_link
         self._listener: socket.socket | None = None
 
     def open(self) -> None:
-        """Replace the socket of an earlier process at the path; raises `OSError` if that fails."""
+        """Listen at the path, in place of an earlier process; raises `OSError` if that fails."""
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         temporary_path = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         try:
@@ -50,7 +53,7 @@
         self._loop.add_reader(listener, self._accept)
 
     def close(self, unlink: bool) -> None:
-        """Stop listening; `unlink` removes the path, unless another process listens there by now."""
+        """Stop listening; `unlink` removes the path. Pass False if another process listens there already."""
         if self._listener is None:
             return
         self._loop.remove_reader(self._listener)
@@ -67,7 +70,7 @@
         except BlockingIOError:
             return
         except OSError as error:
-            if classify_accept_error(error) is Cause.LOCAL:  # retried later: an immediate retry would spin
+            if classify_accept_error(error) is Cause.LOCAL:  # an immediate retry would run in a busy loop
                 self._loop.remove_reader(self._listener)
                 self._loop.call_later(RETRY_DELAY_MS / 1000.0, self._resume_accepting, self._listener)
             return
@@ -77,15 +80,15 @@
             sock.close()
 
     def _resume_accepting(self, listener: socket.socket) -> None:
-        if listener is self._listener:  # unless it was closed or replaced meanwhile
+        if listener is self._listener:  # it may have been closed or replaced meanwhile
             self._loop.add_reader(listener, self._accept)
 
 
 def connect_link(loop: asyncio.AbstractEventLoop, path: Path) -> Link | None:
-    """Connect to the process that listens at `path`; return None if there is none or it cannot be reached."""
+    """Connect to the process that listens at `path`; return None if no process can be reached there."""
     try:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    except OSError:  # no such sockets on this system: the process starts without a handover
+    except OSError:  # the system does not provide such sockets: the process starts without a handover
         return None
     sock.setblocking(False)  # a peer that does not respond must not block the start
     try:
@@ -101,7 +104,10 @@
 
 
 def _belongs_to_this_user(sock: socket.socket) -> bool:
-    """Return whether the peer runs as this user: a directory for temporary files may be open to others."""
+    """Return whether the peer runs as this user.
+
+    The socket may be in a directory for temporary files, to which other users have access.
+    """
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _PEER_CREDENTIALS.size)
     _, user, _ = _PEER_CREDENTIALS.unpack(credentials)
     return bool(user == os.getuid())
@@ -109,7 +115,10 @@
 
 @contextmanager
 def _socket_address(path: Path) -> Iterator[str]:
-    """Yield an address for the path; a path too long for one is given by its directory's descriptor."""
+    """Yield a Unix address for `path`.
+
+    A path that is too long for an address is expressed by a descriptor of its directory.
+    """
     if len(os.fsencode(path)) <= MAX_PATH_BYTES:
         yield str(path)
         return
--- a/eiderfield/net/selector.py
+++ b/eiderfield/net/selector.py
@@ -1,16 +1,17 @@
-"""The selector of the event loop, which retries registrations that fail for lack of system resources.
+"""Selector of the event loop that retries registrations which fail for lack of system resources.
 
-epoll_ctl fails with ENOMEM, or with ENOSPC at the user's limit of watches. asyncio does not handle that:
-one of its callbacks fails, and the connection stays open but is never read again, so that a request on it
-is never answered. This selector keeps such a registration and retries it before a poll, at most every
-`RETRY_DELAY_MS`, until it succeeds or is withdrawn. Meanwhile its descriptor reports no events.
+epoll_ctl may fail with ENOMEM, or with ENOSPC at the user's limit of epoll watches. asyncio does not handle
+this: the callback that registers a connection fails, and the connection stays open but is never read again,
+so that a request on it is never answered. This selector stores such a registration and retries it before
+polls, at most once per `RETRY_DELAY_MS`, until it succeeds or is unregistered. Until then no events are
+reported for its descriptor.
 
     register ──(success)──> registered
         └──(no resources)──> pending ──(after RETRY_DELAY_MS at the earliest)──> registered
                                 └──(unregister)──> removed
 
-Invariants: a registration is held by the kernel or by `_pending`; a poll does not wait for longer than
-`RETRY_DELAY_MS` while one is pending.
+Invariants: a registration is either in the kernel or in `_pending`. While one is pending, a poll waits for
+at most `RETRY_DELAY_MS`.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
     """An epoll selector that retries registrations for which the system lacked resources."""
 
     def __init__(self) -> None:
-        """Open the poll set."""
+        """Create a selector without registrations."""
         super().__init__()
         self._pending: dict[int, selectors.SelectorKey] = {}
         self._retry_at = 0.0
@@ -51,8 +52,8 @@
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         """Change the events or the data of a registration.
 
-        Changed events are registered anew, since a failed modification would leave the old ones in the
-        kernel.
+        To change the events, the descriptor is unregistered and registered again: a modification that fails
+        would leave the old events in the kernel.
         """
         if events == self.get_key(fileobj).events and _fileno(fileobj) not in self._pending:
             return super().modify(fileobj, events, data)
@@ -84,7 +85,7 @@
         self._retry_at = now + _RETRY_DELAY_S
         pending, self._pending = self._pending, {}
         for key in pending.values():
-            with suppress(OSError, ValueError, KeyError):  # the owner has closed it meanwhile
+            with suppress(OSError, ValueError, KeyError):  # the owner has closed the descriptor meanwhile
                 self.register(key.fileobj, key.events, key.data)
 
 
