--- a/eiderfield/net/worker_calls.py
+++ b/eiderfield/net/worker_calls.py
@@ -1,4 +1,4 @@
-"""Calls to workers: their HTTP requests, load reports, and the reporting of their ends to the exchange."""
+"""Calls to workers: encodes their HTTP requests, and reports their outcomes to the exchange."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class CallReporter:
-    """Encodes the HTTP requests of calls, and reports to the exchange how calls end."""
+    """Encodes the HTTP requests of calls, and reports their outcomes and load reports to the exchange."""
 
     def __init__(self, exchange: Exchange, clock: Callable[[], float]) -> None:
         """Create a reporter; `clock` returns the process's time, in ms."""
@@ -22,11 +22,11 @@
         self._clock = clock
 
     def health_check(self, worker: int) -> HealthCheck:
-        """Return a new health check, which requests a load report if the settings name its fields."""
+        """Return a new health check. It requests a load report if the settings name fields of one."""
         return HealthCheck(worker, self._clock(), bool(self.exchange.settings.load_report_fields))
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Return whether an attempt may still be written."""
+        """Return whether an attempt may still be written to a connection."""
         return self.exchange.worker_reports.may_write(attempt, self._clock())
 
     def request_for(self, call: WorkerCall) -> bytes:
@@ -36,14 +36,14 @@
         return attempt_request(call.pending.request, self._clock())
 
     def load_report(self, head: Head | None, report: object) -> tuple[float, ...]:
-        """Return the load report of an attempt's last update, or else that of its response's head."""
+        """Return the load report in an attempt's last update or, if it has none, in the response's head."""
         fields = self.exchange.settings.load_report_fields
         if not fields or head is None:
             return ()
         return report_from_mapping(report, fields) or parse_text_report(head.get("x-load"), fields)
 
     def report_failure(self, call: WorkerCall | None, outcome: Outcome) -> None:
-        """Report that an attempt or a health check, if there is one, ended without a response."""
+        """Report that a call ended without a response. Does nothing without a call."""
         if isinstance(call, Attempt):
             self.exchange.worker_reports.attempt_ended(call, outcome)
         elif call is not None:
--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -1,6 +1,6 @@
-"""A connection to a worker: its states, the call it carries, and what a response means for that call.
+"""A connection to a worker, and the effect of responses on the call that the connection carries.
 
-A connection carries one call at a time: an attempt of a request, or a health check.
+A connection carries one call at a time, which is an attempt of a request or a health check.
 
     DIALLING ──(established, and the call may still be written)──> BUSY
        ├──(established, but the call may not be written any more)──> IDLE
@@ -10,11 +10,11 @@
        └──(connection lost, or malformed response)──> CLOSED
     IDLE ──(the next call)──> BUSY
 
-A call that is given up closes its connection. Invariants:
+Aborting a call closes its connection. Invariants:
 
 - The first byte of an attempt is written only if `WorkerReports.may_write` allows it at that moment.
-- A response that is not about the request in flight is never used as its result.
-- An attempt whose last byte has left is never reported as one that did not run, unless the worker says so.
+- The result of a request is only taken from a response that names this request.
+- An attempt whose last byte has been sent is reported as not run only if the worker's response says so.
 """
 
 from __future__ import annotations
@@ -45,17 +45,17 @@
 )
 from eiderfield.net.worker_response import ResponseEvent, ResponseReader
 
-RESPONSE_END_TIMEOUT_MS = 1000.0  # for the end of a response whose outcome is known
+RESPONSE_END_TIMEOUT_MS = 1000.0  # for the rest of a response whose outcome is known
 
-_READ_BUFFER = memoryview(bytearray(65536))  # shared by all connections: emptied as soon as it is filled
+_READ_BUFFER = memoryview(bytearray(65536))  # shared by all connections: received bytes are processed at once
 
 
 class ConnectionState(Enum):
-    """State of a connection to a worker."""
+    """The state of a connection to a worker."""
 
     DIALLING = 0
     BUSY = 1
-    FINISHING = 2  # the outcome is known, the end of the response is outstanding
+    FINISHING = 2  # the outcome of the attempt is known, but the response has not ended
     IDLE = 3
     CLOSED = 4
 
@@ -64,13 +64,13 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection requires of the pool that opens it.
+    """The interface of the pool that opens connections.
 
     Attributes:
-        calls: encodes the requests of calls and reports their ends.
-        timers: schedules the time limits of the connection.
-        clock: returns the current time, in ms.
-        read_count: the number of times that any connection has received bytes.
+        calls: Encodes the requests of calls and reports their outcomes.
+        timers: Schedules the time limits of connections.
+        clock: Returns the current time, in ms.
+        read_count: How many times any connection has received bytes.
     """
 
     calls: CallReporter
@@ -79,16 +79,16 @@
     read_count: int
 
     def received_from_others(self, worker: int, since: int) -> bool:
-        """Return whether another worker's connection received bytes after `read_count` was `since`."""
+        """Return whether a connection to another worker has received bytes since `read_count` was `since`."""
 
     def add_idle(self, connection: WorkerConnection) -> None:
-        """Take back a connection that carries nothing."""
+        """Accept a connection that carries no call any longer."""
 
     def disable_reuse(self, worker: int) -> None:
-        """Record that a reused connection to the worker failed before any response."""
+        """Close the idle connections to a worker after a reused one failed before any response."""
 
     def remove(self, connection: WorkerConnection) -> None:
-        """Forget a closed connection."""
+        """Remove a closed connection from the pool."""
 
 
 class WorkerConnection(asyncio.BufferedProtocol):
@@ -99,7 +99,7 @@
         self.worker = worker
         self.state = ConnectionState.DIALLING
         self.call: WorkerCall | None = call
-        self.last_read_count = 0  # the owner's count of reads when this connection last received bytes
+        self.last_read_count = 0  # the owner's `read_count` when this connection last received bytes
         self._owner = owner
         self._calls = owner.calls
         self._worker_reports = owner.calls.exchange.worker_reports
@@ -108,14 +108,14 @@
         self._pending_dial: PendingDial | None = None
         self._timer: Timer | None = None
         self._flushed = True  # whether every written byte has left the process
-        self._reused = False  # whether it has carried another call before
+        self._reused = False  # whether the connection has completed an earlier call
         self._delayed_locally = False  # whether a fault of this host delays the dial
         self._read_count_at_dial = owner.read_count
 
-    # Calls by asyncio.
+    # Called by asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Write the call, unless the connection was given up meanwhile."""
+        """Write the call, unless the connection was closed during the dial."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         if self.state == ConnectionState.CLOSED:
@@ -135,24 +135,24 @@
             return
         self._owner.read_count += 1
         self.last_read_count = self._owner.read_count
-        if self.state == ConnectionState.IDLE:  # unsolicited bytes would be taken for the next response
+        if self.state == ConnectionState.IDLE:  # unsolicited bytes would be read as the next response
             self.close()
             return
         self._reader.feed(_READ_BUFFER[:nbytes])
         self._process_received_bytes()
 
     def eof_received(self) -> bool:
-        """Close an idle connection whose worker has ended its sending.
+        """Close an idle connection that the worker has shut down for sending.
 
-        asyncio reports the loss only in the loop's next iteration. An attempt written until then would fail
-        and count against a healthy worker.
+        asyncio calls `connection_lost` only in the next iteration of the loop. An attempt written before that
+        would fail and count against a healthy worker.
         """
         if self.state == ConnectionState.IDLE:
             self.close()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the loss, which may also be the regular end of the response."""
+        """Handle the end of the connection, which may also be the regular end of a response."""
         if self.state == ConnectionState.BUSY:
             with suppress(ValueError, RecursionError):
                 for event in self._reader.feed_eof():
@@ -165,26 +165,26 @@
         self._flushed = False
 
     def resume_writing(self) -> None:
-        """Record that every written byte has left."""
+        """Record that every written byte has left the process."""
         self._flushed = True
         if isinstance(self.call, Attempt) and self.state == ConnectionState.BUSY:
             self._worker_reports.request_written(self.call)
 
-    # Calls by the owner.
+    # Called by the owner.
 
     def start_dial(self, dial: Dial, address: Address, timeout: float) -> None:
-        """Dial the worker; the dial fails after `timeout` ms."""
+        """Start to dial the worker. The dial fails after `timeout` ms."""
         self._start_timer(timeout, self._dial_failed)
         self._pending_dial = dial(self, address, self._dial_failed, self._dial_delayed)
 
     def send_call(self, call: WorkerCall) -> None:
-        """Write the request of `call`; the connection is established and carries nothing else."""
+        """Write the request of `call` to the connection, which is established and carries no other call."""
         transport = self._transport
         assert transport is not None
         self._cancel_timer()
         self.call = call
         if isinstance(call, Attempt) and not self._calls.may_write(call):
-            # During the dial the worker may have begun to drain, or the request have ended.
+            # During the dial the worker may have started to drain, or the request may have ended.
             self.call = None
             self._owner.add_idle(self)
             self._worker_reports.attempt_ended(call, Outcome.NOT_SENT)
@@ -193,18 +193,18 @@
         self._reader.start(call.pending.request.id if isinstance(call, Attempt) else None)
         self._flushed = True
         transport.write(self._calls.request_for(call))
-        if transport.is_closing():  # the write failed: the request has not left completely
+        if transport.is_closing():  # the write failed: not every byte of the request has been sent
             self._flushed = False
         elif self._flushed and isinstance(call, Attempt):
             self._worker_reports.request_written(call)
 
     def become_idle(self, timeout: float) -> None:
-        """Wait for the next call; the connection closes after `timeout` ms."""
+        """Wait for the next call. The connection closes after `timeout` ms without one."""
         self.state = ConnectionState.IDLE
         self._start_timer(timeout, self.close)
 
     def close(self) -> None:
-        """Close the connection; nothing more is reported about its call."""
+        """Close the connection. Nothing is reported about its call after that."""
         if self.state == ConnectionState.CLOSED:
             return
         self.state = ConnectionState.CLOSED
@@ -219,7 +219,7 @@
     # Time limits.
 
     def _start_timer(self, delay: float, callback: Callable[[], None]) -> None:
-        """Replace the connection's only timer."""
+        """Replace the only timer of the connection."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._owner.timers.call_at(self._owner.clock() + delay, callback)
@@ -232,7 +232,10 @@
     # Dialling.
 
     def _dial_failed(self) -> None:
-        """Report that the dial was refused or timed out, a fault of this host if that delayed it."""
+        """Report that the dial was refused or timed out.
+
+        A dial that faults of this host delayed until its time-out does not count against the worker.
+        """
         if self.state == ConnectionState.DIALLING:
             call = self.call
             self.close()
@@ -240,15 +243,15 @@
             self._calls.report_failure(call, outcome)
 
     def _dial_delayed(self, cause: Cause) -> None:
-        """Record that a fault of this host delays the dial, which is retried until its timeout."""
+        """Record that a fault of this host delays the dial, which is retried until it times out."""
         if self.state != ConnectionState.DIALLING:
             return
         if cause is Cause.ROUTE and self._owner.received_from_others(self.worker, self._read_count_at_dial):
-            self._delayed_locally = False  # this host reaches other workers: the address is at fault
+            self._delayed_locally = False  # only this worker's address is affected
             self._dial_failed()
             return
         self._delayed_locally = True
-        if isinstance(self.call, Attempt):  # silence of the worker proves nothing meanwhile
+        if isinstance(self.call, Attempt):  # the worker does not count as silent
             self._worker_reports.record_progress(self.call, ProgressKind.UNKNOWN)
 
     # Responses.
@@ -302,7 +305,7 @@
         self._worker_reports.attempt_ended(attempt, outcome, load_report)
 
     def _await_response_end(self) -> None:
-        """Wait for the end of a response whose outcome is known; the connection is usable again after it."""
+        """Wait for the end of a response whose outcome is known, so that the connection can be reused."""
         self.call = None
         self.state = ConnectionState.FINISHING
         self._reader.ignore_updates()
@@ -328,7 +331,7 @@
     def _abort(self, cause: Cause = Cause.CONNECTION) -> None:
         """Close a connection that was lost or whose response is malformed, and report its call as failed.
 
-        A request is known not to have run only if its last byte has not left.
+        The request is known not to have run only if its last byte has not been sent.
         """
         call, flushed = self.call, self._flushed
         if self._reused and self._reader.received_nothing:
--- a/eiderfield/net/worker_messages.py
+++ b/eiderfield/net/worker_messages.py
@@ -1,7 +1,7 @@
-"""Messages on a connection to a worker: requests as bytes, and response lines as typed updates.
+"""Messages on a connection to a worker: encodes requests, and parses response lines into typed updates.
 
-The response to an attempt is a stream of JSON objects, one per line, each with the request's id and a
-`state`. A line that cannot be parsed, or that names another request, raises `MalformedMessageError`.
+The response to an attempt is a stream of JSON objects, one per line. Each has the id of the request and a
+`state`. A line that is not such an object, or has the id of another request, is malformed.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 )
 
 MAX_LINE_BYTES = 4 * 65536  # a result of 64 KiB with every character escaped
-# Subtracted from the time left that a worker is told. The process may be delayed by up to 150 ms before the
-# write, which the protocol tolerates; it allows another 50 ms for reading the client's request.
+# Subtracted from the remaining time that is sent to a worker. The protocol tolerates a delay of the process
+# by up to 150 ms before the write, and another 50 ms for reading the client's request.
 DEADLINE_MARGIN_MS = 50.0
 MIN_DEADLINE_MS = 1
 HEALTH_CHECK_HOST = "backend.local"
 
-# Client error statuses that report timing or load and say nothing about the request.
+# Client error statuses that are caused by timing or load and not by the request itself.
 _RETRYABLE_CLIENT_ERRORS = (REQUEST_TIMEOUT, TOO_EARLY, TOO_MANY_REQUESTS)
 _FAILURE_OUTCOMES = {"failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
 
@@ -41,9 +41,9 @@
     """A health check in flight.
 
     Attributes:
-        worker: the worker's number.
-        sent_at: when the check was sent, in ms.
-        wants_report: whether the response is to carry a load report.
+        worker: The number of the worker.
+        sent_at: When the check was sent, in ms.
+        wants_report: Whether the check requests a load report.
     """
 
     worker: int
@@ -51,12 +51,12 @@
     wants_report: bool
 
 
-WorkerCall = Attempt | HealthCheck  # what a connection carries, one at a time
+WorkerCall = Attempt | HealthCheck  # a connection carries one call at a time
 
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """The worker has started the request."""
+    """The worker has started to run the request."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """The worker has served the request. `load_report` is the decoded JSON value, None if absent."""
+    """The worker has served the request. `load_report` is a decoded JSON value, None if absent."""
 
     body: bytes
     load_report: object = None
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Failure:
-    """The attempt has ended without a result. `load_report` is the decoded JSON value, None if absent."""
+    """The attempt has ended without a result. `load_report` is a decoded JSON value, None if absent."""
 
     outcome: Outcome
     load_report: object = None
@@ -86,10 +86,10 @@
 
 
 def parse_update(line: bytes, request_id: str) -> Update | None:
-    """Parse a response line; return None for an unknown state.
+    """Parse a response line; return None if its state is unknown.
 
-    Raises `ValueError` if the line is not JSON and `MalformedMessageError` if it is not a valid update of the
-    request `request_id`.
+    Raises `ValueError` if the line is not JSON, and `MalformedMessageError` if it is not a valid update of
+    the request `request_id`.
     """
     fields = json.loads(line)
     if not isinstance(fields, dict) or fields.get("id") != request_id:
@@ -119,7 +119,7 @@
 
 
 class AttemptStatus(Enum):
-    """The meaning of a response's status code for the attempt."""
+    """The effect of a response's status code on the attempt."""
 
     ACCEPTED = "the body reports the outcome"
     REJECTED = "the request is invalid for every worker"
@@ -139,7 +139,7 @@
 
 
 def attempt_request(request: Request, now: float) -> bytes:
-    """Encode the HTTP request of an attempt, with the time left until the client's deadline."""
+    """Encode the HTTP request of an attempt, including the time left until the client's deadline."""
     time_left = int(request.deadline - now - DEADLINE_MARGIN_MS)
     headers = {"X-Request-Id": request.id, "X-Deadline-Ms": str(max(MIN_DEADLINE_MS, time_left))}
     if request.idempotency_key:
@@ -148,5 +148,5 @@
 
 
 def health_check_request(wants_report: bool) -> bytes:
-    """Encode the HTTP request of a health check, which asks for a load report if `wants_report`."""
+    """Encode the HTTP request of a health check, which requests a load report if `wants_report`."""
     return request_bytes("GET", "/status/load" if wants_report else "/health", HEALTH_CHECK_HOST)
--- a/eiderfield/net/worker_pool.py
+++ b/eiderfield/net/worker_pool.py
@@ -1,10 +1,11 @@
-"""The pool of connections to workers, within a limit on their number.
+"""The pool of connections to workers, with a limit on their number.
 
-An attempt or a health check is sent on an idle connection to its worker, or else on a new one. At the limit
-the connection that has been idle for longest is closed first; if none is idle, the call ends unsent.
+An attempt or a health check is sent on an idle connection to its worker, or on a new one if none is idle. At
+the limit, the connection that has been idle for longest is closed to make room. If no connection is idle,
+the call ends as not sent.
 
-Invariants: no attempt is dialled at an address that the routing table has dropped, and none is written to a
-connection that the worker may be closing.
+Invariants: an attempt is not dialled at an address that was removed from the routing table, and it is not
+written to a connection that the worker may be closing.
 """
 
 from __future__ import annotations
@@ -37,11 +38,21 @@
         idle_timeout: float,
         max_connections: int,
     ) -> None:
-        """Attach an empty pool to `exchange`; workers close connections that are idle for `idle_timeout`."""
+        """Create an empty pool and attach it to `exchange`.
+
+        Args:
+            exchange: Starts and stops attempts, and receives reports of their ends.
+            timers: Schedules the time limits of connections.
+            clock: Returns the current time, in ms.
+            dial: Opens connections.
+            dial_timeout: The time limit of a dial, in ms.
+            idle_timeout: The time after which workers close an idle connection, in ms.
+            max_connections: The limit on the number of connections.
+        """
         self.calls = CallReporter(exchange, clock)
         self.timers = timers
         self.clock = clock
-        self.read_count = 0  # how often any connection has received bytes
+        self.read_count = 0  # how many times any connection has received bytes
         self._dial = dial
         self._dial_timeout = dial_timeout
         self._configured_limit = max_connections
@@ -60,21 +71,21 @@
 
     @property
     def connection_limit(self) -> int:
-        """The number of connections allowed now."""
+        """The current limit on the number of connections."""
         return self._connection_limit
 
     @property
     def configured_limit(self) -> int:
-        """The number of connections allowed to the dispatcher, which two processes share in a handover."""
+        """The limit of the whole dispatcher, which two processes share during a handover."""
         return self._configured_limit
 
     def set_timeouts(self, dial_timeout: float, idle_timeout: float) -> None:
-        """Set the limits for dials and for idle connections that begin from now on."""
+        """Set the time limits of dials and idle connections. They apply to those that begin from now on."""
         self._dial_timeout = dial_timeout
         self._idle.set_idle_timeout(idle_timeout)
 
     def share_connections(self, shared: bool) -> None:
-        """Halve the connection limit while another process of this dispatcher uses the other half."""
+        """Halve the connection limit if `shared` with another process of this dispatcher, or restore it."""
         self._connection_limit = self._configured_limit // 2 if shared else self._configured_limit
         while len(self._connections) > self._connection_limit and self._idle:
             self._idle.longest_idle().close()
@@ -88,17 +99,17 @@
 
     @property
     def addresses(self) -> Mapping[int, Address]:
-        """Where each worker listens, by its number."""
+        """The address at which each worker listens, by the worker's number."""
         return MappingProxyType(self._addresses)
 
     def address(self, worker: int) -> Address | None:
-        """Return where a worker listens, None if unknown."""
+        """Return the address at which a worker listens, or None if it is unknown."""
         return self._addresses.get(worker)
 
     def set_address(self, worker: int, address: Address | None) -> None:
-        """Set where a worker listens, None once it is removed.
+        """Set the address at which a worker listens, or None to remove the worker.
 
-        Idle connections and dials to its former address end, since another process may listen there by now.
+        Idle connections and dials to the former address are closed: another process may listen there now.
         """
         if self._addresses.get(worker) == address:
             return
@@ -111,7 +122,7 @@
             self._addresses[worker] = address
 
     def retain_workers(self, workers: set[int]) -> None:
-        """Remove the addresses of all workers that are not in `workers`."""
+        """Remove all workers that are not in `workers`."""
         for worker in self._addresses.keys() - workers:
             self.set_address(worker, None)
 
@@ -126,19 +137,19 @@
             connection.close()
             self.calls.report_failure(call, Outcome.NOT_SENT)
 
-    # Calls by the exchange.
+    # Called by the exchange.
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt on an idle connection, or on a new one."""
+        """Send an attempt on an idle connection to its worker, or on a new one."""
         self._send(attempt.worker, attempt)
 
     def stop(self, attempt: Attempt) -> None:
-        """Give an attempt up by closing its connection."""
+        """Abort an attempt by closing its connection."""
         for connection in [connection for connection in self._connections if connection.call is attempt]:
             connection.close()
 
     def probe(self, worker: int) -> None:
-        """Check a worker's health, and request a load report if the settings name its fields."""
+        """Check a worker's health, and request a load report if the settings name fields of one."""
         self._send(worker, self.calls.health_check(worker))
 
     def close_idle(self, worker: int) -> None:
@@ -146,39 +157,39 @@
         for connection in self._idle.connections_to(worker):
             connection.close()
 
-    # Calls by connections.
+    # Called by connections.
 
     def received_from_others(self, worker: int, since: int) -> bool:
-        """Return whether another worker's connection received bytes after `read_count` was `since`."""
+        """Return whether a connection to another worker has received bytes since `read_count` was `since`."""
         others = (connection for connection in self._connections if connection.worker != worker)
         return any(connection.last_read_count > since for connection in others)
 
     def add_idle(self, connection: WorkerConnection) -> None:
-        """Keep a connection that carries nothing for reuse, unless its worker is distrusted."""
+        """Keep a connection that carries no call, or close it if reuse is disabled for its worker."""
         if self._idle.add(connection, self.clock()):
             connection.become_idle(self._idle.reuse_period)
         else:
             connection.close()
 
     def disable_reuse(self, worker: int) -> None:
-        """Close a worker's idle connections after a reused one failed before any response.
+        """Close the idle connections to a worker after a reused one failed before any response.
 
-        Its other idle connections have probably failed as well, and an attempt lost on each costs far more
-        than new connections.
+        The other idle connections to it have probably failed too. Losing an attempt on each of them would
+        cost far more than opening new connections.
         """
         self._idle.disable_reuse(worker, self.clock())
         self.close_idle(worker)
 
     def is_reuse_disabled(self, worker: int) -> bool:
-        """Return whether the connections to a worker are closed after use."""
+        """Return whether connections to a worker are closed after one use."""
         return self._idle.is_reuse_disabled(worker, self.clock())
 
     def remove(self, connection: WorkerConnection) -> None:
-        """Forget a closed connection."""
+        """Remove a closed connection from the pool."""
         self._connections.discard(connection)
         self._idle.discard(connection)
 
-    # Choice of a connection.
+    # Sending calls.
 
     def _send(self, worker: int, call: WorkerCall) -> None:
         address = self._addresses.get(worker)
@@ -196,7 +207,7 @@
             self.calls.report_failure(call, Outcome.NOT_SENT)
 
     def _make_room(self) -> bool:
-        """Return whether another connection may be opened, after closing an idle one at the limit."""
+        """Close an idle connection if the limit is reached; return whether another one may be opened."""
         if len(self._connections) >= self._connection_limit and self._idle:
             self._idle.longest_idle().close()
         return len(self._connections) < self._connection_limit
--- a/eiderfield/net/worker_response.py
+++ b/eiderfield/net/worker_response.py
@@ -1,11 +1,12 @@
-"""Incremental reader of the responses on one connection to a worker. Performs no I/O.
+"""Incremental reader of the responses on one connection to a worker. It performs no I/O.
 
-`start` prepares it for the next response, `feed` takes bytes, and `events` yields what they complete:
+`start` prepares the reader for the next response, `feed` appends received bytes, and `events` yields the
+events that these bytes complete:
 
     Head ──> Update, Update, ... ──> End
 
-Interim responses (status below 200) are skipped. After `ignore_updates` the rest of the response yields its
-end alone. Input that cannot be parsed raises `ValueError` or `RecursionError`.
+Interim responses (status below 200) are skipped. After `ignore_updates` only the end of the response is
+yielded. Input that cannot be parsed raises `ValueError` or `RecursionError`.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 
 
 class ResponseReader:
-    """Turns the bytes of responses into events."""
+    """Parses the bytes of responses into events."""
 
     def __init__(self) -> None:
-        """Create a reader that expects no response yet."""
-        self.head: Head | None = None  # of the current response, once complete
-        self.body = bytearray()  # of the response to a health check, as far as received
+        """Create a reader. `start` must be called before the first response."""
+        self.head: Head | None = None  # of the current response, once it is complete
+        self.body = bytearray()  # of the response to a health check, as received so far
         self._parser = Parser(responses=True, max_body=0)
         self._line = bytearray()  # the incomplete last line of a response to an attempt
         self._request_id: str | None = None
@@ -33,19 +34,20 @@
 
     @property
     def received_nothing(self) -> bool:
-        """Whether no byte of the current response has been received, interim responses aside."""
+        """Whether no byte of the current response has been received, apart from interim responses."""
         return self.head is None and not self._parser.buffered
 
     @property
     def can_be_reused(self) -> bool:
-        """Whether the worker keeps the connection open and nothing follows the complete response."""
+        """Whether the response is complete, no byte follows it, and the worker keeps the connection open."""
         keeps_open = self.head is not None and self.head.keep_alive
         return keeps_open and not self._parser.buffered and self._parser.at_boundary
 
     def start(self, request_id: str | None) -> None:
         """Prepare for the next response.
 
-        Its body is a stream of updates of the request `request_id`, or is kept in `body` if that is None.
+        Its body is parsed as a stream of updates of the request `request_id`. If that is None, the body is
+        stored in `body`.
         """
         self.head = None
         self.body.clear()
@@ -54,7 +56,7 @@
         self._keeps_body = request_id is None
 
     def ignore_updates(self) -> None:
-        """Yield no more updates of the current response: its outcome is known."""
+        """Do not yield further updates of the current response, whose outcome is known."""
         self._request_id = None
 
     def feed(self, data: memoryview) -> None:
@@ -77,7 +79,7 @@
                 yield from self._end_events(part)
 
     def feed_eof(self) -> Iterator[ResponseEvent]:
-        """Yield the events that the end of the connection completes, which may end the response."""
+        """Yield the events that the end of the connection completes; it may be the end of the response."""
         end = self._parser.finish()
         if end is not None:
             yield from self._end_events(end)
