--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Classification of failed calls, and retries of dials, accepts and registrations that fail."""
+"""Classification of failed system calls, and retries of failed dials, accepts and registrations."""
 
 from __future__ import annotations
 
@@ -30,24 +30,24 @@
 from eiderfield.net.wheel import TICK_MS
 from eiderfield.program.listeners import BoundListener, Opener
 
-DIAL_TIMEOUT_MS = 100.0  # of a dispatcher
+DIAL_TIMEOUT_MS = 100.0  # the default of `InMemoryDispatcher`
 
 
-def failed(number):
+def os_error(number):
     return OSError(number, os.strerror(number))
 
 
 @pytest.mark.parametrize(
     ("error", "cause"),
     [
-        (failed(errno.EMFILE), Cause.LOCAL),
-        (failed(errno.EADDRNOTAVAIL), Cause.LOCAL),
-        (failed(errno.ENOSPC), Cause.LOCAL),
-        (failed(errno.ENETUNREACH), Cause.ROUTE),
-        (failed(errno.EPERM), Cause.ROUTE),
-        (failed(errno.EHOSTUNREACH), Cause.CONNECTION),
-        (failed(errno.ECONNREFUSED), Cause.CONNECTION),
-        (failed(errno.ETIMEDOUT), Cause.CONNECTION),
+        (os_error(errno.EMFILE), Cause.LOCAL),
+        (os_error(errno.EADDRNOTAVAIL), Cause.LOCAL),
+        (os_error(errno.ENOSPC), Cause.LOCAL),
+        (os_error(errno.ENETUNREACH), Cause.ROUTE),
+        (os_error(errno.EPERM), Cause.ROUTE),
+        (os_error(errno.EHOSTUNREACH), Cause.CONNECTION),
+        (os_error(errno.ECONNREFUSED), Cause.CONNECTION),
+        (os_error(errno.ETIMEDOUT), Cause.CONNECTION),
         (OSError("Multiple exceptions: several addresses"), Cause.CONNECTION),
         (ValueError("no address"), Cause.CONNECTION),
         (socket.gaierror(socket.EAI_AGAIN, "try again"), Cause.LOCAL),
@@ -72,33 +72,33 @@
     ],
 )
 def test_cause_of_accept_distinguishes_host_and_connection(number, cause):
-    assert classify_accept_error(failed(number)) is cause
+    assert classify_accept_error(os_error(number)) is cause
 
 
 def test_cause_of_loss_without_a_local_error_is_the_connection():
     assert classify_loss(None) is Cause.CONNECTION
-    assert classify_loss(failed(errno.EPIPE)) is Cause.CONNECTION
-    assert classify_loss(failed(errno.ENOBUFS)) is Cause.LOCAL
+    assert classify_loss(os_error(errno.EPIPE)) is Cause.CONNECTION
+    assert classify_loss(os_error(errno.ENOBUFS)) is Cause.LOCAL
 
 
 @pytest.fixture
 def dispatcher():
-    """A dispatcher that keeps the outcomes of its attempts."""
+    """Return a dispatcher whose attribute `outcomes` collects the outcomes of attempts."""
     dispatcher = InMemoryDispatcher(workers=2)
     dispatcher.outcomes = []
-    ended = dispatcher.exchange.worker_reports.attempt_ended
+    attempt_ended = dispatcher.exchange.worker_reports.attempt_ended
 
-    def recording(leg, outcome, load=()):
-        if leg.open:
+    def recording(attempt, outcome, load=()):
+        if attempt.open:
             dispatcher.outcomes.append(outcome)
-        ended(leg, outcome, load)
+        attempt_ended(attempt, outcome, load)
 
     dispatcher.exchange.worker_reports.attempt_ended = recording
     return dispatcher
 
 
 def test_dial_that_fails_for_lack_of_descriptors_does_not_eject_the_worker(dispatcher):
-    """A shortage of descriptors for a second once ejected every worker."""
+    """Guards against counting failed dials against workers: a shortage of one second ejected every worker."""
     client = dispatcher.client(path="/unsafe/a")
     [dial] = dispatcher.dials
     for _ in range(int(DIAL_TIMEOUT_MS / RETRY_DELAY_MS)):
@@ -129,12 +129,12 @@
 
 
 def test_dial_without_a_route_counts_against_the_worker_once_others_respond(dispatcher):
-    """Without a route to its address, each attempt at a worker would wait for the full timeout of a dial."""
+    """Guards against attempts that each wait for the full time limit of a dial to an unreachable worker."""
     dispatcher.client(path="/unsafe/a")
     [first] = dispatcher.dials
     first.on_delayed(Cause.ROUTE)
     dispatcher.settle()
-    assert not dispatcher.outcomes, "it may be this host's fault"
+    assert not dispatcher.outcomes, "the missing route may be a fault of this host"
     dispatcher.client(path="/unsafe/a", id_="r2")
     [other] = [dial for dial in dispatcher.dials if dial is not first]
     assert other.connection.worker != first.connection.worker
@@ -157,24 +157,24 @@
     client = dispatcher.client(path="/unsafe/a")
     end = dispatcher.dials[0].up(stuck)
     end.pipe.open = False
-    end.connection.connection_lost(failed(errno.ENOBUFS))
+    end.connection.connection_lost(os_error(errno.ENOBUFS))
     dispatcher.settle()
     assert dispatcher.outcomes == [outcome]
     assert not dispatcher.exchange.snapshot(dispatcher.now).avoided_workers
     assert [answer[0] for answer in client.answers()] == ([status] if status else [])
 
 
-def turns(loop, count):
+def run_iterations(loop, count):
     for _ in range(count):
         loop.call_soon(loop.stop)
         loop.run_forever()
 
 
 @pytest.fixture
-def port():
-    """A dispatcher whose listener has a real port, and a client that has connected to it."""
+def listener_harness():
+    """Return a dispatcher that listens on a real port, to which a client has connected."""
 
-    class Port:
+    class ListenerHarness:
         def __init__(self):
             self.dispatcher = InMemoryDispatcher()
             self.loop = new_event_loop()
@@ -182,141 +182,143 @@
             self.listener.listen(self.loop, ("127.0.0.1", 0))
             self.client = socket.create_connection(self.listener.acceptor.listening_socket.getsockname())
 
-        def turn(self, count=8):
-            turns(self.loop, count)
+        def run_iterations(self, count=8):
+            run_iterations(self.loop, count)
             self.dispatcher.settle()
 
         def close(self):
             self.client.close()
             self.listener.close()
-            self.turn()
+            self.run_iterations()
             self.loop.close()
 
-    port = Port()
-    yield port
-    port.close()
+    listener_harness = ListenerHarness()
+    yield listener_harness
+    listener_harness.close()
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENOMEM, errno.EBADF])
-def test_accept_that_keeps_failing_pauses_the_listener(port, monkeypatch, number):
+def test_accept_that_keeps_failing_pauses_the_listener(listener_harness, monkeypatch, number):
     with failing_calls(monkeypatch, Failure(Call.ACCEPT, 1, number, count=5)) as failing:
         failing.start()
-        for tries in range(1, 6):
-            port.turn(40)
-            assert failing.calls[Call.ACCEPT] == tries, "it spins"
-            assert port.listener.has_waiting_clients, "a port that closes now would reset the client"
-            port.dispatcher.advance(RETRY_DELAY_MS + TICK_MS)
-        port.turn()
-        assert port.listener.connections == 1
-        assert not port.listener.has_waiting_clients
-
-
-def test_accept_errors_of_connections_do_not_delay_the_next_ones(port, monkeypatch):
+        for attempts in range(1, 6):
+            listener_harness.run_iterations(40)
+            assert failing.calls[Call.ACCEPT] == attempts, "accept is called in a busy loop"
+            assert listener_harness.listener.has_waiting_clients, (
+                "a port that closes now would reset the client"
+            )
+            listener_harness.dispatcher.advance(RETRY_DELAY_MS + TICK_MS)
+        listener_harness.run_iterations()
+        assert listener_harness.listener.connections == 1
+        assert not listener_harness.listener.has_waiting_clients
+
+
+def test_accept_errors_of_connections_do_not_delay_the_next_ones(listener_harness, monkeypatch):
     with failing_calls(
         monkeypatch, Failure(Call.ACCEPT, 1, errno.EPERM, count=ACCEPTED_PER_TURN - 1)
     ) as failing:
         failing.start()
-        port.turn()
-        assert port.listener.connections == 1
+        listener_harness.run_iterations()
+        assert listener_harness.listener.connections == 1
 
 
-def test_accept_errors_of_a_whole_turn_pause_the_listener(port, monkeypatch):
+def test_accept_errors_of_a_whole_turn_pause_the_listener(listener_harness, monkeypatch):
     with failing_calls(monkeypatch, Failure(Call.ACCEPT, 1, errno.EPERM, count=10**6)) as failing:
         failing.start()
-        port.turn(40)
+        listener_harness.run_iterations(40)
         assert failing.calls[Call.ACCEPT] == ACCEPTED_PER_TURN
         failing.failure = None
-        port.dispatcher.advance(RETRY_DELAY_MS + TICK_MS)
-        port.turn()
-        assert port.listener.connections == 1
+        listener_harness.dispatcher.advance(RETRY_DELAY_MS + TICK_MS)
+        listener_harness.run_iterations()
+        assert listener_harness.listener.connections == 1
 
 
-def test_closing_listener_accepts_connections_after_an_aborted_one(port, monkeypatch):
+def test_closing_listener_accepts_connections_after_an_aborted_one(listener_harness, monkeypatch):
     with failing_calls(monkeypatch, Failure(Call.ACCEPT, 1, errno.ECONNABORTED)) as failing:
         failing.start()
-        port.listener.stop_listening()
-        assert port.listener.connections == 1
+        listener_harness.listener.stop_listening()
+        assert listener_harness.listener.connections == 1
 
 
 @pytest.fixture
-def selector(monkeypatch):
-    """A selector that cannot register, its clock, and both ends of a connection."""
+def selector_harness(monkeypatch):
+    """Return a selector whose registrations fail, its clock, and both ends of a connection."""
 
-    class Case:
+    class SelectorHarness:
         now = 100.0
 
-    case = Case()
-    monkeypatch.setattr("eiderfield.net.selector.time.monotonic", lambda: case.now)
-    case.near, case.far = socket.socketpair()
+    harness = SelectorHarness()
+    monkeypatch.setattr("eiderfield.net.selector.time.monotonic", lambda: harness.now)
+    harness.near, harness.far = socket.socketpair()
     with failing_calls(monkeypatch, Failure(Call.REGISTER, 1, errno.ENOMEM, count=10**6)) as failing:
-        case.failing = failing
-        case.selector = RetryingSelector()
+        harness.failing = failing
+        harness.selector = RetryingSelector()
         failing.start()
-        yield case
-        case.selector.close()
-    case.near.close()
-    case.far.close()
-
-
-def test_register_without_resources_is_retried_and_reports_earlier_data(selector):
-    fd = selector.near.fileno()
-    selector.selector.register(selector.near, selectors.EVENT_READ, "data")
-    assert selector.selector.get_key(fd).data == "data"
-    selector.far.send(b"x")
-    assert selector.selector.select(0) == []
-    tries = selector.failing.calls[Call.REGISTER]
-    selector.selector.select(0)
-    assert selector.failing.calls[Call.REGISTER] == tries, "no more than one try in RETRY_MS"
-    selector.failing.failure = None
-    selector.now += RETRY_DELAY_MS / 1000.0
-    [(key, events)] = selector.selector.select(0)
+        yield harness
+        harness.selector.close()
+    harness.near.close()
+    harness.far.close()
+
+
+def test_register_without_resources_is_retried_and_reports_earlier_data(selector_harness):
+    fd = selector_harness.near.fileno()
+    selector_harness.selector.register(selector_harness.near, selectors.EVENT_READ, "data")
+    assert selector_harness.selector.get_key(fd).data == "data"
+    selector_harness.far.send(b"x")
+    assert selector_harness.selector.select(0) == []
+    attempts = selector_harness.failing.calls[Call.REGISTER]
+    selector_harness.selector.select(0)
+    assert selector_harness.failing.calls[Call.REGISTER] == attempts, "retried within RETRY_DELAY_MS"
+    selector_harness.failing.failure = None
+    selector_harness.now += RETRY_DELAY_MS / 1000.0
+    [(key, events)] = selector_harness.selector.select(0)
     assert (key.fd, key.data, events) == (fd, "data", selectors.EVENT_READ)
 
 
-def test_select_with_a_pending_registration_waits_until_the_next_retry_at_most(selector, monkeypatch):
+def test_select_with_a_pending_registration_waits_until_the_next_retry_at_most(selector_harness, monkeypatch):
     waits = []
     monkeypatch.setattr(selectors.EpollSelector, "select", lambda _self, timeout: waits.append(timeout) or [])
-    selector.selector.register(selector.near, selectors.EVENT_READ)
+    selector_harness.selector.register(selector_harness.near, selectors.EVENT_READ)
     for timeout in (None, 5.0, 0.0):
-        selector.selector.select(timeout)
+        selector_harness.selector.select(timeout)
     assert waits == [RETRY_DELAY_MS / 1000.0, RETRY_DELAY_MS / 1000.0, 0.0]
 
 
-def test_pending_registration_can_be_modified_and_unregistered(selector):
-    selector.selector.register(selector.near, selectors.EVENT_READ, 1)
-    selector.selector.modify(selector.near, selectors.EVENT_WRITE, 2)
-    assert selector.selector.get_key(selector.near).data == 2
-    selector.selector.unregister(selector.near)
+def test_pending_registration_can_be_modified_and_unregistered(selector_harness):
+    selector_harness.selector.register(selector_harness.near, selectors.EVENT_READ, 1)
+    selector_harness.selector.modify(selector_harness.near, selectors.EVENT_WRITE, 2)
+    assert selector_harness.selector.get_key(selector_harness.near).data == 2
+    selector_harness.selector.unregister(selector_harness.near)
     with pytest.raises(KeyError):
-        selector.selector.get_key(selector.near)
-
-
-def test_modify_without_resources_is_retried(selector):
-    selector.failing.failure, failure = None, selector.failing.failure
-    selector.selector.register(selector.near, selectors.EVENT_READ, 1)
-    selector.failing.failure = failure
-    selector.selector.modify(selector.near, selectors.EVENT_READ | selectors.EVENT_WRITE, 2)
-    assert selector.selector.select(0) == [], "nothing is told of the old mask"
-    selector.failing.failure = None
-    selector.now += RETRY_DELAY_MS / 1000.0
-    [(key, events)] = selector.selector.select(0)
+        selector_harness.selector.get_key(selector_harness.near)
+
+
+def test_modify_without_resources_is_retried(selector_harness):
+    selector_harness.failing.failure, failure = None, selector_harness.failing.failure
+    selector_harness.selector.register(selector_harness.near, selectors.EVENT_READ, 1)
+    selector_harness.failing.failure = failure
+    selector_harness.selector.modify(selector_harness.near, selectors.EVENT_READ | selectors.EVENT_WRITE, 2)
+    assert selector_harness.selector.select(0) == [], "events of the old mask must not be reported"
+    selector_harness.failing.failure = None
+    selector_harness.now += RETRY_DELAY_MS / 1000.0
+    [(key, events)] = selector_harness.selector.select(0)
     assert (key.data, events) == (2, selectors.EVENT_WRITE)
 
 
-def test_pending_registration_of_a_closed_descriptor_is_removed(selector):
-    selector.selector.register(selector.near.fileno(), selectors.EVENT_READ)
-    selector.near.close()
-    selector.failing.failure = None
-    selector.now += RETRY_DELAY_MS / 1000.0
-    assert selector.selector.select(0) == []
+def test_pending_registration_of_a_closed_descriptor_is_removed(selector_harness):
+    selector_harness.selector.register(selector_harness.near.fileno(), selectors.EVENT_READ)
+    selector_harness.near.close()
+    selector_harness.failing.failure = None
+    selector_harness.now += RETRY_DELAY_MS / 1000.0
+    assert selector_harness.selector.select(0) == []
 
 
-class Failing:
-    """A socket of which one call fails a number of times."""
+class FailingSocket:
+    """A wrapper of a socket of which one method fails a number of times."""
 
     def __init__(self, sock, call, number, times):
         self._sock, self._call = sock, call
-        self._errors = [failed(number)] * times
+        self._errors = [os_error(number)] * times
         self.calls = 0
 
     def __getattr__(self, name):
@@ -327,8 +329,8 @@
         return getattr(self._sock, name)
 
 
-class Later:
-    """Replaces a loop's `call_later`; `run` makes the calls."""
+class DeferredCalls:
+    """Replaces `call_later` of a loop; `run` makes the deferred calls."""
 
     def __init__(self, monkeypatch, loop):
         self.calls = []
@@ -344,21 +346,21 @@
 
 
 def test_handover_accept_without_free_descriptors_waits_without_spinning(tmp_path, monkeypatch):
-    loop, heard = new_event_loop(), []
-    later = Later(monkeypatch, loop)
-    link_listener = LinkListener(loop, tmp_path / "socket", heard.append)
+    loop, links = new_event_loop(), []
+    deferred_calls = DeferredCalls(monkeypatch, loop)
+    link_listener = LinkListener(loop, tmp_path / "socket", links.append)
     link_listener.open()
-    link_listener._listener = sock = Failing(link_listener._listener, "accept", errno.EMFILE, 2)
+    link_listener._listener = sock = FailingSocket(link_listener._listener, "accept", errno.EMFILE, 2)
     client = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     client.connect(str(tmp_path / "socket"))
-    for tries in (1, 2):
-        turns(loop, 10)
-        assert sock.calls == tries
-        assert not heard
-        later.run()
-    turns(loop, 10)
-    assert len(heard) == 1
-    heard[0].close()
+    for attempts in (1, 2):
+        run_iterations(loop, 10)
+        assert sock.calls == attempts
+        assert not links
+        deferred_calls.run()
+    run_iterations(loop, 10)
+    assert len(links) == 1
+    links[0].close()
     link_listener.close(unlink=True)
     client.close()
     loop.close()
@@ -366,13 +368,13 @@
 
 @pytest.mark.parametrize("number", [errno.ETOOMANYREFS, errno.ENOBUFS])
 def test_link_send_without_resources_is_retried(number, monkeypatch):
-    loop, got = new_event_loop(), []
-    later = Later(monkeypatch, loop)
+    loop, events = new_event_loop(), []
+    deferred_calls = DeferredCalls(monkeypatch, loop)
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sender, receiver = Link(loop, near), Link(loop, far)
-    receiver.on_message = lambda message, _fds: got.append(message)
-    sender.on_lost = lambda: got.append("lost")
-    errors, send_fds = [failed(number)] * 2, socket.send_fds
+    receiver.on_message = lambda message, _fds: events.append(message)
+    sender.on_lost = lambda: events.append("lost")
+    errors, send_fds = [os_error(number)] * 2, socket.send_fds
 
     def failing_send_fds(*args):
         if errors:
@@ -382,12 +384,12 @@
     monkeypatch.setattr(socket, "send_fds", failing_send_fds)
     sender.send({"number": 1})
     for _ in range(2):
-        turns(loop, 10)
-        assert not got
+        run_iterations(loop, 10)
+        assert not events
         assert not sender.flushed
-        later.run()
-    turns(loop, 10)
-    assert got == [{"number": 1}]
+        deferred_calls.run()
+    run_iterations(loop, 10)
+    assert events == [{"number": 1}]
     assert sender.flushed
     sender.close()
     receiver.close()
@@ -410,7 +412,7 @@
 
 @pytest.fixture
 def opening(monkeypatch):
-    """A listener to be opened on the loop, and a function that opens it."""
+    """Return a listener, and an event loop on which `open` opens it."""
 
     class Opening:
         def __init__(self):
@@ -435,7 +437,7 @@
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
 def test_start_without_resources_for_a_listener_is_retried(opening, monkeypatch, number):
-    """The program once ended at start because of a shortage that may last for a moment."""
+    """Guards against a program that exits at its start because of a short shortage of resources."""
     with failing_calls(monkeypatch, Failure(Call.SOCKET, 1, number, count=3)) as failing:
         failing.start()
         opening.open()
@@ -454,8 +456,8 @@
 def test_start_that_waits_for_descriptors_can_be_stopped(opening, monkeypatch):
     with failing_calls(monkeypatch, Failure(Call.SOCKET, 1, errno.EMFILE, count=10**6)) as failing:
         failing.start()
-        told_to_end = partial(setattr, opening.listener, "draining", True)
-        monkeypatch.setattr("eiderfield.program.listeners.log", lambda _text: told_to_end())
+        stop = partial(setattr, opening.listener, "draining", True)
+        monkeypatch.setattr("eiderfield.program.listeners.log", lambda _text: stop())
         opening.open()
     assert not opening.listener.listening
     assert failing.failed
--- a/tests/test_worker_connection_races.py
+++ b/tests/test_worker_connection_races.py
@@ -1,4 +1,4 @@
-"""Events that interleave with the steps of a connection to a worker."""
+"""Tests of events that occur between the steps of a connection to a worker."""
 
 import asyncio
 import errno
@@ -10,37 +10,37 @@
 
 from eiderfield.net.loop import Driver
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def line(id_, **told):
-    text = json.dumps({"id": id_, "from": "w", **told}).encode() + b"\n"
+def chunk(id_, **fields):
+    text = json.dumps({"id": id_, "from": "w", **fields}).encode() + b"\n"
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
-def renamed(dispatcher, port):
-    """Update the endpoint list with worker 1 at another address."""
+def move_worker(dispatcher, port):
+    """Update the endpoint list: worker 1 has another address."""
     dispatcher.index += 1
     entry = {"name": "w1", "address": f"127.0.0.1:{port}", "status": "SERVING", "since_ms": 0}
     dispatcher.table.load({"index": dispatcher.index, "snapshot": False, "endpoints": [entry]})
     dispatcher.settle()
 
 
-@pytest.mark.parametrize("dropped", [False, True])
-def test_dial_of_a_worker_whose_address_changes_is_cancelled_and_repeated(dropped):
-    """Another process may listen at the old address by now."""
+@pytest.mark.parametrize("removed_first", [False, True])
+def test_dial_of_a_worker_whose_address_changes_is_cancelled_and_repeated(removed_first):
+    """Guards against sending the request to another process that listens at the old address now."""
     dispatcher = InMemoryDispatcher(workers=1)
     client = dispatcher.client(path="/unsafe/a")
-    [old] = dispatcher.dials
-    if dropped:
-        gone = {"name": "w1", "status": "DELETED"}
-        dispatcher.table.load({"index": 8, "snapshot": False, "endpoints": [gone]})
-    renamed(dispatcher, 77)
-    assert old.cancelled
+    [old_dial] = dispatcher.dials
+    if removed_first:
+        removal = {"name": "w1", "status": "DELETED"}
+        dispatcher.table.load({"index": 8, "snapshot": False, "endpoints": [removal]})
+    move_worker(dispatcher, 77)
+    assert old_dial.cancelled
     dispatcher.advance(50.0)
-    [new] = dispatcher.dials
-    assert new.address == ("127.0.0.1", 77)
-    new.up().finish()
+    [new_dial] = dispatcher.dials
+    assert new_dial.address == ("127.0.0.1", 77)
+    new_dial.up().finish()
     assert client.answers()[0][0] == 200
 
 
@@ -50,29 +50,29 @@
     [dial] = dispatcher.dials
     client.pipe.break_off()
     dispatcher.settle()
-    dispatcher.dials.append(dial)  # it came up in the moment in which it was called off
+    dispatcher.dials.append(dial)  # the connection is established just before the cancellation takes effect
     end = dial.up()
     assert not end.pipe.open
     assert not end.pipe.written
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a"])
-@pytest.mark.parametrize("half", [b"", b'20\r\n{"id": "r1", "state"', b'5\r\n{"id"\r\n'])
-def test_reset_within_a_response_yields_no_result(path, half):
+@pytest.mark.parametrize("partial_data", [b"", b'20\r\n{"id": "r1", "state"', b'5\r\n{"id"\r\n'])
+def test_reset_within_a_response_yields_no_result(path, partial_data):
     dispatcher = InMemoryDispatcher(workers=2)
     client = dispatcher.client(path=path)
     end = dispatcher.dials[0].up()
     end.take()
-    end.pipe.send(HEAD + line("r1", state="started") + half)
+    end.pipe.send(STREAM_HEAD + chunk("r1", state="started") + partial_data)
     end.pipe.break_off()
     dispatcher.settle()
     dispatcher.advance(50.0)
     if path == "/safe/a":
-        assert not client.answers(), "it may be sent again"
-        assert len(dispatcher.dials) == 1, "it may be sent again"
+        assert not client.answers(), "a safe request is retried"
+        assert len(dispatcher.dials) == 1, "a safe request is retried"
     else:
-        assert client.answers()[0][0] == 502, "it may have run"
-        assert not dispatcher.dials, "it may have run"
+        assert client.answers()[0][0] == 502, "an unsafe request may have run"
+        assert not dispatcher.dials, "an unsafe request may have run"
 
 
 def test_unsolicited_response_on_an_idle_connection_closes_it():
@@ -82,7 +82,7 @@
     end.finish()
     assert client.answers()[0][0] == 200
     assert end.pipe.open
-    end.pipe.send(HEAD + line("r1", state="done", result="again") + b"0\r\n\r\n")
+    end.pipe.send(STREAM_HEAD + chunk("r1", state="done", result="again") + b"0\r\n\r\n")
     assert not end.pipe.open
 
 
@@ -94,55 +94,57 @@
     assert first.answers()[0][0] == 200
     second = dispatcher.client(id_="r2")
     assert end.take() == ["r2"]
-    end.pipe.send(HEAD + line("r1", state="done", result="again") + b"0\r\n\r\n")
+    end.pipe.send(STREAM_HEAD + chunk("r1", state="done", result="again") + b"0\r\n\r\n")
     dispatcher.settle()
     assert not end.pipe.open
     assert not second.answers()
     assert any("reason=a line is not about" in text for text in dispatcher.logged)
 
 
-@pytest.mark.parametrize("endless", [b"x" * 4000, line("r1", state="running", share=0.5), b"1\r\n\n\r\n"])
-def test_endless_response_ends_at_the_length_limit_or_the_deadline(endless):
+@pytest.mark.parametrize(
+    "repeated_data", [b"x" * 4000, chunk("r1", state="running", share=0.5), b"1\r\n\n\r\n"]
+)
+def test_endless_response_ends_at_the_length_limit_or_the_deadline(repeated_data):
     dispatcher = InMemoryDispatcher(workers=1)
     client = dispatcher.client(path="/unsafe/a", wait=2000)
     end = dispatcher.dials[0].up()
     end.take()
-    end.pipe.send(HEAD)
+    end.pipe.send(STREAM_HEAD)
     for _ in range(200):
         if end.pipe.open:
-            end.pipe.send(b"fa0\r\n%s\r\n" % endless if endless[:1] == b"x" else endless)
+            end.pipe.send(b"fa0\r\n%s\r\n" % repeated_data if repeated_data[:1] == b"x" else repeated_data)
         dispatcher.advance(11.0)
     assert not end.pipe.open
     assert client.answers()[0][0] == 502
 
 
 def test_drain_while_a_durable_attempt_waits_for_its_claim_writes_nothing():
-    class Claiming:
+    class DurableRequestsStub:
         def __init__(self):
-            self.go = None
+            self.on_claimed = None
 
-        def claim(self, _leg, go):
-            self.go = go
+        def claim(self, _attempt, on_claimed):
+            self.on_claimed = on_claimed
 
-        def may_write(self, _leg):
+        def may_write(self, _attempt):
             return True
 
         def attempt_ended(self, attempt):
             pass
 
-        def finish(self, job, answer):
-            job.on_answer(answer)
+        def finish(self, pending, answer):
+            pending.on_answer(answer)
 
     dispatcher = InMemoryDispatcher(workers=1)
-    claiming = Claiming()
-    dispatcher.exchange.attach_durable_requests(claiming)
+    durable_requests = DurableRequestsStub()
+    dispatcher.exchange.attach_durable_requests(durable_requests)
     front = dispatcher.listener.front
     submit = dispatcher.exchange.submit
     dispatcher.exchange.submit = lambda request, answer, **more: submit(request, answer, durable=True, **more)
     assert front is not None
     dispatcher.client()
     dispatcher.tell((1, "DRAINING"))
-    claiming.go(True)
+    durable_requests.on_claimed(True)
     dispatcher.settle()
     for dial in list(dispatcher.dials):
         end = dial.up()
@@ -156,7 +158,7 @@
     client = dispatcher.client(path="/unsafe/a")
     end = dispatcher.dials[0].up()
     end.take()
-    end.pipe.send(HEAD + line("r1", state="started") + tail)
+    end.pipe.send(STREAM_HEAD + chunk("r1", state="started") + tail)
     dispatcher.settle()
     assert client.answers()[0][0] == 502
     assert not end.pipe.open
@@ -165,49 +167,52 @@
 
 
 @pytest.mark.parametrize(
-    ("faults", "failed"),
+    ("errnos", "expected"),
     [
         ([errno.EMFILE, errno.ENFILE], []),
         ([errno.ECONNREFUSED], ["refused"]),
         ([errno.EMFILE, errno.EHOSTUNREACH], ["refused"]),
     ],
 )
-def test_dial_without_free_descriptors_is_retried_without_a_failure(faults, failed, monkeypatch):
-    """Such a dial once counted as refused by the worker, which was ejected."""
-    loop, calls, heard = asyncio.new_event_loop(), [], []
+def test_dial_without_free_descriptors_is_retried_without_a_failure(errnos, expected, monkeypatch):
+    """Guards against counting such a dial as refused by the worker, which was then ejected."""
+    loop, calls, failures = asyncio.new_event_loop(), [], []
 
     async def connect(_factory, *address):
         calls.append(address)
-        if len(calls) <= len(faults):
-            raise OSError(faults[len(calls) - 1], "no")
+        if len(calls) <= len(errnos):
+            raise OSError(errnos[len(calls) - 1], "no")
 
     monkeypatch.setattr(loop, "create_connection", connect)
     driver = Driver(loop, lambda: 1e6)
-    task = driver.dial(asyncio.BufferedProtocol(), ("127.0.0.1", 9), lambda: heard.append("refused"))
+    task = driver.dial(asyncio.BufferedProtocol(), ("127.0.0.1", 9), lambda: failures.append("refused"))
     loop.run_until_complete(task)
     loop.close()
-    assert heard == failed
-    assert len(calls) == len(faults) + (not failed)
+    assert failures == expected
+    assert len(calls) == len(errnos) + (not expected)
 
 
 def test_dial_waiting_for_a_descriptor_can_be_cancelled(monkeypatch):
-    loop, heard = asyncio.new_event_loop(), []
+    loop, failures = asyncio.new_event_loop(), []
 
     async def connect(_factory, *_address):
         raise OSError(errno.EMFILE, "no")
 
     monkeypatch.setattr(loop, "create_connection", connect)
     driver = Driver(loop, lambda: 1e6)
-    task = driver.dial(asyncio.BufferedProtocol(), ("127.0.0.1", 9), lambda: heard.append(1))
+    task = driver.dial(asyncio.BufferedProtocol(), ("127.0.0.1", 9), lambda: failures.append(1))
     loop.call_soon(loop.call_soon, task.cancel)
     with pytest.raises(asyncio.CancelledError):
         loop.run_until_complete(task)
     loop.close()
-    assert not heard
+    assert not failures
 
 
-def may_hedge(dispatcher, id_="r1"):
-    """Return a client whose first attempt has started and is silent, with a hedged attempt being dialled."""
+def start_hedged_request(dispatcher, id_="r1"):
+    """Send a request whose first attempt starts and becomes silent, until a hedged attempt is dialled.
+
+    Returns the client and the worker's end of the first attempt.
+    """
     client = dispatcher.client(id_=id_)
     first = dispatcher.dials[0].up()
     first.take()
@@ -217,12 +222,12 @@
     return client, first
 
 
-@pytest.mark.parametrize("fault", ["refused", "reset", "500", "handed back"])
+@pytest.mark.parametrize("fault", ["refused", "reset", "500", "not run"])
 def test_failure_of_a_hedged_attempt_leaves_the_first_attempt_open(fault):
     dispatcher = InMemoryDispatcher(
         replace(SITE, hedging_allowed=True, progress_interval_ms=100.0), workers=2
     )
-    client, first = may_hedge(dispatcher)
+    client, first = start_hedged_request(dispatcher)
     if fault == "refused":
         dispatcher.dials[0].refuse()
     else:
@@ -247,19 +252,19 @@
     dispatcher = InMemoryDispatcher(
         replace(SITE, hedging_allowed=True, progress_interval_ms=100.0, max_attempts=2), workers=2
     )
-    client, first = may_hedge(dispatcher)
+    client, first = start_hedged_request(dispatcher)
     second = dispatcher.dials[0].up()
     second.take()
     first.pipe.break_off()
     second.pipe.break_off()
     dispatcher.settle()
     dispatcher.advance(6000.0)
-    assert [status for status, *_ in client.answers()] == [503], "safe, so that a rejection does no harm"
+    assert [status for status, *_ in client.answers()] == [503], "the client may retry a safe request"
     assert not dispatcher.exchange.pending_request_count
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a", "/keyed/a"])
-@pytest.mark.parametrize("fault", ["refused", "handed back", "500", "reset"])
+@pytest.mark.parametrize("fault", ["refused", "not run", "500", "reset"])
 def test_retries_that_all_fail_yield_one_response_within_max_attempts(path, fault):
     dispatcher = InMemoryDispatcher(workers=2)
     client = dispatcher.client(path=path, Idempotency_Key="k")
@@ -280,38 +285,41 @@
                 end.status(500 if fault == "500" else 503, **({} if fault == "500" else {"X_Not_Run": "1"}))
         dispatcher.advance(500.0)
     [(status, *_)] = client.answers()
-    ran = fault in ("500", "reset")
-    assert status == (502 if path == "/unsafe/a" and ran else 503)
-    came = sum(len(end.came) for end in dispatcher.ends)
-    assert came <= (1 if path == "/unsafe/a" and ran else SITE.max_attempts)
+    may_have_run = fault in ("500", "reset")
+    assert status == (502 if path == "/unsafe/a" and may_have_run else 503)
+    request_count = sum(len(end.came) for end in dispatcher.ends)
+    assert request_count <= (1 if path == "/unsafe/a" and may_have_run else SITE.max_attempts)
     assert not dispatcher.exchange.pending_request_count
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/keyed/a", "/unsafe/a"])
-@pytest.mark.parametrize("how", ["closes", "resets", "forgets"])
-@pytest.mark.parametrize("quiet", [10.0, 5000.0])
-def test_idle_connection_closed_by_the_worker_costs_no_response(path, how, quiet):
-    """A closed or reset one is not reused; one the worker has forgotten is reset by the next request."""
+@pytest.mark.parametrize("loss", ["end of file", "reset", "reset by the next request"])
+@pytest.mark.parametrize("idle_ms", [10.0, 5000.0])
+def test_idle_connection_closed_by_the_worker_costs_no_response(path, loss, idle_ms):
+    """A connection that the worker has closed or reset is not reused.
+
+    If the worker has lost the state of the connection, the next request resets it.
+    """
     dispatcher = InMemoryDispatcher(workers=1)
     first = dispatcher.client(path=path, Idempotency_Key="k1")
-    kept = dispatcher.dials[0].up()
-    kept.finish()
+    idle = dispatcher.dials[0].up()
+    idle.finish()
     assert first.answers()[0][0] == 200
-    dispatcher.advance(quiet)
-    if how == "closes":
-        kept.connection.eof_received()
-    elif how == "resets":
-        kept.pipe.break_off()
+    dispatcher.advance(idle_ms)
+    if loss == "end of file":
+        idle.connection.eof_received()
+    elif loss == "reset":
+        idle.pipe.break_off()
     client = dispatcher.client(path=path, id_="r2", Idempotency_Key="k2")
-    if how == "forgets":
-        assert kept.take() == ["r2"]
-        kept.pipe.break_off()
+    if loss == "reset by the next request":
+        assert idle.take() == ["r2"]
+        idle.pipe.break_off()
         dispatcher.settle()
         dispatcher.advance(250.0)
     else:
-        assert "r2" not in kept.came
-    if how == "forgets" and path == "/unsafe/a":
-        assert [status for status, *_ in client.answers()] == [502], "it may have run"
+        assert "r2" not in idle.came
+    if loss == "reset by the next request" and path == "/unsafe/a":
+        assert [status for status, *_ in client.answers()] == [502], "an unsafe request may have run"
         return
     [dial] = dispatcher.dials
     dial.up().finish()
