--- a/tests/test_errors_tree.py
+++ b/tests/test_errors_tree.py
@@ -1,4 +1,4 @@
-"""Every error that the package defines belongs to the tree below `EiderfieldError`."""
+"""Tests that every error class of the package derives from `EiderfieldError`."""
 
 import ast
 
@@ -15,8 +15,8 @@
 
 
 def error_classes():
-    """Return the bases of each class of the package whose name, or whose base, is that of an error."""
-    found = {}
+    """Return the bases of each class of the package whose name, or the name of a base, ends with `Error`."""
+    bases_by_name = {}
     for path in (ROOT / "eiderfield").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ClassDef):
@@ -26,44 +26,50 @@
                     if isinstance(base, ast.Name | ast.Attribute)
                 ]
                 if node.name.endswith("Error") or any(base.endswith("Error") for base in bases):
-                    found.setdefault(node.name, []).append(bases)
-    return found
+                    bases_by_name.setdefault(node.name, []).append(bases)
+    return bases_by_name
 
 
-CLASSES = error_classes()
+ERROR_CLASSES = error_classes()
 
 
-def derives(name):
-    """Whether each class of this name derives from `EiderfieldError`."""
+def derives_from_base(name):
+    """Return whether each class with this name derives from `EiderfieldError`."""
     if name == "EiderfieldError":
         return True
-    return name in CLASSES and all(any(derives(base) for base in bases) for bases in CLASSES[name])
+    return name in ERROR_CLASSES and all(
+        any(derives_from_base(base) for base in bases) for bases in ERROR_CLASSES[name]
+    )
 
 
-def test_the_package_defines_errors():
-    assert len(CLASSES) > 20
+def test_package_defines_error_classes():
+    assert len(ERROR_CLASSES) > 20
 
 
-@pytest.mark.parametrize("name", sorted(CLASSES))
-def test_an_error_derives_from_the_base_of_the_package(name):
-    assert derives(name)
+@pytest.mark.parametrize("name", sorted(ERROR_CLASSES))
+def test_error_class_derives_from_eiderfield_error(name):
+    assert derives_from_base(name)
 
 
-@pytest.mark.parametrize("name", sorted(CLASSES))
-def test_the_name_of_an_error_ends_with_error(name):
+@pytest.mark.parametrize("name", sorted(ERROR_CLASSES))
+def test_name_of_an_error_class_ends_with_error(name):
     assert name.endswith("Error")
 
 
-def test_no_class_derives_from_a_built_in_error_alone():
-    alone = [name for name, kinds in CLASSES.items() if any(set(bases) <= BUILT_IN for bases in kinds)]
-    assert alone == ["EiderfieldError"]
+def test_only_eiderfield_error_derives_from_built_in_errors_alone():
+    underived = [
+        name
+        for name, definitions in ERROR_CLASSES.items()
+        if any(set(bases) <= BUILT_IN for bases in definitions)
+    ]
+    assert underived == ["EiderfieldError"]
 
 
-@pytest.mark.parametrize("kind", [ConfigError, FolderError, HandoverError, RequestIdInUseError])
-def test_one_handler_catches_the_errors_of_each_package(kind):
-    assert issubclass(kind, EiderfieldError)
+@pytest.mark.parametrize("error_class", [ConfigError, FolderError, HandoverError, RequestIdInUseError])
+def test_errors_of_each_subpackage_are_eiderfield_errors(error_class):
+    assert issubclass(error_class, EiderfieldError)
 
 
-def test_an_error_names_its_id_or_key():
+def test_error_has_the_id_or_key_as_attribute():
     assert RequestIdInUseError("r1").id == "r1"
     assert FixedSettingError("settings.zones", "is fixed").key == "settings.zones"
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""The parts of the exchange, each by itself."""
+"""Unit tests of the parts of the exchange."""
 
 from math import e, exp
 
@@ -24,17 +24,17 @@
 
 
 def ignore_answer(answer):
-    """Takes an answer that the test does not look at."""
+    """Ignore an answer."""
 
 
 @pytest.fixture
-def woken():
+def wakeups():
     return []
 
 
 @pytest.fixture
-def events(woken):
-    return EventQueue(lambda: woken.append(True))
+def event_queue(wakeups):
+    return EventQueue(lambda: wakeups.append(True))
 
 
 @pytest.fixture
@@ -44,7 +44,7 @@
     return table
 
 
-def test_response_times_are_summed_as_logarithms():
+def test_response_times_record_sums_logarithms():
     times = ResponseTimes()
     times.record(e)
     times.record(exp(3.0))
@@ -53,81 +53,81 @@
     assert times.sum_of_squares == pytest.approx(10.0)
 
 
-def test_a_response_time_below_a_millisecond_counts_as_one():
+def test_response_times_record_below_1_ms_counts_as_1_ms():
     times = ResponseTimes()
     times.record(0.2)
     assert (times.count, times.sum) == (1, 0.0)
 
 
-def test_a_class_that_served_nothing_has_empty_sums():
+def test_response_time_sums_of_a_class_without_responses_are_zero():
     assert Metrics().response_time_sums(0) == (0, 0.0, 0.0)
 
 
-def test_an_event_wakes_the_event_loop(events, woken):
-    events.post(TimerFired(1))
-    assert woken == [True]
+def test_posted_event_wakes_the_event_loop(event_queue, wakeups):
+    event_queue.post(TimerFired(1))
+    assert wakeups == [True]
 
 
-def test_changes_of_the_endpoint_list_precede_all_other_events(events):
-    events.post(TimerFired(1))
-    events.post_endpoint_update(EndpointsUpdated(EndpointListKind.DELTA, 1, ()))
-    assert [type(event) for event in events.pending()] == [EndpointsUpdated, TimerFired]
+def test_endpoint_updates_precede_all_other_events(event_queue):
+    event_queue.post(TimerFired(1))
+    event_queue.post_endpoint_update(EndpointsUpdated(EndpointListKind.DELTA, 1, ()))
+    assert [type(event) for event in event_queue.pending()] == [EndpointsUpdated, TimerFired]
 
 
-def test_events_are_taken_once(events):
-    events.post(TimerFired(1))
-    assert events.take_all() == [TimerFired(1)]
-    assert events.take_all() == []
+def test_take_all_removes_the_events(event_queue):
+    event_queue.post(TimerFired(1))
+    assert event_queue.take_all() == [TimerFired(1)]
+    assert event_queue.take_all() == []
 
 
-def test_a_whole_list_removes_the_workers_that_it_leaves_out(endpoints):
+def test_full_list_sets_workers_that_it_omits_to_gone(endpoints):
     endpoints.update(EndpointListKind.FULL, [Endpoint(2, state=READY)])
     assert endpoints.states == {1: GONE, 2: READY}
 
 
-def test_a_change_of_the_list_keeps_the_workers_that_it_leaves_out(endpoints):
+def test_delta_keeps_workers_that_it_omits(endpoints):
     endpoints.update(EndpointListKind.DELTA, [Endpoint(2, state=GONE)])
     assert endpoints.states == {1: READY, 2: GONE}
 
 
-def test_a_list_of_draining_workers_has_none_that_is_ready(endpoints):
+def test_any_ready_with_only_draining_workers_is_false(endpoints):
     assert endpoints.any_ready
     endpoints.update(EndpointListKind.DELTA, [Endpoint(1, state=DRAINING)])
     assert not endpoints.any_ready
 
 
-def test_a_worker_that_was_never_listed_is_gone(endpoints):
+def test_endpoint_of_a_worker_never_listed_is_gone(endpoints):
     assert endpoints.endpoint(1).state == READY
     assert endpoints.endpoint(9).state == GONE
 
 
-def test_the_attempts_of_the_other_process_end_with_it(events):
-    other_process = OtherProcessState(events)
+def test_detach_removes_the_ids_and_attempts_of_the_other_process(event_queue):
+    other_process = OtherProcessState(event_queue)
     other_process.update_request_ids(["a", "b"], [])
     other_process.update_attempts(1, 2, 5.0)
-    events.take_all()
+    event_queue.take_all()
     other_process.detach()
     assert other_process.request_ids == set()
-    assert events.take_all() == [SiblingReportReceived(1, 0, 0.0)]
+    assert event_queue.take_all() == [SiblingReportReceived(1, 0, 0.0)]
 
 
-def test_an_id_that_the_other_process_released_is_free(events):
-    other_process = OtherProcessState(events)
+def test_id_released_by_the_other_process_is_not_in_use(event_queue):
+    other_process = OtherProcessState(event_queue)
     other_process.update_request_ids(["a", "b"], [])
     other_process.update_request_ids([], ["a"])
     assert other_process.request_ids == {"b"}
 
 
-def test_an_id_in_use_is_refused_by_an_error_that_names_it():
+def test_submit_with_an_id_in_use_raises_an_error_that_names_it():
     exchange = InMemoryDispatcher().exchange
     request = Request("r1", 0, InMemoryDispatcher.START + 100.0, "/safe/k1")
     exchange.submit(request, ignore_answer)
-    with pytest.raises(RequestIdInUseError) as refused:
+    with pytest.raises(RequestIdInUseError) as caught:
         exchange.submit(request, ignore_answer)
-    assert refused.value.id == "r1"
+    assert caught.value.id == "r1"
 
 
-def test_an_id_in_use_by_the_other_process_is_refused():
+def test_submit_with_an_id_in_use_by_the_other_process_raises_an_error():
     exchange = InMemoryDispatcher().exchange
     exchange.other_process.update_request_ids(["r1"], [])
     with pytest.raises(RequestIdInUseError):
