--- a/eiderfield/adapter.py
+++ b/eiderfield/adapter.py
@@ -41,7 +41,7 @@
         """
         replies: list[bytes] = []
         events_by_node: dict[int, list[Event]] = {}
-        for node, record in self._decoder.records(body, count):
+        for node, record in self._decoder.decode(body, count):
             if isinstance(record, Create | Retire):
                 events_by_node.pop(node, None)  # a removed dispatcher does not reply to earlier events
                 self._dispatchers.pop(node, None)
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -202,7 +202,7 @@
         """Continue without the other process: its link was lost, or one of its messages was rejected."""
         context = self._context
         had_handed_over = self._old.resume_alone()
-        context.exchange.other_process.ended()
+        context.exchange.other_process.detach()
         context.table.on_ban_changed = None
         context.workers.share_connections(False)
         for listener in self.listeners.values():
--- a/eiderfield/wire.py
+++ b/eiderfield/wire.py
@@ -1,7 +1,8 @@
-"""Codec of the simulator's wire: a frame is a header and records, one record for each event or action.
+"""Codec of the simulator's wire format. A frame is a header followed by one record per event or action.
 
-Everything is little-endian without padding. A record starts with its code (u8) and the node (u16), the
-number of the dispatcher that it is for or from; `Decoder` reads events, `encode` writes actions.
+All fields are little-endian and unpadded. A record starts with its code (u8) and its node (u16), which is
+the number of the dispatcher that receives the event or returned the action. `Decoder` decodes events, and
+`encode` encodes actions.
 """
 
 from __future__ import annotations
@@ -41,12 +42,12 @@
     WatchEndpoints,
 )
 
-HEADER = struct.Struct("<IId")  # of a batch: count of records, bytes of the frame, clock
-REPLY_HEADER = struct.Struct("<II")  # count of records, bytes of the frame
+HEADER = struct.Struct("<IId")  # of a received frame: number of records, size of the frame in bytes, clock
+REPLY_HEADER = struct.Struct("<II")  # of a sent frame: number of records, size of the frame in bytes
 
 
 class EventCode:
-    """Codes of records that are received; plain integers, which pack faster than members of an enum."""
+    """Codes of received records. They are plain integers, which `struct` packs faster than enum members."""
 
     CREATE = 0
     ENDPOINTS_UPDATED = 1
@@ -63,7 +64,7 @@
 
 
 class ActionCode:
-    """Codes of records that are sent, see `EventCode`."""
+    """Codes of sent records. They are plain integers, as those of `EventCode`."""
 
     CLOSE_IDLE_CONNECTIONS = 0
     CANCEL_ATTEMPT = 1
@@ -79,7 +80,7 @@
     FAIL_REQUEST = 11
 
 
-# Fields of received records after the code, and of the entries of an endpoint table.
+# Layouts of received records without the code, and of an entry of an endpoint table.
 _CREATE = struct.Struct("<HQI")
 _ENDPOINTS_UPDATED = struct.Struct("<HBQI")
 _REQUEST_RECEIVED = struct.Struct("<HQBHQddffB")
@@ -93,13 +94,13 @@
 _ENDPOINT_TABLE = struct.Struct("<II")
 _ENDPOINT = struct.Struct("<IHHHBfd")
 _ATTEMPT_PROGRESSED = struct.Struct("<HQHIBf")
-_LOAD_REPORTS = [struct.Struct(f"<{size}f") for size in range(17)]  # by the number of figures
+_LOAD_REPORTS = [struct.Struct(f"<{size}f") for size in range(17)]  # by the number of values
 
 # Flags of a received request.
-_WORK_IS_KNOWN = 1  # the expected work may be relied on
+_WORK_IS_KNOWN = 1  # the expected work is valid
 _IS_CLIENT_RETRY = 2
 
-# Fields of sent records, the code included.
+# Layouts of sent records with the code.
 _NODE = struct.Struct("<BH")
 _REQUEST = struct.Struct("<BHQ")
 _WORKER = struct.Struct("<BHI")
@@ -120,12 +121,12 @@
 
 
 class WireError(EiderfieldError, ValueError):
-    """A frame cannot be decoded; the message names the fault and its byte within the frame."""
+    """A frame cannot be decoded. The message names the problem and the offset in the frame."""
 
 
 @dataclass(slots=True)
 class Create:
-    """A node starts, with the seed of its random numbers and the text of its settings."""
+    """Starts a node with a seed for its random numbers and the text of its settings."""
 
     seed: int
     text: str
@@ -133,17 +134,17 @@
 
 @dataclass(slots=True)
 class Retire:
-    """A node was killed."""
+    """Removes a node that the simulator has killed."""
 
 
 Record = Event | Create | Retire
 
 
 class Decoder:
-    """Decodes the records of batches; stores the endpoint tables, which later records refer to by number."""
+    """Decodes the records of frames. Stores the endpoint tables, to which later records refer by number."""
 
     def __init__(self) -> None:
-        """Start without any table."""
+        """Create a decoder without endpoint tables."""
         self._tables: dict[int, tuple[Endpoint, ...]] = {}
         self._decoders: dict[int, Callable[[bytes, int], tuple[int, Record, int]]] = {
             EventCode.CREATE: self._create,
@@ -159,12 +160,12 @@
             EventCode.ATTEMPT_PROGRESSED: self._attempt_progressed,
         }
 
-    def records(self, body: bytes, count: int) -> Iterator[tuple[int, Record]]:
+    def decode(self, body: bytes, count: int) -> Iterator[tuple[int, Record]]:
         """Yield each record with its node, in order.
 
         Args:
             body: The frame without its header.
-            count: The number of records that the header gives.
+            count: The number of records according to the header.
 
         Raises:
             WireError: The frame is malformed.
@@ -177,7 +178,7 @@
                 if code == EventCode.ENDPOINT_TABLE:
                     offset = self._store_table(body, offset)
                     continue
-                node, record, offset = self._decode(code, body, offset)
+                node, record, offset = self._decode_record(code, body, offset)
             except (struct.error, IndexError):
                 raise _error(f"record {index} is cut short", offset) from None
             if offset > end:
@@ -187,7 +188,7 @@
             raise _error(f"{end - offset} bytes left over after the records", offset)
 
     def _store_table(self, body: bytes, offset: int) -> int:
-        """Store an endpoint table; return where the next record starts."""
+        """Store an endpoint table; return the offset of the next record."""
         number, size = _ENDPOINT_TABLE.unpack_from(body, offset)
         offset += _ENDPOINT_TABLE.size
         end: int = offset + size * _ENDPOINT.size
@@ -201,8 +202,11 @@
         self._tables[number] = tuple(endpoints)
         return end
 
-    def _decode(self, code: int, body: bytes, offset: int) -> tuple[int, Record, int]:
-        """Return the node of a record, what it holds, and where the next one starts, as do all decoders."""
+    def _decode_record(self, code: int, body: bytes, offset: int) -> tuple[int, Record, int]:
+        """Return the node of a record, its decoded content, and the offset of the next record.
+
+        The methods in `_decoders` return the same.
+        """
         decode = self._decoders.get(code)
         if decode is None:
             raise _error(f"unknown event code {code}", offset - 1)
@@ -211,7 +215,7 @@
     def _create(self, body: bytes, offset: int) -> tuple[int, Create, int]:
         node, seed, size = _CREATE.unpack_from(body, offset)
         offset += _CREATE.size
-        text = self._bytes(body, offset, size).decode("utf-8", "replace")
+        text = self._read_bytes(body, offset, size).decode("utf-8", "replace")
         return node, Create(seed, text), offset + size
 
     def _retire(self, body: bytes, offset: int) -> tuple[int, Retire, int]:
@@ -254,7 +258,7 @@
     def _attempt_ended(self, body: bytes, offset: int) -> tuple[int, AttemptEnded, int]:
         fields = _ATTEMPT_ENDED.unpack_from(body, offset)
         node, request_id, worker, outcome, info, elapsed_ms, attempt_number, is_final, size = fields
-        load_report, offset = self._load_report(body, offset + _ATTEMPT_ENDED.size, size)
+        load_report, offset = self._read_load_report(body, offset + _ATTEMPT_ENDED.size, size)
         event = AttemptEnded(
             request_id, attempt_number, worker, outcome, elapsed_ms, bool(is_final), info, load_report
         )
@@ -270,13 +274,13 @@
 
     def _probe_completed(self, body: bytes, offset: int) -> tuple[int, ProbeCompleted, int]:
         node, worker, outcome, elapsed_ms, size = _PROBE_COMPLETED.unpack_from(body, offset)
-        load_report, offset = self._load_report(body, offset + _PROBE_COMPLETED.size, size)
+        load_report, offset = self._read_load_report(body, offset + _PROBE_COMPLETED.size, size)
         return node, ProbeCompleted(worker, outcome, elapsed_ms, load_report), offset
 
     def _peer_report_received(self, body: bytes, offset: int) -> tuple[int, PeerReportReceived, int]:
         node, peer, size = _PEER_REPORT_RECEIVED.unpack_from(body, offset)
         offset += _PEER_REPORT_RECEIVED.size
-        return node, PeerReportReceived(peer, self._bytes(body, offset, size)), offset + size
+        return node, PeerReportReceived(peer, self._read_bytes(body, offset, size)), offset + size
 
     def _attempt_progressed(self, body: bytes, offset: int) -> tuple[int, AttemptProgressed, int]:
         node, request_id, attempt_number, worker, code, share = _ATTEMPT_PROGRESSED.unpack_from(body, offset)
@@ -285,21 +289,21 @@
         return node, event, offset + _ATTEMPT_PROGRESSED.size
 
     @staticmethod
-    def _bytes(body: bytes, offset: int, size: int) -> bytes:
+    def _read_bytes(body: bytes, offset: int, size: int) -> bytes:
         if offset + size > len(body):
             raise IndexError
         return body[offset : offset + size]
 
     @staticmethod
-    def _load_report(body: bytes, offset: int, size: int) -> tuple[tuple[float, ...], int]:
+    def _read_load_report(body: bytes, offset: int, size: int) -> tuple[tuple[float, ...], int]:
         if size == 0:
             return (), offset
-        figures = _LOAD_REPORTS[size] if size < len(_LOAD_REPORTS) else struct.Struct(f"<{size}f")
-        return figures.unpack_from(body, offset), offset + figures.size
+        layout = _LOAD_REPORTS[size] if size < len(_LOAD_REPORTS) else struct.Struct(f"<{size}f")
+        return layout.unpack_from(body, offset), offset + layout.size
 
 
 def _error(problem: str, offset: int) -> WireError:
-    """Return an error at an offset of the frame's body; its message counts bytes of the whole frame."""
+    """Return an error at an offset in the frame's body. Its message gives the offset in the whole frame."""
     return WireError(f"{problem} (frame byte {offset + HEADER.size})")
 
 
@@ -309,7 +313,7 @@
 
 
 def encode_fatal(node: int, text: str) -> bytes:
-    """Return the record by which a node reports that its decisions have failed."""
+    """Return the record that reports that the dispatcher of a node could not be created or has failed."""
     return _encode_text(ActionCode.FATAL, node, text)
 
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -183,8 +183,8 @@
     statuses = [status for status, *_ in client.answers()]
     assert len(statuses) == 1
     assert statuses[0] in (502, 503)
-    assert not (sent_unsafe and worker == "drops the request" and statuses == [503]), "it may have run"
-    assert not dispatcher.exchange.unanswered
+    assert not (sent_unsafe and worker == "drops it" and statuses == [503]), "it may have run"
+    assert not dispatcher.exchange.pending_request_count
     assert SITE.classes[1].effect == Effect.UNSAFE
 
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -204,7 +204,7 @@
     dispatcher.settle = settle
     dispatcher.settle()
     assert [(status, body) for status, _, body in client.answers()] == [(200, b"second")]
-    assert dispatcher.exchange.unanswered == 0
+    assert dispatcher.exchange.pending_request_count == 0
     assert not dispatcher.exchange.has_request("r1")
 
 
