--- a/eiderfield/durable_requests/__init__.py
+++ b/eiderfield/durable_requests/__init__.py
@@ -1,1 +1,4 @@
-"""Durable requests: what a dispatcher has accepted survives its loss. Off unless configured."""
+"""Durable requests: a request that a dispatcher has accepted survives the loss of that dispatcher.
+
+Off unless configured.
+"""
--- a/eiderfield/durable_requests/failure_detector.py
+++ b/eiderfield/durable_requests/failure_detector.py
@@ -1,9 +1,9 @@
-"""The failure detector of one member. Performs no I/O and reads no clock: it is given the heartbeats.
+"""The failure detector of one member. Performs no I/O and reads no clock.
 
 States of another incarnation:
 
     alive -> suspected (by this member) -> lost (a majority of the unsuspected members suspects it)
-    lost  -> fenced, for ever (`fences.py`)
+    lost  -> fenced, permanently (`fences.py`)
 
 This member suspects an incarnation when it has read the same heartbeat count for a whole lease, or when the
 incarnation's process is known to have exited. A suspicion ends when the count changes; a fence never ends.
@@ -22,7 +22,7 @@
 @dataclass(slots=True)
 class _Heartbeat:
     count: int
-    seen_at: float  # when this count was read first
+    seen_at: float  # when this member first read this count
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
     _watching_since: float = inf  # when the current period without a gap began
 
     def observe(self, now: float, heartbeats: Mapping[str, int], exited: Iterable[str]) -> set[str]:
-        """Record the heartbeats of all incarnations that are not fenced. Return those that are suspected.
+        """Record the heartbeats of all incarnations that are not fenced. Return the suspected incarnations.
 
         `exited` has the incarnations whose process is known to have exited.
         """
--- a/eiderfield/durable_requests/fences.py
+++ b/eiderfield/durable_requests/fences.py
@@ -1,10 +1,10 @@
-"""Votes on lost incarnations, and fences, which bar a lost incarnation for ever and name its successors.
+"""Votes on lost incarnations, and fences, which exclude a lost incarnation and name its successors.
 
     votes/INCARNATION/VOTER    VOTER suspects INCARNATION
-    fences/INCARNATION         INCARNATION is lost: its successors, who wrote the fence, and why
+    fences/INCARNATION         INCARNATION is lost: its successors, the writer of the fence, and the reason
     fences/+N                  the N-th further list of successors, for chains that find no other successor
 
-Of all who try to create a fence, one succeeds, and a fence never changes.
+Of several members that try to create the same fence, one succeeds. A fence is never changed or removed.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from eiderfield.durable_requests.ownership import ownership_chain
 
 FENCES, VOTES = "fences", "votes"
-LEFT = "it left"  # the reason of an incarnation that fenced itself
+LEFT = "it left"  # the reason of a fence that an incarnation wrote for itself
 FENCED_TOGETHER = "heirs were fenced at one moment"  # the reason of a further list of successors
-_FURTHER = "+"  # with a number: the name of a further list of successors
+_FURTHER = "+"  # starts the name of a further list of successors, before its number
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
     def decode(cls, text: str) -> Fence:
         """Return the fence of a stored form.
 
-        A fence that was torn by a loss of power has no successors: its requests go to the further ones.
+        A fence that a loss of power has torn has no successors: the further lists name those of its requests.
         """
         with suppress(ValueError, LookupError, TypeError):
             fields = json.loads(text)
@@ -52,7 +52,7 @@
     """All votes and fences in a folder."""
 
     def __init__(self, files: FolderFiles) -> None:
-        """Read nothing yet."""
+        """Use the folder of `files`."""
         self._files = files
         self.fenced: dict[str, tuple[str, ...]] = {}  # successors by fenced incarnation, as of `refresh`
         self.further_successors: list[tuple[str, ...]] = []
@@ -71,7 +71,7 @@
         return self._files.names(f"{VOTES}/{incarnation}")
 
     def create(self, incarnation: str, successors: Sequence[str], by: str, reason: str) -> bool:
-        """Fence an incarnation. Returns False if it is fenced already: that fence stands."""
+        """Fence an incarnation. Returns False if it is fenced already, and keeps that fence."""
         try:
             self._files.create(Fence(tuple(successors), by, reason).encode(), FENCES, incarnation)
         except FileExistsError:
@@ -104,11 +104,14 @@
         return self.fenced
 
     def chain(self, id_: str, incarnation: str) -> list[str]:
-        """Return the owners of a request so far, by the fences that `refresh` found."""
+        """Return the incarnations that a request has belonged to, by the fences of the last `refresh`.
+
+        `incarnation` is the first of them.
+        """
         return ownership_chain(id_, incarnation, self.fenced, self.further_successors)
 
     def remove_votes(self, incarnation: str) -> None:
-        """Remove the votes on an incarnation. Its fence stays: others may refer to it."""
+        """Remove the votes on an incarnation, but not its fence, to which other fences may refer."""
         for voter in self.votes(incarnation):
             self._files.remove(VOTES, incarnation, voter)
         with suppress(OSError):
--- a/eiderfield/durable_requests/figures.py
+++ b/eiderfield/durable_requests/figures.py
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DurableRequestFigures:
-    """The state of one process's durable requests, and what it has done since it started."""
+    """The state of one process's durable requests, and its counters since it started."""
 
-    incarnation: str  # '' while there is none
+    incarnation: str  # the name of the current one, '' while there is none
     member_count: int
     owned_requests: int
     remote_waiters: int
--- a/eiderfield/durable_requests/files.py
+++ b/eiderfield/durable_requests/files.py
@@ -1,6 +1,6 @@
 """Files and links in the shared folder.
 
-A file that cannot be read raises `OSError`; it is never taken for absent.
+A file that cannot be read raises `OSError`; it never counts as absent.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
     sync_folder,
 )
 
-NAME_BYTES = 16  # of the hash that names a file after an id or a key
+NAME_BYTES = 16  # size of the hash of an id or a key that is used as a file name
 
 
 class FolderFiles:
-    """The files of a folder with named parts. Every method raises `OSError` for what the system refuses."""
+    """The files of a folder and its subfolders. Methods raise `OSError` if the system refuses a call."""
 
     def __init__(self, path: Path, flush: bool = False) -> None:
-        """With `flush`, a method that writes returns once the data is on the disk."""
+        """Use the folder at `path`. With `flush`, methods that write return once the data is on the disk."""
         self.path = path
         self._flush = flush
 
     def create_folders(self, parts: tuple[str, ...]) -> None:
-        """Create the folder and its parts, as far as they do not exist."""
+        """Create the folder and the subfolders `parts`, unless they exist."""
         for part in parts:
             (self.path / part).mkdir(parents=True, exist_ok=True, mode=FOLDER_MODE)
         if self._flush:
             sync_folder(self.path)
 
     def names(self, part: str, prefix: str = "") -> list[str]:
-        """Return the sorted names in a part that start with a prefix, without drafts."""
+        """Return the sorted names in a subfolder that start with a prefix, without drafts."""
         try:
             names = [path.name for path in (self.path / part).iterdir()]
         except FileNotFoundError:
@@ -51,7 +51,7 @@
             return file.read()
 
     def create(self, text: str, *components: str) -> None:
-        """Create a file, whole or not at all. Raises `FileExistsError` if it exists."""
+        """Create a file with its whole content. Raises `FileExistsError` if it exists."""
         create_file(self.path.joinpath(*components), text, self._flush)
 
     def replace(self, text: str, *components: str) -> None:
--- a/eiderfield/durable_requests/folder.py
+++ b/eiderfield/durable_requests/folder.py
@@ -1,18 +1,20 @@
 """The folder that the dispatchers of a host share.
 
-    form           the version of this layout; another version is refused
-    members, beats (`incarnations.py`), votes, fences (`fences.py`), ids, keys (`ids.py`), wishes
-                   (`end_requests.py`)
-    lives/INCARNATION.db    the records of an incarnation (`store.py`), with one writer
+    form                    the version of this layout; a folder of another version is refused
+    members/, beats/        `incarnations.py`
+    votes/, fences/         `fences.py`
+    ids/, keys/             `ids.py`
+    wishes/                 `end_requests.py`
+    lives/INCARNATION.db    the records of an incarnation, with one writer (`store.py`)
 
-Every decision between processes is one system call that succeeds for exactly one of them: it creates a link
-or a file that must not exist. No process holds a lock, so a process that is stopped or killed blocks no
-other.
+Processes that compete decide by one system call that succeeds for exactly one of them: it creates a link or a
+file that must not exist yet. No process holds a lock, so a stopped or killed process blocks no other.
 
 Why each request has one owner: an incarnation writes a claim into its own store, then looks up its own fence,
-and sends only if there is none. A successor sees the fence, then reads the store. One of the two is later, so
-either the owner sees the fence and sends nothing, or the successor sees the claim. This requires that all
-processes see the files through one kernel: a network file system does not do.
+and sends only if there is none. A successor sees the fence, then reads the store. If the fence is created
+before the owner looks it up, the owner sends nothing; otherwise the claim was written before the fence, and
+the successor reads it. This requires that all processes access the files through one kernel, which a network
+file system does not provide.
 """
 
 from __future__ import annotations
@@ -30,20 +32,21 @@
 from eiderfield.durable_requests.incarnations import HEARTBEATS, MEMBERS, Incarnations
 
 FORM = "1"  # the version of the layout
-STORES = "lives"  # the part with the stores; the stored name is older
+STORES = "lives"  # the subfolder of the stores; the stored name is older than this module's
 PARTS = (MEMBERS, HEARTBEATS, VOTES, FENCES, STORES, IDS, KEYS, END_REQUESTS)
 _FORM_FILE = "form"
-_STORE_SUFFIXES = ("", "-wal", "-shm")  # of the files of an SQLite database
-_MAX_SHOWN_FORM = 20  # characters of a foreign form in a message
+_STORE_SUFFIXES = ("", "-wal", "-shm")  # file name suffixes of an SQLite database
+_MAX_SHOWN_FORM = 20  # characters of an unknown version that a message shows
 
 
 class SharedFolder:
-    """The shared folder. Methods raise `OSError` for what the system refuses."""
+    """The shared folder. Methods raise `OSError` if the system refuses a call."""
 
     def __init__(self, path: Path, create: bool = True, flush: bool = False) -> None:
         """Open the folder; with `create`, create it if it does not exist.
 
-        Raises `FolderError`, except for a transient error with `create`: `ensure_usable` tries again then.
+        Raises `FolderError` if that fails, except after a transient error with `create`: in that case
+        `ensure_usable` tries again.
         """
         self.path = path
         self._files = FolderFiles(path, flush)
@@ -59,7 +62,7 @@
                 raise
 
     def ensure_usable(self) -> None:
-        """Create the folder, if that failed before. Raises `FolderError` if it cannot be used."""
+        """Create the folder if `__init__` could not. Raises `FolderError` if it cannot be used."""
         if not self._is_usable:
             self._open(create=True)
 
@@ -109,7 +112,7 @@
         return [path.stem for path in sorted((self.path / STORES).glob("*.db"))]
 
     def remove_incarnation(self, incarnation: str) -> None:
-        """Remove what is left of a fenced incarnation, except its fence."""
+        """Remove all files of a fenced incarnation except its fence."""
         self.incarnations.remove(incarnation)
         for suffix in _STORE_SUFFIXES:
             self._files.remove(STORES, f"{incarnation}.db{suffix}")
--- a/eiderfield/durable_requests/ids.py
+++ b/eiderfield/durable_requests/ids.py
@@ -1,9 +1,9 @@
 """Which incarnation holds a request id, and which request id holds a class's idempotency key.
 
-    ids/XX/HASH[.N]    a link to the incarnation that took an id; N is the generation from the second one on
+    ids/XX/HASH[.N]    a link to the incarnation that acquired an id; N is the generation, from the second on
     keys/XX/HASH       a link to the request id that holds a class's key
 
-Of all who try to create a link, one succeeds.
+Of several processes that try to create the same link, one succeeds.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 IDS, KEYS = "ids", "keys"
 FIRST_GENERATION = 1
-PREFIX_LENGTH = 2  # characters of a hash that name its subfolder
+PREFIX_LENGTH = 2  # leading characters of a hash, which name its subfolder
 
 
 class Holder(NamedTuple):
-    """The incarnation that took an id last, and how often the id had been taken then."""
+    """The incarnation that acquired an id last, and the generation: how often the id has been acquired."""
 
     generation: int
     incarnation: str
@@ -28,7 +28,7 @@
     """All ids and keys in a folder."""
 
     def __init__(self, files: FolderFiles) -> None:
-        """Read nothing yet."""
+        """Use the folder of `files`."""
         self._files = files
 
     def holder(self, id_: str) -> Holder | None:
@@ -40,11 +40,11 @@
         return holder
 
     def acquire(self, id_: str, incarnation: str, generation: int = FIRST_GENERATION) -> bool:
-        """Take an id for the `generation`-th time. Returns False if another incarnation has done so."""
+        """Acquire a generation of an id. Returns False if an incarnation has acquired it already."""
         return self._files.link(incarnation, *_id_components(id_, generation))
 
     def acquire_key(self, class_name: str, key: str, id_: str) -> str:
-        """Hold a class's key for an id, unless another one holds it. Returns the id that holds it."""
+        """Acquire a class's key for an id, unless another id holds it. Returns the id that holds it."""
         components = _key_components(class_name, key)
         while not self._files.link(id_, *components):
             if (holder := self._files.target(*components)) is not None:
@@ -52,15 +52,15 @@
         return id_
 
     def release_key(self, class_name: str, key: str, id_: str) -> None:
-        """Free a key that an id holds."""
+        """Release a key if the id holds it."""
         components = _key_components(class_name, key)
         if self._files.target(*components) == id_:
             self._files.remove(*components)
 
     def release(self, id_: str, generation: int, class_name: str = "", key: str = "") -> None:
-        """Release an id that was taken `generation` times, and its key, unless the id was taken again."""
+        """Release an id and its key. An id that was acquired again after `generation` is kept."""
         if not self._files.exists(*_id_components(id_, generation + 1)):
-            for number in range(generation, 0, -1):  # the first link last: `holder` starts from it
+            for number in range(generation, 0, -1):  # the first link last, as `holder` starts from it
                 self._files.remove(*_id_components(id_, number))
         if key:
             self.release_key(class_name, key, id_)
--- a/eiderfield/durable_requests/incarnations.py
+++ b/eiderfield/durable_requests/incarnations.py
@@ -1,7 +1,8 @@
-"""The incarnations of the host's dispatchers: names that are never reused, with processes and heartbeats.
+"""The incarnations of the host's dispatchers: their names, which are never reused, processes and heartbeats.
 
-    members/INCARNATION    its process, the process's start, the boot of the machine, the wall clock's offset
-    beats/INCARNATION      the count of its heartbeats, in eight bytes
+    members/INCARNATION    its process id, the start of the process, the boot id of the machine, the wall
+                           clock's offset
+    beats/INCARNATION      its heartbeat count, in eight bytes
 
 A process begins an incarnation (`n1.3`) when it joins, and another one after it was fenced.
 """
@@ -22,20 +23,20 @@
 from eiderfield.machine import boot_id, process_started, unix_offset
 
 MEMBERS, HEARTBEATS = "members", "beats"
-CLOCK_STEP_MS = 1000.0  # by which the wall clock must leave the monotonic one to count as stepped
+CLOCK_STEP_MS = 1000.0  # smallest change of the wall clock's offset that counts as a step
 _HEARTBEAT = struct.Struct("<Q")
 _PLAIN_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}\Z")
 
 
 @dataclass(frozen=True, slots=True)
 class IncarnationInfo:
-    """What an incarnation has recorded of itself. The names of the fields are stored."""
+    """What an incarnation has recorded about itself. The names of the fields are stored."""
 
     name: str  # of the dispatcher
     pid: int
     started: str  # when its process began, in the kernel's ticks
     boot: str
-    offset: float  # ms from its monotonic clock to Unix time
+    offset: float  # Unix time minus its monotonic clock, in ms
 
     def encode(self) -> str:
         """Return the stored form."""
@@ -43,7 +44,7 @@
 
     @classmethod
     def decode(cls, text: str) -> IncarnationInfo:
-        """Return the content of a stored form. Raises `ValueError` if it is torn."""
+        """Return the incarnation of a stored form. Raises `ValueError` if the form is torn."""
         try:
             fields = json.loads(text)
             return cls(
@@ -58,7 +59,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the kernel knows its process."""
+        """Whether its process is still running on this boot of the machine."""
         return self.boot == boot_id() and process_started(self.pid) == self.started
 
 
@@ -66,10 +67,10 @@
     """All incarnations in a folder."""
 
     def __init__(self, files: FolderFiles) -> None:
-        """Read nothing yet."""
+        """Use the folder of `files`."""
         self._files = files
         self._exited: set[str] = set()
-        self.offset = unix_offset()  # as this process has written it last
+        self.offset = unix_offset()  # the value that this process has written last
 
     def begin(self, name: str) -> str:
         """Begin an incarnation of a dispatcher and return its name.
@@ -95,9 +96,9 @@
         return IncarnationInfo(name, pid, process_started(pid), boot_id(), self.offset)
 
     def update_clock_offset(self, incarnation: str, name: str) -> None:
-        """Record the wall clock's offset again if the wall clock was stepped.
+        """Record the wall clock's offset again after a step of the wall clock.
 
-        After a reboot only that offset converts the incarnation's times to the next monotonic clock.
+        After a reboot, only this offset can convert the incarnation's times to the new monotonic clock.
         """
         offset = unix_offset()
         if abs(offset - self.offset) <= CLOCK_STEP_MS:
@@ -110,13 +111,13 @@
             raise
 
     def info(self, incarnation: str) -> IncarnationInfo | None:
-        """Return what an incarnation has recorded of itself, None if that is removed or torn."""
+        """Return what an incarnation has recorded about itself, None if that is removed or torn."""
         with suppress(FileNotFoundError, ValueError):
             return IncarnationInfo.decode(self._files.read(MEMBERS, incarnation))
         return None
 
     def all(self, excluding: Container[str] = ()) -> dict[str, IncarnationInfo]:
-        """Return all incarnations except `excluding`, with what each has recorded of itself."""
+        """Return all incarnations except `excluding`, with what each has recorded about itself."""
         names = [name for name in self._files.names(MEMBERS) if name not in excluding]
         return {name: info for name in names if (info := self.info(name)) is not None}
 
@@ -131,7 +132,7 @@
             os.close(descriptor)
 
     def heartbeats(self, incarnations: Iterable[str]) -> dict[str, int]:
-        """Return the heartbeat counts of some incarnations, 0 for one without a count, as in a copy."""
+        """Return heartbeat counts, 0 for an incarnation without a readable count, as in a copied folder."""
         counts = dict.fromkeys(incarnations, 0)
         for name in counts:
             with suppress(OSError, struct.error):
@@ -139,7 +140,7 @@
         return counts
 
     def exited(self, incarnations: Mapping[str, IncarnationInfo]) -> set[str]:
-        """Return those of some incarnations whose process the kernel does not know any more."""
+        """Return the given incarnations whose process no longer runs."""
         for name, info in incarnations.items():
             if name not in self._exited and not info.is_running:
                 self._exited.add(name)
@@ -148,7 +149,7 @@
     def may_write(self, incarnation: str) -> bool:
         """Return whether the process of a fenced incarnation may still write to its store.
 
-        A process that is running and has begun a later incarnation writes to the later store only.
+        A running process that has begun a later incarnation writes only to the store of that one.
         """
         info = self.info(incarnation)
         if info is None or not info.is_running:
@@ -162,7 +163,7 @@
         return not any(other is not None and other.pid == info.pid for other in later)
 
     def remove(self, incarnation: str) -> None:
-        """Remove what an incarnation has recorded of itself, and its heartbeat."""
+        """Remove what an incarnation has recorded about itself, and its heartbeat."""
         self._files.remove(HEARTBEATS, incarnation)
         self._files.remove(MEMBERS, incarnation)
 
--- a/eiderfield/durable_requests/inspection.py
+++ b/eiderfield/durable_requests/inspection.py
@@ -1,7 +1,8 @@
-"""The whole folder as operators see it: every job once, with its owner; checks. Changes no store.
+"""Reads a whole folder for operators: every request once, with its owner, and checks. Changes no store.
 
-A job may be recorded in several stores: in that of the incarnation that accepted it, and in those of its
-successors. The record of the last owner that wrote one counts (`ownership.py`).
+A request, which operators see as a job, may be recorded in several stores: in that of the incarnation that
+accepted it and in those of its successors. The record of the last owner that wrote one counts
+(`ownership.py`).
 """
 
 from __future__ import annotations
@@ -25,17 +26,17 @@
 
 
 class IncarnationState(StrEnum):
-    """The state of an incarnation, by the word that operators see."""
+    """The state of an incarnation. Operators see the values."""
 
     ALIVE = "alive"
-    GONE = "gone"  # its process is gone, and it is not fenced yet
+    GONE = "gone"  # its process has exited, and it is not fenced yet
     LOST = "lost"
     LEFT = "left"
 
 
 @dataclass(frozen=True, slots=True)
 class StoredRequest:
-    """A durable request as it is recorded. `chain` are the incarnations it has belonged to."""
+    """A durable request as it is recorded. `chain` has the incarnations that it has belonged to."""
 
     record: Record
     owner: str  # '' while no incarnation owns it
@@ -54,7 +55,7 @@
     def row(self, unix_offset: float) -> dict[str, object]:
         """Return plain values, for tables and JSON.
 
-        `unix_offset` leads from the monotonic clock to Unix time, in ms.
+        `unix_offset` is Unix time minus the monotonic clock, in ms.
         """
         record = self.record
         is_attempted = not record.verdict and bool(record.attempts)
@@ -105,10 +106,10 @@
     """Reads a folder. Raises `FolderError` if it is not a folder of durable requests."""
 
     def __init__(self, path: Path) -> None:
-        """Read the fences."""
+        """Open the folder and read its fences."""
         self.folder = SharedFolder(path, create=False)
         self.fences = self.folder.fences.refresh()
-        self.faults: list[str] = []  # stores that could not be read, with the reason
+        self.faults: list[str] = []  # the stores that could not be read, each with the reason
 
     def incarnations(self) -> list[StoredIncarnation]:
         """Return all incarnations."""
@@ -130,7 +131,7 @@
         return StoredIncarnation(name, state, fence, counts, None if info is None else info.pid)
 
     def requests(self) -> Iterator[StoredRequest]:
-        """Yield every job once."""
+        """Yield every request once."""
         seen: set[str] = set()
         for name in self.folder.stored_incarnations():
             try:
@@ -149,7 +150,7 @@
             yield request
 
     def request(self, id_: str) -> StoredRequest | None:
-        """Return one job, None if nothing is recorded of it."""
+        """Return a request, None if it has no record."""
         holder = self.folder.ids.holder(id_)
         if holder is None:
             return None
--- a/eiderfield/durable_requests/intake.py
+++ b/eiderfield/durable_requests/intake.py
@@ -3,11 +3,12 @@
 States of a request, as this process sees it:
 
     accepting   it is being recorded; waiters join once its owner is known
-    owned       recorded here: the exchange has it and its answer is recorded before any waiter gets it
-    remote      another process owns it: its waiters wait until its answer is found
+    owned       this process has recorded it: the exchange serves it, and its answer is recorded before any
+                waiter gets it
+    remote      another process owns it: its waiters wait until that process has recorded the answer
 
-The outcome of the commit thread leads from accepting to owned or remote. A takeover leads from remote to
-owned, the end of this process's incarnation from owned to remote (`thread_events.py`).
+The outcome of the commit decides whether an accepting request becomes owned or remote. A takeover makes a
+remote request owned; the end of this process's incarnation makes an owned one remote (`thread_events.py`).
 """
 
 from __future__ import annotations
@@ -35,9 +36,9 @@
 from eiderfield.exchange.request import Answer, Request, Verdict
 from eiderfield.machine import steady_ms
 
-EXPIRY_MARGIN_MS = RECORDING_TIME_MS / 4.0  # before its deadline a waiter without an answer is answered
+EXPIRY_MARGIN_MS = RECORDING_TIME_MS / 4.0  # time before its deadline at which a waiter expires
 
-ClientLeftCallback = Callable[[], None]  # what a front calls when its client has left
+ClientLeftCallback = Callable[[], None]  # a front calls it when its client has left
 
 
 def _ignore() -> None:
@@ -45,7 +46,7 @@
 
 
 class RequestIntake:
-    """The durable requests of one process, as its fronts see them."""
+    """Accepts the durable requests of one process from its fronts."""
 
     def __init__(
         self,
@@ -54,7 +55,7 @@
         submission: RequestSubmission,
         cancellation: RequestCancellation,
     ) -> None:
-        """Accept nothing yet."""
+        """Submit accepted requests with `submission`."""
         self._context = context
         self._remote_waiters = remote_waiters
         self._submission = submission
@@ -76,10 +77,10 @@
         front: str = DEFAULT_FRONT,
         on_recorded: Callable[[], None] = _ignore,
     ) -> ClientLeftCallback:
-        """Accept a request, or join its client to the request that has its id already.
+        """Accept a request, or let its client wait for the request that has the id already.
 
-        `on_answer` is called once with the answer, `on_recorded` once the request is recorded, by this or by
-        another process. Returns what to call when the client has left.
+        `on_answer` is called once, with the answer; `on_recorded` is called once the request is recorded, by
+        this or by another process. Returns a function to call when the client has left.
         """
         waiter = Waiter(request, on_answer, front, on_recorded)
         is_owned_here = request.id in self._context.owned_requests
@@ -94,7 +95,7 @@
         return partial(self._cancellation.on_client_left, waiter)
 
     def _is_known(self, id_: str) -> bool:
-        """Return whether some process has taken an id. One that cannot be looked up may be known."""
+        """Return whether a process has acquired an id. An id that cannot be looked up counts as known."""
         try:
             return self._context.member.folder.ids.holder(id_) is not None
         except OSError:
@@ -105,7 +106,7 @@
         waiter.answer(Answer(Verdict.DECLINED, retry_after=REJECTION_RETRY_AFTER_MS))
 
     def record(self, waiter: Waiter) -> None:
-        """Have a waiter's request recorded, and join the waiter to it."""
+        """Record a waiter's request, and let the waiter wait for its answer."""
         request = waiter.request
         class_name = self._context.class_names[request.class_index]
         record = record_of(request, class_name, self._context.now(), steady_ms(), waiter.front)
@@ -131,7 +132,7 @@
         self._on_remote_outcome(waiter, outcome)
 
     def _on_remote_outcome(self, waiter: Waiter, outcome: Outcome) -> None:
-        """Answer a waiter whose request this process does not own, or let it wait for the answer."""
+        """Answer a waiter whose request this process does not own, or let it wait for the owner's answer."""
         match outcome:
             case AlreadyFinal(record):
                 waiter.on_recorded()
@@ -146,7 +147,7 @@
             case AlreadyAccepted(id_):
                 self._count_joined(waiter)
                 self._remote_waiters.add(id_, waiter)
-            case _:  # accepted by an incarnation that is over: its successors own the request
+            case _:  # accepted by an incarnation that has ended, whose successors own the request
                 self._remote_waiters.add(waiter.request.id, waiter)
 
     def _count_joined(self, waiter: Waiter) -> None:
--- a/eiderfield/durable_requests/lease.py
+++ b/eiderfield/durable_requests/lease.py
@@ -1,9 +1,9 @@
-"""The lease under which this process may send what it has claimed. Performs no I/O and reads no clock.
+"""The lease under which this process may send claimed attempts. Performs no I/O and reads no clock.
 
-A lease runs from the moment before a heartbeat was written. Its holder stops sending a margin before its end;
-no other member suspects the holder before a whole lease has passed since it read the last heartbeat. A
-heartbeat is read after it was written. So on any two monotonic clocks that drift by less than the margin
-within a lease, no member suspects a holder that still considers itself allowed to send.
+A lease runs from the time just before a heartbeat was written. Its holder stops sending one margin before the
+lease ends. Another member suspects the holder only when a whole lease has passed since that member read the
+last heartbeat, which was after the heartbeat was written. So if the monotonic clocks of the two drift apart
+by less than the margin within a lease, no member suspects a holder that may still send.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A lease. All times in ms."""
+    """A lease. All times are in ms."""
 
     length: float
     margin: float
-    since: float = -inf  # the moment before the last heartbeat was written
+    since: float = -inf  # the time just before the last heartbeat was written
 
     def renew(self, before: float) -> None:
-        """Renew the lease: a heartbeat has been written whose write began at `before`."""
+        """Renew the lease with a heartbeat whose write began at `before` and has succeeded."""
         self.since = max(self.since, before)
 
     def holds(self, now: float) -> bool:
-        """Return whether the holder may send."""
+        """Return whether the holder may send at `now`."""
         return now < self.since + self.length - self.margin
--- a/eiderfield/durable_requests/lookup.py
+++ b/eiderfield/durable_requests/lookup.py
@@ -1,4 +1,4 @@
-"""Finds the record of a request, in whichever store it is."""
+"""Finds the latest record of a request in the stores of all incarnations."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class LocatedRecord(NamedTuple):
-    """The latest record of an id, if there is one, and the incarnations that the id has belonged to."""
+    """The latest record of an id, if it has one, and the incarnations that the id has belonged to."""
 
-    generation: int  # how often the id was taken; 0 for never
+    generation: int  # how often the id was acquired; 0 for never
     record: Record | None
     chain: tuple[str, ...]
 
@@ -24,7 +24,7 @@
 
 
 class FoundAnswer(NamedTuple):
-    """A request whose answer was awaited: its FINAL record, None if nothing is known of the id any more."""
+    """The end of a wait for an answer: the FINAL record, None if there is no record to wait for."""
 
     id: str
     record: Record | None
@@ -37,7 +37,7 @@
     """Reads the store of this incarnation and those of others."""
 
     def __init__(self, context: Context) -> None:
-        """Read nothing yet."""
+        """Use the stores and fences of `context`."""
         self._context = context
 
     def locate(self, id_: str) -> LocatedRecord:
@@ -68,20 +68,20 @@
             return None
 
     def is_abandoned(self, located: LocatedRecord) -> bool:
-        """Return whether an id was taken by an incarnation that is fenced and recorded nothing.
+        """Return whether a fenced incarnation acquired an id and no incarnation has recorded it.
 
-        Nobody will record it any more, except a commit that was in progress when the fence was created.
+        Only a commit that was in progress when the fence was created may still record it.
         """
         if located.record is not None or not located.chain:
             return False
         return self._context.folder.fences.exists(located.chain[0])
 
     def is_unwritten_here(self, located: LocatedRecord) -> bool:
-        """Return whether this incarnation took an id and recorded nothing: no other one will record it."""
+        """Return whether only this incarnation can still record an id: it acquired the id and has not yet."""
         return located.record is None and located.chain == (self._context.own_name,)
 
     def poll_answers(self, ids: Iterable[str]) -> list[FoundAnswer]:
-        """Return those of some ids that have their answer, or of which nothing is known any more."""
+        """Return the given requests that have their answer, or have no record to wait for."""
         found: list[FoundAnswer] = []
         for id_ in ids:
             try:
--- a/eiderfield/durable_requests/loop_context.py
+++ b/eiderfield/durable_requests/loop_context.py
@@ -1,4 +1,4 @@
-"""What the parts of the coordinator share. All of them run in the event loop."""
+"""The state that the parts of the coordinator share. All of them run in the event loop."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessServices:
-    """What the process provides. `clock` returns ms on the clock of request deadlines."""
+    """The services that the process provides. `clock` returns the time of request deadlines, in ms."""
 
     exchange: Exchange
     ids: IdMap
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class LoopContext:
-    """Shared by the parts of one coordinator."""
+    """The state that the parts of one coordinator share."""
 
     services: ProcessServices
     commit_thread: CommitThread
@@ -54,5 +54,5 @@
         self.services.timers.at(self.now() + delay, callback)
 
     def from_monotonic(self, at: float) -> float:
-        """Convert a time of the machine's monotonic clock to the process's clock."""
+        """Convert a time of the machine's monotonic clock, in ms, to the process's clock."""
         return at - steady_ms() + self.now()
--- a/eiderfield/durable_requests/member.py
+++ b/eiderfield/durable_requests/member.py
@@ -1,15 +1,16 @@
-"""The member of one process in the shared folder, without a thread.
+"""A member: one process's part in the shared folder. It starts no thread.
 
 States of a member, which has one incarnation at a time:
 
-    none     no incarnation could be begun, or the last one is over; `tick` begins one, at most one per second
+    none     no incarnation could be begun, or the last one has ended; `tick` tries to begin one, at most once
+             per `BEGIN_INTERVAL_MS`
     active   writes changes (`apply`), renews its lease and watches the others (`tick`), takes over requests
              (`take_over`)
-    left     has given its requests to the others, and begins no further incarnation
+    left     has handed its requests to the others, and begins no further incarnation
 
-A member is called by one thread at a time (`commit_thread.py`), or by a test that stops it at one of the
-named points. A member whose incarnation is fenced gives up all its requests; its next incarnation starts with
-none.
+One thread at a time calls a member: the commit thread (`commit_thread.py`), or a test that stops the member
+at a failpoint. A member whose incarnation is fenced gives up all its requests; its next incarnation starts
+without requests.
 """
 
 from __future__ import annotations
@@ -49,15 +50,15 @@
 from eiderfield.machine import steady_ms
 
 BEGIN_INTERVAL_MS = 1000.0  # between two tries to begin an incarnation
-STORE_SIZE_FACTOR = 2  # of a store's file, over the bytes of bodies and results in it
+STORE_SIZE_FACTOR = 2  # largest size of a store's file, relative to `max_bytes` of bodies and results
 
 
 def _ignore_failpoint(_name: str) -> None:
-    """Do nothing: only the laboratory stops a process at named points."""
+    """Do nothing: only the laboratory and tests stop a process at failpoints."""
 
 
 class Member:
-    """The member of one process. `reach_failpoint` is replaced by the laboratory and by tests."""
+    """The member of one process. The laboratory and tests replace `reach_failpoint`."""
 
     reach_failpoint: Callable[[str], None] = staticmethod(_ignore_failpoint)
 
@@ -87,7 +88,7 @@
         self._membership = Membership(self._context)
         self._takeover = Takeover(self._context, self._lookup, self._membership.renew)
         self.retention = Retention(self._context, self._lookup, self._takeover.to_own_clock)
-        self._unopened_incarnation = ""  # one that was begun and has no store yet
+        self._unopened_incarnation = ""  # an incarnation that was begun and has no store yet
         self._tried_to_begin_at = -BEGIN_INTERVAL_MS
 
     @property
@@ -102,7 +103,7 @@
 
     @property
     def counters(self) -> Counters:
-        """What was done since this process began."""
+        """The counters since this process started."""
         return self._context.counters
 
     @property
@@ -121,7 +122,7 @@
         return {} if self.current is None else self.current.open_records
 
     def holds_lease(self, now: float) -> bool:
-        """Return whether this process may send what it has claimed."""
+        """Return whether this process may send attempts that it has claimed."""
         return self.current is not None and self.current.lease.holds(now)
 
     # Incarnations.
@@ -148,8 +149,8 @@
     def _open_store(self) -> tuple[str, RecordStore]:
         """Return the name and the store of a new incarnation.
 
-        A name whose store could not be created is used again at the next try, unless it was fenced meanwhile:
-        otherwise a full disk would fill with names.
+        If the store cannot be created, the next try uses the same name, unless that was fenced meanwhile.
+        With a new name for each try, the file names would fill a disk that is already full.
         """
         fences = self.folder.fences
         if not self._unopened_incarnation or fences.exists(self._unopened_incarnation):
@@ -168,11 +169,11 @@
         return name, store
 
     def end_incarnation(self) -> None:
-        """End the current incarnation. Its successors own its requests."""
+        """End the current incarnation, whose successors own its requests."""
         self._context.end_incarnation()
 
     def leave(self) -> bool:
-        """Give all requests to the other members. Returns False if there is no other member."""
+        """Hand all requests to the other members. Returns False if there is no other member."""
         if self.current is None:
             return False
         with suppress(OSError):
@@ -184,7 +185,7 @@
     def close(self) -> None:
         """Close all files, and leave if no request is open.
 
-        Open requests are the successors' once this process is gone.
+        Successors own the open requests once this process has exited.
         """
         if not self.open_records:
             self.leave()
@@ -212,17 +213,17 @@
         return Written()
 
     def find(self, id_: str) -> Record | None:
-        """Return the latest record of a request, in whichever store it is."""
+        """Return the latest record of a request, from any store."""
         return self._lookup.find(id_)
 
     def poll_answers(self, ids: Iterable[str]) -> list[FoundAnswer]:
-        """Return those of some ids that have their answer, or of which nothing is known any more."""
+        """Return the given requests that have their answer, or have no record to wait for."""
         return self._lookup.poll_answers(ids)
 
     def requested_ends(self) -> list[str]:
         """Return the requests of this incarnation whose end has been requested.
 
-        Removes the end requests of requests that are over.
+        Removes the end requests for requests that have ended.
         """
         ids = []
         with suppress(OSError):
@@ -242,7 +243,7 @@
     def tick(self) -> bool:
         """Renew the lease, detect lost incarnations and scan their stores.
 
-        Without an incarnation, try to begin one. Returns whether there was one and still is.
+        Without an incarnation, try to begin one. Returns whether there was an incarnation before and after.
         """
         if self.current is None:
             is_due = self._context.now() >= self._tried_to_begin_at + BEGIN_INTERVAL_MS
@@ -251,7 +252,7 @@
             return False
         try:
             self._tick(self.current)
-        except (StoreError, OSError, ValueError) as error:  # `ValueError`: a foreign name in the folder
+        except (StoreError, OSError, ValueError) as error:  # `ValueError`: a foreign file name
             self._context.count_failure(error)
         return self.current is not None
 
--- a/eiderfield/durable_requests/membership.py
+++ b/eiderfield/durable_requests/membership.py
@@ -1,4 +1,4 @@
-"""One member's part in the agreement on lost incarnations: its heartbeat, its votes and its fences."""
+"""One member's part in deciding which incarnations are lost: its heartbeat, its votes and its fences."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """Watches the other incarnations for the current one."""
 
     def __init__(self, context: Context) -> None:
-        """Watch nothing yet."""
+        """Use the folder of `context`."""
         self._context = context
         self.member_count = 0  # incarnations that were not fenced in the last round
 
@@ -34,7 +34,7 @@
         return folder.incarnations.all(excluding=folder.fences.fenced)
 
     def run_round(self, own: Incarnation) -> None:
-        """Read the heartbeats of the others, vote against those that are suspected, and fence the lost."""
+        """Read the heartbeats of the others, vote against the suspected ones, and fence the lost ones."""
         folder, now = self._context.folder, self._context.now()
         alive = self.alive()
         self.member_count = len(alive)
@@ -65,7 +65,7 @@
                 )
 
     def fence_self(self, own: Incarnation) -> bool:
-        """Fence the current incarnation, so that the others own its requests.
+        """Fence the current incarnation, which makes the others the owners of its requests.
 
         Returns False if there is no other incarnation.
         """
--- a/eiderfield/durable_requests/messages.py
+++ b/eiderfield/durable_requests/messages.py
@@ -1,4 +1,4 @@
-"""Operations that the event loop hands to its member, and their outcomes."""
+"""Operations that the event loop queues for its member, and their outcomes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Record a request and own it."""
+    """Record a request, which makes this incarnation its owner."""
 
     record: Record
 
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """Record the final answer. `reason` is for operators."""
+    """Record the final answer. `reason` is stored for operators."""
 
     id: str
     answer: Answer
@@ -57,7 +57,7 @@
 
 
 Change = Accept | Claim | ReleaseClaim | Finish  # written into the store of this incarnation
-Query = Find | RequestEnd  # possible without an incarnation
+Query = Find | RequestEnd  # also answered without an incarnation
 Operation = Change | Query
 
 # Outcomes.
@@ -65,60 +65,60 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """Of `Accept`: this incarnation owns the request."""
+    """Outcome of `Accept`: this incarnation owns the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyAccepted:
-    """Of `Accept`: the request is recorded under this id and its answer can be awaited."""
+    """Outcome of `Accept`: the request is recorded under this id and its answer can be awaited."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyFinal:
-    """Of `Accept`: the request has its answer."""
+    """Outcome of `Accept`: the request has its answer."""
 
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Of `Accept`: the id, or the idempotency key, belongs to another request."""
+    """Outcome of `Accept`: the id, or the idempotency key, belongs to another request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Claimed:
-    """Of `Claim`: recorded by this incarnation, which alone may send the attempt."""
+    """Outcome of `Claim`: this incarnation has recorded the attempt, and only it may send the attempt."""
 
     incarnation: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndRequested:
-    """Of `Claim`: not recorded, because the end of the request has been requested."""
+    """Outcome of `Claim`: not recorded, because the end of the request has been requested."""
 
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """Of `Find`: the record, None if there is none."""
+    """Outcome of `Find`: the record, None if there is none."""
 
     record: Record | None
 
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """The change is written."""
+    """Outcome of a change or of `RequestEnd`: it is written."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotOwned:
-    """This incarnation does not own the request, or not any more: nothing may follow from the change."""
+    """Outcome of a change: this incarnation does not own the request, and must not act on the change."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotWritten:
-    """The system refused to write the change."""
+    """Outcome of any operation that writes: the system refused the write."""
 
     reason: str
 
--- a/eiderfield/durable_requests/owned_requests.py
+++ b/eiderfield/durable_requests/owned_requests.py
@@ -6,14 +6,14 @@
 
 from eiderfield.durable_requests.waiters import Waiter
 
-UNKNOWN_CLASS = -1  # class index of a record whose class the settings do not name
+UNKNOWN_CLASS = -1  # class index for a class that the settings do not contain
 
 
 @dataclass(slots=True, eq=False)
 class OwnedRequest:
     """A request between its acceptance by this process and its answer.
 
-    While `is_accepting`, the commit thread has not reported yet which process owns the request.
+    `is_accepting` is true until the commit thread has reported which process owns the request.
     """
 
     class_index: int
@@ -31,7 +31,7 @@
     def is_waited_for(self) -> bool:
         """Whether a client waits for the answer.
 
-        A request without any waiter was taken over: its client may still ask again, so it counts as waited
+        A request without waiters was taken over. Its client may still submit it again, so it counts as waited
         for.
         """
         return not self.waiters or any(not waiter.is_done for waiter in self.waiters)
--- a/eiderfield/durable_requests/ownership.py
+++ b/eiderfield/durable_requests/ownership.py
@@ -1,10 +1,10 @@
 """The owner of a request after incarnations were lost. Performs no I/O and reads no clock.
 
-Each request of a fenced incarnation has one successor among those that the fence names, selected by a hash of
-the request id; if that one is fenced too, one among its successors, and so on.
+A fence names the successors of an incarnation. A hash of the request id selects the one that owns a request;
+if that successor is fenced too, one of its own successors is selected in the same way, and so on.
 
-Invariant: no two incarnations own one request. A further fence only lengthens the chain, so all who know the
-same fences select the same owner, and whoever knows fewer selects one that is fenced.
+Invariant: no two incarnations own one request. A further fence only lengthens the chain, so members that know
+the same fences select the same owner, and a member that knows fewer fences selects one that is fenced.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     """Return the incarnations that a request has belonged to, from the one that accepted it to its owner.
 
     `fences` maps each fenced incarnation to its successors. Two incarnations that were fenced at the same
-    time may name each other: a chain that finds no new successor continues in the first list of
+    time may name each other as successors: a chain that finds no new successor continues in the first list of
     `further_successors`, then in the second one, and so on. If the last incarnation of the chain is fenced,
     the request has no owner yet.
     """
--- a/eiderfield/durable_requests/readers.py
+++ b/eiderfield/durable_requests/readers.py
@@ -1,7 +1,7 @@
 """Reads the stores of other incarnations, with a bounded number of open files.
 
-A store is open, absent, empty (nothing was ever written) or unreadable. An unreadable store is never taken
-for an empty one: a request in it may have started.
+A store is open, absent, empty (nothing was ever written) or unreadable. An unreadable store never counts as
+empty: an attempt of a request in it may have started.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from eiderfield.durable_requests.record import Record
 from eiderfield.durable_requests.store import RecordStore
 
-MAX_OPEN_STORES = 6  # each takes three descriptors
+MAX_OPEN_STORES = 6  # each uses three file descriptors
 
 
 class StoreReaders:
     """Open stores of other incarnations, by incarnation."""
 
     def __init__(self, folder: SharedFolder, log: Callable[[str], None]) -> None:
-        """Open nothing yet."""
+        """Read the stores of `folder`."""
         self._folder = folder
         self._log = log
-        self._open: dict[str, RecordStore] = {}  # the one that was used last at the end
-        self._used: set[str] = set()  # since the last `close_unused`
-        self._empty: set[str] = set()  # when they were opened last
-        self._logged: set[str] = set()  # unreadable ones that have been logged
+        self._open: dict[str, RecordStore] = {}  # in the order of their last use
+        self._used: set[str] = set()  # incarnations whose store was used since the last `close_unused`
+        self._empty: set[str] = set()  # incarnations whose store was empty at the last try to open it
+        self._logged: set[str] = set()  # incarnations whose unreadable store has been logged
 
     def open(self, incarnation: str) -> RecordStore | None:
         """Return the store of an incarnation, None if it is absent, empty or unreadable."""
--- a/eiderfield/durable_requests/record.py
+++ b/eiderfield/durable_requests/record.py
@@ -3,12 +3,13 @@
 Stages of a record. One incarnation owns it at a time:
 
     ACCEPTED   accepted; no attempt is known that may have run
-    CLAIMED    an attempt may be open or may have run; written before its first byte is sent
-    FINAL      the one answer is recorded and is given to every client that asks again
+    CLAIMED    an attempt may be open or may have run; written before the first byte of the attempt is sent
+    FINAL      the one answer is recorded, and every client that submits the request again gets it
 
 An attempt that is proven never to have run is removed, and a record without attempts is ACCEPTED again. A
-successor goes on from the record: with an ACCEPTED one as if it had just arrived, with its first deadline;
-with a CLAIMED one from its earlier attempts, for which the policy decides what the class allows.
+successor continues from the record. It treats an ACCEPTED request like one that has just arrived, except that
+the original deadline holds. For a CLAIMED one, the policy decides by the class and the earlier attempts
+whether another attempt is allowed.
 
 Invariants: a FINAL record never changes; a record never loses an attempt that may have run.
 
@@ -23,7 +24,7 @@
 
 from eiderfield.exchange.request import Answer, Request, Verdict
 
-DEFAULT_FRONT = "platform"  # the front whose clients wait on a connection
+DEFAULT_FRONT = "platform"  # the front whose clients wait for their answer on a connection
 
 
 class Stage(IntEnum):
@@ -70,11 +71,11 @@
     body: bytes
     stage: Stage = Stage.ACCEPTED
     attempts: tuple[AttemptRecord, ...] = ()
-    takeovers: int = 0  # how many incarnations have taken it over
-    generation: int = 1  # how often its id had been taken when it was accepted
+    takeovers: int = 0  # the number of incarnations that have taken it over
+    generation: int = 1  # of its id (`ids.py`) when it was accepted
     front: str = DEFAULT_FRONT
-    finished_at: float = 0.0  # 0 without an answer
-    verdict: str = ""  # of the answer, '' without one
+    finished_at: float = 0.0  # when it was answered; 0 without an answer
+    verdict: str = ""  # of the answer, '' without an answer
     result: bytes = b""
     retry_after: float = 0.0
     may_have_run: bool = False
@@ -93,7 +94,7 @@
 
     @property
     def digest(self) -> int:
-        """A checksum of what is requested. A request with the same id and another digest is another one."""
+        """A checksum of class, target, key and body: with another digest, the same id is another request."""
         return crc32(self.body, crc32(f"{self.class_name} {self.head.target} {self.key}".encode()))
 
     @property
@@ -105,9 +106,9 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether the answer is given to a client that asks again.
+        """Whether a client that submits the request again gets this answer.
 
-        A rejection is not: the client may submit the request again without harm.
+        A rejection is not repeated: the client may submit the request again as a new one.
         """
         return self.stage == Stage.FINAL and self.verdict != Verdict.DECLINED.value
 
@@ -135,15 +136,15 @@
         )
 
     def taken_over(self) -> Record:
-        """Return the record as its next owner writes it, with the attempts numbered from 0."""
+        """Return the record that a successor writes, with the attempts numbered from 0."""
         attempts = tuple(replace(attempt, number=number) for number, attempt in enumerate(self.attempts))
         return replace(self, takeovers=self.takeovers + 1, attempts=attempts)
 
     def shifted(self, offset: float, now: float) -> Record:
-        """Return the record on a clock that is `offset` ms ahead and shows `now`.
+        """Return the record with its times converted to a clock that is `offset` ms ahead and shows `now`.
 
-        Whatever was recorded lies in the past of `now`, and no more time is left than the request had at
-        first.
+        All recorded events are at `now` or earlier, and the time left until the deadline is at most the time
+        that the request had when it was accepted.
         """
         accepted_at = min(self.accepted_at + offset, now)
         attempts = tuple(
@@ -159,10 +160,10 @@
 def record_of(
     request: Request, class_name: str, now: float, accepted_at: float, front: str = DEFAULT_FRONT
 ) -> Record:
-    """Return the record of a request that is accepted now.
+    """Return the record of a request that is being accepted.
 
-    `now` is the time of the process's clock, on which the request has its deadline; `accepted_at` is the same
-    moment on the monotonic clock.
+    `now` is the current time on the process's clock, which the deadline of the request refers to;
+    `accepted_at` is the same time on the monotonic clock.
     """
     head = RequestHead(
         target=request.target,
@@ -180,7 +181,7 @@
 def request_of(record: Record, class_index: int, now: float, monotonic: float) -> Request:
     """Return the request of a record, with its deadline on the process's clock.
 
-    `now` on the process's clock and `monotonic` on the monotonic clock are the same moment.
+    `now` on the process's clock and `monotonic` on the monotonic clock are the same time.
     """
     head = record.head
     return Request(
--- a/eiderfield/durable_requests/record_codec.py
+++ b/eiderfield/durable_requests/record_codec.py
@@ -77,7 +77,7 @@
 
 
 def decode(row: Sequence[object]) -> Record:
-    """Return the record of a row. Raises `ValueError` or `TypeError` if it is not one."""
+    """Return the record of a row. Raises `ValueError` or `TypeError` if the row holds no valid record."""
     value = dict(zip(COLUMNS, row, strict=True))
     return Record(
         id=str(value["id"]),
--- a/eiderfield/durable_requests/remote_waiters.py
+++ b/eiderfield/durable_requests/remote_waiters.py
@@ -9,7 +9,7 @@
 
 
 class RemoteWaiters:
-    """The waiters, by request id. The commit thread polls for the answers that they wait for."""
+    """The waiters, by request id. The commit thread polls for the answers of their requests."""
 
     def __init__(self, context: LoopContext) -> None:
         """Start without waiters."""
@@ -21,7 +21,7 @@
         return sum(map(len, self._waiters.values()))
 
     def add(self, id_: str, waiter: Waiter) -> None:
-        """Let a waiter wait until the answer of the request is found."""
+        """Let a waiter wait until the answer of the request is found. Ignores a waiter that is done."""
         if not waiter.is_done:
             self._waiters.setdefault(id_, []).append(waiter)
             self._context.commit_thread.watch(id_)
@@ -32,7 +32,7 @@
             self.add(id_, waiter)
 
     def remove(self, id_: str) -> list[Waiter]:
-        """Remove and return the waiters of a request for whose answer nobody polls any more."""
+        """Remove and return the waiters of a request that the commit thread no longer polls for."""
         return self._waiters.pop(id_, [])
 
     def take_back(self, id_: str) -> list[Waiter]:
--- a/eiderfield/durable_requests/retention.py
+++ b/eiderfield/durable_requests/retention.py
@@ -1,10 +1,10 @@
 """Deletes old answers: from the store of this incarnation, and with the stores of lost incarnations.
 
-The store of a lost incarnation is removed once no process writes to it, all its open requests are taken over,
-and its answers are old. Ids are released before records are deleted: a record whose id was released does not
-count any more (`takeover.py`).
+The store of a lost incarnation is removed once no process writes to it, all its open requests have been taken
+over, and its answers have expired. Ids are released before records are deleted: a record whose id was
+released is ignored (`takeover.py`).
 
-Invariant: an id that was taken again is not released.
+Invariant: an id that was acquired again is not released.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from eiderfield.durable_requests.lookup import RecordLookup
 from eiderfield.durable_requests.record import Record, Stage
 
-OWN_INTERVAL_MS = 1000.0  # between two clean-ups of the own store
+OWN_INTERVAL_MS = 1000.0  # between two clean-ups of this incarnation's store
 LOST_INTERVAL_MS = 10_000.0  # between two clean-ups of the stores of lost incarnations
 
 
@@ -33,7 +33,7 @@
         self._own_cleaned_at = self._lost_cleaned_at = context.now()
 
     def clean(self, own: Incarnation) -> None:
-        """Delete what is due, at most once in `OWN_INTERVAL_MS`."""
+        """Delete expired records and stores, at most once per `OWN_INTERVAL_MS`."""
         now, settings = self._context.now(), self._context.settings
         if now < self._own_cleaned_at + OWN_INTERVAL_MS:
             return
@@ -48,7 +48,7 @@
         self._context.readers.close_unused()
 
     def delete(self, own: Incarnation, records: list[Record]) -> None:
-        """Delete FINAL records from the own store. What the system refuses is deleted later."""
+        """Delete FINAL records from this incarnation's store; after an error, a later call deletes them."""
         try:
             for record in records:
                 self._release(record, own.name)
--- a/eiderfield/durable_requests/schema.py
+++ b/eiderfield/durable_requests/schema.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-APPLICATION_ID = 0x65646572  # "eder", which SQLite keeps in the file's header
+APPLICATION_ID = 0x65646572  # "eder"; SQLite stores it in the header of the file
 SCHEMA_VERSION = 2
 FIRST_VERSION = 1
 
--- a/eiderfield/durable_requests/settings.py
+++ b/eiderfield/durable_requests/settings.py
@@ -1,4 +1,4 @@
-"""The table `custody` of a configuration."""
+"""The settings of durable requests: the table `custody` of a configuration."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from eiderfield.interface import Settings
 
 TICKS_PER_LEASE = 12.0
-CLOCK_DRIFT = 0.05  # share of a lease by which two monotonic clocks may drift within it, or a tick be late
+CLOCK_DRIFT = 0.05  # share of a lease by which monotonic clocks may drift within it, or a tick be late
 MEBIBYTE = 2**20
 
 
 @dataclass(frozen=True, slots=True)
 class DurableRequestSettings:
-    """Which requests are durable, and how."""
+    """Which classes of requests are durable, and the limits that apply to them."""
 
     folder: Path
     classes: frozenset[int]  # class indexes
     lease_ms: float = 3000.0
-    retention_ms: float = 600_000.0  # of a final answer
+    retention_ms: float = 600_000.0  # how long a final answer is kept
     max_final_records: int = 20_000
-    max_bytes: int = 256 * MEBIBYTE  # of bodies and results in a store
-    max_waiting_operations: int = 2000  # before new requests are rejected
+    max_bytes: int = 256 * MEBIBYTE  # total size of bodies and results in a store
+    max_waiting_operations: int = 2000  # with more of them, new requests are rejected
     takeovers_per_second: float = 200.0
     flush: bool = False  # whether a commit waits until the data is on the disk
 
@@ -34,7 +34,7 @@
 
     @property
     def lease_margin_ms(self) -> float:
-        """How long before its end a lease counts as over for its holder."""
+        """How long before the end of its lease a holder stops sending."""
         return self.lease_ms * CLOCK_DRIFT + self.tick_interval_ms
 
 
--- a/eiderfield/durable_requests/snapshot.py
+++ b/eiderfield/durable_requests/snapshot.py
@@ -1,4 +1,4 @@
-"""Copies of a folder, made while its members go on, and folders restored from such copies."""
+"""Copies a folder while its members use it, and restores a folder from such a copy."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 def copy_folder(source: Path, target: Path) -> int:
-    """Copy a folder, or a copy of one, into a new folder. Return the number of jobs.
+    """Copy a folder, or a copy of one, into a new folder. Return the number of requests.
 
-    Dispatchers that start on the copy take over all jobs that had no answer when their store was copied.
+    Dispatchers that start on the copy take over all requests without an answer at the time of the copy.
     Raises `FolderError` if `target` is not empty.
     """
     if target.exists() and any(target.iterdir()):
@@ -39,7 +39,7 @@
 
 
 def _copy_ids(request: StoredRequest, folder: SharedFolder, copy: SharedFolder) -> bool:
-    """Take a job's id and key in the copy as in the folder. Return whether the id has a holder."""
+    """Acquire a request's id and key in the copy as in the folder. Return whether the id has a holder."""
     record = request.record
     holder = folder.ids.holder(record.id)
     if holder is None:
--- a/eiderfield/durable_requests/store.py
+++ b/eiderfield/durable_requests/store.py
@@ -1,11 +1,11 @@
 """The store of one incarnation: its records in an SQLite file, with one writer and any number of readers.
 
-Writers of one shared file would wait for each other's locks, and a process that is stopped while it holds the
-lock would stop them all (measured in docs/durable-requests.md). So every incarnation has its own file.
-Readers see what is committed and never wait for the writer.
+Every incarnation has its own file. In a file with several writers, these would wait for each other's locks,
+and a process that is stopped while it holds the lock would block them all (measured in
+docs/durable-requests.md). Readers see all committed records and never wait for the writer.
 
 The schema has a version: a writer upgrades an older file, and a newer one is refused. The size of the file is
-bounded; `expired` names the FINAL records that are deleted first.
+bounded; `expired` returns the FINAL records to delete first.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 )
 
 PAGE_SIZE = 4096  # bytes
-MIN_PAGES = 16  # of a bounded file: an empty one has fewer
-READ_TIMEOUT_MS = 2000  # for which a reader waits while the journal of a killed writer is recovered
-MAX_EXPIRED = 500  # records that one call of `expired` returns
+MIN_PAGES = 16  # smallest bound of a file's size; an empty file has fewer pages
+READ_TIMEOUT_MS = 2000  # longest wait of a reader while the journal of a killed writer is recovered
+MAX_EXPIRED = 500  # records that one call of `expired` returns at most
 
-# SQLite's errors for what the system may allow later.
+# SQLite's errors after which the same call may succeed later.
 _TRANSIENT_ERRORS = frozenset(
     {
         sqlite3.SQLITE_FULL,
@@ -41,7 +41,7 @@
         sqlite3.SQLITE_NOMEM,
     }
 )
-_PRIMARY_CODE_MASK = 0xFF  # the part of an extended error code that names the error
+_PRIMARY_CODE_MASK = 0xFF  # the bits of an extended error code that hold the primary code
 
 _COLUMN_LIST = ", ".join(COLUMNS)
 _COLUMN_LIST_OF_FIRST_VERSION = _COLUMN_LIST.replace("front, number", "'platform', 1")
@@ -57,7 +57,7 @@
 
 
 class Counts(NamedTuple):
-    """The numbers of records without and with an answer, and the size of all bodies and results in bytes."""
+    """The numbers of records without and with an answer, and the size of bodies and results in bytes."""
 
     open: int
     final: int
@@ -138,7 +138,7 @@
         """Close the file."""
         self._database.close()
 
-    # Writing. All changes between `begin` and `commit` are recorded, or none.
+    # Writing. Either all changes between `begin` and `commit` are recorded, or none.
 
     def begin(self) -> None:
         """Begin a transaction."""
@@ -215,7 +215,7 @@
             return Counts(*map(int, row))
 
     def expired(self, finished_before: float, max_final: int, max_bytes: int) -> list[Record]:
-        """Return FINAL records that are too old, too many or too large, the oldest first.
+        """Return the FINAL records beyond the limits of age, number or total size, the oldest first.
 
         Returns at most `MAX_EXPIRED` records.
         """
@@ -246,7 +246,7 @@
             return str(error)
 
     def copy_to(self, path: Path) -> None:
-        """Copy the file as it is now; its writer goes on meanwhile."""
+        """Copy the current content of the file. Its writer may write meanwhile."""
         with self._as_store_errors(), sqlite3.connect(path) as copy:
             self._database.backup(copy)
         copy.close()
--- a/eiderfield/durable_requests/submission.py
+++ b/eiderfield/durable_requests/submission.py
@@ -18,12 +18,12 @@
 
 
 class RequestSubmission:
-    """Hands requests to the exchange, with a deadline that leaves time to record the answer."""
+    """Submits requests to the exchange, with a deadline that leaves time to record the answer."""
 
     def __init__(
         self, context: LoopContext, recorder: AnswerRecorder, cancellation: RequestCancellation
     ) -> None:
-        """Record with `recorder` what expires before it can be submitted."""
+        """Record with `recorder` the failure of a request that expires before it can be submitted."""
         self._context = context
         self._recorder = recorder
         self._cancellation = cancellation
@@ -31,9 +31,9 @@
     def submit(
         self, request: Request, owned: OwnedRequest, earlier_attempts: tuple[EarlierAttempt, ...] = ()
     ) -> None:
-        """Submit a request, with the attempts of it that may have run before.
+        """Submit a request, with its attempts at earlier owners that may have run.
 
-        While an attempt of an earlier submission is still open here, submit again later.
+        While an attempt of an earlier submission is still open in this process, try again later.
         """
         submitted = replace(request, deadline=request.deadline - RECORDING_TIME_MS)
         try:
@@ -44,7 +44,7 @@
             self._context.call_after(
                 RETRY_INTERVAL_MS, partial(self._submit_again, request, owned, earlier_attempts)
             )
-        else:  # its clients may have left meanwhile
+        else:  # its clients may have left while it was being recorded
             self._cancellation.abandon_unless_waited_for(request.id)
 
     def _submit_again(
--- a/eiderfield/durable_requests/takeover.py
+++ b/eiderfield/durable_requests/takeover.py
@@ -2,12 +2,12 @@
 
 States of a request of a lost incarnation, at its successor:
 
-    left -> pending (found by `scan`) -> owned (written by `take_over`, and this incarnation is not fenced)
+    unowned -> pending (found by `scan`) -> owned (written by `take_over`, and this incarnation is not fenced)
 
-A request stays pending while anything about it cannot be read or written.
+A request stays pending while the files about it cannot be read or its new record cannot be written.
 
-Invariants: a request that has its answer, or whose id was taken again, is never owned here; an open request
-is never dropped because the system refused a call.
+Invariants: a request that has its answer, or whose id was acquired again, is never taken over; an open
+request is never dropped because the system refused a call.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 from eiderfield.durable_requests.store import RecordStore
 from eiderfield.machine import boot_id
 
-MAX_GROUP_SIZE = 100.0  # requests of one commit, so that no heartbeat waits for long
-RECORDS_PER_HEARTBEAT = 5000  # of a store that are read between two heartbeats
-REREAD_INTERVAL_MS = 1000.0  # after which a store that could not be read is read again
+MAX_GROUP_SIZE = 100.0  # requests in one commit, which delays the next heartbeat
+RECORDS_PER_HEARTBEAT = 5000  # records of a store that a scan reads between two heartbeats
+REREAD_INTERVAL_MS = 1000.0  # between two tries to read a store that could not be read
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class _PendingRequest:
-    """A request to be taken over. The one to be taken over first sorts last."""
+    """A request to be taken over. Sorts in the reverse order of the takeovers."""
 
     priority: float  # the priority weight of its class
-    negative_accepted_at: float  # the negative time at which it was accepted
+    negative_accepted_at: float  # negated, so that the oldest of a priority is taken over first
     id: str
     found_in: str  # the lost incarnation whose store holds it
 
 
 @dataclass(frozen=True, slots=True)
 class _ScanState:
-    """What the last complete scan has read. A scan is repeated when this changes."""
+    """The state of the folder that a complete scan has read. A change of it causes a new scan."""
 
     fences: int
     further_successors: int
@@ -51,7 +51,7 @@
     """The takeover of lost incarnations' requests by the current incarnation."""
 
     def __init__(self, context: Context, lookup: RecordLookup, renew: Callable[[Incarnation], None]) -> None:
-        """Write a heartbeat with `renew` while a long store is read."""
+        """Write heartbeats with `renew` while a large store is read."""
         self._context = context
         self._lookup = lookup
         self._renew = renew
@@ -67,13 +67,13 @@
         return len(self._pending)
 
     def reset(self) -> None:
-        """Forget the last scan: a new incarnation has begun."""
+        """Discard the last scan, after the begin of a new incarnation."""
         self._pending, self._last_scan = [], None
 
     # Scanning.
 
     def scan(self, own: Incarnation) -> None:
-        """Read the stores of lost incarnations, if there is a new fence or a store has changed."""
+        """Read the stores of lost incarnations if there is a new fence or a store has changed."""
         fences = self._context.folder.fences
         versions = self._store_versions()
         state = self._scan_state(versions)
@@ -87,7 +87,7 @@
                 self._has_unreadable_store = self._has_unreadable_store or is_unreadable
             else:
                 has_ownerless = self._scan_store(own, name, store, pending) or has_ownerless
-        if has_ownerless:  # the next scan finds their owners
+        if has_ownerless:  # the next scan uses the new list of successors
             fences.add_successors(self._unsuspected(own), own.name)
             return
         self._pending = sorted(pending)
@@ -157,7 +157,7 @@
         self._refilled_at = now
 
     def _read_pending(self, own: Incarnation) -> dict[str, Record]:
-        """Return the requests to be taken over now, by id, as this incarnation is to write them."""
+        """Return the records that this incarnation is to write now to take them over, by request id."""
         records: dict[str, Record] = {}
         while self._pending and self._tokens >= 1.0:
             try:
@@ -172,20 +172,20 @@
         return records
 
     def _scan_again(self, error: Exception) -> None:
-        """Repeat the scan, which finds what is pending again."""
+        """Repeat the scan, which finds the pending requests again."""
         self._context.count_failure(error)
         self._pending, self._last_scan, self._has_unreadable_store = [], None, True
 
     def _open_record(self, own: Incarnation, pending: _PendingRequest) -> Record | None:
         """Return the latest record of a pending request.
 
-        Returns None if the request has its answer, is owned here already, or its id was released or taken
-        again. Raises `StoreError` or `OSError` if that cannot be read.
+        Returns None if the request has its answer, this incarnation owns it already, or its id was released
+        or acquired again. Raises `StoreError` or `OSError` if that cannot be read.
         """
         folder = self._context.folder
         holder = folder.ids.holder(pending.id)
         if holder is None or pending.found_in not in folder.fences.chain(pending.id, holder.incarnation):
-            return None  # its write was refused and the id released, and a kill left the record
+            return None  # a refused write released the id, but recovery after a kill restored the record
         for name in reversed(folder.fences.chain(pending.id, pending.found_in)):
             record = self._lookup.read(name, pending.id)
             if record is not None:
@@ -196,8 +196,8 @@
     def to_own_clock(self, record: Record, incarnation: str) -> Record:
         """Return an incarnation's record with its times on the monotonic clock of this boot.
 
-        An earlier boot had another monotonic clock. Only the wall clock connects the two, and it may have
-        been stepped: see `Record.shifted`.
+        An earlier boot had another monotonic clock. Only the wall clock relates the two, and it may have been
+        stepped in between: see `Record.shifted`.
         """
         info = self._context.folder.incarnations.info(incarnation)
         if info is not None and info.boot == boot_id():
--- a/eiderfield/durable_requests/thread_events.py
+++ b/eiderfield/durable_requests/thread_events.py
@@ -1,4 +1,4 @@
-"""What the commit thread reports to the event loop (implements `commit_thread.ThreadListener`)."""
+"""Handles the reports of the commit thread in the event loop (implements `commit_thread.ThreadListener`)."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         recorder: AnswerRecorder,
         cancellation: RequestCancellation,
     ) -> None:
-        """Handle nothing yet."""
+        """Handle reports with the other parts of the coordinator."""
         self._context = context
         self._claims = claims
         self._remote_waiters = remote_waiters
@@ -42,7 +42,7 @@
         self._cancellation = cancellation
 
     def on_taken_over(self, records: list[Record]) -> None:
-        """Go on with requests of lost incarnations, which this process owns from now on."""
+        """Continue requests of lost incarnations, which this process owns from now on."""
         now, monotonic = self._context.now(), steady_ms()
         for record in records:
             class_index = self._class_index(record.class_name)
@@ -76,7 +76,7 @@
     def _earlier_attempt(self, attempt: AttemptRecord, offset: float) -> EarlierAttempt:
         """Return the endpoint of an earlier attempt and when it was sent, on the process's clock.
 
-        `offset` leads from the monotonic clock to the process's clock.
+        `offset` is the process's clock minus the monotonic clock.
         """
         ids = self._context.services.ids
         worker = ids.worker(attempt.worker)
@@ -100,11 +100,11 @@
         return class_index != UNKNOWN_CLASS and self._context.now() < deadline - RECORDING_TIME_MS
 
     def on_end_requested(self, ids: list[str]) -> None:
-        """Cancel requests whose end has been requested at another process."""
+        """Cancel requests whose end another process has requested."""
         self._cancellation.cancel(ids)
 
     def on_incarnation_over(self) -> None:
-        """Give up all owned requests: the successors of this incarnation own and answer them."""
+        """Give up all owned requests, which the successors of this incarnation own and answer."""
         for id_, owned in list(self._context.owned_requests.items()):
             if owned.is_accepting:
                 continue
--- a/eiderfield/durable_requests/waiters.py
+++ b/eiderfield/durable_requests/waiters.py
@@ -38,11 +38,11 @@
             self.on_answer(answer)
 
     def expire(self) -> None:
-        """Answer that the request failed and may have run: its time is over and no answer is recorded."""
+        """Answer that the request failed and may have run, as no answer was recorded in time."""
         self.answer(Answer(Verdict.FAILED, may_have_run=True))
 
     def stop(self) -> None:
-        """Stop waiting. Nothing is called after that."""
+        """Stop waiting. No callback is called after that."""
         self.is_done = True
         if self.timer is not None:
             self.timer.cancel()
