--- a/eiderfield/durable_requests/claims.py
+++ b/eiderfield/durable_requests/claims.py
@@ -90,7 +90,9 @@
         """Return whether the current incarnation claimed an attempt and its lease has not run out."""
         member = self._context.member
         incarnation = self._incarnations.get(attempt)
-        return bool(incarnation) and incarnation == member.incarnation and member.holds_lease(steady_ms())
+        return (
+            bool(incarnation) and incarnation == member.incarnation_name and member.holds_lease(steady_ms())
+        )
 
     def end(self, attempt: Attempt) -> None:
         """Drop the claim of an attempt that has ended. Remove the record of an attempt that never ran."""
--- a/eiderfield/durable_requests/commit_thread.py
+++ b/eiderfield/durable_requests/commit_thread.py
@@ -152,7 +152,7 @@
 
         An error in one step does not stop the others.
         """
-        incarnation_before = self.member.incarnation
+        incarnation_before = self.member.incarnation_name
         self._write(group)
         if on_left is not None:
             self._on_left = None
@@ -160,9 +160,9 @@
                 self._leave(on_left)
         with self._report_errors:
             self._tick_if_due()
-        if incarnation_before and self.member.incarnation != incarnation_before:
+        if incarnation_before and self.member.incarnation_name != incarnation_before:
             self._post(self._listener.on_incarnation_over)
-            if not self.member.incarnation and not self.member.has_left:
+            if not self.member.incarnation_name and not self.member.has_left:
                 self._next_tick = 0.0  # the next tick begins a new incarnation
         with self._report_errors:
             self._take_over()
--- a/eiderfield/durable_requests/coordinator.py
+++ b/eiderfield/durable_requests/coordinator.py
@@ -133,7 +133,7 @@
         """Return the figures that the console shows."""
         member = self.member
         return DurableRequestFigures(
-            incarnation=member.incarnation,
+            incarnation_name=member.incarnation_name,
             member_count=member.member_count,
             owned_requests=len(self.context.owned_requests),
             remote_waiters=len(self._remote_waiters),
--- a/eiderfield/durable_requests/figures.py
+++ b/eiderfield/durable_requests/figures.py
@@ -11,7 +11,7 @@
 class DurableRequestFigures:
     """The state of one process's durable requests, and its counters since it started."""
 
-    incarnation: str  # the name of the current one, '' while there is none
+    incarnation_name: str  # '' while there is none
     member_count: int
     owned_requests: int
     remote_waiters: int
@@ -23,7 +23,7 @@
         """Return the figures by their names on the console."""
         counters = self.counters
         return {
-            "life": self.incarnation,
+            "life": self.incarnation_name,
             "members": self.member_count,
             "held": self.owned_requests,
             "askers_elsewhere": self.remote_waiters,
--- a/eiderfield/durable_requests/member.py
+++ b/eiderfield/durable_requests/member.py
@@ -92,12 +92,12 @@
         self._tried_to_begin_at = -BEGIN_INTERVAL_MS
 
     @property
-    def current(self) -> Incarnation | None:
+    def current_incarnation(self) -> Incarnation | None:
         """The current incarnation, None while there is none."""
         return self._context.incarnation
 
     @property
-    def incarnation(self) -> str:
+    def incarnation_name(self) -> str:
         """The name of the current incarnation, '' while there is none."""
         return self._context.own_name
 
@@ -119,11 +119,11 @@
     @property
     def open_records(self) -> Mapping[str, Record]:
         """The records of this incarnation that have no answer, by request id."""
-        return {} if self.current is None else self.current.open_records
+        return {} if self.current_incarnation is None else self.current_incarnation.open_records
 
     def holds_lease(self, now: float) -> bool:
         """Return whether this process may send attempts that it has claimed."""
-        return self.current is not None and self.current.lease.holds(now)
+        return self.current_incarnation is not None and self.current_incarnation.lease.holds(now)
 
     # Incarnations.
 
@@ -174,10 +174,10 @@
 
     def leave(self) -> bool:
         """Hand all requests to the other members. Returns False if there is no other member."""
-        if self.current is None:
+        if self.current_incarnation is None:
             return False
         with suppress(OSError):
-            if self._membership.fence_self(self.current):
+            if self._membership.fence_self(self.current_incarnation):
                 self.has_left = True
                 self.end_incarnation()
         return self.has_left
@@ -230,7 +230,7 @@
             for id_ in self.folder.end_requests.all():
                 if id_ in self.open_records:
                     ids.append(id_)
-                elif self.current is not None and self._is_finished(id_):
+                elif self.current_incarnation is not None and self._is_finished(id_):
                     self.folder.end_requests.remove(id_)
         return ids
 
@@ -245,16 +245,16 @@
 
         Without an incarnation, try to begin one. Returns whether there was an incarnation before and after.
         """
-        if self.current is None:
+        if self.current_incarnation is None:
             is_due = self._context.now() >= self._tried_to_begin_at + BEGIN_INTERVAL_MS
             if is_due and not self.has_left:
                 self._begin_again()
             return False
         try:
-            self._tick(self.current)
+            self._tick(self.current_incarnation)
         except (StoreError, OSError, ValueError) as error:  # `ValueError`: a foreign file name
             self._context.count_failure(error)
-        return self.current is not None
+        return self.current_incarnation is not None
 
     def _begin_again(self) -> None:
         try:
@@ -275,7 +275,7 @@
 
     def take_over(self) -> list[Record]:
         """Take over as many requests of lost incarnations as the rate allows now. Return their records."""
-        return [] if self.current is None else self._takeover.take_over(self.current)
+        return [] if self.current_incarnation is None else self._takeover.take_over(self.current_incarnation)
 
     def report(self, text: str) -> None:
         """Log a line for operators, unless it was logged before."""
--- a/eiderfield/lab/durable_requests/throughput.py
+++ b/eiderfield/lab/durable_requests/throughput.py
@@ -49,7 +49,7 @@
     successor.begin()
     successor.tick()
     successor.folder.fences.create(
-        lost.incarnation, [successor.incarnation], successor.incarnation, "measured"
+        lost.incarnation_name, [successor.incarnation_name], successor.incarnation_name, "measured"
     )
     started_at = time.monotonic()
     successor.tick()
@@ -68,15 +68,15 @@
 
 def write_open_records(member: Member, records: int) -> None:
     """Write `records` open records, every second one with an attempt that may have run."""
-    assert member.current is not None
-    store = member.current.store
+    assert member.current_incarnation is not None
+    store = member.current_incarnation.store
     store.begin()
     for number in range(records):
         record = sample_record(f"j{number}")
         store.put(record if number % 2 else record.with_attempt(sample_attempt(record.accepted_at)))
     store.commit()
     for number in range(min(records, MAX_LINKED_IDS)):  # the oldest, which are taken over first
-        member.folder.ids.acquire(f"j{number}", member.incarnation)
+        member.folder.ids.acquire(f"j{number}", member.incarnation_name)
 
 
 def commits(seconds: float, folder: Path) -> float:
--- a/tests/support/durable_play.py
+++ b/tests/support/durable_play.py
@@ -117,7 +117,7 @@
                 return  # written by a claim whose outcome nobody heard
             if member is not None and isinstance(apply_one(member, Claim(id_, attempt_record())), Claimed):
                 assert id_ not in self.sent, "sent twice"
-                self.sent[id_] = member.incarnation
+                self.sent[id_] = member.incarnation_name
                 return
             self.wait()
         raise AssertionError(f"{id_} was never claimed")
--- a/tests/test_durable_requests_jobs.py
+++ b/tests/test_durable_requests_jobs.py
@@ -85,9 +85,9 @@
 def test_a_folder_in_order_is_in_order_and_a_spoilt_store_is_named(kept):
     host, _, b = kept
     assert run("verify", host.settings.folder) == "in order\n"
-    b.current.store.begin()
-    b.current.store.put(replace(b.find("open"), stage=Stage.FINAL, verdict=""))
-    b.current.store.commit()
+    b.current_incarnation.store.begin()
+    b.current_incarnation.store.put(replace(b.find("open"), stage=Stage.FINAL, verdict=""))
+    b.current_incarnation.store.commit()
     assert "b.1.db: job open is final without a verdict" in run("verify", host.settings.folder, code=1)
     (host.settings.folder / "lives" / "c.1.db").write_bytes(b"x" * 5000)
     assert "c.1.db" in run("verify", host.settings.folder, code=1)
--- a/tests/test_durable_requests_loop_on_failing_disk.py
+++ b/tests/test_durable_requests_loop_on_failing_disk.py
@@ -134,11 +134,11 @@
         play.begin("a")
         settle(play, 30)
         [member] = play.members.values()
-        assert member.incarnation == ""
+        assert member.incarnation_name == ""
         assert isinstance(apply_one(member, Accept(record("j"))), NotWritten)
         faults.heal()
         settle(play, 20)
-        assert member.incarnation == "a.1", "a name for each try would fill the disk"
+        assert member.incarnation_name == "a.1", "a name for each try would fill the disk"
         assert apply_one(member, Accept(record("j"))) == Accepted()
         member.close()
 
@@ -151,7 +151,7 @@
         assert [answer.verdict for answer in loop.answers] == [Verdict.DECLINED]
         assert any("no incarnation could be begun" in line for line in loop.dispatcher.logged)
         faults.heal()
-    assert loop.coordinator.member.incarnation == ""
+    assert loop.coordinator.member.incarnation_name == ""
     loop.coordinator.member.begin()
     loop.coordinator.intake.accept(
         Request("k", 0, loop.dispatcher.now + 4000.0, "/safe/x"), loop.answers.append
--- a/tests/test_durable_requests_members.py
+++ b/tests/test_durable_requests_members.py
@@ -73,7 +73,7 @@
     def full():
         raise StoreError(Path("a.1.db"), "database or disk is full", transient=True)
 
-    monkeypatch.setattr(a.current.store, "commit", full)
+    monkeypatch.setattr(a.current_incarnation.store, "commit", full)
     refused = a.apply([Accept(record("more")), Claim("kept", attempt_record()), Finish("kept", SERVED)])
     assert isinstance(refused[0], NotWritten)
     assert "full" in refused[0].reason
--- a/tests/test_durable_requests_on_failing_disk.py
+++ b/tests/test_durable_requests_on_failing_disk.py
@@ -63,12 +63,12 @@
             assert apply_one(member, Accept(record("first"))) == Accepted()
         monkeypatch.setattr(member, "reach_failpoint", lambda _name: faults.fail("look", BROKEN, 2, 1))
         assert apply_one(member, Claim("first", attempt_record())) == NotOwned()
-        assert member.incarnation == ""
+        assert member.incarnation_name == ""
         monkeypatch.undo()
         taken_over = []
         monkeypatch.setattr(play, "adopted", taken_over.append)
         settle(play)
-        assert member.incarnation == "a.2"
+        assert member.incarnation_name == "a.2"
         assert [(each.id, len(each.attempts)) for each in taken_over] == [("first", 1)]
 
 
--- a/tests/test_durable_requests_random_steps.py
+++ b/tests/test_durable_requests_random_steps.py
@@ -53,7 +53,7 @@
             and isinstance(apply_one(member, Claim(id_, attempt_record())), Claimed)
         ):
             assert id_ not in self.claims, "sent twice"
-            self.claims[id_] = member.incarnation
+            self.claims[id_] = member.incarnation_name
 
     @rule(number=st.integers(0, 2), job=st.integers(0, 3), kind=st.sampled_from(["served", "failed"]))
     def answer(self, number, job, kind):
@@ -67,7 +67,7 @@
         member = self.member(number)
         for id_ in list(member.open_records):
             if (
-                self.claims.get(id_) == member.incarnation
+                self.claims.get(id_) == member.incarnation_name
                 and apply_one(member, ReleaseClaim(id_, 0)) == Written()
             ):
                 del self.claims[id_]
@@ -94,8 +94,12 @@
     @invariant()
     def one_owner(self):
         for job in range(4):
-            alive = [m for m in self.members if m.incarnation and not m.folder.fences.exists(m.incarnation)]
-            owners = [m.incarnation for m in alive if f"j{job}" in m.open_records]
+            alive = [
+                m
+                for m in self.members
+                if m.incarnation_name and not m.folder.fences.exists(m.incarnation_name)
+            ]
+            owners = [m.incarnation_name for m in alive if f"j{job}" in m.open_records]
             assert len(owners) <= 1
 
     def teardown(self):
--- a/tests/test_durable_requests_takeover.py
+++ b/tests/test_durable_requests_takeover.py
@@ -35,11 +35,11 @@
         a.apply([Claim("j6", attempt_record(1)), Finish("j7", SERVED), Accept(record("j99"))])[:2]
         == [NotOwned()] * 2
     )
-    assert a.incarnation == ""
+    assert a.incarnation_name == ""
     assert a.counters.fenced == 1
     assert any("incarnation was fenced (name=a.1" in line for line in host.said)
     host.live(1500.0, a, b, c)
-    assert a.incarnation == "a.2", "it begins anew with nothing"
+    assert a.incarnation_name == "a.2", "it begins anew with nothing"
     assert len(a.open_records) == 0, "it begins anew with nothing"
 
 
@@ -75,7 +75,7 @@
     a.folder.fences.create("b.1", ["a.1"], "a.1", "test")
     b.folder.fences.create("a.1", ["b.1"], "b.1", "test")
     host.live(2500.0, a, b)
-    assert (a.incarnation, b.incarnation) == ("a.2", "b.2")
+    assert (a.incarnation_name, b.incarnation_name) == ("a.2", "b.2")
     host.live(1000.0, a, b)
     taken = [each.id for member in (a, b) for each in member.take_over()]
     assert sorted(taken) == ["ja", "jb"]
--- a/tests/test_durable_requests_torn_files.py
+++ b/tests/test_durable_requests_torn_files.py
@@ -27,9 +27,9 @@
     a, b, c = (host.member(name) for name in "abc")
     fences = {"a.1": ("b.1", "c.1")}
     id_ = next(id_ for id_ in map(str, range(99)) if ownership_chain(id_, "a.1", fences)[-1] == "c.1")
-    a.current.store.begin()
-    a.current.store.put(record(id_))
-    a.current.store.commit()  # as recovered from the journal of a killed process, whose asker was refused
+    a.current_incarnation.store.begin()
+    a.current_incarnation.store.put(record(id_))
+    a.current_incarnation.store.commit()  # recovered after a kill; its client was refused
     assert apply_one(b, Accept(record(id_))) == Accepted()
     host.outlive(b, c)
     assert (b.take_over(), c.take_over(), len(b.open_records)) == ([], [], 1)
@@ -61,12 +61,12 @@
     host, a, b = host_with_two
     apply_one(a, Accept(record("j")))
     apply_one(a, Finish("j", SERVED))
-    [over] = a.current.store.expired(host.now + 1.0, 0, 0)
+    [over] = a.current_incarnation.store.expired(host.now + 1.0, 0, 0)
     with monkeypatch.context() as refused:
-        refused.setattr(a.current.store, "delete", raise_io_error)
-        a.retention.delete(a.current, [over])
+        refused.setattr(a.current_incarnation.store, "delete", raise_io_error)
+        a.retention.delete(a.current_incarnation, [over])
     assert apply_one(b, Accept(record("j"))) == Accepted()
-    a.retention.delete(a.current, [over])
+    a.retention.delete(a.current_incarnation, [over])
     assert b.folder.ids.holder("j") == (1, "b.1")
     assert apply_one(a, Accept(record("j"))) == AlreadyAccepted("j")
 
--- a/tests/test_durable_requests_wall_clock.py
+++ b/tests/test_durable_requests_wall_clock.py
@@ -22,7 +22,7 @@
     real = time.time
     monkeypatch.setattr(time, "time", lambda: real() + step)
     host.live(2.0 * LEASE, a, b)
-    assert (a.incarnation, b.incarnation) == ("a.1", "b.1")
+    assert (a.incarnation_name, b.incarnation_name) == ("a.1", "b.1")
     assert a.holds_lease(host.now)
     host.outlive(b)
     assert [(each.id, each.deadline) for each in b.take_over()] == [("j", 61_000.0)]
