--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -1,4 +1,4 @@
-"""A durable request that is cancelled, or whose clients have left: no further attempt starts."""
+"""A durable request that is cancelled, or whose clients have left, starts no further attempt."""
 
 from collections import deque
 
@@ -10,22 +10,22 @@
 from eiderfield.durable_requests.settings import DurableRequestSettings
 from eiderfield.exchange.request import Request, Verdict
 
-LEASE = 60_000.0  # ms: it holds for the whole of a test
+LEASE = 60_000.0  # ms; longer than any test
 
 
-class DirectWriter:
-    """The writer without its thread: what is to be written waits until the test lets it."""
+class ManualCommitThread:
+    """Stands in for the commit thread: queued operations wait until the test calls `run`."""
 
     def __init__(self, member):
         self.member = member
         self.queue = deque()
         self.is_full = False
 
-    def write(self, op, then):
-        self.queue.append((op, then))
+    def write(self, operation, on_outcome):
+        self.queue.append((operation, on_outcome))
 
     def watch(self, id_):
-        """Nothing is polled."""
+        """Do nothing: no test waits for the answer of another process."""
 
     unwatch = watch
 
@@ -35,13 +35,13 @@
 
     def run(self):
         while self.queue:
-            op, then = self.queue.popleft()
-            [outcome] = self.member.apply([op])
-            then(outcome)
+            operation, on_outcome = self.queue.popleft()
+            [outcome] = self.member.apply([operation])
+            on_outcome(outcome)
 
 
-class KeptJob:
-    """A dispatcher that keeps its first class, with one job of it taken."""
+class DurableRequestHarness:
+    """A dispatcher whose first class is durable, and one request `j` of that class."""
 
     def __init__(self, path):
         self.dispatcher = InMemoryDispatcher(workers=1)
@@ -58,25 +58,25 @@
         self.coordinator = DurableRequestCoordinator(settings, "a", services)
         self.coordinator.begin()
         self.coordinator.member.tick()
-        self.writer = DirectWriter(self.coordinator.member)
-        self.coordinator.context.commit_thread = self.writer
+        self.commit_thread = ManualCommitThread(self.coordinator.member)
+        self.coordinator.context.commit_thread = self.commit_thread
 
-    def ask(self, front="platform"):
-        """An asker for the job; gives what to call when it leaves."""
+    def submit(self, front="platform"):
+        """Submit the request for a further client. Return the function to call when that client leaves."""
         request = Request("j", 0, 1_005_000.0, "/safe/x", body=b"b")
         return self.coordinator.intake.accept(request, self.answers.append, front)
 
-    def take(self, front="platform"):
-        """The job is asked for and written down."""
-        leave = self.ask(front)
-        self.writer.run()
+    def submit_and_record(self, front="platform"):
+        """Submit the request and record it."""
+        client_left = self.submit(front)
+        self.commit_thread.run()
         self.dispatcher.settle()
-        return leave
+        return client_left
 
     def run(self):
-        self.writer.run()
+        self.commit_thread.run()
         self.dispatcher.settle()
-        self.writer.run()
+        self.commit_thread.run()
 
     @property
     def verdicts(self):
@@ -84,166 +84,166 @@
 
 
 @pytest.fixture
-def kept(tmp_path):
-    kept = KeptJob(tmp_path)
-    yield kept
-    kept.coordinator.member.close()
+def harness(tmp_path):
+    harness = DurableRequestHarness(tmp_path)
+    yield harness
+    harness.coordinator.member.close()
 
 
-def test_a_kept_job_that_nobody_cancels_is_sent(kept):
-    kept.take()
-    kept.run()
-    [dial] = kept.dispatcher.dials
+def test_request_that_is_not_cancelled_is_sent(harness):
+    harness.submit_and_record()
+    harness.run()
+    [dial] = harness.dispatcher.dials
     dial.up().finish()
-    kept.run()
-    assert kept.verdicts == [Verdict.SERVED]
+    harness.run()
+    assert harness.verdicts == [Verdict.SERVED]
 
 
-def test_a_cancel_at_its_own_dispatcher_calls_off_what_is_being_dialled(kept):
-    """It was heard at the next look at the folder, a twelfth of a lease later."""
-    kept.take()
-    kept.run()
-    [dial] = kept.dispatcher.dials
-    told = []
-    kept.coordinator.lookup.cancel("j", told.append)
+def test_cancel_at_the_owner_aborts_the_open_dial(harness):
+    """The owner must not wait for its next tick, at which it would find the end request in the folder."""
+    harness.submit_and_record()
+    harness.run()
+    [dial] = harness.dispatcher.dials
+    is_recorded = []
+    harness.coordinator.lookup.cancel("j", is_recorded.append)
     assert dial.cancelled
-    kept.dispatcher.dials.append(dial)  # it came up in the moment in which it was called off
+    harness.dispatcher.dials.append(dial)  # the connection was established just before the abort
     assert not dial.up().pipe.written
-    kept.run()
-    assert told == [True]
-    assert kept.verdicts == [Verdict.TERMINATED]
-
-
-def test_no_attempt_is_claimed_for_a_job_whose_end_was_asked_for_at_another_dispatcher(kept):
-    kept.take()
-    kept.coordinator.member.folder.end_requests.add("j")
-    kept.run()
-    kept.dispatcher.advance(1000.0)
-    assert not kept.dispatcher.dials
-    assert kept.verdicts == [Verdict.TERMINATED]
-
-
-def test_no_attempt_is_claimed_after_a_takeover_of_a_job_that_was_cancelled(kept):
-    kept.take()
-    [record] = kept.coordinator.member.open_records.values()
-    kept.coordinator.thread_events.on_incarnation_over()  # the next incarnation has its jobs
-    kept.writer.queue.clear()
-    kept.dispatcher.settle()
-    kept.coordinator.member.folder.end_requests.add("j")
-    kept.coordinator.thread_events.on_taken_over([record])
-    kept.run()
-    kept.dispatcher.advance(1000.0)
-    assert not kept.dispatcher.dials
-    assert not kept.dispatcher.exchange.unanswered
-
-
-def test_a_client_that_leaves_while_its_job_is_written_down_has_nothing_begun(kept):
-    leave = kept.ask()
-    leave()
-    kept.run()
-    kept.run()
-    kept.dispatcher.advance(1000.0)
-    assert not kept.dispatcher.dials
-    assert not kept.dispatcher.exchange.unanswered
-    assert kept.coordinator.idle
-
-
-@pytest.mark.parametrize("when", ["before the claim", "while it is dialled", "in the moment it is up"])
-def test_a_client_that_leaves_before_its_attempt_begins_has_none_and_may_ask_anew(kept, when):
-    """A kept job went on for a client that had left, with further attempts up to its deadline."""
-    leave = kept.take()
+    harness.run()
+    assert is_recorded == [True]
+    assert harness.verdicts == [Verdict.TERMINATED]
+
+
+def test_request_cancelled_at_another_dispatcher_claims_no_attempt(harness):
+    harness.submit_and_record()
+    harness.coordinator.member.folder.end_requests.add("j")
+    harness.run()
+    harness.dispatcher.advance(1000.0)
+    assert not harness.dispatcher.dials
+    assert harness.verdicts == [Verdict.TERMINATED]
+
+
+def test_cancelled_request_claims_no_attempt_after_a_takeover(harness):
+    harness.submit_and_record()
+    [record] = harness.coordinator.member.open_records.values()
+    harness.coordinator.thread_events.on_incarnation_over()  # the successors own its requests
+    harness.commit_thread.queue.clear()
+    harness.dispatcher.settle()
+    harness.coordinator.member.folder.end_requests.add("j")
+    harness.coordinator.thread_events.on_taken_over([record])
+    harness.run()
+    harness.dispatcher.advance(1000.0)
+    assert not harness.dispatcher.dials
+    assert not harness.dispatcher.exchange.unanswered
+
+
+def test_client_that_leaves_while_its_request_is_recorded_starts_no_attempt(harness):
+    client_left = harness.submit()
+    client_left()
+    harness.run()
+    harness.run()
+    harness.dispatcher.advance(1000.0)
+    assert not harness.dispatcher.dials
+    assert not harness.dispatcher.exchange.unanswered
+    assert harness.coordinator.idle
+
+
+@pytest.mark.parametrize("when", ["before the claim", "while dialling", "as the connection opens"])
+def test_client_that_leaves_before_its_attempt_starts_frees_the_id(harness, when):
+    """Guards against attempts for a client that has left, which would be retried until the deadline."""
+    client_left = harness.submit_and_record()
     if when == "before the claim":
-        leave()
-        kept.run()
+        client_left()
+        harness.run()
     else:
-        kept.run()
-        [dial] = kept.dispatcher.dials
-        leave()
+        harness.run()
+        [dial] = harness.dispatcher.dials
+        client_left()
         end = dial.up()
         assert not end.pipe.written
-        kept.run()
-    kept.dispatcher.advance(1000.0)
-    kept.run()
-    assert not any(end.pipe.written for end in kept.dispatcher.ends)
-    assert kept.coordinator.idle
-    kept.take()
-    kept.run()
-    end = kept.dispatcher.dials[0].up() if kept.dispatcher.dials else kept.dispatcher.ends[-1]
+        harness.run()
+    harness.dispatcher.advance(1000.0)
+    harness.run()
+    assert not any(end.pipe.written for end in harness.dispatcher.ends)
+    assert harness.coordinator.idle
+    harness.submit_and_record()
+    harness.run()
+    end = harness.dispatcher.dials[0].up() if harness.dispatcher.dials else harness.dispatcher.ends[-1]
     end.finish()
-    kept.run()
-    assert kept.verdicts == [Verdict.SERVED], "the id was free again"
+    harness.run()
+    assert harness.verdicts == [Verdict.SERVED], "the id was not free"
 
 
-def test_an_attempt_that_is_out_when_the_client_leaves_goes_on_and_its_result_is_kept(kept):
-    leave = kept.take()
-    kept.run()
-    end = kept.dispatcher.dials[0].up()
+def test_open_attempt_continues_after_the_client_left_and_its_result_is_stored(harness):
+    client_left = harness.submit_and_record()
+    harness.run()
+    end = harness.dispatcher.dials[0].up()
     assert end.take() == ["j"]
-    leave()
+    client_left()
     end.finish()
-    kept.run()
-    assert kept.answers == []
-    kept.take()
-    assert kept.verdicts == [Verdict.SERVED]
+    harness.run()
+    assert harness.answers == []
+    harness.submit_and_record()
+    assert harness.verdicts == [Verdict.SERVED]
     assert end.came == ["j"]
-    assert not kept.dispatcher.dials
+    assert not harness.dispatcher.dials
 
 
 @pytest.mark.parametrize(("status", "verdict"), [(500, Verdict.FAILED), (503, Verdict.DECLINED)])
-def test_no_retry_is_begun_for_a_client_that_has_left(kept, status, verdict):
-    leave = kept.take()
-    kept.run()
-    end = kept.dispatcher.dials[0].up()
+def test_client_that_has_left_gets_no_retry(harness, status, verdict):
+    client_left = harness.submit_and_record()
+    harness.run()
+    end = harness.dispatcher.dials[0].up()
     end.take()
-    leave()
+    client_left()
     end.status(status, **({"X_Not_Run": "1"} if status == 503 else {}))
-    kept.run()
-    kept.dispatcher.advance(2000.0)
+    harness.run()
+    harness.dispatcher.advance(2000.0)
     assert end.came == ["j"]
-    assert not kept.dispatcher.dials
-    assert kept.coordinator.idle
-    assert kept.coordinator.member.find("j").answer.verdict == verdict
+    assert not harness.dispatcher.dials
+    assert harness.coordinator.idle
+    assert harness.coordinator.member.find("j").answer.verdict == verdict
 
 
-def test_a_job_goes_on_while_one_of_two_clients_waits(kept):
-    first = kept.take()
-    kept.take()
-    first()
-    kept.run()
-    end = kept.dispatcher.dials[0].up()
+def test_request_continues_while_one_of_two_clients_waits(harness):
+    first_client_left = harness.submit_and_record()
+    harness.submit_and_record()
+    first_client_left()
+    harness.run()
+    end = harness.dispatcher.dials[0].up()
     end.status(503, X_Not_Run="1")
-    kept.dispatcher.advance(500.0)
-    kept.run()
-    kept.dispatcher.advance(500.0)
+    harness.dispatcher.advance(500.0)
+    harness.run()
+    harness.dispatcher.advance(500.0)
     assert end.take() == ["j"]
     end.finish()
-    kept.run()
-    assert kept.verdicts == [Verdict.SERVED]
-
-
-def test_a_job_that_was_taken_over_goes_on_without_a_client(kept):
-    kept.take()
-    [record] = kept.coordinator.member.open_records.values()
-    kept.coordinator.context.owned_requests.clear()
-    kept.dispatcher.exchange.cancel_request(1)
-    kept.writer.queue.clear()
-    kept.dispatcher.settle()
-    kept.writer.queue.clear()
-    kept.coordinator.thread_events.on_taken_over([record])
-    kept.dispatcher.settle()
-    kept.run()
-    kept.dispatcher.dials[0].up().finish()
-    kept.run()
-    assert kept.coordinator.member.find("j").answer.verdict == Verdict.SERVED
-
-
-def test_a_job_that_waits_for_its_retry_ends_at_once_when_its_client_leaves(kept):
-    leave = kept.take()
-    kept.run()
-    end = kept.dispatcher.dials[0].up()
+    harness.run()
+    assert harness.verdicts == [Verdict.SERVED]
+
+
+def test_request_that_was_taken_over_continues_without_a_client(harness):
+    harness.submit_and_record()
+    [record] = harness.coordinator.member.open_records.values()
+    harness.coordinator.context.owned_requests.clear()
+    harness.dispatcher.exchange.cancel_request(1)
+    harness.commit_thread.queue.clear()
+    harness.dispatcher.settle()
+    harness.commit_thread.queue.clear()
+    harness.coordinator.thread_events.on_taken_over([record])
+    harness.dispatcher.settle()
+    harness.run()
+    harness.dispatcher.dials[0].up().finish()
+    harness.run()
+    assert harness.coordinator.member.find("j").answer.verdict == Verdict.SERVED
+
+
+def test_request_that_waits_for_its_retry_ends_when_its_client_leaves(harness):
+    client_left = harness.submit_and_record()
+    harness.run()
+    end = harness.dispatcher.dials[0].up()
     end.status(503, X_Not_Run="1")
-    kept.run()
-    leave()
-    kept.run()
-    assert kept.coordinator.idle
-    assert kept.coordinator.member.find("j").answer.verdict == Verdict.DECLINED
+    harness.run()
+    client_left()
+    harness.run()
+    assert harness.coordinator.idle
+    assert harness.coordinator.member.find("j").answer.verdict == Verdict.DECLINED
--- a/tests/test_durable_requests_members.py
+++ b/tests/test_durable_requests_members.py
@@ -1,4 +1,4 @@
-"""Acceptance, claims and answers by members that share a folder."""
+"""Members that share a folder accept, claim and answer requests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 
 
-def test_a_job_is_taken_claimed_answered_and_its_answer_given_again(host):
+def test_request_is_accepted_claimed_and_answered_and_the_answer_is_repeated(host):
     a, b = host.member("a"), host.member("b")
     assert apply_one(a, Accept(record())) == Accepted()
     assert apply_one(a, Claim("j", attempt_record())) == Claimed("a.1")
@@ -30,15 +30,15 @@
     assert b.poll_answers(["j"]) == []
     assert apply_one(a, Finish("j", SERVED)) == Written()
     assert apply_one(a, Finish("j", DECLINED)) == NotOwned()
-    [(id_, there)] = b.poll_answers(["j"])
+    [(id_, final_record)] = b.poll_answers(["j"])
     assert id_ == "j"
-    assert there.answer == SERVED
-    assert apply_one(b, Accept(record())) == AlreadyFinal(there)
-    assert apply_one(a, Accept(record())) == AlreadyFinal(there)
+    assert final_record.answer == SERVED
+    assert apply_one(b, Accept(record())) == AlreadyFinal(final_record)
+    assert apply_one(a, Accept(record())) == AlreadyFinal(final_record)
     assert apply_one(b, Accept(record(body=b"another"))) == Conflict()
 
 
-def test_of_two_askers_in_one_moment_one_takes_the_job(host):
+def test_simultaneous_submissions_are_accepted_by_one_member(host):
     members = [host.member(name) for name in "abc"]
     outcomes = [apply_one(member, Accept(record())) for member in members]
     assert outcomes.count(Accepted()) == 1
@@ -46,7 +46,7 @@
     assert members[0].apply([Accept(record("k")), Accept(record("k"))]) == [Accepted(), AlreadyAccepted("k")]
 
 
-def test_a_declined_job_may_be_asked_for_again_anywhere(host):
+def test_declined_request_may_be_submitted_again_to_any_member(host):
     a, b = host.member("a"), host.member("b")
     assert apply_one(a, Accept(record())) == Accepted()
     assert apply_one(a, Finish("j", DECLINED)) == Written()
@@ -57,35 +57,39 @@
     assert apply_one(a, Accept(record())) == AlreadyFinal(b.find("j"))
 
 
-def test_two_clients_with_one_key_have_one_job(host):
+def test_requests_with_one_key_are_one_request(host):
     a, b = host.member("a"), host.member("b")
     assert apply_one(a, Accept(record("j", key="k"))) == Accepted()
     assert apply_one(b, Accept(record("i", key="k"))) == AlreadyAccepted("j")
     assert apply_one(b, Accept(record("h", key="k", body=b"another"))) == Conflict()
     assert apply_one(a, Finish("j", DECLINED)) == Written()
-    assert apply_one(b, Accept(record("i", key="k"))) == Accepted(), "a declined job holds no key"
+    assert apply_one(b, Accept(record("i", key="k"))) == Accepted(), (
+        "the key of a declined request was not free"
+    )
 
 
-def test_a_disk_that_takes_nothing_more_refuses_and_loses_nothing(host, monkeypatch):
+def test_full_disk_refuses_changes_and_loses_no_record(host, monkeypatch):
     a, b = host.member("a"), host.member("b")
-    apply_one(a, Accept(record("kept")))
+    apply_one(a, Accept(record("recorded")))
 
-    def full():
+    def raise_disk_full():
         raise StoreError(Path("a.1.db"), "database or disk is full", transient=True)
 
-    monkeypatch.setattr(a.current_incarnation.store, "commit", full)
-    refused = a.apply([Accept(record("more")), Claim("kept", attempt_record()), Finish("kept", SERVED)])
-    assert isinstance(refused[0], NotWritten)
-    assert "full" in refused[0].reason
-    assert isinstance(refused[1], NotWritten)
-    assert isinstance(refused[2], NotWritten)
+    monkeypatch.setattr(a.current_incarnation.store, "commit", raise_disk_full)
+    outcomes = a.apply(
+        [Accept(record("refused")), Claim("recorded", attempt_record()), Finish("recorded", SERVED)]
+    )
+    assert isinstance(outcomes[0], NotWritten)
+    assert "full" in outcomes[0].reason
+    assert isinstance(outcomes[1], NotWritten)
+    assert isinstance(outcomes[2], NotWritten)
     monkeypatch.undo()
-    assert apply_one(b, Accept(record("more"))) == Accepted(), "an id that was not written down is free"
-    assert apply_one(a, Claim("kept", attempt_record())) == Claimed("a.1")
+    assert apply_one(b, Accept(record("refused"))) == Accepted(), "the id of a refused request was not free"
+    assert apply_one(a, Claim("recorded", attempt_record())) == Claimed("a.1")
 
 
-def test_who_can_write_nothing_lets_an_asker_wait_for_a_job_that_is_somewhere(host):
-    """Seen: a process without a life declined a keyed job that had begun elsewhere (custody seed 15)."""
+def test_member_without_incarnation_lets_a_client_wait_for_a_recorded_request(host):
+    """Such a member declined a keyed request that had an attempt at another member (custody seed 15)."""
     a, b = host.member("a"), host.member("b")
     apply_one(a, Accept(record()))
     apply_one(a, Claim("j", attempt_record()))
--- a/tests/test_durable_requests_model.py
+++ b/tests/test_durable_requests_model.py
@@ -1,4 +1,4 @@
-"""The protocol over all interleavings of a few members, jobs and faults; planted slips are found."""
+"""Explores all interleavings of a few members, requests and faults; seeded errors are found."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 @pytest.mark.parametrize(
     ("members", "jobs", "faults", "states"), [(2, 1, 2, 1320), (3, 1, 2, 16207), (2, 2, 1, 52323)]
 )
-def test_no_interleaving_begins_a_job_twice_or_answers_it_in_two_ways(members, jobs, faults, states):
+def test_no_interleaving_starts_a_request_twice_or_gives_it_two_answers(members, jobs, faults, states):
     machine = Machine()
     found = explore(start(members, jobs, faults), machine.steps, machine.wrong)
     assert found.complete
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("slip", SLIPS)
-def test_each_planted_slip_is_found_by_a_short_way(slip):
+def test_each_seeded_error_is_found_with_a_short_trace(slip):
     machine = Machine(slip)
     found = explore(start(3, 1, 2), machine.steps, machine.wrong)
     assert ("begun 2 times" in found.fault) or "answers" in found.fault
@@ -30,7 +30,7 @@
     assert not found.complete
 
 
-def test_a_search_goes_the_shortest_way_and_keeps_its_bound():
+def test_search_finds_the_shortest_trace_and_respects_its_bound():
     def steps(n):
         yield "one", n + 1
         yield "double", n * 2
@@ -41,11 +41,11 @@
     assert not explore(1, steps, lambda _n: "", max_states=100).complete
 
 
-def test_the_command_counts_states_and_names_a_slip():
-    told = CliRunner().invoke(main, ["lab", "explore", "--members", "2", "--jobs", "1", "--faults", "1"])
-    assert told.exit_code == 0
-    assert "393 states" in told.output
-    told = CliRunner().invoke(main, ["lab", "explore", "--members", "3", "--jobs", "1", "--slip", SLIPS[0]])
-    assert told.exit_code == 1
-    assert "begun 2 times" in told.output
-    assert "a sends 0" in told.output
+def test_command_prints_the_number_of_states_and_the_trace_of_a_seeded_error():
+    result = CliRunner().invoke(main, ["lab", "explore", "--members", "2", "--jobs", "1", "--faults", "1"])
+    assert result.exit_code == 0
+    assert "393 states" in result.output
+    result = CliRunner().invoke(main, ["lab", "explore", "--members", "3", "--jobs", "1", "--slip", SLIPS[0]])
+    assert result.exit_code == 1
+    assert "begun 2 times" in result.output
+    assert "a sends 0" in result.output
--- a/tests/test_durable_requests_on_failing_disk.py
+++ b/tests/test_durable_requests_on_failing_disk.py
@@ -1,8 +1,9 @@
-"""Durable requests while the disk fails for a while: what was accepted is answered, once.
+"""Durable requests while the disk fails for a while: each accepted request gets one answer.
 
-One sequence is played over and over: three members begin, take jobs, claim attempts, answer some; one of them
-is lost, and the others take over what it had and answer it. In each play the n-th operation of a kind and all
-that follow fail, for less than a lease or for more, on the disk that all of them share.
+Each case plays the same sequence (`support.durable_play`): three members begin, accept requests, claim
+attempts and answer some; one of them is lost, and the others take over its requests and answer them. In each
+play the n-th operation of a kind and all later ones fail, for less or for more than a lease, on the disk that
+all members share.
 """
 
 from __future__ import annotations
@@ -22,10 +23,10 @@
 )
 
 SHORT, LONG = 0.3 * LEASE, 2.5 * LEASE  # ms for which the disk fails
-POSITIONS = 3  # of the first operation that fails, spread over those of a healthy play
+POSITIONS = 3  # number of first failing operations, spread over those of a healthy play
 
 
-def test_the_sequence_is_whole_on_a_healthy_disk(tmp_path, monkeypatch):
+def test_sequence_completes_on_a_healthy_disk(tmp_path, monkeypatch):
     with failing_files(tmp_path, monkeypatch) as faults:
         Play(tmp_path, faults).run()
 
@@ -33,27 +34,27 @@
 @pytest.mark.parametrize("span", [SHORT, LONG], ids=["short", "long"])
 @pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
 @pytest.mark.parametrize("kind", KINDS)
-def test_what_was_taken_is_owed_and_comes_back(kind, code, span, tmp_path, monkeypatch):
+def test_accepted_requests_are_answered_once_while_operations_fail(kind, code, span, tmp_path, monkeypatch):
     with failing_files(tmp_path, monkeypatch) as faults:
         Play(tmp_path / "healthy", faults).run()
-        many = faults.counts[kind]
-        step = max(1, many // POSITIONS)
-        shift = step * (2 * (code == BROKEN) + (span == LONG)) // 4  # each case has positions of its own
-        for first in range(1 + shift, many + 1, step):
+        count = faults.counts[kind]
+        step = max(1, count // POSITIONS)
+        shift = step * (2 * (code == BROKEN) + (span == LONG)) // 4  # shifts the positions of each case
+        for first in range(1 + shift, count + 1, step):
             play = Play(tmp_path / f"{first}", faults)
             play.fail(kind, code, first, span)
             try:
                 play.run()
             except AssertionError as error:
-                raise AssertionError(f"operation {first} of {many}: {error}; {play.host.said}") from error
+                raise AssertionError(f"operation {first} of {count}: {error}; {play.host.said}") from error
             finally:
                 faults.heal()
 
 
-def test_a_life_that_ends_because_its_fence_cannot_be_read_leaves_all_it_wrote_to_the_next(
+def test_incarnation_with_unreadable_fence_ends_and_the_next_one_takes_over_its_records(
     tmp_path, monkeypatch
 ):
-    """What was committed may be the heirs' already: nothing follows from it here, and nothing is lost."""
+    """Successors may own the committed records: this incarnation must not act on them."""
     with failing_files(tmp_path, monkeypatch) as faults:
         play = Play(tmp_path, faults)
         play.begin("a")
@@ -72,7 +73,7 @@
         assert [(each.id, len(each.attempts)) for each in taken_over] == [("first", 1)]
 
 
-def test_an_id_that_could_not_be_let_go_is_free_once_the_disk_is_well(tmp_path, monkeypatch):
+def test_id_that_could_not_be_released_becomes_free_after_the_disk_recovers(tmp_path, monkeypatch):
     with failing_files(tmp_path, monkeypatch) as faults:
         play = Play(tmp_path, faults)
         play.begin("a")
@@ -83,13 +84,13 @@
         faults.fail("database write", FULL)
         assert isinstance(apply_one(a, Accept(record("j"))), NotWritten)
         faults.heal()
-        assert apply_one(b, Accept(record("j"))) == AlreadyAccepted("j"), "its taker may still write it"
+        assert apply_one(b, Accept(record("j"))) == AlreadyAccepted("j"), "the holder may still record it"
         monkeypatch.undo()
         settle(play, 1)
         assert apply_one(b, Accept(record("j"))) == Accepted()
 
 
-def test_an_id_that_was_taken_and_not_written_down_is_its_takers_at_once(tmp_path, monkeypatch):
+def test_holder_of_an_unrecorded_id_may_record_it_at_once(tmp_path, monkeypatch):
     host = Host(tmp_path)
     a = host.member("a")
     monkeypatch.setattr(a.folder.ids, "release", raise_io_error)
--- a/tests/test_durable_requests_random_steps.py
+++ b/tests/test_durable_requests_random_steps.py
@@ -21,8 +21,8 @@
 from eiderfield.exchange.request import Answer, Verdict
 
 
-class Kept(RuleBasedStateMachine):
-    """Random steps of three members against a plain book of what each job's legs and answers were."""
+class RandomSteps(RuleBasedStateMachine):
+    """Random steps of three members, checked against the claims and answers of each request."""
 
     @initialize()
     def begin(self):
@@ -37,19 +37,19 @@
         return self.members[number]
 
     @rule(number=st.integers(0, 2), job=st.integers(0, 3))
-    def ask(self, number, job):
+    def submit(self, number, job):
         outcome = apply_one(self.member(number), Accept(record(f"j{job}")))
         if isinstance(outcome, AlreadyFinal):
             assert self.answers[f"j{job}"] == outcome.record.answer
 
     @rule(number=st.integers(0, 2), job=st.integers(0, 3))
-    def hand_out(self, number, job):
-        """A claimed leg is sent at once, by whoever claimed it; a job that may have run is not sent again."""
+    def claim_and_send(self, number, job):
+        """Claim an attempt, which counts as sent, unless the request has an attempt already."""
         member, id_ = self.member(number), f"j{job}"
-        there = member.open_records.get(id_)
+        own_record = member.open_records.get(id_)
         if (
-            there is not None
-            and not there.attempts
+            own_record is not None
+            and not own_record.attempts
             and isinstance(apply_one(member, Claim(id_, attempt_record())), Claimed)
         ):
             assert id_ not in self.claims, "sent twice"
@@ -63,7 +63,7 @@
             assert self.answers.setdefault(id_, answer) == answer, "answered twice"
 
     @rule(number=st.integers(0, 2))
-    def never_ran(self, number):
+    def release_claims(self, number):
         member = self.member(number)
         for id_ in list(member.open_records):
             if (
@@ -73,13 +73,13 @@
                 del self.claims[id_]
 
     @rule(number=st.integers(0, 2))
-    def stop(self, number):
+    def stop_until_fenced(self, number):
         self.stopped.add(number)
         self.host.live(2.5 * LEASE, *[m for n, m in enumerate(self.members) if n not in self.stopped])
 
     @precondition(lambda self: self.stopped)
     @rule()
-    def wake(self):
+    def resume(self):
         self.members[self.stopped.pop()].tick()
 
     @rule()
@@ -88,11 +88,13 @@
             if number not in self.stopped:
                 member.tick()
                 for each in member.take_over():
-                    assert each.id not in self.answers, "taken over though it has its answer"
-                    assert (each.id in self.claims) == bool(each.attempts), "what may have run is forgotten"
+                    assert each.id not in self.answers, "an answered request was taken over"
+                    assert (each.id in self.claims) == bool(each.attempts), (
+                        "the attempts of a taken-over request were lost"
+                    )
 
     @invariant()
-    def one_owner(self):
+    def at_most_one_owner(self):
         for job in range(4):
             alive = [
                 m
@@ -111,9 +113,9 @@
             shutil.rmtree(self.host.settings.folder.parent)
 
 
-TestKept = Kept.TestCase
+TestRandomSteps = RandomSteps.TestCase
 
 
-TestKept.settings = settings(
+TestRandomSteps.settings = settings(
     derandomize=True, max_examples=60, stateful_step_count=40, deadline=None, database=None
 )
--- a/tests/test_durable_requests_retention.py
+++ b/tests/test_durable_requests_retention.py
@@ -14,7 +14,7 @@
 )
 
 
-def test_a_store_has_a_bound_beyond_which_new_jobs_are_refused(tmp_path):
+def test_full_store_refuses_new_requests(tmp_path):
     host = Host(tmp_path, max_bytes=100_000)
     a = host.member("a")
     outcomes = [apply_one(a, Accept(record(f"j{number}", body=b"x" * 10_000))) for number in range(40)]
@@ -27,7 +27,7 @@
     a.close()
 
 
-def test_answers_are_kept_by_age_count_and_bytes_and_their_ids_are_free_after_that(tmp_path):
+def test_answers_expire_by_number_and_age_and_their_ids_become_free(tmp_path):
     host = Host(tmp_path, max_final_records=3, retention_ms=50_000.0)
     a = host.member("a")
     for number in range(6):
@@ -43,20 +43,22 @@
     a.close()
 
 
-def test_a_settled_estate_is_removed_once_its_answers_are_old(tmp_path):
+def test_store_of_a_lost_member_is_removed_after_its_answers_expire(tmp_path):
     host = Host(tmp_path, retention_ms=20_000.0)
     a, b = host.member("a"), host.member("b")
-    a.apply([Accept(record("open")), Accept(record("over"))])
-    apply_one(a, Finish("over", SERVED))
+    a.apply([Accept(record("open")), Accept(record("answered"))])
+    apply_one(a, Finish("answered", SERVED))
     host.outlive(b)
     assert [each.id for each in b.take_over()] == ["open"]
     assert b.folder.store_path("a.1").exists()
     apply_one(b, Finish("open", SERVED))
     host.live(30_000.0, b)
-    assert b.folder.store_path("a.1").exists(), "its process is there, and may be writing"
+    assert b.folder.store_path("a.1").exists(), "removed while its process may still write to it"
     host.live(12_000.0, a, b)
     assert not b.folder.store_path("a.1").exists()
-    assert b.find("over") is None
-    assert not (host.settings.folder / "ids" / hashed_name("over")[:2] / hashed_name("over")).is_symlink()
+    assert b.find("answered") is None
+    assert not (
+        host.settings.folder / "ids" / hashed_name("answered")[:2] / hashed_name("answered")
+    ).is_symlink()
     a.close()
     b.close()
--- a/tests/test_durable_requests_settings.py
+++ b/tests/test_durable_requests_settings.py
@@ -1,4 +1,4 @@
-"""Folders and settings that are refused, each by its key."""
+"""Unusable folders and settings are refused with the key that an operator has to change."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from eiderfield.interface import Effect, RequestClass, Settings
 
 
-def test_a_folder_of_another_form_or_none_is_refused_by_name(tmp_path):
+def test_unusable_folder_is_refused_with_its_key(tmp_path):
     with pytest.raises(FolderError, match="not a folder of durable requests"):
         SharedFolder(tmp_path, create=False)
     SharedFolder(tmp_path / "x")
@@ -24,7 +24,7 @@
         SharedFolder(tmp_path / "file")
 
 
-SITE = Settings(
+SETTINGS = Settings(
     (
         RequestClass("report", 3.0, 300.0, 6000.0, Effect.KEYED),
         RequestClass("look", 1.0, 9.0, 900.0, Effect.SAFE),
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "key"),
+    ("table", "key"),
     [
         ({}, "custody.folder"),
         ({"folder": "run/x", "classes": ["report"]}, "custody.folder"),
@@ -46,7 +46,7 @@
         ({"folder": "/x", "classes": ["report"], "flush": 1}, "custody.flush"),
     ],
 )
-def test_a_faulty_table_is_refused_by_its_key(told, key):
+def test_faulty_table_is_refused_with_its_key(table, key):
     with pytest.raises(ConfigError) as error:
-        read_settings(TableReader(told, "custody"), SITE)
+        read_settings(TableReader(table, "custody"), SETTINGS)
     assert str(error.value).startswith(key)
--- a/tests/test_durable_requests_store.py
+++ b/tests/test_durable_requests_store.py
@@ -15,27 +15,27 @@
 from eiderfield.exchange.request import Request
 
 
-def test_a_record_becomes_the_same_authorisation_with_its_first_deadline():
-    a = Request("j", 0, 5000.0, "/r/x", "h", b"\x00body", "k", 7, False, 2, 3.0, 4.0)
-    kept = record_of(a, "r", now=1000.0, accepted_at=50.0)
-    again = request_of(kept, 0, now=91_000.0, monotonic=1050.0)
-    assert again == replace(a, deadline=91_000.0 + 3000.0, is_client_retry=True)
+def test_record_becomes_the_same_request_with_its_original_deadline():
+    request = Request("j", 0, 5000.0, "/r/x", "h", b"\x00body", "k", 7, False, 2, 3.0, 4.0)
+    stored = record_of(request, "r", now=1000.0, accepted_at=50.0)
+    restored = request_of(stored, 0, now=91_000.0, monotonic=1050.0)
+    assert restored == replace(request, deadline=91_000.0 + 3000.0, is_client_retry=True)
 
 
-def test_a_leg_that_never_ran_is_taken_off_and_the_rest_are_numbered_anew_by_the_heir():
-    kept = (
+def test_successor_renumbers_the_attempts_that_remain_after_one_never_ran():
+    stored = (
         record()
         .with_attempt(attempt_record(0))
         .with_attempt(attempt_record(1))
         .with_attempt(attempt_record(2))
         .without_attempt(1)
     )
-    assert [each.number for each in kept.taken_over().attempts] == [0, 1]
-    assert kept.taken_over().takeovers == 1
-    assert kept.without_attempt(0).without_attempt(2).stage == Stage.ACCEPTED
+    assert [each.number for each in stored.taken_over().attempts] == [0, 1]
+    assert stored.taken_over().takeovers == 1
+    assert stored.without_attempt(0).without_attempt(2).stage == Stage.ACCEPTED
 
 
-def test_a_store_keeps_what_was_committed_and_shows_it_to_readers(tmp_path):
+def test_readers_see_committed_records_only(tmp_path):
     store = RecordStore(tmp_path / "a.db")
     reader = RecordStore(tmp_path / "a.db", read_only=True)
     store.begin()
@@ -57,7 +57,7 @@
     assert RecordStore(tmp_path / "copy.db", read_only=True).get("j") == store.get("j")
 
 
-OLD = """CREATE TABLE jobs (
+FIRST_SCHEMA = """CREATE TABLE jobs (
     id TEXT PRIMARY KEY, cls TEXT NOT NULL, stage INTEGER NOT NULL, due REAL NOT NULL,
     accepted REAL NOT NULL, finished REAL NOT NULL, head TEXT NOT NULL, body BLOB NOT NULL,
     legs TEXT NOT NULL, verdict TEXT NOT NULL, result BLOB NOT NULL, retry_after REAL NOT NULL,
@@ -69,11 +69,11 @@
 PRAGMA application_id = 1701078386; PRAGMA user_version = 1;"""
 
 
-def test_a_store_of_the_first_schema_is_read_as_it_is_and_brought_up_by_its_writer(tmp_path):
+def test_store_of_the_first_schema_is_readable_and_upgraded_by_its_writer(tmp_path):
     path = tmp_path / "a.db"
-    with sqlite3.connect(path) as db:
-        db.executescript(OLD)
-    db.close()
+    with sqlite3.connect(path) as database:
+        database.executescript(FIRST_SCHEMA)
+    database.close()
     before = RecordStore(path, read_only=True).get("j")
     assert before.attempts == (attempt_record(at=2.0),)
     assert before.front == "platform"
@@ -84,20 +84,20 @@
 
 
 @pytest.mark.parametrize(
-    ("make", "why"),
+    ("make", "reason"),
     [
         (
-            lambda db: db.executescript(
+            lambda database: database.executescript(
                 f"PRAGMA application_id = {APPLICATION_ID}; PRAGMA user_version = 99"
             ),
             "newer",
         ),
-        (lambda db: db.execute("CREATE TABLE mine (x)"), "not a store"),
+        (lambda database: database.execute("CREATE TABLE mine (x)"), "not a store"),
         (None, "not a database"),
         ("torn", "malformed|disk image|not a database|integrity|file is"),
     ],
 )
-def test_a_store_that_is_foreign_newer_or_torn_is_refused_by_name(make, why, tmp_path):
+def test_foreign_newer_or_torn_store_is_refused_with_its_file_name(make, reason, tmp_path):
     path = tmp_path / "x.db"
     if make is None:
         path.write_bytes(b"poems\n" * 2000)
@@ -115,9 +115,9 @@
         assert RecordStore(path, read_only=True).verify() != ""
         return
     else:
-        with sqlite3.connect(path) as db:
-            make(db)
-        db.close()
-    with pytest.raises(StoreError, match=why) as error:
+        with sqlite3.connect(path) as database:
+            make(database)
+        database.close()
+    with pytest.raises(StoreError, match=reason) as error:
         RecordStore(path)
     assert "x.db" in str(error.value)
--- a/tests/test_durable_requests_takeover.py
+++ b/tests/test_durable_requests_takeover.py
@@ -1,4 +1,4 @@
-"""The takeover of what lost members left."""
+"""Successors take over the requests of lost members."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from eiderfield.durable_requests.record import Stage
 
 
-def test_a_lost_members_jobs_go_to_its_heirs_with_what_may_have_run(host):
+def test_successors_take_over_the_open_requests_of_a_lost_member_with_their_attempts(host):
     a, b, c = (host.member(name) for name in "abc")
     ids = [f"j{number}" for number in range(40)]
     assert a.apply([Accept(record(id_)) for id_ in ids]) == [Accepted()] * 40
@@ -30,7 +30,9 @@
     assert sorted(taken) == sorted(ids[5:])
     assert all(found.values())
     assert all((each.stage == Stage.CLAIMED) == (id_ in ids[5:20]) for id_, each in taken.items())
-    assert apply_one(b, Accept(record("j0"))) == AlreadyFinal(b.find("j0")), "an answer outlives who gave it"
+    assert apply_one(b, Accept(record("j0"))) == AlreadyFinal(b.find("j0")), (
+        "the answer of a lost member was not found"
+    )
     assert (
         a.apply([Claim("j6", attempt_record(1)), Finish("j7", SERVED), Accept(record("j99"))])[:2]
         == [NotOwned()] * 2
@@ -39,11 +41,11 @@
     assert a.counters.fenced == 1
     assert any("incarnation was fenced (name=a.1" in line for line in host.said)
     host.live(1500.0, a, b, c)
-    assert a.incarnation_name == "a.2", "it begins anew with nothing"
-    assert len(a.open_records) == 0, "it begins anew with nothing"
+    assert a.incarnation_name == "a.2", "no new incarnation began"
+    assert len(a.open_records) == 0, "the new incarnation owns earlier requests"
 
 
-def test_who_is_told_last_of_its_own_loss_sends_nothing_it_claimed(host):
+def test_fenced_member_claims_no_attempt(host):
     a, b = host.member("a"), host.member("b")
     apply_one(a, Accept(record()))
     host.outlive(b)
@@ -52,23 +54,25 @@
     assert [each.stage for each in b.take_over()] == [Stage.ACCEPTED]
 
 
-def test_an_heir_that_is_lost_too_passes_on_what_it_wrote_not_what_it_found(host):
+def test_requests_of_a_lost_successor_are_taken_over_as_the_successor_recorded_them(host):
     a, b, c = (host.member(name) for name in "abc")
     ids = [f"j{number}" for number in range(12)]
     a.apply([Accept(record(id_)) for id_ in ids])
     host.outlive(b, c)
-    mine = {each.id for each in b.take_over()}
-    b.apply([Claim(id_, attempt_record()) for id_ in mine])
-    first = {each.id for each in c.take_over()}
+    taken_by_b = {each.id for each in b.take_over()}
+    b.apply([Claim(id_, attempt_record()) for id_ in taken_by_b])
+    taken_by_c = {each.id for each in c.take_over()}
     host.outlive(c)
     host.now += 1000.0
-    second = {each.id: each for each in c.take_over()}
-    assert set(second) == mine
-    assert not first & mine
-    assert all(each.stage == Stage.CLAIMED and each.takeovers == 2 for each in second.values())
+    taken_after_b_was_lost = {each.id: each for each in c.take_over()}
+    assert set(taken_after_b_was_lost) == taken_by_b
+    assert not taken_by_c & taken_by_b
+    assert all(
+        each.stage == Stage.CLAIMED and each.takeovers == 2 for each in taken_after_b_was_lost.values()
+    )
 
 
-def test_two_that_fence_each_other_leave_their_jobs_to_who_comes_next(host):
+def test_requests_of_members_that_fence_each_other_go_to_the_next_incarnations(host):
     a, b = host.member("a"), host.member("b")
     apply_one(a, Accept(record("ja")))
     apply_one(b, Accept(record("jb")))
@@ -81,8 +85,8 @@
     assert sorted(taken) == ["ja", "jb"]
 
 
-def test_a_commit_that_comes_after_the_fence_is_taken_over_as_well(host):
-    """It was under way when its member was stopped, and its asker waits for it at another one."""
+def test_record_that_is_committed_after_the_fence_is_taken_over(host):
+    """A commit that was in progress when its member stopped may complete after the fence."""
     a, b = host.member("a"), host.member("b")
     a.reach_failpoint = lambda name: host.outlive(b) if name == "accept" else None
     assert apply_one(a, Accept(record())) == AlreadyAccepted("j")
@@ -91,34 +95,34 @@
     assert [each.id for each in b.take_over()] == ["j"]
 
 
-def test_who_died_between_an_id_and_its_record_blocks_nobody(host):
+def test_id_of_a_member_that_was_lost_before_it_recorded_becomes_free(host):
     a, b = host.member("a"), host.member("b")
     assert a.folder.ids.acquire("j", "a.1")
-    assert apply_one(b, Accept(record())) == AlreadyAccepted("j"), "it may be writing just now"
+    assert apply_one(b, Accept(record())) == AlreadyAccepted("j"), "the holder may still record it"
     assert b.poll_answers(["j"]) == []
     host.outlive(b)
     assert b.poll_answers(["j"]) == [("j", None)]
     assert apply_one(b, Accept(record())) == Accepted()
 
 
-class Stopped(Exception):
-    """A member stops at a point for ever."""
+class StoppedAtFailpoint(Exception):
+    """Stops a member permanently at a failpoint."""
 
 
 @pytest.mark.parametrize("point", ["accept", "accept done", "claim", "claim done", "finish", "finish done"])
-def test_wherever_a_member_stops_its_job_is_the_heirs_once(host, point):
+def test_request_of_a_member_that_stops_at_a_failpoint_is_taken_over_once(host, point):
     a, b = host.member("a"), host.member("b")
 
     def stop(name):
         if name == point:
-            raise Stopped
+            raise StoppedAtFailpoint
 
     def serve_request():
         for operation in (Accept(record()), Claim("j", attempt_record()), Finish("j", SERVED)):
             apply_one(a, operation)
 
     a.reach_failpoint = stop
-    with pytest.raises(Stopped):
+    with pytest.raises(StoppedAtFailpoint):
         serve_request()
     host.outlive(b)
     found = [each.stage for each in b.take_over()]
@@ -131,8 +135,8 @@
     assert apply_one(b, Accept(record())) == expected
 
 
-def test_what_cannot_be_read_of_a_lost_member_is_not_taken_for_nothing(host):
-    """A job in it may have begun: who asks for it waits, and is told at the end that it may have run."""
+def test_unreadable_store_of_a_lost_member_does_not_count_as_empty(host):
+    """A request in it may have run: a client that submits it again must wait."""
     a, b = host.member("a"), host.member("b")
     apply_one(a, Accept(record()))
     apply_one(a, Claim("j", attempt_record()))
@@ -148,18 +152,18 @@
     assert apply_one(b, Accept(record("other"))) == Accepted()
 
 
-def test_a_store_that_was_locked_for_a_moment_is_read_again(host, monkeypatch):
+def test_store_that_could_not_be_opened_is_read_again(host, monkeypatch):
     a, b = host.member("a"), host.member("b")
     apply_one(a, Accept(record()))
-    with monkeypatch.context() as locked:
-        locked.setattr(StoreReaders, "open", lambda _readers, _incarnation: None)
+    with monkeypatch.context() as patch:
+        patch.setattr(StoreReaders, "open", lambda _readers, _incarnation: None)
         host.outlive(b)
         assert b.take_over() == []
     host.live(1500.0, b)
     assert [each.id for each in b.take_over()] == ["j"]
 
 
-def test_a_member_that_leaves_is_not_waited_for(host):
+def test_requests_of_a_member_that_leaves_are_taken_over_at_once(host):
     a, b = host.member("a"), host.member("b")
     apply_one(a, Accept(record()))
     assert a.leave()
--- a/tests/test_durable_requests_torn_files.py
+++ b/tests/test_durable_requests_torn_files.py
@@ -1,4 +1,4 @@
-"""Files that a kill or a loss of power left torn, empty or outdated: nothing is lost or done twice."""
+"""Files that a kill or a loss of power left torn, empty or outdated: no request is lost or runs twice."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from eiderfield.durable_requests.store import RecordStore
 
 
-def test_a_record_that_was_refused_and_came_back_with_a_kill_is_not_run_beside_its_next_taking(tmp_path):
-    """A sync that fails after the write: the asker was told that nothing is taken, and asks elsewhere."""
+def test_refused_record_that_a_recovery_restored_is_not_taken_over(tmp_path):
+    """A sync failed after the write: the client was refused and submitted the request to another member."""
     host = Host(tmp_path)
     a, b, c = (host.member(name) for name in "abc")
     fences = {"a.1": ("b.1", "c.1")}
@@ -37,16 +37,16 @@
         member.close()
 
 
-def test_an_heir_that_was_lost_before_it_wrote_anything_passes_its_jobs_on(tmp_path):
-    """Its store is empty, which is not to say that it cannot be read."""
+def test_requests_of_a_successor_with_an_empty_store_are_taken_over(tmp_path):
+    """An empty store must not count as unreadable."""
     host = Host(tmp_path)
     a, b, c = (host.member(name) for name in "abc")
     fences = {"a.1": ("b.1", "c.1"), "b.1": ("c.1",)}
     id_ = next(id_ for id_ in map(str, range(99)) if "b.1" in ownership_chain(id_, "a.1", fences))
     assert apply_one(a, Accept(record(id_))) == Accepted()
     b.end_incarnation()
-    for end in ("", "-wal", "-shm"):
-        (host.settings.folder / "lives" / f"b.1.db{end}").unlink(missing_ok=True)
+    for suffix in ("", "-wal", "-shm"):
+        (host.settings.folder / "lives" / f"b.1.db{suffix}").unlink(missing_ok=True)
     (host.settings.folder / "lives" / "b.1.db").touch()
     c.folder.fences.create("a.1", ["b.1", "c.1"], "c.1", "test")
     host.outlive(c)
@@ -56,23 +56,23 @@
         member.close()
 
 
-def test_the_id_of_a_forgotten_record_is_not_taken_from_who_took_it_anew(host_with_two, monkeypatch):
-    """A record whose id was let go may stay in its store after a refusal, and is forgotten again."""
+def test_second_deletion_of_a_record_keeps_the_new_holder_of_its_id(host_with_two, monkeypatch):
+    """A refused deletion leaves a record whose id was released, which may be acquired before the next try."""
     host, a, b = host_with_two
     apply_one(a, Accept(record("j")))
     apply_one(a, Finish("j", SERVED))
-    [over] = a.current_incarnation.store.expired(host.now + 1.0, 0, 0)
-    with monkeypatch.context() as refused:
-        refused.setattr(a.current_incarnation.store, "delete", raise_io_error)
-        a.retention.delete(a.current_incarnation, [over])
+    [expired] = a.current_incarnation.store.expired(host.now + 1.0, 0, 0)
+    with monkeypatch.context() as patch:
+        patch.setattr(a.current_incarnation.store, "delete", raise_io_error)
+        a.retention.delete(a.current_incarnation, [expired])
     assert apply_one(b, Accept(record("j"))) == Accepted()
-    a.retention.delete(a.current_incarnation, [over])
+    a.retention.delete(a.current_incarnation, [expired])
     assert b.folder.ids.holder("j") == (1, "b.1")
     assert apply_one(a, Accept(record("j"))) == AlreadyAccepted("j")
 
 
-def test_a_member_file_that_cannot_be_read_ends_no_job(host_with_two, tmp_path, monkeypatch):
-    """Accepted for one of another boot, its times would lie in the past."""
+def test_unreadable_member_file_leaves_deadlines_unchanged(host_with_two, tmp_path, monkeypatch):
+    """If the member counted as one of another boot, the deadlines of its requests would lie in the past."""
     host, a, b = host_with_two
     apply_one(a, Accept(record("j", deadline=host.now + 60_000.0)))
     host.outlive(b)
@@ -84,13 +84,13 @@
     assert [(each.id, each.deadline) for each in b.take_over()] == [("j", 61_000.0)]
 
 
-def test_a_store_cut_at_any_byte_of_its_last_record_keeps_all_that_was_told_before(tmp_path, monkeypatch):
-    """A kill leaves half a record: what was written down before is owed, and the rest was never told."""
-    monkeypatch.setattr(store_module, "PAGE_SIZE", 512)  # fewer bytes to cut at
+def test_store_cut_at_any_byte_of_its_last_record_keeps_the_earlier_records(tmp_path, monkeypatch):
+    """A kill may cut the last record, which was not acknowledged; acknowledged records must stay."""
+    monkeypatch.setattr(store_module, "PAGE_SIZE", 512)  # a smaller page has fewer positions to cut at
     host = Host(tmp_path / "whole")
     member = host.member("a")
-    assert apply_one(member, Accept(record("kept"))) == Accepted()
-    assert isinstance(apply_one(member, Claim("kept", attempt_record())), Claimed)
+    assert apply_one(member, Accept(record("earlier"))) == Accepted()
+    assert isinstance(apply_one(member, Claim("earlier", attempt_record())), Claimed)
     journal = host.settings.folder / "lives" / "a.1.db-wal"
     before = journal.stat().st_size
     assert apply_one(member, Accept(record("last"))) == Accepted()
@@ -99,25 +99,25 @@
     assert len(whole) > before
     for size in range(before, len(whole) + 1):
         path = tmp_path / "cut.db"
-        for end in ("", "-wal", "-shm"):
-            path.with_name(f"cut.db{end}").unlink(missing_ok=True)
+        for suffix in ("", "-wal", "-shm"):
+            path.with_name(f"cut.db{suffix}").unlink(missing_ok=True)
         path.write_bytes(base)
         path.with_name("cut.db-wal").write_bytes(whole[:size])
         store = RecordStore(path, read_only=True)
         found = {each.id: each.stage for each in store.records()}
         store.close()
-        assert found.pop("kept") == Stage.CLAIMED
+        assert found.pop("earlier") == Stage.CLAIMED
         assert found == ({"last": Stage.ACCEPTED} if size == len(whole) else {})
 
 
 @pytest.mark.parametrize("part", ["members/a.1", "fences/a.1", "wishes"])
-def test_a_small_file_cut_at_any_byte_stops_nobody(part, tmp_path):
-    """A loss of power may tear what was not flushed: the other members go on."""
+def test_small_file_cut_at_any_byte_stops_no_member(part, tmp_path):
+    """A loss of power may tear files that were not flushed; other members must still work."""
     host = Host(tmp_path)
     a, b = host.member("a"), host.member("b")
     apply_one(a, Accept(record("j")))
-    apply_one(a, Accept(record("wished")))
-    a.folder.end_requests.add("wished")
+    apply_one(a, Accept(record("cancelled")))
+    a.folder.end_requests.add("cancelled")
     if part.startswith("fences"):
         a.leave()
     path = host.settings.folder / part
@@ -125,10 +125,10 @@
     whole = path.read_bytes()
     for size in range(len(whole)):
         path.write_bytes(whole[:size])
-        fresh = host.member(f"n{size}")
-        assert fresh.tick()
-        assert apply_one(fresh, Accept(record(f"job-{size}"))) == Accepted()
-        fresh.close()
+        new_member = host.member(f"n{size}")
+        assert new_member.tick()
+        assert apply_one(new_member, Accept(record(f"job-{size}"))) == Accepted()
+        new_member.close()
     path.write_bytes(whole)
     assert not [line for line in host.said if "Error" in line]
     a.close()
--- a/tests/test_durable_requests_wall_clock.py
+++ b/tests/test_durable_requests_wall_clock.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("step", [5.0, 3600.0, -5.0, -3600.0])
-def test_a_step_of_the_wall_clock_changes_no_lease_and_no_deadline(step, host_with_two, monkeypatch):
+def test_wall_clock_step_changes_no_lease_and_no_deadline(step, host_with_two, monkeypatch):
     host, a, b = host_with_two
     apply_one(a, Accept(record("j", deadline=host.now + 60_000.0)))
     real = time.time
@@ -29,16 +29,16 @@
 
 
 @pytest.mark.parametrize("step", [5.0, 3600.0, -5.0, -3600.0])
-def test_a_step_before_a_reboot_is_followed_and_deadlines_come_through(step, host_with_two, monkeypatch):
-    """After the reboot the wall clock, as it was stepped, alone joins the two steady clocks."""
+def test_deadlines_survive_a_wall_clock_step_before_a_reboot(step, host_with_two, monkeypatch):
+    """After a reboot, only the wall clock relates the monotonic clocks of the two boots."""
     host, a, b = host_with_two
     apply_one(a, Accept(record("j", at=host.now, deadline=host.now + 60_000.0)))
     real = time.time
     monkeypatch.setattr(time, "time", lambda: real() + step)
     host.live(2.0 * host.settings.tick_interval_ms, a, b)
-    about = host.settings.folder / "members" / "a.1"
-    told = json.loads(about.read_text())
-    about.write_text(json.dumps({**told, "boot": "before"}))
+    member_file = host.settings.folder / "members" / "a.1"
+    info = json.loads(member_file.read_text())
+    member_file.write_text(json.dumps({**info, "boot": "before"}))
     b.folder.incarnations.offset = unix_offset()
     host.outlive(b)
     [found] = b.take_over()
@@ -46,13 +46,13 @@
     assert found.accepted_at == pytest.approx(1000.0, abs=50.0)
 
 
-def test_a_step_while_the_machine_was_down_gives_no_job_more_time_than_it_had(host_with_two):
+def test_wall_clock_step_during_a_reboot_gives_no_request_more_time(host_with_two):
     host, a, b = host_with_two
     apply_one(a, Accept(record("j", at=host.now, deadline=host.now + 60_000.0)))
     apply_one(a, Claim("j", attempt_record(at=host.now)))
-    about = host.settings.folder / "members" / "a.1"
-    told = json.loads(about.read_text())
-    about.write_text(json.dumps({**told, "boot": "before", "offset": told["offset"] + 3_600_000.0}))
+    member_file = host.settings.folder / "members" / "a.1"
+    info = json.loads(member_file.read_text())
+    member_file.write_text(json.dumps({**info, "boot": "before", "offset": info["offset"] + 3_600_000.0}))
     host.outlive(b)
     [found] = b.take_over()
     assert found.deadline <= host.now + 60_000.0
@@ -60,13 +60,13 @@
     assert found.attempts[0].sent_at <= host.now
 
 
-def test_steady_times_of_an_earlier_run_of_the_machine_are_told_on_this_ones(host):
+def test_monotonic_times_of_an_earlier_boot_are_converted_to_the_current_boot(host):
     a, b = host.member("a"), host.member("b")
     apply_one(a, Accept(record(deadline=50_000.0, at=host.now)))
     apply_one(a, Claim("j", attempt_record(at=host.now)))
-    about = host.settings.folder / "members" / "a.1"
-    told = json.loads(about.read_text())
-    about.write_text(json.dumps({**told, "boot": "another", "offset": told["offset"] + 2000.0}))
+    member_file = host.settings.folder / "members" / "a.1"
+    info = json.loads(member_file.read_text())
+    member_file.write_text(json.dumps({**info, "boot": "another", "offset": info["offset"] + 2000.0}))
     host.outlive(b)
     [found] = b.take_over()
     assert found.deadline == pytest.approx(52_000.0, abs=1.0)
