--- a/eiderfield/net/discovery/__init__.py
+++ b/eiderfield/net/discovery/__init__.py
@@ -1,6 +1,6 @@
 """Discovery: the sources of the list of workers.
 
-`endpoint_list` holds the list in typed form and `routing_table` applies it. `watch` follows one source over
-`watch_connection`, `platform` and `consul` are the two kinds of sources, and `active_watch` switches from
-one source to the next.
+`endpoint_list` defines the list in typed form and `routing_table` applies it. `watch` follows a source over a
+`watch_connection`; `platform` and `consul` implement it for the two kinds of sources. `active_watch` switches
+to another source when the configuration changes.
 """
--- a/eiderfield/net/discovery/active_watch.py
+++ b/eiderfield/net/discovery/active_watch.py
@@ -1,11 +1,11 @@
-"""Switch from one source of workers to the next.
+"""Switch from one source of workers to another.
 
 The old source is followed, and its watch reopened after losses, until the new source has sent a list:
-meanwhile the old one may announce a drain, and the new one may never answer.
+meanwhile the old source may announce a drain, and the new one may never answer.
 
-    idle ──(follow)──> one watch ──(follow another)──> two watches ──(the new one's first list)──> one watch
+    no watch ──(follow)──> one watch ──(follow)──> two watches ──(first list of the new source)──> one watch
 
-Invariant: while a source is configured, one is followed.
+Invariant: while a source is configured, at least one source is followed.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
     """The watch in use and, after a change of the configuration, the one that replaces it."""
 
     def __init__(self) -> None:
-        """Follows no source yet."""
+        """Create an object that follows no source."""
         self._current: Watch | None = None
         self._next: Watch | None = None
 
     def follow(self, watch: Watch | None) -> None:
         """Switch to another source; None stops discovery."""
-        if self._next is not None:  # the configuration changed again before its source sent a list
+        if self._next is not None:  # the configuration changed again before the next source sent a list
             self._next.stop()
             self._next = None
         if self._current is None or watch is None:
--- a/eiderfield/net/discovery/consul.py
+++ b/eiderfield/net/discovery/consul.py
@@ -1,9 +1,9 @@
 """Consul as a source of workers: blocking queries to its health or catalogue API.
 
-An agent that has just started, or whose cluster has no leader, may list no instances or a few of them,
-though the others still run. Such a list is unconfirmed: the states in it are applied, drains above all,
-but the workers that it omits stay for up to `CONFIRMATION_TIMEOUT_MS` while the queries go on. The
-console reports how many they are.
+An agent that has just started, or whose cluster has no leader, may list none or only some of the instances
+that are running. Such a list is unconfirmed: the states in it are applied, since they may include drains, but
+the workers that it omits are kept for up to `CONFIRMATION_TIMEOUT_MS` while the queries continue. The console
+reports the number of workers that are kept in this way.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 from eiderfield.net.discovery.watch import Watch
 from eiderfield.net.http import Head, MalformedMessageError, request_bytes
 
-CONFIRMATION_TIMEOUT_MS = 10_000.0  # for which an unconfirmed list removes no worker: an agent syncs in less
-MIN_LISTED_SHARE = 0.5  # of the ready workers known before; a list with fewer needs confirmation
-MAX_WAIT_EXTENSION = 1.0 / 16.0  # share of the wait by which Consul may extend it
-ANSWER_SLACK_MS = 2000.0  # that a response may take beyond its extended wait
-REPEAT_INTERVAL_MS = 1000.0  # before a query that does not block
+CONFIRMATION_TIMEOUT_MS = 10_000.0  # until an unconfirmed list is applied; an agent syncs in less time
+MIN_LISTED_SHARE = 0.5  # share of the known ready workers below which a list may need confirmation
+MAX_WAIT_EXTENSION = 1.0 / 16.0  # share of a query's wait by which Consul may extend the wait
+ANSWER_SLACK_MS = 2000.0  # time for a response after the extended wait has ended
+REPEAT_INTERVAL_MS = 1000.0  # delay before a query that does not block
 MAX_INDEX_DIGITS = 20
 MS_PER_SECOND = 1000.0
 
 
 class ConsulWatch(Watch):
-    """Queries Consul for lists that are newer than the last index."""
+    """A watch that sends Consul one blocking query after another, each for changes after the last index."""
 
     def __init__(
         self,
@@ -43,20 +43,20 @@
         discovery: DiscoverySettings,
         log: Callable[[str], None],
     ) -> None:
-        """Creates a watch of the source that `discovery` names, which must have an address."""
+        """Create a watch of the source in `discovery`, which must have an address."""
         assert discovery.address is not None
         super().__init__(table, timers, clock, dial, discovery.address, log)
         self._discovery = discovery
         self.heartbeat_timeout = discovery.wait_ms * (1.0 + MAX_WAIT_EXTENSION) + ANSWER_SLACK_MS
-        self._index = 0  # after which the next query waits for changes; 0 queries without a wait
-        self._answer_index = 0  # of the response that is being received
-        self._confirmed = False  # whether this connection has brought a confirmed list
-        self._has_leader = True  # whether the cluster had one at the last response
+        self._index = 0  # the next query waits for changes after this index; 0 stands for no wait
+        self._answer_index = 0  # index of the response that is being received
+        self._confirmed = False  # whether a list was confirmed on this connection
+        self._has_leader = True  # whether the cluster had a leader at the last response
         self._unconfirmed_since: float | None = None
-        self._first_seen: dict[str, float] | None = None  # by name; 0 for instances of the first list
+        self._first_seen: dict[str, float] | None = None  # by instance name; 0 for those in the first list
 
     def connect(self) -> None:
-        """Open a connection, perhaps to another server with other indexes."""
+        """Open a connection; the indexes are reset, since another server may answer, with other indexes."""
         self._index = 0
         self._confirmed = False
         super().connect()
@@ -73,7 +73,7 @@
         return request_bytes("GET", target, f"{host}:{port}", b"", **headers)
 
     def on_head(self, head: Head) -> None:
-        """Read the index and whether the cluster has a leader; raises `MalformedMessageError`."""
+        """Read the index, and whether the cluster has a leader; raises `MalformedMessageError`."""
         super().on_head(head)
         text = head.get("x-consul-index")
         if not text.isascii() or not text.isdigit() or len(text) > MAX_INDEX_DIGITS:
@@ -86,10 +86,11 @@
         """Apply the list and schedule the next query; raises `EndpointListError`."""
         self.record_heartbeat()
         endpoints = self._parse_endpoints()
-        # After a restart or a restored snapshot of Consul a query with the old index would wait forever.
-        backwards = self._answer_index < max(1, self._index)
-        unconfirmed = self._count_unconfirmed_removals(endpoints, backwards)
-        self._index = 0 if backwards or unconfirmed else self._answer_index
+        # After a restart of Consul, or the restoration of a snapshot, its indexes begin at lower values: a
+        # query with the old index would wait forever.
+        index_went_back = self._answer_index < max(1, self._index)
+        unconfirmed = self._count_unconfirmed_removals(endpoints, index_went_back)
+        self._index = 0 if index_went_back or unconfirmed else self._answer_index
         listed = self._with_first_seen(endpoints)
         self.table.apply(EndpointList(self._answer_index, snapshot=not unconfirmed, endpoints=listed))
         self.table.start_times.record_source_contact()
@@ -109,12 +110,17 @@
         parse = endpoint_of_health if self._discovery.api == ConsulApi.HEALTH else endpoint_of_catalog
         return [parse(entry) for entry in answer]
 
-    def _count_unconfirmed_removals(self, endpoints: Iterable[ListedEndpoint], backwards: bool) -> int:
-        """Return how many workers a list omits that must stay for now; 0 if the list is confirmed."""
+    def _count_unconfirmed_removals(self, endpoints: Iterable[ListedEndpoint], index_went_back: bool) -> int:
+        """Return the number of omitted workers to be kept for now; 0 if the list is confirmed.
+
+        A list is unconfirmed if it lists less than `MIN_LISTED_SHARE` of the known ready workers, and no list
+        of its connection is confirmed, its index went back or the cluster has no leader. After
+        `CONFIRMATION_TIMEOUT_MS` it counts as confirmed.
+        """
         known = self.table.ready_workers
         omitted = len(known - {self.table.ids.worker(endpoint.name) for endpoint in endpoints})
-        doubtful = not self._confirmed or backwards or not self._has_leader
-        if not doubtful or not known or len(known) - omitted >= MIN_LISTED_SHARE * len(known):
+        needs_confirmation = not self._confirmed or index_went_back or not self._has_leader
+        if not needs_confirmation or not known or len(known) - omitted >= MIN_LISTED_SHARE * len(known):
             self._confirm()
             return 0
         now = self.clock()
@@ -133,11 +139,11 @@
         return omitted
 
     def _confirm(self) -> None:
-        """Trust this list and the following ones of the connection."""
+        """Record that a list of this connection is confirmed."""
         self._confirmed, self._unconfirmed_since = True, None
 
     def _query(self) -> None:
-        """Send the next query, as often as the pace allows."""
+        """Send the next query, now or when the rate limit of `backoff` allows it."""
         if self.connection is None or self.connection.closed:
             return
         if wait := self.backoff.pace(self.clock()):
@@ -147,7 +153,7 @@
         self.connection.send_request()
 
     def _with_first_seen(self, endpoints: list[ListedEndpoint]) -> tuple[ListedEndpoint, ...]:
-        """Return endpoints with the times of their first listing, which stand for unknown starts."""
+        """Return endpoints with the times of their first listing, used where their starts are unknown."""
         names = {endpoint.name for endpoint in endpoints}
         if self._first_seen is None:
             self._first_seen = dict.fromkeys(names, 0.0)
--- a/eiderfield/net/discovery/consul_instances.py
+++ b/eiderfield/net/discovery/consul_instances.py
@@ -1,7 +1,8 @@
-"""Parser of the instances in responses of Consul's health and catalogue API.
+"""Parser for the instances in responses of Consul's health and catalogue API.
 
-An instance is serving while its checks pass or warn, draining while one is critical (as in maintenance),
-and gone once it is not listed. Service metadata may hold `zone`, `type`, `group` and `since_ms`.
+An instance is serving while all its checks pass or warn, draining while any check is critical (which includes
+maintenance mode), and deleted once it is not listed. Its service metadata may hold `zone`, `type`, `group`
+and `since_ms`.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Instance:
-    """The fields of an instance, which the two APIs name differently."""
+    """The fields of an instance that both APIs return, under different names."""
 
     node: object
     service_id: object
@@ -101,7 +102,7 @@
 
 
 def _parse_since(text: object, name: str) -> float:
-    """Return the start in an instance's metadata, 0 if there is none; metadata values are texts."""
+    """Return the start time in an instance's metadata, 0 if there is none; metadata values are strings."""
     if text is None:
         return 0.0
     try:
--- a/eiderfield/net/discovery/endpoint_list.py
+++ b/eiderfield/net/discovery/endpoint_list.py
@@ -1,6 +1,6 @@
-"""List of workers in typed form, and the parser of the platform's JSON form.
+"""List of workers in typed form, and the parser for the platform's JSON form.
 
-A list is parsed as a whole before any of it is applied: a malformed one changes nothing.
+A list is parsed completely before any of it is applied, so that a malformed list changes nothing.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
     """A list is malformed.
 
     Attributes:
-        endpoint: Name of the faulty endpoint, empty if it has none or the list itself is faulty.
+        endpoint: Name of the malformed endpoint, empty if it has none or the list itself is malformed.
     """
 
     def __init__(self, problem: str, *, endpoint: str = "") -> None:
-        """Creates an error; the text begins with the endpoint if there is one."""
+        """Create an error; its text begins with the name of the endpoint if there is one."""
         super().__init__(f"endpoint {endpoint}: {problem}" if endpoint else problem)
         self.endpoint = endpoint
 
 
 class EndpointStatus(Enum):
-    """Status of a worker, by the platform's words."""
+    """Status of a worker. The values are those of the platform's lists."""
 
     SERVING = "SERVING"
     DRAINING = "DRAINING"
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedEndpoint:
-    """A worker as a source lists it."""
+    """A worker as listed by a source."""
 
     name: str
     status: EndpointStatus
@@ -47,13 +47,13 @@
     kind: str = ""
     group: int | str = 0
     weight: float = 1.0
-    since_ms: float = 0.0  # Unix time of the start; 0 for long ago or unknown
-    first_seen: float = 0.0  # if `since_ms` is 0: when it was first listed, on this process's clock
+    since_ms: float = 0.0  # Unix time of the worker's start; 0 if it is unknown or long ago
+    first_seen: float = 0.0  # time of the first listing on this process's clock, used if `since_ms` is 0
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """All endpoints at version `index` (`snapshot`), or those that changed up to it."""
+    """All endpoints at version `index` if `snapshot` is true, else those that have changed up to it."""
 
     index: int
     snapshot: bool
--- a/eiderfield/net/discovery/platform.py
+++ b/eiderfield/net/discovery/platform.py
@@ -1,4 +1,4 @@
-"""The platform's discovery as a source of workers: one open response with a line for each change."""
+"""The platform's discovery as a source of workers: a response without end that streams lists of changes."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
     """A watch of the platform's discovery.
 
     Attributes:
-        needs_snapshot: Whether to request a whole list first, since another source may number its versions
-            differently. The table stays as it is until that list comes.
+        needs_snapshot: Whether to request a whole list first. This is required after a change of the source,
+            which may number its versions differently; the table is unchanged until that list is received.
     """
 
     needs_snapshot = False
-    _stream: JsonStream  # of the present connection
+    _stream: JsonStream  # the response body on the present connection
 
     def next_request(self) -> bytes:
-        """Return the request for the changes after the last version, or for a whole list."""
+        """Return a request for the changes after the table's version, or for a whole list."""
         everything = self.needs_snapshot or self.table.index is None
         after = "" if everything else f"&after={self.table.index}"
         host, port = self.address
         return request_bytes("GET", f"/v1/endpoints?watch=1{after}", f"{host}:{port}")
 
     def connect(self) -> None:
-        """Open a connection, whose stream begins with a new value."""
+        """Open a connection with a new stream."""
         self._stream = JsonStream(MAX_LIST_BYTES)
         super().connect()
 
     def on_body(self, data: bytes) -> None:
-        """Apply each list once it is complete. An empty line is a heartbeat; an incomplete one is none."""
+        """Apply each complete list. Complete lists and empty lines count as heartbeats."""
         for text in self._stream.feed(data):
             if text:
                 self.table.load(json.loads(text))
@@ -44,5 +44,5 @@
                 self.report_first_list()
 
     def on_end(self) -> None:
-        """Reject the end of the response, which never ends by itself."""
+        """Raise `MalformedMessageError`, since the response has no regular end."""
         raise MalformedMessageError("the watch has ended")
--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -1,9 +1,9 @@
 """Routing table: the workers that discovery lists, with operators' bans applied.
 
-The table takes typed lists, gives the worker side the addresses and the exchange the endpoints. A banned
-worker counts as draining whatever discovery lists. After its ban it may have been restarted, which
-discovery announces seconds late: until then it counts as started when the ban ended, so that it goes
-through slow start.
+The table applies typed lists, and updates the addresses of the worker pool and the endpoints of the exchange.
+A banned worker counts as draining, whatever state discovery lists. A worker may be restarted during its ban,
+which discovery announces seconds late. Until discovery announces a start after the beginning of the ban, the
+worker counts as started when the ban ended, so that it goes through slow start.
 """
 
 from __future__ import annotations
@@ -36,17 +36,18 @@
 
 
 class RoutingTable:
-    """All workers that were ever listed, as they were listed last.
+    """All workers that were ever listed, each as it was listed last.
 
     Attributes:
-        ids: The numbers of workers, zones, kinds and cells.
+        ids: The numbers of workers, zones, kinds and cells, by name.
         bans: The bans in force.
-        start_times: The workers' starts on this process's clock.
+        start_times: The start times of workers on this process's clock.
         index: The version of the last list, None before the first one.
-        watches_reopened: How often a watch was lost and reopened, by reason.
-        unconfirmed_removals: How many workers the last list omits that stay until it is confirmed.
-        on_list_applied: Called after each list of a source.
-        on_ban_changed: Called with a worker's name and when its ban began, or None when it was lifted.
+        watches_reopened: The number of times that a watch was lost and reopened, by reason.
+        unconfirmed_removals: The number of workers that the last list omits and that are kept until it is
+            confirmed.
+        on_list_applied: Called after each list from a source was applied; not for cached lists.
+        on_ban_changed: Called with a worker's name and the start of its ban, or None when it was lifted.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         clock: Callable[[], float],
         wall: WallClock | None = None,
     ) -> None:
-        """Creates an empty table; without `wall`, discovery's times are those of `clock`."""
+        """Create an empty table; without `wall`, discovery's Unix times are times of `clock`."""
         self._exchange = exchange
         self._workers = workers
         self._clock = clock
@@ -72,11 +73,11 @@
         self.on_list_applied: Callable[[], None] = lambda: None
         self.on_ban_changed: Callable[[str, float | None], None] | None = None
         self._endpoints: dict[int, Endpoint] = {}  # by worker, without bans
-        self._unbanned: dict[int, UnbannedWorker] = {}  # by worker: those that may have been restarted
+        self._unbanned: dict[int, UnbannedWorker] = {}  # by worker, until a start is announced
 
     @property
     def listed_workers(self) -> set[int]:
-        """The workers in the list, in whatever state."""
+        """The workers in the present list, in any state."""
         return {
             worker for worker, endpoint in self._endpoints.items() if endpoint.state != EndpointState.GONE
         }
@@ -91,20 +92,20 @@
     # Bans.
 
     def ban(self, name: str, on_saved: SavedCallback = ignore_result) -> bool:
-        """Exclude a worker until `unban`, whatever discovery lists.
+        """Exclude a worker until `unban`, whatever state discovery lists.
 
-        Return False if the worker was never listed. Otherwise the ban is in force, and `on_saved` is
-        called with whether it is on file.
+        Return False if the worker was never listed. Otherwise the ban is in force at once, and `on_saved` is
+        called after the attempt to write it, with whether the file holds it.
         """
         if not self._was_listed(name):
             return False
-        if name not in self.bans.since:  # a repeated ban keeps its time
+        if name not in self.bans.since:  # a repeated ban keeps its start time
             self._begin_ban(name, self._clock())
         self.bans.save(on_saved)
         return True
 
     def unban(self, name: str, on_saved: SavedCallback = ignore_result) -> bool:
-        """Restore a worker as discovery last listed it; return and call back as `ban` does."""
+        """Lift a ban, which restores the last listed state; return and call `on_saved` as `ban` does."""
         if not self._was_listed(name):
             return False
         self._end_ban(name)
@@ -112,7 +113,7 @@
         return True
 
     def apply_ban(self, name: str, since: float | None) -> None:
-        """Apply a ban of the dispatcher's other process, or its end (None)."""
+        """Apply a change of a ban at the dispatcher's other process; `since` is None if it was lifted."""
         if since is None and name in self.bans.since:
             self._end_ban(name)
         elif since is not None and name not in self.bans.since:
@@ -155,7 +156,7 @@
         self.apply(parse_endpoint_list(document), cached)
 
     def apply(self, endpoint_list: EndpointList, cached: bool = False) -> None:
-        """Apply a list; `cached` marks one that was stored at an earlier time."""
+        """Apply a list; `cached` means that it was not received from a source just now."""
         kind = EndpointListKind.DELTA
         if endpoint_list.snapshot:
             kind = EndpointListKind.CACHED if cached else EndpointListKind.FULL
@@ -188,7 +189,7 @@
         )
 
     def _with_ban(self, endpoint: Endpoint) -> Endpoint:
-        """Return a worker as the exchange is to see it."""
+        """Return a worker with the state and the start time that the exchange has to use."""
         worker = endpoint.worker
         if endpoint.state == EndpointState.READY and self.ids.name(worker) in self.bans.since:
             return replace(endpoint, state=EndpointState.DRAINING)
@@ -201,7 +202,7 @@
         return replace(endpoint, ready_at=max(endpoint.ready_at, unbanned.unbanned_at))
 
     def _publish(self, worker: int) -> None:
-        """Update the exchange on a worker whose ban has begun or ended."""
+        """Update the exchange's endpoint of a worker whose ban has begun or ended."""
         if worker in self._endpoints:
             endpoint = self._with_ban(self._endpoints[worker])
             self._exchange.update_endpoints(EndpointListKind.DELTA, self.index or 0, (endpoint,))
@@ -209,7 +210,7 @@
     # Handover.
 
     def state(self) -> RoutingTableState:
-        """Return the table, with all workers that were ever listed, for the next process."""
+        """Return the state of the table for the next process, with all workers that were ever listed."""
         return RoutingTableState(
             index=self.index or 0,
             endpoints=tuple([self._to_record(endpoint) for endpoint in self._endpoints.values()]),
@@ -218,9 +219,9 @@
         )
 
     def take_over(self, state: RoutingTableState, bans: Mapping[str, float]) -> None:
-        """Continue from the table and the bans of the previous process."""
+        """Adopt the table and the bans of the previous process."""
         self.bans.since = dict(bans)
-        if not self.bans.saved:  # the previous process may have failed to write them
+        if not self.bans.saved:  # the previous process may not have been able to write them
             self.bans.save()
         for unbanned in state.unbanned_workers:
             self._unbanned[self.ids.worker(unbanned.name)] = unbanned
--- a/eiderfield/net/discovery/settings.py
+++ b/eiderfield/net/discovery/settings.py
@@ -9,7 +9,7 @@
 
 
 class DiscoveryKind(StrEnum):
-    """Kind of source. `STATIC` is the list in the configuration alone."""
+    """Kind of source. `STATIC` means that the list in the configuration is the only one."""
 
     PLATFORM = "platform"
     CONSUL = "consul"
@@ -17,7 +17,7 @@
 
 
 class ConsulApi(StrEnum):
-    """API of Consul that is queried; the catalogue knows of no health checks."""
+    """API of Consul that is queried. The catalogue has no health checks."""
 
     HEALTH = "health"
     CATALOG = "catalog"
@@ -27,7 +27,7 @@
 class DiscoverySettings:
     """Source of the endpoint list.
 
-    `service`, `api` and `token` are those of Consul. A static source has no address.
+    `service`, `api`, `token` and `wait_ms` are used for Consul only. A static source has no address.
     """
 
     kind: DiscoveryKind
@@ -35,4 +35,4 @@
     service: str = ""
     api: str = ConsulApi.HEALTH
     token: str = ""
-    wait_ms: float = 30_000.0  # for which Consul may hold back the answer to a blocking query
+    wait_ms: float = 30_000.0  # for which Consul may delay the response to a blocking query
--- a/eiderfield/net/discovery/watch.py
+++ b/eiderfield/net/discovery/watch.py
@@ -4,12 +4,15 @@
 
     dialing ──(connected)──> requested ──(a whole list, or a heartbeat)──> alive ──┐
        │                       │                                             ^─────┘
-       │                       └──(no heartbeat in time)──> dialing again, at once
-       ├──(DIAL_TIMEOUT)──> dialing again, at once
-       └──(refused; from any state: closed, ended, malformed)──> waiting ──(`Backoff`)──> dialing
+       │                       └──(heartbeat timeout, also in `alive`)──> dialing, at once
+       ├──(dial timeout)──> dialing, at once
+       └──(refused; in any state: closed, response ended or malformed)──> waiting ──(`Backoff`)──> dialing
 
-Invariants: only a list that is complete and well-formed changes the table, a silent source always has a
-call waiting at it, and no wait exceeds the bounds of `Backoff`.
+Invariants:
+
+- Only a list that is complete and well-formed changes the table.
+- A connection attempt or a request is always pending at a source that does not answer.
+- No wait exceeds the limits of `Backoff`.
 """
 
 from __future__ import annotations
@@ -26,19 +29,19 @@
 from eiderfield.net.discovery.watch_connection import LossReason, WatchConnection
 from eiderfield.net.http import Head, MalformedMessageError
 
-HEARTBEAT_TIMEOUT_MS = 2600.0  # without an empty line, which comes every 2 s, until the watch is reopened
-MAX_LIST_BYTES = 4 * 1024 * 1024  # of one list: thousands of workers
+HEARTBEAT_TIMEOUT_MS = 2600.0  # the platform sends an empty line every 2 s
+MAX_LIST_BYTES = 4 * 1024 * 1024  # size of a list of thousands of workers
 
-# After these the next call is made at once: it waits at the source until that is back.
+# Losses after which the next call is made at once, so that it is pending when the source recovers.
 _RECONNECT_AT_ONCE = (LossReason.SILENT, LossReason.UNREACHABLE)
 
 
 class Watch:
-    """Follows one source. While that is unavailable, the table stays as it is.
+    """Follows one source. While the source is unavailable, the table is unchanged.
 
     Attributes:
-        heartbeat_timeout: How long a source may be silent, in ms.
-        backoff: The waits between calls; the program replaces it if others share the source.
+        heartbeat_timeout: The time without a list or heartbeat, in ms, after which the watch is reopened.
+        backoff: Determines the waits between calls; the program replaces it if dispatchers share the source.
         on_first_list: Called once, after the first list was applied.
     """
 
@@ -53,14 +56,14 @@
         address: Address,
         log: Callable[[str], None],
     ) -> None:
-        """Creates a watch of the source at `address`; `start` opens it."""
+        """Create a watch of the source at `address`; `start` opens it."""
         self.backoff = Backoff()
         self.on_first_list: Callable[[], None] = lambda: None
         self.table = table
         self.address = address
         self.clock = clock
         self.log = log
-        self.body = bytearray()  # the part of the response body that was received
+        self.body = bytearray()  # the received part of the response body
         self.connection: WatchConnection | None = None
         self._timers = timers
         self._dial = dial
@@ -88,10 +91,10 @@
         """Handle the end of a response."""
         raise NotImplementedError
 
-    # Common to all kinds.
+    # Common to all kinds of sources.
 
     def start(self) -> None:
-        """Open the first connection when it is this dispatcher's turn."""
+        """Open the first connection, after a wait of this dispatcher if it shares the source with others."""
         if wait := self.backoff.first_wait(self.table.index is not None):
             self.set_timer(wait, self.connect)
         else:
@@ -107,7 +110,7 @@
         self._pending_dial = self._dial(connection, self.address, refused)
 
     def stop(self) -> None:
-        """Close the watch for good."""
+        """Close the watch permanently."""
         self._close_connection()
         if self._timer is not None:
             self._timer.cancel()
@@ -118,7 +121,7 @@
             self._start_heartbeat_timer(connection)
 
     def on_lost(self, connection: WatchConnection, reason: LossReason, detail: str) -> None:
-        """Replace a connection that is of no more use, after a wait that depends on the reason."""
+        """Close a lost connection; open the next one after a wait that depends on `reason`."""
         if connection.closed or connection is not self.connection:
             return
         self._close_connection()
@@ -131,13 +134,13 @@
         self.set_timer(wait, self.connect)
 
     def record_heartbeat(self) -> None:
-        """Record that the source is alive."""
+        """Record a list or a heartbeat of the source."""
         self.backoff.reset()
         if self.connection is not None:
             self._start_heartbeat_timer(self.connection)
 
     def report_first_list(self) -> None:
-        """Report the first list, once the table has it."""
+        """Call `on_first_list` unless it was called before. The list must have been applied."""
         on_first_list, self.on_first_list = self.on_first_list, lambda: None
         on_first_list()
 
--- a/eiderfield/net/discovery/watch_connection.py
+++ b/eiderfield/net/discovery/watch_connection.py
@@ -8,13 +8,13 @@
 
 from eiderfield.net.http import Head, Parser
 
-FIRST_FINAL_STATUS = 200  # lower ones announce a further response
+FIRST_FINAL_STATUS = 200  # a lower status is followed by another response
 
-_READ_BUFFER = memoryview(bytearray(65536))  # shared: its content is consumed as soon as it is filled
+_READ_BUFFER = memoryview(bytearray(65536))  # shared by all connections: data is parsed as soon as it is read
 
 
 class LossReason(StrEnum):
-    """Why a connection was lost or given up. The console counts losses by these words."""
+    """Reason why a connection was lost or given up. The values are the keys of the console's counters."""
 
     SILENT = "silent"
     UNREACHABLE = "unreachable"
@@ -24,7 +24,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the watch that opened it."""
+    """The interface of the watch that opened a connection."""
 
     def next_request(self) -> bytes:
         """Return the next request."""
@@ -42,14 +42,14 @@
         """Handle the end of a response; raises `ValueError`."""
 
     def on_lost(self, connection: WatchConnection, reason: LossReason, detail: str) -> None:
-        """Handle a connection that is of no more use."""
+        """Handle a connection that was lost or has to be given up."""
 
 
 class WatchConnection(asyncio.BufferedProtocol):
     """One connection to a source of workers."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
-        """Creates a connection that reports to `owner` until it is closed."""
+        """Create a connection that reports to `owner` until it is closed."""
         self._owner = owner
         self._parser = Parser(responses=True, max_body=0)
         self._transport: asyncio.Transport | None = None
@@ -100,7 +100,7 @@
             self._transport.write(self._owner.next_request())
 
     def close(self) -> None:
-        """Close the connection; nothing is reported after that."""
+        """Close the connection; nothing is reported afterwards."""
         self.closed = True
         if self._transport is not None:
             self._transport.abort()
