--- a/eiderfield/net/ban_file.py
+++ b/eiderfield/net/ban_file.py
@@ -1,8 +1,8 @@
-"""The file that keeps operators' bans beyond the process's life.
+"""The file in which operators' bans persist across processes.
 
-The file holds Unix times, the process times of its own clock. After a step of the wall clock a ban may
-seem to lie ahead when it is read: it then counts as later than any start of its worker, which is taken to
-be in slow start once the ban is lifted.
+The file holds Unix times, which are converted from and to the process's clock. After a step of the wall clock
+a ban that is read may be in the future. It is then later than any start of its worker, and the worker goes
+through slow start when the ban is lifted.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 from eiderfield.durable import TRANSIENT_ERRNOS, replace_file
 from eiderfield.net.clock import WallClock
 
-MAX_FILE_BYTES = 1 << 20  # that are read of the file: thousands of names
+MAX_FILE_BYTES = 1 << 20  # size of a file with thousands of names; a larger one is truncated when it is read
 
-BanTimes = dict[str, float]  # by worker name: when the ban began
+BanTimes = dict[str, float]  # start of each ban, by worker name
 
 
 class BanFile:
     """Reads and writes the file of bans. Its methods block and may run in another thread."""
 
     def __init__(self, path: Path, log: Callable[[str], None], wall: WallClock | None) -> None:
-        """Touches no file yet.
+        """Create an object for the file at `path`, without accessing the file.
 
         Args:
             path: The file.
             log: Called with a line for operators.
-            wall: Relates the process's clock to Unix time; without it they are the same.
+            wall: Converts times of the process's clock to Unix time; without it they are equal.
         """
         self.path = path
         self._log = log
         self._wall = wall
 
     def read(self) -> BanTimes:
-        """Return the bans on file, none if the file is missing or malformed.
+        """Return the bans in the file, none if the file is missing or malformed.
 
         Raises:
-            OSError: The file cannot be read at present and may be later.
+            OSError: The file cannot be read because of a transient error.
         """
         try:
             descriptor = os.open(self.path, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
@@ -58,7 +58,7 @@
             return {}
 
     def write(self, bans: Mapping[str, float]) -> None:
-        """Replace the file; raises `OSError`."""
+        """Replace the file atomically; raises `OSError`."""
         replace_file(self.path, json.dumps({"banned": _shifted(bans, self._unix_offset())}))
 
     def _unix_offset(self) -> float:
--- a/eiderfield/net/bans.py
+++ b/eiderfield/net/bans.py
@@ -1,19 +1,21 @@
-"""Workers that operators have banned, persisted in a file so that bans outlive the process.
+"""Workers that operators have banned, persisted in a file so that the bans outlive the process.
 
-States of the file, as this process knows it:
+States of the file, as known to this process:
 
-    UNREAD    the system refused to read it; it is not replaced before it was read
-    WRITTEN   it holds the bans in memory
-    WRITING   a snapshot of the bans is being written, outside the event loop: a disk may stall for seconds
-    WAITING   the last attempt failed, or a ban came during one; the next attempt is scheduled
+    UNREAD    the file could not be read at the start; it is not replaced before it has been read
+    WRITTEN   the file holds the bans in memory
+    WRITING   a snapshot of the bans is being written, in a thread since a disk may stall for seconds
+    WAITING   the last attempt failed or `save_later` was called; the next attempt is scheduled
 
-`load` leads to UNREAD or WRITTEN. An attempt in UNREAD reads first; the bans on file come into force unless
-they were lifted meanwhile. `save` leads from any other state to WRITING. A successful attempt leads to
-WRITTEN, or to WRITING again if the bans changed meanwhile, and a failed one to WAITING, which ends by a
-timer.
+`load` leads to UNREAD or WRITTEN. An attempt in UNREAD reads the file first; the bans in it come into force
+unless they were lifted meanwhile. `save` leads from any other state to WRITING. A successful attempt leads to
+WRITTEN, or to WRITING again if `save` was called meanwhile, and a failed one to WAITING until the retry
+interval has elapsed.
 
-Invariants: a caller is told that a ban is saved only if the file holds it, and no failed attempt loses a
-ban in memory or on file, or the retry.
+Invariants:
+
+- `on_saved` is called with True only if the file holds the ban.
+- A failed attempt loses no ban in memory or in the file, and is followed by a retry.
 """
 
 from __future__ import annotations
@@ -27,21 +29,21 @@
 from eiderfield.net.clock import WallClock
 from eiderfield.net.file_operations import OperationRunner, run_inline
 
-RETRY_INTERVAL_MS = 1000.0  # from a failed attempt to the next: a full disk takes an operator to free it
+RETRY_INTERVAL_MS = 1000.0  # from a failed attempt to the next; a full disk remains so until an operator acts
 
-SavedCallback = Callable[[bool], None]  # called with whether the bans are in the file
+SavedCallback = Callable[[bool], None]  # called with whether the file holds the bans
 
 
 def ignore_result(_saved: bool) -> None:
-    """Wait for no result of a save."""
+    """Ignore the result of a save."""
 
 
 class Bans:
-    """The bans of one dispatcher. Without a path they live in memory alone.
+    """The bans of one dispatcher. Without a path they are held in memory only.
 
     Attributes:
-        since: By worker name, when the ban began.
-        on_ban_read: Called with the name and time of each ban that was read after the start.
+        since: Start of each ban, by worker name.
+        on_ban_read: Called with the worker's name and the start of each ban that is read after `load` failed.
     """
 
     def __init__(
@@ -53,7 +55,7 @@
         run: OperationRunner = run_inline,
         wall: WallClock | None = None,
     ) -> None:
-        """Creates an empty set of bans; `load` reads those on file.
+        """Create an empty set of bans; `load` reads those in the file.
 
         Args:
             path: The file.
@@ -61,7 +63,7 @@
             timers: Schedules retries; without it there are none.
             clock: The process's clock, in ms.
             run: Runs file operations.
-            wall: Relates `clock` to the Unix times of the file; without it they are the same.
+            wall: Converts times of `clock` to the Unix times in the file; without it they are equal.
         """
         self.since: BanTimes = {}
         self.on_ban_read: Callable[[str, float], None] | None = None
@@ -70,7 +72,7 @@
         self._timers = timers
         self._clock = clock
         self._run = run
-        self._bans_on_file: BanTimes | None = {}  # None while unknown
+        self._bans_on_file: BanTimes | None = {}  # None if the file's content is unknown
         self._file_unread = False
         self._lifted_while_unread: set[str] = set()
         self._operation_running = False
@@ -96,13 +98,13 @@
         self.since = dict(self.since)
 
     def remove(self, name: str) -> float | None:
-        """Remove a ban; return when it began, or None if there is none."""
+        """Remove a ban; return its start, or None if the worker is not banned."""
         if self._file_unread:
             self._lifted_while_unread.add(name)
         return self.since.pop(name, None)
 
     def save(self, on_saved: SavedCallback = ignore_result) -> None:
-        """Write the bans to the file; `on_saved` is called after the attempt that includes them."""
+        """Write the bans to the file; `on_saved` is called after an attempt that includes them."""
         if self._file is None:
             on_saved(True)
             return
@@ -113,13 +115,13 @@
     def save_later(self) -> None:
         """Write the bans after the retry interval.
 
-        The dispatcher's other process writes the same change now, and may end before it succeeds.
+        Used for a change of the dispatcher's other process, which writes it now but may end before that.
         """
         if self._file is not None:
             self._schedule_retry()
 
     def _start_attempt(self, file: BanFile) -> None:
-        """Write the bans, or read the file if it was not read yet."""
+        """Write the bans, or read the file first if it was not read yet."""
         self._operation_running = True
         callbacks, self._callbacks = self._callbacks, []
         if self._file_unread:
--- a/eiderfield/net/clock.py
+++ b/eiderfield/net/clock.py
@@ -1,8 +1,8 @@
-"""The monotonic clock of all deadlines, windows and waits, and its conversion from and to Unix time.
+"""The monotonic clock for all deadlines, windows and waits, and its conversion from and to Unix time.
 
-The wall clock may be stepped by seconds or by an hour at any moment, forward or back. Therefore no time
-within a process is Unix time: a received Unix time is converted when it is read, and a time for others when
-it is written. The difference between the two clocks is never stored.
+The wall clock may be stepped by seconds or by an hour at any moment, forward or back. Therefore no time held
+by a process is Unix time: a Unix time is converted when it is received, and a time for another process when
+it is sent or stored. The difference between the two clocks is measured anew for each conversion.
 """
 
 from __future__ import annotations
@@ -11,11 +11,13 @@
 
 from eiderfield.machine import offset_between, steady_ms, unix_ms
 
-ORIGIN_MS = float(1 << 40)  # at the machine's start: earlier times are above 0 as well, which means "unknown"
+ORIGIN_MS = float(
+    1 << 40
+)  # reading at the machine's start: earlier times must exceed 0, which means "unknown"
 
 
 class MonotonicClock:
-    """Milliseconds that never decrease and are independent of steps of the wall clock."""
+    """A clock in ms that never goes back and is independent of steps of the wall clock."""
 
     def __call__(self) -> float:
         """Return the current time."""
@@ -31,7 +33,7 @@
         self._unix = unix
 
     def offset(self) -> float:
-        """Return by how much Unix time is ahead of the process's clock now, in ms."""
+        """Return Unix time minus the process's clock at present, in ms."""
         return offset_between(self._clock, self._unix)
 
     def to_unix(self, at: float) -> float:
--- a/eiderfield/net/departures.py
+++ b/eiderfield/net/departures.py
@@ -1,15 +1,15 @@
-"""Detection of peers that leave a connection while it is not being read.
+"""Detection of peers that close a connection while reading from it is paused.
 
-A transport whose reading is paused reports neither an end nor a reset. The dispatcher pauses reading from
-a client that has sent too much or does not read its responses, and the client may leave meanwhile. A
-separate epoll set watches such connections for their peers' departure alone (EPOLLRDHUP, which unread
-bytes do not hide), not for bytes.
+A transport whose reading is paused reports neither the end of the stream nor a reset. The dispatcher pauses
+reading from a client that has sent too much or does not read its responses, and the client may close the
+connection meanwhile, which is called its departure. A separate epoll set watches such connections for
+EPOLLRDHUP only, which is reported in spite of unread bytes, and not for readable bytes.
 
-    read ──(watch, when reading pauses)──> watched ──(forget, when reading resumes or ends)──> read
-                                              └──(the peer leaves)──> forgotten, then reported once
+    not watched ──(watch, when reading pauses)──> watched ──(forget, on resumption or closing)──> not watched
+                                                     └──(departure: reported once)──> not watched
 
-Invariant: no descriptor in the set is closed, since its number may be reused. Owners forget a descriptor
-before they close it.
+Invariant: no closed descriptor is in the set, since its number may be reused. Owners call `forget`
+before they close a descriptor.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-MAX_REPORTED_PER_POLL = 64  # departures reported in one poll
+MAX_REPORTED_PER_POLL = 64  # departures
 
 _CLOSE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
@@ -37,7 +37,7 @@
     """Watches the connections of one event loop that are not being read."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Create an empty watch."""
+        """Create a watch without connections."""
         self._loop = loop
         self._poll: select.epoll | None = None
         self._watched: dict[int, Callable[[], None]] = {}
--- a/eiderfield/net/file_operations.py
+++ b/eiderfield/net/file_operations.py
@@ -1,4 +1,4 @@
-"""Runners of blocking file operations: in place, or in a thread beside the event loop."""
+"""Runners for blocking file operations: in the calling thread, or in a thread of its own."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def run_inline(operation: Callable[[], T], on_done: Callable[[T | OSError], None]) -> None:
-    """Run an operation at once."""
+    """Run an operation at once in the calling thread."""
     on_done(result_of(operation))
 
 
 def thread_runner(call_in_loop: Callable[[Callable[[], None]], object], thread_name: str) -> OperationRunner:
-    """Return a runner with a new thread for each operation; `on_done` is called through `call_in_loop`."""
+    """Return a runner that starts a thread for each operation and calls `on_done` through `call_in_loop`."""
 
     def run(operation: Callable[[], T], on_done: Callable[[T | OSError], None]) -> None:
         def target() -> None:
--- a/eiderfield/net/peer_filter.py
+++ b/eiderfield/net/peer_filter.py
@@ -1,9 +1,9 @@
-"""Filter of the datagrams of peers: their envelope, order and rate. Performs no I/O.
+"""Filter for the datagrams of peers, by version, order and rate. Performs no I/O.
 
-The envelope (version, incarnation, sequence number) orders the messages of one peer: the network
-duplicates, reorders and delays them, and a message of a peer's earlier incarnation would count requests
-that ended with it. Incarnations are numbered by Unix time, which may be stepped back: an incarnation that
-has sent nothing for `INCARNATION_TIMEOUT_MS` may be replaced by one with an earlier number.
+Each datagram begins with an envelope: version, incarnation and sequence number. The network may duplicate,
+reorder and delay messages, and a message of a peer's earlier incarnation would count requests that
+ended with that process. Incarnations are numbered by Unix time, which may be stepped back. Therefore an
+incarnation that has sent nothing for `INCARNATION_TIMEOUT_MS` may be followed by one with a lower number.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from struct import Struct
 
 ENVELOPE_VERSION = 1
-MAX_MESSAGE_BYTES = 256  # with the envelope, as the protocol requires
-INCARNATION_TIMEOUT_MS = 2000.0  # the longest time for which a peer's report counts
-MAX_MESSAGES_PER_S = 2000.0  # accepted from one peer, and as many in one burst
+MAX_MESSAGE_BYTES = 256  # including the envelope; required by the protocol
+INCARNATION_TIMEOUT_MS = 2000.0  # a peer's report is used for no longer than this
+MAX_MESSAGES_PER_S = 2000.0  # rate limit for each peer, and size of its largest burst
 
-_ENVELOPE = Struct("<BIH")  # version, the sender's incarnation, the message's sequence number in it
+_ENVELOPE = Struct("<BIH")  # version, incarnation of the sender, sequence number in that incarnation
 _MAX_INCARNATION = 0xFFFFFFFF
 _MAX_SEQUENCE = 0xFFFF
-_INCARNATION_MS = 10.0  # of Unix time, by which the number of an incarnation grows
+_INCARNATION_MS = 10.0  # Unix time in which the number of new incarnations grows by 1
 
 
 class Reception(Enum):
-    """The result of receiving a message. The values are the names of the console's figures."""
+    """The result of receiving a message. The values are the keys of the console's counters."""
 
     ACCEPTED = "heard"
     UNKNOWN_SENDER = "strangers"
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Received:
-    """The result of receiving a message, with its data if it is accepted."""
+    """The result of receiving a message, with the message's data if it is accepted."""
 
     reception: Reception
     data: bytes = b""
@@ -46,13 +46,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Envelope:
-    """The incarnation of a message's sender, and the message's sequence number in it."""
+    """The incarnation of a message's sender, and the sequence number of the message in it."""
 
     incarnation: int
     sequence: int
 
     def pack(self, data: bytes) -> bytes:
-        """Return the message that consists of the envelope and `data`."""
+        """Return a message with this envelope and `data`."""
         return _ENVELOPE.pack(ENVELOPE_VERSION, self.incarnation, self.sequence) + data
 
     def next(self) -> Envelope:
@@ -61,15 +61,15 @@
 
 
 def first_envelope(unix_ms: float) -> Envelope:
-    """Return the envelope before the first message of an incarnation that starts now.
+    """Return the envelope that precedes that of the first message of an incarnation starting now.
 
-    Later incarnations have greater numbers for 497 days, unless the wall clock is stepped back.
+    Incarnations that start in the next 497 days have higher numbers, unless the wall clock is stepped back.
     """
     return Envelope(int(unix_ms / _INCARNATION_MS) & _MAX_INCARNATION, 0)
 
 
 def fits_message_limit(data: bytes) -> bool:
-    """Return whether a message with `data` does not exceed the protocol's limit."""
+    """Return whether a message with `data` is within `MAX_MESSAGE_BYTES`."""
     return len(data) + _ENVELOPE.size <= MAX_MESSAGE_BYTES
 
 
@@ -81,15 +81,15 @@
 
 @dataclass(slots=True, frozen=True)
 class _TokenBucket:
-    tokens: float  # messages that the peer may send at once
+    tokens: float  # number of messages that are accepted at once
     updated_at: float
 
 
 class PeerFilter:
-    """Decides which messages of each peer are accepted, by those accepted before."""
+    """Decides which messages of each peer are accepted, by the rate and the last accepted message."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Create a filter that has received nothing; `clock` returns the process's time, in ms."""
+        """Create a filter that has received no message; `clock` is the process's clock, in ms."""
         self._clock = clock
         self._last: dict[int, _LastAccepted] = {}
         self._buckets: dict[int, _TokenBucket] = {}
--- a/eiderfield/net/peer_settings.py
+++ b/eiderfield/net/peer_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the datagrams between the dispatchers of a tier."""
+"""Settings for messages between the dispatchers of a tier."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSettings:
-    """Where the dispatchers reach each other.
+    """The addresses at which the dispatchers of a tier receive messages.
 
     Attributes:
-        listen: the address of this dispatcher's port.
-        peers: the addresses of all dispatchers, by `Settings.dispatcher_index`.
-        broadcast: an address that reaches all peers at once.
+        listen: The address of this dispatcher.
+        peers: The addresses of all dispatchers, by `Settings.dispatcher_index`.
+        broadcast: An address by which all peers receive one datagram; None if there is none.
     """
 
     listen: Address
--- a/eiderfield/net/peers.py
+++ b/eiderfield/net/peers.py
@@ -1,15 +1,15 @@
-"""Datagrams between the dispatchers of a tier, where the settings allow them.
+"""Datagrams between the dispatchers of a tier, if the settings allow them.
 
-A port sends the policy's reports to its peers and passes received reports on. Its rules:
+A port sends the policy's reports to its peers and passes received reports to the policy. Its rules:
 
-- A message has at most 256 bytes, envelope included; a longer one is neither sent nor accepted.
-- A sender is identified by its address alone, which must be one of `peers`; other senders are counted.
+- A message has at most 256 bytes including the envelope; a longer one is neither sent nor accepted.
+- A sender is identified by its address, which must be in `peers`; messages of other senders are only counted.
 - The messages of a peer are accepted in order and at a limited rate (`peer_filter`).
-- Serving requests does not depend on the port. A port that cannot be opened is logged once; a message that
-  cannot be sent is lost, as the network may lose any.
+- Serving requests does not depend on the port. If the port cannot be opened, this is logged once; a message
+  that cannot be sent is dropped, since the network may lose messages anyway.
 
-During a handover both processes are one dispatcher to its peers: the next process takes the port over with
-its socket (`sock`), and the previous one pauses its port until it ends, or until the next one is lost.
+During a handover both processes appear to the peers as one dispatcher: the new process takes over the socket
+(`sock`), and the old process pauses its port until it ends or the link to the new process is lost.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 )
 from eiderfield.net.peer_settings import PeerSettings
 
-MAX_READS_PER_TURN = 64  # messages read in an iteration of the loop
+MAX_READS_PER_TURN = 64  # messages read in one iteration of the event loop
 ALL_PEERS = -1
 
 
@@ -38,8 +38,8 @@
     """The port of one dispatcher.
 
     Attributes:
-        sock: the open socket, which the next process takes over; None while closed.
-        counters: the console's counters: messages sent, accepted, and rejected by reason.
+        sock: The open socket, which the next process takes over; None while the port is closed.
+        counters: The numbers of messages sent, accepted, and rejected by reason, by the console's keys.
     """
 
     def __init__(
@@ -54,7 +54,14 @@
     ) -> None:
         """Create a closed port.
 
-        `on_message` receives the number of a peer and its message. `clock` and `unix_clock` are in ms.
+        Args:
+            loop: The event loop.
+            settings: The addresses.
+            dispatcher_index: The index of this dispatcher in `settings.peers`.
+            clock: The process's clock, in ms.
+            on_message: Called with the index of a peer and the data of its message.
+            log: Called with a line for operators.
+            unix_clock: The wall clock, in ms; without it, `clock` shows Unix time.
         """
         self.sock: socket.socket | None = None
         self.counters: Counter[str] = Counter()
@@ -85,13 +92,13 @@
         self.resume()
 
     def pause(self) -> None:
-        """Leave the port to the dispatcher's other process."""
+        """Stop receiving and sending: the dispatcher's other process uses the socket."""
         if self.sock is not None and not self._paused:
             self._paused = True
             self._loop.remove_reader(self.sock)
 
     def resume(self) -> None:
-        """Use the port again."""
+        """Start receiving and sending."""
         if self.sock is not None and self._paused:
             self._paused = False
             self._loop.add_reader(self.sock, self._read)
@@ -104,7 +111,7 @@
             self.sock = None
 
     def send_report(self, peer: int, data: bytes) -> None:
-        """Send a message to one peer, or to `ALL_PEERS`; it may be lost."""
+        """Send a message to the peer with this index, or to `ALL_PEERS`; it may be lost."""
         if self.sock is None or self._paused:
             return
         if not fits_message_limit(data):
@@ -136,7 +143,7 @@
             except OSError as error:
                 if cause_of_loss(error) is Cause.LOCAL:
                     return
-                continue  # reports that an earlier message could not be delivered
+                continue  # the error refers to an earlier message that could not be delivered
             reception = self._receive(message, (address[0], address[1]))
             self.counters[reception.value] += 1
 
--- a/eiderfield/net/start_times.py
+++ b/eiderfield/net/start_times.py
@@ -1,19 +1,19 @@
 """Start times of workers on this process's clock, converted from the Unix times that discovery announces.
 
-Slow start counts from a worker's start. An announced start is converted once, when this process first
-sees it, and kept while the worker is listed with the same value: later steps of the wall clock change
-nothing. The conversion keeps the result plausible:
-
-- No start lies in the future.
-- A start that is announced to a process that follows discovery lies after the last contact with the
-source, or at
-  most `MAX_ANNOUNCEMENT_DELAY_MS` before it: a change may be announced that late.
-- After a recent step of the wall clock the start may have been stamped before the step. Of two plausible
-ages the
-  lower one counts.
-
-An implausible start counts as just announced. Invariants: no worker in slow start is taken for a warm
-one, and none stays in slow start for longer than the settings say.
+Slow start begins at a worker's start. An announced start is converted once, when this process first receives
+it, and kept while the worker is listed with the same value, so that later steps of the wall clock change
+nothing. A converted start is plausible if:
+
+- It is not in the future.
+- While this process is in contact with the source, it is at most `MAX_ANNOUNCEMENT_DELAY_MS` before the last
+  contact, since changes are announced within that time.
+
+After a recent step of the wall clock, the start may have been stamped with the time before the step. It is
+converted by the offsets before and after the step, and the lower plausible age is used. A start without a
+plausible age counts as the present time.
+
+Invariants: a worker in slow start is never treated as one that has completed it, and no worker is in slow
+start for longer than the settings say.
 """
 
 from __future__ import annotations
@@ -25,24 +25,26 @@
 from eiderfield.net.backoff import NOTIFIED_AFTER
 from eiderfield.net.clock import WallClock
 
-MAX_ANNOUNCEMENT_DELAY_MS = NOTIFIED_AFTER  # of a change, though the source was in contact meanwhile
-MAX_CLOCK_SKEW_MS = 250.0  # by which a start may seem to lie ahead; a larger change of the clock is a step
-EARLIEST_START = 1.0  # ms; 0 stands for an unknown start
+MAX_ANNOUNCEMENT_DELAY_MS = (
+    NOTIFIED_AFTER  # from a change to its announcement, during contact with the source
+)
+MAX_CLOCK_SKEW_MS = 250.0  # tolerated for a start in the future; a larger change of the offset is a step
+EARLIEST_START_MS = 1.0  # lower bound, since 0 stands for an unknown start
 
 
 @dataclass(slots=True, frozen=True)
 class AnnouncedStart:
-    """A worker's start as announced, and the time on this process's clock that it was converted to."""
+    """A worker's start as announced, and its conversion to this process's clock."""
 
     since_ms: float  # Unix time
-    started_at: float
+    started_at: float  # on this process's clock, in ms
 
 
 @dataclass(slots=True, frozen=True)
 class EarlierOffset:
-    """Unix time minus this process's clock before a step of the wall clock.
+    """Unix time minus this process's clock before a step of the wall clock, in ms.
 
-    Starts may be stamped by it until `expires_at`.
+    Starts that are announced until `expires_at` may have been stamped before the step.
     """
 
     offset: float
@@ -50,14 +52,14 @@
 
 
 class StartTimes:
-    """The starts of all workers that were ever listed.
+    """The start times of all workers that were ever listed.
 
     Attributes:
-        source_contact_at: When a source last sent a list or a heartbeat, None if never.
+        source_contact_at: When a source last sent a list or a heartbeat, None if none did.
     """
 
     def __init__(self, clock: Callable[[], float], wall: WallClock) -> None:
-        """Creates an empty set; `wall` relates `clock`, the process's, to Unix time."""
+        """Create an empty set; `wall` converts times of `clock`, the process's clock, to Unix time."""
         self._clock = clock
         self._wall = wall
         self._offset = wall.offset()
@@ -66,12 +68,12 @@
         self._announced: dict[int, AnnouncedStart] = {}  # by worker
 
     def record_source_contact(self) -> None:
-        """Record that a source sent a list or a heartbeat, and so everything that it had to announce."""
+        """Record that a source sent a list or a heartbeat: all changes that it had to announce are known."""
         now = self.source_contact_at = self._clock()
         self._detect_step(now)
 
     def started_at(self, worker: int, since_ms: float) -> float:
-        """Return when a worker that is listed with this Unix time started; 0 if that is unknown."""
+        """Return the start of a worker that is listed with this Unix time; 0 if it is unknown."""
         if since_ms <= 0.0:
             self._announced.pop(worker, None)
             return 0.0
@@ -82,17 +84,17 @@
         return known.started_at
 
     def take_over(self, worker: int, since_ms: float, started_at: float) -> None:
-        """Adopt a start as the dispatcher's other process has converted it."""
+        """Adopt a start that the dispatcher's other process has converted."""
         if since_ms > 0.0:
-            plausible = max(EARLIEST_START, min(started_at, self._clock()))
+            plausible = max(EARLIEST_START_MS, min(started_at, self._clock()))
             self._announced[worker] = AnnouncedStart(since_ms, plausible)
 
     def take_over_offset(self, offset: float) -> None:
-        """Accept starts that are stamped by the offset that the dispatcher's other process knew."""
+        """Use an offset of the dispatcher's other process as one that is valid before a step."""
         self._earlier_offsets.append(EarlierOffset(offset, self._clock() + MAX_ANNOUNCEMENT_DELAY_MS))
 
     def since_ms(self, worker: int, started_at: float) -> float:
-        """Return the Unix time of a worker's start, as it was announced if it was."""
+        """Return the Unix time of a worker's start: the announced one, or the converted `started_at`."""
         known = self._announced.get(worker)
         if known is not None and known.started_at == started_at:
             return known.since_ms
@@ -107,10 +109,10 @@
             max_age = now - self.source_contact_at + MAX_ANNOUNCEMENT_DELAY_MS
         ages = [now + offset - since_ms for offset in offsets]
         plausible = [max(0.0, age) for age in ages if -MAX_CLOCK_SKEW_MS <= age <= max_age]
-        return max(EARLIEST_START, now - min(plausible, default=0.0))
+        return max(EARLIEST_START_MS, now - min(plausible, default=0.0))
 
     def _detect_step(self, now: float) -> None:
-        """Keep the offset from before a step of the wall clock while a start may be stamped by it."""
+        """Update the offset; after a step of the wall clock, keep the earlier one until it expires."""
         offset = self._wall.offset()
         self._earlier_offsets = [earlier for earlier in self._earlier_offsets if now < earlier.expires_at]
         if abs(offset - self._offset) > MAX_CLOCK_SKEW_MS:
--- a/eiderfield/net/table_state.py
+++ b/eiderfield/net/table_state.py
@@ -1,6 +1,6 @@
-"""State of the routing table that one process of a dispatcher passes to the next.
+"""State of the routing table that one process of a dispatcher hands over to the next.
 
-All times are in ms of the clock of the process that holds the state.
+All times are in ms on the clock of the process that holds the state.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointRecord:
-    """A worker as discovery listed it last."""
+    """A worker as it was listed last."""
 
     name: str
     address: str
@@ -19,11 +19,11 @@
     kind: str
     group: int | str
     weight: float
-    since_ms: float  # Unix time of the worker's start, as announced
-    started_at: float | None  # the start on this process's clock, None if the other process did not send it
+    since_ms: float  # Unix time of the worker's start as announced
+    started_at: float | None  # the start on this process's clock, None if it was not included in the message
 
     def to_platform_form(self) -> dict[str, object]:
-        """Return the worker in the JSON form of the platform's lists."""
+        """Return the worker in the form of the platform's lists."""
         return {
             "name": self.name,
             "address": self.address,
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UnbannedWorker:
-    """A worker that may have been restarted during its ban."""
+    """A worker whose ban was lifted and that may have been restarted during the ban."""
 
     name: str
     banned_at: float
@@ -52,11 +52,10 @@
     Attributes:
         index: The version of the last list.
         endpoints: The workers as they were listed last.
-        unbanned_workers: Workers that count as started when their ban ended.
-        source_contact_at: When discovery last sent a list or a heartbeat.
-        announced_offset: Unix time minus this process's clock, in ms, when the starts were announced, as
-        far as the
-            other process's clock shows it; None if the state holds the starts themselves.
+        unbanned_workers: The workers that count as started when their ban ended.
+        source_contact_at: When discovery last sent a list or a heartbeat, None if it is unknown.
+        announced_offset: An estimate of Unix time minus this process's clock, in ms, at the time when the
+            starts were announced; None if the state holds the converted starts.
     """
 
     index: int
