--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Handover from one process of a dispatcher to the next, joined in memory: state, updates, lost links."""
+"""Handover between two processes over a link in memory: state, updates, and lost links."""
 
 import pytest
 from hypothesis import given, settings
@@ -30,7 +30,7 @@
     assert not pair.old.takes()
     assert pair.old.handover.handed_over
     assert [endpoint_state(pair.new, w) for w in (1, 2)] == [EndpointState.READY, EndpointState.DRAINING]
-    assert pair.new.dispatcher.table.ban("w3"), "ids that were ever listed are remembered"
+    assert pair.new.dispatcher.table.ban("w3"), "a worker that was ever listed can be banned"
     assert pair.new.dispatcher.table.ban("w4") is False
     assert pair.new.dispatcher.table.listed_workers == pair.old.dispatcher.table.listed_workers
 
@@ -96,7 +96,9 @@
             w.entry.worker: w.sibling_attempts for w in workers.values() if w.sibling_attempts
         } == open_attempts
     old, new = pair.old.dispatcher.exchange, pair.new.dispatcher.exchange
-    assert old.open_attempts_per_worker != new.open_attempts_per_worker, "fewest jobs of both goes first"
+    assert old.open_attempts_per_worker != new.open_attempts_per_worker, (
+        "the worker with the fewest attempts of both processes is preferred"
+    )
     [worker] = pair.new.dispatcher.exchange.open_attempts_per_worker
     [(_, work)] = pair.old.dispatcher.exchange.dispatcher.workers[worker].recent_sends
     assert work > 0.0
@@ -114,14 +116,14 @@
 
 
 def test_outlier_state_of_worker_is_passed_to_new_process(pair):
-    """Otherwise each new process sends the worker requests that must never run twice to learn it again."""
+    """A new process without it sends unsafe requests to the failing worker until it has ejected it again."""
     old = pair.old.dispatcher.exchange.dispatcher
     [id_] = [w for w in old.workers if w == pair.old.dispatcher.ids.worker("w1")]
     old.workers[id_].error_score = 2.0
     old.workers[id_].eject(0.0, failing=True)
     pair.go()
-    successor = pair.new.dispatcher.exchange.dispatcher.workers[id_]
-    assert (successor.error_score, successor.ejections, successor.failing) == (2.0, 1, True)
+    worker = pair.new.dispatcher.exchange.dispatcher.workers[id_]
+    assert (worker.error_score, worker.ejections, worker.failing) == (2.0, 1, True)
 
 
 def test_connection_limits_apply_to_both_processes_together(pair):
@@ -177,7 +179,7 @@
 
 
 def test_third_process_waits_until_present_handover_has_ended(pair):
-    """If it were rejected, it would start beside the others without request ids, bans or clients."""
+    """If its link were closed, it would start without the request ids, bans and clients of the others."""
     pair.go()
     third, other = Side(workers=0), Wire()
     here, there = Wire(), Wire()
@@ -185,7 +187,7 @@
     third.handover.take_over(there, third.settle)
     pair.new.handover.accept(here)
     pair.new.handover.accept(other)
-    assert not other.open, "one may wait"
+    assert not other.open, "only one process may wait"
     there.deliver()
     here.deliver()
     third.dispatcher.advance(ANSWER_TIMEOUT_MS + 8.0)
--- a/tests/test_handover_connections.py
+++ b/tests/test_handover_connections.py
@@ -1,4 +1,4 @@
-"""Client connections that one process passes to the next."""
+"""Client connections that one process of a dispatcher passes to the next."""
 
 import socket
 
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("length", [0, 20, -1])
 def test_passed_connection_keeps_buffered_part_of_request(length):
-    """If it were closed instead, the request would be lost."""
+    """A connection that is closed instead loses the request."""
     old, new = InMemoryDispatcher(), InMemoryDispatcher()
     here, there = socket.socketpair()
     with here, there:
@@ -20,7 +20,7 @@
         message = post("r1")
         client.send(message[:length])
         if length == -1:
-            assert client.connection.detach() is None, "its head is whole: this process takes the job"
+            assert client.connection.detach() is None, "this process serves a request with a complete head"
             return
         detached = client.connection.detach()
         with socket.socket(fileno=detached.descriptor) as copy:
@@ -28,11 +28,11 @@
             assert not old.listener.connections
             assert detached.state.buffered == message[:length]
             there.sendall(b"x")
-            assert copy.recv(1) == b"x", "the connection itself is open"
+            assert copy.recv(1) == b"x", "the connection was closed"
         successor = Client(new, handover=detached.state)
         successor.send(message[length:])
-        assert successor.connection.proven, "it is one message"
-        assert successor.answers()[0][0] == 404, "it is one message"
+        assert successor.connection.proven, "the two parts were not joined to one request"
+        assert successor.answers()[0][0] == 404, "the two parts were not joined to one request"
 
 
 def test_connection_with_pending_response_is_not_passed():
@@ -43,7 +43,7 @@
 
 
 def test_hand_over_some_passes_limited_number_of_connections():
-    """Each holds a descriptor in both processes: all at once would exceed their limit."""
+    """A passed connection briefly uses a descriptor in both processes, whose number is limited."""
     dispatcher = InMemoryDispatcher(most=64)
     clients = [Client(dispatcher) for _ in range(ACCEPTED_PER_TURN + 5)]
     dispatcher.listener.successor = lambda detach: detach.__self__.abort() is None
--- a/tests/test_handover_first_form.py
+++ b/tests/test_handover_first_form.py
@@ -1,4 +1,4 @@
-"""Handover from and to a process of the first revision that had one."""
+"""Handover from and to a process of the first revision with a handover."""
 
 import os
 import socket
@@ -10,9 +10,9 @@
 
 
 class FirstRevision:
-    """The messages of the first revision with a handover.
+    """Messages of the first revision with a handover.
 
-    It has no peers, parked connections or outlier state, and ignores fields that it does not know.
+    It supports no peers, parked connections and outlier state, and ignores unknown fields.
     """
 
     TAKEOVER_REQUEST: ClassVar = {"is": "ask", "form": 1}
@@ -58,7 +58,7 @@
     new.handover.take_over(wire, new.settle)
     [(request, _)] = wire.sent
     assert {**request, **FirstRevision.TAKEOVER_REQUEST} == request, (
-        "what the first form asks for is said as it was"
+        "a field of the first revision's request is missing or has changed"
     )
     with socket.create_server(("127.0.0.1", 0)) as listener:
         classes = len(new.dispatcher.exchange.settings.classes)
@@ -92,7 +92,7 @@
     [(message, descriptors)] = wire.sent
     assert message.keys() >= FirstRevision.DISPATCHER_STATE.keys()
     assert message["memory"].keys() >= FirstRevision.DISPATCHER_STATE["memory"].keys()
-    assert len(descriptors) == 1, "a socket that it does not know of would leak in it"
+    assert len(descriptors) == 1, "the first revision would leak an unknown descriptor"
     os.close(descriptors[0])
     wire.receive(FirstRevision.TAKEOVER_ACCEPTED, [])
     assert old.handover.handed_over
@@ -100,5 +100,5 @@
     old.dispatcher.client(id_="a")
     old.dispatcher.settle()
     old.dispatcher.advance(8.0)
-    assert {message["is"] for message, _ in wire.sent} <= {"state", "yours", "news"}, "no words that it lacks"
+    assert {message["is"] for message, _ in wire.sent} <= {"state", "yours", "news"}, "unknown kind"
     old.dispatcher.listener.acceptor.listening_socket.close()
--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -1,4 +1,8 @@
-"""A restart with a full harness: parked connections go to the next process in batches, and none is lost."""
+"""Handover of parked connections in batches: every connection remains open and is served once.
+
+Losses of either process, full listeners, exhausted descriptors and processes without batch support must not
+lose a connection or a request, except for connections that a killed process was reading.
+"""
 
 import asyncio
 import socket
@@ -20,7 +24,7 @@
 
 
 class ParkedTransfer:
-    """Two processes, of which the new one takes over from the old one, with their links and loops by hand."""
+    """A handover of `count` parked connections; the test delivers messages and runs the event loop."""
 
     def __init__(self, count, idling=KEEP_COPIES, max_connections=1000):
         self.loop = asyncio.new_event_loop()
@@ -58,7 +62,7 @@
         self.handovers[1].take_over(there, lambda: None)
 
     def deliver_once(self):
-        """One exchange of what is waiting on the link; whether there was any."""
+        """Deliver the messages that wait on the link; return whether there were any."""
         return sum(wire.deliver() for wire in self.wires) > 0
 
     def deliver_all(self, max_rounds=1000):
@@ -69,7 +73,7 @@
                 harness.turn(2)
 
     def settle(self):
-        """All that was said is heard, and all that was asked is answered."""
+        """Run both processes until all messages are delivered and all requests are answered."""
         for _ in range(6):
             for harness in self.harnesses:
                 harness.pass_time(8.0)
@@ -78,9 +82,10 @@
             self.deliver_all()
 
     def kill(self, which):
-        """The new process (1) or the old one (0) dies.
+        """Kill the old process (0) or the new one (1).
 
-        The kernel closes what it alone holds, and still delivers what it had sent."""
+        The kernel closes the connections that only this process holds, and delivers the messages it has sent.
+        """
         killed = self.harnesses[which]
         self.wires[which].close()
         killed.listener.parking.on_departure = lambda _keys: None
@@ -107,7 +112,7 @@
 
 
 def response_statuses(transfer, client, id_):
-    """What becomes of a job on a client."""
+    """Send a request on a client's connection and return the statuses of the responses."""
     client.send(message(id_))
     transfer.settle()
     return client.statuses()
@@ -123,7 +128,7 @@
     for number, client in enumerate(transfer.clients[:20]):
         assert response_statuses(transfer, client, f"r{number}") == [200]
     lent = transfer.old.listener.figures()["lent"]
-    assert lent == len(transfer.clients) - 20, "what woke is the new one's alone"
+    assert lent == len(transfer.clients) - 20, "copies of the connections in use were not closed"
 
 
 def test_parked_batches_in_flight_are_bounded(transfer):
@@ -141,17 +146,19 @@
 def test_loss_of_new_process_during_transfer_returns_connections_to_old_process(transfer, steps):
     for _ in range(steps):
         transfer.deliver_once()
-    active_client = transfer.clients[-1]  # the first of its second
+    active_client = transfer.clients[-1]  # within a second of idle time, the last one parked is lent first
     taken = transfer.new.listener.parked
     if taken:
         active_client.send(message("lost"))
         transfer.new.turn()
-        transfer.deliver_once()  # the old process has heard of it
+        transfer.deliver_once()  # the old process closes its copy
     transfer.kill(1)
     for _ in range(5):
         transfer.old.pass_time(8.0)
     assert transfer.old.listener.connections == len(transfer.clients) - bool(taken)
-    assert active_client.open == (not taken), "a connection that the dead process was reading ends with it"
+    assert active_client.open == (not taken), (
+        "a connection is closed only if the killed process was reading it"
+    )
     for number, client in enumerate(transfer.clients[:5]):
         assert response_statuses(transfer, client, f"r{number}") == [200]
 
@@ -172,7 +179,7 @@
     assert transfer.new.listener.parked == len(transfer.clients)
     for number, client in enumerate(transfer.clients[:5]):
         assert response_statuses(transfer, client, f"r{number}") == [200]
-    assert not transfer.new.listener.parking._idle.unreported, "there is nobody to tell any more"
+    assert not transfer.new.listener.parking._idle.unreported, "no process is left to report to"
 
 
 def test_connection_closed_by_new_process_is_closed_for_client_despite_copy(transfer):
@@ -188,9 +195,9 @@
 def test_connections_above_limit_of_new_process_stay_with_old_process_until_it_ends():
     transfer = ParkedTransfer(MAX_PARKED_BATCH + 50, max_connections=MAX_PARKED_BATCH)
     transfer.deliver_all()
-    assert transfer.new.listener.parked == 50, "both are one dispatcher"
+    assert transfer.new.listener.parked == 50, "the limit applies to both processes together"
     assert transfer.old.listener.parked == MAX_PARKED_BATCH
-    assert response_statuses(transfer, transfer.clients[0], "r") == [200], "at the old process"
+    assert response_statuses(transfer, transfer.clients[0], "r") == [200], "not served by the old process"
     transfer.handovers[0].pass_clients([LISTEN])
     for _ in range(40):
         transfer.handovers[0].pass_idle_clients()
@@ -203,7 +210,7 @@
 
 
 def test_new_process_without_parking_adopts_connections_unparked():
-    """It has the only descriptor of each: refused, they would be closed."""
+    """Without copies at the old process, the new process has the only descriptor of each connection."""
     transfer = ParkedTransfer(30, IDLING)
     transfer.new.listener.parking.close()
     transfer.new.listener.idling = replace(IDLING, park_after=inf)
@@ -262,7 +269,7 @@
 
 
 def test_new_process_without_batch_support_receives_connections_one_by_one():
-    """It does not say that it takes batches."""
+    """A process of an earlier revision does not announce batch support in its `taken` message."""
     transfer = ParkedTransfer(20)
     send_message = transfer.wires[1].send
     transfer.wires[1].send = lambda fields, descriptors=(): send_message(
@@ -281,8 +288,10 @@
 
 
 def test_connection_read_by_killed_new_process_is_closed():
-    """The new process says that a connection is its own alone before it reads a byte of it; the old one
-    hears of that and does not keep its copy open for a message that nobody has."""
+    """The old process would otherwise keep its copy open, and the client would wait for a lost request.
+
+    Therefore the new process reports that a connection is no longer parked before it reads a byte of it.
+    """
     transfer = ParkedTransfer(12)
     transfer.settle()
     transfer.clients[0].send(message("r1"))
@@ -295,8 +304,10 @@
 
 
 class ParkedTransferMachine(RuleBasedStateMachine):
-    """Phones speak while they pass on, at any step of it, and the new process may die: each message that was
-    sent is answered once, unless its connection was being read by a process that died."""
+    """Clients send requests at any step of the handover, and the new process may be killed.
+
+    Each request is answered once, unless its connection was being read by the killed process.
+    """
 
     def __init__(self):
         super().__init__()
