--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -1,4 +1,4 @@
-"""Bans hold from the yes until enable, whatever the list says and whichever process runs."""
+"""Operators' bans: from `disable` to `enable`, across lists of discovery and across processes."""
 
 import json
 
@@ -55,7 +55,7 @@
     [dial] = dispatcher.dials
     ask(console, "disable", f"w{dial.address[1]}")
     end = dial.up()
-    assert not end.take(), "begun after the yes"
+    assert not end.take(), "a request was sent to the worker after its ban"
     [other_dial] = dispatcher.dials
     assert other_dial.address != dial.address
     other_dial.up().finish()
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("announced", [False, True])
 def test_unbanned_worker_is_in_slow_start_unless_restart_was_announced(announced):
-    """It is restarted while it is banned, and discovery tells of that seconds late."""
+    """A worker may be restarted during its ban, which discovery announces seconds late."""
     console = Console(workers=2)
     dispatcher = console.dispatcher
     ask(console, "disable")
@@ -94,7 +94,7 @@
     ask(console, "enable")
     worker = dispatcher.exchange.dispatcher.workers[dispatcher.ids.known("w1")]
     assert worker.entry.ready_at == (started if announced else dispatcher.now)
-    dispatcher.tell((1, "SERVING"), since=started if announced else 0)  # what was told already, once more
+    dispatcher.tell((1, "SERVING"), since=started if announced else 0)  # a repeated announcement
     assert worker.entry.ready_at >= started
     dispatcher.tell((1, "SERVING"), since=started)
     assert worker.entry.ready_at == started
@@ -105,7 +105,7 @@
     assert ask(console, "disable", "w9") == 404
     assert ask(console, "enable", "w9") == 404
     console.dispatcher.tell((2, "DELETED"))
-    assert ask(console, "disable", "w2") == 200, "it was listed once"
+    assert ask(console, "disable", "w2") == 200, "a worker that was ever listed can be banned"
     assert console.call("/-/workers/w1/disable")[0] == 405
     assert console.call("/-/workers/w1/restart", "POST")[0] == 404
 
@@ -123,7 +123,7 @@
     assert state(second.dispatcher, 1) == EndpointState.DRAINING
     ask(second, "enable")
     assert state(Console(bans=tmp_path / "bans").dispatcher, 1) == EndpointState.READY
-    assert [file.name for file in tmp_path.iterdir()] == ["bans"], "no draft stays behind"
+    assert [file.name for file in tmp_path.iterdir()] == ["bans"], "a temporary file remains"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -1,4 +1,7 @@
-"""Bans while the disk fails for a while, or a write is cut short: no yes for what is not written, no loss."""
+"""Bans on a disk that fails temporarily, writes partially or is slow.
+
+A call succeeds only if the ban is in the file, and no ban is lost.
+"""
 
 import json
 import threading
@@ -15,13 +18,13 @@
 from eiderfield.net.file_operations import result_of, thread_runner
 from eiderfield.net.table_state import RoutingTableState
 
-# What a write of the file does, with how many calls of the kind it makes.
+# The kinds of operations that make up a write of the file.
 OPERATION_KINDS = ["open", "write", "sync", "rename", "unlink"]
 BAN_CALLS = [("disable", "w1"), ("disable", "w2"), ("enable", "w1"), ("disable", "w3")]
 
 
 def banned_on_file(path):
-    """What a process that starts now takes in; None if the file cannot be used."""
+    """Return the workers that a process starting now would ban; None if it would reject the file."""
     logged = []
     bans = Bans(path, logged.append)
     bans.load()
@@ -34,7 +37,7 @@
 def test_successful_answer_means_ban_is_on_file_and_failed_writes_are_retried(
     kind, first, code, tmp_path, monkeypatch
 ):
-    """The n-th operation of a kind and all after it fail, until the disk is well again."""
+    """From the n-th on, all operations of a kind fail until the disk works again."""
     path = tmp_path / "bans"
     console = Console(workers=3, bans=path)
     in_force = set()
@@ -43,16 +46,16 @@
         for call, worker in BAN_CALLS:
             status = ask(console, call, worker)
             in_force = in_force | {worker} if call == "disable" else in_force - {worker}
-            assert set(console.dispatcher.table.bans.since) == in_force, "in force, written or not"
+            assert set(console.dispatcher.table.bans.since) == in_force, "a ban must not depend on the disk"
             assert status in (200, 500)
             with faults.paused():
                 if status == 200:
-                    assert banned_on_file(path) == in_force, "a yes for what is not on file"
-                assert banned_on_file(path) is not None, "a torn file"
-        assert faults.failed or first > len(BAN_CALLS), "the kind is not part of a write"
+                    assert banned_on_file(path) == in_force, "success without the ban in the file"
+                assert banned_on_file(path) is not None, "malformed file"
+        assert faults.failed or first > len(BAN_CALLS), "a write performs no operation of this kind"
         faults.heal()
         console.dispatcher.advance(2.0 * RETRY_INTERVAL_MS)
-        assert banned_on_file(path) == in_force, "not written after the disk was well again"
+        assert banned_on_file(path) == in_force, "not written after the disk worked again"
     assert not [line for line in console.dispatcher.logged if "file ignored" in line]
 
 
@@ -77,7 +80,7 @@
         faults.fail("write", code)
         assert ask(console, "disable", "w2") == 500
         assert banned_on_file(path) == {"w1"}
-    assert [file.name for file in tmp_path.iterdir()] == ["bans"], "a draft stays"
+    assert [file.name for file in tmp_path.iterdir()] == ["bans"], "a temporary file remains"
 
 
 def test_file_truncated_at_any_byte_is_ignored_and_logged(tmp_path):
@@ -101,7 +104,7 @@
         faults.fail("sync", ERRORS[0])
         ask(console, "disable", "w1")
         console.dispatcher.advance(10.0 * RETRY_INTERVAL_MS)
-        assert faults.failed > 5, "it is tried again and again"
+        assert faults.failed > 5, "the write is not retried"
         assert len([line for line in console.dispatcher.logged if "file not written" in line]) == 1
         faults.heal()
         console.dispatcher.advance(2.0 * RETRY_INTERVAL_MS)
@@ -130,7 +133,9 @@
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("open", code)
         console = Console(workers=4, bans=path)
-        assert state(console.dispatcher, 1) == EndpointState.READY, "the start is not stopped"
+        assert state(console.dispatcher, 1) == EndpointState.READY, (
+            "an unreadable file must not prevent the start"
+        )
         assert ask(console, "enable", "w2") == 500
         assert ask(console, "disable", "w3") == 500
         console.dispatcher.advance(5.0 * RETRY_INTERVAL_MS)
@@ -142,7 +147,7 @@
 
 
 class ManualRunner:
-    """Attempts that end when the test says so."""
+    """A runner whose operations run when the test calls `finish_next`."""
 
     def __init__(self):
         self.operations = []
@@ -174,7 +179,7 @@
 
 @pytest.mark.parametrize("write_ends", ["in time", "late"])
 def test_console_answers_within_timeout_during_slow_write(tmp_path, write_ends):
-    """The rule is a second; the answer waited for the write, however long a sync took."""
+    """A console call must be answered within 1 s, although a sync may take longer."""
     console, disk = Console(bans=tmp_path / "bans"), ManualRunner()
     console.dispatcher.table.bans._run = disk.run
     caller = Client(console.dispatcher, console.listener)
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -1,4 +1,4 @@
-"""The handover's messages against those that three earlier revisions wrote."""
+"""Handover messages are compatible with those recorded from three earlier revisions."""
 
 import importlib.util
 import json
@@ -20,10 +20,10 @@
 from eiderfield.net.table_state import EndpointRecord, UnbannedWorker
 
 NAMES = sorted(path.stem for path in GOLDEN.glob("*.json"))
-CLOCK_START = 1_764_600_000_000.0  # of the recorded processes' clocks, which showed Unix time
+CLOCK_START = 1_764_600_000_000.0  # first reading of the recorded processes' clocks, which showed Unix time
 STATE_AT = CLOCK_START + 40.0  # when the recorded state was written
 READ_AT = CLOCK_START + 200.0
-# Fields that were added after a revision.
+# Fields that were added to the wire form after a revision.
 ADDED_FIELDS = {
     "731b84e": frozenset({"now", "started", "heard"}),
     "456c0d9": frozenset(),
@@ -36,22 +36,25 @@
 
 
 def reading_time(revision, name):
-    """When a recorded message is read: a moment after it was written, or in that moment if it says it."""
+    """Return the time at which a test decodes a recorded message.
+
+    It is the time of sending if the message includes it (`now`), else a moment later.
+    """
     return recorded(revision, name)[0].get("now", STATE_AT if name.startswith("state") else READ_AT)
 
 
 def codec(now, logged=None):
-    """A codec of a process whose clock shows Unix time."""
+    """Return a codec for a process whose clock shows Unix time."""
     return Codec(lambda: now, WallClock(lambda: now, lambda: now), ([] if logged is None else logged).append)
 
 
 def decode(revision, name):
-    """A recorded message as the present program reads it."""
+    """Decode a recorded message."""
     return codec(reading_time(revision, name)).decode(recorded(revision, name)[0])
 
 
 def remove_fields(added, value):
-    """A message without some fields."""
+    """Return a JSON value without the fields named in `added`, at any depth."""
     if isinstance(value, dict):
         return {key: remove_fields(added, item) for key, item in value.items() if key not in added}
     if isinstance(value, list):
@@ -62,8 +65,8 @@
 @revisions
 def test_recording_holds_each_kind_of_message(revision):
     kinds = {recorded(revision, name)[0]["is"] for name in NAMES}
-    words = "ask state taken yours news ban client wait parked got departed"
-    assert kinds == set(words.split())
+    expected = "ask state taken yours news ban client wait parked got departed"
+    assert kinds == set(expected.split())
     assert len(NAMES) == 17
     assert sorted(path.stem for path in FOLDERS[revision].glob("*.json")) == NAMES
 
@@ -96,7 +99,7 @@
 @pytest.mark.parametrize("name", EXPECTED_MESSAGES)
 def test_message_of_revision_with_present_form_is_decoded(revision, name):
     expected = EXPECTED_MESSAGES[name]
-    if name == "parked-copies":  # keys are numbers of descriptors, which differ from run to run
+    if name == "parked-copies":  # keys are descriptors, which differ between recordings
         expected = replace(expected, keys=tuple(recorded(revision, name)[0]["keys"]))
     assert decode(revision, name) == expected
 
@@ -147,7 +150,7 @@
 
 
 def teach(dispatcher):
-    """What the recorder's function of this name does, by the present names."""
+    """Set the learned state as the recorder's `teach` does, by the present names."""
     module = dispatcher.exchange.dispatcher
     learn(module, served_rate=0.75)
     pacer = module.pacers[0]
@@ -160,12 +163,12 @@
 
 
 def pass_connection(handover, detach):
-    """Passes a connection on; the recorder's `detach` gives a descriptor and a state."""
+    """Pass a connection to the new process; the recorder's `detach` returns a descriptor and a state."""
     handover._old._pass_connection(LISTEN, lambda: DetachedConnection(*detach()))
 
 
 def recorder_module():
-    """The recorder, with the names that its few calls have now."""
+    """Return the recorder's module, with its calls of the program replaced by the present ones."""
     spec = importlib.util.spec_from_file_location("record", GOLDEN / "record.py")
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
@@ -192,7 +195,7 @@
 
 @pytest.fixture(scope="module")
 def scene_messages(tmp_path_factory):
-    """All messages of the recorded scene, as the present program writes them."""
+    """Return all messages of the recorded scene as the present program sends them, by name."""
     folder = tmp_path_factory.mktemp("handover")
     module = recorder_module()
     module.Program.Side = partial(Side, start=CLOCK_START)
@@ -203,7 +206,10 @@
 
 
 def comparable(recorded_message, added):
-    """A message without what differs from run to run: the order of ids and the numbers of descriptors."""
+    """Return the number of descriptors and the message, without fields in `added` and run-dependent values.
+
+    The order of request ids and the values of descriptors differ between runs.
+    """
     message = remove_fields(added, recorded_message["message"])
     if "ids" in message and isinstance(message["ids"], list):
         message["ids"] = sorted(message["ids"])
@@ -215,7 +221,7 @@
 @revisions
 @pytest.mark.parametrize("name", NAMES)
 def test_messages_of_recorded_scene_equal_those_of_revision(revision, name, scene_messages):
-    """A revision reads these fields and ignores others, so a process of it may come before or after."""
+    """An earlier revision ignores other fields, so that it can be either process of an upgrade."""
     message, descriptors = recorded(revision, name)
     recorded_message = {"message": message, "descriptors": descriptors}
     assert comparable(scene_messages[name], ADDED_FIELDS[revision]) == comparable(
--- a/tests/test_handover_upgrade.py
+++ b/tests/test_handover_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades on real processes: requests, bans and clients across one or more handovers."""
+"""Upgrades with real processes: requests, bans and clients across one or more handovers."""
 
 import json
 import os
@@ -16,11 +16,9 @@
 from eiderfield.interface import decode_peer_report, encode_peer_report
 from eiderfield.lab.ports import free_port
 
-ENVELOPE = Struct("<BIH")  # of messages between dispatchers
-LONG_WAIT_CLASS = {
-    **CONFIG["settings"]["classes"][0],
-    "give_up": 300_000,
-}  # however long a process takes to start
+ENVELOPE = Struct("<BIH")  # version, incarnation, sequence number of a message between dispatchers
+# A class whose requests do not expire while processes start.
+LONG_WAIT_CLASS = {**CONFIG["settings"]["classes"][0], "give_up": 300_000}
 
 
 def call(port, path, method="GET"):
@@ -29,7 +27,7 @@
 
 
 class Upgrades:
-    """Processes of a program that are started beside each other, as the platform does."""
+    """Processes of one dispatcher that are started one beside another, as the platform does for upgrades."""
 
     def __init__(self, folder, discovery):
         self.folder, self.discovery, self.port = folder, discovery, free_port()
@@ -59,7 +57,7 @@
 
     def wait_until_listening(self, process, console):
         while "listens on" not in (line := process.stderr.readline()):
-            assert line, "it ended"
+            assert line, "process ended before it listened"
         threading.Thread(target=process.stderr.read, daemon=True).start()
         return process, console
 
@@ -84,7 +82,7 @@
     upgrades.source.asked.get(timeout=30)
     idle, partly_sent, busy = [socket.create_connection(("127.0.0.1", upgrades.port), 30) for _ in range(3)]
     upgrades.worker.let.set()
-    for sock in (idle, partly_sent):  # a connection that has brought a job may idle
+    for sock in (idle, partly_sent):  # a connection may idle once it has sent a request
         assert ask(sock, post("r0"))[0] == 200
     upgrades.worker.let.clear()
     upgrades.worker.came.clear()
@@ -99,10 +97,10 @@
     partly_sent.sendall(post("r2")[:20])
     old.send_signal(signal.SIGTERM)
     upgrades.worker.let.set()
-    assert ask(busy, b"") == (200, b"cba"), "what the old process has taken it answers"
+    assert ask(busy, b"") == (200, b"cba"), "the old process did not answer the request that it had accepted"
     assert old.wait(30) == 0
     for sock, data in ((partly_sent, post("r2")[20:]), (idle, post("r3")), (busy, post("r4"))):
-        assert ask(sock, data) == (200, b"cba"), "its connection went on to the new process"
+        assert ask(sock, data) == (200, b"cba"), "the connection was not passed to the new process"
     assert json.loads(call(new_console, "/-/metrics")[1])["success"] == {"echo": 3}
     with socket.create_connection(("127.0.0.1", upgrades.port), 30) as sock:
         assert ask(sock, post("r5")) == (200, b"cba")
@@ -148,19 +146,19 @@
     assert upgrades.worker.came.wait(30)
     first = ENVELOPE.unpack_from(message := peer.recv(300))
     assert list(decode_peer_report(message[ENVELOPE.size :])) == [(upgrades.number, 1)], (
-        "its job at the worker"
+        "no report of the open attempt at the worker"
     )
     _, new_console = upgrades.start()
     for _ in range(5):
         send_report()
-    assert wait_for_accepted(new_console, 5) == 5, "all of them by the next process"
-    assert wait_for_accepted(console, 1) == 1, "all of them by the next process"
+    assert wait_for_accepted(new_console, 5) == 5, "the new process did not receive every message"
+    assert wait_for_accepted(console, 1) == 1, "the old process received messages after the handover"
     old.send_signal(signal.SIGTERM)
     upgrades.worker.let.set()
     assert ask(busy, b"") == (200, b"cba")
     assert old.wait(30) == 0
     while list(decode_peer_report((message := peer.recv(300))[ENVELOPE.size :])) != [(upgrades.number, 0)]:
-        pass  # told by the next process, whose life is later, though the job was the old one's
+        pass  # the new process sends the report in a later incarnation, although the old one made the attempt
     assert ENVELOPE.unpack_from(message)[1] > first[1]
     send_report()
     wait_for_accepted(new_console, 6)
@@ -176,7 +174,7 @@
     assert upgrades.worker.came.wait(30)
     second, new_console = upgrades.start()
     assert call(new_console, "/-/ready")[0] == 200
-    first.send_signal(signal.SIGTERM)  # it stays for its job
+    first.send_signal(signal.SIGTERM)  # the process runs on until its request is answered
     third = upgrades.launch()
     upgrades.worker.let.set()
     assert ask(busy, b"") == (200, b"cba")
@@ -210,7 +208,7 @@
     old.send_signal(signal.SIGSTOP)
     try:
         _, console = upgrades.start()
-        assert call(console, "/-/ready")[0] in (200, 503)  # it is there, whatever it knows by now
+        assert call(console, "/-/ready")[0] in (200, 503)  # it serves the console, ready or not
     finally:
         old.send_signal(signal.SIGCONT)
 
@@ -219,6 +217,6 @@
     upgrades.start()
     other = tmp_path / "other"
     other.mkdir()
-    upgrades.folder = other  # which shares no folder, so is no upgrade
-    with pytest.raises(AssertionError, match="it ended"):
+    upgrades.folder = other  # without a shared folder there is no handover
+    with pytest.raises(AssertionError, match="process ended before it listened"):
         upgrades.start()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock is stepped by seconds or an hour, forward or back: no span of time changes by that."""
+"""Steps of the wall clock, by seconds or an hour, forward or back, change no duration in the process."""
 
 import json
 import re
@@ -44,7 +44,7 @@
 
 
 def test_only_machine_module_reads_wall_clock():
-    """The rest of the dispatcher converts there, or has no business with Unix time."""
+    """All other modules of the dispatcher use the monotonic clock, or convert times by `WallClock`."""
     package = Path(eiderfield.__file__).parent
     parts = [package / name for name in ("net", "connections", "policy")]
     files = [path for part in parts for path in part.rglob("*.py")]
@@ -169,7 +169,7 @@
     assert registry.table.known == 1
     dispatcher.advance(2_000.0)
     registry.submission.run_job(JobTemplate("safe", subject="x"))
-    assert registry.table.known == 1, "the finished one is forgotten by its age"
+    assert registry.table.known == 1, "the finished job did not expire"
 
 
 def test_batch_job_ids_of_dispatchers_with_same_name_and_start_differ():
--- a/tests/test_wall_clock_bans.py
+++ b/tests/test_wall_clock_bans.py
@@ -20,7 +20,7 @@
 
 @steps
 def test_unbanned_worker_after_step_during_ban_is_in_slow_start(machine, step):
-    """The worker is restarted while it is banned, which discovery has not told when the ban is lifted."""
+    """The worker is restarted during its ban, and discovery has not announced that when the ban is lifted."""
     machine.tell(("w", machine.wall()))
     machine.dispatcher.advance(500.0)
     machine.dispatcher.table.ban("w")
@@ -31,7 +31,7 @@
     assert machine.started("w") == 0.0
     machine.dispatcher.advance(1000.0)
     machine.tell(("w", machine.wall() - 1500.0))
-    assert machine.started("w") == pytest.approx(1500.0), "discovery has told of the start by now"
+    assert machine.started("w") == pytest.approx(1500.0), "the announced start is not used"
 
 
 @steps
@@ -42,7 +42,7 @@
     first.dispatcher.advance(1000.0)
     assert first.dispatcher.table.ban("w")
     stored = json.loads((tmp_path / "bans.json").read_text())
-    assert stored == {"banned": {"w": started + 1000.0}}, "the file holds Unix time"
+    assert stored == {"banned": {"w": started + 1000.0}}, "the file does not hold Unix time"
     second = Machine(bans=tmp_path / "bans.json", start=77e9)
     second.wall.step(step)
     second.tell(("w", started), snapshot=True)
--- a/tests/test_wall_clock_handover.py
+++ b/tests/test_wall_clock_handover.py
@@ -1,4 +1,4 @@
-"""The state that a process hands over keeps its age when the wall clock is stepped meanwhile."""
+"""The ages of the times in a handover do not change if the wall clock is stepped during it."""
 
 import pytest
 from support.handover import LISTEN
@@ -14,7 +14,7 @@
 
 
 def test_learned_state_handed_over_after_step_keeps_its_age(takeover):
-    """A pacer would have waited an hour, or a worker in slow start have been sent its work twice."""
+    """With wrong ages a pacer would wait an hour, or a worker in slow start would be sent its work twice."""
     old = takeover.old.dispatcher
     old.advance(500.0)
     module = old.exchange.dispatcher
@@ -37,11 +37,13 @@
     assert takeover.age(worker.entry.ready_at) == pytest.approx(3000.0)
     takeover.new.dispatcher.table.load(takeover.list)
     takeover.new.dispatcher.settle()
-    assert takeover.age(worker.entry.ready_at) == pytest.approx(3000.0), "discovery's list changes nothing"
+    assert takeover.age(worker.entry.ready_at) == pytest.approx(3000.0), (
+        "the list of discovery changed the age"
+    )
 
 
 def test_start_announced_after_step_and_handover_is_not_dated_before_last_source_contact():
-    """The process before has heard discovery a moment ago, so that the worker cannot have been there long."""
+    """The old process was in contact with the source a moment ago, so that the start must be recent."""
     takeover = Takeover(HOUR)
     takeover.old.dispatcher.table.start_times.record_source_contact()
     since = takeover.wall()
@@ -65,7 +67,7 @@
     new.table.unban("banned")
     new.settle()
     entry = takeover.module().workers[new.ids.worker("banned")].entry
-    assert entry.ready_at == new.now, "it may have been restarted meanwhile"
+    assert entry.ready_at == new.now, "the worker may have been restarted during its ban"
 
 
 def test_lifted_ban_handed_over_after_step_keeps_its_age(takeover):
@@ -92,11 +94,11 @@
 
 @steps
 def test_connections_passed_after_step_keep_their_age(step):
-    """They would all have been closed at once, or have idled for an hour."""
+    """With wrong ages all connections would be closed at once, or be kept idle for an hour."""
     batch, now = passed_on(ParkedBatch(LISTEN, (5e6 - 9000.0, 5e6), (), {}), step)
     assert batch.since == pytest.approx((now - 9000.0, now))
     partial_request, now = passed_on(ConnectionPassed(LISTEN, True, 5e6 - 2000.0, b"POST", {}), step)
-    assert partial_request.since == pytest.approx(now - 2000.0), "its message has 0.8 s left"
+    assert partial_request.since == pytest.approx(now - 2000.0), "0.8 s of its timeout must remain"
 
 
 @steps
--- a/tests/test_wall_clock_handover_731b84e.py
+++ b/tests/test_wall_clock_handover_731b84e.py
@@ -1,4 +1,8 @@
-"""Handover with processes of 731b84e, whose clocks show Unix time as it was when they started."""
+"""Handover with processes of revision 731b84e.
+
+Their clocks show the Unix time of their start plus the time elapsed since, and do not follow later steps of
+the wall clock.
+"""
 
 import pytest
 from support.golden_messages import recorded
@@ -8,11 +12,11 @@
 
 from eiderfield.net.handover.messages import BanChanged, ParkedBatch
 
-STATE_AT = UNIX + 40.0  # what the clock of the recorded process showed
+STATE_AT = UNIX + 40.0  # reading of the recorded process's clock when it sent its state
 
 
 def decode_state_of_731b84e(step, elapsed=0.0):
-    """The recorded state as a process has it that starts after a step, and its codec and clock."""
+    """Decode the recorded state in a process that starts after a step; return the state and the process."""
     now = 9e9
     process = Process(lambda: STATE_AT + elapsed + step, now)
     return process.codec.decode(recorded("731b84e", "state")[0]), process
@@ -20,7 +24,7 @@
 
 @steps
 def test_state_of_731b84e_after_step_has_no_future_times(step):
-    """It would have held the first class back for an hour."""
+    """A release time in the future would delay the first class for an hour."""
     state, process = decode_state_of_731b84e(step)
     pacer = state.learned.pacers[0]
     assert process.now <= pacer.next_release_at <= process.now + 1000.0 / pacer.rate
@@ -40,7 +44,7 @@
 
 @steps
 def test_slow_start_of_731b84e_after_step_keeps_its_age(step):
-    """Its clock is that of its start: it would be taken for warm after a step forward."""
+    """After a step forward, the worker would count as started long ago if the step were not detected."""
     process = Process(lambda: STATE_AT + step, 9e9)
     table = process.codec.decode(recorded("731b84e", "state")[0]).table
     dispatcher = InMemoryDispatcher(workers=0, unix=lambda: STATE_AT + step, start=process.now)
@@ -82,7 +86,7 @@
 
 @steps
 def test_times_sent_to_731b84e_after_step_are_unix_times(step):
-    """It starts after the step, so its clock shows what the wall clock shows then."""
+    """A process that starts after the step has a clock that agrees with the stepped wall clock."""
     wall = Wall()
     wall.step(step)
     process = Process(wall, 9e9)
@@ -94,7 +98,7 @@
 
 @steps
 def test_starts_sent_to_731b84e_are_those_that_discovery_announced(step):
-    """Told otherwise, it would take discovery's next list for a new start of each worker."""
+    """With other values, discovery's next list would count as a new start of each worker."""
     takeover = Takeover(step)
     takeover.old.dispatcher.advance(500.0)
     takeover.wall.step(step)
--- a/tests/test_wall_clock_slow_start.py
+++ b/tests/test_wall_clock_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start keeps its age when the wall clock is stepped by seconds or an hour, forward or back."""
+"""Steps of the wall clock, by seconds or an hour, forward or back, do not change the age of slow start."""
 
 import pytest
 from support.consul import Consul, instance
@@ -52,7 +52,7 @@
     assert machine.started("new") == 0.0
     machine.pass_time(COLD)
     machine.tell(("new", machine.wall() + ahead - COLD))
-    assert machine.started("new") == COLD, "the same announcement once more"
+    assert machine.started("new") == COLD, "a repeated announcement changed the age"
 
 
 def test_implausibly_old_start_of_new_worker_counts_as_now(machine):
@@ -61,7 +61,7 @@
 
 
 def test_start_announced_late_has_its_announced_age(machine):
-    """Many dispatchers share a budget by windows from the start: those that hear later must agree on it."""
+    """The dispatchers share a slow start budget by time windows from the start, which all must agree on."""
     machine.tell(("late", machine.wall() - MAX_ANNOUNCEMENT_DELAY_MS))
     assert machine.started("late") == MAX_ANNOUNCEMENT_DELAY_MS
 
