--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -1,4 +1,4 @@
-"""Consul's health and catalogue API against a stand-in: blocking queries, index reset, cuts and nonsense."""
+"""The watch of Consul with a simulated agent: queries, index resets, malformed and partial lists."""
 
 import json
 
@@ -48,9 +48,9 @@
     consul.query()
     consul.answer(90, instance("a", 1))
     consul.query()
-    consul.answer(4, instance("a", 1), instance("b", 2))  # restored from a snapshot
+    consul.answer(4, instance("a", 1), instance("b", 2))  # as after the restoration of a snapshot
     assert len(consul.states()) == 2
-    assert consul.query() is None  # such a query would not block: it waits a little
+    assert consul.query() is None  # the next query has no index and does not block, so it is delayed
     consul.dispatcher.advance(1100.0)
     assert consul.query() == "/v1/health/service/claim%20workers"
     consul.answer(5, instance("a", 1))
@@ -102,7 +102,7 @@
 
 
 def answered_queries(consul, duration, max_queries=400):
-    """Lets time pass while the stand-in answers every query at once; gives how many it got."""
+    """At each query yield the number of queries so far; the caller answers it at once."""
     queries = 0
     until = consul.dispatcher.now + duration
     while consul.dispatcher.now < until and queries < max_queries:
@@ -114,7 +114,7 @@
 
 
 def test_queries_to_agent_that_answers_at_once_are_paced():
-    """Measured before: 45,098 calls in 4 s to one whose index stood still."""
+    """Without a rate limit, an agent whose index did not change received 45,098 queries in 4 s."""
     consul = Consul()
     calls = []
     for queries in answered_queries(consul, 4000.0):
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The platform's form of the list of workers, read into typed endpoints or rejected whole."""
+"""Parsing of the platform's list of workers. A malformed list is rejected as a whole."""
 
 import pytest
 from support.memory_dispatcher import InMemoryDispatcher
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -1,4 +1,4 @@
-"""Stored data of earlier revisions (`tests/golden`) is read by the present program with the same meaning."""
+"""Data stored by earlier revisions (`tests/golden`) is read with the same meaning."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @pytest.fixture(params=["731b84e", "456c0d9", "3888fce"])
 def golden(request):
-    """The recorded files of a revision."""
+    """The folder with the recorded files of a revision."""
     return GOLDEN if request.param == "731b84e" else GOLDEN / request.param
 
 
@@ -76,7 +76,7 @@
 
 @pytest.fixture(params=FOLDERS)
 def golden_folder(golden, request, tmp_path):
-    """A copy of a recorded folder, and what its revision read in it."""
+    """A copy of a recorded folder, and the content that the recording revision read in it."""
     recorded = golden / "custody" / request.param
     folder = tmp_path / "folder"
     shutil.copytree(recorded / "folder", folder, symlinks=True)
@@ -84,7 +84,7 @@
 
 
 def stored_fields(record):
-    """A record by its stored names."""
+    """Return the fields of a record by their stored names, with JSON columns decoded."""
     fields = dict(zip(COLUMNS, encode(record), strict=True))
     fields["body"], fields["result"] = record.body.hex(), record.result.hex()
     fields["head"], fields["legs"] = json.loads(fields["head"]), json.loads(fields["legs"])
@@ -113,7 +113,7 @@
 
 
 def test_member_started_on_recorded_folder_takes_over_all_open_requests(golden_folder):
-    """All processes of the folder are gone; their boot was another, and their jobs are due on its clock."""
+    """The recorded processes have ended; the stored due times refer to the clock of an earlier boot."""
     folder, expected = golden_folder
     now = [1000.0]
     settings = DurableRequestSettings(folder, frozenset({0}), lease_ms=LEASE)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""The port to the other dispatchers, with datagrams on loopback."""
+"""The port for messages between dispatchers, with datagrams on the loopback interface."""
 
 from __future__ import annotations
 
--- a/tests/test_source_keys.py
+++ b/tests/test_source_keys.py
@@ -1,4 +1,4 @@
-"""Keys of addresses and prefixes by which connections are counted."""
+"""Keys of addresses and prefixes by which connections per source are counted."""
 
 import pytest
 
