--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -21,7 +21,7 @@
     Message,
     OpenAttempts,
     ParkedBatch,
-    ParkedBatchTaken,
+    ParkedBatchResult,
     TakeoverAccepted,
     TakeoverDelayed,
     TakeoverRequest,
@@ -40,7 +40,9 @@
         self._clock = clock
         self._wall = wall
         self._log = log
-        self._estimated: SenderClock | None = None  # used if the sender does not include its clock reading
+        self._estimated_clock: SenderClock | None = (
+            None  # used if the sender does not include its clock reading
+        )
 
     def decode(self, values: Mapping[str, object]) -> Message:
         """Decode a message; raises `MalformedMessageError`."""
@@ -61,10 +63,10 @@
         now = self._clock()
         if "now" in fields:
             return exact_clock(now, fields.number("now"))
-        if self._estimated is None:
-            self._estimated = estimated_clock(now, self._wall.offset(), past_times())
-        known = self._estimated
-        return SenderClock(now, known.offset, known.min_offset, known.exact)
+        if self._estimated_clock is None:
+            self._estimated_clock = estimated_clock(now, self._wall.offset(), past_times())
+        estimate = self._estimated_clock
+        return SenderClock(now, estimate.offset, estimate.min_offset, estimate.exact)
 
     def _decode_takeover_request(self, fields: Fields) -> TakeoverRequest:
         return TakeoverRequest(fields.integer("form"), fields.flag("peers"))
@@ -89,7 +91,7 @@
         return DispatcherState(
             listeners=fields.texts("doors"),
             table=_decode_table(table, sender),
-            bans={worker: sender.past(since) for worker, since in bans.items()},
+            bans={worker: sender.convert_past(since) for worker, since in bans.items()},
             request_ids=fields.texts("ids"),
             attempts=tuple(
                 OpenAttempts(text(worker, "legs"), integer(count, "legs"))
@@ -129,7 +131,7 @@
         fields.required("since")
         since = fields.optional_number("since")
         if since is not None:
-            since = self._sender_clock(fields).past(since)
+            since = self._sender_clock(fields).convert_past(since)
         return BanChanged(fields.text("worker"), since)
 
     def _decode_connection_passed(self, fields: Fields) -> ConnectionPassed:
@@ -138,7 +140,7 @@
         return ConnectionPassed(
             listener=fields.text("door"),
             proven=bool(fields.required("proven")),
-            since=self._sender_clock(fields).recent(fields.number("since"), max_age),
+            since=self._sender_clock(fields).convert_recent(fields.number("since"), max_age),
             buffered=buffered,
             connection_counts=fields.counts("open"),
         )
@@ -151,13 +153,13 @@
             raise MalformedMessageError("keys", f"has {len(keys)} values for {len(since)} connections")
         return ParkedBatch(
             listener=fields.text("door"),
-            since=tuple(sender.recent(at, IDLE_TIMEOUT_MS) for at in since),
+            since=tuple(sender.convert_recent(at, IDLE_TIMEOUT_MS) for at in since),
             keys=keys,
             connection_counts=fields.counts("open"),
         )
 
-    def _decode_parked_batch_taken(self, fields: Fields) -> ParkedBatchTaken:
-        return ParkedBatchTaken(fields.text("door"), fields.integers("refused"))
+    def _decode_parked_batch_result(self, fields: Fields) -> ParkedBatchResult:
+        return ParkedBatchResult(fields.text("door"), fields.integers("refused"))
 
     def _decode_connections_unparked(self, fields: Fields) -> ConnectionsUnparked:
         return ConnectionsUnparked(fields.text("door"), fields.integers("keys"))
@@ -172,7 +174,7 @@
         MessageKind.BAN_CHANGED: _decode_ban_changed,
         MessageKind.CONNECTION_PASSED: _decode_connection_passed,
         MessageKind.PARKED_BATCH: _decode_parked_batch,
-        MessageKind.PARKED_BATCH_TAKEN: _decode_parked_batch_taken,
+        MessageKind.PARKED_BATCH_RESULT: _decode_parked_batch_result,
         MessageKind.CONNECTIONS_UNPARKED: _decode_connections_unparked,
     }
 
@@ -188,14 +190,16 @@
 def _decode_table(fields: Fields, sender: SenderClock) -> RoutingTableState:
     contact_at = fields.optional_number("heard")
     unbanned = [
-        UnbannedWorker(worker.name, sender.past(worker.banned_at), sender.past(worker.unbanned_at))
+        UnbannedWorker(
+            worker.name, sender.convert_past(worker.banned_at), sender.convert_past(worker.unbanned_at)
+        )
         for worker in _unbanned_workers(fields)
     ]
     return RoutingTableState(
         index=fields.integer("index"),
         endpoints=tuple(_decode_endpoint(endpoint, sender) for endpoint in fields.objects("endpoints")),
         unbanned_workers=tuple(unbanned),
-        source_contact_at=None if contact_at is None else sender.past(contact_at),
+        source_contact_at=None if contact_at is None else sender.convert_past(contact_at),
         announced_offset=None if sender.exact else sender.min_offset,
     )
 
@@ -212,7 +216,7 @@
         group=integer(group, "group") if isinstance(group, int) else text(group, "group"),
         weight=fields.number("weight"),
         since_ms=fields.number("since_ms"),
-        started_at=None if started is None else sender.past(started),
+        started_at=None if started is None else sender.convert_past(started),
     )
 
 
--- a/eiderfield/net/handover/encoder.py
+++ b/eiderfield/net/handover/encoder.py
@@ -21,7 +21,7 @@
     LoadChanged,
     Message,
     ParkedBatch,
-    ParkedBatchTaken,
+    ParkedBatchResult,
     TakeoverAccepted,
     TakeoverDelayed,
     TakeoverRequest,
@@ -55,7 +55,7 @@
 
 
 def _encode_takeover_accepted(message: TakeoverAccepted) -> WireMessage:
-    return {"doors": list(message.listeners), "parks": message.takes_parked}
+    return {"doors": list(message.listeners), "parks": message.accepts_parked_batches}
 
 
 def _encode_listeners_released(message: ListenersReleased) -> WireMessage:
@@ -67,7 +67,7 @@
     return {"ids": dict(message.request_ids), "legs": attempts}
 
 
-def _encode_parked_batch_taken(message: ParkedBatchTaken) -> WireMessage:
+def _encode_parked_batch_result(message: ParkedBatchResult) -> WireMessage:
     return {"door": message.listener, "refused": list(message.refused)}
 
 
@@ -140,7 +140,7 @@
     TakeoverAccepted: (MessageKind.TAKEOVER_ACCEPTED, _encode_takeover_accepted),
     ListenersReleased: (MessageKind.LISTENERS_RELEASED, _encode_listeners_released),
     LoadChanged: (MessageKind.LOAD_CHANGED, _encode_load_changed),
-    ParkedBatchTaken: (MessageKind.PARKED_BATCH_TAKEN, _encode_parked_batch_taken),
+    ParkedBatchResult: (MessageKind.PARKED_BATCH_RESULT, _encode_parked_batch_result),
     ConnectionsUnparked: (MessageKind.CONNECTIONS_UNPARKED, _encode_connections_unparked),
 }
 _TIMED_ENCODERS: dict[type, tuple[MessageKind, Callable[[Any, float], WireMessage]]] = {
--- a/eiderfield/net/handover/learned_state.py
+++ b/eiderfield/net/handover/learned_state.py
@@ -67,7 +67,7 @@
         pacers=tuple(_decode_pacer(pacer, sender) for pacer in fields.rows("pacers", 4)),
         retry_tokens=number(retry_tokens, "spent"),
         served_rate=number(served_rate, "spent"),
-        served_at=sender.past(number(served_at, "spent")),
+        served_at=sender.convert_past(number(served_at, "spent")),
         recent_work=tuple(
             RecentWork(integer(worker, "cold"), _decode_sent_work(work, sender))
             for worker, work in fields.rows("cold", 2)
@@ -95,13 +95,15 @@
         mean_duration=number(mean_duration, "pacers"),
         rate=limit,
         uncut_rate=number(uncut_rate, "pacers"),
-        next_release_at=sender.upcoming(number(next_release_at, "pacers"), interval),
+        next_release_at=sender.convert_upcoming(number(next_release_at, "pacers"), interval),
     )
 
 
 def _decode_sent_work(value: object, sender: SenderClock) -> tuple[SentWork, ...]:
     rows = [row(values, 2, "cold") for values in sequence(value, "cold")]
-    return tuple(SentWork(sender.latest(number(at, "cold")), number(work, "cold")) for at, work in rows)
+    return tuple(
+        SentWork(sender.convert_latest(number(at, "cold")), number(work, "cold")) for at, work in rows
+    )
 
 
 def past_events(value: object) -> list[float]:
--- a/eiderfield/net/handover/message_kinds.py
+++ b/eiderfield/net/handover/message_kinds.py
@@ -17,5 +17,5 @@
     BAN_CHANGED = "ban"
     CONNECTION_PASSED = "client"
     PARKED_BATCH = "parked"
-    PARKED_BATCH_TAKEN = "got"
+    PARKED_BATCH_RESULT = "got"
     CONNECTIONS_UNPARKED = "departed"
--- a/eiderfield/net/handover/messages.py
+++ b/eiderfield/net/handover/messages.py
@@ -59,7 +59,7 @@
     """The new process has adopted these listeners."""
 
     listeners: tuple[str, ...]
-    takes_parked: bool  # whether the new process accepts parked connections in batches
+    accepts_parked_batches: bool  # whether the new process accepts parked connections in batches
 
 
 @dataclass(slots=True, frozen=True)
@@ -107,7 +107,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ParkedBatchTaken:
+class ParkedBatchResult:
     """The new process has processed a batch of parked connections."""
 
     listener: str
@@ -132,6 +132,6 @@
     | BanChanged
     | ConnectionPassed
     | ParkedBatch
-    | ParkedBatchTaken
+    | ParkedBatchResult
     | ConnectionsUnparked
 )
--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -29,7 +29,7 @@
     DispatcherState,
     ListenersReleased,
     ParkedBatch,
-    ParkedBatchTaken,
+    ParkedBatchResult,
     TakeoverAccepted,
     TakeoverDelayed,
     TakeoverRequest,
@@ -37,7 +37,7 @@
 
 ANSWER_TIMEOUT_MS = 1500.0  # from the request until the new process starts without the old one's state
 DELAYED_ANSWER_TIMEOUT_MS = 5000.0  # replaces `ANSWER_TIMEOUT_MS` when a `TakeoverDelayed` is received
-_TAKEN = -1  # replaces a descriptor in a list whose remaining descriptors are closed
+_ADOPTED = -1  # replaces a descriptor in a list whose remaining descriptors are closed
 
 
 class NewProcess:
@@ -69,7 +69,7 @@
         if self._timer is not None:
             self._start_timer(DELAYED_ANSWER_TIMEOUT_MS)
 
-    def take_state(self, state: DispatcherState, descriptors: list[int]) -> None:
+    def adopt_state(self, state: DispatcherState, descriptors: list[int]) -> None:
         """Adopt the old process's state and listeners, without accepting connections yet."""
         if state.with_peers:
             self._adopt_peers(socket.socket(fileno=descriptors.pop()))
@@ -85,7 +85,7 @@
         self._share_updates()
         for name in self._adopted_listeners:
             context.listeners[name].parking.on_departure = partial(self._report_unparked, name)
-        self._channel.send(TakeoverAccepted(tuple(self._adopted_listeners), takes_parked=True))
+        self._channel.send(TakeoverAccepted(tuple(self._adopted_listeners), accepts_parked_batches=True))
 
     def start_accepting(self, message: ListenersReleased) -> None:
         """Accept connections at the adopted listeners: the old process has stopped doing so."""
@@ -97,7 +97,7 @@
             self._context.listeners[name].set_passive(False)
         self.finish()
 
-    def take_parked(self, message: ParkedBatch, descriptors: list[int]) -> None:
+    def adopt_parked(self, message: ParkedBatch, descriptors: list[int]) -> None:
         """Adopt a batch of parked connections; report those for which there is no capacity as refused."""
         self._update_counts(message.connection_counts)
         parking = self._context.listeners[message.listener].parking
@@ -105,12 +105,12 @@
         for index, since in enumerate(message.since):
             key = message.keys[index] if message.keys else None
             if parking.borrow(descriptors[index], since, key):
-                descriptors[index] = _TAKEN
+                descriptors[index] = _ADOPTED
             elif key is not None:
                 refused.append(key)
-        self._channel.send(ParkedBatchTaken(message.listener, tuple(refused)))
+        self._channel.send(ParkedBatchResult(message.listener, tuple(refused)))
 
-    def take_connection(self, message: ConnectionPassed, descriptors: list[int]) -> None:
+    def adopt_connection(self, message: ConnectionPassed, descriptors: list[int]) -> None:
         """Adopt a client connection."""
         self._update_counts(message.connection_counts)
         [descriptor] = descriptors
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -30,7 +30,7 @@
     ListenersReleased,
     OpenAttempts,
     ParkedBatch,
-    ParkedBatchTaken,
+    ParkedBatchResult,
     TakeoverAccepted,
     TakeoverRequest,
 )
@@ -105,7 +105,7 @@
             f"handover: taken over, serving remaining clients (listeners={len(self._shared_listeners)})"
         )
         self._channel.send(ListenersReleased(self._connection_counts()))
-        self._sends_batches = message.takes_parked
+        self._sends_batches = message.accepts_parked_batches
         for name in self._shared_listeners:
             context.listeners[name].parking.on_park = self._send_next_batch
         self._send_next_batch()
@@ -140,7 +140,7 @@
         if not keeps_copies:
             listener.parking.close_lent(descriptors)
 
-    def batch_taken(self, message: ParkedBatchTaken) -> None:
+    def handle_batch_result(self, message: ParkedBatchResult) -> None:
         """Take back the refused connections of a batch, or send the next batch if none was refused."""
         self._batch_pending = False
         self._context.listeners[message.listener].parking.take_back(list(message.refused))
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -7,7 +7,7 @@
     <── TakeoverAccepted
     ──> ListenersReleased
     ──> ParkedBatch              repeatedly, while the old process has parked connections
-    <── ParkedBatchTaken
+    <── ParkedBatchResult
     <── ConnectionsUnparked      when copies of connections at the old process have to be closed
     <─> LoadChanged, BanChanged  on each change at either process, from `DispatcherState` on
     ──> ConnectionPassed         when the old process shuts down
@@ -36,7 +36,7 @@
     LoadChanged,
     Message,
     ParkedBatch,
-    ParkedBatchTaken,
+    ParkedBatchResult,
     TakeoverAccepted,
     TakeoverDelayed,
     TakeoverRequest,
@@ -76,23 +76,23 @@
         self._channel.receive = self._dispatch
         self._channel.on_lost = self._link_lost
         self._updates = LoadUpdates(context.table.ids, context.timers, context.clock, self._channel.send)
-        self._old = OldProcess(context, self._channel, self._share_updates)
-        self._new = NewProcess(context, self._channel, self._share_updates)
+        self._old_process = OldProcess(context, self._channel, self._share_updates)
+        self._new_process = NewProcess(context, self._channel, self._share_updates)
         self._waiting: _WaitingProcess | None = None
         self._handlers: dict[type, Callable[[Any], None]] = {
-            TakeoverRequest: self._old.send_state,
-            TakeoverAccepted: self._old.release_listeners,
-            ParkedBatchTaken: self._old.batch_taken,
-            ConnectionsUnparked: self._old.close_unparked_copies,
-            TakeoverDelayed: self._new.extend_timeout,
-            ListenersReleased: self._new.start_accepting,
+            TakeoverRequest: self._old_process.send_state,
+            TakeoverAccepted: self._old_process.release_listeners,
+            ParkedBatchResult: self._old_process.handle_batch_result,
+            ConnectionsUnparked: self._old_process.close_unparked_copies,
+            TakeoverDelayed: self._new_process.extend_timeout,
+            ListenersReleased: self._new_process.start_accepting,
             LoadChanged: self._load_changed,
             BanChanged: self._ban_changed,
         }
         self._descriptor_handlers: dict[type, Callable[[Any, list[int]], None]] = {
-            DispatcherState: self._new.take_state,
-            ParkedBatch: self._new.take_parked,
-            ConnectionPassed: self._new.take_connection,
+            DispatcherState: self._new_process.adopt_state,
+            ParkedBatch: self._new_process.adopt_parked,
+            ConnectionPassed: self._new_process.adopt_connection,
         }
 
     @property
@@ -112,12 +112,12 @@
     @property
     def handed_over(self) -> bool:
         """Whether another process has taken over from this one."""
-        return self._old.handed_over
+        return self._old_process.handed_over
 
     @property
     def flushed(self) -> bool:
         """Whether nothing is waiting to be sent to, or to be answered by, the new process."""
-        return self._old.flushed
+        return self._old_process.flushed
 
     def take_over(self, link: Link, on_finished: Callable[[], None]) -> None:
         """Take over from the process at the other end of `link`.
@@ -125,7 +125,7 @@
         `on_finished` is called once, after success or failure.
         """
         self._channel.attach(link)
-        self._new.request_takeover(on_finished)
+        self._new_process.request_takeover(on_finished)
 
     def accept(self, link: Link) -> None:
         """Accept the link of a new process.
@@ -144,7 +144,7 @@
 
     def pass_clients(self, listeners: list[str]) -> None:
         """Start passing client connections to the new process, each once no response is pending on it."""
-        self._old.pass_clients(listeners)
+        self._old_process.pass_clients(listeners)
 
     def pass_idle_clients(self) -> None:
         """Pass a bounded number of the client connections that can be passed now."""
@@ -201,13 +201,13 @@
     def _link_lost(self) -> None:
         """Continue without the other process: its link was lost, or one of its messages was rejected."""
         context = self._context
-        had_handed_over = self._old.resume_alone()
+        had_handed_over = self._old_process.resume_alone()
         context.exchange.other_process.ended()
         context.table.on_ban_changed = None
         context.workers.share_connections(False)
         for listener in self.listeners.values():
             _make_independent(listener)
-        self._new.finish()
+        self._new_process.finish()
         if had_handed_over:
             context.log("handover: successor lost, accepting clients again")
             self.on_successor_lost()
--- a/eiderfield/net/handover/sender_clock.py
+++ b/eiderfield/net/handover/sender_clock.py
@@ -30,24 +30,24 @@
     min_offset: float
     exact: bool
 
-    def past(self, at: float) -> float:
+    def convert_past(self, at: float) -> float:
         """Convert the time of a past event."""
         return min(self.now, at - self.offset)
 
-    def latest(self, at: float) -> float:
+    def convert_latest(self, at: float) -> float:
         """Convert the time of a past event to the latest possible time."""
         return min(self.now, at - self.min_offset)
 
-    def upcoming(self, at: float, max_delay: float) -> float:
+    def convert_upcoming(self, at: float, max_delay: float) -> float:
         """Convert the time of an event that is due in at most `max_delay` ms."""
         return min(self.now + max_delay, at - self.min_offset)
 
-    def recent(self, at: float, max_age: float) -> float:
+    def convert_recent(self, at: float, max_age: float) -> float:
         """Convert the time of a past event that cannot be older than `max_age` ms.
 
         Return `now` if it seems older by an estimated clock, since the estimate is then wrong.
         """
-        converted = self.past(at)
+        converted = self.convert_past(at)
         return self.now if not self.exact and self.now - converted > max_age else converted
 
 
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -85,7 +85,7 @@
     "client-begun": m.ConnectionPassed(LISTEN, False, CLOCK_START - 828.0, b"POST /safe/k HTT", {LISTEN: 5}),
     "parked": m.ParkedBatch(LISTEN, (CLOCK_START - 1460.0,), (), {LISTEN: 5}),
     "parked-copies": m.ParkedBatch(LISTEN, (CLOCK_START - 1460.0,), (13,), {LISTEN: 5}),
-    "got": m.ParkedBatchTaken(LISTEN, ()),
+    "got": m.ParkedBatchResult(LISTEN, ()),
     "departed": m.ConnectionsUnparked(LISTEN, (7,)),
 }
 
@@ -164,7 +164,7 @@
 
 def pass_connection(handover, detach):
     """Pass a connection to the new process; the recorder's `detach` returns a descriptor and a state."""
-    handover._old._pass_connection(LISTEN, lambda: DetachedConnection(*detach()))
+    handover._old_process._pass_connection(LISTEN, lambda: DetachedConnection(*detach()))
 
 
 def recorder_module():
@@ -176,7 +176,7 @@
     module.take_over = lambda handover, link, finished: handover.take_over(link, finished)
     module.pass_connection = pass_connection
     module.teach = teach
-    module.tell_departed = lambda handover, keys: handover._new._report_unparked(LISTEN, keys)
+    module.tell_departed = lambda handover, keys: handover._new_process._report_unparked(LISTEN, keys)
     accept_all, park = module.accept_all, module.park
     module.replace = lambda idling, copies: replace(idling, keep_copies=copies)
 
