--- a/eiderfield/net/discovery/consul.py
+++ b/eiderfield/net/discovery/consul.py
@@ -15,7 +15,7 @@
 
 from eiderfield.exchange.timers import Timers
 from eiderfield.net.dialing import Dial
-from eiderfield.net.discovery.consul_instances import endpoint_of_catalog, endpoint_of_health
+from eiderfield.net.discovery.consul_instances import parse_catalog_entry, parse_health_entry
 from eiderfield.net.discovery.endpoint_list import EndpointList, EndpointListError, ListedEndpoint
 from eiderfield.net.discovery.routing_table import RoutingTable
 from eiderfield.net.discovery.settings import ConsulApi, DiscoverySettings
@@ -25,7 +25,7 @@
 CONFIRMATION_TIMEOUT_MS = 10_000.0  # until an unconfirmed list is applied; an agent syncs in less time
 MIN_LISTED_SHARE = 0.5  # share of the known ready workers below which a list may need confirmation
 MAX_WAIT_EXTENSION = 1.0 / 16.0  # share of a query's wait by which Consul may extend the wait
-ANSWER_SLACK_MS = 2000.0  # time for a response after the extended wait has ended
+RESPONSE_SLACK_MS = 2000.0  # time for a response after the extended wait has ended
 REPEAT_INTERVAL_MS = 1000.0  # delay before a query that does not block
 MAX_INDEX_DIGITS = 20
 MS_PER_SECOND = 1000.0
@@ -47,9 +47,9 @@
         assert discovery.address is not None
         super().__init__(table, timers, clock, dial, discovery.address, log)
         self._discovery = discovery
-        self.heartbeat_timeout = discovery.wait_ms * (1.0 + MAX_WAIT_EXTENSION) + ANSWER_SLACK_MS
+        self.heartbeat_timeout = discovery.wait_ms * (1.0 + MAX_WAIT_EXTENSION) + RESPONSE_SLACK_MS
         self._index = 0  # the next query waits for changes after this index; 0 stands for no wait
-        self._answer_index = 0  # index of the response that is being received
+        self._response_index = 0  # index of the response that is being received
         self._confirmed = False  # whether a list was confirmed on this connection
         self._has_leader = True  # whether the cluster had a leader at the last response
         self._unconfirmed_since: float | None = None
@@ -78,7 +78,7 @@
         text = head.get("x-consul-index")
         if not text.isascii() or not text.isdigit() or len(text) > MAX_INDEX_DIGITS:
             raise MalformedMessageError("X-Consul-Index is not a whole number")
-        self._answer_index = int(text)
+        self._response_index = int(text)
         self._has_leader = head.get("x-consul-knownleader") != "false"
         self.body.clear()
 
@@ -88,11 +88,11 @@
         endpoints = self._parse_endpoints()
         # After a restart of Consul, or the restoration of a snapshot, its indexes begin at lower values: a
         # query with the old index would wait forever.
-        index_went_back = self._answer_index < max(1, self._index)
+        index_went_back = self._response_index < max(1, self._index)
         unconfirmed = self._count_unconfirmed_removals(endpoints, index_went_back)
-        self._index = 0 if index_went_back or unconfirmed else self._answer_index
+        self._index = 0 if index_went_back or unconfirmed else self._response_index
         listed = self._with_first_seen(endpoints)
-        self.table.apply(EndpointList(self._answer_index, snapshot=not unconfirmed, endpoints=listed))
+        self.table.apply(EndpointList(self._response_index, snapshot=not unconfirmed, endpoints=listed))
         self.table.start_times.record_source_contact()
         self.table.unconfirmed_removals = unconfirmed
         if not unconfirmed:
@@ -107,7 +107,7 @@
         self.body.clear()
         if not isinstance(answer, list):
             raise EndpointListError("the answer is not a list")
-        parse = endpoint_of_health if self._discovery.api == ConsulApi.HEALTH else endpoint_of_catalog
+        parse = parse_health_entry if self._discovery.api == ConsulApi.HEALTH else parse_catalog_entry
         return [parse(entry) for entry in answer]
 
     def _count_unconfirmed_removals(self, endpoints: Iterable[ListedEndpoint], index_went_back: bool) -> int:
--- a/eiderfield/net/discovery/consul_instances.py
+++ b/eiderfield/net/discovery/consul_instances.py
@@ -31,7 +31,7 @@
     weight: object
 
 
-def endpoint_of_health(entry: object) -> ListedEndpoint:
+def parse_health_entry(entry: object) -> ListedEndpoint:
     """Parse an entry of `/v1/health/service`; raises `EndpointListError`."""
     node, service = _object_at(entry, "Node"), _object_at(entry, "Service")
     checks = entry.get("Checks") if isinstance(entry, Mapping) else None
@@ -54,7 +54,7 @@
     )
 
 
-def endpoint_of_catalog(entry: object) -> ListedEndpoint:
+def parse_catalog_entry(entry: object) -> ListedEndpoint:
     """Parse an entry of `/v1/catalog/service`, which has no checks; raises `EndpointListError`."""
     if not isinstance(entry, Mapping):
         raise EndpointListError("an instance is not an object")
--- a/eiderfield/net/discovery/routing_table.py
+++ b/eiderfield/net/discovery/routing_table.py
@@ -227,19 +227,19 @@
             self._unbanned[self.ids.worker(unbanned.name)] = unbanned
         for worker in self._endpoints:
             self._publish(worker)
-        self._take_over_start_times(state)
+        self._adopt_start_times(state)
         if state.endpoints:
             endpoints = [record.to_platform_form() for record in state.endpoints]
             self.load({"index": state.index, "snapshot": True, "endpoints": endpoints}, cached=True)
         self.start_times.source_contact_at = state.source_contact_at
 
-    def _take_over_start_times(self, state: RoutingTableState) -> None:
+    def _adopt_start_times(self, state: RoutingTableState) -> None:
         for record in state.endpoints:
             if record.started_at is not None:
                 worker = self.ids.worker(record.name)
-                self.start_times.take_over(worker, record.since_ms, record.started_at)
+                self.start_times.adopt_start(worker, record.since_ms, record.started_at)
         if state.announced_offset is not None:
-            self.start_times.take_over_offset(state.announced_offset)
+            self.start_times.adopt_offset(state.announced_offset)
 
     def _to_record(self, endpoint: Endpoint) -> EndpointRecord:
         host, port = self._workers.address(endpoint.worker) or ("", 0)
--- a/eiderfield/net/peer_filter.py
+++ b/eiderfield/net/peer_filter.py
@@ -91,7 +91,7 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         """Create a filter that has received no message; `clock` is the process's clock, in ms."""
         self._clock = clock
-        self._last: dict[int, _LastAccepted] = {}
+        self._last_accepted: dict[int, _LastAccepted] = {}
         self._buckets: dict[int, _TokenBucket] = {}
 
     def receive(self, peer: int, message: bytes) -> Received:
@@ -107,11 +107,11 @@
         reception = self._check_order(peer, envelope)
         if reception is not Reception.ACCEPTED:
             return Received(reception)
-        self._last[peer] = _LastAccepted(envelope, self._clock())
+        self._last_accepted[peer] = _LastAccepted(envelope, self._clock())
         return Received(Reception.ACCEPTED, message[_ENVELOPE.size :])
 
     def _check_order(self, peer: int, envelope: Envelope) -> Reception:
-        last = self._last.get(peer)
+        last = self._last_accepted.get(peer)
         if last is None:
             return Reception.ACCEPTED
         age = (last.envelope.incarnation - envelope.incarnation) & _MAX_INCARNATION
--- a/eiderfield/net/start_times.py
+++ b/eiderfield/net/start_times.py
@@ -77,27 +77,27 @@
         if since_ms <= 0.0:
             self._announced.pop(worker, None)
             return 0.0
-        known = self._announced.get(worker)
-        if known is None or known.since_ms != since_ms:
-            known = AnnouncedStart(since_ms, self._convert(since_ms))
-            self._announced[worker] = known
-        return known.started_at
+        announced = self._announced.get(worker)
+        if announced is None or announced.since_ms != since_ms:
+            announced = AnnouncedStart(since_ms, self._convert(since_ms))
+            self._announced[worker] = announced
+        return announced.started_at
 
-    def take_over(self, worker: int, since_ms: float, started_at: float) -> None:
+    def adopt_start(self, worker: int, since_ms: float, started_at: float) -> None:
         """Adopt a start that the dispatcher's other process has converted."""
         if since_ms > 0.0:
             plausible = max(EARLIEST_START_MS, min(started_at, self._clock()))
             self._announced[worker] = AnnouncedStart(since_ms, plausible)
 
-    def take_over_offset(self, offset: float) -> None:
+    def adopt_offset(self, offset: float) -> None:
         """Use an offset of the dispatcher's other process as one that is valid before a step."""
         self._earlier_offsets.append(EarlierOffset(offset, self._clock() + MAX_ANNOUNCEMENT_DELAY_MS))
 
     def since_ms(self, worker: int, started_at: float) -> float:
         """Return the Unix time of a worker's start: the announced one, or the converted `started_at`."""
-        known = self._announced.get(worker)
-        if known is not None and known.started_at == started_at:
-            return known.since_ms
+        announced = self._announced.get(worker)
+        if announced is not None and announced.started_at == started_at:
+            return announced.since_ms
         return self._wall.to_unix(started_at) if started_at > 0.0 else 0.0
 
     def _convert(self, since_ms: float) -> float:
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -6,7 +6,7 @@
 from support.consul import Consul, instance
 
 from eiderfield.interface import EndpointState
-from eiderfield.net.discovery.consul import ANSWER_SLACK_MS
+from eiderfield.net.discovery.consul import RESPONSE_SLACK_MS
 
 
 def test_health_api_is_followed_by_blocking_queries():
@@ -84,7 +84,7 @@
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1))
-    consul.dispatcher.advance(30_000.0 * 17 / 16 + ANSWER_SLACK_MS + 50.0)
+    consul.dispatcher.advance(30_000.0 * 17 / 16 + RESPONSE_SLACK_MS + 50.0)
     assert not consul.pipe.open
     assert consul.states() == {"n/a": EndpointState.READY}
 
