--- a/eiderfield/net/bans.py
+++ b/eiderfield/net/bans.py
@@ -115,7 +115,7 @@
     def save_later(self) -> None:
         """Write the bans after the retry interval.
 
-        Used for a change of the dispatcher's other process, which writes it now but may end before that.
+        The dispatcher's other process writes the same change at once, but may end before it succeeds.
         """
         if self._file is not None:
             self._schedule_retry()
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -10,7 +10,7 @@
 from support.console import Console
 from support.failing_files import ERRORS, failing_files
 from support.memory_dispatcher import Client
-from test_bans import ask, state
+from test_bans import call_console, endpoint_state
 
 from eiderfield.interface import EndpointState
 from eiderfield.net.bans import RETRY_INTERVAL_MS, Bans
@@ -44,7 +44,7 @@
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail(kind, code, first)
         for call, worker in BAN_CALLS:
-            status = ask(console, call, worker)
+            status = call_console(console, call, worker)
             in_force = in_force | {worker} if call == "disable" else in_force - {worker}
             assert set(console.dispatcher.table.bans.since) == in_force, "a ban must not depend on the disk"
             assert status in (200, 500)
@@ -64,21 +64,21 @@
     with failing_files(tmp_path, monkeypatch) as faults:
         for folder_only in (0, 1):
             faults.fail("sync", ERRORS[1], first=1 + folder_only, times=1)
-            assert ask(console, "disable", "w1") == 500
+            assert call_console(console, "disable", "w1") == 500
             assert faults.failed == 1
         faults.heal()
-        assert ask(console, "disable", "w1") == 200
+        assert call_console(console, "disable", "w1") == 200
 
 
 @pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
 def test_partial_write_leaves_file_unchanged(code, tmp_path, monkeypatch):
     path = tmp_path / "bans"
     console = Console(workers=2, bans=path)
-    assert ask(console, "disable", "w1") == 200
+    assert call_console(console, "disable", "w1") == 200
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.partly = True
         faults.fail("write", code)
-        assert ask(console, "disable", "w2") == 500
+        assert call_console(console, "disable", "w2") == 500
         assert banned_on_file(path) == {"w1"}
     assert [file.name for file in tmp_path.iterdir()] == ["bans"], "a temporary file remains"
 
@@ -86,14 +86,14 @@
 def test_file_truncated_at_any_byte_is_ignored_and_logged(tmp_path):
     path = tmp_path / "bans"
     console = Console(workers=2, bans=path)
-    ask(console, "disable", "w1")
-    ask(console, "disable", "w2")
+    call_console(console, "disable", "w1")
+    call_console(console, "disable", "w2")
     content = path.read_bytes()
     for size in range(len(content)):
         path.write_bytes(content[:size])
         assert banned_on_file(path) is None
         restarted = Console(workers=2, bans=path)
-        assert state(restarted.dispatcher, 1) == EndpointState.READY
+        assert endpoint_state(restarted.dispatcher, 1) == EndpointState.READY
     path.write_bytes(content)
     assert banned_on_file(path) == {"w1", "w2"}
 
@@ -102,7 +102,7 @@
     console = Console(workers=2, bans=tmp_path / "bans")
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("sync", ERRORS[0])
-        ask(console, "disable", "w1")
+        call_console(console, "disable", "w1")
         console.dispatcher.advance(10.0 * RETRY_INTERVAL_MS)
         assert faults.failed > 5, "the write is not retried"
         assert len([line for line in console.dispatcher.logged if "file not written" in line]) == 1
@@ -129,20 +129,20 @@
     path = tmp_path / "bans"
     before = Console(workers=4, bans=path)
     for worker in ("w1", "w2"):
-        assert ask(before, "disable", worker) == 200
+        assert call_console(before, "disable", worker) == 200
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("open", code)
         console = Console(workers=4, bans=path)
-        assert state(console.dispatcher, 1) == EndpointState.READY, (
+        assert endpoint_state(console.dispatcher, 1) == EndpointState.READY, (
             "an unreadable file must not prevent the start"
         )
-        assert ask(console, "enable", "w2") == 500
-        assert ask(console, "disable", "w3") == 500
+        assert call_console(console, "enable", "w2") == 500
+        assert call_console(console, "disable", "w3") == 500
         console.dispatcher.advance(5.0 * RETRY_INTERVAL_MS)
         faults.heal()
         console.dispatcher.advance(2.0 * RETRY_INTERVAL_MS)
-    assert state(console.dispatcher, 1) == EndpointState.DRAINING
-    assert state(console.dispatcher, 2) == EndpointState.READY
+    assert endpoint_state(console.dispatcher, 1) == EndpointState.DRAINING
+    assert endpoint_state(console.dispatcher, 2) == EndpointState.READY
     assert banned_on_file(path) == {"w1", "w3"}
 
 
@@ -161,18 +161,18 @@
 
 
 def test_ban_during_slow_write_is_answered_after_next_write(tmp_path):
-    disk, answers = ManualRunner(), []
+    disk, results = ManualRunner(), []
     bans = Bans(tmp_path / "bans", print, run=disk.run)
     for worker in ("w1", "w2", "w3"):
         bans.since[worker] = 1.0
-        bans.save(lambda written, worker=worker: answers.append((worker, written)))
+        bans.save(lambda written, worker=worker: results.append((worker, written)))
     assert len(disk.operations) == 1
-    assert answers == []
+    assert results == []
     disk.finish_next()
-    assert answers == [("w1", True)]
+    assert results == [("w1", True)]
     assert banned_on_file(tmp_path / "bans") == {"w1"}
     disk.finish_next()
-    assert answers == [("w1", True), ("w2", True), ("w3", True)]
+    assert results == [("w1", True), ("w2", True), ("w3", True)]
     assert banned_on_file(tmp_path / "bans") == {"w1", "w2", "w3"}
     assert disk.operations == []
 
@@ -204,12 +204,12 @@
         calls.append(call)
         call_received.set()
 
-    answers = []
+    results = []
     bans = Bans(tmp_path / "bans", print, run=thread_runner(call_in_loop, "bans"))
     bans.since["w1"] = 1.0
-    bans.save(answers.append)
+    bans.save(results.append)
     assert call_received.wait(30.0)
-    assert answers == []
+    assert results == []
     calls.pop()()
-    assert answers == [True]
+    assert results == [True]
     assert json.loads((tmp_path / "bans").read_text()) == {"banned": {"w1": 1.0}}
