--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -74,11 +74,11 @@
         peers_socket = context.peers.sock if context.peers is not None and request.with_peers else None
         if peers_socket is not None:
             descriptors.append(peers_socket.fileno())
-        state = self._state(tuple(sockets), with_peers=peers_socket is not None)
+        state = self._dispatcher_state(tuple(sockets), with_peers=peers_socket is not None)
         self._share_updates()
         self._channel.send(state, descriptors)
 
-    def _state(self, listeners: tuple[str, ...], with_peers: bool) -> DispatcherState:
+    def _dispatcher_state(self, listeners: tuple[str, ...], with_peers: bool) -> DispatcherState:
         exchange, table = self._context.exchange, self._context.table
         open_attempts = exchange.open_attempts_per_worker.items()
         return DispatcherState(
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -73,8 +73,8 @@
         self._context = context
         self._wall = wall or WallClock(context.clock, context.clock)
         self._channel = Channel(self._new_codec, context.log)
-        self._channel.receive = self._dispatch
-        self._channel.on_lost = self._link_lost
+        self._channel.receive = self._handle_message
+        self._channel.on_lost = self._handle_link_loss
         self._updates = LoadUpdates(context.table.ids, context.timers, context.clock, self._channel.send)
         self._old_process = OldProcess(context, self._channel, self._share_updates)
         self._new_process = NewProcess(context, self._channel, self._share_updates)
@@ -86,8 +86,8 @@
             ConnectionsUnparked: self._old_process.close_unparked_copies,
             TakeoverDelayed: self._new_process.extend_timeout,
             ListenersReleased: self._new_process.start_accepting,
-            LoadChanged: self._load_changed,
-            BanChanged: self._ban_changed,
+            LoadChanged: self._apply_load_change,
+            BanChanged: self._apply_ban_change,
         }
         self._descriptor_handlers: dict[type, Callable[[Any, list[int]], None]] = {
             DispatcherState: self._new_process.adopt_state,
@@ -161,7 +161,7 @@
     def _new_codec(self) -> Codec:
         return Codec(self._context.clock, self._wall, self._context.log)
 
-    def _dispatch(self, message: Message, descriptors: list[int]) -> None:
+    def _handle_message(self, message: Message, descriptors: list[int]) -> None:
         message_type = type(message)
         if message_type in self._descriptor_handlers:
             self._descriptor_handlers[message_type](message, descriptors)
@@ -186,7 +186,7 @@
     def _send_ban(self, worker: str, since: float | None) -> None:
         self._channel.send(BanChanged(worker, since))
 
-    def _load_changed(self, message: LoadChanged) -> None:
+    def _apply_load_change(self, message: LoadChanged) -> None:
         exchange, ids = self._context.exchange, self._context.table.ids
         taken = [id_ for id_, is_taken in message.request_ids.items() if is_taken]
         released = [id_ for id_, is_taken in message.request_ids.items() if not is_taken]
@@ -195,10 +195,10 @@
             worker = ids.worker(attempts.worker)
             exchange.other_process.update_attempts(worker, attempts.count, attempts.work)
 
-    def _ban_changed(self, message: BanChanged) -> None:
+    def _apply_ban_change(self, message: BanChanged) -> None:
         self._context.table.apply_ban(message.worker, message.since)
 
-    def _link_lost(self) -> None:
+    def _handle_link_loss(self) -> None:
         """Continue without the other process: its link was lost, or one of its messages was rejected."""
         context = self._context
         had_handed_over = self._old_process.resume_alone()
@@ -218,13 +218,13 @@
     """Let a listener serve and park clients without another process."""
     listener.successor = None
     listener.held_by_other_process = 0
-    listener.parking.on_park = _do_nothing
-    listener.parking.on_departure = _do_nothing
+    listener.parking.on_park = _ignore_report
+    listener.parking.on_departure = _ignore_report
     listener.parking.forget_lender()
     listener.parking.take_back_all()
     if listener.passive:
         listener.set_passive(False)
 
 
-def _do_nothing(*_arguments: object) -> None:
+def _ignore_report(*_arguments: object) -> None:
     """Ignore a report that a listener addresses to another process."""
