--- a/eiderfield/net/start_times.py
+++ b/eiderfield/net/start_times.py
@@ -4,9 +4,9 @@
 it, and kept while the worker is listed with the same value, so that later steps of the wall clock change
 nothing. A converted start is plausible if:
 
-- It is not in the future.
-- While this process is in contact with the source, it is at most `MAX_ANNOUNCEMENT_DELAY_MS` before the last
-  contact, since changes are announced within that time.
+- It is at most `MAX_CLOCK_SKEW_MS` in the future, in which case it counts as the present time.
+- Once a source has sent a list or a heartbeat, it is at most `MAX_ANNOUNCEMENT_DELAY_MS` before the last one,
+  since changes are announced within that time.
 
 After a recent step of the wall clock, the start may have been stamped with the time before the step. It is
 converted by the offsets before and after the step, and the lower plausible age is used. A start without a
@@ -25,9 +25,7 @@
 from eiderfield.net.backoff import NOTIFIED_AFTER
 from eiderfield.net.clock import WallClock
 
-MAX_ANNOUNCEMENT_DELAY_MS = (
-    NOTIFIED_AFTER  # from a change to its announcement, during contact with the source
-)
+MAX_ANNOUNCEMENT_DELAY_MS = NOTIFIED_AFTER  # from a change to its announcement by a reachable source
 MAX_CLOCK_SKEW_MS = 250.0  # tolerated for a start in the future; a larger change of the offset is a step
 EARLIEST_START_MS = 1.0  # lower bound, since 0 stands for an unknown start
 
@@ -90,7 +88,7 @@
             self._announced[worker] = AnnouncedStart(since_ms, plausible)
 
     def adopt_offset(self, offset: float) -> None:
-        """Use an offset of the dispatcher's other process as one that is valid before a step."""
+        """Adopt an offset of the dispatcher's other process, by which starts may have been stamped."""
         self._earlier_offsets.append(EarlierOffset(offset, self._clock() + MAX_ANNOUNCEMENT_DELAY_MS))
 
     def since_ms(self, worker: int, started_at: float) -> float:
--- a/tests/test_bans_on_failing_disk.py
+++ b/tests/test_bans_on_failing_disk.py
@@ -37,7 +37,7 @@
 def test_successful_answer_means_ban_is_on_file_and_failed_writes_are_retried(
     kind, first, code, tmp_path, monkeypatch
 ):
-    """From the n-th on, all operations of a kind fail until the disk works again."""
+    """All operations of a kind fail from the `first`-th on, until the disk works again."""
     path = tmp_path / "bans"
     console = Console(workers=3, bans=path)
     in_force = set()
