--- a/tests/test_handover_idle_connections.py
+++ b/tests/test_handover_idle_connections.py
@@ -312,15 +312,15 @@
     def __init__(self):
         super().__init__()
         self.transfer = ParkedTransfer(12)
-        self.sent = {}
+        self.unanswered = {}
         self.count = 0
         self.killed = False
 
     @rule(number=st.integers(0, 11))
     def send_request(self, number):
-        if number not in self.sent:
+        if number not in self.unanswered:
             self.count += 1
-            self.sent[number] = None
+            self.unanswered[number] = None
             self.transfer.clients[number].send(message(f"m{self.count}"))
 
     @rule()
@@ -335,9 +335,9 @@
     @rule()
     def settle(self):
         self.transfer.settle()
-        for number in list(self.sent):
+        for number in list(self.unanswered):
             assert self.transfer.clients[number].statuses() == [200]
-            del self.sent[number]
+            del self.unanswered[number]
 
     @precondition(lambda self: not self.killed)
     @rule()
@@ -350,7 +350,7 @@
         closed = [n for n, client in enumerate(self.transfer.clients) if not client.open]
         assert len(closed) <= open_count
         for number in closed:
-            self.sent.pop(number, None)
+            self.unanswered.pop(number, None)
             handover = ConnectionHandover(True, self.transfer.old.dispatcher.now)
             self.transfer.clients[number] = SocketClient(self.transfer.old, handover=handover)
             assert self.transfer.clients[number].ask(f"again{number}") == [200]
