--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -30,7 +30,7 @@
     ListenersReleased,
     OpenAttempts,
     ParkedBatch,
-    ParkedBatchTaken,
+    ParkedBatchResult,
     TakeoverAccepted,
     TakeoverRequest,
 )
@@ -74,11 +74,11 @@
         peers_socket = context.peers.sock if context.peers is not None and request.with_peers else None
         if peers_socket is not None:
             descriptors.append(peers_socket.fileno())
-        state = self._state(tuple(sockets), with_peers=peers_socket is not None)
+        state = self._dispatcher_state(tuple(sockets), with_peers=peers_socket is not None)
         self._share_updates()
         self._channel.send(state, descriptors)
 
-    def _state(self, listeners: tuple[str, ...], with_peers: bool) -> DispatcherState:
+    def _dispatcher_state(self, listeners: tuple[str, ...], with_peers: bool) -> DispatcherState:
         exchange, table = self._context.exchange, self._context.table
         open_attempts = exchange.open_attempts_per_worker.items()
         return DispatcherState(
@@ -107,7 +107,7 @@
             f"handover: taken over, serving remaining clients (listeners={len(self._shared_listeners)})"
         )
         self._channel.send(ListenersReleased(self._connection_counts()))
-        self._sends_batches = message.takes_parked
+        self._sends_batches = message.accepts_parked_batches
         for name in self._shared_listeners:
             context.listeners[name].parking.on_park = self._send_next_batch
         self._send_next_batch()
@@ -142,7 +142,7 @@
         if not keeps_copies:
             listener.parking.close_lent(descriptors)
 
-    def batch_taken(self, message: ParkedBatchTaken) -> None:
+    def handle_batch_result(self, message: ParkedBatchResult) -> None:
         """Take back the refused connections of a batch, or send the next batch if none was refused."""
         self._batch_pending = False
         self._context.listeners[message.listener].parking.take_back(list(message.refused))
