--- a/eiderfield/net/clients/__init__.py
+++ b/eiderfield/net/clients/__init__.py
@@ -5,15 +5,15 @@
 | `front` | the interface between a listener and the protocol that it serves |
 | `request_headers` | the headers of a request in the platform's protocol |
 | `request_front` | the front of the platform's protocol |
-| `detached` | connections that are given away between two requests |
+| `detached` | connections that are detached between two requests, with their state |
 | `arrivals` | the times at which bytes arrived |
 | `message_reader` | assembles messages from the bytes of a connection |
 | `connection_timer` | the time limits of a connection |
-| `connection_admission` | the place of a connection in admission control |
-| `flow_control` | pauses and resumes reading, and watches a paused connection for its client's departure |
+| `connection_admission` | the admission ticket of a connection |
+| `flow_control` | pauses and resumes reading; detects a client that disconnects while it is paused |
 | `connection_table` | open connections, and the order in which they may be evicted |
 | `connection` | one client's connection, and its states |
-| `parking` | the idle connections of a listener, also on their way to the next process |
+| `parking` | the parked connections of a listener, and their handover to the next process |
 | `acceptor` | a listening socket and the loop that accepts from it |
 | `listener` | the connections of a listening socket, their capacity and admission |
 
--- a/eiderfield/net/clients/acceptor.py
+++ b/eiderfield/net/clients/acceptor.py
@@ -2,13 +2,14 @@
 
     closed ──(open)──> accepting <──> paused (full, or the system lacks a resource)
                          │   ^
-            (set_passive)│   │(the next process is gone)
+            (set_passive)│   │(the next process has ended)
                          v   │
                        passive ──(close)──> closed
 
 While there is no capacity, clients wait in the backlog, unless a connection can be evicted for them.
 
-What must never happen: an eviction while no client waits; a loop that spins on an accept that fails.
+Invariants: no connection is evicted while no client waits; an accept that fails is not repeated in a busy
+loop.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept
 
 ACCEPTED_PER_TURN = 16  # connections accepted, or handed over, in a turn of the loop
-ACCEPT_RETRY_MS = RETRY_MS  # ms until accepting is tried again when nothing could be evicted
+ACCEPT_RETRY_MS = RETRY_MS  # delay before accepting again after a failure, or if nothing could be evicted
 BACKLOG = 512
 
 
@@ -41,7 +42,7 @@
         """Return the current time in ms."""
 
     def ensure_capacity(self) -> bool:
-        """Return whether one more connection may be accepted, after an eviction if it needs one."""
+        """Evict a connection if one more needs it; return whether one more may be accepted."""
 
     def accept_connection(self, sock: socket.socket, address: str) -> None:
         """Take an accepted connection; `address` is the client's, empty for a Unix socket."""
@@ -73,7 +74,7 @@
         """Return whether the next accept would give a connection."""
         if self._socket is None:
             return False
-        poll = select.poll()  # `select.select` knows no descriptor above 1,023
+        poll = select.poll()  # `select.select` supports no descriptor above 1,023
         poll.register(self._socket, select.POLLIN)
         return any(event & select.POLLIN for _, event in poll.poll(0))
 
@@ -92,7 +93,7 @@
         self.passive, self._paused = passive, False
 
     def close(self) -> None:
-        """Close the socket after accepting what the backlog holds, unless another process does."""
+        """Accept the connections in the backlog, unless another process does; then close the socket."""
         if self._loop is None or self._socket is None:
             return
         if not self.passive:
@@ -105,11 +106,11 @@
         """Accept at most `limit` connections."""
         accepted = 0
         for _ in range(limit):
-            # Room is made for a client that waits: an eviction while nobody waits would be for nothing.
+            # A connection is evicted only for a client that is waiting in the backlog.
             if self._owner.full and not self.client_waits_in_backlog():
                 return
             if not self._owner.ensure_capacity():
-                # Clients wait in the backlog until a connection ends: closing one would lose its request.
+                # Closing a connection would lose its request: clients wait in the backlog until one ends.
                 self._pause()
                 return
             try:
@@ -119,14 +120,14 @@
                 return
             except OSError as error:
                 if cause_of_accept(error) is Cause.CONNECTION:
-                    continue  # it is off the queue, and others may wait behind it
+                    continue  # this connection has left the backlog, and others may wait behind it
                 self._lacks_resources = True
-                self._pause()  # the socket stays readable: accepting on would spin
+                self._pause()  # the socket stays readable, so accepting again at once would spin
                 return
             self._lacks_resources = False
             accepted += 1
             self._owner.accept_connection(sock, address)
-        if not accepted:  # a whole round of failures: one that goes on for ever must not spin either
+        if not accepted:  # every accept failed: without a pause, a lasting failure would spin
             self._pause()
 
     def resume(self) -> None:
@@ -153,7 +154,7 @@
 
     Args:
         address: host and port.
-        share: whether a process may have the address already that does not hand its socket over.
+        share: whether to share the address with a process that does not hand its socket over.
 
     Raises:
         OSError: the system refuses.
@@ -165,7 +166,7 @@
         if share:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(address)
-        # Set once the address is bound: a second program that is given it by mistake must still fail.
+        # Set after the bind: a program that is given a used address by mistake must fail to bind it.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.listen(BACKLOG)
     except OSError:
--- a/eiderfield/net/clients/arrivals.py
+++ b/eiderfield/net/clients/arrivals.py
@@ -1,10 +1,10 @@
-"""The times at which the bytes of a connection arrived: a message's time counts from its first byte.
+"""The times at which the bytes of a connection arrived: a message's time limit counts from its first byte.
 
-A message may arrive behind another whose response takes long. The times of some bytes are recorded, by their
-position in the stream; a byte between two recorded ones counts as the earlier one.
+A pipelined message may arrive long before the previous one is answered. Arrival times are recorded by
+position in the stream; a byte between two recorded positions counts as arrived at the earlier one's time.
 
-Invariants: a client cannot put a time off by sending further bytes, and memory does not grow with the number
-of pieces in which bytes arrive.
+Invariants: a client cannot postpone a time limit by sending further bytes, and memory does not grow with the
+number of pieces in which bytes arrive.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from collections import deque
 from dataclasses import dataclass
 
-ARRIVAL_PRECISION_MS = 50.0  # ms; bytes that arrive closer together count as arrived together
+ARRIVAL_PRECISION_MS = 50.0  # bytes that arrive within this time count as arrived together
 
 
 @dataclass(slots=True, frozen=True)
 class _Arrival:
-    offset: int  # bytes that arrived before
+    offset: int  # number of bytes that arrived before
     at: float  # ms
 
 
@@ -36,13 +36,13 @@
         self._received_bytes += count
 
     def first_at(self, buffered: int, now: float) -> float:
-        """Return when the first of the last `buffered` bytes arrived; now if there are none."""
+        """Return when the first of the last `buffered` bytes arrived; `now` if there are none."""
         parsed_bytes = self._received_bytes - buffered
         while len(self._arrivals) > 1 and self._arrivals[1].offset <= parsed_bytes:
             self._arrivals.popleft()
         return self._arrivals[0].at if buffered and self._arrivals else now
 
     def restart(self, now: float) -> None:
-        """Count all bytes that are not parsed as arrived now."""
+        """Set the arrival time of all unparsed bytes to `now`."""
         self._arrivals.clear()
         self._arrivals.append(_Arrival(0, now))
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -2,17 +2,18 @@
 
     READING ──(a whole message)──> WAITING ──(its response, kept open)──> READING
        │                              ├──(the last response, or an error)──> LINGERING
-       │                              └──(the client leaves: its request is withdrawn)──> CLOSED
+       │                              └──(the client disconnects: its request is cancelled)──> CLOSED
        ├──(closed, after any response)──> LINGERING ──(1 s, or the client closes)──> CLOSED
        └──(closed, before the first response)──> CLOSED
 
-Messages end READING, fronts end WAITING, and a client's departure ends any state. A LINGERING connection has
-ended its sending and discards a bounded amount of input. `close` goes by LINGERING once a response was
-written, `abort` closes at once.
+A complete message ends READING, the front's response ends WAITING, and the client's disconnection ends any
+state. A LINGERING connection has shut down its sending side and discards a bounded amount of input. `close`
+passes through LINGERING if any response was written; `abort` closes at once.
 
-What must never happen: two responses to one message, or one to another message; a message passed on that was
-read after the end of sending; a connection with an open request that is neither read nor watched for its
-client's departure (`flow_control`); a close over unread bytes while a response is still on its way.
+Invariants: a message has one response, and no response goes to another message; no message that is read after
+the sending side is shut down is passed to the front; a connection with an open request is read, or watched
+for its client's disconnection (`flow_control`); no socket with unread bytes is closed while a response is in
+transit, since the reset would discard it.
 """
 
 from __future__ import annotations
@@ -37,17 +38,17 @@
 from eiderfield.net.departures import DepartureWatch, has_left
 from eiderfield.net.http import Head, MalformedMessageError, response_bytes
 
-LINGER_TIME_MS = 1000.0  # ms for which input is discarded after a last response, so that it gets through
-MAX_DISCARDED_BYTES = 262_144  # input discarded meanwhile; more stays unread, for 60 MB of it cost a core
-MAX_PIPELINED_BYTES = 16384  # bytes that may arrive while a response is awaited
-MESSAGES_PER_TURN = 16  # messages of one connection taken in a turn of the loop
-EVICTION_GRACE_MS = 500.0  # ms for which a half-sent message, or an undelivered response, prevents eviction
+LINGER_TIME_MS = 1000.0  # time for which input is discarded, so that the last response arrives
+MAX_DISCARDED_BYTES = 262_144  # meanwhile; more input stays unread, since 60 MB of it used a CPU core
+MAX_PIPELINED_BYTES = 16384  # unparsed bytes while a response is due, above which reading pauses
+MESSAGES_PER_TURN = 16  # messages of one connection handled in a turn of the loop
+EVICTION_GRACE_MS = 500.0  # an incomplete message or an undelivered response prevents eviction so long
 
 REQUEST_TIMEOUT = 408
 INTERNAL_SERVER_ERROR = 500
 SERVICE_UNAVAILABLE = 503
 
-_READ_BUFFER = memoryview(bytearray(65536))  # shared by all connections: it is copied as soon as it is filled
+_READ_BUFFER = memoryview(bytearray(65536))  # shared by all connections: copied as soon as it is filled
 
 
 class Phase(Enum):
@@ -80,7 +81,7 @@
 
     @property
     def successor(self) -> Callable[[Detach], bool] | None:
-        """Takes connections over between requests while the process hands over, else None."""
+        """Passes a connection to the next process between requests, None while there is no handover."""
 
     def remove(self, connection: ClientConnection) -> None:
         """Release what a closed connection holds."""
@@ -95,7 +96,7 @@
         """Count a client that disconnected before its response."""
 
     def count_discarded_input(self) -> None:
-        """Count a connection of whose input some was discarded after its last response."""
+        """Count a connection with input that was discarded after its last response."""
 
     def report_fault(self, error: Exception) -> None:
         """Log an error that a front raised."""
@@ -116,10 +117,11 @@
 
         Args:
             listener: owns the connection.
-            sock: the socket of the transport to come; None where the transport is in memory.
-            handover: its state if it was parked or at another process.
+            sock: the socket that the transport will use; None for a transport in memory.
+            handover: its state if it was parked, or handed over by another process.
             ticket: its ticket of admission control.
-            rejection: why it is not admitted; it is then answered with that and closed.
+            rejection: why it is not admitted, None if it is. A rejected connection receives a 503 response
+                and is closed.
         """
         now = listener.clock()
         self.listener = listener
@@ -138,9 +140,10 @@
         self._on_disconnect: ClientDisconnectCallback | None = None
         self._keep_alive = False  # whether the client wants the connection kept open after the response
         self._reading_messages = False
-        self._throttled = False  # whether no more messages are taken for now
+        self._throttled = False  # whether no messages are handled for now
         self._discarded_bytes = 0
-        self._response_written = handover is not None  # whether any response was written
+        # Whether any response was written; after a handover one may have been written before.
+        self._response_written = handover is not None
         self._timer.restart(self.proven, self._idle_since, self._idle_since)
 
     # Called by asyncio.
@@ -150,11 +153,11 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._flow.open(transport)
-        if self.phase == Phase.CLOSED:  # evicted before it was up: left open, its descriptor would leak
+        if self.phase == Phase.CLOSED:  # evicted before it had a transport; its descriptor must not leak
             transport.abort()
         elif self.rejection is not None:
             self._reject_overload("come again later", self.rejection)
-        elif self._reader.buffered:  # what another process had read already
+        elif self._reader.buffered:  # bytes that another process has read
             self._read_messages()
 
     def get_buffer(self, _sizehint: int) -> memoryview:
@@ -176,12 +179,12 @@
             self._flow.pause()
 
     def eof_received(self) -> bool:
-        """Treat the end of the client's sending as its departure."""
+        """Treat a half-close by the client as a disconnection."""
         self._handle_disconnect()
         return False
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Withdraw the request that is open on this connection."""
+        """Cancel the open request of this connection."""
         if self.phase == Phase.CLOSED:
             return
         self._release()
@@ -191,11 +194,11 @@
             on_disconnect()
 
     def pause_writing(self) -> None:
-        """Take no more messages from a client that leaves its responses unread."""
+        """Handle no more messages: the client does not read its responses."""
         self._set_throttled(True)
 
     def resume_writing(self) -> None:
-        """Take messages again: the client has read its responses."""
+        """Handle messages again: the client has read its responses."""
         self._set_throttled(False)
 
     # Responses.
@@ -233,9 +236,9 @@
         if self._flow.paused and not self._throttled:
             self._resume_reading()
         self._timer.restart(self.proven, self._idle_since, self._reader.first_byte_at())
-        if self.listener.successor is not None:  # the next process serves it once this call is over
+        if self.listener.successor is not None:  # the next process takes the connection after this call
             self.listener.timers.at(self._idle_since, partial(self.listener.hand_over, self))
-        if not self._reading_messages:  # else the caller's loop goes on: pipelined messages must not nest
+        if not self._reading_messages:  # else the caller's loop continues: no recursion by pipelining
             self._read_messages()
 
     def _reject_message(self, error: MalformedMessageError, **headers: str) -> None:
@@ -249,18 +252,18 @@
             headers["Retry_After"] = f"{rejection.retry_after / 1000.0:.3f}"
         self._reject_message(MalformedMessageError(text, SERVICE_UNAVAILABLE), **headers)
 
-    # State, as the listener and fronts ask for it.
+    # State that the listener and fronts read.
 
     @property
     def client_connected(self) -> bool:
-        """Whether the client is connected, asked of its socket: a close that is not read yet counts."""
+        """Whether the client is connected. Its socket is polled, to detect a disconnection not read yet."""
         if self.phase == Phase.CLOSED:
             return False
         return self._sock is None or not has_left(self._sock.fileno())
 
     @property
     def is_idle(self) -> bool:
-        """Whether no response is due and nothing lies unread in the socket."""
+        """Whether no response is due and no part of a message has arrived, read or unread."""
         return self.phase == Phase.READING and not self._reader.in_message and not self._has_unread_bytes
 
     @property
@@ -268,7 +271,7 @@
         """Whether this connection may be closed for another."""
         if self.phase == Phase.LINGERING or self.is_idle:
             return self._last_response_arrived()
-        # Half a message has arrived: the rest may lie in the socket, and a request that was read is answered.
+        # A part of a message was read. If the rest is unread in the socket, the request must be answered.
         slow = not self.proven and self.listener.clock() >= self._reader.last_byte_at + EVICTION_GRACE_MS
         return slow and not self._has_unread_bytes
 
@@ -277,7 +280,7 @@
         return self._sock is not None and unread_bytes(self._sock.fileno()) > 0
 
     def _last_response_arrived(self) -> bool:
-        """Return whether the client has the last response, or had time for it: a reset would discard it."""
+        """Return whether the last response is delivered, or overdue: a reset before would discard it."""
         overdue = self.listener.clock() >= self._timer.started_at + EVICTION_GRACE_MS
         return (
             overdue
@@ -289,10 +292,10 @@
     # Ends of the connection in this process.
 
     def detach(self) -> DetachedConnection | None:
-        """Give the connection away between two requests; return None if that is not possible now.
+        """Detach the connection between two requests; return None if that is not possible now.
 
-        The descriptor stays open, with what lies unread in the socket. The state includes the part of the
-        next message that was read already.
+        The descriptor stays open, and unread bytes stay in the socket. The returned state includes the part
+        of the next message that is already read.
         """
         if self.phase != Phase.READING or self._reading_messages or self._throttled:
             return None
@@ -303,14 +306,15 @@
             return None
         since = self._timer.started_at if buffered else self._idle_since
         state = ConnectionHandover(self.proven, since, buffered)
-        self.abort()  # the loop forgets the descriptor now and would close it in its next turn
+        self.abort()  # the loop stops polling the descriptor; its next turn would close it
         return DetachedConnection(self._sock.detach(), state)
 
     def close(self) -> None:
         """Close a connection on which no response is due.
 
-        A request may arrive at this very moment, and a close over unread bytes is a reset, which discards
-        responses that the client has not read: so once any response was written the connection lingers.
+        A request may arrive immediately before the close. Closing a socket with unread bytes sends a reset,
+        which discards responses that the client has not read. The connection therefore lingers if any
+        response was written.
         """
         if self.phase in (Phase.CLOSED, Phase.LINGERING):
             return
@@ -330,7 +334,7 @@
             self._transport.abort()
 
     def _handle_disconnect(self) -> None:
-        """Close the connection: the client has closed it or ended its sending, and waits for no response."""
+        """Close the connection: the client has closed or half-closed it, and expects no response."""
         self.connection_lost(None)
         if self._transport is not None:
             self._transport.abort()
@@ -343,7 +347,7 @@
         self.listener.remove(self)
 
     def _start_lingering(self) -> None:
-        """End the sending and discard input: a close over unread input would discard the response."""
+        """Shut down sending and discard input: closing with unread input would discard the response."""
         self.phase = Phase.LINGERING
         now = self.listener.clock()
         self._timer.started_at = now
@@ -366,7 +370,7 @@
     # Time limits.
 
     def apply_limits(self) -> None:
-        """Apply changed limits to what this connection is doing."""
+        """Apply changed limits to the current message or idle time."""
         if self.phase == Phase.READING and not self._reading_messages and not self._throttled:
             self._timer.restart(self.proven, self._idle_since, self._timer.started_at)
 
@@ -376,12 +380,12 @@
             self._end_slow_message()
         elif self.is_idle:
             self._end_idle_time()
-        elif self.phase == Phase.READING:  # something arrived at this very moment
+        elif self.phase == Phase.READING:  # bytes have arrived that are not parsed yet
             self._timer.restart(self.proven, self._idle_since)
 
     def _end_slow_message(self) -> None:
         limit = self._timer.message_limit()
-        if limit.at > self.listener.clock():  # the body arrives fast enough
+        if limit.at > self.listener.clock():  # the limit has moved, since the body arrives fast enough
             self._timer.call_at(limit.at, self.time_limit_reached)
             return
         if self.listener.admission is not None:
@@ -400,7 +404,7 @@
     # Reading.
 
     def _read_messages(self) -> None:
-        """Take what has arrived, a bounded number of messages at a time."""
+        """Handle the messages that have arrived, a bounded number at a time."""
         if self._reading_messages or self.phase != Phase.READING or self._throttled:
             return
         self._reading_messages = True
@@ -413,7 +417,7 @@
             self._reading_messages = False
         if self.phase != Phase.READING:
             return
-        if taken == MESSAGES_PER_TURN:  # let other connections have their turn
+        if taken == MESSAGES_PER_TURN:  # the other connections are handled first
             self._set_throttled(True)
             self._timer.call_at(self.listener.clock(), self._read_more_messages)
         elif not self._timer.limits_message and self._reader.in_message:
@@ -448,7 +452,7 @@
             on_disconnect = self.listener.front.handle_message(self.listener, self, head, body)
         except MalformedMessageError:
             raise
-        except Exception as error:  # passed on to asyncio, it would close the connection without a response
+        except Exception as error:  # raised to asyncio, it would close the connection without a response
             self.listener.report_fault(error)
             self.finish(INTERNAL_SERVER_ERROR, b"failed\n", Content_Type="text/plain")
             return
@@ -457,15 +461,15 @@
             self.listener.open_connections.mark_busy(self)
 
     def _begin_message(self) -> None:
-        """Limit a message of which a part has arrived, and count it with admission control."""
-        if self.proven:  # a new connection's time runs from its start, however slowly bytes arrive
+        """Start the time limit of an incomplete message, and count it in admission control."""
+        if self.proven:  # else the limit runs since the connection was accepted, however slowly bytes arrive
             self._timer.restart(self.proven, self._idle_since, self._reader.first_byte_at())
         self._timer.limits_message = True
         if (rejection := self.admission.begin_message()) is not None:
             self._reject_overload("too many half-sent messages", rejection)
 
     def _read_more_messages(self) -> None:
-        """Take the messages that were left for a later turn of the loop, once responses are read."""
+        """Handle the messages deferred to a later turn of the loop, once all responses are sent."""
         if self._transport is not None and self._transport.get_write_buffer_size():
             self._timer.call_at(self.listener.clock(), self._read_more_messages)
             return
@@ -473,7 +477,7 @@
         self._set_throttled(False)
 
     def _set_throttled(self, throttled: bool) -> None:
-        """Take no more messages from this client, or take them again."""
+        """Stop or resume handling this client's messages."""
         self._throttled = throttled
         if self._transport is None:
             return
--- a/eiderfield/net/clients/connection_admission.py
+++ b/eiderfield/net/clients/connection_admission.py
@@ -1,4 +1,4 @@
-"""The place of one connection in its listener's admission control."""
+"""The ticket of one connection in its listener's admission control."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 class ConnectionAdmission:
     """A connection's admission ticket, and the message that admission control counts on it.
 
-    The ticket is released once, after the end of the message. Where there is no admission control, or where
-    the connection is not admitted, nothing is counted.
+    The ticket is released once, after the end of the message. Without admission control, and for a
+    connection that is not admitted, nothing is counted.
     """
 
     def __init__(self, admission: AdmissionControl | None, ticket: int | None) -> None:
--- a/eiderfield/net/clients/connection_table.py
+++ b/eiderfield/net/clients/connection_table.py
@@ -7,7 +7,7 @@
 from itertools import islice
 from typing import Generic, Protocol, TypeVar
 
-EVICTION_CANDIDATES = 16  # connections examined for one to evict: a full listener must not scan all for each
+EVICTION_CANDIDATES = 16  # connections examined to find one: a full listener cannot scan all each time
 
 
 class EvictableConnection(Hashable, Protocol):
@@ -27,8 +27,8 @@
 class ConnectionTable(Generic[ConnectionT]):
     """Open connections. Each is busy, unproven or idle; busy ones are not evicted.
 
-    Unproven connections have sent no request yet, or have their last response; idle ones are kept open
-    between requests. Both are ordered by the time for which they have been so, the longest first.
+    Unproven connections have sent no request yet, or their last response is written. Idle ones are kept open
+    between requests. Both kinds are ordered by how long they have been in this state, the longest first.
     """
 
     def __init__(self) -> None:
@@ -73,7 +73,7 @@
         """Record that a response was written.
 
         Args:
-            connection: has written it.
+            connection: the connection that wrote it.
             proven: whether the client has sent a request, and the connection is kept open.
         """
         self._unproven.pop(connection, None)
--- a/eiderfield/net/clients/connection_timer.py
+++ b/eiderfield/net/clients/connection_timer.py
@@ -1,4 +1,4 @@
-"""The timer of a client's connection: how long it may stay as it is."""
+"""The timer of a client's connection: the time limit of its current message, or of its idle time."""
 
 from __future__ import annotations
 
@@ -24,37 +24,38 @@
 
     @property
     def message_timeout(self) -> float:
-        """Ms for a message from its first byte, where there is no admission control."""
+        """The time limit of a message from its first byte, in ms, where there is no admission control."""
 
     @property
     def admission(self) -> AdmissionControl | None:
-        """Limits the time of messages, None if nothing does."""
+        """Admission control, which sets the time limits of messages; None if there is none."""
 
     def clock(self) -> float:
         """Return the current time in ms."""
 
 
 class ConnectionTimer:
-    """The one timer of a connection. A message's limit counts from its first byte, whatever follows."""
+    """The only timer of a connection. A message's limit counts from its first byte, not from later ones."""
 
     def __init__(
         self, settings: TimerSettings, reader: MessageReader, on_expiry: Callable[[], None], now: float
     ) -> None:
         """Call `on_expiry` when a time limit is reached."""
-        self.started_at = now  # ms; when what is limited now began
-        self.limits_message = False  # whether the limit is that of a message which has begun
+        self.started_at = now  # in ms; when the message or the time that is limited began
+        self.limits_message = False  # whether the limit is that of a message whose first byte has arrived
         self._settings = settings
         self._reader = reader
         self._on_expiry = on_expiry
         self._timer: Timer | None = None
 
     def restart(self, proven: bool, idle_since: float, started_at: float | None = None) -> None:
-        """Limit the message that has begun, else the idle time.
+        """Set the time limit of the message that is arriving, or of the idle time if there is none.
 
         Args:
-            proven: whether the client has sent a request; else its first message is limited from the start.
+            proven: whether the client has sent a request. If not, the limit of a message applies before its
+                first byte.
             idle_since: when the last response was written, in ms.
-            started_at: when what is limited began, in ms; None for now.
+            started_at: when the message or the idle time began, in ms; None for now.
         """
         self.cancel()
         settings = self._settings
@@ -68,7 +69,7 @@
             self._timer = settings.timers.at(self.message_limit().at, self._on_expiry)
 
     def message_limit(self) -> Limit:
-        """Return until when the message may take that has begun, or has yet to begin on a new connection."""
+        """Return the time limit of the message that is arriving, or of a new connection's first message."""
         admission = self._settings.admission
         if admission is None:
             return Limit(self.started_at + self._settings.message_timeout)
@@ -82,7 +83,7 @@
         self._timer = self._settings.timers.at(when, callback)
 
     def cancel(self) -> None:
-        """Set no limit."""
+        """Remove the time limit."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/eiderfield/net/clients/detached.py
+++ b/eiderfield/net/clients/detached.py
@@ -1,4 +1,4 @@
-"""Client connections that are given away between two requests, with their state."""
+"""Client connections that are detached between two requests, with their state."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     """The state of a client's connection that is parked, or handed over to the next process."""
 
     proven: bool  # whether the client has sent a request
-    since: float  # ms; when the first of `buffered` arrived, else when the last response was written
-    buffered: bytes = b""  # the part of the next message that was read already
+    since: float  # ms; when the first byte of `buffered` arrived, or the last response was written
+    buffered: bytes = b""  # the part of the next message that is already read
 
 
 @dataclass(slots=True, frozen=True)
@@ -23,4 +23,4 @@
     state: ConnectionHandover
 
 
-Detach = Callable[[], DetachedConnection | None]  # gives one connection away, None if it cannot be now
+Detach = Callable[[], DetachedConnection | None]  # detaches one connection; None if that is not possible now
--- a/eiderfield/net/clients/flow_control.py
+++ b/eiderfield/net/clients/flow_control.py
@@ -1,7 +1,7 @@
 """Pauses and resumes reading on a client's connection.
 
-A transport that is not read reports no departure, so a paused connection is watched for that
-(`net/departures.py`) until it is read again or closed.
+A transport does not report a disconnection while its reading is paused. A paused connection is therefore
+watched for that (`net/departures.py`) until reading resumes or the connection is closed.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class FlowControl:
-    """Whether one connection is read."""
+    """Controls whether one connection is read."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._closed = False
 
     def open(self, transport: asyncio.Transport) -> None:
-        """Control a transport that is read from now on."""
+        """Set the transport, which is being read."""
         self._transport = transport
 
     def pause(self) -> None:
@@ -56,7 +56,7 @@
         return was_paused
 
     def close(self) -> None:
-        """Stop watching for good: the connection is closed."""
+        """Stop watching: the connection is closed."""
         self._closed = True
         self._stop_watching()
 
--- a/eiderfield/net/clients/front.py
+++ b/eiderfield/net/clients/front.py
@@ -1,7 +1,7 @@
 """The interface between a listener and the protocol that it serves.
 
-`Front` is implemented once for each protocol. `ListenerStatus` and `Responder` are what a front uses of the
-listener and of the connection that a message came on.
+`Front` is implemented once for each protocol. A front uses the listener as a `ListenerStatus`, and the
+connection on which a message arrived as a `Responder`.
 """
 
 from __future__ import annotations
@@ -32,20 +32,20 @@
 
     @property
     def response_deadline(self) -> float:
-        """When a message that arrives now must be answered, in ms on the listener's clock."""
+        """The time by which a message that arrives now must be answered, in ms on the listener's clock."""
 
     def clock(self) -> float:
         """Return the current time in ms."""
 
 
 class Responder(Protocol):
-    """The connection of one message: accepts the response to it."""
+    """The connection on which a message arrived: accepts the response to it."""
 
     proven: bool  # whether the client has sent an acceptable request; others are evicted first
 
     @property
     def client_connected(self) -> bool:
-        """Whether the client is still connected, also where its close has not been read."""
+        """Whether the client is still connected; a disconnection that is not read yet is detected too."""
 
     def answer(self, status: int, body: bytes = b"", **headers: str) -> None:
         """Write the response and keep the connection open if the client asks for that."""
@@ -66,7 +66,7 @@
         """Respond on `connection`, now or later.
 
         Returns:
-            What to call if the client disconnects before the response, None for nothing.
+            The function to call if the client disconnects before the response, None for none.
 
         Raises:
             MalformedMessageError: the message is rejected with the error's status.
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -1,9 +1,9 @@
-"""The connections of one listening socket, within the descriptors they may take.
+"""The connections of one listening socket, within the limit of their descriptors.
 
 A connection in the backlog is accepted while there is capacity, or when a connection can be evicted for it:
 first one that has sent no request, then the longest idle.
 
-What must never happen: a connection evicted or closed on which a response is due.
+Invariant: a connection on which a response is due is not evicted, and not closed as idle.
 """
 
 from __future__ import annotations
@@ -42,14 +42,14 @@
         admission: decides which connections are admitted; None admits all.
         memory_usage: gives the share of the process's memory that is in use, from 0 to 1.
         open_connections: the connections that are not parked.
-        parking: the parked connections.
+        parking: parks idle connections.
         acceptor: accepts on the socket.
         departures: watches connections that are not read; None until the listener is open.
         draining: whether the process is shutting down.
         keep_alive_disabled: whether each response closes its connection.
         response_deadline: when a message that arrives now must be answered, in ms.
-        successor: takes connections over for the next process, None while there is none.
-        held_by_other_process: connections of the other process of an upgrade, which count as open.
+        successor: passes a connection to the next process during a handover, None at other times.
+        held_by_other_process: number of connections of the other process of an upgrade, which count as open.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self.parking = ConnectionParking(self)
         self.acceptor = Acceptor(self)
         self.departures: DepartureWatch | None = None
-        self._discarded_input_count = 0  # closed connections of whose input some was discarded
+        self._discarded_input_count = 0  # connections with input discarded after the last response
         self._disconnect_count = 0  # clients that disconnected before their response
         self.memory_usage = memory_usage
         self._usage_updated_at = -inf
@@ -130,7 +130,7 @@
         Args:
             loop: runs the connections.
             address: host and port.
-            share: whether a process may have the address already that does not hand its socket over.
+            share: whether to share the address with a process that does not hand its socket over.
 
         Raises:
             OSError: the system refuses.
@@ -148,11 +148,11 @@
         self.acceptor.set_passive(passive)
 
     def stop_listening(self) -> None:
-        """Close the socket after accepting what the backlog holds, unless another process does."""
+        """Accept the connections in the backlog, unless another process does; then close the socket."""
         self.acceptor.close()
 
     def close_idle(self) -> None:
-        """Close the connections on which no request can cross, of the parked ones a bounded number."""
+        """Close the idle connections without unread bytes, a bounded number of the parked ones."""
         self.parking.close_idle()
         for connection in self.open_connections:
             if connection.is_idle:
@@ -219,8 +219,8 @@
     def hand_over_batch(self) -> None:
         """Pass a bounded number of connections to the next process.
 
-        Until the loop's next turn each of them holds a descriptor in both processes, and the two may have no
-        more than one had.
+        Each of them occupies a descriptor in both processes until the loop's next turn, and together the
+        processes may have no more than one of them had.
         """
         if self.successor is None:
             return
@@ -233,19 +233,19 @@
                 return
 
     def adopt_connection(self, sock: socket.socket, handover: ConnectionHandover) -> None:
-        """Take a client's connection that another process gave away."""
+        """Adopt a client's connection that another process handed over."""
         sock.setblocking(False)
         self.resume(sock, handover, self.register(sock))
 
     def register(self, sock: socket.socket) -> int | None:
-        """Return admission's ticket for a connection that is open already, None without admission control."""
+        """Return the ticket of a connection that is already open, None without admission control."""
         if self.admission is not None and sock.family != socket.AF_UNIX:
-            with suppress(OSError):  # it may have broken meanwhile
+            with suppress(OSError):  # the client may have reset it
                 return self.admission.register(sock.getpeername()[0], self.clock())
         return None
 
     def resume(self, sock: socket.socket, handover: ConnectionHandover, ticket: int | None) -> None:
-        """Read a connection that was parked, or at another process."""
+        """Read from a connection that was parked, or at another process."""
         connection = ClientConnection(self, sock, handover, ticket)
         self.open_connections.add(connection)
         if handover.proven:
@@ -255,7 +255,7 @@
     # Reports of connections.
 
     def report_fault(self, error: Exception) -> None:
-        """Log an error that a front raised, as the loop does with one that reaches it."""
+        """Log an error that a front raised, by the exception handler of the event loop."""
         if self._loop is not None:
             self._loop.call_exception_handler({"message": "a front failed", "exception": error})
 
@@ -264,7 +264,7 @@
         self._disconnect_count += 1
 
     def count_discarded_input(self) -> None:
-        """Count a connection of whose input some was discarded after its last response."""
+        """Count a connection with input that was discarded after its last response."""
         self._discarded_input_count += 1
 
     def remove(self, connection: ClientConnection) -> None:
@@ -297,7 +297,7 @@
         return self.acceptor.has_waiting_clients
 
     def ensure_capacity(self) -> bool:
-        """Return whether one more connection may be accepted, after an eviction if it needs one."""
+        """Evict a connection if one more needs it; return whether one more may be accepted."""
         if not self.full:
             return True
         evict: dict[ConnectionKind, Callable[[], bool]] = {
@@ -309,7 +309,7 @@
         return evicted and not self.full
 
     def _update_usage(self, open_count: int) -> None:
-        """Report the usage to admission control, on which the idle time of parked connections may depend."""
+        """Report the usage to admission control; it may change the idle timeout of parked connections."""
         assert self.admission is not None
         now = self.clock()
         if now < self._usage_updated_at + USAGE_INTERVAL_MS:
@@ -337,7 +337,7 @@
         self._attach(connection, sock)
 
     def _reject(self, sock: socket.socket, rejection: Rejection) -> None:
-        """Close a connection that is not admitted, and respond to a few; these are evicted first."""
+        """Close a connection that is not admitted; respond to a limited number, which are evicted first."""
         if not rejection.answer or self._pending_rejections >= MAX_PENDING_REJECTIONS:
             sock.close()
             return
--- a/eiderfield/net/clients/message_reader.py
+++ b/eiderfield/net/clients/message_reader.py
@@ -12,13 +12,13 @@
     """The incoming side of one connection: parsed and unparsed bytes, and when they arrived. No I/O."""
 
     def __init__(self, clock: Callable[[], float], opened_at: float, unparsed: bytes | None = None) -> None:
-        """Start with bytes that arrived before `opened_at` (ms), if there are any."""
+        """Start with `unparsed` bytes, if any, which count as arrived at `opened_at` (ms)."""
         self.head: Head | None = None  # of a message whose body is incomplete
         self.head_at = opened_at  # when that head was complete
         self.last_byte_at = opened_at
         self.expects_continue = False  # whether the client waits for an interim response to `head`
         self._clock = clock
-        self.body = bytearray()  # of that message, or of the message returned last
+        self.body = bytearray()  # of the message that is arriving, or of the one returned last
         self._parser = Parser()
         self._arrivals = ArrivalTimes()
         if unparsed is not None:
@@ -36,7 +36,7 @@
 
     @property
     def partial_head(self) -> bytes | None:
-        """What has arrived of a message whose head is incomplete, None within a message's body."""
+        """The received part of an incomplete head (empty between messages), None within a body."""
         return None if self.head is not None else self._parser.incomplete_head
 
     def feed(self, data: bytes | memoryview, now: float) -> None:
@@ -70,9 +70,9 @@
         return None
 
     def first_byte_at(self) -> float:
-        """Return when the first unparsed byte arrived, maybe behind an earlier message; now if none."""
+        """Return when the first unparsed byte arrived, maybe before the last response; now if none."""
         return self._arrivals.first_at(self._parser.buffered, self._clock())
 
     def restart_arrivals(self) -> None:
-        """Count unparsed bytes as arrived now: reading was paused, and the client could not send the rest."""
+        """Count unparsed bytes as arrived now: while reading was paused, the client could not send more."""
         self._arrivals.restart(self._clock())
--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -1,14 +1,14 @@
 """The idle connections of a listener: parked without a protocol object, and lent to the next process.
 
-    connected ──(park: idle for `park_after`)──> parked ──(bytes)──> connected again, as if it had never left
+    connected ──(park: idle for `park_after`)──> parked ──(bytes)──> connected again, in the same state
                                                    ├──(expired, or evicted)──> closed
                                                    └──(lend, hand_over)──> at the next process
 
 The states of a parked connection itself are those of `eiderfield/connections/idle_connections.py`; this
 module connects them to the loop, the clock and the listener's admission control.
 
-What must never happen: a byte read from a borrowed connection before its departure is reported to the lender;
-a ticket of admission control that is released twice, or never.
+Invariants: no byte of a borrowed connection is read before its removal is reported to the lender; each ticket
+of admission control is released exactly once.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from eiderfield.net.clients.connection import ClientConnection
 from eiderfield.net.clients.detached import ConnectionHandover, Detach, DetachedConnection
 
-CLOSED_PER_PASS = 1024  # parked connections closed or taken back in one pass, some 10 ms
+CLOSED_PER_PASS = 1024  # parked connections closed or taken back in one pass, which takes about 10 ms
 
 
 def _tag_of(ticket: int | None) -> int:
@@ -39,7 +39,7 @@
 
 
 def _ignore(*_arguments: object) -> None:
-    """Report to nobody."""
+    """Do nothing."""
 
 
 class ParkingOwner(Protocol):
@@ -64,16 +64,16 @@
         """Return for how many ms a connection may idle now."""
 
     def register(self, sock: socket.socket) -> int | None:
-        """Return admission's ticket for a connection that is open already, None without admission control."""
+        """Return the ticket of a connection that is already open, None without admission control."""
 
     def release_ticket(self, ticket: int) -> None:
-        """Return the ticket of a parked connection that is closed."""
+        """Release the admission ticket of a parked connection that is closed."""
 
     def resume(self, sock: socket.socket, handover: ConnectionHandover, ticket: int | None) -> None:
-        """Read a connection that was parked."""
+        """Read from a connection that was parked."""
 
     def adopt_connection(self, sock: socket.socket, handover: ConnectionHandover) -> None:
-        """Admit and read a connection of another process."""
+        """Adopt a client's connection that another process handed over."""
 
     def resume_accepting(self) -> None:
         """Accept again if accepting was paused: a connection may have closed."""
@@ -84,7 +84,7 @@
 
     Attributes:
         log: called once when the system refuses a poll set.
-        on_park: called when one more connection is parked.
+        on_park: called after each connection that is parked.
         on_borrowed_removed: called with the keys, at the lender, of borrowed connections that are no longer
             parked here.
     """
@@ -105,7 +105,7 @@
         return 0 if self._idle is None else len(self._idle)
 
     def open(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Create the poll set. Without one, idle connections keep their protocol objects and are served."""
+        """Create the poll set. If the system refuses it, idle connections stay open and are not parked."""
         if self._idle is not None:
             return
         try:
@@ -144,20 +144,20 @@
         listener = self._listener
         if self._idle is None or not listener.may_park:
             return False
-        ticket = connection.admission.take_ticket()  # the parked connection stays counted
+        ticket = connection.admission.take_ticket()  # the connection stays counted while it is parked
         if (detached := connection.detach()) is None:
             connection.admission.restore_ticket(ticket)
             return False
         try:
             self._idle.park(detached.descriptor, detached.state.since, _tag_of(ticket))
-        except OSError:  # the kernel has no room for it in a poll set
+        except OSError:  # the kernel's limit of epoll watches is reached
             listener.resume(socket.socket(fileno=detached.descriptor), detached.state, ticket)
         self._arm_if_unarmed()
         self.on_park()
         return True
 
     def close_idle(self) -> None:
-        """Close a bounded number of the parked connections on which no request can cross."""
+        """Close a bounded number of the parked connections without unread bytes."""
         if self._idle is not None:
             self._idle.close_idle(CLOSED_PER_PASS)
             self._report_removed_keys()
@@ -171,7 +171,7 @@
         return evicted
 
     def expire(self) -> None:
-        """Close a bounded number of the connections whose idle time is over; the next pass closes more."""
+        """Close a bounded number of expired connections; a later call closes the others."""
         if self._idle is not None:
             self._idle.expire(self._listener.clock(), self._listener.idle_limit())
             self._report_removed_keys()
@@ -194,21 +194,21 @@
             self.arm()
 
     def _wake(self) -> None:
-        """Resume parked connections on which bytes have arrived, as if they had never been parked."""
+        """Resume parked connections on which bytes have arrived, in the state in which they were parked."""
         if self._idle is None:
             return
         woken = self._idle.poll_ready()
         self._report_removed_keys()
         for connection in woken:
             self._unpark(connection)
-        self._listener.resume_accepting()  # some may have closed
+        self._listener.resume_accepting()  # `poll_ready` may have closed connections
 
     def _unpark(self, woken: WokenConnection) -> None:
         handover = ConnectionHandover(True, woken.idle_since)
         self._listener.resume(socket.socket(fileno=woken.fd), handover, _ticket_of(woken.tag))
 
     def _release_ticket(self, tag: int) -> None:
-        """Release what a parked connection holds that is closed."""
+        """Release the admission ticket of a parked connection that is closed."""
         ticket = _ticket_of(tag)
         if ticket is not None:
             self._listener.release_ticket(ticket)
@@ -216,13 +216,13 @@
     # The next process, and the previous one.
 
     def detach_calls(self, limit: int) -> list[Detach]:
-        """Return calls that give away one parked connection each, at most `limit`, the longest idle first."""
+        """Return at most `limit` functions that detach one parked connection each, the longest idle first."""
         if self._idle is None:
             return []
         return [partial(self._detach, fd) for fd in self._idle.longest_idle(limit)]
 
     def _detach(self, fd: int) -> DetachedConnection | None:
-        """Give a parked connection away, if it is still parked."""
+        """Detach a connection, if it is still parked."""
         if self._idle is None or fd not in self._idle:
             return None
         woken = self._idle.detach(fd)
@@ -231,7 +231,7 @@
         return DetachedConnection(fd, ConnectionHandover(True, woken.idle_since))
 
     def lend(self, limit: int) -> list[LentConnection]:
-        """Lend at most `limit` parked connections to the next process; copies of them stay here."""
+        """Lend at most `limit` parked connections to the next process; keep copies of their descriptors."""
         return [] if self._idle is None else self._idle.lend(limit)
 
     def borrow(self, fd: int, idle_since: float, lender_key: int | None) -> bool:
@@ -243,7 +243,7 @@
             lender_key: its key at the previous process if a copy stays there, else None.
 
         Returns:
-            Whether it was taken. Without a copy it always is: this process alone has it.
+            Whether it was taken. It always is if there is no copy, since this process alone has it then.
         """
         listener = self._listener
         if lender_key is not None and (self._idle is None or not listener.has_capacity):
@@ -255,7 +255,7 @@
         ticket = listener.register(sock)
         try:
             self._idle.park(fd, min(idle_since, listener.clock()), _tag_of(ticket), lender_key)
-        except OSError:  # the kernel has no room for it in a poll set
+        except OSError:  # the kernel's limit of epoll watches is reached
             if lender_key is None:
                 listener.resume(sock, ConnectionHandover(True, idle_since), ticket)
                 return True
@@ -280,18 +280,18 @@
         self.arm()
 
     def take_back_all(self) -> None:
-        """Park again what was lent to a next process that is gone, a bounded number in a turn of the loop."""
+        """Park lent connections again after the next process has ended, a bounded number in a turn."""
         if self._idle is not None and self._idle.take_back_lent(CLOSED_PER_PASS):
             self._listener.timers.at(self._listener.clock(), self.take_back_all)
         self.arm()
 
     def forget_lender(self) -> None:
-        """Keep borrowed connections for good: the previous process is gone."""
+        """Keep the borrowed connections: the previous process has ended."""
         if self._idle is not None:
             self._idle.forget_lender()
 
     def _report_removed_keys(self) -> None:
-        """Report to the lender what is not parked any more, before a byte of it is read."""
+        """Report removed connections to the lender, before a byte of them is read."""
         if self._idle is not None and self._idle.unreported_keys:
             keys, self._idle.unreported_keys = self._idle.unreported_keys, []
             self.on_borrowed_removed(keys)
