--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -21,7 +21,7 @@
         """Return whether requests of a class are durable."""
 
     def accept(self, request: Request, on_answer: Callable[[Answer], None]) -> ClientDisconnectCallback:
-        """Accept a request, or join its client to a known one; return what to call when it leaves."""
+        """Accept a request, or attach its client to a known one; return what to call if it disconnects."""
 
 
 class RequestFront:
@@ -34,7 +34,7 @@
         clock: Callable[[], float],
         durable: DurableIntake | None = None,
     ) -> None:
-        """Submit to `exchange`, but requests of the classes that `durable` keeps to that."""
+        """Submit requests to `exchange`, and those of durable classes to `durable`, if it is given."""
         self._exchange = exchange
         self._durable = durable
         self._ids = ids
@@ -76,7 +76,7 @@
         if self._durable is not None and self._durable.is_durable(request.class_index):
             connection.proven = True
             return self._durable.accept(request, partial(write_answer, connection, durable=True))
-        if self._exchange.has_request(request.id):  # workers must not see two requests of one id
+        if self._exchange.has_request(request.id):  # workers must not receive two requests with the same id
             connection.reject(409, "X-Request-Id is that of a job which is not over yet")
             return None
         connection.proven = True
@@ -108,9 +108,9 @@
 
 
 def write_answer(connection: Responder, answer: Answer, durable: bool = False) -> None:
-    """Write the final answer of a request as its response.
+    """Write the final answer to a request as its response.
 
-    Only a request that the policy declines becomes a 503. The response to a durable request that failed says
+    Only a request that the policy declines is answered 503. The response to a failed durable request says
     whether the request may have run.
     """
     if answer.verdict == Verdict.SERVED:
--- a/eiderfield/net/clients/request_headers.py
+++ b/eiderfield/net/clients/request_headers.py
@@ -10,14 +10,14 @@
 from eiderfield.net.http import Head, MalformedMessageError
 
 MAX_RESOURCES = 100_000.0  # slots or units of memory that a request may need
-DEADLINE_DIGITS = 12  # of X-Deadline-Ms, at most
+DEADLINE_DIGITS = 12  # maximum length of X-Deadline-Ms
 
 _RESOURCES = frozenset({"slots", "memory"})
 _WORD = re.compile(r"[!-~]{1,256}\Z")
 
 
 class ResourceNeeds(NamedTuple):
-    """What a request takes of the worker that runs it."""
+    """The resources of a worker that a request occupies while it runs."""
 
     slots: float
     memory: float  # in the units of the workers' reports
@@ -38,7 +38,7 @@
 
 
 def read_timeout(head: Head, request_class: RequestClass) -> float:
-    """Return for how many ms the client waits; no longer than its class allows.
+    """Return the request's timeout in ms, at most the deadline of its class.
 
     Raises:
         MalformedMessageError: X-Deadline-Ms is not a whole number.
@@ -52,7 +52,7 @@
 
 
 def read_resource_needs(head: Head) -> ResourceNeeds:
-    """Return the resources named in X-Extras, whose other figures are only checked.
+    """Return the resources in X-Extras. Other figures in it are checked and ignored.
 
     Raises:
         MalformedMessageError: a figure is not a finite number, or a resource is out of range.
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -1,4 +1,4 @@
-"""The console, by which operators read the dispatcher's state and disable and enable workers.
+"""The console, with which operators read the dispatcher's state and disable and enable workers.
 
     GET  /-/ready               200 while this process accepts clients, 503 before that and during shutdown
     GET  /-/metrics             the figures, as JSON
@@ -7,8 +7,8 @@
     POST /-/workers/ID/disable  sends no requests to worker ID until it is enabled
     POST /-/workers/ID/enable   sends requests to worker ID again
 
-A connection carries one call. The console has no state: figures are read where they are counted, and bans
-belong to the routing table.
+A connection carries one call. The console has no state: figures are read from the components that count them,
+and bans are stored in the routing table.
 """
 
 from __future__ import annotations
@@ -31,10 +31,12 @@
     SERVICE_UNAVAILABLE,
 )
 
-CALL_TIMEOUT_MS = 1000.0  # for which callers wait, and in which a call must be received
-WRITE_TIMEOUT_MS = 0.8 * CALL_TIMEOUT_MS  # for the disk, before a call is answered without it
+CALL_TIMEOUT_MS = 1000.0  # the time that callers wait, and within which a call must be received
+WRITE_TIMEOUT_MS = (
+    0.8 * CALL_TIMEOUT_MS
+)  # the time for a write to disk, after which the call is answered without it
 
-# The figures by class, and the verdicts that each counts.
+# The figures by class: the verdicts that each of them counts.
 _VERDICTS_BY_FIGURE = {
     "success": (Verdict.SERVED,),
     "busy": (Verdict.DECLINED,),
@@ -45,7 +47,7 @@
 def figures(
     exchange: Exchange, table: RoutingTable, program_figures: Mapping[str, Any], now: float
 ) -> dict[str, Any]:
-    """Return the figures of `/-/metrics`: of requests, of workers, and those of the program's parts."""
+    """Return the figures of `/-/metrics`: of requests, of workers, and of the program's components."""
     return {**_request_figures(exchange), **_worker_figures(exchange, table, now), **program_figures}
 
 
@@ -131,7 +133,7 @@
     def _set_worker_disabled(
         self, listener: ListenerStatus, connection: Responder, name: str, disable: bool
     ) -> None:
-        """Disable or enable a worker; respond once this is written to disk, or has failed or timed out."""
+        """Disable or enable a worker; respond when the write to disk has ended, failed or timed out."""
         response = _MaintenanceResponse(connection, name, disable)
         change = self._table.ban if disable else self._table.unban
         if not change(name, response.write_ended):
@@ -162,7 +164,7 @@
             )
 
     def write_overdue(self) -> None:
-        """Respond before the caller stops waiting: the disk takes longer."""
+        """Respond before the caller times out: the write to disk is not complete yet."""
         self.write_ended(False)
 
 
--- a/eiderfield/net/descriptors.py
+++ b/eiderfield/net/descriptors.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLimits:
-    """The number of connections of clients and to workers, at least one of each."""
+    """The numbers of connections from clients and to workers, at least one of each."""
 
     clients: int
     workers: int
--- a/eiderfield/net/http/head.py
+++ b/eiderfield/net/http/head.py
@@ -71,7 +71,7 @@
             raise MalformedMessageError("a header is malformed")
         name = name.lower()
         if name in headers:
-            if name in _SINGLETON_HEADERS:  # two lengths, or two ids, are ambiguous
+            if name in _SINGLETON_HEADERS:  # two lengths or two ids would be ambiguous
                 raise MalformedMessageError(f"{name} stands there twice")
             value = f"{headers[name]}, {value}"
         headers[name] = value
--- a/eiderfield/net/http/parser.py
+++ b/eiderfield/net/http/parser.py
@@ -52,8 +52,8 @@
         self._max_body = max_body
         self._buffer = bytearray()
         self._state = _State.HEAD
-        self._remaining_bytes = 0  # bytes outstanding of the body or of the chunk
-        self._body_bytes = 0  # bytes of the body so far
+        self._remaining_bytes = 0  # bytes of the body or of the chunk that are not yet received
+        self._body_bytes = 0  # bytes of the body, including announced ones
         self._trailer_bytes = 0
 
     @property
--- a/eiderfield/net/memory.py
+++ b/eiderfield/net/memory.py
@@ -1,4 +1,4 @@
-"""Measures which share of its memory limit this process uses."""
+"""Measures the share of its memory limit that this process uses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def memory_share_of(limit_mb: int) -> Callable[[], float]:
-    """Return a function for the share of a limit in MB that is resident now, 0 where that is unknown."""
+    """Return a function that returns resident memory as a share of a limit in MB, 0 if it is unknown."""
 
     def share() -> float:
         try:
--- a/eiderfield/net/shutdown_times.py
+++ b/eiderfield/net/shutdown_times.py
@@ -1,9 +1,9 @@
 """Timetable of a shutdown, calculated from the settings. Performs no I/O and reads no clock.
 
-    SIGTERM ──(close_listeners_after)─────> no new connections; later requests have their response in time
+    SIGTERM ──(close_listeners_after)─────> no new connections, whose requests might not be answered in time
             ──(disable_keep_alive_after)──> connections close after their next response, or at once if idle
             ──(answered_after)────────────> every received request is answered
-            ──(longest deadline, at most 3 s, and 0.7 s)──> the process may be killed
+            ──(the longest deadline, at most 3 s, plus 0.7 s)──> the process may be killed
 
 Invariant: every request is answered before the process may be killed, except one that arrived in the first
 0.7 s and whose own deadline is later.
@@ -13,15 +13,13 @@
 
 from dataclasses import dataclass
 
-KILL_DELAY_MS = 700.0  # between the longest deadline and a kill (protocol page)
-MAX_DEADLINE_MS = 3000.0  # that a longer deadline counts for in that rule
+KILL_DELAY_MS = 700.0  # between the longest deadline and a kill, as the protocol page specifies
+MAX_DEADLINE_MS = 3000.0  # longer deadlines count as this value in that rule
 KILL_MARGIN_MS = 500.0  # between the last response and a kill
-KILL_MARGIN_SHARE = 0.2  # of the time until a kill, in place of the margin if that is shorter
-ACCEPT_TIME_MS = 700.0  # for new connections: later ones must have their response before the kill
+KILL_MARGIN_SHARE = 0.2  # of the time until a kill; used if it is shorter than the margin in ms
+ACCEPT_TIME_MS = 700.0  # for new connections, whose requests must be answered before the kill
 ACCEPT_TIME_SHARE = 0.5  # of the time until the last response, at most
-KEEP_ALIVE_TIME_MS = (
-    1500.0  # for connections: clients may have no alternative while other dispatchers restart
-)
+KEEP_ALIVE_TIME_MS = 1500.0  # for open connections: the other dispatchers may be restarting too
 KEEP_ALIVE_TIME_SHARE = 0.75  # of the time until the last response, at most
 
 
