--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that go: nothing is sent for them from then on, whatever the dispatcher was doing with them."""
+"""Client disconnections: nothing more is sent to a worker for a client that has disconnected."""
 
 import socket
 from dataclasses import replace
@@ -19,21 +19,21 @@
     harness.close()
 
 
-def driven(harness):
-    """The harness's exchange is given its turns by the driver, on the harness's loop."""
+def start_driver(harness):
+    """Let a driver on the harness's loop run the turns of the exchange."""
     driver = Driver(harness.loop, harness.dispatcher.clock)
     harness.dispatcher.wake = driver.wake
     driver.turn = harness.dispatcher.exchange.turn
     return driver
 
 
-def test_a_request_whose_client_has_gone_behind_it_is_not_sent(harness):
-    """Request and close were both in the socket. The poll told of one at a time, and the turn came between:
-    the request was written to a worker on an idle connection for somebody who had gone."""
+def test_request_followed_by_close_in_the_socket_is_not_sent(harness):
+    """A poll reports the request before the close. If the exchange's turn runs in between, the request must
+    not be written to a worker on an idle connection."""
     first = SocketClient(harness)
     assert first.ask("r0") == [200]
     [end] = harness.dispatcher.ends
-    driven(harness)
+    start_driver(harness)
     for number in range(3):
         ours, theirs = socket.socketpair()
         theirs.setblocking(False)
@@ -46,14 +46,14 @@
     assert end.take() == []
     assert not harness.dispatcher.exchange.unanswered
     assert harness.listener.figures()["departed"] == 3
-    assert first.send(message("r9")), "who stays is served"
-    assert harness.turn(12) or end.take() == ["r9"], "who stays is served"
+    assert first.send(message("r9")), "a client that stays connected is served"
+    assert harness.turn(12) or end.take() == ["r9"], "a client that stays connected is served"
 
 
-@pytest.mark.parametrize("how", ["closes", "ends its sending", "resets"])
-def test_a_client_that_goes_with_much_unread_is_noticed_while_it_is_not_read(harness, how):
-    """With 16 KiB of further messages waiting the connection was not read, and a connection that is not read
-    tells of no close: the job stayed out, and all that waited behind it was sent on for nobody."""
+@pytest.mark.parametrize("how", ["closes", "half-closes", "resets"])
+def test_disconnection_while_reading_is_paused_cancels_the_request(harness, how):
+    """Reading pauses after 16 KiB of pipelined messages, and a transport that is not read reports no close.
+    Without a separate watch the request stayed open, and the pipelined ones were sent to workers after it."""
     client = SocketClient(harness)
     client.send(message("r0"))
     harness.turn()
@@ -61,16 +61,14 @@
     end = dial.up()
     assert end.take() == ["r0"]
     number = 0
-    while client_takes(client, message(f"more{number}")) and number < 2 * MAX_PIPELINED_BYTES // len(
-        message()
-    ):
+    while try_send(client, message(f"more{number}")) and number < 2 * MAX_PIPELINED_BYTES // len(message()):
         number += 1
         harness.turn(1)
     [connection] = harness.listener.open_connections
     assert not connection._transport.is_reading()
     if how == "closes":
         client.sock.close()
-    elif how == "ends its sending":
+    elif how == "half-closes":
         client.sock.shutdown(socket.SHUT_WR)
     else:
         client.sock.shutdown(socket.SHUT_RDWR)
@@ -83,7 +81,7 @@
     assert end.came == ["r0"]
 
 
-def client_takes(client, data):
+def try_send(client, data):
     try:
         client.send(data)
     except BlockingIOError:
@@ -91,9 +89,9 @@
     return True
 
 
-def test_who_sends_much_and_stays_is_answered_whole_and_watched_no_more(harness):
+def test_pipelining_client_that_stays_connected_receives_all_responses_and_is_watched_no_longer(harness):
     client, count, statuses = SocketClient(harness), 0, []
-    while client_takes(client, message(f"m{count}")):
+    while try_send(client, message(f"m{count}")):
         count += 1
         harness.turn(count % MESSAGES_PER_TURN == 0)
     assert count * len(message()) > MAX_PIPELINED_BYTES
@@ -110,8 +108,8 @@
     assert not harness.listener.open_connections
 
 
-def test_a_client_that_leaves_its_answer_unread_and_goes_is_noticed(harness):
-    """While its writes stand still it is not read either."""
+def test_disconnection_while_writing_is_paused_cancels_the_request(harness):
+    """Reading is paused, too, while the client does not read its responses."""
     client = SocketClient(harness)
     client.send(message("r0"))
     harness.turn()
@@ -125,9 +123,10 @@
     assert not end.pipe.open
 
 
-def test_a_departure_says_nothing_of_the_worker_that_had_the_job(harness):
-    """Its attempt was called off unstarted, and the worker was left alone for 0.4 s as if it had kept the job
-    waiting too long: a burst of clients that left took the workers from those that stayed."""
+def test_disconnection_does_not_count_against_the_worker(harness):
+    """The attempt is cancelled before the worker has started it. If this counted as a slow start, the worker
+    would receive no requests for 0.4 s, and a burst of disconnections would take the workers from other
+    clients."""
     for number in range(5):
         client = SocketClient(harness)
         client.send(message(f"r{number}"))
@@ -137,11 +136,11 @@
         client.sock.close()
         harness.turn()
     assert not harness.dispatcher.exchange.unanswered
-    assert SocketClient(harness).ask("stays") == [200]
+    assert SocketClient(harness).ask("other") == [200]
 
 
-def leaves_in_the_turn(harness, client, call):
-    """The client closes between the module's decision and the write; its close has not been read."""
+def disconnect_before_write(harness, client, call):
+    """Close the client's socket between the policy's action `call` and its execution."""
     handle = harness.dispatcher.exchange.dispatcher.handle
 
     def decide(now, events):
@@ -153,31 +152,31 @@
     harness.dispatcher.exchange.dispatcher.handle = decide
 
 
-def test_a_client_that_leaves_while_a_turn_is_held_up_is_sent_nothing_on_an_idle_connection(harness):
-    """Between the decision and the write the process may be held up, and the close lies unread meanwhile."""
+def test_disconnection_between_decision_and_write_sends_nothing_on_an_idle_connection(harness):
+    """The process may be delayed between the decision and the write, with the close unread in the socket."""
     first = SocketClient(harness)
     assert first.ask("r0") == [200]
     [end] = harness.dispatcher.ends
     client = SocketClient(harness)
-    leaves_in_the_turn(harness, client, StartAttempt)
+    disconnect_before_write(harness, client, StartAttempt)
     client.send(message("r1"))
     harness.turn()
     assert end.take() == []
     assert end.came == ["r0"]
     assert not harness.dispatcher.exchange.unanswered
-    assert end.pipe.open, "the connection is as good as before"
-    del harness.dispatcher.exchange.dispatcher.handle  # from now on the class's own decides
+    assert end.pipe.open, "the worker connection can still be used"
+    del harness.dispatcher.exchange.dispatcher.handle  # restore the method of the class
     assert first.ask("r2") == [200]
     assert end.came == ["r0", "r2"]
 
 
-@pytest.mark.parametrize("how", ["closes", "ends its sending", "resets"])
-def test_a_connection_that_comes_up_in_the_poll_of_the_clients_close_carries_nothing(harness, how):
+@pytest.mark.parametrize("how", ["closes", "half-closes", "resets"])
+def test_worker_connection_established_before_the_disconnection_is_read_carries_nothing(harness, how):
     client = SocketClient(harness)
     client.send(message("r0"))
     harness.turn()
     [dial] = harness.dispatcher.dials
-    depart(client, how)
+    disconnect(client, how)
     end = dial.up()  # before the loop's next turn, in which the close is read
     assert not end.pipe.written
     harness.turn()
@@ -185,18 +184,20 @@
     assert not harness.dispatcher.dials
 
 
-def depart(client, how):
+def disconnect(client, how):
     if how == "closes":
         client.sock.close()
-    elif how == "ends its sending":
+    elif how == "half-closes":
         client.sock.shutdown(socket.SHUT_WR)
     else:
         client.sock.shutdown(socket.SHUT_RDWR)
 
 
-def until_the_retry(harness, client):
-    """A request that its worker handed back unstarted; its retry's timer has just gone off, and the turn that
-    this asks for has not come. Gives the worker's end."""
+def run_until_retry(harness, client):
+    """Run a request that its worker returns unstarted, until the timer of the retry has fired.
+
+    The exchange's turn for the retry has not run yet. Returns the worker's end.
+    """
     client.send(message("r0"))
     harness.turn()
     dispatcher = harness.dispatcher
@@ -216,13 +217,13 @@
     return end
 
 
-@pytest.mark.parametrize("read", ["in its turn", "after it"])
-def test_a_departure_in_the_turn_of_a_retrys_timer_sends_nothing(harness, read):
-    """The close is read in the turn of the timer, or lies in the socket when the retry is written."""
+@pytest.mark.parametrize("close_read", ["before the retry", "after the retry"])
+def test_disconnection_when_the_retry_timer_fires_sends_nothing(harness, close_read):
+    """The close is read before the exchange's turn, or is unread in the socket during it."""
     client = SocketClient(harness)
-    end = until_the_retry(harness, client)
+    end = run_until_retry(harness, client)
     client.sock.close()
-    if read == "in its turn":
+    if close_read == "before the retry":
         harness.loop.call_soon(harness.loop.stop)
         harness.loop.run_forever()
     harness.dispatcher.settle()
@@ -233,17 +234,17 @@
     assert not harness.dispatcher.exchange.unanswered
 
 
-def test_the_retry_of_a_client_that_stays_is_sent_at_that_moment(harness):
-    """Or the test before would show nothing."""
+def test_retry_for_a_connected_client_is_sent_when_its_timer_fires(harness):
+    """The counterpart of the previous test, which would otherwise also pass if no retry were ever sent."""
     client = SocketClient(harness)
-    end = until_the_retry(harness, client)
+    end = run_until_retry(harness, client)
     harness.dispatcher.settle()
     assert end.take() == ["r0"]
     assert client.open
 
 
-def test_a_request_behind_another_is_not_sent_for_a_client_that_has_left_both(harness):
-    """The first one's answer and the close come in one poll."""
+def test_pipelined_request_is_not_sent_after_the_client_disconnects(harness):
+    """The response to the first request and the client's close arrive in the same poll."""
     client = SocketClient(harness)
     client.send(message("r0") + message("r1"))
     harness.turn()
@@ -257,7 +258,7 @@
     assert not harness.dispatcher.exchange.unanswered
 
 
-def test_a_hedged_request_is_not_begun_for_a_client_that_has_left():
+def test_hedged_attempt_is_not_written_after_the_client_disconnects():
     harness = ListenerHarness(site=replace(SITE, hedging_allowed=True, progress_interval_ms=100.0), workers=2)
     client = SocketClient(harness)
     client.send(message("r0"))
