--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -1,4 +1,4 @@
-"""Closing: bytes that cross it take no answer along, and nothing that is read after it is sent on."""
+"""Closing connections: no reset discards a response, and no request read after the close is forwarded."""
 
 import asyncio
 
@@ -21,18 +21,18 @@
 from eiderfield.net.wheel import TICK_MS
 from eiderfield.program.program import Program
 
-KEPT = IdleSettings(idle_timeout=60_000.0)  # nobody is parked
+UNPARKED = IdleSettings(idle_timeout=60_000.0)  # no connection is parked
 
 
 @pytest.fixture
 def harness():
-    harness = ListenerHarness(KEPT)
+    harness = ListenerHarness(UNPARKED)
     yield harness
     harness.close()
 
 
-def served(harness, id_="r0"):
-    """A client whose answer has left and is not read by it yet."""
+def client_with_unread_response(harness, id_="r0"):
+    """Return a client whose response has been written and that has not read it yet."""
     client = SocketClient(harness)
     client.send(message(id_))
     harness.turn()
@@ -40,36 +40,34 @@
     return client
 
 
-def rest(client):
-    """All that comes until the end; raises `ConnectionResetError` where that is a reset."""
+def read_to_end(client):
+    """Read until the connection is closed; raises `ConnectionResetError` if it is reset."""
     data = b""
     while more := client.sock.recv(65536):
         data += more
     return data
 
 
-@pytest.mark.parametrize(
-    "why", ["the program ends", "it has idled for too long", "new settings let it idle no more"]
-)
-def test_a_request_that_crosses_a_close_resets_nothing_and_is_not_sent_on(harness, why):
-    """Looked at for unread bytes, closed in the loop's next turn: a request in between made the close a
-    reset, which took the last answer along where the client had not read it yet."""
-    client = served(harness)
-    if why == "the program ends":
+@pytest.mark.parametrize("cause", ["shutdown", "idle timeout", "shorter idle timeout"])
+def test_request_that_arrives_during_a_close_causes_no_reset_and_is_not_forwarded(harness, cause):
+    """A request may arrive between the check for unread bytes and the close in the loop's next turn. The
+    close would then be a reset, which discards the last response if the client has not read it yet."""
+    client = client_with_unread_response(harness)
+    if cause == "shutdown":
         harness.listener.keep_alive_disabled = True
         harness.listener.close_idle()
-    elif why == "new settings let it idle no more":
+    elif cause == "shorter idle timeout":
         harness.dispatcher.now += 5000.0
         harness.listener.set_idle_limits(IdleSettings(idle_timeout=1000.0))
         harness.listener.set_admission(harness.admission.settings)
         harness.dispatcher.wheel.advance(harness.dispatcher.now)
     else:
         [connection] = harness.listener.open_connections
-        harness.dispatcher.now += KEPT.idle_timeout
+        harness.dispatcher.now += UNPARKED.idle_timeout
         connection.time_limit_reached()
-    client.send(message("r1"))  # after the look, before the loop's next turn
+    client.send(message("r1"))  # after the check for unread bytes, before the loop's next turn
     harness.turn()
-    assert rest(client).startswith(b"HTTP/1.1 200 ")
+    assert read_to_end(client).startswith(b"HTTP/1.1 200 ")
     assert not harness.dispatcher.exchange.unanswered
     assert [end.came for end in harness.dispatcher.ends] == [["r0"]]
     assert harness.listener.figures()["discarded"] == 1
@@ -78,18 +76,18 @@
     assert not harness.listener.open_connections, "the client's own close ends it"
 
 
-@pytest.mark.parametrize("why", ["idle", "make room", "end", "crowded"])
-def test_a_request_that_has_come_keeps_a_parked_connection_whatever_was_to_end_it(why):
-    """It lies in the socket, and the loop has not told of it yet."""
+@pytest.mark.parametrize("cause", ["idle timeout", "eviction", "shutdown", "shorter idle timeout"])
+def test_parked_connection_with_an_unread_request_is_not_closed(cause):
+    """The request is in the socket, and the loop has not reported it yet."""
     harness = ListenerHarness(IDLING, most=1)
     [client] = harness.parked()
     client.send(message("late"))
-    if why == "idle":
+    if cause == "idle timeout":
         harness.dispatcher.now += IDLING.idle_timeout + 2000.0
         harness.listener.parking.expire()
-    elif why == "make room":
+    elif cause == "eviction":
         assert not harness.listener.ensure_capacity()
-    elif why == "end":
+    elif cause == "shutdown":
         harness.listener.keep_alive_disabled = True
         harness.listener.close_idle()
     else:
@@ -102,25 +100,25 @@
     harness.close()
 
 
-def test_who_neither_reads_nor_closes_is_closed_after_the_lingering(harness):
-    client = served(harness)
+def test_client_that_neither_reads_nor_closes_is_closed_after_the_linger_time(harness):
+    client = client_with_unread_response(harness)
     harness.listener.close_idle()
     harness.turn()
     assert harness.listener.open_connections
     harness.pass_time(LINGER_TIME_MS + 2 * TICK_MS)
     assert not harness.listener.open_connections
-    assert rest(client).startswith(b"HTTP/1.1 200 ")
+    assert read_to_end(client).startswith(b"HTTP/1.1 200 ")
 
 
-def test_a_last_answer_that_is_on_its_way_gives_way_to_nobody_for_a_while():
-    """A full harness closed first who was being told why it may not stay."""
-    harness = ListenerHarness(KEPT, most=1)
+def test_lingering_connection_with_undelivered_response_is_not_evicted_within_the_grace_time():
+    """At full capacity, clients that had just been sent an error response were evicted first and lost it."""
+    harness = ListenerHarness(UNPARKED, most=1)
     client = SocketClient(harness)
     client.send(b"POST /none HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
     harness.turn()
     [connection] = harness.listener.open_connections
     assert connection.phase == Phase.LINGERING
-    assert not harness.listener.ensure_capacity(), "its answer has not arrived"
+    assert not harness.listener.ensure_capacity(), "its response is not delivered yet"
     harness.pass_time(EVICTION_GRACE_MS + 2 * TICK_MS)
     assert harness.listener.ensure_capacity()
     harness.turn()
@@ -128,11 +126,11 @@
     harness.close()
 
 
-def test_an_idle_connection_whose_answer_is_on_its_way_gives_way_to_nobody_for_a_while():
-    """Closed at once, with a request that crosses the close it is a reset, which takes the answer along."""
-    harness = ListenerHarness(KEPT, most=1)
-    client = served(harness)
-    assert not harness.listener.ensure_capacity(), "its answer has not arrived"
+def test_idle_connection_with_undelivered_response_is_not_evicted_within_the_grace_time():
+    """If a request arrives during an immediate close, the close is a reset, which discards the response."""
+    harness = ListenerHarness(UNPARKED, most=1)
+    client = client_with_unread_response(harness)
+    assert not harness.listener.ensure_capacity(), "its response is not delivered yet"
     assert client.statuses() == [200]
     assert harness.listener.ensure_capacity()
     harness.turn()
@@ -140,37 +138,37 @@
     harness.close()
 
 
-def test_an_idle_connection_that_never_reads_its_answer_gives_way_after_a_while():
-    harness = ListenerHarness(KEPT, most=1)
-    client = served(harness)
+def test_idle_connection_that_never_reads_its_response_is_evicted_after_the_grace_time():
+    harness = ListenerHarness(UNPARKED, most=1)
+    client = client_with_unread_response(harness)
     harness.pass_time(EVICTION_GRACE_MS + 2 * TICK_MS)
     assert harness.listener.ensure_capacity()
     client.sock.close()
     harness.close()
 
 
-@pytest.mark.parametrize("rest_comes", [False, True])
-def test_a_half_sent_request_whose_rest_lies_in_the_socket_does_not_give_way(rest_comes):
-    """A full harness closed it after half a second without a look, and what had been read had no answer."""
-    harness = ListenerHarness(KEPT, most=1)
+@pytest.mark.parametrize("rest_sent", [False, True])
+def test_incomplete_request_whose_rest_is_unread_in_the_socket_is_not_evicted(rest_sent):
+    """At full capacity it was evicted after 0.5 s without a check for unread bytes, and had no response."""
+    harness = ListenerHarness(UNPARKED, most=1)
     client = SocketClient(harness)
     whole = message("r0")
     client.send(whole[:20])
     harness.turn()
     harness.pass_time(EVICTION_GRACE_MS + 2 * TICK_MS)
-    if rest_comes:
+    if rest_sent:
         client.send(whole[20:])  # the loop has not read it yet
-    assert harness.listener.ensure_capacity() is not rest_comes
+    assert harness.listener.ensure_capacity() is not rest_sent
     harness.turn()
     harness.work()
-    assert client.statuses() == ([200] if rest_comes else [])
+    assert client.statuses() == ([200] if rest_sent else [])
     client.sock.close()
     harness.turn()
     harness.close()
 
 
-def test_a_lingering_connection_whose_answer_has_arrived_gives_way_at_once():
-    harness = ListenerHarness(KEPT, most=1)
+def test_lingering_connection_with_delivered_response_is_evicted_at_once():
+    harness = ListenerHarness(UNPARKED, most=1)
     client = SocketClient(harness)
     client.send(b"POST /none HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
     harness.turn()
@@ -179,22 +177,22 @@
     harness.close()
 
 
-def test_parked_connections_are_closed_as_others_are():
+def test_close_idle_closes_parked_connections():
     harness = ListenerHarness(IDLING)
     [client] = harness.parked()
     harness.listener.keep_alive_disabled = True
     harness.listener.close_idle()
     client.sock.settimeout(0)
     harness.turn()
-    assert rest(client) == b""
+    assert read_to_end(client) == b""
     assert not harness.listener.connections
     harness.close()
 
 
 @pytest.mark.parametrize("longest", [50.0, 200.0, 500.0, 1000.0, 2000.0, 3000.0, 12_000.0, 600_000.0])
-def test_whatever_the_deadlines_are_all_is_answered_before_a_kill_may_come(longest):
-    """SIGKILL follows SIGTERM after the longest deadline, 3 s at the most, and 0.7 s: the times of the end
-    were those of deadlines of 3 s and more, whatever the settings said."""
+def test_shutdown_times_end_before_a_kill_for_any_deadline(longest):
+    """SIGKILL follows SIGTERM after the longest deadline (at most 3 s) plus 0.7 s. The timetable ignored the
+    settings and was always that of deadlines of 3 s and more."""
     end = ShutdownTimes.of(longest)
     kill = min(longest, MAX_DEADLINE_MS) + KILL_DELAY_MS
     assert 0.0 < end.close_listeners_after <= end.disable_keep_alive_after < end.answered_after < kill
@@ -204,8 +202,8 @@
         assert end == ShutdownTimes(700.0, 1500.0, 3200.0)
 
 
-class Port:
-    """A listener of which somebody waits for room."""
+class FakeListener:
+    """A listener with clients in its backlog for whom there is no capacity."""
 
     def __init__(self):
         self.has_waiting_clients, self.closed, self.connections, self.response_deadline = True, False, 1, None
@@ -215,20 +213,20 @@
 
 
 @pytest.mark.parametrize("ending", [False, True])
-def test_a_port_stays_open_while_somebody_waits_behind_a_full_house(ending):
-    """Closed, it resets who is connected and was not taken for want of room. Once clients were sent away, and
-    the program is about to end, it closes all the same."""
+def test_listener_at_full_capacity_stays_open_while_clients_wait_in_its_backlog(ending):
+    """Closing it would reset the clients in the backlog. It is closed nevertheless after keep-alive has been
+    disabled, as the program is about to end."""
     config = read(program_config(free_port(), "127.0.0.1:9", known=endpoint_list(8080)), {})
     loop = asyncio.new_event_loop()
     program = Program(config, loop, lambda: 1e6)
-    full, other = Port(), Port()
+    full, other = FakeListener(), FakeListener()
     other.has_waiting_clients = False
     shutdown = program.shutdown
     shutdown._listeners = [full, other]
     shutdown._ending = ending
     shutdown.close_listeners(5.0)
     assert full.response_deadline == other.response_deadline == 5.0, (
-        "what comes from now on is answered by then"
+        "requests that arrive from now on are answered by then"
     )
     assert full.closed == other.closed == ending
     full.has_waiting_clients = False
@@ -238,21 +236,21 @@
     loop.close()
 
 
-def test_a_full_house_with_somebody_at_the_port_is_waited_for():
-    harness = ListenerHarness(KEPT, most=1)
-    client = served(harness)
-    assert not harness.listener.has_waiting_clients, "nobody is there"
+def test_has_waiting_clients_at_full_capacity_is_true_until_a_connection_closes():
+    harness = ListenerHarness(UNPARKED, most=1)
+    client = client_with_unread_response(harness)
+    assert not harness.listener.has_waiting_clients, "the backlog is empty"
     harness.listener.acceptor.listening_socket.waiting.append(None)
     assert harness.listener.has_waiting_clients
     client.sock.close()
     harness.turn()
-    assert not harness.listener.has_waiting_clients, "there is room"
+    assert not harness.listener.has_waiting_clients, "there is capacity"
     harness.listener.acceptor.listening_socket.waiting.clear()
     harness.close()
 
 
 class FailingFront:
-    """A front that fails for one kind of message and answers the others."""
+    """A front that raises for POST and answers other requests."""
 
     def handle_message(self, _listener, connection, head, _body):
         if head.method == "POST":
@@ -260,8 +258,8 @@
         connection.answer(200, b"well\n")
 
 
-def test_a_request_whose_front_fails_has_its_answer_and_the_fault_is_reported(harness):
-    """The error closed the connection: what had been read had no answer."""
+def test_request_whose_front_raises_is_answered_500_and_the_error_is_reported(harness):
+    """Raised to asyncio, the error would close the connection, and the request would have no response."""
     faults = []
     harness.loop.set_exception_handler(lambda _, context: faults.append(context["exception"]))
     harness.listener.front = FailingFront()
@@ -271,7 +269,7 @@
     assert client.statuses() == [500]
     assert [str(fault) for fault in faults] == ["no"]
     harness.turn()
-    assert not client.open, "it was the last answer"
+    assert not client.open, "an error response is the last one"
     other = SocketClient(harness)
     other.send(b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
     harness.turn()
