--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -1,4 +1,4 @@
-"""One small test for each way in which a client can be rude; the usual clients must not suffer."""
+"""Misbehaving clients: one test for each kind of misbehaviour. Well-behaved clients must not be affected."""
 
 import errno
 from dataclasses import replace
@@ -12,40 +12,40 @@
 from eiderfield.net.clients.connection import EVICTION_GRACE_MS, LINGER_TIME_MS, MAX_DISCARDED_BYTES
 from eiderfield.net.wheel import TICK_MS, Wheel
 
-OWED = 3000.0  # ms from connecting within which a rude client must have an error or a close
+ERROR_DEADLINE_MS = 3000.0  # from connecting; a misbehaving client must have an error or a close by then
 
 
-def served(dispatcher, client, id_="r0"):
-    """Lets a client be a usual one: it has had a job served."""
+def serve_one_request(dispatcher, client, id_="r0"):
+    """Serve one request of a client, which makes its connection a proven one; return the client."""
     client.post(id_=id_)
     (dispatcher.dials[0].up() if dispatcher.dials else dispatcher.ends[-1]).finish()
     assert client.answers()[0][0] == 200
     return client
 
 
-def test_a_new_connection_that_says_nothing_is_closed_and_a_usual_client_may_idle():
+def test_new_connection_without_a_request_is_closed_and_a_proven_one_may_idle():
     dispatcher = InMemoryDispatcher()
-    silent, usual = Client(dispatcher), served(dispatcher, Client(dispatcher))
-    dispatcher.advance(OWED)
+    silent, proven = Client(dispatcher), serve_one_request(dispatcher, Client(dispatcher))
+    dispatcher.advance(ERROR_DEADLINE_MS)
     assert not silent.pipe.open
     assert not silent.answers()
-    assert usual.pipe.open
+    assert proven.pipe.open
     dispatcher.advance(IDLE_TIMEOUT_MS)
-    assert not usual.pipe.open
+    assert not proven.pipe.open
 
 
-def test_dripped_bytes_extend_nothing():
+def test_message_sent_byte_by_byte_is_ended_at_its_time_limit():
     dispatcher = InMemoryDispatcher()
     client = Client(dispatcher)
     for _ in range(30):
         client.send(b"x")
-        dispatcher.advance(OWED / 30)
+        dispatcher.advance(ERROR_DEADLINE_MS / 30)
     assert client.answers()[0][0] == 408
 
 
-def test_a_usual_client_has_the_same_time_for_each_message():
+def test_proven_connection_has_the_same_time_limit_for_each_message():
     dispatcher = InMemoryDispatcher()
-    client = served(dispatcher, Client(dispatcher))
+    client = serve_one_request(dispatcher, Client(dispatcher))
     dispatcher.advance(60_000.0)
     client.send(b"POST /safe/a HTTP/1.1\r\n")
     dispatcher.advance(MESSAGE_TIMEOUT_MS / 2)
@@ -55,7 +55,7 @@
     assert client.answers()[0][0] == 408
 
 
-def test_who_sends_what_cannot_be_taken_keeps_no_descriptor():
+def test_rejected_message_closes_its_connection():
     dispatcher = InMemoryDispatcher()
     client = Client(dispatcher)
     client.send(b"POST /none HTTP/1.1\r\n\r\nPOST /safe/a HTTP/1.1\r\nX-Request-Id: r1\r\n\r\n")
@@ -65,7 +65,7 @@
     assert not client.pipe.open
 
 
-def test_most_of_a_huge_body_stays_unread():
+def test_body_that_is_too_long_is_not_read_beyond_the_discard_limit():
     dispatcher = InMemoryDispatcher()
     client = Client(dispatcher)
     client.send(b"POST /safe/a HTTP/1.1\r\nX-Request-Id: r1\r\nContent-Length: 60000000\r\n\r\n")
@@ -78,39 +78,39 @@
     assert not client.pipe.open
 
 
-@pytest.mark.parametrize("leg", ["held", "out"])
-def test_the_id_of_an_open_job_is_not_taken_again(leg):
+@pytest.mark.parametrize("attempt", ["dialling", "sent"])
+def test_request_with_the_id_of_an_open_request_is_rejected(attempt):
     dispatcher = InMemoryDispatcher(workers=1)
     first, second = dispatcher.client(), Client(dispatcher)
-    end = dispatcher.dials[0].up() if leg == "out" else None
+    end = dispatcher.dials[0].up() if attempt == "sent" else None
     second.post(body=b"another")
     assert second.answers()[0][0] == 409
     end = end or dispatcher.dials[0].up()
     assert end.take() == ["r1"]
-    second.pipe.break_off()  # which must not withdraw the first one
+    second.pipe.break_off()  # this must not cancel the first request
     end.finish()
     assert first.answers()[0][0] == 200
     first.post()
-    assert end.take() == ["r1"], "an id is free again once its job is over"
+    assert end.take() == ["r1"], "an id may be used again after its request has ended"
 
 
-def test_an_id_stays_taken_while_a_leg_of_an_answered_job_is_out():
+def test_request_with_the_id_of_an_answered_request_with_an_open_attempt_is_rejected():
     dispatcher = InMemoryDispatcher(site=replace(SITE, cancellation_allowed=False), workers=1)
     client = dispatcher.client(path="/unsafe/a", wait=100)
     dispatcher.dials[0].up().take()
-    [job] = dispatcher.exchange.pending_requests.values()
-    job.attempts[0].timer.cancel()  # its leg outlives the job
+    [request] = dispatcher.exchange.pending_requests.values()
+    request.attempts[0].timer.cancel()  # the attempt stays open after the request is answered
     dispatcher.advance(110.0)
     assert client.answers()[0][0] == 502
-    assert job.attempts[0].open
+    assert request.attempts[0].open
     client.post()
     assert client.answers()[0][0] == 409
 
 
 @pytest.mark.parametrize("path", ["/safe/a", "/unsafe/a"])
 @pytest.mark.parametrize("status", [400, 404, 413])
-def test_a_job_that_a_worker_cannot_use_is_rejected_at_once(path, status):
-    """Sent on, it would waste every worker's time, and its errors would speak against healthy workers."""
+def test_request_that_a_worker_rejects_as_invalid_is_rejected_without_retry(path, status):
+    """Retried, it would occupy each worker in turn, and its errors would count against healthy workers."""
     dispatcher = InMemoryDispatcher(workers=2)
     client = dispatcher.client(path=path)
     end = dispatcher.dials[0].up()
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("status", [408, 429])
-def test_a_workers_word_about_time_or_load_does_not_reject_the_job(status):
+def test_request_that_a_worker_answers_with_a_timeout_or_overload_status_is_not_rejected(status):
     dispatcher = InMemoryDispatcher(workers=2)
     client = dispatcher.client()
     dispatcher.dials[0].up().status(status)
@@ -133,7 +133,7 @@
 @pytest.mark.parametrize(
     "extras", ["slots=-1", "memory=-0.5", "slots=1e300", "memory=nan", "slots=1,slots", "slots=\xff"]
 )
-def test_needs_that_no_worker_meets_are_rejected_before_a_leg(extras):
+def test_request_with_invalid_resource_needs_is_rejected_before_an_attempt(extras):
     dispatcher = InMemoryDispatcher()
     client = Client(dispatcher)
     client.post(X_Extras=extras)
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize(
     "headers", [{"id_": "a b"}, {"id_": "\xe9"}, {"id_": "x" * 300}, {"Idempotency_Key": "a\tb"}]
 )
-def test_ids_that_are_no_plain_words_are_rejected(headers):
+def test_request_with_a_malformed_id_is_rejected(headers):
     dispatcher = InMemoryDispatcher()
     client = Client(dispatcher)
     headers = {"Idempotency_Key": "k", **headers}
@@ -154,7 +154,7 @@
     assert not dispatcher.dials
 
 
-def test_a_client_that_does_not_read_is_not_read_either():
+def test_reading_pauses_while_the_client_does_not_read_responses():
     dispatcher = InMemoryDispatcher()
     client = Client(dispatcher)
     client.pipe.stuck = True
@@ -166,7 +166,7 @@
     assert len(client.answers()) == 9
 
 
-def test_a_client_that_never_reads_its_last_answer_keeps_no_descriptor():
+def test_client_that_never_reads_its_last_response_is_closed_after_the_linger_time():
     dispatcher = InMemoryDispatcher()
     client = Client(dispatcher)
     client.pipe.stuck = True
@@ -177,8 +177,8 @@
     assert not client.pipe.open
 
 
-def test_a_connection_that_gave_way_before_it_was_up_is_closed_when_it_comes_up():
-    """Its descriptor leaked, until none was left and accepting failed on and on."""
+def test_connection_evicted_before_it_has_a_transport_is_closed_when_it_gets_one():
+    """Otherwise its descriptor leaks, until none is left and every accept fails."""
     dispatcher = InMemoryDispatcher(most=1)
     connection = ClientConnection(dispatcher.listener)
     dispatcher.listener.open_connections.add(connection)
@@ -190,27 +190,27 @@
     assert not pipe.open
 
 
-def test_who_has_proved_nothing_gives_way_before_an_idle_usual_client():
+def test_unproven_connections_are_evicted_before_idle_proven_ones():
     dispatcher = InMemoryDispatcher(most=3)
-    usual = served(dispatcher, Client(dispatcher))
-    silent, half = Client(dispatcher), Client(dispatcher)
-    half.send(b"POST /safe")
+    proven = serve_one_request(dispatcher, Client(dispatcher))
+    silent, slow = Client(dispatcher), Client(dispatcher)
+    slow.send(b"POST /safe")
     assert dispatcher.listener.ensure_capacity()
     assert not silent.pipe.open
-    assert usual.pipe.open
+    assert proven.pipe.open
     dispatcher.advance(EVICTION_GRACE_MS)
     busy = dispatcher.client(id_="r7")
     assert dispatcher.listener.ensure_capacity()
-    assert not half.pipe.open
-    assert usual.pipe.open
+    assert not slow.pipe.open
+    assert proven.pipe.open
     Client(dispatcher).post(id_="r8")
     assert dispatcher.listener.ensure_capacity()
-    assert not usual.pipe.open
+    assert not proven.pipe.open
     assert busy.pipe.open
 
 
-class Loop:
-    """The loop's part in accepting."""
+class FakeLoop:
+    """An event loop that records whether the listening socket is watched, and the tasks created."""
 
     def __init__(self):
         self.reading = True
@@ -231,14 +231,14 @@
         pass
 
 
-class Port:
-    """A port with so many in its backlog, or one that fails."""
+class FakeListeningSocket:
+    """A listening socket with `waiting` connections in its backlog, or whose accept fails with `fault`."""
 
     def __init__(self, waiting=0, fault=None):
-        self.waiting, self.fault, self.asked = waiting, fault, 0
+        self.waiting, self.fault, self.accept_calls = waiting, fault, 0
 
     def accept(self):
-        self.asked += 1
+        self.accept_calls += 1
         if self.fault is not None:
             raise OSError(self.fault, "no")
         if not self.waiting:
@@ -253,21 +253,21 @@
         return -1
 
 
-def test_a_lack_of_descriptors_does_not_spin_the_loop():
+def test_accept_without_free_descriptors_pauses_accepting():
     dispatcher = InMemoryDispatcher()
-    loop, listener = Loop(), Port(fault=errno.EMFILE)
+    loop, listener = FakeLoop(), FakeListeningSocket(fault=errno.EMFILE)
     dispatcher.listener.adopt(loop, listener)
     dispatcher.listener.acceptor.accept()
-    assert listener.asked == 1
+    assert listener.accept_calls == 1
     assert not loop.reading
     dispatcher.advance(ACCEPT_RETRY_MS + TICK_MS)
     assert loop.reading
 
 
-def test_a_burst_of_connections_is_taken_in_turns_and_a_full_house_waits():
+def test_accept_takes_a_bounded_number_per_turn_and_pauses_at_full_capacity():
     dispatcher = InMemoryDispatcher(most=ACCEPTED_PER_TURN + 2)
-    loop = Loop()
-    dispatcher.listener.adopt(loop, Port(waiting=500))
+    loop = FakeLoop()
+    dispatcher.listener.adopt(loop, FakeListeningSocket(waiting=500))
     dispatcher.listener.acceptor.client_waits_in_backlog = lambda: True
     busy = [dispatcher.client(id_=f"r{n}") for n in range(2)]
     dispatcher.listener.acceptor.accept()
@@ -283,19 +283,19 @@
     assert loop.reading
 
 
-def test_only_a_timer_earlier_than_all_asks_the_loop_for_another_time():
-    asked = []
-    wheel = Wheel(0.0, changed=lambda: asked.append(1))
+def test_wheel_calls_changed_only_for_a_timer_earlier_than_all_others():
+    calls = []
+    wheel = Wheel(0.0, changed=lambda: calls.append(1))
     wheel.at(100.0, list)
     wheel.next_at()
     wheel.at(200.0, list)
-    assert len(asked) == 1
+    assert len(calls) == 1
     wheel.at(50.0, list)
-    assert len(asked) == 2
+    assert len(calls) == 2
 
 
-def test_who_writes_slowly_gives_way_after_who_has_stopped_writing():
-    """In a crowd of half-written requests those that still come in were closed on, being the oldest."""
+def test_slow_sender_is_evicted_after_one_that_has_stopped_sending():
+    """Among many incomplete requests, the oldest were evicted first, even if they were still arriving."""
     dispatcher = InMemoryDispatcher(most=2)
     slow, stopped = Client(dispatcher), Client(dispatcher)
     for client in (slow, stopped):
@@ -307,18 +307,21 @@
     assert not stopped.pipe.open
     other = Client(dispatcher)
     other.send(b"POST")
-    assert not dispatcher.listener.ensure_capacity(), "what has just come in is not given up for want of room"
+    assert not dispatcher.listener.ensure_capacity(), "a message whose bytes have just arrived is not evicted"
     assert slow.pipe.open
     assert other.pipe.open
     dispatcher.advance(MESSAGE_TIMEOUT_MS - EVICTION_GRACE_MS - 100.0)
     slow.send(b"X-Request-Id: r1\r\n\r\n")
-    assert dispatcher.dials, "a job may take that long to come in"
+    assert dispatcher.dials, "a request may take that long to arrive"
 
 
-def half_behind_a_request(dispatcher, after):
-    """A usual client that sends half a message while its request is at a worker; the worker's end."""
-    client = served(dispatcher, Client(dispatcher))
-    client.post(id_="r1", path="/unsafe/a")  # at one worker alone, however long it takes
+def incomplete_message_behind_request(dispatcher, after):
+    """Let a proven client send an incomplete message while its request is at a worker.
+
+    Returns the client and the worker's end.
+    """
+    client = serve_one_request(dispatcher, Client(dispatcher))
+    client.post(id_="r1", path="/unsafe/a")  # unsafe: it is not retried or hedged at another worker
     [end] = dispatcher.ends
     dispatcher.advance(after)
     client.send(b"POST /safe/a HTTP/1.1\r\nX-Request")
@@ -326,30 +329,30 @@
 
 
 @pytest.mark.parametrize("answered_after", [0.0, 1000.0, 2500.0])
-def test_half_a_message_behind_a_request_has_its_time_from_its_first_byte(answered_after):
-    """It had the whole time from the answer before: 408 came up to 5 s after the client had stopped."""
+def test_time_limit_of_a_pipelined_message_counts_from_its_first_byte(answered_after):
+    """Counted from the previous response, it let 408 come up to 5 s after the client had stopped sending."""
     dispatcher = InMemoryDispatcher()
-    client, end = half_behind_a_request(dispatcher, 500.0)
+    client, end = incomplete_message_behind_request(dispatcher, 500.0)
     dispatcher.advance(answered_after)
     end.finish()
     assert [status for status, *_ in client.answers()] == [200]
-    dispatcher.advance(OWED - answered_after)
+    dispatcher.advance(ERROR_DEADLINE_MS - answered_after)
     assert [status for status, *_ in client.answers()] == [408]
 
 
-def test_half_a_message_behind_a_request_that_takes_long_may_be_completed_in_the_moment_of_its_answer():
+def test_pipelined_message_past_its_time_limit_may_be_completed_when_the_previous_response_is_written():
     dispatcher = InMemoryDispatcher()
-    client, end = half_behind_a_request(dispatcher, 0.0)
+    client, end = incomplete_message_behind_request(dispatcher, 0.0)
     dispatcher.advance(4000.0)
     end.finish()
     client.send(b"-Id: r2\r\nContent-Length: 0\r\n\r\n")
     assert [status for status, *_ in client.answers()] == [200]
-    assert dispatcher.exchange.has_request("r2"), "taken"
+    assert dispatcher.exchange.has_request("r2"), "accepted"
 
 
-def test_each_of_several_messages_behind_one_another_has_its_own_time():
+def test_each_pipelined_message_has_its_own_time_limit():
     dispatcher = InMemoryDispatcher()
-    client = served(dispatcher, Client(dispatcher))
+    client = serve_one_request(dispatcher, Client(dispatcher))
     [end] = dispatcher.ends
     client.post(id_="r1", path="/unsafe/a")
     client.send(b"GET /ready HTTP/1.1\r\n\r\n")
@@ -357,17 +360,17 @@
     client.send(b"POST /safe/a HTTP/1.1\r\n")
     dispatcher.advance(500.0)
     end.finish()
-    assert [status for status, *_ in client.answers()] == [200, 503], "it is not ready, for no port is open"
+    assert [status for status, *_ in client.answers()] == [200, 503], "not ready: no listening socket is open"
     dispatcher.advance(MESSAGE_TIMEOUT_MS - 600.0)
-    assert not client.answers(), "its first byte came 2 s after those of the one before"
+    assert not client.answers(), "its first byte arrived 2 s after the previous message"
     client.send(b"X-Request-Id: r3\r\nContent-Length: 0\r\n\r\n")
     assert dispatcher.exchange.has_request("r3")
 
 
-def test_bytes_that_wait_behind_a_pause_count_from_its_end():
-    """Reading stands still with 16 KiB of further messages: the client could not send the rest."""
+def test_time_limit_of_bytes_received_before_a_pause_counts_from_its_end():
+    """Reading pauses after 16 KiB of pipelined messages, and the client cannot send the rest meanwhile."""
     dispatcher = InMemoryDispatcher()
-    client = served(dispatcher, Client(dispatcher))
+    client = serve_one_request(dispatcher, Client(dispatcher))
     [end] = dispatcher.ends
     client.post(id_="r1", path="/unsafe/a")
     client.send(b"POST /safe/a HTTP/1.1\r\nContent-Length: 20000\r\nX-Request-Id: r2\r\n\r\n" + b"x" * 17_000)
