--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -1,4 +1,4 @@
-"""Parked connections on real sockets and a loop that is turned by hand; the clock is the dispatcher's."""
+"""Parked connections on real sockets, with an event loop and a clock that the tests advance."""
 
 import errno
 import os
@@ -29,7 +29,7 @@
     harness.close()
 
 
-def test_a_quiet_connection_is_parked_and_its_next_job_finds_it_as_it_was(harness):
+def test_idle_connection_is_parked_and_its_next_request_is_served(harness):
     [client] = harness.parked()
     assert client.open
     assert harness.listener.connections == 1
@@ -40,7 +40,7 @@
     assert client.ask("r3") == [200]
 
 
-def test_two_messages_at_once_after_an_hour_are_both_answered():
+def test_two_messages_at_once_on_a_connection_parked_for_an_hour_are_both_answered():
     harness = ListenerHarness(replace(IDLING, idle_timeout=7_200_000.0))
     [client] = harness.parked()
     harness.pass_time(3_600_000.0)
@@ -52,7 +52,7 @@
     harness.close()
 
 
-def test_a_new_connection_and_a_half_read_message_are_never_parked(harness):
+def test_connection_without_a_request_or_with_an_incomplete_message_is_not_parked(harness):
     silent, half = SocketClient(harness), SocketClient(harness)
     assert half.ask("r1") == [200]
     half.send(b"POST /safe")
@@ -64,17 +64,17 @@
     assert not silent.open
 
 
-def test_a_message_that_begins_at_the_moment_of_parking_is_not_missed(harness):
-    """The poll set tells levels: what came before the descriptor was in it is told of all the same."""
+def test_message_that_arrives_before_or_during_parking_is_answered(harness):
+    """The poll set is level-triggered: it reports bytes that arrived before the descriptor was added."""
     client = SocketClient(harness)
     assert client.ask("r1") == [200]
     [connection] = harness.listener.open_connections
-    client.send(message("r2"))  # unread, and the timer comes first
+    client.send(message("r2"))  # unread when the timer fires
     assert not connection.is_idle
     connection.time_limit_reached()
-    assert not harness.listener.parked, "something has come: it stays"
-    real, connection.__class__ = connection.__class__, type("Deaf", (ClientConnection,), {"is_idle": True})
-    connection.time_limit_reached()  # the same between the look for unread bytes and the parking
+    assert not harness.listener.parked, "it has unread bytes"
+    real, connection.__class__ = connection.__class__, type("Idle", (ClientConnection,), {"is_idle": True})
+    connection.time_limit_reached()  # as if the bytes arrived after the check for unread bytes
     connection.__class__ = real
     assert harness.listener.parked == 1
     harness.turn()
@@ -83,20 +83,18 @@
     assert not harness.listener.parked
 
 
-def test_a_message_that_begins_at_the_moment_of_expiry_is_answered(harness):
+def test_message_that_is_unread_at_expiry_is_answered(harness):
     [client] = harness.parked()
     client.send(message("r2"))
     harness.dispatcher.now += IDLING.idle_timeout + 2000.0
-    harness.dispatcher.wheel.advance(
-        harness.dispatcher.now
-    )  # the timer before the loop could tell of the bytes
+    harness.dispatcher.wheel.advance(harness.dispatcher.now)  # before the loop reports the bytes
     assert harness.listener.parked == 1
     harness.turn()
     harness.work()
     assert client.statuses() == [200]
 
 
-def test_what_has_begun_after_waking_has_the_time_of_a_message_and_no_more(harness):
+def test_message_begun_on_a_parked_connection_is_ended_at_its_time_limit(harness):
     [client] = harness.parked()
     harness.pass_time(30_000.0)
     client.send(b"POST /safe")
@@ -108,10 +106,10 @@
     assert not client.statuses()
     assert not harness.listener.parked
     harness.pass_time(100.0)
-    assert client.statuses() == [408], "a drip extends nothing"
+    assert client.statuses() == [408], "further bytes do not extend the limit"
 
 
-def test_an_idle_connection_ends_after_its_time_parked_or_not(harness):
+def test_parked_connection_is_closed_after_the_idle_timeout(harness):
     [client] = harness.parked()
     harness.pass_time(IDLING.idle_timeout - IDLING.park_after - 100.0)
     assert client.open
@@ -119,10 +117,10 @@
     assert not client.open
     assert not harness.listener.connections
     assert harness.listener.figures()["expired"] == 1
-    assert harness.dispatcher.wheel.next_at() == inf, "nothing wakes a program at rest"
+    assert harness.dispatcher.wheel.next_at() == inf, "no timer is left"
 
 
-def test_half_closed_reset_and_vanished_phones_cost_no_connection(harness):
+def test_parked_connections_that_clients_close_or_half_close_are_closed(harness):
     half, gone, message_and_end = harness.parked(3)
     half.sock.shutdown(socket.SHUT_WR)
     gone.sock.close()
@@ -135,7 +133,7 @@
     assert not harness.listener.connections
 
 
-def test_a_reset_on_tcp_is_closed_where_it_lies():
+def test_parked_tcp_connection_that_is_reset_is_closed_without_waking():
     harness = ListenerHarness()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client = socket.create_connection(listener.getsockname())
@@ -152,8 +150,8 @@
     harness.close()
 
 
-def test_a_phone_that_never_reads_is_not_parked_with_an_answer_unsent(harness):
-    """A parked connection has no buffer: what was not written yet would be lost."""
+def test_connection_with_unsent_bytes_is_not_parked(harness):
+    """A parked connection has no write buffer: bytes that are not written yet would be lost."""
     client = SocketClient(harness)
     assert client.ask("r1") == [200]
     [connection] = harness.listener.open_connections
@@ -164,7 +162,7 @@
     assert client.open
 
 
-def test_thousands_that_end_in_one_second_end_a_few_in_each_tick():
+def test_connections_that_expire_together_are_closed_a_bounded_number_per_tick():
     harness = ListenerHarness(most=1000)
     clients = harness.parked(3 * EXPIRED_PER_PASS)
     harness.pass_time(harness.listener.parking._expiry.tick * TICK_MS - harness.dispatcher.now - 1.0)
@@ -179,7 +177,7 @@
     harness.close()
 
 
-def test_thousands_that_wake_at_once_wake_a_few_in_each_turn():
+def test_connections_that_wake_together_are_resumed_a_bounded_number_per_turn():
     harness = ListenerHarness(most=1000)
     clients = harness.parked(3 * WOKEN_PER_POLL)
     for number, client in enumerate(clients):
@@ -191,11 +189,11 @@
         harness.work()
         harness.pass_time(5 * TICK_MS)
     answers = [client.statuses() for client in clients]
-    assert all(len(statuses) == 1 for statuses in answers), "none lost: one worker alone declines some"
+    assert all(len(statuses) == 1 for statuses in answers), "each is answered; a single worker declines some"
     harness.close()
 
 
-def test_a_new_idle_time_counts_for_those_that_are_parked(harness):
+def test_set_idle_limits_applies_to_parked_connections(harness):
     [client] = harness.parked()
     harness.listener.set_idle_limits(replace(IDLING, idle_timeout=3000.0))
     harness.pass_time(3100.0)
@@ -206,7 +204,7 @@
     assert client.open
 
 
-def test_parking_switched_off_keeps_who_is_parked_and_parks_nobody_more(harness):
+def test_set_idle_limits_without_parking_keeps_parked_connections_and_parks_no_more(harness):
     [client] = harness.parked()
     harness.listener.set_idle_limits(replace(IDLING, park_after=inf))
     assert client.ask("r2") == [200]
@@ -215,12 +213,12 @@
     assert client.open
 
 
-def test_in_a_full_house_the_longest_quiet_gives_way_and_who_has_just_spoken_never_does():
+def test_eviction_at_full_capacity_closes_the_longest_idle_connection_without_unread_bytes():
     harness = ListenerHarness(most=4)
     first, second = harness.parked(2)
     assert second.ask("again") == [200]
     harness.pass_time(IDLING.park_after + 2 * TICK_MS)
-    first.send(b"P")  # speaks at this very moment
+    first.send(b"P")  # unread, so it must not be evicted
     third, fourth = SocketClient(harness), SocketClient(harness)
     assert third.ask("t") == [200]
     assert fourth.ask("f") == [200]
@@ -230,8 +228,8 @@
     assert not second.open
 
 
-def test_a_clock_that_jumps_ends_only_whose_time_it_ended_and_runs_on(harness):
-    """The program's clock is a steady one, so it jumps forward only, as after a machine that slept."""
+def test_clock_that_jumps_forward_closes_only_expired_connections(harness):
+    """The program's clock is monotonic: it can only jump forward, as after a suspension of the machine."""
     clients = harness.parked(3)
     assert clients[0].ask("r") == [200]
     assert harness.listener.parked == 2
@@ -245,16 +243,16 @@
     assert harness.dispatcher.wheel.next_at() == inf
 
 
-def test_waking_needs_no_descriptor(harness, monkeypatch):
-    """With all of them taken, who is parked must still be served."""
+def test_resuming_a_parked_connection_needs_no_descriptor(harness, monkeypatch):
+    """Parked connections must be served even if the process has no free descriptor."""
     [client] = harness.parked()
 
-    def none(*_args, **_more):
+    def refuse(*_args, **_kwargs):
         raise OSError(errno.EMFILE, "too many open files")
 
     for name in ("dup", "open", "pipe"):
-        monkeypatch.setattr(os, name, none)
-    monkeypatch.setattr(socket.socket, "dup", none)
+        monkeypatch.setattr(os, name, refuse)
+    monkeypatch.setattr(socket.socket, "dup", refuse)
     before = len(harness.listener.open_connections)
     client.send(message("r2"))
     harness.turn()
@@ -264,8 +262,8 @@
     assert client.statuses() == [200]
 
 
-def test_nobody_gives_way_while_nobody_waits():
-    """After each newcomer to a full harness one more was closed, for whoever might come next."""
+def test_no_connection_is_evicted_while_the_backlog_is_empty():
+    """At full capacity, each accepted connection caused a second eviction, for a client that might follow."""
     harness = ListenerHarness(most=3)
     clients = harness.parked(3)
     newcomer = SocketClient(harness)
@@ -275,92 +273,92 @@
     harness.close()
 
 
-def test_no_room_in_the_poll_set_leaves_the_connection_as_it_was(harness, monkeypatch):
-    """The kernel bounds the watches of a user: past that, parking fails and nothing else may."""
+def test_connection_that_the_poll_set_refuses_stays_open_and_is_served(harness, monkeypatch):
+    """The kernel limits the epoll watches of a user. Beyond the limit only parking may fail."""
     client = SocketClient(harness)
     assert client.ask("r1") == [200]
 
-    def full(_self, _fd, _since, _mark=0):
+    def refuse(_self, _fd, _idle_since, _tag=0):
         raise OSError(28, "no space left on device")
 
-    monkeypatch.setattr(IdleConnections, "park", full)
+    monkeypatch.setattr(IdleConnections, "park", refuse)
     harness.pass_time(IDLING.park_after * 5)
     harness.turn()
     assert not harness.listener.parked
     assert client.ask("r2") == [200]
 
 
-def test_at_the_end_the_quiet_are_closed_and_who_speaks_is_answered(harness):
-    quiet, speaks = harness.parked(2)
-    speaks.send(message("last"))
+def test_close_idle_closes_parked_connections_without_unread_requests(harness):
+    quiet, active = harness.parked(2)
+    active.send(message("last"))
     harness.listener.keep_alive_disabled = True
     harness.listener.close_idle()
     assert not quiet.open
     assert harness.listener.connections == 1
     harness.turn()
     harness.work()
-    assert speaks.statuses() == [200]
+    assert active.statuses() == [200]
     harness.turn()
     harness.listener.close_idle()
 
 
-def test_parked_connections_pass_on_to_the_next_process_with_what_has_come(harness):
-    heir = ListenerHarness(loop=harness.loop)
-    quiet, speaks = harness.parked(2)
-    speaks.send(message("m"))
+def test_handover_of_parked_connections_includes_their_unread_bytes(harness):
+    new = ListenerHarness(loop=harness.loop)
+    quiet, active = harness.parked(2)
+    active.send(message("m"))
 
     def take(detach):
         if (detached := detach()) is None:
             return False
-        heir.listener.adopt_connection(socket.socket(fileno=detached.descriptor), detached.state)
+        new.listener.adopt_connection(socket.socket(fileno=detached.descriptor), detached.state)
         return True
 
     harness.listener.successor = take
     harness.listener.hand_over_batch()
     assert not harness.listener.connections
-    assert heir.listener.connections == 2
-    for client, id_ in ((quiet, "q"), (speaks, None)):
+    assert new.listener.connections == 2
+    for client, id_ in ((quiet, "q"), (active, None)):
         if id_ is not None:
             client.send(message(id_))
-        heir.turn()
-        heir.work()
+        new.turn()
+        new.work()
         assert client.statuses() == [200]
-    heir.listener.close()
+    new.listener.close()
 
 
-def test_a_head_that_passes_on_half_read_keeps_the_time_that_it_has_left(harness):
-    """It was given the time since the last answer as its start, and an hour later 408 at once."""
+def test_handover_of_an_incomplete_head_keeps_its_time_limit(harness):
+    """Its time counted from the last response, so after an hour the next process responded 408 at once."""
     client = SocketClient(harness)
     assert client.ask("r1") == [200]
     harness.pass_time(900.0)
     client.send(message("r2")[:20])
     harness.turn()
     [connection] = harness.listener.open_connections
-    harness.dispatcher.now += 30_000.0  # a dispatcher that stood still
+    harness.dispatcher.now += 30_000.0  # as if the process had been suspended
     connection._timer.started_at = harness.dispatcher.now - 100.0
     detached = connection.detach()
-    heir = ListenerHarness(loop=harness.loop)
-    heir.dispatcher.now = harness.dispatcher.now
-    heir.listener.adopt_connection(socket.socket(fileno=detached.descriptor), detached.state)
-    heir.turn()
-    heir.pass_time(MESSAGE_TIMEOUT_MS - 200.0)
+    new = ListenerHarness(loop=harness.loop)
+    new.dispatcher.now = harness.dispatcher.now
+    new.listener.adopt_connection(socket.socket(fileno=detached.descriptor), detached.state)
+    new.turn()
+    new.pass_time(MESSAGE_TIMEOUT_MS - 200.0)
     assert client.open
     assert not client.statuses()
     client.send(message("r2")[20:])
-    heir.turn()
-    heir.work()
+    new.turn()
+    new.work()
     assert client.statuses() == [200]
-    heir.listener.close()
+    new.listener.close()
 
 
-class Crowd(RuleBasedStateMachine):
-    """Random clients: each whole message is answered once, in whatever state its connection was; a connection
-    ends only when its time has ended or its client is done."""
+class RandomClients(RuleBasedStateMachine):
+    """Random clients: each complete message is answered once, whatever the state of its connection; a
+    connection is closed only at its time limit or by its client."""
 
     def __init__(self):
         super().__init__()
         self.harness = ListenerHarness()
-        self.clients = {}  # number -> client, ids sent and unanswered, bytes begun, time of its last word
+        self.clients = {}  # number -> client, responses due, unsent part of a message, last activity
         self.count = 0
 
     def pick(self, data):
@@ -375,11 +373,11 @@
 
     @precondition(lambda self: self.clients)
     @rule(data=st.data(), cut=st.integers(1, 90), turns=st.integers(0, 3))
-    def speak(self, data, cut, turns):
+    def send_part(self, data, cut, turns):
         number = self.pick(data)
         state = self.clients[number]
         if not state[1]:
-            self.judge(number)
+            self.check_responses(number)
             if number not in self.clients:
                 return
         client, _, begun, _ = state
@@ -391,56 +389,59 @@
         state[2] = begun[cut:]
         if not state[2]:
             state[1] += 1
-            state[3] = inf  # until it is answered
+            state[3] = inf  # not idle until it is answered
         self.harness.turn(turns)
 
     @precondition(lambda self: self.clients)
     @rule(data=st.data())
-    def hang_up(self, data):
+    def disconnect(self, data):
         client, *_ = self.clients.pop(self.pick(data))
         client.sock.close()
 
     @rule(span=st.sampled_from([1.0, 900.0, 1100.0, 2700.0, 30_000.0, 70_000.0]), turns=st.integers(0, 2))
     def wait(self, span, turns):
-        """Time passes, with or without the loop having seen what came before it."""
+        """Advance the clock, after the loop has or has not reported earlier bytes."""
         self.harness.turn(turns)
         self.harness.work()
-        self.answered()
+        self.check_all()
         self.harness.pass_time(span)
 
-    @rule(keep=st.sampled_from([LEAST_KEEP, 60_000.0, 600_000.0]), after=st.sampled_from([10.0, 1000.0, inf]))
-    def reload(self, keep, after):
-        self.harness.listener.set_idle_limits(IdleSettings(keep, after))
+    @rule(
+        timeout=st.sampled_from([LEAST_KEEP, 60_000.0, 600_000.0]),
+        park_after=st.sampled_from([10.0, 1000.0, inf]),
+    )
+    def reload(self, timeout, park_after):
+        self.harness.listener.set_idle_limits(IdleSettings(timeout, park_after))
 
     @rule()
-    def answered(self):
+    def check_all(self):
         self.harness.turn()
         self.harness.work()
         self.harness.work()
         for number in list(self.clients):
-            self.judge(number)
+            self.check_responses(number)
 
-    def judge(self, number):
+    def check_responses(self, number):
         state = self.clients[number]
-        client, owed, begun, since = state
+        client, due, begun, since = state
         statuses = client.statuses()
         if statuses and statuses[-1] == 408:
             assert begun
             assert self.harness.dispatcher.now >= since + MESSAGE_TIMEOUT_MS
-            assert statuses == [200] * owed + [408]
+            assert statuses == [200] * due + [408]
             del self.clients[number]
         elif client.open:
-            assert statuses == [200] * owed
-            if owed:
+            assert statuses == [200] * due
+            if due:
                 state[1], state[3] = 0, self.harness.dispatcher.now
         else:
-            assert not owed, "closed on a message"
-            assert not begun, "closed on a message"
-            assert self.harness.dispatcher.now >= since + LEAST_KEEP, "closed before its time"
+            assert not due, "closed with a response due"
+            assert not begun, "closed during a message"
+            assert self.harness.dispatcher.now >= since + LEAST_KEEP, "closed before its idle timeout"
             del self.clients[number]
 
     @invariant()
-    def counted(self):
+    def counts_are_consistent(self):
         listener = self.harness.listener
         assert listener.connections == len(listener.open_connections) + listener.parked
         assert sum(self.harness.admission.addresses.connections) == listener.connections
@@ -449,7 +450,7 @@
         )
 
     def teardown(self):
-        self.answered()
+        self.check_all()
         for client, *_ in self.clients.values():
             client.sock.close()
         self.harness.pass_time(10_000.0)
@@ -458,5 +459,5 @@
         self.harness.close()
 
 
-def test_random_steps_of_a_crowd():
-    play(Crowd, 150, 25)
+def test_model_random_steps_keep_the_rules():
+    play(RandomClients, 150, 25)
