--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""A model of the connections' states: random steps of clients, workers and discovery keep the rules."""
+"""Random steps of clients, workers and discovery: connections keep the rules of a model."""
 
 from collections import Counter
 
@@ -18,133 +18,150 @@
 
 PATHS = ["/unsafe/b", "/safe/a", "/unsafe/b", "/keyed/c", "/safe"]
 STATUSES = [(500, {}), (503, {}), (503, {"X_Not_Run": "1"}), (504, {"X_Not_Run": "1"}), (200, {}), (302, {})]
-JUNK = [b"nonsense\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]", b"\0" * 9]
-HOWS = ["done", "failed", "lost", "returned", "other-id", "break", "unstick", "junk", "status", "cut", "end"]
-DAMAGED = [b"GET\r\n\r\n", b"POST /safe HTTP/1.1\r\nContent-Length: x\r\n\r\n", b"\xff" * 20000, b"\r\nPOST"]
-
-
-class Connections(RuleBasedStateMachine):
+MALFORMED_RESPONSES = [b"nonsense\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]", b"\0" * 9]
+WORKER_ACTIONS = [
+    "done",
+    "failed",
+    "lost",
+    "returned",
+    "other-id",
+    "break",
+    "unstick",
+    "malformed",
+    "status",
+    "cut",
+    "end",
+]
+MALFORMED_REQUESTS = [
+    b"GET\r\n\r\n",
+    b"POST /safe HTTP/1.1\r\nContent-Length: x\r\n\r\n",
+    b"\xff" * 20000,
+    b"\r\nPOST",
+]
+
+
+class ConnectionModel(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
         self.dispatcher = InMemoryDispatcher(workers=3, most=50, worker_connections=50)
-        self.clients = []  # client, id and path of those that wait
+        self.clients = []  # client, id and path of each request without a response
         self.count = 0
-        self.sound = True
-        self.ran = Counter()  # ids that a worker holds or held whole and did not hand back
-        self.results = {}  # what workers gave
+        self.consistent = True
+        self.runs = Counter()  # by id, how often workers received the request and did not return it
+        self.results = {}  # by id, the result that a worker sent
         self.status = dict.fromkeys((1, 2, 3), "SERVING")
         self.banned = set()
-        self.seen = Counter()  # how many whole requests each worker's end has brought
+        self.recorded = Counter()  # by worker connection, how many of its requests are recorded
 
     @rule(path=st.sampled_from(PATHS), wait=st.sampled_from([50, 400, 5000]))
-    def arrive(self, path, wait):
+    def add_request(self, path, wait):
         self.count += 1
         client = Client(self.dispatcher)
         self.clients.append((client, f"r{self.count}", path))
         client.post(path, f"r{self.count}", wait, Idempotency_Key="k")
-        self.look()
+        self.check()
 
     @rule(data=st.data())
-    def leave(self, data):
+    def disconnect(self, data):
         if self.clients:
             client, *_ = self.clients.pop(data.draw(st.integers(0, len(self.clients) - 1)))
             client.pipe.break_off()
             self.dispatcher.settle()
 
     @rule(data=st.data(), stuck=st.booleans(), refused=st.booleans())
-    def dialled(self, data, stuck, refused):
+    def complete_dial(self, data, stuck, refused):
         if self.dispatcher.dials:
             dial = data.draw(st.sampled_from(self.dispatcher.dials))
             if refused:
                 dial.refuse()
             else:
                 end = dial.up(stuck)
-                assert self.serves(end.worker) or not end.pipe.written, "begun after a drain"
-            self.look()
+                assert self.is_available(end.worker) or not end.pipe.written, "sent to a draining worker"
+            self.check()
 
     @rule()
-    def dialled_all(self):
+    def complete_dials(self):
         for dial in list(self.dispatcher.dials):
             if dial not in self.dispatcher.dials or not dial.up().pipe.written:
                 continue
-            assert self.serves(dial.address[1]), "begun after a drain"
-        self.look()
+            assert self.is_available(dial.address[1]), "sent to a draining worker"
+        self.check()
 
-    def serves(self, worker):
+    def is_available(self, worker):
         return self.status[worker] == "SERVING" and worker not in self.banned
 
-    @rule(data=st.data(), how=st.sampled_from(HOWS))
-    def work(self, data, how):
+    @rule(data=st.data(), action=st.sampled_from(WORKER_ACTIONS))
+    def worker_acts(self, data, action):
         ends = [end for end in self.dispatcher.ends if end.pipe.open]
         ends = [end for end in ends if end.take() or end.pipe.stuck] or ends
         if not ends:
             return
         end = data.draw(st.sampled_from(ends))
-        holds = end.take()
-        if how == "unstick":
+        request_ids = end.take()
+        if action == "unstick":
             end.pipe.unstick()
-        elif how == "break":
+        elif action == "break":
             end.pipe.break_off()
-        elif how == "junk":
-            end.pipe.send(data.draw(st.sampled_from(JUNK)))
-        elif holds and how == "other-id":
+        elif action == "malformed":
+            end.pipe.send(data.draw(st.sampled_from(MALFORMED_RESPONSES)))
+        elif request_ids and action == "other-id":
             end.say({"id": "rx", "state": "done", "result": "wrong"}, end=True)
-        elif holds and how == "cut":
+        elif request_ids and action == "cut":
             end.pipe.send(
                 b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n{"id":"%s","state"'
-                % holds[0].encode()
+                % request_ids[0].encode()
             )
             end.pipe.break_off()
-        elif holds and how == "end":
+        elif request_ids and action == "end":
             end.say(end=True)
-        elif holds and how == "status":
+        elif request_ids and action == "status":
             status, headers = data.draw(st.sampled_from(STATUSES))
-            self.ran[holds[0]] -= "X_Not_Run" in headers
+            self.runs[request_ids[0]] -= "X_Not_Run" in headers
             end.status(status, **headers)
-        elif holds and how in ("done", "failed", "lost", "returned"):
-            self.ran[holds[0]] -= how == "returned"
-            if how == "done":
-                self.results[holds[0]] = f"result of {holds[0]} {self.ran[holds[0]]}"
-            end.finish(how, self.results.get(holds[0], ""))
+        elif request_ids and action in ("done", "failed", "lost", "returned"):
+            self.runs[request_ids[0]] -= action == "returned"
+            if action == "done":
+                self.results[request_ids[0]] = f"result of {request_ids[0]} {self.runs[request_ids[0]]}"
+            end.finish(action, self.results.get(request_ids[0], ""))
         self.dispatcher.settle()
-        self.look()
+        self.check()
 
     @rule(data=st.data(), status=st.sampled_from(["SERVING", "DRAINING", "DELETED"]))
-    def news(self, data, status):
+    def report_status(self, data, status):
         worker = data.draw(st.sampled_from([dial.address[1] for dial in self.dispatcher.dials] or [1, 2, 3]))
         self.status[worker] = status
         self.dispatcher.tell((worker, status))
-        self.look()
+        self.check()
 
-    @rule(data=st.data(), out=st.booleans())
-    def maintain(self, data, out):
+    @rule(data=st.data(), disable=st.booleans())
+    def enable_or_disable(self, data, disable):
         worker = data.draw(st.sampled_from([dial.address[1] for dial in self.dispatcher.dials] or [1, 2, 3]))
-        assert (self.dispatcher.table.ban if out else self.dispatcher.table.unban)(f"w{worker}")
-        (self.banned.add if out else self.banned.discard)(worker)
+        assert (self.dispatcher.table.ban if disable else self.dispatcher.table.unban)(f"w{worker}")
+        (self.banned.add if disable else self.banned.discard)(worker)
         self.dispatcher.settle()
-        self.look()
+        self.check()
 
-    @rule(junk=st.sampled_from(DAMAGED))
-    def bad_client(self, junk):
+    @rule(request=st.sampled_from(MALFORMED_REQUESTS))
+    def bad_client(self, request):
         client = Client(self.dispatcher)
-        client.send(junk)
+        client.send(request)
         assert all(status in (400, 413) for status, *_ in client.answers())
 
-    @rule(span=st.sampled_from([1.0, 60.0, 150.0, 1000.0, 8000.0]))
-    def time(self, span):
-        self.dispatcher.advance(span)
-        self.look()
+    @rule(duration=st.sampled_from([1.0, 60.0, 150.0, 1000.0, 8000.0]))
+    def wait(self, duration):
+        self.dispatcher.advance(duration)
+        self.check()
 
-    def look(self):
+    def check(self):
         """Record the requests that workers received and the responses that clients received."""
-        self.sound = False
-        out = Counter()
+        self.consistent = False
+        open_attempts = Counter()
         for end in self.dispatcher.ends:
-            held = end.take()
-            self.ran.update(end.came[self.seen[end] :])
-            self.seen[end] = len(end.came)
-            out.update(held if end.pipe.open else [])
-        assert all(n == 1 for n in out.values()), "two legs of one request at once"
+            request_ids = end.take()
+            self.runs.update(end.came[self.recorded[end] :])
+            self.recorded[end] = len(end.came)
+            open_attempts.update(request_ids if end.pipe.open else [])
+        assert all(n == 1 for n in open_attempts.values()), "two attempts of one request at once"
         for entry in list(self.clients):
             client, id_, path = entry
             answers = client.answers()
@@ -154,21 +171,21 @@
                 status, _, body = answers[0]
                 assert status in (200, 502, 503)
                 if status == 200:
-                    assert body.decode() == self.results.get(id_), "served what no worker made for it"
+                    assert body.decode() == self.results.get(id_), "served a result that no worker made"
                 if status == 503:
-                    assert path != "/unsafe/b" or not self.ran[id_], "declined what may have run"
-            assert path != "/unsafe/b" or self.ran[id_] <= 1, "repeated what may have run"
-        self.sound = True
+                    assert path != "/unsafe/b" or not self.runs[id_], "declined a request that may have run"
+            assert path != "/unsafe/b" or self.runs[id_] <= 1, "repeated a request that may have run"
+        self.consistent = True
 
     @invariant()
-    def bounded(self):
+    def connections_are_bounded(self):
         assert self.dispatcher.side.connection_count <= 50
 
     def teardown(self):
-        if not self.sound:  # a rule has been broken already; what follows would hide which
+        if not self.consistent:  # a check has failed already; further checks would hide which one
             return
         self.dispatcher.advance(13_000.0)
-        self.look()
+        self.check()
         assert not self.clients, "never answered"
         assert not self.dispatcher.exchange.unanswered
 
@@ -176,7 +193,7 @@
 def run(examples):
     """Run random steps without shrinking, which would take minutes; a failure prints its steps."""
     run_state_machine_as_test(
-        Connections,
+        ConnectionModel,
         settings=settings(
             derandomize=True,
             max_examples=examples,
@@ -195,24 +212,28 @@
 
 
 FAULTS = {
-    "begun after a drain": lambda m: m.setattr(WorkerReports, "may_write", lambda _self, _leg, _now: True),
-    "served what no worker made": lambda m: m.setattr(worker_response, "parse_update", any_result),
+    "sent to a draining worker": lambda m: m.setattr(
+        WorkerReports, "may_write", lambda _self, _leg, _now: True
+    ),
+    "served a result that no worker made": lambda m: m.setattr(
+        worker_response, "parse_update", parse_any_result
+    ),
     "answered twice|after the end": lambda m: m.setattr(
-        ClientConnection, "answer", twice(ClientConnection.answer)
+        ClientConnection, "answer", write_twice(ClientConnection.answer)
     ),
     "may have run": lambda m: m.setattr(
-        CallReporter, "report_failure", sure_of_it(CallReporter.report_failure)
+        CallReporter, "report_failure", report_as_not_run(CallReporter.report_failure)
     ),
-    "two legs|may have run": lambda m: m.setattr(WorkerPool, "start", doubled(WorkerPool.start)),
-    "never answered": lambda m: m.setattr(ClientConnection, "answer", deaf(ClientConnection.answer)),
+    "two attempts|may have run": lambda m: m.setattr(WorkerPool, "start", start_twice(WorkerPool.start)),
+    "never answered": lambda m: m.setattr(ClientConnection, "answer", drop_502(ClientConnection.answer)),
 }
 
 
-def any_result(_line, _request_id):
+def parse_any_result(_line, _request_id):
     return Result(b"wrong")
 
 
-def twice(real):
+def write_twice(real):
     def answer(self, status, body=b"", **headers):
         real(self, status, body, **headers)
         self._transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -220,20 +241,20 @@
     return answer
 
 
-def sure_of_it(real):
+def report_as_not_run(real):
     return lambda self, call, outcome: real(self, call, Outcome.FULL if outcome == Outcome.RESET else outcome)
 
 
-def doubled(real):
+def start_twice(real):
     return lambda self, leg: [real(self, leg), real(self, leg)]
 
 
-def deaf(real):
+def drop_502(real):
     return lambda self, status, *a, **headers: real(self, status, *a, **headers) if status != 502 else None
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_model_detects_a_planted_fault(fault, monkeypatch):
+def test_model_planted_fault_is_detected(fault, monkeypatch):
     FAULTS[fault](monkeypatch)
     with pytest.raises(AssertionError, match=fault):
-        run(4000)  # ends at the first failure; the steps drawn depend on the modules loaded
+        run(4000)  # ends at the first failure; the steps depend on this source and on the loaded modules
