--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,7 @@
-"""The end of the whole program on real sockets, its clock driven: all is answered before a kill may come."""
+"""Shutdown of the whole program on real sockets, with a clock that the test advances.
+
+Every request must be answered before the process may be killed.
+"""
 
 import asyncio
 import select
@@ -15,29 +18,29 @@
 from eiderfield.net.http import END, Head, Parser
 from eiderfield.net.shutdown_times import ACCEPT_TIME_MS, KILL_DELAY_MS, MAX_DEADLINE_MS
 
-STEP = 10.0  # ms of the driven clock in one step
-ROUNDS = 6  # turns of the loop in a step: what comes in, its turn, and what that writes
-COMING = 400.0  # ms after SIGTERM for which new connections come (protocol page)
-BAD_CLIENT = 3000.0  # ms in which a bad client is owed its error or a close
+STEP_MS = 10.0  # by which one step advances the clock
+TURNS_PER_STEP = 6  # turns of the loop in a step: reading, the exchange's turn, and writing
+CONNECTING_TIME_MS = 400.0  # after SIGTERM, for which clients still connect (protocol page)
+ERROR_DEADLINE_MS = 3000.0  # within which a misbehaving client must have an error or a close
 
 
 class Worker:
-    """A worker that hangs, or answers all that it has read when it is told to."""
+    """A worker that accepts connections and never responds."""
 
     def __init__(self):
-        self.port_socket = socket.create_server(("127.0.0.1", 0))
-        self.port_socket.setblocking(False)
-        self.port = self.port_socket.getsockname()[1]
+        self.listening_socket = socket.create_server(("127.0.0.1", 0))
+        self.listening_socket.setblocking(False)
+        self.port = self.listening_socket.getsockname()[1]
         self.connections = []
 
     def accept(self):
         with suppress(BlockingIOError):
             while True:
-                self.connections.append(self.port_socket.accept()[0])
+                self.connections.append(self.listening_socket.accept()[0])
                 self.connections[-1].setblocking(False)
 
     def close(self):
-        for sock in (self.port_socket, *self.connections):
+        for sock in (self.listening_socket, *self.connections):
             sock.close()
 
 
@@ -68,7 +71,7 @@
                 self.statuses.append(self.status)
 
     @property
-    def waits(self):
+    def awaits_response(self):
         return len(self.statuses) < len(self.sent_at)
 
     def send(self, now, data):
@@ -76,15 +79,15 @@
         self.sent_at.append(now)
 
 
-class Running:
-    """A program with its listener open, and the time since its start."""
+class RunningProgram:
+    """A program with an open listener, its clock and its clients."""
 
-    def __init__(self, longest):
+    def __init__(self, longest_deadline):
         self.now = 1_000_000.0
         self.worker = Worker()
         config = program_config(free_port(), "127.0.0.1:9", known=endpoint_list(self.worker.port))
         [cls] = config["settings"]["classes"]
-        config["settings"] = {**config["settings"], "classes": [{**cls, "give_up": longest}]}
+        config["settings"] = {**config["settings"], "classes": [{**cls, "give_up": longest_deadline}]}
         self.loop = asyncio.new_event_loop()
         self.program = Program(read(config, {}), self.loop, lambda: self.now)
         [bound] = self.program._clients._bound
@@ -94,7 +97,7 @@
         self.count = 0
 
     def turn(self):
-        for _ in range(ROUNDS):
+        for _ in range(TURNS_PER_STEP):
             self.loop.call_soon(self.loop.stop)
             self.loop.run_forever()
         self.worker.accept()
@@ -102,7 +105,7 @@
             client.read()
 
     def step(self):
-        self.now += STEP
+        self.now += STEP_MS
         self.program.core.driver.wheel.advance(self.now)
         self.turn()
 
@@ -123,7 +126,7 @@
         self.listener.close()
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
-        for _ in range(ROUNDS):
+        for _ in range(TURNS_PER_STEP):
             self.loop.call_soon(self.loop.stop)
             self.loop.run_forever()
         self.worker.close()
@@ -131,86 +134,90 @@
 
 
 @pytest.fixture
-def running():
-    made = []
+def start_program():
+    programs = []
 
-    def make(longest):
-        made.append(Running(longest))
-        return made[-1]
+    def make(longest_deadline):
+        programs.append(RunningProgram(longest_deadline))
+        return programs[-1]
 
     yield make
-    for each in made:
+    for each in programs:
         each.close()
 
 
-@pytest.mark.parametrize("longest", [300, 900, 2000, 3000, 12_000])
-def test_clients_that_send_up_to_the_kill_are_answered_though_all_workers_hang(running, longest):
-    """On every open connection, as soon as the answer before has come, with all of the class's time."""
-    running = running(longest)
+@pytest.mark.parametrize("longest_deadline", [300, 900, 2000, 3000, 12_000])
+def test_requests_sent_until_the_kill_are_answered_while_all_workers_hang(start_program, longest_deadline):
+    """Each client sends a request with the longest deadline as soon as the previous one is answered."""
+    running = start_program(longest_deadline)
     for _ in range(4):
         running.connect()
-    told_at = running.now
-    kill = told_at + min(longest, MAX_DEADLINE_MS) + KILL_DELAY_MS
+    sigterm_at = running.now
+    kill_at = sigterm_at + min(longest_deadline, MAX_DEADLINE_MS) + KILL_DELAY_MS
     running.program.stop()
-    while running.now < kill:
-        if running.now < told_at + min(COMING, ACCEPT_TIME_MS) and running.listener.listening:
+    while running.now < kill_at:
+        if running.now < sigterm_at + min(CONNECTING_TIME_MS, ACCEPT_TIME_MS) and running.listener.listening:
             running.connect()
         for client in running.clients:
-            if client.open and not client.waits:
-                running.request(client, longest)
+            if client.open and not client.awaits_response:
+                running.request(client, longest_deadline)
         running.turn()
         running.step()
     for client in running.clients:
-        asked, answered = len(client.sent_at), len(client.statuses)
-        assert asked, "each had its turn"
-        late = asked > answered and client.sent_at[-1] > told_at + 700.0
-        assert not late, "it came long after SIGTERM and SIGKILL finds it unanswered"
-        assert asked == answered or (client.open and longest > MAX_DEADLINE_MS), "closed without an answer"
-    assert not running.program.core.exchange.unanswered or longest > MAX_DEADLINE_MS
+        sent, answered = len(client.sent_at), len(client.statuses)
+        assert sent, "the client sent no request"
+        late = sent > answered and client.sent_at[-1] > sigterm_at + 700.0
+        assert not late, "sent long after SIGTERM and unanswered at SIGKILL"
+        assert sent == answered or (client.open and longest_deadline > MAX_DEADLINE_MS), (
+            "closed without a response"
+        )
+    assert not running.program.core.exchange.unanswered or longest_deadline > MAX_DEADLINE_MS
 
 
 @pytest.mark.parametrize(
     "sent", [b"POST /echo/a HT", b"POST /echo/a HTTP/1.1\r\nX-Request-Id: h\r\nContent-Length: 9\r\n\r\nabc"]
 )
-@pytest.mark.parametrize("begins", [0.0, 300.0, 1400.0])
-def test_who_stops_in_the_middle_of_a_request_during_the_end_has_an_error_or_a_close(running, sent, begins):
-    running = running(3000)
+@pytest.mark.parametrize("delay", [0.0, 300.0, 1400.0])
+def test_client_that_stops_within_a_request_during_shutdown_has_an_error_or_a_close(
+    start_program, sent, delay
+):
+    running = start_program(3000)
     client = running.connect()
     running.request(client, 50)
     until = running.now + 100.0
     while running.now < until:
         running.step()
     assert client.statuses in ([502], [503])
-    told_at = running.now
+    sigterm_at = running.now
     running.program.stop()
-    while running.now < told_at + begins:
+    while running.now < sigterm_at + delay:
         running.step()
     client.sock.send(sent)
-    begun_at = running.now
-    while running.now < begun_at + BAD_CLIENT and len(client.statuses) < 2 and client.open:
+    started_at = running.now
+    while running.now < started_at + ERROR_DEADLINE_MS and len(client.statuses) < 2 and client.open:
         running.step()
     assert client.statuses[1:] == [408] or not client.open
 
 
-def test_a_program_whose_clients_have_all_gone_ends_before_a_kill(running):
-    running = running(3000)
+def test_program_whose_clients_have_all_disconnected_ends_before_a_kill(start_program):
+    running = start_program(3000)
     clients = [running.connect() for _ in range(3)]
     for client in clients:
         running.request(client, 3000)
     running.turn()
-    told_at = running.now
+    sigterm_at = running.now
     running.program.stop()
     for client in clients:
         client.sock.close()
         client.open = False
-    while not running.program.ended.is_set() and running.now < told_at + MAX_DEADLINE_MS + KILL_DELAY_MS:
+    while not running.program.ended.is_set() and running.now < sigterm_at + MAX_DEADLINE_MS + KILL_DELAY_MS:
         running.step()
     assert running.program.ended.is_set()
-    assert all(gone(sock) for sock in running.worker.connections), "their attempts were given up"
+    assert all(peer_has_closed(sock) for sock in running.worker.connections), "an attempt was not cancelled"
 
 
-def gone(sock):
-    """Whether the other end has closed."""
+def peer_has_closed(sock):
+    """Return whether the other end has closed the connection."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
