--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -20,28 +20,28 @@
 
 def test_address_at_its_limit_receives_503_and_others_are_served():
     harness = ListenerHarness(address_quota=Quota(max_connections=3), retry_after=1500.0)
-    greedy = [SocketClient(harness) for _ in range(5)]
-    assert [client.statuses() for client in greedy] == [[], [], [], [503], [503]]
-    assert greedy[4].advice == "1.500"
-    assert SocketClient(harness, address="192.0.2.2").ask("honest") == [200]
+    clients = [SocketClient(harness) for _ in range(5)]
+    assert [client.statuses() for client in clients] == [[], [], [], [503], [503]]
+    assert clients[4].advice == "1.500"
+    assert SocketClient(harness, address="192.0.2.2").ask("other") == [200]
     harness.pass_time(LINGER_TIME_MS + TICK_MS)
-    assert not greedy[4].open
+    assert not clients[4].open
     assert harness.admission.figures()["address_held"] == 2
     harness.close()
 
 
 def test_rejection_reaches_a_client_that_has_sent_its_request():
-    """Closing a socket with unread input would discard the response."""
+    """A close with unread input would reset the connection and discard the response."""
     harness = ListenerHarness(address_quota=Quota(max_connections=1))
     first = SocketClient(harness)
     late = SocketClient.__new__(SocketClient)
-    ours, theirs = socket.socketpair()
-    ours.setblocking(False)
-    theirs.setblocking(False)
-    ours.send(message("r1") * 20)
+    client_sock, listener_sock = socket.socketpair()
+    client_sock.setblocking(False)
+    listener_sock.setblocking(False)
+    client_sock.send(message("r1") * 20)
     SocketClient.__init__(late, ListenerHarness())  # for its parser
-    late.sock = ours
-    harness.listener.acceptor.listening_socket.waiting.append((theirs, ("192.0.2.1", 1)))
+    late.sock = client_sock
+    harness.listener.acceptor.listening_socket.waiting.append((listener_sock, ("192.0.2.1", 1)))
     harness.listener.acceptor.accept()
     harness.turn()
     assert late.statuses() == [503]
@@ -51,11 +51,11 @@
 
 def test_rejected_connections_receive_few_responses_at_once_and_none_above_the_rate():
     harness = ListenerHarness(most=1000, address_quota=Quota(max_connections=1))
-    flood = [SocketClient(harness)]
-    flood += [SocketClient(harness) for _ in range(MAX_PENDING_REJECTIONS + 10)]
-    told = [client.statuses() for client in flood]
-    assert told.count([503]) == MAX_PENDING_REJECTIONS
-    assert told.count([]) == 11
+    clients = [SocketClient(harness)]
+    clients += [SocketClient(harness) for _ in range(MAX_PENDING_REJECTIONS + 10)]
+    statuses = [client.statuses() for client in clients]
+    assert statuses.count([503]) == MAX_PENDING_REJECTIONS
+    assert statuses.count([]) == 11
     harness.close()
     harness = ListenerHarness(most=1000, address_quota=Quota(connections_per_s=1.0, burst=2.0))
     assert [client.open for client in [SocketClient(harness) for _ in range(5)]] == [
@@ -104,23 +104,23 @@
 
 def test_slow_heads_are_all_ended_at_their_time_limit():
     harness = ListenerHarness(most=1000, timeouts=MessageTimeouts(head=2000.0))
-    drips = [SocketClient(harness) for _ in range(200)]
+    clients = [SocketClient(harness) for _ in range(200)]
     for step in range(19):
-        for client in drips:
+        for client in clients:
             client.send(message("x")[step : step + 1])
         harness.turn(2)
         harness.pass_time(100.0)
-    assert all(client.open for client in drips)
-    assert SocketClient(harness).ask("honest") == [200]
+    assert all(client.open for client in clients)
+    assert SocketClient(harness).ask("other") == [200]
     harness.pass_time(150.0)
     harness.turn(30)
-    assert [client.statuses() for client in drips] == [[408]] * 200
+    assert [client.statuses() for client in clients] == [[408]] * 200
     assert harness.admission.figures()["slow_head"] == 200
     harness.close()
 
 
-@pytest.mark.parametrize(("gap", "answer"), [(10.0, 200), (200.0, 408)])
-def test_body_below_the_minimum_rate_is_rejected(gap, answer):
+@pytest.mark.parametrize(("interval", "status"), [(10.0, 200), (200.0, 408)])
+def test_body_below_the_minimum_rate_is_rejected(interval, status):
     harness = ListenerHarness(timeouts=MessageTimeouts(min_body_rate=50.0, body_grace=500.0))
     client = SocketClient(harness)
     head = message("r1").replace(b"Length: 1", b"Length: 100").removesuffix(b"b")
@@ -133,12 +133,12 @@
             except OSError:
                 break
         harness.turn(2)
-        harness.pass_time(gap)
+        harness.pass_time(interval)
         if harness.listener.clock() > 1_000_000.0 + MESSAGE_TIMEOUT_MS:
             break
     harness.work()
-    assert client.statuses() == [answer]
-    assert harness.admission.figures()["slow_body"] == (answer == 408)
+    assert client.statuses() == [status]
+    assert harness.admission.figures()["slow_body"] == (status == 408)
     harness.close()
 
 
@@ -171,14 +171,14 @@
 
 def test_new_connection_while_memory_is_scarce_replaces_an_idle_one():
     harness = ListenerHarness(most=60)
-    quiet = harness.parked(20)
+    parked = harness.parked(20)
     harness.memory = 0.97
     harness.pass_time(200.0)
-    newcomer = SocketClient(harness)
+    new_client = SocketClient(harness)
     assert harness.admission.capacity == 20
     assert harness.listener.connections == 20
-    assert newcomer.ask("n") == [200]
-    assert sum(client.open for client in quiet) == 19
+    assert new_client.ask("n") == [200]
+    assert sum(client.open for client in parked) == 19
     harness.memory = 0.5
     harness.pass_time(2500.0)
     another = SocketClient(harness)
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -1,4 +1,4 @@
-"""Admission control, against plain counts."""
+"""Admission control: its rules, and random steps compared with a model that counts in lists."""
 
 from collections import Counter
 from dataclasses import replace
@@ -20,19 +20,19 @@
 CAPACITY = 100
 
 
-def control_of(most=CAPACITY, **more):
-    return AdmissionControl(AdmissionSettings(**more), most)
+def control_of(max_connections=CAPACITY, **fields):
+    return AdmissionControl(AdmissionSettings(**fields), max_connections)
 
 
-def reason(come):
-    return come.reason if isinstance(come, Rejection) else None
+def reason(result):
+    return result.reason if isinstance(result, Rejection) else None
 
 
 def test_admit_address_at_its_limit_is_rejected_and_others_admitted():
     control = control_of(address_quota=Quota(max_connections=10), prefix_quota=Quota(max_connections=25))
-    taken = [control.admit("192.0.2.1", 0.0) for _ in range(10_000)]
-    assert sum(isinstance(come, int) for come in taken) == 10
-    assert {reason(come) for come in taken[10:]} == {Reason.ADDRESS_CONNECTIONS}
+    results = [control.admit("192.0.2.1", 0.0) for _ in range(10_000)]
+    assert sum(isinstance(result, int) for result in results) == 10
+    assert {reason(result) for result in results[10:]} == {Reason.ADDRESS_CONNECTIONS}
     neighbours = [control.admit(f"192.0.2.{n}", 0.0) for n in range(2, 30)]
     assert Counter(map(reason, neighbours)) == {None: 15, Reason.PREFIX_CONNECTIONS: 13}
     assert isinstance(control.admit("198.51.100.1", 0.0), int)
@@ -41,14 +41,20 @@
 
 def test_admit_above_the_rate_is_rejected_without_response_until_a_token_is_regained():
     control = control_of(address_quota=Quota(connections_per_s=2.0, burst=3.0))
-    come = [control.admit("192.0.2.1", 0.0) for _ in range(5)]
-    assert [reason(c) for c in come] == [None, None, None, Reason.ADDRESS_RATE, Reason.ADDRESS_RATE]
-    assert not come[-1].answer
-    assert come[-1].retry_after == 500.0
+    results = [control.admit("192.0.2.1", 0.0) for _ in range(5)]
+    assert [reason(result) for result in results] == [
+        None,
+        None,
+        None,
+        Reason.ADDRESS_RATE,
+        Reason.ADDRESS_RATE,
+    ]
+    assert not results[-1].answer
+    assert results[-1].retry_after == 500.0
     assert reason(control.admit("192.0.2.1", 499.0)) == Reason.ADDRESS_RATE
     assert reason(control.admit("192.0.2.1", 500.0)) is None
-    came = [reason(control.admit("192.0.2.1", 60_000.0)) for _ in range(4)]
-    assert came == [None] * 3 + [Reason.ADDRESS_RATE]
+    reasons = [reason(control.admit("192.0.2.1", 60_000.0)) for _ in range(4)]
+    assert reasons == [None] * 3 + [Reason.ADDRESS_RATE]
 
 
 def test_admit_after_clock_went_backwards_leaves_buckets_unchanged():
@@ -93,12 +99,12 @@
     control = control_of(
         descriptors=Watermarks(0.9, 0.7), min_overload_time=1000.0, overloaded_idle_timeout=5000.0
     )
-    told = []
+    states = []
     for step in range(200):  # usage that alternates between 85 and 95 every 50 ms
         control.update_usage(step * 50.0, 95 if step % 2 else 85, 0.0)
-        told.append(control.overloaded)
-    assert told[0] is False
-    assert all(told[1:])
+        states.append(control.overloaded)
+    assert states[0] is False
+    assert all(states[1:])
     assert control.idle_limit(60_000.0) == 5000.0
     control.update_usage(10_400.0, 60, 0.0)
     assert control.overloaded, "overloaded for less than the minimum time"
@@ -122,7 +128,7 @@
     control.update_usage(0.0, 60, 0.96)
     assert control.capacity == 60
     assert control.overloaded
-    control.update_usage(1.0, 20, 0.96)  # most clients leave
+    control.update_usage(1.0, 20, 0.96)  # most clients disconnect
     assert control.capacity == 60
     control.update_usage(2.0, 20, 0.90)
     assert control.capacity == 60
@@ -130,7 +136,7 @@
     assert control.capacity == CAPACITY
     control.update_usage(4.0, 3, 0.99)
     assert control.capacity == MIN_CAPACITY
-    small = control_of(most=4)
+    small = control_of(max_connections=4)
     small.update_usage(0.0, 1, 0.99)
     assert small.capacity == 4
 
@@ -171,61 +177,61 @@
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
 @given(st.lists(STEP, max_size=80))
 def test_counts_after_random_steps_equal_those_of_a_model(steps):
-    quota = AdmissionSettings(Quota(3, 2, 5.0, 4.0), Quota(5, 3, 50.0, 20.0))
-    control, now, there, begun = AdmissionControl(quota, CAPACITY), 0.0, [], []
+    limits = AdmissionSettings(Quota(3, 2, 5.0, 4.0), Quota(5, 3, 50.0, 20.0))
+    control, now, connections, messages = AdmissionControl(limits, CAPACITY), 0.0, [], []
     prefixes = (24, 48)
 
-    def count(those, which, key):
-        return sum(source_keys(address, *prefixes)[which] == key for _, address in those)
+    def count(entries, kind, key):
+        return sum(source_keys(address, *prefixes)[kind] == key for _, address in entries)
 
-    for what, value in steps:
-        if what in ("admit", "register"):
+    for action, value in steps:
+        if action in ("admit", "register"):
             keys = source_keys(value, *prefixes)
-            come = getattr(control, what)(value, now)
-            if reason(come) in (Reason.ADDRESS_CONNECTIONS, Reason.PREFIX_CONNECTIONS):
-                which = reason(come) == Reason.PREFIX_CONNECTIONS
+            result = getattr(control, action)(value, now)
+            if reason(result) in (Reason.ADDRESS_CONNECTIONS, Reason.PREFIX_CONNECTIONS):
+                kind = reason(result) == Reason.PREFIX_CONNECTIONS
                 assert (
-                    count(there, which, keys[which])
-                    >= (quota.address_quota, quota.prefix_quota)[which].max_connections
+                    count(connections, kind, keys[kind])
+                    >= (limits.address_quota, limits.prefix_quota)[kind].max_connections
                 )
-            elif isinstance(come, int):
-                assert what == "register" or all(
-                    count(there, which, keys[which])
-                    < (quota.address_quota, quota.prefix_quota)[which].max_connections
-                    for which in (0, 1)
+            elif isinstance(result, int):
+                assert action == "register" or all(
+                    count(connections, kind, keys[kind])
+                    < (limits.address_quota, limits.prefix_quota)[kind].max_connections
+                    for kind in (0, 1)
                 )
-                there.append((come, value))
-        elif what == "release" and there:
-            one = there.pop(value % len(there))
-            if one in begun and begun.count(one) > there.count(one):
-                begun.remove(one)
-                control.end_message(one[0])
-            control.release(one[0])
-        elif what == "begin" and there:
-            one = there[value % len(there)]
-            if begun.count(one) >= there.count(one):
+                connections.append((result, value))
+        elif action == "release" and connections:
+            connection = connections.pop(value % len(connections))
+            if connection in messages and messages.count(connection) > connections.count(connection):
+                messages.remove(connection)
+                control.end_message(connection[0])
+            control.release(connection[0])
+        elif action == "begin" and connections:
+            connection = connections[value % len(connections)]
+            if messages.count(connection) >= connections.count(connection):
                 continue
-            refused = [
-                count(begun, which, key)
-                >= (quota.address_quota, quota.prefix_quota)[which].max_incomplete_messages
-                for which, key in enumerate(source_keys(one[1], *prefixes))
+            at_limit = [
+                count(messages, kind, key)
+                >= (limits.address_quota, limits.prefix_quota)[kind].max_incomplete_messages
+                for kind, key in enumerate(source_keys(connection[1], *prefixes))
             ]
-            refusal = control.begin_message(one[0])
-            assert (refusal is not None) == any(refused)
-            if refusal is None:
-                begun.append(one)
-        elif what == "end" and begun:
-            control.end_message(begun.pop(value % len(begun))[0])
-        elif what == "reconfigure":
+            rejection = control.begin_message(connection[0])
+            assert (rejection is not None) == any(at_limit)
+            if rejection is None:
+                messages.append(connection)
+        elif action == "end" and messages:
+            control.end_message(messages.pop(value % len(messages))[0])
+        elif action == "reconfigure":
             prefixes = value
-            control.reconfigure(replace(quota, prefix_v4=value[0], prefix_v6=value[1]))
-        elif what == "wait":
+            control.reconfigure(replace(limits, prefix_v4=value[0], prefix_v6=value[1]))
+        elif action == "wait":
             now += value
-        assert sum(control.addresses.connections) == sum(control.prefixes.connections) == len(there)
+        assert sum(control.addresses.connections) == sum(control.prefixes.connections) == len(connections)
         assert (
             sum(control.addresses.incomplete_messages)
             == sum(control.prefixes.incomplete_messages)
-            == len(begun)
+            == len(messages)
         )
         assert control.addresses.unused_count == sum(
             not control.addresses.connections[e] for e in control.addresses.keys
