--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -30,8 +30,11 @@
 
 def test_in_time_counts_requests_served_within_the_latency_objective():
     console = Console(workers=1)
-    dispatcher, aim = console.dispatcher, console.dispatcher.exchange.settings.classes[0].latency_objective_ms
-    for wait, in_time in ((aim / 2.0, 1), (2.0 * aim, 1)):
+    dispatcher, objective = (
+        console.dispatcher,
+        console.dispatcher.exchange.settings.classes[0].latency_objective_ms,
+    )
+    for wait, in_time in ((objective / 2.0, 1), (2.0 * objective, 1)):
         dispatcher.client(id_=f"r{wait}")
         end = dispatcher.dials[0].up() if dispatcher.dials else dispatcher.ends[-1]
         dispatcher.advance(wait)
@@ -44,11 +47,11 @@
 def test_figures_count_requests_by_result_and_attempts_as_written():
     console = Console(workers=1)
     dispatcher = console.dispatcher
-    none = {"safe": 0, "unsafe": 0, "keyed": 0}
+    zeros = {"safe": 0, "unsafe": 0, "keyed": 0}
     assert console.figures() == {
-        "success": none,
-        "busy": none,
-        "failure": none,
+        "success": zeros,
+        "busy": zeros,
+        "failure": zeros,
         "backend_calls": 0,
         "inflight": 0,
         "called_off": {},
@@ -58,9 +61,9 @@
         "hosts_down": 0,
         "hosts_doubted": 0,
         "hosts_banned": [],
-        "in_time": none,
+        "in_time": zeros,
         "broken": {},
-        "waits": {name: [0, 0.0, 0.0] for name in none},
+        "waits": {name: [0, 0.0, 0.0] for name in zeros},
         "connections": {
             "open": 0,
             "departed": 0,
@@ -74,22 +77,24 @@
         },
     }
     first, end = dispatcher.client(), dispatcher.dials[0].up(stuck=True)
-    assert console.figures()["backend_calls"] == 0, "its last byte has not left"
+    assert console.figures()["backend_calls"] == 0, "its last byte is not sent yet"
     end.pipe.unstick()
-    told = console.figures()
-    assert (told["backend_calls"], told["inflight"]) == (1, 1), "counted as it leaves, not at its end"
+    figures = console.figures()
+    assert (figures["backend_calls"], figures["inflight"]) == (1, 1), (
+        "counted when it is sent, not when it ends"
+    )
     end.finish()
     dispatcher.client(path="/unsafe/a", id_="r2")
     end.finish("failed")
     dispatcher.tell((1, "DRAINING"))
     dispatcher.client(path="/keyed/a", id_="r3", wait=100, Idempotency_Key="k")
     dispatcher.advance(200.0)
-    told = console.figures()
-    assert told["success"] == {**none, "safe": 1}
+    figures = console.figures()
+    assert figures["success"] == {**zeros, "safe": 1}
     assert first.answers()[0][0] == 200
-    assert told["failure"] == {**none, "unsafe": 1}
-    assert told["busy"] == {**none, "keyed": 1}
-    assert (told["backend_calls"], told["inflight"]) == (2, 0)
+    assert figures["failure"] == {**zeros, "unsafe": 1}
+    assert figures["busy"] == {**zeros, "keyed": 1}
+    assert (figures["backend_calls"], figures["inflight"]) == (2, 0)
 
 
 def test_hosts_down_counts_listed_workers_that_are_avoided():
@@ -97,8 +102,8 @@
     dispatcher = console.dispatcher
     dispatcher.client()
     dispatcher.dials[0].refuse()
-    told = console.figures()
-    assert (told["hosts_listed"], told["hosts_down"]) == (3, 1)
+    figures = console.figures()
+    assert (figures["hosts_listed"], figures["hosts_down"]) == (3, 1)
     dispatcher.tell((1, "DELETED"), (2, "DELETED"))
     assert console.figures()["hosts_listed"] == 1
     dispatcher.tell((3, "DRAINING"))
@@ -119,14 +124,14 @@
 
 def test_callers_with_incomplete_calls_do_not_block_others():
     console = Console()
-    hanging = [Client(console.dispatcher, console.listener) for _ in range(CALLERS)]
-    for caller in hanging:
+    callers = [Client(console.dispatcher, console.listener) for _ in range(CALLERS)]
+    for caller in callers:
         caller.send(b"GET /-/re")
     console.dispatcher.advance(EVICTION_GRACE_MS)
     assert console.listener.ensure_capacity()
     assert console.call("/-/ready")[0] == 200
     console.dispatcher.advance(CALL_TIMEOUT_MS + 2 * TICK_MS)
-    assert all(not caller.pipe.open or caller.pipe.ended for caller in hanging)
+    assert all(not caller.pipe.open or caller.pipe.ended for caller in callers)
 
 
 def test_figures_count_cancelled_attempts_and_malformed_responses_by_reason():
@@ -140,9 +145,9 @@
     end = dispatcher.dials[0].up()
     end.take()
     dispatcher.advance(200.0)
-    told = console.figures()
-    assert told["called_off"] == {"nobody waits": 1, "decided": 1}
-    assert told["connections"]["departed"] == 1
+    figures = console.figures()
+    assert figures["called_off"] == {"nobody waits": 1, "decided": 1}
+    assert figures["connections"]["departed"] == 1
     dispatcher.advance(1000.0)
     dispatcher.client(path="/unsafe/a", id_="r3")
     end = dispatcher.dials[0].up()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP parser: independent of how input is cut, and strict with ambiguous input."""
+"""The HTTP parser: it does not depend on how input is split, and rejects ambiguous input."""
 
 import itertools
 
@@ -10,22 +10,22 @@
 
 POST = b"POST /a/b?c=d HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"
 CHUNKED = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nT: u\r\n\r\n"
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 
-def read(data, cuts=(), answers=False):
-    parser, found, body = Parser(answers), [], b""
-    places = [0, *sorted(cuts), len(data)]
-    for start, end in itertools.pairwise(places):
+def read(data, cuts=(), is_response=False):
+    parser, found, body = Parser(is_response), [], b""
+    positions = [0, *sorted(cuts), len(data)]
+    for start, end in itertools.pairwise(positions):
         parser.feed(data[start:end])
-        while (got := parser.poll()) is not None:
-            if isinstance(got, Head):
-                found.append((got.method, got.target, got.status, tuple(sorted(got.headers.items()))))
-            elif got is END:
+        while (part := parser.poll()) is not None:
+            if isinstance(part, Head):
+                found.append((part.method, part.target, part.status, tuple(sorted(part.headers.items()))))
+            elif part is END:
                 found.append(body)
                 body = b""
             else:
-                body += got
+                body += part
     return found, parser
 
 
@@ -41,12 +41,12 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
 @given(st.integers(0, len(CHUNKED) - 1), st.binary(min_size=1, max_size=6), st.booleans())
-def test_parser_damaged_input_is_parsed_or_rejected_with_a_status(at, damage, answers):
-    data = ANSWER if answers else CHUNKED
+def test_parser_damaged_input_is_parsed_or_rejected_with_a_status(at, damage, is_response):
+    data = RESPONSE if is_response else CHUNKED
     at = min(at, len(data))
     rejection = None
     try:
-        read(data[:at] + damage + data[at + len(damage) :], answers=answers)
+        read(data[:at] + damage + data[at + len(damage) :], is_response=is_response)
     except MalformedMessageError as error:
         rejection = error
     assert rejection is None or rejection.status in (400, 413)
@@ -83,8 +83,8 @@
 
 
 def test_finish_ends_a_response_without_length_and_rejects_an_incomplete_one():
-    found, parser = read(b"HTTP/1.0 200 OK\r\n\r\nabc", answers=True)
+    found, parser = read(b"HTTP/1.0 200 OK\r\n\r\nabc", is_response=True)
     assert len(found) == 1
     assert parser.finish() is END
     with pytest.raises(MalformedMessageError):
-        read(ANSWER[:-1], answers=True)[1].finish()
+        read(RESPONSE[:-1], is_response=True)[1].finish()
