--- a/eiderfield/net/handover/new_process.py
+++ b/eiderfield/net/handover/new_process.py
@@ -84,7 +84,7 @@
             context.exchange.resume(state.learned, context.clock())
         self._share_updates()
         for name in self._adopted_listeners:
-            context.listeners[name].parking.on_departure = partial(self._report_unparked, name)
+            context.listeners[name].parking.on_borrowed_removed = partial(self._report_unparked, name)
         self._channel.send(TakeoverAccepted(tuple(self._adopted_listeners), accepts_parked_batches=True))
 
     def start_accepting(self, message: ListenersReleased) -> None:
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -202,7 +202,7 @@
         """Continue without the other process: its link was lost, or one of its messages was rejected."""
         context = self._context
         had_handed_over = self._old_process.resume_alone()
-        context.exchange.other_process.ended()
+        context.exchange.other_process.detach()
         context.table.on_ban_changed = None
         context.workers.share_connections(False)
         for listener in self.listeners.values():
@@ -219,7 +219,7 @@
     listener.successor = None
     listener.held_by_other_process = 0
     listener.parking.on_park = _ignore_report
-    listener.parking.on_departure = _ignore_report
+    listener.parking.on_borrowed_removed = _ignore_report
     listener.parking.forget_lender()
     listener.parking.take_back_all()
     if listener.passive:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -81,7 +81,7 @@
     The 150th of 214 dispatchers called 1.2 s after its start. The agent held a drain whose grace was 0.5 s,
     and three requests were sent to drained workers 0.59 s after it. First waits were up to 20 s.
     """
-    all_ = [Backoff(sharers, number, Random(number), grace=500.0) for number in range(sharers)]
+    all_ = [Backoff(sharers, number, Random(number), drain_grace_ms=500.0) for number in range(sharers)]
     firsts = [backoff.first_wait(True) for backoff in all_]
     assert max(firsts) <= FIRST_CALLS_GRACE_FRACTION * 500.0
     assert len(set(firsts)) == sharers
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -285,7 +285,7 @@
 
 def test_wheel_calls_changed_only_for_a_timer_earlier_than_all_others():
     calls = []
-    wheel = Wheel(0.0, changed=lambda: calls.append(1))
+    wheel = Wheel(0.0, on_earlier_timer=lambda: calls.append(1))
     wheel.call_at(100.0, list)
     wheel.next_wakeup()
     wheel.call_at(200.0, list)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -35,8 +35,8 @@
         ("TEXT", ()),
     ],
 )
-def test_from_text_returns_the_figures(text, expected_content):
-    assert repr(parse_text_report(text, FIELDS)) == repr(expected_content)
+def test_from_text_returns_the_figures(text, expected):
+    assert repr(parse_text_report(text, FIELDS)) == repr(expected)
 
 
 @pytest.mark.parametrize(
@@ -49,8 +49,8 @@
         (None, ()),
     ],
 )
-def test_from_object_returns_the_figures(parsed, expected_content):
-    assert repr(report_from_mapping(parsed, FIELDS)) == repr(expected_content)
+def test_from_object_returns_the_figures(parsed, expected):
+    assert repr(report_from_mapping(parsed, FIELDS)) == repr(expected)
 
 
 @hypothesis_settings(derandomize=True, database=None, deadline=None)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -167,7 +167,7 @@
         sent, answered = len(client.sent_at), len(client.statuses)
         assert sent, "the client sent no request"
         late = sent > answered and client.sent_at[-1] > sigterm_at + 700.0
-        assert not late, "sent long after SIGTERM and pending_request_count at SIGKILL"
+        assert not late, "sent long after SIGTERM and unanswered at SIGKILL"
         assert sent == answered or (client.open and longest_deadline > MAX_DEADLINE_MS), (
             "closed without a response"
         )
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -223,13 +223,13 @@
     for at in (1500.0, 1501.0):
         node.now = at
         selected_workers.append(start_request(node)[1])
-    assert slow_worker.pace(1500.0) > SLOW_WORKER_SLOWDOWN
+    assert slow_worker.slowdown(1500.0) > SLOW_WORKER_SLOWDOWN
     assert selected_workers == [2, 2]
     for _ in range(20):
         slow_worker.record_duration(1502.0, 1.0, True)
     slow_worker.open_attempts.clear()
-    assert slow_worker.pace(1502.0) < 1.1
-    assert slow_worker.pace(20_000.0) == 1.0, (
+    assert slow_worker.slowdown(1502.0) < 1.1
+    assert slow_worker.slowdown(20_000.0) == 1.0, (
         "an old pace expires: the program that slowed the worker may have ended"
     )
 
