--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -1,4 +1,4 @@
-"""A system that refuses optional calls (ENOSYS): each is named in the log once, and the dispatcher serves."""
+"""Tests on a system that refuses optional calls (ENOSYS): each is logged once; the dispatcher serves."""
 
 import json
 import signal
@@ -10,7 +10,7 @@
 
 from eiderfield.lab.ports import free_port
 
-# Stands in for a system-call filter: Unix sockets, and poll sets beside the loop's own.
+# Replaces a system call filter: refuses Unix sockets, and epoll sets other than that of the event loop.
 FILTER = """
 import errno, os, select, socket, sys, types
 refused = set(sys.argv.pop(1).split(","))
@@ -32,9 +32,9 @@
 """
 
 
-@pytest.mark.parametrize("refused", ["unix", "epoll", "unix,epoll"])
-def test_what_is_refused_is_named_once_and_the_dispatcher_serves(refused, tmp_path):
-    """On the fleet days a start may not fail for a call that only upgrades or parking need."""
+@pytest.mark.parametrize("refused_calls", ["unix", "epoll", "unix,epoll"])
+def test_refused_call_is_logged_once_and_the_dispatcher_serves(refused_calls, tmp_path):
+    """Guards against failing at the start because of a call that only upgrades or parking need."""
     worker, port = AnsweringWorker(), free_port()
     config = {
         "name": "n0",
@@ -55,13 +55,13 @@
         },
     }
     (tmp_path / "config.json").write_text(json.dumps(config))
-    command = [sys.executable, "-c", FILTER, refused]
+    command = [sys.executable, "-c", FILTER, refused_calls]
     with running_program(tmp_path / "config.json", command, wait=False) as process:
         lines = log_until_listening(process)
-        told = [line for line in lines if "Function not implemented" in line]
-        assert len(told) == refused.count(",") + 1, lines
-        assert ("cannot listen for the next process" in "".join(told)) == ("unix" in refused)
-        assert ("not parked" in "".join(told)) == ("epoll" in refused)
+        refusal_lines = [line for line in lines if "Function not implemented" in line]
+        assert len(refusal_lines) == refused_calls.count(",") + 1, lines
+        assert ("cannot listen for the next process" in "".join(refusal_lines)) == ("unix" in refused_calls)
+        assert ("not parked" in "".join(refusal_lines)) == ("epoll" in refused_calls)
         with socket.create_connection(("127.0.0.1", port)) as sock:
             assert ask(sock, JOB) == (200, b"cba")
         process.send_signal(signal.SIGTERM)
--- a/tests/test_settings_text.py
+++ b/tests/test_settings_text.py
@@ -1,4 +1,4 @@
-"""The parser of the settings text."""
+"""Tests of the parser of the settings text."""
 
 from dataclasses import fields
 
@@ -15,7 +15,7 @@
 )
 
 
-def test_settings_are_read_by_the_keys_of_the_wire():
+def test_parse_settings_maps_keys_to_attributes():
     settings = parse_settings(GOOD)
     assert settings.classes[1].effect is Effect.KEYED
     assert settings.classes[1].scope is Scope.CELL
@@ -47,7 +47,7 @@
         ("class_stretch=2.0,2.5", "class_stretch=a,b", "class_stretch"),
     ],
 )
-def test_a_wrong_setting_raises_an_error_that_names_its_key(old, new, key):
+def test_parse_settings_with_an_invalid_value_raises_an_error_that_names_its_key(old, new, key):
     with pytest.raises(SettingsError, match=key.replace(".", r"\.")) as caught:
         parse_settings(GOOD.replace(old, new))
     assert caught.value.key.endswith(key)
@@ -55,14 +55,14 @@
 
 @pytest.mark.parametrize("key", ["class_kind", "class_priority"])
 @pytest.mark.parametrize("value", ["nan", "inf"])
-def test_a_list_of_indexes_with_a_number_that_is_not_finite_names_its_key(key, value):
+def test_parse_settings_with_a_non_finite_index_raises_an_error_that_names_its_key(key, value):
     with pytest.raises(SettingsError) as caught:
         parse_settings(f"{GOOD}\nfamily_info.{key}={value}")
     assert caught.value.key == f"family_info.{key}"
 
 
 @pytest.mark.parametrize(
-    ("table", "target", "read_apart"),
+    ("table", "settings_class", "read_separately"),
     [
         (SETTINGS_FIELDS, Settings, {"classes", "tenants"}),
         (CLASS_FIELDS, RequestClass, {"name", "objective_stretch", "kind", "priority"}),
@@ -70,6 +70,8 @@
     ],
     ids=["settings", "class", "tenant"],
 )
-def test_a_table_sets_each_field_once(table, target, read_apart):
-    named = [row.field for row in table]
-    assert sorted([*named, *read_apart]) == sorted(field.name for field in fields(target))
+def test_table_sets_each_attribute_once(table, settings_class, read_separately):
+    fields_in_table = [row.field for row in table]
+    assert sorted([*fields_in_table, *read_separately]) == sorted(
+        field.name for field in fields(settings_class)
+    )
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec of the simulator's wire, against the byte strings of its description."""
+"""Tests of the codec of the simulator's wire format, with the byte strings of its specification."""
 
 import struct
 
@@ -35,9 +35,9 @@
 REQUEST, WORKER = 0x7C755D7A91C4, 0x03124A07
 
 
-def decode(*hexes):
+def decode(*hex_records):
     """Return the records of a frame with their nodes."""
-    return list(wire.Decoder().decode(bytes.fromhex("".join(hexes)), len(hexes)))
+    return list(wire.Decoder().decode(bytes.fromhex("".join(hex_records)), len(hex_records)))
 
 
 REQUEST_RECORD = (
@@ -79,11 +79,11 @@
         ("08 0300 0200 0400 68692037", PeerReportReceived(2, b"hi 7")),
     ],
 )
-def test_an_event_is_decoded_from_its_record(text, event):
+def test_decode_event_record_yields_the_event(text, event):
     assert decode(text) == [(3, event)]
 
 
-def test_an_endpoint_table_that_is_sent_again_replaces_the_earlier_one():
+def test_decode_endpoint_table_sent_again_replaces_the_earlier_one():
     changed = TABLE.replace("02 0000803f", "01 0000803f")
     update = "01 0300 00 2900000000000000 00000000"
     first, second = decode(TABLE, update, changed, update)
@@ -95,20 +95,20 @@
     assert first[1].endpoints[1].weight == 1.5
 
 
-def test_a_failed_endpoint_list_needs_no_table():
+def test_decode_failed_endpoint_list_needs_no_table():
     assert decode("01 0300 03 2900000000000000 09000000") == [
         (3, EndpointsUpdated(EndpointListKind.FAILED, 41, ()))
     ]
 
 
-def test_create_and_retire_are_decoded_with_their_node():
+def test_decode_create_and_retire_yields_their_node():
     (node, create), (_, retire) = decode("00 0300 0700000000000000 02000000 613d", "09 0300")
     assert (node, create.seed, create.text) == (3, 7, "a=")
     assert isinstance(retire, wire.Retire)
 
 
 @pytest.mark.parametrize(
-    ("hexes", "message"),
+    ("hex_records", "message"),
     [
         (["06 0300 4d"], "cut short"),
         (["2a 0300"], "unknown event code 42"),
@@ -120,9 +120,9 @@
         (["04 0300 c4917a5d757c0000 074a1203 c800 00 0000000000803240 0000 01 02 0000003f"], "cut short"),
     ],
 )
-def test_a_malformed_frame_raises_an_error_that_names_what_and_where(hexes, message):
-    with pytest.raises(wire.WireError, match=f"{message}.*frame byte|{message}"):
-        decode(*hexes)
+def test_decode_malformed_frame_raises_an_error_with_problem_and_offset(hex_records, message):
+    with pytest.raises(wire.WireError, match=rf"{message}.*frame byte \d+"):
+        decode(*hex_records)
 
 
 @pytest.mark.parametrize(
@@ -142,7 +142,7 @@
         (LogMessage("two servers known"), "02 0300 1100 74776f2073657276657273206b6e6f776e"),
     ],
 )
-def test_an_action_is_encoded_as_its_record(action, text):
+def test_encode_action_returns_its_record(action, text):
     assert wire.encode(3, action) == bytes.fromhex(text)
 
 
@@ -151,5 +151,5 @@
     [([], struct.pack("<II", 0, 8)), ([b"ab", b"c"], struct.pack("<II", 2, 11) + b"abc")],
     ids=["no record", "two records"],
 )
-def test_a_reply_counts_its_records_and_bytes(records, reply):
+def test_encode_reply_header_has_the_number_of_records_and_bytes(records, reply):
     assert wire.encode_reply(records) == reply
