--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -1,4 +1,4 @@
-"""After a pause of the process, received data is read before timers and turns."""
+"""Tests that after a pause of the process received data is read before timers are called and turns taken."""
 
 from __future__ import annotations
 
@@ -18,80 +18,80 @@
 
 
 class Loop:
-    """The part of an event loop that the driver uses, run iteration by iteration."""
+    """The methods of an event loop that the driver uses. The test runs its iterations one by one."""
 
     def __init__(self):
-        self.ready, self.later, self.arrives = [], [], []
+        self.ready_callbacks, self.timers, self.poll_callbacks = [], [], []
 
     def call_soon(self, call, *args):
-        self.ready.append((call, args))
+        self.ready_callbacks.append((call, args))
 
     def call_later(self, _wait, call):
-        self.later.append(call)
+        self.timers.append(call)
         return self
 
     def cancel(self):
-        self.later.clear()
+        self.timers.clear()
 
-    def round(self):
-        """Run the callbacks that are ready, after those of a poll, as asyncio does."""
-        ready, self.ready = self.ready, []
+    def run_iteration(self):
+        """Run the ready callbacks, then the next callback of a poll, in the order of asyncio."""
+        ready, self.ready_callbacks = self.ready_callbacks, []
         for call, args in ready:
             call(*args)
-        if self.arrives:
-            self.arrives.pop(0)()
+        if self.poll_callbacks:
+            self.poll_callbacks.pop(0)()
 
 
 @pytest.fixture
-def world():
-    class World:
+def harness():
+    class DriverHarness:
         now, log = 1000.0, []
 
-    world = World()
-    world.log = []
-    world.loop = Loop()
-    world.driver = Driver(world.loop, lambda: world.now)
-    world.driver.on_pause = lambda span: world.log.append(f"absent {span:.0f}")
-    world.driver.turn = lambda _now: world.log.append("turn")
-    return world
-
-
-def test_timer_after_a_pause_is_called_once_received_data_is_read(world):
-    world.driver.wheel.call_at(1100.0, lambda: world.log.append("timer"))
-    world.loop.round()
-    world.now = 5100.0
-    world.loop.arrives = [lambda: world.log.append("read"), lambda: world.driver.wake()]
-    [fire] = world.loop.later
-    fire()
+    harness = DriverHarness()
+    harness.log = []
+    harness.loop = Loop()
+    harness.driver = Driver(harness.loop, lambda: harness.now)
+    harness.driver.on_pause = lambda span: harness.log.append(f"paused {span:.0f}")
+    harness.driver.turn = lambda _now: harness.log.append("turn")
+    return harness
+
+
+def test_timer_after_a_pause_is_called_once_received_data_is_read(harness):
+    harness.driver.wheel.call_at(1100.0, lambda: harness.log.append("timer"))
+    harness.loop.run_iteration()
+    harness.now = 5100.0
+    harness.loop.poll_callbacks = [lambda: harness.log.append("read"), lambda: harness.driver.wake()]
+    [call_timer] = harness.loop.timers
+    call_timer()
     for _ in range(READ_ITERATIONS + 3):
-        world.loop.round()
-    assert world.log == ["read", "absent 4000", "timer", "turn"]
+        harness.loop.run_iteration()
+    assert harness.log == ["read", "paused 4000", "timer", "turn"]
 
 
-def test_turn_scheduled_before_a_pause_is_taken_once_received_data_is_read(world):
-    world.driver.wake()
-    world.now += 3000.0
-    world.loop.arrives = [lambda: world.log.append("read")]
+def test_turn_scheduled_before_a_pause_is_taken_once_received_data_is_read(harness):
+    harness.driver.wake()
+    harness.now += 3000.0
+    harness.loop.poll_callbacks = [lambda: harness.log.append("read")]
     for _ in range(READ_ITERATIONS + 3):
-        world.loop.round()
-    assert world.log == ["read", "absent 3000", "turn"]
+        harness.loop.run_iteration()
+    assert harness.log == ["read", "paused 3000", "turn"]
 
 
-def test_delay_below_the_threshold_is_no_pause(world):
-    world.driver.wake()
-    world.now += PAUSE_MS - 1.0
-    world.loop.round()
-    assert world.log == [], "one more poll comes first"
-    world.loop.round()
-    assert world.log == ["turn"]
+def test_delay_below_the_threshold_is_no_pause(harness):
+    harness.driver.wake()
+    harness.now += PAUSE_MS - 1.0
+    harness.loop.run_iteration()
+    assert harness.log == [], "the turn is taken after one more poll"
+    harness.loop.run_iteration()
+    assert harness.log == ["turn"]
 
 
-def test_turn_is_taken_after_the_next_poll(world):
-    """A request and the close of its client are reported by two polls."""
-    world.loop.arrives = [lambda: world.driver.wake(), lambda: world.log.append("close")]
+def test_turn_is_taken_after_the_next_poll(harness):
+    """Guards against a turn between the polls that report a request and the close of its client."""
+    harness.loop.poll_callbacks = [lambda: harness.driver.wake(), lambda: harness.log.append("close")]
     for _ in range(4):
-        world.loop.round()
-    assert world.log == ["close", "turn"]
+        harness.loop.run_iteration()
+    assert harness.log == ["close", "turn"]
 
 
 def test_silence_of_a_worker_counts_from_the_end_of_a_pause():
@@ -99,7 +99,7 @@
     client = dispatcher.client()
     end = dispatcher.dials[0].up()
     end.say({"id": "r1", "from": "w", "state": "started"})
-    dispatcher.now += 4_000.0  # nothing was read and no timer went off
+    dispatcher.now += 4_000.0  # no data is read and no timer is called meanwhile
     dispatcher.exchange.process_resumed(4_000.0)
     dispatcher.settle()
     assert end.pipe.open
@@ -111,7 +111,11 @@
 
 @pytest.mark.real_time
 def test_resumed_program_does_not_resend_requests_answered_meanwhile(tmp_path):
-    """Measured before, with 4 dispatchers and one of them stopped for 4 s: 15 of 240 requests ran twice."""
+    """Guards against running requests twice after a pause.
+
+    Before received data was read first, 15 of 240 requests to 4 dispatchers, one of which was stopped for
+    4 s, ran twice.
+    """
     workers = [HoldingWorker(), HoldingWorker()]
     source = DiscoveryServer(*[worker.port for worker in workers])
     served = []
@@ -124,10 +128,10 @@
         "family_info": {"tells_start": True, "progress": 1000.0},
         "policy_limits": {"cancel": True, "max_attempts": 5},
     }
-    told = {**CONFIG, "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{source.port}"}
-    told["settings"] = settings
+    config = {**CONFIG, "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{source.port}"}
+    config["settings"] = settings
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(config))
     with running_program(path) as process:
         source.asked.get(timeout=30)
         with socket.create_connection(("127.0.0.1", port), 30) as sock:
@@ -141,9 +145,11 @@
                 os.waitpid(process.pid, os.WUNTRACED)
                 for worker in workers:
                     worker.let.set()
-                until = time.monotonic() + 2.0  # far longer than the module waits for a sign of life
-                while (left := until - time.monotonic()) > 0.0:
+                resume_at = (
+                    time.monotonic() + 2.0
+                )  # far longer than the time after which a worker counts as silent
+                while (left := resume_at - time.monotonic()) > 0.0:
                     select.select([], [], [], left)
                 process.send_signal(signal.SIGCONT)
                 assert ask(sock, b"") == (200, b"cba")
-        assert len(served) == 2, "each job reached a worker once"
+        assert len(served) == 2, "each request must reach a worker once"
