--- a/eiderfield/exchange/attempt_table.py
+++ b/eiderfield/exchange/attempt_table.py
@@ -113,16 +113,16 @@
             self._other_process.process.attempts_changed(worker, self._open_per_worker[worker], work)
 
 
-def latest_start(attempt: Attempt, cls: RequestClass) -> float:
+def latest_start(attempt: Attempt, request_class: RequestClass) -> float:
     """Return the time (ms) by which an attempt must have started.
 
     This is the client's deadline. If an earlier attempt of a keyed request may have run, it is also the end
     of the window in which workers discard a repeated request.
     """
     deadline = attempt.pending.request.deadline
-    if cls.effect != Effect.KEYED:
+    if request_class.effect != Effect.KEYED:
         return deadline
-    window = cls.repeat_window_ms - MAX_WRITE_DELAY_MS
+    window = request_class.repeat_window_ms - MAX_WRITE_DELAY_MS
     return min(
         [
             deadline,
--- a/eiderfield/exchange/metrics.py
+++ b/eiderfield/exchange/metrics.py
@@ -50,11 +50,14 @@
         """Record the response times of served requests, and count those within their latency objective."""
         for pending in served:
             class_index = pending.request.class_index
-            cls = classes[class_index]
+            request_class = classes[class_index]
             response_time = now - pending.received_at
             running_time = now - pending.started_at if pending.started_at else 0.0
             if class_index not in self.response_times:
                 self.response_times[class_index] = ResponseTimes()
             self.response_times[class_index].record(response_time)
-            if response_time <= cls.latency_objective_ms + cls.objective_stretch * running_time:
+            if (
+                response_time
+                <= request_class.latency_objective_ms + request_class.objective_stretch * running_time
+            ):
                 self.served_within_objective[class_index] += 1
--- a/eiderfield/net/backoff.py
+++ b/eiderfield/net/backoff.py
@@ -8,8 +8,9 @@
 together.
 
 The protocol has a deadline after which a dispatcher counts as notified of a change even if its calls failed,
-were refused or were cancelled: 6 s after discovery had the change and was reachable. What the agent on the
-dispatcher's own machine holds counts at once, and a drain takes effect after a grace period. Hence:
+were refused or were cancelled: 6 s after discovery had the change and was reachable. For a change that the
+agent on the dispatcher's own machine holds, it counts as notified at once. A drain takes effect after a
+grace period. Hence:
 
 - All first calls are made within a fraction of the drain's grace period, and so is the first call after the
   loss of a source that had sent a list.
@@ -36,16 +37,14 @@
 
 # Between the first calls of two dispatchers, if that keeps all of them within the fraction below.
 FIRST_CALL_SPACING_MS = 8.0
-FIRST_CALLS_GRACE_FRACTION = (
-    0.6  # of the drain's grace period for all first calls; the rest is for the responses
-)
+FIRST_CALLS_GRACE_FRACTION = 0.6  # of the grace period, for all first calls; the rest is for responses
 NOTIFICATION_DEADLINE_MS = 6000.0  # set by the protocol, see above
 SOURCE_DIAL_TIMEOUT_MS = 1000.0
 FIRST_LIST_TIMEOUT_MS = 600.0  # until the agent has sent the first whole list
 MAX_WAIT_MS = NOTIFICATION_DEADLINE_MS - SOURCE_DIAL_TIMEOUT_MS - FIRST_LIST_TIMEOUT_MS
 WAIT_PER_DISPATCHER_MS = 100.0  # first wait after a failure, per dispatcher if there are many
-# Up to this number, dispatchers wait as if each had the source to itself. Forty that did so made far more
-# calls than a source that serves eight a second.
+# Up to this number of dispatchers, each waits as if no other called the source. With forty, that made far
+# more calls than a source can serve that serves eight per second.
 MAX_UNSCALED_DISPATCHERS = 8
 MAX_UNSCALED_WAIT_MS = 1000.0  # the longest wait with at most that many dispatchers
 MAX_CALLS_PER_S = 4.0  # of one dispatcher
--- a/eiderfield/net/dialer.py
+++ b/eiderfield/net/dialer.py
@@ -17,9 +17,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         """Create a dialer that uses `loop`."""
         self._loop = loop
-        self._tasks: set[asyncio.Task[None]] = (
-            set()
-        )  # keeps the tasks alive: the loop has only weak references
+        self._tasks: set[asyncio.Task[None]] = set()  # the loop has only weak references to tasks
 
     def dial(
         self,
--- a/eiderfield/net/wheel.py
+++ b/eiderfield/net/wheel.py
@@ -79,9 +79,7 @@
         """
         self._levels: list[list[Slot | None]] = [[None] * SLOTS_PER_LEVEL for _ in range(LEVELS)]
         self._occupied = [0] * LEVELS  # bitmap of slots that may hold timers
-        self._cascading: deque[Timer] = (
-            deque()
-        )  # timers of spans that have begun, to be moved to a lower level
+        self._cascading: deque[Timer] = deque()  # timers to be moved to a lower level
         self._due: deque[Timer] = deque()
         self._deferrable: deque[Timer] = deque()  # timers that are due and deferrable
         self._tick = int(now // TICK_MS)  # timers up to this tick have been called, are due, or are cascading
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -145,9 +145,7 @@
                 os.waitpid(process.pid, os.WUNTRACED)
                 for worker in workers:
                     worker.let.set()
-                resume_at = (
-                    time.monotonic() + 2.0
-                )  # far longer than the time after which a worker counts as silent
+                resume_at = time.monotonic() + 2.0  # longer than a worker may be silent
                 while (left := resume_at - time.monotonic()) > 0.0:
                     select.select([], [], [], left)
                 process.send_signal(signal.SIGCONT)
