--- a/eiderfield/net/worker_connection.py
+++ b/eiderfield/net/worker_connection.py
@@ -320,7 +320,7 @@
         self.call = None
         self._reused = True
         self._cancel_timer()
-        if self._reader.can_be_reused:
+        if self._reader.is_connection_reusable:
             self._owner.add_idle(self)
         else:
             self.close()
--- a/eiderfield/net/worker_response.py
+++ b/eiderfield/net/worker_response.py
@@ -38,7 +38,7 @@
         return self.head is None and not self._parser.buffered
 
     @property
-    def can_be_reused(self) -> bool:
+    def is_connection_reusable(self) -> bool:
         """Whether the response is complete, no byte follows it, and the worker keeps the connection open."""
         keeps_open = self.head is not None and self.head.keep_alive
         return keeps_open and not self._parser.buffered and self._parser.at_boundary
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -48,12 +48,12 @@
     ("ending", "outcome"),
     [
         ("refused", Outcome.CONNECT_FAILED),
-        ("never up", Outcome.CONNECT_FAILED),
-        ("cut before its last byte", Outcome.CONNECT_FAILED),
-        ("cut after its last byte", Outcome.RESET),
+        ("dial timeout", Outcome.CONNECT_FAILED),
+        ("reset before its last byte", Outcome.CONNECT_FAILED),
+        ("reset after its last byte", Outcome.RESET),
         ("returned", Outcome.FULL),
-        ("503 unstarted", Outcome.FULL),
-        ("504 unstarted", Outcome.FULL),
+        ("503 not run", Outcome.FULL),
+        ("504 not run", Outcome.FULL),
         ("503", Outcome.ERROR),
         ("500", Outcome.ERROR),
         ("failed", Outcome.ERROR),
@@ -67,15 +67,15 @@
     outcomes = collect_outcomes(dispatcher)
     if ending == "refused":
         dispatcher.dials[0].refuse()
-    elif ending == "never up":
+    elif ending == "dial timeout":
         dispatcher.advance(150.0)
     else:
-        end = dispatcher.dials[0].up(stuck=ending == "cut before its last byte")
-        if ending.startswith("cut"):
+        end = dispatcher.dials[0].up(stuck=ending == "reset before its last byte")
+        if ending.startswith("reset"):
             end.pipe.break_off()
             dispatcher.settle()
         elif ending[0] == "5":
-            end.status(int(ending[:3]), **({"X_Not_Run": "1"} if "unstarted" in ending else {}))
+            end.status(int(ending[:3]), **({"X_Not_Run": "1"} if "not run" in ending else {}))
         else:
             end.finish(ending)
     assert outcomes[0] == outcome
