--- a/eiderfield/durable_requests/inspection.py
+++ b/eiderfield/durable_requests/inspection.py
@@ -1,7 +1,8 @@
-"""The whole folder as operators see it: every job once, with its owner; checks. Changes no store.
+"""Reads a whole folder for operators: every request once, with its owner, and checks. Changes no store.
 
-A job may be recorded in several stores: in that of the incarnation that accepted it, and in those of its
-successors. The record of the last owner that wrote one counts (`ownership.py`).
+A request, which operators see as a job, may be recorded in several stores: in that of the incarnation that
+accepted it and in those of its successors. The record of the last owner that wrote one counts
+(`ownership.py`).
 """
 
 from __future__ import annotations
@@ -25,17 +26,17 @@
 
 
 class IncarnationState(StrEnum):
-    """The state of an incarnation, by the word that operators see."""
+    """The state of an incarnation. Operators see the values."""
 
     ALIVE = "alive"
-    GONE = "gone"  # its process is gone, and it is not fenced yet
+    GONE = "gone"  # its process has exited, and it is not fenced yet
     LOST = "lost"
     LEFT = "left"
 
 
 @dataclass(frozen=True, slots=True)
-class StoredJob:
-    """A durable request as it is recorded. `chain` are the incarnations it has belonged to."""
+class StoredRequest:
+    """A durable request as it is recorded. `chain` has the incarnations that it has belonged to."""
 
     record: Record
     owner: str  # '' while no incarnation owns it
@@ -54,7 +55,7 @@
     def row(self, unix_offset: float) -> dict[str, object]:
         """Return plain values, for tables and JSON.
 
-        `unix_offset` leads from the monotonic clock to Unix time, in ms.
+        `unix_offset` is Unix time minus the monotonic clock, in ms.
         """
         record = self.record
         is_attempted = not record.verdict and bool(record.attempts)
@@ -105,18 +106,18 @@
     """Reads a folder. Raises `FolderError` if it is not a folder of durable requests."""
 
     def __init__(self, path: Path) -> None:
-        """Read the fences."""
-        self.folder = SharedFolder(path, make=False)
+        """Open the folder and read its fences."""
+        self.folder = SharedFolder(path, create=False)
         self.fences = self.folder.fences.refresh()
-        self.faults: list[str] = []  # stores that could not be read, with the reason
+        self.faults: list[str] = []  # the stores that could not be read, each with the reason
 
     def incarnations(self) -> list[StoredIncarnation]:
         """Return all incarnations."""
-        alive = self.folder.incarnations.all(besides=self.fences)
-        gone = self.folder.incarnations.gone(alive)
-        return [self._incarnation(name, name in gone) for name in sorted({*alive, *self.fences})]
+        alive = self.folder.incarnations.all(excluding=self.fences)
+        exited = self.folder.incarnations.exited(alive)
+        return [self._incarnation(name, name in exited) for name in sorted({*alive, *self.fences})]
 
-    def _incarnation(self, name: str, is_gone: bool) -> StoredIncarnation:
+    def _incarnation(self, name: str, has_exited: bool) -> StoredIncarnation:
         counts = NO_RECORDS
         with suppress(StoreError), closing(self.open_store(name)) as store:
             counts = store.counts()
@@ -125,12 +126,12 @@
         if is_fenced:
             state = IncarnationState.LEFT if fence.reason == LEFT else IncarnationState.LOST
         else:
-            state = IncarnationState.GONE if is_gone else IncarnationState.ALIVE
+            state = IncarnationState.GONE if has_exited else IncarnationState.ALIVE
         info = self.folder.incarnations.info(name)
         return StoredIncarnation(name, state, fence, counts, None if info is None else info.pid)
 
-    def jobs(self) -> Iterator[StoredJob]:
-        """Yield every job once."""
+    def requests(self) -> Iterator[StoredRequest]:
+        """Yield every request once."""
         seen: set[str] = set()
         for name in self.folder.stored_incarnations():
             try:
@@ -138,18 +139,18 @@
                     for record in store.records():
                         if record.id not in seen:
                             seen.add(record.id)
-                            yield from self._jobs_of(record.id)
+                            yield from self._requests_with_id(record.id)
             except EmptyStoreError:
                 continue
             except StoreError as error:
                 self.faults.append(f"{name}: {error}")
 
-    def _jobs_of(self, id_: str) -> Iterator[StoredJob]:
-        if (job := self.job(id_)) is not None:
-            yield job
+    def _requests_with_id(self, id_: str) -> Iterator[StoredRequest]:
+        if (request := self.request(id_)) is not None:
+            yield request
 
-    def job(self, id_: str) -> StoredJob | None:
-        """Return one job, None if nothing is recorded of it."""
+    def request(self, id_: str) -> StoredRequest | None:
+        """Return a request, None if it has no record."""
         holder = self.folder.ids.holder(id_)
         if holder is None:
             return None
@@ -159,7 +160,7 @@
                 record = store.get(id_)
                 if record is not None and record.generation == holder.generation:
                     owner = "" if chain[-1] in self.fences else chain[-1]
-                    return StoredJob(record, owner, tuple(chain))
+                    return StoredRequest(record, owner, tuple(chain))
         return None
 
     def open_store(self, incarnation: str) -> RecordStore:
@@ -171,7 +172,7 @@
 
     def verify(self) -> list[str]:
         """Return the faults of the folder, a line each."""
-        found = [*self._faulty_stores(), *self._unknown_successors(), *self._ownerless_jobs()]
+        found = [*self._faulty_stores(), *self._unknown_successors(), *self._ownerless_requests()]
         unnamed = [fault for fault in self.faults if not any(fault.split(":")[0] in line for line in found)]
         return [*found, *unnamed]
 
@@ -193,7 +194,7 @@
                 if successor not in self.fences and self.folder.incarnations.info(successor) is None:
                     yield f"fences/{name}: its heir {successor} is not known"
 
-    def _ownerless_jobs(self) -> Iterator[str]:
-        for job in self.jobs():
-            if job.record.stage != Stage.FINAL and not job.owner:
-                yield f"job {job.record.id}: open, and all who might own it are lost"
+    def _ownerless_requests(self) -> Iterator[str]:
+        for request in self.requests():
+            if request.record.stage != Stage.FINAL and not request.owner:
+                yield f"job {request.record.id}: open, and all who might own it are lost"
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -8,8 +8,8 @@
 
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.exchange.request import Answer, Request, Verdict
-from eiderfield.idmap import IdMap, plain
-from eiderfield.net.clients.front import ClientDeparted, ListenerStatus, Responder
+from eiderfield.idmap import IdMap, normalize_name
+from eiderfield.net.clients.front import ClientDisconnectCallback, ListenerStatus, Responder
 from eiderfield.net.clients.request_headers import check_ids, read_resource_needs, read_timeout
 from eiderfield.net.http import Head, MalformedMessageError
 
@@ -20,8 +20,8 @@
     def is_durable(self, class_index: int) -> bool:
         """Return whether requests of a class are durable."""
 
-    def accept(self, request: Request, on_answer: Callable[[Answer], None]) -> ClientDeparted:
-        """Accept a request, or join its client to a known one; return what to call when it leaves."""
+    def accept(self, request: Request, on_answer: Callable[[Answer], None]) -> ClientDisconnectCallback:
+        """Accept a request, or attach its client to a known one; return what to call if it disconnects."""
 
 
 class RequestFront:
@@ -34,7 +34,7 @@
         clock: Callable[[], float],
         durable: DurableIntake | None = None,
     ) -> None:
-        """Submit to `exchange`, but requests of the classes that `durable` keeps to that."""
+        """Submit requests to `exchange`, and those of durable classes to `durable`, if it is given."""
         self._exchange = exchange
         self._durable = durable
         self._ids = ids
@@ -44,7 +44,7 @@
 
     def handle_message(
         self, listener: ListenerStatus, connection: Responder, head: Head, body: bytes
-    ) -> ClientDeparted | None:
+    ) -> ClientDisconnectCallback | None:
         """Submit a request, or respond whether this dispatcher is ready."""
         path = head.target.partition("?")[0]
         if path == "/ready":
@@ -72,11 +72,11 @@
         else:
             connection.answer(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
 
-    def _submit(self, connection: Responder, request: Request) -> ClientDeparted | None:
+    def _submit(self, connection: Responder, request: Request) -> ClientDisconnectCallback | None:
         if self._durable is not None and self._durable.is_durable(request.class_index):
             connection.proven = True
             return self._durable.accept(request, partial(write_answer, connection, durable=True))
-        if self._exchange.has_request(request.id):  # workers must not see two requests of one id
+        if self._exchange.has_request(request.id):  # workers must not receive two requests with the same id
             connection.reject(409, "X-Request-Id is that of a job which is not over yet")
             return None
         connection.proven = True
@@ -101,18 +101,18 @@
             host=head.get("host") or "backend.local",
             body=body,
             idempotency_key=head.get("idempotency-key"),
-            subject=self._ids.subject(key_path[-1]) if key_path else 0,
+            subject=self._ids.key_number(key_path[-1]) if key_path else 0,
             is_client_retry=head.get("x-retry") == "1",
-            tenant_index=self._tenants.get(plain(head.get("x-tenant")), len(self._tenants)),
+            tenant_index=self._tenants.get(normalize_name(head.get("x-tenant")), len(self._tenants)),
             slots=needs.slots,
             memory=needs.memory,
         )
 
 
 def write_answer(connection: Responder, answer: Answer, durable: bool = False) -> None:
-    """Write the final answer of a request as its response.
+    """Write the final answer to a request as its response.
 
-    Only a request that the policy declines becomes a 503. The response to a durable request that failed says
+    Only a request that the policy declines is answered 503. The response to a failed durable request says
     whether the request may have run.
     """
     if answer.verdict == Verdict.SERVED:
--- a/eiderfield/net/departures.py
+++ b/eiderfield/net/departures.py
@@ -1,15 +1,15 @@
-"""Detection of peers that leave a connection while it is not being read.
+"""Detection of peers that close a connection while reading from it is paused.
 
-A transport whose reading is paused reports neither an end nor a reset. The dispatcher pauses reading from
-a client that has sent too much or does not read its responses, and the client may leave meanwhile. A
-separate epoll set watches such connections for their peers' departure alone (EPOLLRDHUP, which unread
-bytes do not hide), not for bytes.
+A transport whose reading is paused reports neither the end of the stream nor a reset. The dispatcher pauses
+reading from a client that has sent too much or does not read its responses, and the client may close the
+connection meanwhile, which is called its departure. A separate epoll set watches such connections for
+EPOLLRDHUP only, which is reported in spite of unread bytes, and not for readable bytes.
 
-    read ──(watch, when reading pauses)──> watched ──(forget, when reading resumes or ends)──> read
-                                              └──(the peer leaves)──> forgotten, then reported once
+    not watched ──(watch, when reading pauses)──> watched ──(forget, on resumption or closing)──> not watched
+                                                     └──(departure: reported once)──> not watched
 
-Invariant: no descriptor in the set is closed, since its number may be reused. Owners forget a descriptor
-before they close it.
+Invariant: no closed descriptor is in the set, since its number may be reused. Owners call `forget`
+before they close a descriptor.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-REPORTED_PER_POLL = 64  # departures reported in one poll
+MAX_REPORTED_PER_POLL = 64  # departures
 
-_LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_CLOSE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-def has_left(fd: int) -> bool:
+def has_peer_closed(fd: int) -> bool:
     """Return whether a connection's peer has closed, half-closed or reset it, in spite of unread bytes."""
     if fd < 0:
         return True
     poll = select.poll()  # `select.select` supports no descriptor above 1,023
     poll.register(fd, select.POLLRDHUP)
-    return any(event & _LEFT for _, event in poll.poll(0))
+    return any(event & _CLOSE_EVENTS for _, event in poll.poll(0))
 
 
 class DepartureWatch:
     """Watches the connections of one event loop that are not being read."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Create an empty watch."""
+        """Create a watch without connections."""
         self._loop = loop
         self._poll: select.epoll | None = None
         self._watched: dict[int, Callable[[], None]] = {}
@@ -71,7 +71,7 @@
 
     def _report_departures(self) -> None:
         assert self._poll is not None
-        for fd, _ in self._poll.poll(0, REPORTED_PER_POLL):
+        for fd, _ in self._poll.poll(0, MAX_REPORTED_PER_POLL):
             on_departure = self._watched.get(fd)
             self.forget(fd)
             if on_departure is not None:
--- a/eiderfield/net/handover/encoder.py
+++ b/eiderfield/net/handover/encoder.py
@@ -1,8 +1,8 @@
-"""Encoder of the handover's messages.
+"""Encoder for the messages of a handover.
 
-The wire form is that of revision 731b84e, recorded in `tests/golden/handover`. Fields were added since:
-`now` in every message with times, `started` of an endpoint and `heard` of the table. Older processes
-ignore them, and messages of older processes lack them.
+The wire form is that of revision 731b84e, recorded in `tests/golden/handover`, with three fields added since:
+`now` in every message that holds times, `started` in an endpoint and `heard` in the routing table. Processes
+of that revision ignore these fields and do not send them.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 from eiderfield.net.handover.messages import (
     BanChanged,
     ConnectionPassed,
+    ConnectionsUnparked,
     DispatcherState,
     ListenersReleased,
     LoadChanged,
     Message,
     ParkedBatch,
-    ParkedBatchTaken,
-    ParkedDeparted,
+    ParkedBatchResult,
     TakeoverAccepted,
     TakeoverDelayed,
     TakeoverRequest,
 )
 from eiderfield.net.table_state import EndpointRecord, RoutingTableState
 
-WireMessage = dict[str, Any]  # what `Link` carries
+WireMessage = dict[str, Any]  # the JSON object that `Link` sends
 
 
 def encode(message: Message, now: float, unix_offset: float) -> WireMessage:
     """Return the wire form of a message.
 
     Args:
-        message: The message, with times of this process's clock.
-        now: The time on this process's clock.
-        unix_offset: Unix time minus this process's clock, in ms; added to all times.
+        message: The message, with times on this process's clock.
+        now: The current time on this process's clock, in ms.
+        unix_offset: Unix time minus this process's clock, in ms; added to all times of the message.
     """
     if type(message) in _TIMED_ENCODERS:
         kind, encode_timed = _TIMED_ENCODERS[type(message)]
@@ -55,7 +55,7 @@
 
 
 def _encode_takeover_accepted(message: TakeoverAccepted) -> WireMessage:
-    return {"doors": list(message.listeners), "parks": message.takes_parked}
+    return {"doors": list(message.listeners), "parks": message.accepts_parked_batches}
 
 
 def _encode_listeners_released(message: ListenersReleased) -> WireMessage:
@@ -67,11 +67,11 @@
     return {"ids": dict(message.request_ids), "legs": attempts}
 
 
-def _encode_parked_batch_taken(message: ParkedBatchTaken) -> WireMessage:
+def _encode_parked_batch_result(message: ParkedBatchResult) -> WireMessage:
     return {"door": message.listener, "refused": list(message.refused)}
 
 
-def _encode_parked_departed(message: ParkedDeparted) -> WireMessage:
+def _encode_connections_unparked(message: ConnectionsUnparked) -> WireMessage:
     return {"door": message.listener, "keys": list(message.keys)}
 
 
@@ -124,8 +124,8 @@
             for worker in table.unbanned_workers
         ],
     }
-    if table.source_heard_at is not None:
-        fields["heard"] = table.source_heard_at + offset
+    if table.source_contact_at is not None:
+        fields["heard"] = table.source_contact_at + offset
     return fields
 
 
@@ -140,8 +140,8 @@
     TakeoverAccepted: (MessageKind.TAKEOVER_ACCEPTED, _encode_takeover_accepted),
     ListenersReleased: (MessageKind.LISTENERS_RELEASED, _encode_listeners_released),
     LoadChanged: (MessageKind.LOAD_CHANGED, _encode_load_changed),
-    ParkedBatchTaken: (MessageKind.PARKED_BATCH_TAKEN, _encode_parked_batch_taken),
-    ParkedDeparted: (MessageKind.PARKED_DEPARTED, _encode_parked_departed),
+    ParkedBatchResult: (MessageKind.PARKED_BATCH_RESULT, _encode_parked_batch_result),
+    ConnectionsUnparked: (MessageKind.CONNECTIONS_UNPARKED, _encode_connections_unparked),
 }
 _TIMED_ENCODERS: dict[type, tuple[MessageKind, Callable[[Any, float], WireMessage]]] = {
     DispatcherState: (MessageKind.DISPATCHER_STATE, _encode_dispatcher_state),
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -1,4 +1,4 @@
-"""Bans hold from the yes until enable, whatever the list says and whichever process runs."""
+"""Operators' bans: from `disable` to `enable`, across lists of discovery and across processes."""
 
 import json
 
@@ -9,145 +9,145 @@
 from eiderfield.interface import EndpointState
 
 
-def state(dispatcher, worker):
-    return dispatcher.exchange.endpoints.states[dispatcher.ids.known(f"w{worker}")]
+def endpoint_state(dispatcher, worker):
+    return dispatcher.exchange.endpoints.states[dispatcher.ids.find_worker(f"w{worker}")]
 
 
-def sent_to(dispatcher):
+def dialed_ports(dispatcher):
     return {dial.address[1] for dial in dispatcher.dials}
 
 
-def ask(console, call, worker="w1"):
+def call_console(console, call, worker="w1"):
     status, _ = console.call(f"/-/workers/{worker}/{call}", "POST")
     console.dispatcher.settle()
     return status
 
 
-@pytest.mark.parametrize("news", ["nothing", "change", "whole list", "gone and back", "drain and back"])
-def test_a_ban_holds_whatever_the_list_says_until_one_call_back(news):
+@pytest.mark.parametrize("update", ["nothing", "change", "whole list", "gone and back", "drain and back"])
+def test_ban_holds_through_list_updates_until_enable(update):
     console = Console(workers=2)
     dispatcher = console.dispatcher
-    assert [ask(console, "disable"), ask(console, "disable")] == [200, 200]
-    if news == "change":
+    assert [call_console(console, "disable"), call_console(console, "disable")] == [200, 200]
+    if update == "change":
         dispatcher.tell((1, "SERVING"))
-    elif news == "whole list":
+    elif update == "whole list":
         dispatcher.tell((1, "SERVING"), (2, "SERVING"), snapshot=True)
-    elif news == "gone and back":
+    elif update == "gone and back":
         dispatcher.tell((2, "SERVING"), snapshot=True)
         dispatcher.tell((1, "SERVING"))
-    elif news == "drain and back":
+    elif update == "drain and back":
         dispatcher.tell((1, "DRAINING"))
         dispatcher.tell((1, "SERVING"))
-    assert state(dispatcher, 1) == EndpointState.DRAINING
+    assert endpoint_state(dispatcher, 1) == EndpointState.DRAINING
     assert console.figures()["hosts_down"] == 1
-    for n in range(4):
-        dispatcher.client(path="/safe", id_=f"r{n}")
-    assert sent_to(dispatcher) == {2}
-    assert [ask(console, "enable"), ask(console, "enable")] == [200, 200]
-    assert state(dispatcher, 1) == EndpointState.READY
+    for number in range(4):
+        dispatcher.client(path="/safe", id_=f"r{number}")
+    assert dialed_ports(dispatcher) == {2}
+    assert [call_console(console, "enable"), call_console(console, "enable")] == [200, 200]
+    assert endpoint_state(dispatcher, 1) == EndpointState.READY
     assert console.figures()["hosts_down"] == 0
 
 
-def test_what_was_about_to_be_sent_to_a_banned_worker_goes_elsewhere():
+def test_request_not_yet_sent_to_banned_worker_is_sent_to_other_worker():
     console = Console(workers=2)
     dispatcher = console.dispatcher
     client = dispatcher.client()
     [dial] = dispatcher.dials
-    ask(console, "disable", f"w{dial.address[1]}")
+    call_console(console, "disable", f"w{dial.address[1]}")
     end = dial.up()
-    assert not end.take(), "begun after the yes"
-    [other] = dispatcher.dials
-    assert other.address != dial.address
-    other.up().finish()
+    assert not end.take(), "a request was sent to the worker after its ban"
+    [other_dial] = dispatcher.dials
+    assert other_dial.address != dial.address
+    other_dial.up().finish()
     assert client.answers()[0][0] == 200
 
 
-def test_a_job_that_runs_at_a_banned_worker_may_end_there():
+def test_request_running_at_banned_worker_finishes_there():
     console = Console(workers=1)
     client, end = console.dispatcher.client(), console.dispatcher.dials[0].up()
-    ask(console, "disable")
+    call_console(console, "disable")
     end.finish()
     assert client.answers()[0][0] == 200
 
 
-def test_enable_gives_back_what_discovery_last_said():
+def test_enable_restores_last_listed_state():
     console = Console(workers=2)
-    ask(console, "disable")
+    call_console(console, "disable")
     console.dispatcher.tell((1, "DELETED"))
-    ask(console, "enable")
-    assert state(console.dispatcher, 1) == EndpointState.GONE
+    call_console(console, "enable")
+    assert endpoint_state(console.dispatcher, 1) == EndpointState.GONE
     console.dispatcher.tell((1, "SERVING"))
-    assert state(console.dispatcher, 1) == EndpointState.READY
+    assert endpoint_state(console.dispatcher, 1) == EndpointState.READY
 
 
-@pytest.mark.parametrize("told", [False, True])
-def test_a_worker_given_back_is_cold_unless_discovery_has_told_of_its_start(told):
-    """It is restarted while it is banned, and discovery tells of that seconds late."""
+@pytest.mark.parametrize("announced", [False, True])
+def test_unbanned_worker_is_in_slow_start_unless_restart_was_announced(announced):
+    """A worker may be restarted during its ban, which discovery announces seconds late."""
     console = Console(workers=2)
     dispatcher = console.dispatcher
-    ask(console, "disable")
+    call_console(console, "disable")
     dispatcher.advance(100.0)
     started = dispatcher.now
-    if told:
+    if announced:
         dispatcher.tell((1, "SERVING"), since=started)
     dispatcher.advance(3000.0)
-    ask(console, "enable")
-    worker = dispatcher.exchange.dispatcher.workers[dispatcher.ids.known("w1")]
-    assert worker.entry.ready_at == (started if told else dispatcher.now)
-    dispatcher.tell((1, "SERVING"), since=started if told else 0)  # what was told already, once more
+    call_console(console, "enable")
+    worker = dispatcher.exchange.dispatcher.workers[dispatcher.ids.find_worker("w1")]
+    assert worker.entry.ready_at == (started if announced else dispatcher.now)
+    dispatcher.tell((1, "SERVING"), since=started if announced else 0)  # a repeated announcement
     assert worker.entry.ready_at >= started
     dispatcher.tell((1, "SERVING"), since=started)
     assert worker.entry.ready_at == started
 
 
-def test_only_what_was_ever_listed_can_be_banned():
+def test_disable_of_worker_never_listed_is_not_found():
     console = Console(workers=2)
-    assert ask(console, "disable", "w9") == 404
-    assert ask(console, "enable", "w9") == 404
+    assert call_console(console, "disable", "w9") == 404
+    assert call_console(console, "enable", "w9") == 404
     console.dispatcher.tell((2, "DELETED"))
-    assert ask(console, "disable", "w2") == 200, "it was listed once"
+    assert call_console(console, "disable", "w2") == 200, "a worker that was ever listed can be banned"
     assert console.call("/-/workers/w1/disable")[0] == 405
     assert console.call("/-/workers/w1/restart", "POST")[0] == 404
 
 
-def test_names_may_be_written_in_percents():
+def test_worker_name_in_path_may_be_percent_encoded():
     console = Console(workers=1)
-    assert ask(console, "disable", "%77%31") == 200
-    assert state(console.dispatcher, 1) == EndpointState.DRAINING
+    assert call_console(console, "disable", "%77%31") == 200
+    assert endpoint_state(console.dispatcher, 1) == EndpointState.DRAINING
 
 
-def test_bans_outlive_the_process(tmp_path):
+def test_bans_persist_across_processes(tmp_path):
     first = Console(bans=tmp_path / "bans")
-    ask(first, "disable")
+    call_console(first, "disable")
     second = Console(bans=tmp_path / "bans")
-    assert state(second.dispatcher, 1) == EndpointState.DRAINING
-    ask(second, "enable")
-    assert state(Console(bans=tmp_path / "bans").dispatcher, 1) == EndpointState.READY
-    assert [file.name for file in tmp_path.iterdir()] == ["bans"], "no draft stays behind"
+    assert endpoint_state(second.dispatcher, 1) == EndpointState.DRAINING
+    call_console(second, "enable")
+    assert endpoint_state(Console(bans=tmp_path / "bans").dispatcher, 1) == EndpointState.READY
+    assert [file.name for file in tmp_path.iterdir()] == ["bans"], "a temporary file remains"
 
 
 @pytest.mark.parametrize(
     "text", ["", "{", '{"banned": {"w1"', '{"banned": ["w1"]}', '{"banned": {"w1": "x"}}', "[" * 9999]
 )
-def test_a_torn_file_stops_nothing(tmp_path, text):
+def test_malformed_file_is_ignored_and_replaced_by_next_ban(tmp_path, text):
     (tmp_path / "bans").write_text(text)
     console = Console(bans=tmp_path / "bans")
     assert "file ignored" in console.dispatcher.logged[0]
-    assert state(console.dispatcher, 1) == EndpointState.READY
-    assert ask(console, "disable") == 200
+    assert endpoint_state(console.dispatcher, 1) == EndpointState.READY
+    assert call_console(console, "disable") == 200
     assert json.loads((tmp_path / "bans").read_text())["banned"].keys() == {"w1"}
 
 
-def test_a_ban_that_cannot_be_written_is_in_force_and_says_so(tmp_path):
+def test_ban_that_cannot_be_written_is_in_force_and_answered_with_error(tmp_path):
     console = Console(bans=tmp_path / "none" / "bans")
-    assert ask(console, "disable") == 500
-    assert state(console.dispatcher, 1) == EndpointState.DRAINING
+    assert call_console(console, "disable") == 500
+    assert endpoint_state(console.dispatcher, 1) == EndpointState.DRAINING
 
 
-def test_a_caller_that_goes_away_leaves_the_console_working():
+def test_console_works_after_disconnect_of_caller():
     console = Console()
     caller = Client(console.dispatcher, console.listener)
     caller.send(b"POST /-/workers/w1/disa")
     caller.pipe.break_off()
-    assert state(console.dispatcher, 1) == EndpointState.READY
-    assert ask(console, "disable") == 200
+    assert endpoint_state(console.dispatcher, 1) == EndpointState.READY
+    assert call_console(console, "disable") == 200
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -1,4 +1,4 @@
-"""Consul's health and catalogue API against a stand-in: blocking queries, index reset, cuts and nonsense."""
+"""The watch of Consul with a simulated agent: queries, index resets, malformed and partial lists."""
 
 import json
 
@@ -6,10 +6,10 @@
 from support.consul import Consul, instance
 
 from eiderfield.interface import EndpointState
-from eiderfield.net.discovery.consul import ANSWER_SLACK_MS
+from eiderfield.net.discovery.consul import RESPONSE_SLACK_MS
 
 
-def test_health_is_followed_by_blocking_queries():
+def test_health_api_is_followed_by_blocking_queries():
     consul = Consul()
     assert consul.query() == "/v1/health/service/claim%20workers"
     consul.answer(7, instance("a", 1), instance("b", 2, "critical"), instance("c", 3, "warning"))
@@ -24,7 +24,7 @@
     assert consul.dispatcher.exchange.endpoints.any_ready
 
 
-def test_the_catalogue_knows_of_no_checks():
+def test_catalog_api_lists_instances_as_ready():
     consul = Consul("catalog")
     assert consul.query().startswith("/v1/catalog/service/")
     consul.answer(
@@ -43,14 +43,14 @@
     assert list(consul.dispatcher.side.addresses.values()) == [("127.0.0.8", 5)]
 
 
-def test_an_index_that_goes_backwards_is_begun_anew_from_nothing():
+def test_index_that_goes_back_is_reset_to_zero():
     consul = Consul()
     consul.query()
     consul.answer(90, instance("a", 1))
     consul.query()
-    consul.answer(4, instance("a", 1), instance("b", 2))  # restored from a snapshot
+    consul.answer(4, instance("a", 1), instance("b", 2))  # as after the restoration of a snapshot
     assert len(consul.states()) == 2
-    assert consul.query() is None  # such a query would not block: it waits a little
+    assert consul.query() is None  # the next query has no index and does not block, so it is delayed
     consul.dispatcher.advance(1100.0)
     assert consul.query() == "/v1/health/service/claim%20workers"
     consul.answer(5, instance("a", 1))
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    "raw",
+    "body",
     [
         b"{}",
         b"[1]",
@@ -68,11 +68,11 @@
         b"[" * 9999,
     ],
 )
-def test_nonsense_and_cuts_leave_the_table_as_it_was(raw):
+def test_malformed_response_leaves_table_unchanged(body):
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1))
-    consul.answer(8, raw=raw)
+    consul.answer(8, raw=body)
     assert not consul.pipe.open
     assert consul.states() == {"n/a": EndpointState.READY}
     consul.dispatcher.advance(1500.0)
@@ -80,50 +80,50 @@
     assert consul.query() == "/v1/health/service/claim%20workers"
 
 
-def test_a_silent_consul_is_asked_anew():
+def test_silent_consul_is_disconnected_after_timeout():
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1))
-    consul.dispatcher.advance(30_000.0 * 17 / 16 + ANSWER_SLACK_MS + 50.0)
+    consul.dispatcher.advance(30_000.0 * 17 / 16 + RESPONSE_SLACK_MS + 50.0)
     assert not consul.pipe.open
     assert consul.states() == {"n/a": EndpointState.READY}
 
 
-def test_an_instance_that_appears_later_counts_as_just_started():
+def test_instance_listed_later_without_start_counts_as_just_started():
     consul = Consul()
     consul.answer(7, instance("a", 1), instance("c", 3, since_ms="12"))
     consul.dispatcher.advance(100.0)
     consul.answer(8, instance("a", 1), instance("b", 2), instance("c", 3, since_ms="12"))
     since = {
-        consul.dispatcher.ids.name(w.entry.worker): w.entry.ready_at
+        consul.dispatcher.ids.worker_name(w.entry.worker): w.entry.ready_at
         for w in consul.dispatcher.exchange.dispatcher.workers.values()
     }
     assert since == {"n/a": 0.0, "n/b": consul.dispatcher.now, "n/c": 12.0}
 
 
-def steps(consul, span, most=400):
-    """Lets time pass while the stand-in answers every query at once; gives how many it got."""
-    asked = 0
-    until = consul.dispatcher.now + span
-    while consul.dispatcher.now < until and asked < most:
+def answered_queries(consul, duration, max_queries=400):
+    """At each query yield the number of queries so far; the caller answers it at once."""
+    queries = 0
+    until = consul.dispatcher.now + duration
+    while consul.dispatcher.now < until and queries < max_queries:
         if consul.query() is None:
             consul.dispatcher.advance(10.0)
         else:
-            asked += 1
-            yield asked
+            queries += 1
+            yield queries
 
 
-def test_an_agent_that_answers_at_once_is_not_hammered():
-    """Measured before: 45,098 calls in 4 s to one whose index stood still."""
+def test_queries_to_agent_that_answers_at_once_are_paced():
+    """Without a rate limit, an agent whose index did not change received 45,098 queries in 4 s."""
     consul = Consul()
     calls = []
-    for asked in steps(consul, 4000.0):
+    for queries in answered_queries(consul, 4000.0):
         consul.answer(7, instance("a", 1))
-        calls.append(asked)
+        calls.append(queries)
     assert 16 <= calls[-1] <= 8 + 4 * 4 + 1
 
 
-def test_a_change_is_heard_of_at_once_where_changes_are_few():
+def test_query_follows_at_once_where_changes_are_few():
     consul = Consul()
     for index in range(1, 8):
         assert consul.query() is not None
@@ -131,21 +131,21 @@
     consul.dispatcher.advance(60_000.0 * 0.5)
 
 
-def test_broken_answers_are_asked_again_at_the_same_pace():
+def test_queries_after_malformed_responses_are_paced():
     consul = Consul()
-    asked = 0
+    queries = 0
     until = consul.dispatcher.now + 10_000.0
     while consul.dispatcher.now < until:
         if consul.query() is not None:
-            asked += 1
+            queries += 1
             consul.answer(1, raw=b"nonsense")
         consul.dispatcher.advance(10.0)
         if consul.dispatcher.dials:
             consul.connect()
-    assert asked <= 8 + 10 * 4
+    assert queries <= 8 + 10 * 4
 
 
-def test_an_empty_list_of_an_agent_that_has_just_begun_takes_nobody_away():
+def test_empty_list_of_restarted_agent_removes_no_worker():
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1), instance("b", 2), instance("c", 3))
@@ -168,7 +168,7 @@
     assert consul.query().endswith("?index=9&wait=30s")
 
 
-def test_a_drain_told_in_a_list_in_doubt_is_kept():
+def test_drain_in_unconfirmed_list_is_applied():
     consul = Consul()
     consul.query()
     consul.answer(7, *[instance(c, n) for n, c in enumerate("abcd", 1)])
@@ -178,7 +178,7 @@
     assert consul.states()["n/b"] == EndpointState.READY
 
 
-def test_without_a_leader_lists_are_in_doubt_until_their_time_ends():
+def test_list_without_leader_is_applied_after_confirmation_timeout():
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1), instance("b", 2), instance("c", 3))
@@ -194,7 +194,7 @@
     assert any("discovery: unconfirmed list applied" in line for line in consul.dispatcher.logged)
 
 
-def test_a_shorter_list_with_a_leader_and_a_going_index_is_no_doubt():
+def test_shorter_list_with_leader_and_growing_index_is_applied():
     consul = Consul()
     consul.query()
     consul.answer(7, instance("a", 1), instance("b", 2), instance("c", 3))
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -30,7 +30,7 @@
     WatchEndpoints,
 )
 from eiderfield.policy.dispatcher import Dispatcher
-from eiderfield.policy.selection import SLOW_PACE
+from eiderfield.policy.selection import SLOW_WORKER_SLOWDOWN
 
 
 def test_failed_dial_retries_the_request_at_another_worker_and_ejects_the_first():
@@ -78,9 +78,9 @@
     node = Node(workers=1)
     worker = node.dispatcher.workers[1]
     worker.eject(0.0)
-    worker.record_sign_of_life(10.0)
+    worker.record_activity(10.0)
     assert worker.ejections == 1
-    worker.record_sign_of_life(20.0, in_time=True)
+    worker.record_activity(20.0, in_time=True)
     assert worker.ejections == 0
 
 
@@ -162,7 +162,7 @@
     other, _ = start_request(node)
     for at in (1000.0, 2000.0, 3000.0):
         node.play(AttemptProgressed(other, 0, 3 - worker, 2, 0.1), at=at)
-        node.dispatcher.workers[worker].record_sign_of_life(at)  # by other requests of this dispatcher
+        node.dispatcher.workers[worker].record_activity(at)  # by other requests of this dispatcher
     assert not [a for a in node.play(at=3500.0) if isinstance(a, CancelAttempt)]
     assert [
         (a.request_id, a.attempt_number) for a in node.play(at=3650.0) if isinstance(a, CancelAttempt)
@@ -175,7 +175,7 @@
     start_request(node)
     for at in (500.0, 1000.0, 1500.0, 2500.0):
         for worker in node.dispatcher.workers.values():
-            worker.record_sign_of_life(at)
+            worker.record_activity(at)
         assert not [a for a in node.play(at=at) if isinstance(a, CancelAttempt)]
 
 
@@ -205,7 +205,7 @@
         node.now += 300.0
         node.dispatcher.workers[2].full_until = node.now + 1.0
     assert worker.ejections == 1
-    worker.record_sign_of_life(node.now, in_time=True)
+    worker.record_activity(node.now, in_time=True)
     assert worker.consecutive_resets == 0
 
 
@@ -223,13 +223,13 @@
     for at in (1500.0, 1501.0):
         node.now = at
         selected_workers.append(start_request(node)[1])
-    assert slow_worker.pace(1500.0) > SLOW_PACE
+    assert slow_worker.slowdown(1500.0) > SLOW_WORKER_SLOWDOWN
     assert selected_workers == [2, 2]
     for _ in range(20):
         slow_worker.record_duration(1502.0, 1.0, True)
     slow_worker.open_attempts.clear()
-    assert slow_worker.pace(1502.0) < 1.1
-    assert slow_worker.pace(20_000.0) == 1.0, (
+    assert slow_worker.slowdown(1502.0) < 1.1
+    assert slow_worker.slowdown(20_000.0) == 1.0, (
         "an old pace expires: the program that slowed the worker may have ended"
     )
 
@@ -260,10 +260,10 @@
     worker = node.dispatcher.workers[1]
     worker.error_score = 3.0
     worker.eject(0.0)
-    worker.record_sign_of_life(1.0, in_time=True)
+    worker.record_activity(1.0, in_time=True)
     assert worker.ejections
     worker.error_score = 1.0
-    worker.record_sign_of_life(1.0, in_time=True)
+    worker.record_activity(1.0, in_time=True)
     assert not worker.ejections
 
 
