--- a/tests/test_durable_requests_fleet.py
+++ b/tests/test_durable_requests_fleet.py
@@ -1,4 +1,4 @@
-"""Durable requests on real processes that are killed and stopped, judged by the event logs."""
+"""Durable requests on real processes that are killed and stopped. The event logs are checked."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 )
 
 
-def played(tmp_path, *faults, programs=None, **more):
-    scenario = validated(replace(SCENARIO, faults=faults, **more))
+def run_scenario(tmp_path, *faults, programs=None, **changes):
+    scenario = validated(replace(SCENARIO, faults=faults, **changes))
     found = play_durable(scenario, tmp_path / "run", programs or {})
     assert found.findings == [], (found.findings[:3], found.counts)
     assert found.unanswered == 0
@@ -40,84 +40,86 @@
     return found
 
 
-def pointed(point, what, lasts=1.0, who="n1"):
-    return {who: Program(failpoint=f"{point}:4:{what}:{lasts}")}
+def failing_program(point, what, lasts=1.0, dispatcher="n1"):
+    return {dispatcher: Program(failpoint=f"{point}:4:{what}:{lasts}")}
 
 
 @pytest.mark.parametrize("point", FAILPOINTS)
-def test_wherever_a_dispatcher_is_killed_its_work_is_done_once(point, tmp_path):
-    found = played(tmp_path, programs=pointed(point, "kill"))
+def test_requests_of_a_dispatcher_killed_at_a_failpoint_run_once(point, tmp_path):
+    found = run_scenario(tmp_path, programs=failing_program(point, "kill"))
     assert [fault.what for fault in found.faults] == ["kill"]
     assert found.fences["its process is gone"] == 1
     assert found.figures["taken_over"] > 0 or point == "accept"
 
 
 @pytest.mark.parametrize("point", ["accept", "claim", "claim done", "sent", "finish"])
-def test_wherever_a_dispatcher_is_stopped_for_longer_than_its_lease_it_takes_nothing_back(point, tmp_path):
-    found = played(tmp_path, programs=pointed(point, "stop", 2.5), jobs=150)
+def test_dispatcher_stopped_at_a_failpoint_beyond_its_lease_is_fenced(point, tmp_path):
+    found = run_scenario(tmp_path, programs=failing_program(point, "stop", 2.5), jobs=150)
     assert [fault.what for fault in found.faults] == ["stop"]
-    assert found.fences["it is silent"] == 1, "it is told, and begins anew"
-    assert found.figures["fenced"] == 1, "it is told, and begins anew"
+    assert found.fences["it is silent"] == 1, "the stopped dispatcher was not fenced"
+    assert found.figures["fenced"] == 1, "the stopped dispatcher was not fenced"
 
 
 LONG_RUNS = tuple(replace(job_class, run=(600.0, 1000.0)) for job_class in JOB_CLASSES)
 
 
 @pytest.mark.parametrize("point", ["adopt", "adopt done"])
-def test_a_taker_that_is_killed_while_taking_over_passes_it_on(point, tmp_path):
-    """Long runs leave seven or eight open requests; n2 owns three of them, and so is killed in a takeover."""
+def test_requests_of_a_dispatcher_killed_in_a_takeover_are_taken_over(point, tmp_path):
+    """Long runs leave seven or eight open requests. Three go to n2, which so reaches the failpoint."""
     programs = {"n2": Program(failpoint=f"{point}:1:kill:2.0")}
     load = {"job_classes": LONG_RUNS, "slots": 8}
     killed = Fault("kill", "n1", on="begun:30", lasts=2.5)
-    found = played(tmp_path, killed, programs=programs, dispatchers=4, **load)
+    found = run_scenario(tmp_path, killed, programs=programs, dispatchers=4, **load)
     assert found.fences["its process is gone"] == 2
 
 
-LOST = {
-    "two in one second": (
+LOSSES = {
+    "two killed in one second": (
         Fault("kill", "n1", on="begun:30", lasts=2.0),
         Fault("kill", "n2", on="begun:40", lasts=2.0),
     ),
-    "all but one": tuple(Fault("kill", f"n{n}", on="begun:30", lasts=2.0) for n in (1, 2, 3)),
-    "all, and started again": tuple(Fault("kill", f"n{n}", on="begun:30", lasts=0.2) for n in range(4)),
-    "one killed while another stands still": (
+    "all but one killed": tuple(Fault("kill", f"n{n}", on="begun:30", lasts=2.0) for n in (1, 2, 3)),
+    "all killed and started again": tuple(Fault("kill", f"n{n}", on="begun:30", lasts=0.2) for n in range(4)),
+    "one killed while another is stopped": (
         Fault("stop", "n1", on="begun:20", lasts=3.0),
         Fault("kill", "n2", on="begun:30", lasts=2.0),
     ),
-    "one killed amid resets of every leg": (
+    "one killed while every attempt is reset": (
         Fault("kill", "n1", on="begun:30", lasts=2.0),
         Fault("reset", "n*>w*", on="begun:31"),
     ),
-    "one told to end": (Fault("term", "n1", on="begun:30", lasts=1.0),),
+    "one terminated": (Fault("term", "n1", on="begun:30", lasts=1.0),),
 }
 
 
-@pytest.mark.parametrize("name", LOST)
-def test_however_many_are_lost_every_job_gets_its_one_answer(name, tmp_path):
-    played(tmp_path, *LOST[name], dispatchers=4, jobs=160)
+@pytest.mark.parametrize("name", LOSSES)
+def test_every_request_gets_one_answer_after_the_loss_of_dispatchers(name, tmp_path):
+    run_scenario(tmp_path, *LOSSES[name], dispatchers=4, jobs=160)
 
 
-def test_one_that_can_write_nothing_more_keeps_nothing_new_and_its_work_is_taken_over(tmp_path):
-    """The register refuses it: it cannot renew its lease, says so to its askers, and others go on."""
-    found = played(tmp_path, Fault("disk", "n1", on="begun:30", lasts=3.0), jobs=160)
+def test_requests_of_a_dispatcher_with_a_failing_disk_are_taken_over(tmp_path):
+    """The dispatcher cannot renew its lease, rejects new requests and is fenced."""
+    found = run_scenario(tmp_path, Fault("disk", "n1", on="begun:30", lasts=3.0), jobs=160)
     assert found.figures["fenced"] == 1
     assert found.figures["commits_failed"] > 0
     assert found.counts["declined"] > 0
 
 
-def test_a_slow_register_within_the_lease_loses_nobody(tmp_path):
-    found = played(tmp_path, programs=pointed("claim", "stop", 0.3))
+def test_stop_within_the_lease_fences_no_dispatcher(tmp_path):
+    found = run_scenario(tmp_path, programs=failing_program("claim", "stop", 0.3))
     assert found.fences["it is silent"] == 0
     assert found.counts["begun_twice"] == 0
 
 
-def test_a_client_that_asks_two_survivors_at_once_has_one_job(tmp_path):
-    found = played(tmp_path, Fault("kill", "n1", on="begun:30", lasts=2.0), asks_both=True, dispatchers=4)
+def test_request_submitted_to_two_dispatchers_at_once_runs_once(tmp_path):
+    found = run_scenario(
+        tmp_path, Fault("kill", "n1", on="begun:30", lasts=2.0), asks_both=True, dispatchers=4
+    )
     assert found.figures["joined"] > 0
 
 
-def test_without_custody_the_same_kill_begins_jobs_twice_or_loses_them(tmp_path):
-    """What the checkers see when nothing is kept: they are no checks that cannot fail."""
+def test_kill_without_durable_requests_is_found_by_the_checks(tmp_path):
+    """Shows that the checks of the other tests can fail."""
     scenario = validated(
         replace(
             SCENARIO,
@@ -131,22 +133,22 @@
     assert any(finding.rule == "once" for finding in found.findings)
 
 
-ROLLING = replace(SCENARIO, jobs=6000, rate=60.0, workers=6, floods=())
-QUICK = {"before": 1.5, "worse": 0.2, "slower": 1.0, "settle": 0.5}
+ROLLOUT = replace(SCENARIO, jobs=6000, rate=60.0, workers=6, floods=())
+SHORT_WATCH = {"before": 1.5, "worse": 0.2, "slower": 1.0, "settle": 0.5}
 
 
-def test_a_rolling_change_with_a_kill_in_its_middle_begins_nothing_twice(tmp_path):
-    """Each upgrade is two lives beside each other; what the killed one had is taken over by the others."""
+def test_rollout_with_a_killed_dispatcher_starts_no_request_twice(tmp_path):
+    """An upgrade runs two incarnations of a dispatcher side by side. Others take over from the killed one."""
     faults = (FaultInPhase("watching", Fault("kill", "n1", at=0.0, lasts=1.0)),)
-    change = Change(watch=QUICK, faults=faults, decision="undo")
-    found = play_change(ROLLING, change, tmp_path / "run")
+    change = Change(watch=SHORT_WATCH, faults=faults, decision="undo")
+    found = play_change(ROLLOUT, change, tmp_path / "run")
     assert found.phase in ("done", "undone"), found
     assert found.findings == [], found
     assert found.counts["served"] > 0.9 * found.counts["jobs"]
 
 
-def test_a_job_that_runs_longer_than_its_dispatcher_is_left_is_taken_over(tmp_path):
-    """Told to end and killed 4 s later, as by a platform: what is safe or keyed goes on elsewhere."""
+def test_requests_that_outlast_the_shutdown_of_their_dispatcher_are_taken_over(tmp_path):
+    """A platform terminates a dispatcher and kills it 4 s later; others continue safe and keyed requests."""
     classes = tuple(
         replace(each, run=(5000.0, 6000.0), deadline=20_000.0, goal=15_000.0) for each in JOB_CLASSES
     )
--- a/tests/test_durable_requests_loop_on_failing_disk.py
+++ b/tests/test_durable_requests_loop_on_failing_disk.py
@@ -22,12 +22,12 @@
 from eiderfield.exchange.request import Request, Verdict
 
 
-class Loop:
-    """A coordinator in the loop, whose writer's turns are the test's: no thread, no waiting."""
+class CoordinatorHarness:
+    """A coordinator with one submitted request `j`. `run` takes the place of the commit thread."""
 
-    def __init__(self, folder, cls=0):
+    def __init__(self, folder, class_index=0):
         self.dispatcher = InMemoryDispatcher(workers=1)
-        settings = DurableRequestSettings(folder, frozenset({cls}), lease_ms=600_000.0)
+        settings = DurableRequestSettings(folder, frozenset({class_index}), lease_ms=600_000.0)
         self.calls, self.answers = [], []
         dispatcher = self.dispatcher
         services = ProcessServices(
@@ -41,14 +41,14 @@
         self.coordinator = DurableRequestCoordinator(settings, "a", services)
         self.coordinator.begin()
         self.coordinator.member.tick()
-        request = Request("j", cls, dispatcher.now + 4000.0, "/safe/x")
+        request = Request("j", class_index, dispatcher.now + 4000.0, "/safe/x")
         self.coordinator.intake.accept(request, self.answers.append)
 
-    def play(self, span=200.0):
-        """Lets time pass in small steps, with the writer's turns between."""
-        writer = self.coordinator.context.commit_thread
+    def run(self, span=200.0):
+        """Let time pass in steps of 10 ms, and run a turn of the commit thread before each step."""
+        commit_thread = self.coordinator.context.commit_thread
         for _ in range(int(span / 10.0)):
-            writer.run_turn(writer.next_group())
+            commit_thread.run_turn(commit_thread.next_group())
             while self.calls:
                 self.calls.pop(0)()
             self.dispatcher.settle()
@@ -60,72 +60,74 @@
 
 
 @pytest.fixture
-def loop(tmp_path):
-    loop = Loop(tmp_path / "custody")
-    yield loop
-    loop.coordinator.member.close()
+def harness(tmp_path):
+    harness = CoordinatorHarness(tmp_path / "custody")
+    yield harness
+    harness.coordinator.member.close()
 
 
-def test_an_answer_that_was_told_on_a_full_disk_is_written_once_the_disk_is_well(loop, tmp_path, monkeypatch):
-    loop.play(30.0)
-    end = loop.dispatcher.dials[0].up()
+def test_answer_passed_on_during_a_full_disk_is_recorded_after_the_disk_recovers(
+    harness, tmp_path, monkeypatch
+):
+    harness.run(30.0)
+    end = harness.dispatcher.dials[0].up()
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("database write", FULL)
         end.finish()
-        loop.play(1000.0)
-        assert [answer.verdict for answer in loop.answers] == [Verdict.SERVED]
-        assert loop.stage == Stage.CLAIMED, "it would hold up no end"
-        assert loop.coordinator.idle, "it would hold up no end"
+        harness.run(1000.0)
+        assert [answer.verdict for answer in harness.answers] == [Verdict.SERVED]
+        assert harness.stage == Stage.CLAIMED, "recorded on a full disk"
+        assert harness.coordinator.idle, "an unrecorded answer keeps the coordinator busy"
         faults.heal()
-        loop.play(2000.0)
-    assert loop.stage == Stage.FINAL
-    assert len(loop.coordinator.member.open_records) == 0
-    assert len(loop.answers) == 1
+        harness.run(2000.0)
+    assert harness.stage == Stage.FINAL
+    assert len(harness.coordinator.member.open_records) == 0
+    assert len(harness.answers) == 1
 
 
-def test_an_attempt_waits_for_the_disk_and_the_job_is_served_after_that(loop, tmp_path, monkeypatch):
+def test_attempt_waits_until_its_claim_can_be_written(harness, tmp_path, monkeypatch):
     with failing_files(tmp_path, monkeypatch) as faults:
-        hooks = loop.coordinator.hooks
-        monkeypatch.setattr(hooks, "claim", fails_from_here(faults, hooks.claim))
-        loop.play(600.0)
+        hooks = harness.coordinator.hooks
+        monkeypatch.setattr(hooks, "claim", fail_writes_before(faults, hooks.claim))
+        harness.run(600.0)
         assert faults.failed
-        assert loop.stage == Stage.ACCEPTED
-        assert not loop.dispatcher.dials, "sent without a claim"
-        assert not loop.dispatcher.ends, "sent without a claim"
+        assert harness.stage == Stage.ACCEPTED
+        assert not harness.dispatcher.dials, "sent without a claim"
+        assert not harness.dispatcher.ends, "sent without a claim"
         faults.heal()
     for _ in range(200):
-        if not loop.dispatcher.dials:
-            loop.play(10.0)
-    loop.dispatcher.dials[0].up().finish()
-    loop.play()
-    assert [answer.verdict for answer in loop.answers] == [Verdict.SERVED]
-    assert loop.stage == Stage.FINAL
+        if not harness.dispatcher.dials:
+            harness.run(10.0)
+    harness.dispatcher.dials[0].up().finish()
+    harness.run()
+    assert [answer.verdict for answer in harness.answers] == [Verdict.SERVED]
+    assert harness.stage == Stage.FINAL
 
 
-def fails_from_here(faults, claim):
-    def call(leg, go):
+def fail_writes_before(faults, claim):
+    def call(attempt, on_claimed):
         if not faults.failed:
             faults.fail("database write", BROKEN)
-        claim(leg, go)
+        claim(attempt, on_claimed)
 
     return call
 
 
-def test_each_change_hears_once_what_came_of_it_whatever_else_fails(loop, monkeypatch):
-    monkeypatch.setattr(loop.coordinator.member, "tick", raise_io_error)
-    monkeypatch.setattr(loop.coordinator.member, "take_over", raise_io_error)
-    monkeypatch.setattr(loop.coordinator.member, "poll_answers", raise_io_error)
-    heard = []
-    loop.coordinator.context.commit_thread.watch("other")
-    loop.coordinator.context.commit_thread.run_turn([(Accept(record("k")), heard.append)])
-    for call in loop.calls:
+def test_each_operation_gets_one_outcome_when_other_steps_fail(harness, monkeypatch):
+    monkeypatch.setattr(harness.coordinator.member, "tick", raise_io_error)
+    monkeypatch.setattr(harness.coordinator.member, "take_over", raise_io_error)
+    monkeypatch.setattr(harness.coordinator.member, "poll_answers", raise_io_error)
+    outcomes = []
+    harness.coordinator.context.commit_thread.watch("other")
+    harness.coordinator.context.commit_thread.run_turn([(Accept(record("k")), outcomes.append)])
+    for call in harness.calls:
         call()
-    assert heard == [Accepted()]
+    assert outcomes == [Accepted()]
 
 
 @pytest.mark.parametrize("code", ERRORS, ids=["ENOSPC", "EIO"])
 @pytest.mark.parametrize("kind", ["open", "write", "sync", "link", "database write", "database sync"])
-def test_a_dispatcher_starts_on_a_disk_that_fails_and_begins_its_life_later(
+def test_dispatcher_starts_on_a_failing_disk_and_begins_its_incarnation_later(
     kind, code, tmp_path, monkeypatch
 ):
     with failing_files(tmp_path, monkeypatch) as faults:
@@ -138,31 +140,31 @@
         assert isinstance(apply_one(member, Accept(record("j"))), NotWritten)
         faults.heal()
         settle(play, 20)
-        assert member.incarnation_name == "a.1", "a name for each try would fill the disk"
+        assert member.incarnation_name == "a.1", "each try used a new name, and names fill a full disk"
         assert apply_one(member, Accept(record("j"))) == Accepted()
         member.close()
 
 
-def test_the_loop_starts_without_a_life_and_takes_jobs_once_there_is_one(tmp_path, monkeypatch):
+def test_coordinator_without_an_incarnation_rejects_requests_until_one_begins(tmp_path, monkeypatch):
     with failing_files(tmp_path, monkeypatch) as faults:
         faults.fail("open", FULL)
-        loop = Loop(tmp_path / "custody")
-        loop.play(100.0)
-        assert [answer.verdict for answer in loop.answers] == [Verdict.DECLINED]
-        assert any("no incarnation could be begun" in line for line in loop.dispatcher.logged)
+        harness = CoordinatorHarness(tmp_path / "custody")
+        harness.run(100.0)
+        assert [answer.verdict for answer in harness.answers] == [Verdict.DECLINED]
+        assert any("no incarnation could be begun" in line for line in harness.dispatcher.logged)
         faults.heal()
-    assert loop.coordinator.member.incarnation_name == ""
-    loop.coordinator.member.begin()
-    loop.coordinator.intake.accept(
-        Request("k", 0, loop.dispatcher.now + 4000.0, "/safe/x"), loop.answers.append
+    assert harness.coordinator.member.incarnation_name == ""
+    harness.coordinator.member.begin()
+    harness.coordinator.intake.accept(
+        Request("k", 0, harness.dispatcher.now + 4000.0, "/safe/x"), harness.answers.append
     )
-    loop.play(30.0)
-    assert loop.dispatcher.dials
-    assert loop.coordinator.member.find("k") is not None
-    loop.coordinator.member.close()
+    harness.run(30.0)
+    assert harness.dispatcher.dials
+    assert harness.coordinator.member.find("k") is not None
+    harness.coordinator.member.close()
 
 
-def test_what_only_an_operator_can_mend_stops_the_start(tmp_path):
+def test_folder_fault_that_needs_an_operator_stops_the_start(tmp_path):
     (tmp_path / "custody").mkdir()
     (tmp_path / "custody" / "members").write_text("")
     with pytest.raises(FolderError, match=r"custody\.folder") as error:
