--- a/eiderfield/durable_requests/errors.py
+++ b/eiderfield/durable_requests/errors.py
@@ -46,7 +46,7 @@
 
     def __init__(self, name: str) -> None:
         """Create an error for a dispatcher's name."""
-        message = f"name is not a plain word, as [custody] needs it: {name[:MAX_SHOWN_NAME]!r}"
+        message = f"name is not usable as a file name, as [custody] requires: {name[:MAX_SHOWN_NAME]!r}"
         super().__init__(message, key="name")
         self.name = name
 
--- a/eiderfield/durable_requests/inspection.py
+++ b/eiderfield/durable_requests/inspection.py
@@ -167,7 +167,7 @@
         """Open the store of an incarnation for reading; the caller closes it."""
         path = self.folder.store_path(incarnation)
         if not path.exists():
-            raise StoreError(path, "not there")
+            raise StoreError(path, "does not exist")
         return RecordStore(path, read_only=True)
 
     def verify(self) -> list[str]:
--- a/eiderfield/durable_requests/settings.py
+++ b/eiderfield/durable_requests/settings.py
@@ -62,8 +62,8 @@
     shortest = min(settings.classes[index].deadline_ms for index in durable.classes)
     if durable.lease_ms >= shortest:
         problem = (
-            f"is not below the shortest give-up time of a kept class, {shortest:g}: "
-            "what a lost dispatcher had could never be answered in time"
+            f"is not below the shortest deadline of a durable class, {shortest:g} ms: "
+            "no request of a lost dispatcher could be answered in time"
         )
         raise table.error("lease_ms", problem)
 
@@ -79,8 +79,8 @@
     indexes = {each.name: index for index, each in enumerate(settings.classes)}
     names = table.raw("classes")
     if not isinstance(names, list) or not names:
-        raise table.error("classes", "is not a list of classes: nothing would be kept")
+        raise table.error("classes", "is not a list with at least one class: no request would be durable")
     for name in names:
         if name not in indexes:
-            raise table.error("classes", f"names no class of the settings: {name!r}")
+            raise table.error("classes", f"contains an unknown class: {name!r}")
     return frozenset(indexes[name] for name in names)
