--- a/eiderfield/durable_requests/claims.py
+++ b/eiderfield/durable_requests/claims.py
@@ -7,8 +7,8 @@
 
 A claim whose write the system refuses is requested again, as long as the attempt is open.
 
-Invariant: no attempt starts under the claim of an incarnation that has ended, or whose lease has run out, so
-that other members may consider it lost.
+Invariant: no attempt starts under the claim of an incarnation that has ended or whose lease has run out,
+which other members may consider lost.
 """
 
 from __future__ import annotations
--- a/eiderfield/durable_requests/intake.py
+++ b/eiderfield/durable_requests/intake.py
@@ -83,12 +83,12 @@
         this or by another process. Returns a function to call when the client has left.
         """
         waiter = Waiter(request, on_answer, front, on_recorded)
-        is_owned_here = request.id in self._context.owned_requests
-        if not is_owned_here and self.is_full and not self._is_known(request.id):
+        is_tracked = request.id in self._context.owned_requests
+        if not is_tracked and self.is_full and not self._is_known(request.id):
             self._reject(waiter)
             return _ignore
         waiter.timer = self._context.services.timers.at(request.deadline - EXPIRY_MARGIN_MS, waiter.expire)
-        if not is_owned_here and self.is_full:
+        if not is_tracked and self.is_full:
             self._remote_waiters.add(request.id, waiter)
         else:
             self.record(waiter)
@@ -115,19 +115,19 @@
 
     def _on_outcome(self, waiter: Waiter, owned: OwnedRequest, outcome: Outcome) -> None:
         id_ = waiter.request.id
-        is_owned_here = self._context.owned_requests.get(id_) is owned
-        if isinstance(outcome, Accepted) and is_owned_here:
+        is_current = self._context.owned_requests.get(id_) is owned
+        if isinstance(outcome, Accepted) and is_current:
             owned.waiters.append(waiter)
             owned.is_accepting = False
             waiter.on_recorded()
             self._submission.submit(waiter.request, owned)
             return
-        joins_owned = isinstance(outcome, AlreadyAccepted) and outcome.id == id_ and is_owned_here
-        if joins_owned and not owned.is_accepting:
+        joins_current = isinstance(outcome, AlreadyAccepted) and outcome.id == id_ and is_current
+        if joins_current and not owned.is_accepting:
             owned.waiters.append(waiter)
             self._count_joined(waiter)
             return
-        if is_owned_here and owned.is_accepting:
+        if is_current and owned.is_accepting:
             del self._context.owned_requests[id_]
         self._on_remote_outcome(waiter, outcome)
 
