--- a/tests/test_durable_requests_fleet.py
+++ b/tests/test_durable_requests_fleet.py
@@ -33,44 +33,44 @@
 
 def run_scenario(tmp_path, *faults, programs=None, **changes):
     scenario = validated(replace(SCENARIO, faults=faults, **changes))
-    found = play_durable(scenario, tmp_path / "run", programs or {})
-    assert found.findings == [], (found.findings[:3], found.counts)
-    assert found.unanswered == 0
-    assert found.counts["jobs"] == scenario.jobs
-    return found
+    result = play_durable(scenario, tmp_path / "run", programs or {})
+    assert result.findings == [], (result.findings[:3], result.counts)
+    assert result.unanswered == 0
+    assert result.counts["jobs"] == scenario.jobs
+    return result
 
 
-def failing_program(point, what, lasts=1.0, dispatcher="n1"):
-    return {dispatcher: Program(failpoint=f"{point}:4:{what}:{lasts}")}
+def failing_program(failpoint, what, lasts=1.0, dispatcher="n1"):
+    return {dispatcher: Program(failpoint=f"{failpoint}:4:{what}:{lasts}")}
 
 
-@pytest.mark.parametrize("point", FAILPOINTS)
-def test_requests_of_a_dispatcher_killed_at_a_failpoint_run_once(point, tmp_path):
-    found = run_scenario(tmp_path, programs=failing_program(point, "kill"))
-    assert [fault.what for fault in found.faults] == ["kill"]
-    assert found.fences["its process is gone"] == 1
-    assert found.figures["taken_over"] > 0 or point == "accept"
+@pytest.mark.parametrize("failpoint", FAILPOINTS)
+def test_requests_of_a_dispatcher_killed_at_a_failpoint_run_once(failpoint, tmp_path):
+    result = run_scenario(tmp_path, programs=failing_program(failpoint, "kill"))
+    assert [fault.what for fault in result.faults] == ["kill"]
+    assert result.fences["its process is gone"] == 1
+    assert result.figures["taken_over"] > 0 or failpoint == "accept"
 
 
-@pytest.mark.parametrize("point", ["accept", "claim", "claim done", "sent", "finish"])
-def test_dispatcher_stopped_at_a_failpoint_beyond_its_lease_is_fenced(point, tmp_path):
-    found = run_scenario(tmp_path, programs=failing_program(point, "stop", 2.5), jobs=150)
-    assert [fault.what for fault in found.faults] == ["stop"]
-    assert found.fences["it is silent"] == 1, "the stopped dispatcher was not fenced"
-    assert found.figures["fenced"] == 1, "the stopped dispatcher was not fenced"
+@pytest.mark.parametrize("failpoint", ["accept", "claim", "claim done", "sent", "finish"])
+def test_dispatcher_stopped_at_a_failpoint_beyond_its_lease_is_fenced(failpoint, tmp_path):
+    result = run_scenario(tmp_path, programs=failing_program(failpoint, "stop", 2.5), jobs=150)
+    assert [fault.what for fault in result.faults] == ["stop"]
+    assert result.fences["it is silent"] == 1, "the stopped dispatcher was not fenced"
+    assert result.figures["fenced"] == 1, "the stopped dispatcher was not fenced"
 
 
 LONG_RUNS = tuple(replace(job_class, run=(600.0, 1000.0)) for job_class in JOB_CLASSES)
 
 
-@pytest.mark.parametrize("point", ["adopt", "adopt done"])
-def test_requests_of_a_dispatcher_killed_in_a_takeover_are_taken_over(point, tmp_path):
+@pytest.mark.parametrize("failpoint", ["adopt", "adopt done"])
+def test_requests_of_a_dispatcher_killed_in_a_takeover_are_taken_over(failpoint, tmp_path):
     """Long runs leave seven or eight open requests. Three go to n2, which so reaches the failpoint."""
-    programs = {"n2": Program(failpoint=f"{point}:1:kill:2.0")}
-    load = {"job_classes": LONG_RUNS, "slots": 8}
-    killed = Fault("kill", "n1", on="begun:30", lasts=2.5)
-    found = run_scenario(tmp_path, killed, programs=programs, dispatchers=4, **load)
-    assert found.fences["its process is gone"] == 2
+    programs = {"n2": Program(failpoint=f"{failpoint}:1:kill:2.0")}
+    settings = {"job_classes": LONG_RUNS, "slots": 8}
+    kill = Fault("kill", "n1", on="begun:30", lasts=2.5)
+    result = run_scenario(tmp_path, kill, programs=programs, dispatchers=4, **settings)
+    assert result.fences["its process is gone"] == 2
 
 
 LOSSES = {
@@ -99,23 +99,23 @@
 
 def test_requests_of_a_dispatcher_with_a_failing_disk_are_taken_over(tmp_path):
     """The dispatcher cannot renew its lease, rejects new requests and is fenced."""
-    found = run_scenario(tmp_path, Fault("disk", "n1", on="begun:30", lasts=3.0), jobs=160)
-    assert found.figures["fenced"] == 1
-    assert found.figures["commits_failed"] > 0
-    assert found.counts["declined"] > 0
+    result = run_scenario(tmp_path, Fault("disk", "n1", on="begun:30", lasts=3.0), jobs=160)
+    assert result.figures["fenced"] == 1
+    assert result.figures["commits_failed"] > 0
+    assert result.counts["declined"] > 0
 
 
 def test_stop_within_the_lease_fences_no_dispatcher(tmp_path):
-    found = run_scenario(tmp_path, programs=failing_program("claim", "stop", 0.3))
-    assert found.fences["it is silent"] == 0
-    assert found.counts["begun_twice"] == 0
+    result = run_scenario(tmp_path, programs=failing_program("claim", "stop", 0.3))
+    assert result.fences["it is silent"] == 0
+    assert result.counts["begun_twice"] == 0
 
 
 def test_request_submitted_to_two_dispatchers_at_once_runs_once(tmp_path):
-    found = run_scenario(
+    result = run_scenario(
         tmp_path, Fault("kill", "n1", on="begun:30", lasts=2.0), asks_both=True, dispatchers=4
     )
-    assert found.figures["joined"] > 0
+    assert result.figures["joined"] > 0
 
 
 def test_kill_without_durable_requests_is_found_by_the_checks(tmp_path):
@@ -129,8 +129,8 @@
             faults=(Fault("kill", "n1", on="begun:30", lasts=2.0),),
         )
     )
-    found = play_durable(scenario, tmp_path / "run", {})
-    assert any(finding.rule == "once" for finding in found.findings)
+    result = play_durable(scenario, tmp_path / "run", {})
+    assert any(finding.rule == "once" for finding in result.findings)
 
 
 ROLLOUT = replace(SCENARIO, jobs=6000, rate=60.0, workers=6, floods=())
@@ -141,10 +141,10 @@
     """An upgrade runs two incarnations of a dispatcher side by side. Others take over from the killed one."""
     faults = (FaultInPhase("watching", Fault("kill", "n1", at=0.0, lasts=1.0)),)
     change = Change(watch=SHORT_WATCH, faults=faults, decision="undo")
-    found = play_change(ROLLOUT, change, tmp_path / "run")
-    assert found.phase in ("done", "undone"), found
-    assert found.findings == [], found
-    assert found.counts["served"] > 0.9 * found.counts["jobs"]
+    result = play_change(ROLLOUT, change, tmp_path / "run")
+    assert result.phase in ("done", "undone"), result
+    assert result.findings == [], result
+    assert result.counts["served"] > 0.9 * result.counts["jobs"]
 
 
 def test_requests_that_outlast_the_shutdown_of_their_dispatcher_are_taken_over(tmp_path):
@@ -165,8 +165,8 @@
             ),
         )
     )
-    found = play_durable(scenario, tmp_path / "run", {})
-    assert found.findings == [], (found.findings[:3], found.counts)
-    assert found.unanswered == 0, (found.findings[:3], found.counts)
-    assert found.figures["taken_over"] > 0
-    assert found.counts["served"] >= scenario.jobs - found.may_have_run
+    result = play_durable(scenario, tmp_path / "run", {})
+    assert result.findings == [], (result.findings[:3], result.counts)
+    assert result.unanswered == 0, (result.findings[:3], result.counts)
+    assert result.figures["taken_over"] > 0
+    assert result.counts["served"] >= scenario.jobs - result.may_have_run
--- a/tests/test_durable_requests_model.py
+++ b/tests/test_durable_requests_model.py
@@ -15,19 +15,19 @@
 )
 def test_no_interleaving_starts_a_request_twice_or_gives_it_two_answers(members, jobs, faults, states):
     machine = Machine()
-    found = explore(start(members, jobs, faults), machine.steps, machine.wrong)
-    assert found.complete
-    assert found.fault == ""
-    assert found.states == states
+    result = explore(start(members, jobs, faults), machine.steps, machine.wrong)
+    assert result.complete
+    assert result.fault == ""
+    assert result.states == states
 
 
 @pytest.mark.parametrize("slip", SLIPS)
 def test_each_seeded_error_is_found_with_a_short_trace(slip):
     machine = Machine(slip)
-    found = explore(start(3, 1, 2), machine.steps, machine.wrong)
-    assert ("begun 2 times" in found.fault) or "answers" in found.fault
-    assert 5 < len(found.trace) <= 16
-    assert not found.complete
+    result = explore(start(3, 1, 2), machine.steps, machine.wrong)
+    assert ("begun 2 times" in result.fault) or "answers" in result.fault
+    assert 5 < len(result.trace) <= 16
+    assert not result.complete
 
 
 def test_search_finds_the_shortest_trace_and_respects_its_bound():
@@ -35,9 +35,9 @@
         yield "one", n + 1
         yield "double", n * 2
 
-    found = explore(1, steps, lambda n: "found" if n == 24 else "")
-    assert found.fault == "found"
-    assert len(found.trace) == 5
+    result = explore(1, steps, lambda n: "found" if n == 24 else "")
+    assert result.fault == "found"
+    assert len(result.trace) == 5
     assert not explore(1, steps, lambda _n: "", max_states=100).complete
 
 
--- a/tests/test_durable_requests_takeover.py
+++ b/tests/test_durable_requests_takeover.py
@@ -25,10 +25,10 @@
     a.apply([Claim(id_, attempt_record()) for id_ in ids[:20]])
     a.apply([Finish(id_, SERVED) for id_ in ids[:5]])
     host.outlive(b, c)
-    found = {member.name: member.take_over() for member in (b, c)}
-    taken = {each.id: each for records in found.values() for each in records}
+    taken_by_member = {member.name: member.take_over() for member in (b, c)}
+    taken = {each.id: each for records in taken_by_member.values() for each in records}
     assert sorted(taken) == sorted(ids[5:])
-    assert all(found.values())
+    assert all(taken_by_member.values())
     assert all((each.stage == Stage.CLAIMED) == (id_ in ids[5:20]) for id_, each in taken.items())
     assert apply_one(b, Accept(record("j0"))) == AlreadyFinal(b.find("j0")), (
         "the answer of a lost member was not found"
@@ -109,12 +109,14 @@
     """Stops a member permanently at a failpoint."""
 
 
-@pytest.mark.parametrize("point", ["accept", "accept done", "claim", "claim done", "finish", "finish done"])
-def test_request_of_a_member_that_stops_at_a_failpoint_is_taken_over_once(host, point):
+@pytest.mark.parametrize(
+    "failpoint", ["accept", "accept done", "claim", "claim done", "finish", "finish done"]
+)
+def test_request_of_a_member_that_stops_at_a_failpoint_is_taken_over_once(host, failpoint):
     a, b = host.member("a"), host.member("b")
 
     def stop(name):
-        if name == point:
+        if name == failpoint:
             raise StoppedAtFailpoint
 
     def serve_request():
@@ -125,12 +127,18 @@
     with pytest.raises(StoppedAtFailpoint):
         serve_request()
     host.outlive(b)
-    found = [each.stage for each in b.take_over()]
-    sent = point in ("claim done", "finish", "finish done")
-    final = point == "finish done"
-    assert found == ([] if point == "accept" or final else [Stage.CLAIMED if sent else Stage.ACCEPTED])
+    stages = [each.stage for each in b.take_over()]
+    is_sent = failpoint in ("claim done", "finish", "finish done")
+    is_final = failpoint == "finish done"
+    assert stages == (
+        [] if failpoint == "accept" or is_final else [Stage.CLAIMED if is_sent else Stage.ACCEPTED]
+    )
     expected = (
-        AlreadyFinal(b.find("j")) if final else Accepted() if point == "accept" else AlreadyAccepted("j")
+        AlreadyFinal(b.find("j"))
+        if is_final
+        else Accepted()
+        if failpoint == "accept"
+        else AlreadyAccepted("j")
     )
     assert apply_one(b, Accept(record())) == expected
 
--- a/tests/test_durable_requests_torn_files.py
+++ b/tests/test_durable_requests_torn_files.py
@@ -104,10 +104,10 @@
         path.write_bytes(base)
         path.with_name("cut.db-wal").write_bytes(whole[:size])
         store = RecordStore(path, read_only=True)
-        found = {each.id: each.stage for each in store.records()}
+        stages = {each.id: each.stage for each in store.records()}
         store.close()
-        assert found.pop("earlier") == Stage.CLAIMED
-        assert found == ({"last": Stage.ACCEPTED} if size == len(whole) else {})
+        assert stages.pop("earlier") == Stage.CLAIMED
+        assert stages == ({"last": Stage.ACCEPTED} if size == len(whole) else {})
 
 
 @pytest.mark.parametrize("part", ["members/a.1", "fences/a.1", "wishes"])
--- a/tests/test_durable_requests_wall_clock.py
+++ b/tests/test_durable_requests_wall_clock.py
@@ -41,9 +41,9 @@
     member_file.write_text(json.dumps({**info, "boot": "before"}))
     b.folder.incarnations.offset = unix_offset()
     host.outlive(b)
-    [found] = b.take_over()
-    assert found.deadline == pytest.approx(61_000.0, abs=50.0)
-    assert found.accepted_at == pytest.approx(1000.0, abs=50.0)
+    [taken_over] = b.take_over()
+    assert taken_over.deadline == pytest.approx(61_000.0, abs=50.0)
+    assert taken_over.accepted_at == pytest.approx(1000.0, abs=50.0)
 
 
 def test_wall_clock_step_during_a_reboot_gives_no_request_more_time(host_with_two):
@@ -54,10 +54,10 @@
     info = json.loads(member_file.read_text())
     member_file.write_text(json.dumps({**info, "boot": "before", "offset": info["offset"] + 3_600_000.0}))
     host.outlive(b)
-    [found] = b.take_over()
-    assert found.deadline <= host.now + 60_000.0
-    assert found.accepted_at <= host.now
-    assert found.attempts[0].sent_at <= host.now
+    [taken_over] = b.take_over()
+    assert taken_over.deadline <= host.now + 60_000.0
+    assert taken_over.accepted_at <= host.now
+    assert taken_over.attempts[0].sent_at <= host.now
 
 
 def test_monotonic_times_of_an_earlier_boot_are_converted_to_the_current_boot(host):
@@ -68,6 +68,6 @@
     info = json.loads(member_file.read_text())
     member_file.write_text(json.dumps({**info, "boot": "another", "offset": info["offset"] + 2000.0}))
     host.outlive(b)
-    [found] = b.take_over()
-    assert found.deadline == pytest.approx(52_000.0, abs=1.0)
-    assert found.attempts[0].sent_at == pytest.approx(3000.0, abs=1.0)
+    [taken_over] = b.take_over()
+    assert taken_over.deadline == pytest.approx(52_000.0, abs=1.0)
+    assert taken_over.attempts[0].sent_at == pytest.approx(3000.0, abs=1.0)
