--- a/eiderfield/durable_requests/changes.py
+++ b/eiderfield/durable_requests/changes.py
@@ -157,7 +157,7 @@
         An id is free if no incarnation has acquired it, if its request was rejected, or if its holder was
         lost before it recorded anything. Returns `ID_IS_HELD` if the id is not free.
         """
-        if self._lookup.is_unwritten_here(located):
+        if self._lookup.is_unrecorded_here(located):
             self._unreleased = [record for record in self._unreleased if record.id != id_]
             return located.generation
         is_free = located.generation == 0 or located.record is not None or self._lookup.is_abandoned(located)
@@ -216,7 +216,7 @@
             if located.is_open or located.record.is_repeatable:
                 return _join(record, located.record)
             return NotWritten(reason)
-        is_unknown = located.generation == 0 or self._lookup.is_unwritten_here(located)
+        is_unknown = located.generation == 0 or self._lookup.is_unrecorded_here(located)
         return NotWritten(reason) if is_unknown else AlreadyAccepted(record.id)
 
     def _outcome_after_fence(self, change: Change, outcome: Outcome) -> Outcome:
--- a/eiderfield/durable_requests/commit_thread.py
+++ b/eiderfield/durable_requests/commit_thread.py
@@ -36,7 +36,7 @@
 
 
 class ThreadListener(Protocol):
-    """Handles, in the event loop, what the thread reports."""
+    """Handles the reports of the thread in the event loop."""
 
     def on_taken_over(self, records: list[Record]) -> None:
         """Handle requests of lost incarnations that this incarnation owns from now on."""
@@ -44,7 +44,7 @@
     def on_answer(self, id_: str, record: Record | None) -> None:
         """Handle the answer of a watched request; `record` is None if there is no record to wait for."""
 
-    def on_incarnation_over(self) -> None:
+    def on_incarnation_ended(self) -> None:
         """Handle the end of the incarnation, whose successors own its requests."""
 
     def on_end_requested(self, ids: list[str]) -> None:
@@ -64,7 +64,7 @@
         self._queue: deque[tuple[Operation, OutcomeCallback]] = deque()
         self._wakeup = threading.Condition()
         self._watched: dict[str, None] = {}  # request ids, the last polled ones at the end
-        self._is_ending = False
+        self._is_closing = False
         self._on_left: LeaveCallback | None = None  # set by `leave`
         self._next_tick = self._next_poll = 0.0
         self._report_errors = _ErrorReporter(member)
@@ -82,7 +82,7 @@
     def close(self) -> None:
         """Write all queued operations, then end the thread."""
         with self._wakeup:
-            self._is_ending = True
+            self._is_closing = True
             self._wakeup.notify()
         if self._thread.is_alive():
             self._thread.join()
@@ -125,10 +125,10 @@
     def _run(self) -> None:
         while True:
             with self._wakeup:
-                if not (self._queue or self._is_ending or self._on_left):
+                if not (self._queue or self._is_closing or self._on_left):
                     self._wakeup.wait(self._time_to_next_step() / 1000.0)
                 group = self.next_group()
-                is_finished = self._is_ending and not group
+                is_finished = self._is_closing and not group
                 on_left = self._on_left if not self._queue and not group else None
             if is_finished:
                 with self._report_errors:
@@ -161,7 +161,7 @@
         with self._report_errors:
             self._tick_if_due()
         if incarnation_before and self.member.incarnation_name != incarnation_before:
-            self._post(self._listener.on_incarnation_over)
+            self._post(self._listener.on_incarnation_ended)
             if not self.member.incarnation_name and not self.member.has_left:
                 self._next_tick = 0.0  # the next tick begins a new incarnation
         with self._report_errors:
--- a/eiderfield/durable_requests/coordinator.py
+++ b/eiderfield/durable_requests/coordinator.py
@@ -127,7 +127,7 @@
         if has_left:
             count = len(self.context.owned_requests)
             self.context.services.log(f"durable requests: left the members (open_requests={count})")
-            self.thread_events.on_incarnation_over()
+            self.thread_events.on_incarnation_ended()
 
     def figures(self) -> DurableRequestFigures:
         """Return the figures that the console shows."""
--- a/eiderfield/durable_requests/lookup.py
+++ b/eiderfield/durable_requests/lookup.py
@@ -30,7 +30,7 @@
     record: Record | None
 
 
-NOT_TAKEN = LocatedRecord(0, None, ())
+NOT_ACQUIRED = LocatedRecord(0, None, ())
 
 
 class RecordLookup:
@@ -45,7 +45,7 @@
         folder = self._context.folder
         holder = folder.ids.holder(id_)
         if holder is None:
-            return NOT_TAKEN
+            return NOT_ACQUIRED
         chain = tuple(folder.fences.chain(id_, holder.incarnation))
         for incarnation in reversed(chain):
             record = self.read(incarnation, id_)
@@ -76,7 +76,7 @@
             return False
         return self._context.folder.fences.exists(located.chain[0])
 
-    def is_unwritten_here(self, located: LocatedRecord) -> bool:
+    def is_unrecorded_here(self, located: LocatedRecord) -> bool:
         """Return whether only this incarnation can still record an id: it acquired the id and has not yet."""
         return located.record is None and located.chain == (self._context.own_name,)
 
@@ -86,7 +86,7 @@
         for id_ in ids:
             try:
                 located = self.locate(id_)
-                is_unknown = located == NOT_TAKEN or self.is_abandoned(located)
+                is_unknown = located == NOT_ACQUIRED or self.is_abandoned(located)
             except (StoreError, OSError):
                 continue  # its owner may be writing the first record
             if is_unknown or (located.record is not None and not located.is_open):
--- a/eiderfield/durable_requests/thread_events.py
+++ b/eiderfield/durable_requests/thread_events.py
@@ -103,7 +103,7 @@
         """Cancel requests whose end another process has requested."""
         self._cancellation.cancel(ids)
 
-    def on_incarnation_over(self) -> None:
+    def on_incarnation_ended(self) -> None:
         """Give up all owned requests, which the successors of this incarnation own and answer."""
         for id_, owned in list(self._context.owned_requests.items()):
             if owned.is_accepting:
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -126,7 +126,7 @@
 def test_cancelled_request_claims_no_attempt_after_a_takeover(harness):
     harness.submit_and_record()
     [record] = harness.coordinator.member.open_records.values()
-    harness.coordinator.thread_events.on_incarnation_over()  # the successors own its requests
+    harness.coordinator.thread_events.on_incarnation_ended()  # the successors own its requests
     harness.commit_thread.queue.clear()
     harness.dispatcher.settle()
     harness.coordinator.member.folder.end_requests.add("j")
