--- a/eiderfield/durable_requests/answer_lookup.py
+++ b/eiderfield/durable_requests/answer_lookup.py
@@ -39,7 +39,7 @@
         Returns a function that stops the waiting.
         """
         waiter = Waiter(Request(id_, UNKNOWN_CLASS, until, ""), on_answer)
-        waiter.timer = self._context.services.timers.at(until, waiter.expire)
+        waiter.timer = self._context.services.timers.call_at(until, waiter.expire)
         self._remote_waiters.add(id_, waiter)
         return partial(self._cancellation.on_client_left, waiter)
 
--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -1,8 +1,9 @@
 """Owns requests and their attempts between the client side and the worker side.
 
-The client side submits requests and gets one final answer for each. The worker side reports how attempts end.
-Each turn of the event loop passes the events since the last one to the policy and carries out its actions.
-Performs no I/O and reads no clock; all times are in milliseconds of the caller's clock.
+The client side submits requests and receives one final answer for each. The worker side reports how attempts
+end. Each turn of the event loop passes the events since the previous turn to the policy and executes the
+actions that the policy returns. The module performs no I/O and reads no clock; all times are in milliseconds
+of the caller's clock.
 """
 
 from __future__ import annotations
@@ -49,18 +50,18 @@
 from eiderfield.model.learned_state import LearnedState
 from eiderfield.policy.dispatcher import Dispatcher
 
-LOGGED_STALL_MS = 1000.0  # event loop stalls from this length on are logged
+MIN_LOGGED_STALL_MS = 1000.0  # shorter stalls of the event loop are not logged
 
 
 class Exchange:
-    """Joins the client side, the worker side and the policy.
+    """Connects the client side, the worker side and the policy.
 
     Attributes:
         metrics: Counters of requests and attempts.
         dispatcher: The policy.
-        endpoints: The endpoint list; change it by `update_endpoints`.
-        worker_reports: Receives what the worker side reports.
-        other_process: What the previous or next process of this dispatcher has in flight.
+        endpoints: The endpoint list; `update_endpoints` changes it.
+        worker_reports: Receives the reports of the worker side.
+        other_process: The requests and attempts of the previous or next process of this dispatcher.
     """
 
     def __init__(
@@ -71,7 +72,15 @@
         wake: Callable[[], None],
         log: Callable[[str], None],
     ) -> None:
-        """Call `wake` whenever a turn is due; `seed` is that of the policy's random choices."""
+        """Create an exchange without adapters.
+
+        Args:
+            settings: The settings of the policy.
+            seed: The seed of the policy's random choices.
+            timers: Schedules calls on the event loop.
+            wake: Called whenever a turn is due.
+            log: Called with each line to be logged.
+        """
         self.metrics = Metrics()
         self.dispatcher = Dispatcher(settings, seed)
         self._wake = wake
@@ -95,7 +104,7 @@
         self._context.worker_side = worker_side
 
     def attach_durable_requests(self, durable_requests: DurableRequests) -> None:
-        """Set what persists the requests that are submitted as durable."""
+        """Set the adapter that persists the requests submitted as durable."""
         self._context.durable_requests = durable_requests
 
     def attach_peer_channel(self, peer_channel: PeerChannel) -> None:
@@ -104,7 +113,7 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings in force."""
+        """The current settings."""
         return self._context.settings
 
     @property
@@ -118,20 +127,20 @@
         return self._events.pending()
 
     @property
-    def unanswered(self) -> int:
+    def pending_request_count(self) -> int:
         """The number of requests without a final answer."""
         return len(self._requests.pending)
 
     def snapshot(self, now: float) -> Snapshot:
-        """Return what the policy holds, and which workers it avoids."""
+        """Return the state of the policy, which includes the workers that it avoids."""
         return self.dispatcher.snapshot(now)
 
     def check_settings(self, settings: Settings) -> None:
-        """Raise `FixedSettingError` for a change that only a new process can take."""
+        """Raise `FixedSettingError` if only a new process can apply `settings`."""
         check_settings(self._context.settings, settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply settings that passed `check_settings`. Pending requests keep their class."""
+        """Apply settings that `check_settings` accepted. Pending requests keep their class."""
         self.dispatcher.apply_settings(settings)
         self._context.settings = settings
         self._wake()
@@ -139,9 +148,9 @@
     # Called by the client side.
 
     def has_request(self, id_: str) -> bool:
-        """Return whether a request of this id is pending or has an open attempt.
+        """Return whether a request with this id is pending or has an open attempt.
 
-        Those of the other process count too.
+        The requests of the other process are included.
         """
         return self._requests.has_id(id_)
 
@@ -151,23 +160,30 @@
         on_answer: Callable[[Answer], None],
         durable: bool = False,
         earlier_attempts: Iterable[EarlierAttempt] = (),
-        client_waits: Callable[[], bool] | None = None,
+        is_client_connected: Callable[[], bool] | None = None,
     ) -> int:
-        """Accept a request and return its number. `on_answer` is called once, after this has returned.
+        """Accept a request and return its number.
+
+        Args:
+            request: The request.
+            on_answer: Called once with the final answer, after this method has returned.
+            durable: Whether the request is persisted, so that another dispatcher can take it over.
+            earlier_attempts: The attempts that a lost dispatcher started, with worker and start time.
+            is_client_connected: Returns False once the client has closed, even if the close is not read yet.
 
-        `client_waits` returns whether the client is still connected, also if its close has not been read yet.
-        `earlier_attempts` are those that a lost dispatcher started: worker, and time of the start.
-        Raises `RequestIdInUseError`.
+        Raises:
+            RequestIdInUseError: Another request uses the id.
         """
         earlier = tuple(earlier_attempts)
-        pending = self._requests.add(request, on_answer, durable, client_waits)
+        pending = self._requests.add(request, on_answer, durable, is_client_connected)
         for number, (endpoint, sent_at) in enumerate(earlier):
             pending.attempts.append(
                 Attempt(pending, number, endpoint.worker, sent_at, open=False, may_have_run=True)
             )
-        # The policy answers just before the deadline; this guards against a fault of the policy.
-        pending.timer = self._context.timers.at(
-            request.deadline + self._context.settings.answer_slack_ms, lambda: self._answer_overdue(pending)
+        # Guards against a fault of the policy, which should answer before the deadline.
+        pending.timer = self._context.timers.call_at(
+            request.deadline + self._context.settings.answer_slack_ms,
+            lambda: self._fail_overdue_request(pending),
         )
         self._events.post(
             RequestReceived(
@@ -185,8 +201,8 @@
         )
         return pending.id
 
-    def _answer_overdue(self, pending: PendingRequest) -> None:
-        """Fail a request that the policy did not answer before its deadline."""
+    def _fail_overdue_request(self, pending: PendingRequest) -> None:
+        """Fail a request that the policy has not answered by its deadline."""
         if pending.answered:
             return
         self._context.log(f"exchange: request unanswered at its deadline (request={pending.id})")
@@ -196,28 +212,31 @@
         self._events.post(ClientDisconnected(pending.id))
 
     def release_request(self, id_: int) -> None:
-        """End a request without an answer: another dispatcher took it over and will answer it."""
+        """End a request without an answer, because another dispatcher took it over and will answer it."""
         if (pending := self._requests.pending.get(id_)) is not None:
-            self._end_without_answer(pending, StopReason.TAKEN_OVER)
+            self._end_unanswered(pending, StopReason.TAKEN_OVER)
 
     def cancel_request(self, id_: int) -> Answer | None:
-        """End a request for which no client waits; return None if it has its final answer already."""
+        """End a request for which no client waits any longer.
+
+        Returns its final answer, which is not passed to `on_answer`, or None if it was answered already.
+        """
         pending = self._requests.pending.get(id_)
         if pending is None:
             return None
         answer = Answer(
             Verdict.TERMINATED, may_have_run=may_have_run(pending), attempts=len(pending.attempts)
         )
-        self._end_without_answer(pending, StopReason.CLIENT_GONE)
+        self._end_unanswered(pending, StopReason.CLIENT_GONE)
         return answer
 
-    def _end_without_answer(self, pending: PendingRequest, reason: StopReason) -> None:
+    def _end_unanswered(self, pending: PendingRequest, reason: StopReason) -> None:
         self._requests.finish(pending)
         self._attempts.stop_all(pending, reason)
         self._events.post(ClientDisconnected(pending.id))
 
     def request_state(self, id_: int) -> RequestState | None:
-        """Return the state of a request, None once it has its final answer."""
+        """Return the state of a request, or None once it has its final answer."""
         pending = self._requests.pending.get(id_)
         if pending is None:
             return None
@@ -231,7 +250,7 @@
 
     @property
     def request_ids(self) -> list[str]:
-        """The ids in use by requests of this process."""
+        """The ids that requests of this process use."""
         return list(self._requests.ids)
 
     @property
@@ -244,8 +263,8 @@
         return self.dispatcher.learned_state()
 
     def resume(self, learned: LearnedState, now: float) -> None:
-        """Continue from the learned state of another process; one that does not fit is ignored."""
-        self.turn(now)  # passes on the endpoint list, to which the learned state refers
+        """Continue from the learned state of another process. State that the policy rejects is ignored."""
+        self.turn(now)  # passes the endpoint list, to which the learned state refers, to the policy
         try:
             self.dispatcher.resume(learned)
         except (ValueError, TypeError, LookupError, AttributeError) as error:
@@ -254,23 +273,24 @@
     # Called by discovery and by the peer channel.
 
     def update_endpoints(self, kind: EndpointListKind, version: int, endpoints: tuple[Endpoint, ...]) -> None:
-        """Apply a change of the endpoint list, in force at once for every attempt that has not started."""
+        """Apply a change of the endpoint list, at once to every attempt that has not started."""
         self.endpoints.update(kind, endpoints)
         self._events.post_endpoint_update(EndpointsUpdated(kind, version, endpoints))
 
     def peer_report_received(self, peer: int, data: bytes) -> None:
-        """Record a report of another dispatcher of the tier."""
+        """Record a report received from another dispatcher of the tier."""
         self._events.post(PeerReportReceived(peer, data))
 
     # Called by the event loop.
 
-    def process_resumed(self, span: float) -> None:
-        """Record that the event loop stalled for `span` ms and has read since what arrived meanwhile.
+    def process_resumed(self, stall_ms: float) -> None:
+        """Record that the event loop stalled for `stall_ms` and has since read the data received meanwhile.
 
-        The silence of a worker with an open attempt counts from now on: this process could not hear it.
+        Workers with an open attempt count as silent from now on only: until now this process could not read
+        what they sent.
         """
-        if span >= LOGGED_STALL_MS:
-            self._context.log(f"exchange: event loop stalled (ms={span:.0f})")
+        if stall_ms >= MIN_LOGGED_STALL_MS:
+            self._context.log(f"exchange: event loop stalled (ms={stall_ms:.0f})")
         for attempt in self._attempts.open.values():
             self._events.post(
                 AttemptProgressed(
@@ -279,14 +299,14 @@
             )
 
     def turn(self, now: float) -> None:
-        """Pass the events since the last turn to the policy in one call, and carry out its actions."""
-        events = self._events.take()
+        """Pass the events since the previous turn to the policy in one call, and execute its actions."""
+        events = self._events.take_all()
         for event in events:
             if isinstance(event, AttemptEnded):
-                event.elapsed_ms = now - event.elapsed_ms  # it held when the attempt was sent
+                event.elapsed_ms = now - event.elapsed_ms  # until now it held `sent_at`
             elif isinstance(event, AttemptProgressed) and event.kind == ProgressKind.STARTED:
                 pending = self._requests.pending.get(event.request_id)
                 if pending is not None:
                     pending.started_at = pending.started_at or now
-        self._requests.timestamp(now)
+        self._requests.record_times(now)
         self._actions.execute(self.dispatcher.handle(now, events), now)
--- a/eiderfield/net/clients/flow_control.py
+++ b/eiderfield/net/clients/flow_control.py
@@ -1,7 +1,7 @@
 """Pauses and resumes reading on a client's connection.
 
-A transport that is not read reports no departure, so a paused connection is watched for that
-(`net/departures.py`) until it is read again or closed.
+A transport does not report a disconnection while its reading is paused. A paused connection is therefore
+watched for that (`net/departures.py`) until reading resumes or the connection is closed.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 
 class FlowControl:
-    """Whether one connection is read."""
+    """Controls whether one connection is read."""
 
     def __init__(
         self,
         sock: socket.socket | None,
         departures: DepartureWatch | None,
-        on_departure: Callable[[], None],
+        on_disconnect: Callable[[], None],
     ) -> None:
-        """Call `on_departure` when the client leaves while reading is paused; without a watch, not at all."""
+        """Call `on_disconnect` if the client disconnects while reading is paused; needs `departures`."""
         self._sock = sock
         self._departures = departures
-        self._on_departure = on_departure
+        self._on_disconnect = on_disconnect
         self.paused = False
         self._transport: asyncio.Transport | None = None
         self._closed = False
 
     def open(self, transport: asyncio.Transport) -> None:
-        """Control a transport that is read from now on."""
+        """Set the transport, which is being read."""
         self._transport = transport
 
     def pause(self) -> None:
@@ -43,7 +43,7 @@
         if self._closed or self._departures is None or self._sock is None:
             return
         if (fd := self._sock.fileno()) >= 0:
-            self._departures.watch(fd, self._on_departure)
+            self._departures.watch(fd, self._on_disconnect)
 
     def resume(self) -> bool:
         """Read again; return whether reading was paused."""
@@ -56,7 +56,7 @@
         return was_paused
 
     def close(self) -> None:
-        """Stop watching for good: the connection is closed."""
+        """Stop watching: the connection is closed."""
         self._closed = True
         self._stop_watching()
 
--- a/eiderfield/net/clients/listener.py
+++ b/eiderfield/net/clients/listener.py
@@ -1,9 +1,9 @@
-"""The connections of one listening socket, within the descriptors they may take.
+"""The connections of one listening socket, within the limit of their descriptors.
 
 A connection in the backlog is accepted while there is capacity, or when a connection can be evicted for it:
 first one that has sent no request, then the longest idle.
 
-What must never happen: a connection evicted or closed on which a response is due.
+Invariant: a connection on which a response is due is not evicted, and not closed as idle.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from eiderfield.net.clients.parking import ConnectionParking
 from eiderfield.net.departures import DepartureWatch
 
-USAGE_INTERVAL = 100.0  # ms between two measurements of memory
-REJECTIONS_AT_ONCE = 64  # connections that are being answered 503; more are closed without a response
+USAGE_INTERVAL_MS = 100.0  # ms between two measurements of memory
+MAX_PENDING_REJECTIONS = 64  # connections that are being answered 503; more are closed without a response
 
 
 class Listener:
@@ -38,18 +38,18 @@
         clock: gives the current time in ms.
         max_connections: how many connections may be open, parked ones among them.
         message_timeout: ms for a message from its first byte, where there is no admission control.
-        idling: how long connections may idle.
+        idle_settings: how long connections may idle.
         admission: decides which connections are admitted; None admits all.
         memory_usage: gives the share of the process's memory that is in use, from 0 to 1.
         open_connections: the connections that are not parked.
-        parking: the parked connections.
+        parking: parks idle connections.
         acceptor: accepts on the socket.
         departures: watches connections that are not read; None until the listener is open.
         draining: whether the process is shutting down.
         keep_alive_disabled: whether each response closes its connection.
         response_deadline: when a message that arrives now must be answered, in ms.
-        successor: takes connections over for the next process, None while there is none.
-        held_by_other_process: connections of the other process of an upgrade, which count as open.
+        successor: passes a connection to the next process during a handover, None at other times.
+        held_by_other_process: number of connections of the other process of an upgrade, which count as open.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         clock: Callable[[], float],
         max_connections: int,
         message_timeout: float = MESSAGE_TIMEOUT_MS,
-        idling: IdleSettings | None = None,
+        idle_settings: IdleSettings | None = None,
         admission: AdmissionControl | None = None,
         memory_usage: Callable[[], float] = lambda: 0.0,
     ) -> None:
@@ -69,7 +69,7 @@
         self.clock = clock
         self.max_connections = max_connections
         self.message_timeout = message_timeout
-        self.idling = idling or IdleSettings()
+        self.idle_settings = idle_settings or IdleSettings()
         self.admission = admission
         self.draining = False
         self.keep_alive_disabled = False
@@ -80,11 +80,11 @@
         self.parking = ConnectionParking(self)
         self.acceptor = Acceptor(self)
         self.departures: DepartureWatch | None = None
-        self._discarded = 0  # closed connections of whose input some was discarded
-        self._departed = 0  # clients that disconnected before their response
+        self._discarded_input_count = 0  # connections with input discarded after the last response
+        self._disconnect_count = 0  # clients that disconnected before their response
         self.memory_usage = memory_usage
         self._usage_updated_at = -inf
-        self._rejected = 0  # connections that are being answered 503
+        self._pending_rejections = 0  # connections that are being answered 503
         self._loop: asyncio.AbstractEventLoop | None = None
         self._attaching: set[asyncio.Task[None]] = set()
 
@@ -117,8 +117,8 @@
         """Return the console's figures of connections, open ones and earlier ones."""
         return {
             "open": self.connections,
-            "departed": self._departed,
-            "discarded": self._discarded,
+            "departed": self._disconnect_count,
+            "discarded": self._discarded_input_count,
             **self.parking.figures(),
         }
 
@@ -130,7 +130,7 @@
         Args:
             loop: runs the connections.
             address: host and port.
-            share: whether a process may have the address already that does not hand its socket over.
+            share: whether to share the address with a process that does not hand its socket over.
 
         Raises:
             OSError: the system refuses.
@@ -141,18 +141,18 @@
         """Accept on a socket that listens already."""
         self._loop = loop
         self.acceptor.open(loop, sock)
-        self.set_idle_limits(self.idling)
+        self.set_idle_limits(self.idle_settings)
 
     def set_passive(self, passive: bool) -> None:
         """Leave accepting to another process that has the socket, or accept again."""
         self.acceptor.set_passive(passive)
 
     def stop_listening(self) -> None:
-        """Close the socket after accepting what the backlog holds, unless another process does."""
+        """Accept the connections in the backlog, unless another process does; then close the socket."""
         self.acceptor.close()
 
     def close_idle(self) -> None:
-        """Close the connections on which no request can cross, of the parked ones a bounded number."""
+        """Close the idle connections without unread bytes, a bounded number of the parked ones."""
         self.parking.close_idle()
         for connection in self.open_connections:
             if connection.is_idle:
@@ -178,28 +178,28 @@
             connection.apply_limits()
         self.parking.arm()
 
-    def set_idle_limits(self, idling: IdleSettings) -> None:
+    def set_idle_limits(self, idle_settings: IdleSettings) -> None:
         """Set how long connections may idle, also parked ones."""
-        self.idling = idling
+        self.idle_settings = idle_settings
         if self._loop is not None:
             if self.departures is None:
                 self.departures = DepartureWatch(self._loop)
-            if idling.park_after < inf:
+            if idle_settings.park_after < inf:
                 self.parking.open(self._loop)
         self.parking.arm()
 
     def idle_limit(self) -> float:
         """Return for how many ms a connection may idle now."""
         if self.admission is None:
-            return self.idling.idle_timeout
-        return self.admission.idle_limit(self.idling.idle_timeout)
+            return self.idle_settings.idle_timeout
+        return self.admission.idle_limit(self.idle_settings.idle_timeout)
 
     # Parked connections.
 
     @property
     def may_park(self) -> bool:
         """Whether idle connections are to be parked, rather than closed or handed over."""
-        return self.successor is None and not self.keep_alive_disabled and self.idling.park_after < inf
+        return self.successor is None and not self.keep_alive_disabled and self.idle_settings.park_after < inf
 
     def park(self, connection: ClientConnection) -> bool:
         """Park an idle connection; return whether it was possible."""
@@ -216,36 +216,36 @@
         """Pass a connection to the next process; return whether it was possible."""
         return self.successor is not None and self.successor(connection.detach)
 
-    def hand_over_some(self) -> None:
+    def hand_over_batch(self) -> None:
         """Pass a bounded number of connections to the next process.
 
-        Until the loop's next turn each of them holds a descriptor in both processes, and the two may have no
-        more than one had.
+        Each of them occupies a descriptor in both processes until the loop's next turn, and together the
+        processes may have no more than one of them had.
         """
         if self.successor is None:
             return
-        detachers = [connection.detach for connection in self.open_connections.between_requests()]
-        detachers += self.parking.detachers(ACCEPTED_PER_TURN)
+        detach_calls = [connection.detach for connection in self.open_connections.between_requests()]
+        detach_calls += self.parking.detach_calls(ACCEPTED_PER_TURN)
         handed_over = 0
-        for detach in detachers:
+        for detach in detach_calls:
             handed_over += self.successor(detach)
             if handed_over >= ACCEPTED_PER_TURN:
                 return
 
     def adopt_connection(self, sock: socket.socket, handover: ConnectionHandover) -> None:
-        """Take a client's connection that another process gave away."""
+        """Adopt a client's connection that another process handed over."""
         sock.setblocking(False)
         self.resume(sock, handover, self.register(sock))
 
     def register(self, sock: socket.socket) -> int | None:
-        """Return admission's ticket for a connection that is open already, None without admission control."""
+        """Return the ticket of a connection that is already open, None without admission control."""
         if self.admission is not None and sock.family != socket.AF_UNIX:
-            with suppress(OSError):  # it may have broken meanwhile
+            with suppress(OSError):  # the client may have reset it
                 return self.admission.register(sock.getpeername()[0], self.clock())
         return None
 
     def resume(self, sock: socket.socket, handover: ConnectionHandover, ticket: int | None) -> None:
-        """Read a connection that was parked, or at another process."""
+        """Read from a connection that was parked, or at another process."""
         connection = ClientConnection(self, sock, handover, ticket)
         self.open_connections.add(connection)
         if handover.proven:
@@ -255,23 +255,23 @@
     # Reports of connections.
 
     def report_fault(self, error: Exception) -> None:
-        """Log an error that a front raised, as the loop does with one that reaches it."""
+        """Log an error that a front raised, by the exception handler of the event loop."""
         if self._loop is not None:
             self._loop.call_exception_handler({"message": "a front failed", "exception": error})
 
-    def count_departure(self) -> None:
+    def count_disconnect(self) -> None:
         """Count a client that disconnected before its response."""
-        self._departed += 1
+        self._disconnect_count += 1
 
     def count_discarded_input(self) -> None:
-        """Count a connection of whose input some was discarded after its last response."""
-        self._discarded += 1
+        """Count a connection with input that was discarded after its last response."""
+        self._discarded_input_count += 1
 
     def remove(self, connection: ClientConnection) -> None:
         """Release what a closed connection holds."""
         self.open_connections.remove(connection)
         if connection.rejection is not None:
-            self._rejected -= 1
+            self._pending_rejections -= 1
         connection.admission.release()
         self.resume_accepting()
 
@@ -287,17 +287,17 @@
         """Whether one more connection needs an eviction."""
         if self.admission is None:
             return not self.has_capacity
-        held = self.connections + self.held_by_other_process
-        self._update_usage(held)
-        return held >= self.admission.capacity
+        open_count = self.connections + self.held_by_other_process
+        self._update_usage(open_count)
+        return open_count >= self.admission.capacity
 
     @property
     def has_waiting_clients(self) -> bool:
         """Whether clients wait in the backlog for whom there is no capacity, or no descriptor."""
         return self.acceptor.has_waiting_clients
 
-    def make_room(self) -> bool:
-        """Return whether one more connection may be accepted, after an eviction if it needs one."""
+    def ensure_capacity(self) -> bool:
+        """Evict a connection if one more needs it; return whether one more may be accepted."""
         if not self.full:
             return True
         evict: dict[ConnectionKind, Callable[[], bool]] = {
@@ -308,15 +308,15 @@
         evicted = any(evict[kind]() for kind in EVICTION_ORDER)
         return evicted and not self.full
 
-    def _update_usage(self, held: int) -> None:
-        """Report the usage to admission control, on which the idle time of parked connections may depend."""
+    def _update_usage(self, open_count: int) -> None:
+        """Report the usage to admission control; it may change the idle timeout of parked connections."""
         assert self.admission is not None
         now = self.clock()
-        if now < self._usage_updated_at + USAGE_INTERVAL:
+        if now < self._usage_updated_at + USAGE_INTERVAL_MS:
             return
         self._usage_updated_at = now
         limit = self.idle_limit()
-        self.admission.update_usage(now, held, self.memory_usage())
+        self.admission.update_usage(now, open_count, self.memory_usage())
         if limit != self.idle_limit():
             self.parking.arm()
 
@@ -337,11 +337,11 @@
         self._attach(connection, sock)
 
     def _reject(self, sock: socket.socket, rejection: Rejection) -> None:
-        """Close a connection that is not admitted, and respond to a few; these are evicted first."""
-        if not rejection.answer or self._rejected >= REJECTIONS_AT_ONCE:
+        """Close a connection that is not admitted; respond to a limited number, which are evicted first."""
+        if not rejection.answer or self._pending_rejections >= MAX_PENDING_REJECTIONS:
             sock.close()
             return
-        self._rejected += 1
+        self._pending_rejections += 1
         connection = ClientConnection(self, sock, rejection=rejection)
         self.open_connections.add(connection)
         self._attach(connection, sock)
--- a/eiderfield/net/dialer.py
+++ b/eiderfield/net/dialer.py
@@ -1,4 +1,4 @@
-"""Opens connections on the event loop's sockets, and retries dials that a fault of this host delays."""
+"""Opens connections on the event loop, and retries dials that fail because of a fault of this host."""
 
 from __future__ import annotations
 
@@ -6,32 +6,34 @@
 from collections.abc import Callable
 
 from eiderfield.config.address import Address
-from eiderfield.net.faults import RETRY_MS, Cause, cause_of_dial
+from eiderfield.net.faults import RETRY_DELAY_MS, Cause, classify_dial_error
 
-_RETRY_S = RETRY_MS / 1000.0
+_RETRY_DELAY_S = RETRY_DELAY_MS / 1000.0
 
 
 class Dialer:
-    """Dials on one event loop (implements `dialing.Dial`)."""
+    """Opens connections on one event loop. The method `dial` implements `dialing.Dial`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Create a dialer without pending dials."""
+        """Create a dialer that uses `loop`."""
         self._loop = loop
-        self._tasks: set[asyncio.Task[None]] = set()  # the loop holds weak references to tasks only
+        self._tasks: set[asyncio.Task[None]] = (
+            set()
+        )  # keeps the tasks alive: the loop has only weak references
 
     def dial(
         self,
         protocol: asyncio.BufferedProtocol,
         address: Address,
-        failed: Callable[[], None],
-        delayed: Callable[[Cause], None] = lambda _cause: None,
+        on_failed: Callable[[], None],
+        on_delayed: Callable[[Cause], None] = lambda _cause: None,
     ) -> asyncio.Task[None]:
-        """Connect a protocol to an address, or call `failed`.
+        """Connect `protocol` to an address, or call `on_failed`.
 
-        After a fault of this host `delayed` is called instead, and the dial is retried until the caller
-        cancels it at its time limit.
+        After a fault of this host, `on_delayed` is called instead, and the dial is retried until the caller
+        cancels the returned task.
         """
-        task = self._loop.create_task(self._connect(protocol, address, failed, delayed))
+        task = self._loop.create_task(self._connect(protocol, address, on_failed, on_delayed))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -40,17 +42,17 @@
         self,
         protocol: asyncio.BufferedProtocol,
         address: Address,
-        failed: Callable[[], None],
-        delayed: Callable[[Cause], None],
+        on_failed: Callable[[], None],
+        on_delayed: Callable[[Cause], None],
     ) -> None:
         while True:
             try:
                 await self._loop.create_connection(lambda: protocol, *address)
                 return
             except (OSError, ValueError) as error:
-                cause = cause_of_dial(error)
+                cause = classify_dial_error(error)
             if cause is Cause.CONNECTION:
-                failed()
+                on_failed()
                 return
-            delayed(cause)
-            await asyncio.sleep(_RETRY_S)
+            on_delayed(cause)
+            await asyncio.sleep(_RETRY_DELAY_S)
--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -1,4 +1,4 @@
-"""Decoder of the handover's messages. `encoder` documents the wire form."""
+"""Decoder for the messages of a handover. `encoder` documents the wire form."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from eiderfield.net.handover.messages import (
     BanChanged,
     ConnectionPassed,
+    ConnectionsUnparked,
     DispatcherState,
     ListenersReleased,
     LoadChanged,
     Message,
     OpenAttempts,
     ParkedBatch,
-    ParkedBatchTaken,
-    ParkedDeparted,
+    ParkedBatchResult,
     TakeoverAccepted,
     TakeoverDelayed,
     TakeoverRequest,
@@ -29,36 +29,44 @@
 from eiderfield.net.handover.sender_clock import SenderClock, estimated_clock, exact_clock
 from eiderfield.net.table_state import EndpointRecord, RoutingTableState, UnbannedWorker
 
-MAX_KIND_IN_ERROR = 20  # characters of an unknown kind of message that an error quotes
+MAX_KIND_IN_ERROR = 20  # characters of an unknown message kind that are quoted in an error
 
 
 class Decoder:
-    """Decodes the messages that come over one link."""
+    """Decodes the messages received over one link."""
 
     def __init__(self, clock: Callable[[], float], wall: WallClock, log: Callable[[str], None]) -> None:
-        """Creates a decoder that converts the messages' times to those of `clock`."""
+        """Create a decoder that converts the sender's times to times of `clock`."""
         self._clock = clock
         self._wall = wall
         self._log = log
-        self._estimated: SenderClock | None = None  # of a sender that does not include its clock's reading
+        self._estimated_clock: SenderClock | None = (
+            None  # used if the sender does not include its clock reading
+        )
 
     def decode(self, values: Mapping[str, object]) -> Message:
         """Decode a message; raises `MalformedMessageError`."""
         fields = Fields(values)
         kind = fields.text("is")
         if kind not in self._DECODERS:
-            raise MalformedMessageError("is", f"names no message: {kind[:MAX_KIND_IN_ERROR]!r}")
+            raise MalformedMessageError("is", f"is not a known message kind: {kind[:MAX_KIND_IN_ERROR]!r}")
         return self._DECODERS[kind](self, fields)
 
     def _sender_clock(self, fields: Fields, past_times: Callable[[], list[float]] = list) -> SenderClock:
-        """Return the sender's clock; `past_times` returns the times of past events in the message."""
+        """Return the sender's clock when it sent the message.
+
+        Args:
+            fields: The message.
+            past_times: Returns the times of past events in the message, by the sender's clock. It is called
+                only if the clock has to be estimated from them.
+        """
         now = self._clock()
         if "now" in fields:
             return exact_clock(now, fields.number("now"))
-        if self._estimated is None:
-            self._estimated = estimated_clock(now, self._wall.offset(), past_times())
-        known = self._estimated
-        return SenderClock(now, known.offset, known.min_offset, known.exact)
+        if self._estimated_clock is None:
+            self._estimated_clock = estimated_clock(now, self._wall.offset(), past_times())
+        estimate = self._estimated_clock
+        return SenderClock(now, estimate.offset, estimate.min_offset, estimate.exact)
 
     def _decode_takeover_request(self, fields: Fields) -> TakeoverRequest:
         return TakeoverRequest(fields.integer("form"), fields.flag("peers"))
@@ -74,14 +82,16 @@
         learned = fields.required("memory")
 
         def past_times() -> list[float]:
-            unbanned = [at for worker in _unbanned(table) for at in (worker.banned_at, worker.unbanned_at)]
+            unbanned = [
+                at for worker in _unbanned_workers(table) for at in (worker.banned_at, worker.unbanned_at)
+            ]
             return [*bans.values(), *unbanned, *past_events(learned)]
 
         sender = self._sender_clock(fields, past_times)
         return DispatcherState(
             listeners=fields.texts("doors"),
             table=_decode_table(table, sender),
-            bans={worker: sender.past(since) for worker, since in bans.items()},
+            bans={worker: sender.convert_past(since) for worker, since in bans.items()},
             request_ids=fields.texts("ids"),
             attempts=tuple(
                 OpenAttempts(text(worker, "legs"), integer(count, "legs"))
@@ -92,7 +102,10 @@
         )
 
     def _decode_learned_state(self, value: object, sender: SenderClock) -> LearnedState | None:
-        """Return None if the state is malformed: the new process can start without it."""
+        """Decode the learned state.
+
+        Return None if it is malformed, since the new process can start without learned state.
+        """
         try:
             return decode_learned_state(value, sender)
         except MalformedMessageError as error:
@@ -118,7 +131,7 @@
         fields.required("since")
         since = fields.optional_number("since")
         if since is not None:
-            since = self._sender_clock(fields).past(since)
+            since = self._sender_clock(fields).convert_past(since)
         return BanChanged(fields.text("worker"), since)
 
     def _decode_connection_passed(self, fields: Fields) -> ConnectionPassed:
@@ -127,7 +140,7 @@
         return ConnectionPassed(
             listener=fields.text("door"),
             proven=bool(fields.required("proven")),
-            since=self._sender_clock(fields).recent(fields.number("since"), max_age),
+            since=self._sender_clock(fields).convert_recent(fields.number("since"), max_age),
             buffered=buffered,
             connection_counts=fields.counts("open"),
         )
@@ -140,16 +153,16 @@
             raise MalformedMessageError("keys", f"has {len(keys)} values for {len(since)} connections")
         return ParkedBatch(
             listener=fields.text("door"),
-            since=tuple(sender.recent(at, IDLE_TIMEOUT_MS) for at in since),
+            since=tuple(sender.convert_recent(at, IDLE_TIMEOUT_MS) for at in since),
             keys=keys,
             connection_counts=fields.counts("open"),
         )
 
-    def _decode_parked_batch_taken(self, fields: Fields) -> ParkedBatchTaken:
-        return ParkedBatchTaken(fields.text("door"), fields.integers("refused"))
+    def _decode_parked_batch_result(self, fields: Fields) -> ParkedBatchResult:
+        return ParkedBatchResult(fields.text("door"), fields.integers("refused"))
 
-    def _decode_parked_departed(self, fields: Fields) -> ParkedDeparted:
-        return ParkedDeparted(fields.text("door"), fields.integers("keys"))
+    def _decode_connections_unparked(self, fields: Fields) -> ConnectionsUnparked:
+        return ConnectionsUnparked(fields.text("door"), fields.integers("keys"))
 
     _DECODERS: Mapping[str, Callable[[Decoder, Fields], Message]] = {
         MessageKind.TAKEOVER_REQUEST: _decode_takeover_request,
@@ -161,30 +174,32 @@
         MessageKind.BAN_CHANGED: _decode_ban_changed,
         MessageKind.CONNECTION_PASSED: _decode_connection_passed,
         MessageKind.PARKED_BATCH: _decode_parked_batch,
-        MessageKind.PARKED_BATCH_TAKEN: _decode_parked_batch_taken,
-        MessageKind.PARKED_DEPARTED: _decode_parked_departed,
+        MessageKind.PARKED_BATCH_RESULT: _decode_parked_batch_result,
+        MessageKind.CONNECTIONS_UNPARKED: _decode_connections_unparked,
     }
 
 
 def _decode_bytes(value: str, name: str) -> bytes:
-    """Return the bytes that are sent as a text, one character each."""
+    """Return the bytes that a string encodes as one character (Latin-1) per byte."""
     try:
         return value.encode("latin-1")
     except UnicodeEncodeError:
-        raise MalformedMessageError(name, "holds characters that are not bytes") from None
+        raise MalformedMessageError(name, "has characters outside Latin-1") from None
 
 
 def _decode_table(fields: Fields, sender: SenderClock) -> RoutingTableState:
-    heard_at = fields.optional_number("heard")
+    contact_at = fields.optional_number("heard")
     unbanned = [
-        UnbannedWorker(worker.name, sender.past(worker.banned_at), sender.past(worker.unbanned_at))
-        for worker in _unbanned(fields)
+        UnbannedWorker(
+            worker.name, sender.convert_past(worker.banned_at), sender.convert_past(worker.unbanned_at)
+        )
+        for worker in _unbanned_workers(fields)
     ]
     return RoutingTableState(
         index=fields.integer("index"),
         endpoints=tuple(_decode_endpoint(endpoint, sender) for endpoint in fields.objects("endpoints")),
         unbanned_workers=tuple(unbanned),
-        source_heard_at=None if heard_at is None else sender.past(heard_at),
+        source_contact_at=None if contact_at is None else sender.convert_past(contact_at),
         announced_offset=None if sender.exact else sender.min_offset,
     )
 
@@ -201,12 +216,12 @@
         group=integer(group, "group") if isinstance(group, int) else text(group, "group"),
         weight=fields.number("weight"),
         since_ms=fields.number("since_ms"),
-        started_at=None if started is None else sender.past(started),
+        started_at=None if started is None else sender.convert_past(started),
     )
 
 
-def _unbanned(table: Fields) -> list[UnbannedWorker]:
-    """Return the workers whose bans were lifted, with times by the sender's clock."""
+def _unbanned_workers(table: Fields) -> list[UnbannedWorker]:
+    """Return the workers whose bans were lifted, with times on the sender's clock."""
     return [
         UnbannedWorker(text(name, "cold"), number(banned_at, "cold"), number(unbanned_at, "cold"))
         for name, banned_at, unbanned_at in table.rows("cold", 3)
--- a/eiderfield/net/peers.py
+++ b/eiderfield/net/peers.py
@@ -1,15 +1,15 @@
-"""Datagrams between the dispatchers of a tier, where the settings allow them.
+"""Datagrams between the dispatchers of a tier, if the settings allow them.
 
-A port sends the policy's reports to its peers and passes received reports on. Its rules:
+A port sends the policy's reports to its peers and passes received reports to the policy. Its rules:
 
-- A message has at most 256 bytes, envelope included; a longer one is neither sent nor accepted.
-- A sender is identified by its address alone, which must be one of `peers`; other senders are counted.
+- A message has at most 256 bytes including the envelope; a longer one is neither sent nor accepted.
+- A sender is identified by its address, which must be in `peers`; messages of other senders are only counted.
 - The messages of a peer are accepted in order and at a limited rate (`peer_filter`).
-- Serving requests does not depend on the port. A port that cannot be opened is logged once; a message that
-  cannot be sent is lost, as the network may lose any.
+- Serving requests does not depend on the port. If the port cannot be opened, this is logged once; a message
+  that cannot be sent is dropped, since the network may lose messages anyway.
 
-During a handover both processes are one dispatcher to its peers: the next process takes the port over with
-its socket (`sock`), and the previous one pauses its port until it ends, or until the next one is lost.
+During a handover both processes appear to the peers as one dispatcher: the new process takes over the socket
+(`sock`), and the old process pauses its port until it ends or the link to the new process is lost.
 """
 
 from __future__ import annotations
@@ -20,11 +20,17 @@
 from collections.abc import Callable, Iterable
 
 from eiderfield.config.address import Address
-from eiderfield.net.faults import Cause, cause_of_loss
-from eiderfield.net.peer_filter import MAX_MESSAGE_BYTES, PeerFilter, Reception, first_envelope, fits
+from eiderfield.net.faults import Cause, classify_loss
+from eiderfield.net.peer_filter import (
+    MAX_MESSAGE_BYTES,
+    PeerFilter,
+    Reception,
+    first_envelope,
+    fits_message_limit,
+)
 from eiderfield.net.peer_settings import PeerSettings
 
-MAX_READS_PER_TURN = 64  # messages read in an iteration of the loop
+MAX_READS_PER_TURN = 64  # messages read in one iteration of the event loop
 ALL_PEERS = -1
 
 
@@ -32,8 +38,8 @@
     """The port of one dispatcher.
 
     Attributes:
-        sock: the open socket, which the next process takes over; None while closed.
-        figures: the console's figures: messages sent, accepted, and rejected by reason.
+        sock: The open socket, which the next process takes over; None while the port is closed.
+        counters: The numbers of messages sent, accepted, and rejected by reason, by the console's keys.
     """
 
     def __init__(
@@ -48,13 +54,20 @@
     ) -> None:
         """Create a closed port.
 
-        `on_message` receives the number of a peer and its message. `clock` and `unix_clock` are in ms.
+        Args:
+            loop: The event loop.
+            settings: The addresses.
+            dispatcher_index: The index of this dispatcher in `settings.peers`.
+            clock: The process's clock, in ms.
+            on_message: Called with the index of a peer and the data of its message.
+            log: Called with a line for operators.
+            unix_clock: The wall clock, in ms; without it, `clock` shows Unix time.
         """
         self.sock: socket.socket | None = None
-        self.figures: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
         self._loop = loop
         self._settings = settings
-        self._numbers = {
+        self._peer_indexes = {
             address: number for number, address in enumerate(settings.peers) if number != dispatcher_index
         }
         self._on_message = on_message
@@ -79,13 +92,13 @@
         self.resume()
 
     def pause(self) -> None:
-        """Leave the port to the dispatcher's other process."""
+        """Stop receiving and sending: the dispatcher's other process uses the socket."""
         if self.sock is not None and not self._paused:
             self._paused = True
             self._loop.remove_reader(self.sock)
 
     def resume(self) -> None:
-        """Use the port again."""
+        """Start receiving and sending."""
         if self.sock is not None and self._paused:
             self._paused = False
             self._loop.add_reader(self.sock, self._read)
@@ -98,26 +111,26 @@
             self.sock = None
 
     def send_report(self, peer: int, data: bytes) -> None:
-        """Send a message to one peer, or to `ALL_PEERS`; it may be lost."""
+        """Send a message to the peer with this index, or to `ALL_PEERS`; it may be lost."""
         if self.sock is None or self._paused:
             return
-        if not fits(data):
-            self.figures["too_long"] += 1
+        if not fits_message_limit(data):
+            self.counters["too_long"] += 1
             return
         self._envelope = self._envelope.next()
         message = self._envelope.pack(data)
         for address in self._addresses(peer):
             try:
                 self.sock.sendto(message, address)
-                self.figures["sent"] += 1
+                self.counters["sent"] += 1
             except OSError:  # the buffer is full, or the peer has closed its port
-                self.figures["unsent"] += 1
+                self.counters["unsent"] += 1
 
     def _addresses(self, peer: int) -> Iterable[Address]:
         if peer >= 0:
             return self._settings.peers[peer : peer + 1]
         broadcast = self._settings.broadcast
-        return [broadcast] if broadcast is not None else list(self._numbers)
+        return [broadcast] if broadcast is not None else list(self._peer_indexes)
 
     def _read(self) -> None:
         for _ in range(MAX_READS_PER_TURN):
@@ -128,14 +141,14 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if cause_of_loss(error) is Cause.LOCAL:
+                if classify_loss(error) is Cause.LOCAL:
                     return
-                continue  # reports that an earlier message could not be delivered
+                continue  # the error refers to an earlier message that could not be delivered
             reception = self._receive(message, (address[0], address[1]))
-            self.figures[reception.value] += 1
+            self.counters[reception.value] += 1
 
     def _receive(self, message: bytes, address: Address) -> Reception:
-        peer = self._numbers.get(address)
+        peer = self._peer_indexes.get(address)
         if peer is None:
             return Reception.UNKNOWN_SENDER
         received = self._filter.receive(peer, message)
--- a/tests/test_durable_requests_cancel.py
+++ b/tests/test_durable_requests_cancel.py
@@ -134,7 +134,7 @@
     harness.run()
     harness.dispatcher.advance(1000.0)
     assert not harness.dispatcher.dials
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
 
 
 def test_client_that_leaves_while_its_request_is_recorded_starts_no_attempt(harness):
@@ -144,7 +144,7 @@
     harness.run()
     harness.dispatcher.advance(1000.0)
     assert not harness.dispatcher.dials
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert harness.coordinator.idle
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Handover from one process of a dispatcher to the next, joined in memory: state, updates, lost links."""
+"""Handover between two processes over a link in memory: state, updates, and lost links."""
 
 import pytest
 from hypothesis import given, settings
@@ -19,7 +19,7 @@
     pair.close()
 
 
-def test_handover_passes_listener_table_and_bans_and_stops_the_old_process_from_accepting(pair):
+def test_handover_passes_listener_table_and_bans_and_stops_accepting_in_old_process(pair):
     pair.old.dispatcher.table.ban("w2")
     pair.old.dispatcher.tell((3, "SERVING"), (3, "DELETED"))
     assert not pair.new.done
@@ -30,12 +30,12 @@
     assert not pair.old.takes()
     assert pair.old.handover.handed_over
     assert [endpoint_state(pair.new, w) for w in (1, 2)] == [EndpointState.READY, EndpointState.DRAINING]
-    assert pair.new.dispatcher.table.ban("w3"), "ids that were ever listed are remembered"
+    assert pair.new.dispatcher.table.ban("w3"), "a worker that was ever listed can be banned"
     assert pair.new.dispatcher.table.ban("w4") is False
     assert pair.new.dispatcher.table.listed_workers == pair.old.dispatcher.table.listed_workers
 
 
-def test_new_process_accepts_only_after_the_old_one_has_stopped(pair):
+def test_new_process_accepts_only_after_old_process_has_stopped(pair):
     pair.wires[1].deliver()
     pair.wires[0].deliver()
     assert pair.new.dispatcher.listener.listening
@@ -43,7 +43,7 @@
     assert not pair.new.done
 
 
-def test_request_id_in_use_at_one_process_is_rejected_by_the_other(pair):
+def test_request_id_in_use_at_one_process_is_rejected_by_other_process(pair):
     first = pair.old.dispatcher.client(id_="before")
     pair.go()
     pair.old.dispatcher.client(id_="after")
@@ -69,10 +69,10 @@
     assert pair.new.dispatcher.exchange.has_request("r")
 
 
-@pytest.mark.parametrize("who", ["old", "new"])
-def test_ban_and_unban_at_either_process_apply_to_both(pair, who):
+@pytest.mark.parametrize("process_name", ["old", "new"])
+def test_ban_and_unban_at_either_process_apply_to_both(pair, process_name):
     pair.go()
-    side = getattr(pair, who)
+    side = getattr(pair, process_name)
     side.dispatcher.table.ban("w1")
     pair.go()
     assert endpoint_state(pair.old, 1) == endpoint_state(pair.new, 1) == EndpointState.DRAINING
@@ -83,51 +83,55 @@
     assert not pair.new.dispatcher.table.bans.since
 
 
-def test_open_attempts_and_work_of_either_process_are_known_to_the_other(pair):
+def test_open_attempts_and_work_of_either_process_are_sent_to_other_process(pair):
     pair.old.dispatcher.client(id_="before")
     pair.go()
     pair.new.dispatcher.client(id_="after")
     pair.go()
     for here, there in ((pair.old, pair.new), (pair.new, pair.old)):
-        out = here.dispatcher.exchange.open_attempts_per_worker
-        assert sum(out.values()) == 1
+        open_attempts = here.dispatcher.exchange.open_attempts_per_worker
+        assert sum(open_attempts.values()) == 1
         workers = there.dispatcher.exchange.dispatcher.workers
-        assert {w.entry.worker: w.sibling_attempts for w in workers.values() if w.sibling_attempts} == out
+        assert {
+            w.entry.worker: w.sibling_attempts for w in workers.values() if w.sibling_attempts
+        } == open_attempts
     old, new = pair.old.dispatcher.exchange, pair.new.dispatcher.exchange
-    assert old.open_attempts_per_worker != new.open_attempts_per_worker, "fewest jobs of both goes first"
+    assert old.open_attempts_per_worker != new.open_attempts_per_worker, (
+        "the worker with the fewest attempts of both processes is preferred"
+    )
     [worker] = pair.new.dispatcher.exchange.open_attempts_per_worker
     [(_, work)] = pair.old.dispatcher.exchange.dispatcher.workers[worker].recent_sends
     assert work > 0.0
 
 
-def test_learned_state_of_the_policy_is_passed_on(pair):
+def test_learned_state_is_passed_to_new_process(pair):
     module = pair.old.dispatcher.exchange.dispatcher
     module.pacers[0].mean_duration, module.pacers[0].rate = 77.0, 5.0
     learn(module, retry_tokens=0.25, key_counts=(KeyCount(7, 40), KeyCount(8, 2)))
     pair.go()
-    heir = pair.new.dispatcher.exchange.dispatcher
-    assert (heir.pacers[0].mean_duration, heir.pacers[0].rate) == (77.0, 5.0)
-    assert heir.learned_state().retry_tokens == 0.25
-    assert heir.learned_state().key_counts == ((7, 40), (8, 2))
+    successor = pair.new.dispatcher.exchange.dispatcher
+    assert (successor.pacers[0].mean_duration, successor.pacers[0].rate) == (77.0, 5.0)
+    assert successor.learned_state().retry_tokens == 0.25
+    assert successor.learned_state().key_counts == ((7, 40), (8, 2))
 
 
-def test_outlier_state_of_a_worker_is_passed_on(pair):
-    """Otherwise each new process sends the worker requests that must never run twice to learn it again."""
+def test_outlier_state_of_worker_is_passed_to_new_process(pair):
+    """A new process without it sends unsafe requests to the failing worker until it has ejected it again."""
     old = pair.old.dispatcher.exchange.dispatcher
     [id_] = [w for w in old.workers if w == pair.old.dispatcher.ids.worker("w1")]
     old.workers[id_].error_score = 2.0
     old.workers[id_].eject(0.0, failing=True)
     pair.go()
-    heir = pair.new.dispatcher.exchange.dispatcher.workers[id_]
-    assert (heir.error_score, heir.ejections, heir.failing) == (2.0, 1, True)
+    worker = pair.new.dispatcher.exchange.dispatcher.workers[id_]
+    assert (worker.error_score, worker.ejections, worker.failing) == (2.0, 1, True)
 
 
-def test_connection_limits_are_shared_by_both_processes(pair):
-    kept = [Client(pair.old.dispatcher) for _ in range(5)]
+def test_connection_limits_apply_to_both_processes_together(pair):
+    clients = [Client(pair.old.dispatcher) for _ in range(5)]
     pair.go()
-    assert pair.new.dispatcher.listener.held_by_other_process == len(kept)
-    pair.new.dispatcher.listener.max_connections = len(kept)
-    assert not pair.new.dispatcher.listener.make_room()
+    assert pair.new.dispatcher.listener.held_by_other_process == len(clients)
+    pair.new.dispatcher.listener.max_connections = len(clients)
+    assert not pair.new.dispatcher.listener.ensure_capacity()
     assert (
         pair.old.dispatcher.side.connection_limit
         == pair.new.dispatcher.side.connection_limit
@@ -135,13 +139,13 @@
     )
 
 
-@pytest.mark.parametrize("when", ["after the question", "after the state", "when all is given"])
-def test_old_process_serves_on_if_the_new_one_dies(pair, when):
-    heard = []
-    pair.old.handover.on_successor_lost = lambda: heard.append(True)
-    if when == "after the state":
+@pytest.mark.parametrize("moment", ["after request", "after state", "after takeover"])
+def test_old_process_continues_after_loss_of_new_process(pair, moment):
+    losses = []
+    pair.old.handover.on_successor_lost = lambda: losses.append(True)
+    if moment == "after state":
         pair.wires[1].deliver()
-    elif when == "when all is given":
+    elif moment == "after takeover":
         pair.go()
         pair.new.dispatcher.client(id_="r")
         pair.go()
@@ -152,12 +156,12 @@
     assert not old.exchange.has_request("r")
     assert old.side.connection_limit == old.side.configured_limit
     assert old.listener.held_by_other_process == 0
-    assert bool(heard) == (when == "when all is given")
+    assert bool(losses) == (moment == "after takeover")
     old.settle()
     assert not any(worker.sibling_attempts for worker in old.exchange.dispatcher.workers.values())
 
 
-def test_new_process_serves_alone_after_the_old_one_has_ended(pair):
+def test_new_process_serves_alone_after_end_of_old_process(pair):
     pair.old.dispatcher.client(id_="r")
     pair.go()
     pair.part(0)
@@ -168,14 +172,14 @@
     assert new.side.connection_limit == new.side.configured_limit
 
 
-def test_new_process_starts_alone_if_the_old_one_does_not_answer(pair):
+def test_new_process_without_answer_starts_alone_after_timeout(pair):
     pair.new.dispatcher.advance(ANSWER_TIMEOUT_MS + 8.0)
     assert pair.new.done
     assert not pair.wires[1].open
 
 
-def test_third_process_waits_until_the_present_handover_has_ended(pair):
-    """If it were rejected, it would start beside the others without request ids, bans or clients."""
+def test_third_process_waits_until_present_handover_has_ended(pair):
+    """If its link were closed, it would start without the request ids, bans and clients of the others."""
     pair.go()
     third, other = Side(workers=0), Wire()
     here, there = Wire(), Wire()
@@ -183,7 +187,7 @@
     third.handover.take_over(there, third.settle)
     pair.new.handover.accept(here)
     pair.new.handover.accept(other)
-    assert not other.open, "one may wait"
+    assert not other.open, "only one process may wait"
     there.deliver()
     here.deliver()
     third.dispatcher.advance(ANSWER_TIMEOUT_MS + 8.0)
@@ -199,23 +203,23 @@
     third.dispatcher.listener.acceptor.listening_socket.close()
 
 
-def test_delayed_process_starts_alone_after_its_timeout(pair):
-    pair.wires[1].receive({"is": "wait"}, [])
+def test_new_process_starts_alone_after_timeout_of_delayed_answer(pair):
+    pair.wires[1].on_message({"is": "wait"}, [])
     pair.new.dispatcher.advance(DELAYED_ANSWER_TIMEOUT_MS + 8.0)
     assert pair.new.done
 
 
-WORDS = st.sampled_from(["ask", "state", "taken", "yours", "news", "ban", "client", "wait", "none"])
+KINDS = st.sampled_from(["ask", "state", "taken", "yours", "news", "ban", "client", "wait", "none"])
 VALUES = st.recursive(st.none() | st.integers(-9, 9) | st.text(max_size=3), lambda v: st.lists(v, max_size=2))
 KEYS = ["form", "doors", "table", "bans", "ids", "legs", "memory", "open", "worker", "since", "door", "begun"]
 
 
-@given(WORDS, st.dictionaries(st.sampled_from(KEYS), VALUES, max_size=12))
+@given(KINDS, st.dictionaries(st.sampled_from(KEYS), VALUES, max_size=12))
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
-def test_malformed_messages_leave_both_processes_serving(word, told):
+def test_malformed_message_leaves_both_processes_accepting(kind, fields):
     pair = Pair().go()
     for side, wire in zip((pair.old, pair.new), pair.wires, strict=True):
-        wire.receive({**told, "is": word}, [])
+        wire.on_message({**fields, "is": kind}, [])
         assert side.dispatcher.listener.listening
     pair.old.dispatcher.settle()
     pair.close()
--- a/tests/test_handover_connections.py
+++ b/tests/test_handover_connections.py
@@ -1,4 +1,4 @@
-"""Client connections that one process passes to the next."""
+"""Client connections that one process of a dispatcher passes to the next."""
 
 import socket
 
@@ -9,45 +9,45 @@
 from eiderfield.net.clients.acceptor import ACCEPTED_PER_TURN
 
 
-@pytest.mark.parametrize("cut", [0, 20, -1])
-def test_passed_connection_keeps_the_part_of_a_request_that_was_read(cut):
-    """If it were closed instead, the request would be lost."""
+@pytest.mark.parametrize("length", [0, 20, -1])
+def test_passed_connection_keeps_buffered_part_of_request(length):
+    """A connection that is closed instead loses the request."""
     old, new = InMemoryDispatcher(), InMemoryDispatcher()
     here, there = socket.socketpair()
     with here, there:
         client = Client(old, sock=here)
         client.connection.proven = True
         message = post("r1")
-        client.send(message[:cut])
-        if cut == -1:
-            assert client.connection.detach() is None, "its head is whole: this process takes the job"
+        client.send(message[:length])
+        if length == -1:
+            assert client.connection.detach() is None, "this process serves a request with a complete head"
             return
         detached = client.connection.detach()
         with socket.socket(fileno=detached.descriptor) as copy:
             assert not client.pipe.open
             assert not old.listener.connections
-            assert detached.state.buffered == message[:cut]
+            assert detached.state.buffered == message[:length]
             there.sendall(b"x")
-            assert copy.recv(1) == b"x", "the connection itself is open"
-        heir = Client(new, handover=detached.state)
-        heir.send(message[cut:])
-        assert heir.connection.proven, "it is one message"
-        assert heir.answers()[0][0] == 404, "it is one message"
+            assert copy.recv(1) == b"x", "the connection was closed"
+        successor = Client(new, handover=detached.state)
+        successor.send(message[length:])
+        assert successor.connection.proven, "the two parts were not joined to one request"
+        assert successor.answers()[0][0] == 404, "the two parts were not joined to one request"
 
 
-def test_connection_with_a_pending_response_is_not_passed():
+def test_connection_with_pending_response_is_not_passed():
     dispatcher = InMemoryDispatcher()
     client = dispatcher.client()
     assert client.connection.detach() is None
     assert client.pipe.open
 
 
-def test_connections_are_passed_in_limited_numbers_at_a_time():
-    """Each holds a descriptor in both processes: all at once would exceed their limit."""
+def test_hand_over_some_passes_limited_number_of_connections():
+    """A passed connection briefly uses a descriptor in both processes, whose number is limited."""
     dispatcher = InMemoryDispatcher(most=64)
     clients = [Client(dispatcher) for _ in range(ACCEPTED_PER_TURN + 5)]
-    dispatcher.listener.successor = lambda let_go: let_go.__self__.abort() is None
-    dispatcher.listener.hand_over_some()
+    dispatcher.listener.successor = lambda detach: detach.__self__.abort() is None
+    dispatcher.listener.hand_over_batch()
     assert sum(client.pipe.open for client in clients) == 5
-    dispatcher.listener.hand_over_some()
+    dispatcher.listener.hand_over_batch()
     assert not dispatcher.listener.connections
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,11 +1,11 @@
-"""The decisions of seeded event sequences, as three earlier revisions made them.
+"""The decisions for seeded event sequences are those that three earlier revisions made.
 
-`BEFORE_THE_PACKAGE` are those from before the decisions became a package; those of 456c0d9 and 3888fce are in
-`tests/golden/REVISION/decisions`.
+`BEFORE_THE_PACKAGE` has the digests from before the policy became a package; those of 456c0d9 and 3888fce are
+in `tests/golden/REVISION/decisions`.
 
-A digest covers every action in its order, in the simulator's wire form with the expected work of each
-attempt, so that it outlasts names. A change of behaviour that is meant changes digests: the commit says
-which, and why.
+A digest covers every action in order, in the simulator's wire format with the expected work of each attempt,
+so that it does not depend on names. An intended change of behaviour changes digests: the commit says which
+and why.
 """
 
 import hashlib
@@ -27,7 +27,7 @@
 PROBING = replace(
     BASE, workers_report_start=False, probing_allowed=True, load_report_fields=("x0",), dispatcher_count=40
 )
-SITES = {
+SETTINGS = {
     **VARIANTS,
     "reports and probes": PROBING,
     "peers": replace(BASE, gossip_allowed=True, dispatcher_count=6, progress_interval_ms=40.0),
@@ -63,8 +63,8 @@
 FLEETS = {"4x12": (4, 12), "12x24": (12, 24)}  # dispatchers, workers
 
 
-def record(digest, dispatcher, number=0):
-    """Feeds each action of a dispatcher to a digest."""
+def record_actions(digest, dispatcher, number=0):
+    """Update a digest with each action that a dispatcher returns."""
     real = dispatcher.handle
 
     def handle(now, events):
@@ -79,22 +79,22 @@
 
 @cache
 def digest_of_events(variant):
-    """The digest of the actions under drawn events."""
+    """Return the digest of the actions under random events."""
     digest = hashlib.sha256()
     for seed in range(6):
-        player = EventPlayer(SITES[variant], random.Random(seed))
-        record(digest, player.node)
+        player = EventPlayer(SETTINGS[variant], random.Random(seed))
+        record_actions(digest, player.node)
         player.run(250)
     return digest.hexdigest()[:16]
 
 
 @cache
 def digest_of_fleet(size):
-    """The digest of the actions of a simulated fleet, some workers of which fall silent for a while."""
+    """Return the digest of the actions of a simulated fleet in which some workers are silent for a while."""
     nodes, workers = FLEETS[size]
     digest, fleet = hashlib.sha256(), SimulatedFleet(nodes, workers, load=0.9)
     for number, dispatcher in enumerate(fleet.nodes):
-        record(digest, dispatcher, number)
+        record_actions(digest, dispatcher, number)
     fleet.run(3000.0)
     fleet.fall_silent([1, 2])
     fleet.run(6000.0)
@@ -104,8 +104,8 @@
 
 
 @pytest.mark.parametrize("revision", RECORDED)
-@pytest.mark.parametrize("variant", SITES)
-def test_decisions_under_drawn_events_are_those_recorded(revision, variant):
+@pytest.mark.parametrize("variant", SETTINGS)
+def test_decisions_under_random_events_are_those_recorded(revision, variant):
     assert digest_of_events(variant) == RECORDED[revision]["events"][variant]
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock is stepped by seconds or an hour, forward or back: no span of time changes by that."""
+"""Steps of the wall clock, by seconds or an hour, forward or back, change no duration in the process."""
 
 import json
 import re
@@ -35,7 +35,7 @@
 # Clocks.
 
 
-def test_a_step_moves_no_time_of_the_process(monkeypatch):
+def test_monotonic_clock_is_unchanged_by_step_of_wall_clock(monkeypatch):
     clock = MonotonicClock()
     monkeypatch.setattr(time, "time", lambda: 0.0)
     before = clock()
@@ -43,8 +43,8 @@
     assert 0.0 <= clock() - before < 60_000.0
 
 
-def test_the_process_reads_the_wall_clock_in_one_place_alone():
-    """The rest of the dispatcher converts there, or has no business with Unix time."""
+def test_only_machine_module_reads_wall_clock():
+    """All other modules of the dispatcher use the monotonic clock, or convert times by `WallClock`."""
     package = Path(eiderfield.__file__).parent
     parts = [package / name for name in ("net", "connections", "policy")]
     files = [path for part in parts for path in part.rglob("*.py")]
@@ -53,12 +53,12 @@
         package / "batch" / name
         for name in ("front.py", "messages.py", "registry.py", "remote.py", "replies.py")
     ]
-    reads = {path.name for path in files if re.search(r"\btime\.time\b|datetime", path.read_text())}
-    assert reads == {"machine.py"}
+    reading_files = {path.name for path in files if re.search(r"\btime\.time\b|datetime", path.read_text())}
+    assert reading_files == {"machine.py"}
 
 
 @steps
-def test_times_are_converted_by_what_the_wall_clock_shows_now(step):
+def test_conversion_uses_present_wall_clock_after_step(step):
     wall = Wall()
     clock = WallClock(lambda: 7000.0, wall)
     assert clock.to_unix(6000.0) == UNIX - 1000.0
@@ -67,7 +67,7 @@
     assert clock.to_unix(6000.0) == UNIX + step - 1000.0
 
 
-def test_a_process_that_is_held_up_between_the_two_clocks_reads_them_again():
+def test_offset_is_measured_again_after_delay_between_clock_readings():
     times = iter([0.0, 150.0, 150.0, 150.5])
     assert WallClock(lambda: next(times), lambda: 1000.0).offset() == 1000.0 - 150.25
 
@@ -76,7 +76,7 @@
 
 
 @steps
-def test_a_step_amid_waits_and_deadlines_moves_none_of_them(machine, step):
+def test_step_during_waits_moves_no_deadline(machine, step):
     dispatcher = machine.dispatcher
     machine.tell(("w", 0), snapshot=True)
     client = dispatcher.client(id_="r1", wait=1000)
@@ -93,7 +93,7 @@
 
 
 @steps
-def test_a_step_makes_no_watch_silent_and_keeps_none_that_is(machine, step):
+def test_step_neither_causes_nor_hides_heartbeat_timeout(machine, step):
     machine.wall.step(step)
     machine.dispatcher.advance(1000.0)
     assert machine.pipe.open
@@ -105,18 +105,18 @@
 
 
 @steps
-def test_a_peer_that_starts_again_after_a_step_is_heard(step):
+def test_peer_restarted_after_step_is_accepted(step):
     tier = Tier()
-    life = int(UNIX / 10.0) & 0xFFFFFFFF
-    tier.say(1, life, 5, b"first")
+    incarnation = int(UNIX / 10.0) & 0xFFFFFFFF
+    tier.say(1, incarnation, 5, b"first")
     tier.read()
     tier.now += INCARNATION_TIMEOUT_MS
-    tier.say(1, (life + int(step / 10.0)) & 0xFFFFFFFF, 1, b"again")
+    tier.say(1, (incarnation + int(step / 10.0)) & 0xFFFFFFFF, 1, b"again")
     tier.read()
     assert [data for _, data in tier.heard] == [b"first", b"again"]
 
 
-def test_a_message_of_an_earlier_life_counts_no_requests_that_died_with_it():
+def test_message_of_earlier_incarnation_is_rejected_before_timeout():
     tier = Tier()
     tier.say(1, 700, 5, b"later")
     tier.read()
@@ -126,7 +126,7 @@
     assert [data for _, data in tier.heard] == [b"later"]
 
 
-def test_lives_are_numbered_by_unix_time_as_peers_of_731b84e_expect():
+def test_incarnation_is_numbered_by_unix_time_as_peers_of_731b84e_expect():
     tier = Tier()
     tier.port.close()
     port = PeerPort(
@@ -140,16 +140,16 @@
     )
     port.open()
     port.send_report(1, b"x")
-    life = int.from_bytes(tier.ends[1].recv(256)[1:5], "little")
+    incarnation = int.from_bytes(tier.ends[1].recv(256)[1:5], "little")
     port.close()
-    assert life == int(UNIX / 10.0) & 0xFFFFFFFF
+    assert incarnation == int(UNIX / 10.0) & 0xFFFFFFFF
 
 
 # The batch front.
 
 
 @steps
-def test_batch_job_after_a_clock_step_shows_the_time_of_day_and_keeps_its_age(step):
+def test_batch_job_after_step_shows_unix_time_and_expires_by_age(step):
     wall = Wall()
     dispatcher = InMemoryDispatcher(unix=wall)
     wall.runs_with(dispatcher)
@@ -169,10 +169,10 @@
     assert registry.table.known == 1
     dispatcher.advance(2_000.0)
     registry.submission.run_job(JobTemplate("safe", subject="x"))
-    assert registry.table.known == 1, "the finished one is forgotten by its age"
+    assert registry.table.known == 1, "the finished job did not expire"
 
 
-def test_batch_job_ids_of_dispatchers_of_one_name_started_at_the_same_time_differ():
+def test_batch_job_ids_of_dispatchers_with_same_name_and_start_differ():
     limits = JobLimits(9, 9, 1.0, 99)
     job_ids = set()
     for dispatcher in [InMemoryDispatcher() for _ in range(3)]:
