--- a/eiderfield/net/ban_file.py
+++ b/eiderfield/net/ban_file.py
@@ -16,7 +16,7 @@
 from eiderfield.durable import TRANSIENT_ERRNOS, replace_file
 from eiderfield.net.clock import WallClock
 
-MAX_FILE_BYTES = 1 << 20  # size of a file with thousands of names; a larger one is truncated when it is read
+MAX_FILE_BYTES = 1 << 20  # bytes read, enough for thousands of names; a larger file counts as malformed
 
 BanTimes = dict[str, float]  # start of each ban, by worker name
 
--- a/eiderfield/net/handover/decoder.py
+++ b/eiderfield/net/handover/decoder.py
@@ -57,8 +57,8 @@
 
         Args:
             fields: The message.
-            past_times: Returns the times of past events in the message, by the sender's clock. It is called
-                only if the clock has to be estimated from them.
+            past_times: Returns the times of past events in the message, on the sender's clock. It is called
+                only if the sender's clock has to be estimated.
         """
         now = self._clock()
         if "now" in fields:
--- a/eiderfield/net/handover/load_updates.py
+++ b/eiderfield/net/handover/load_updates.py
@@ -1,4 +1,4 @@
-"""Notifications to the other process about request ids in use and open attempts."""
+"""Updates for the other process about request ids in use and open attempts."""
 
 from __future__ import annotations
 
--- a/eiderfield/net/handover/old_process.py
+++ b/eiderfield/net/handover/old_process.py
@@ -162,8 +162,7 @@
                 self._context.listeners[name].successor = partial(self._pass_connection, name)
 
     def _pass_connection(self, name: str, detach: Detach) -> bool:
-        # Send nothing more to a new process that has stopped reading: the client would not be served. The
-        # listener tries again later.
+        # A new process that has stopped reading would not serve the client. The listener tries again later.
         if not self.flushed or (detached := detach()) is None:
             return False
         state = detached.state
--- a/eiderfield/net/start_times.py
+++ b/eiderfield/net/start_times.py
@@ -25,9 +25,7 @@
 from eiderfield.net.backoff import NOTIFICATION_DEADLINE_MS
 from eiderfield.net.clock import WallClock
 
-MAX_ANNOUNCEMENT_DELAY_MS = (
-    NOTIFICATION_DEADLINE_MS  # from a change to its announcement by a reachable source
-)
+MAX_ANNOUNCEMENT_DELAY_MS = NOTIFICATION_DEADLINE_MS  # from a change to its announcement
 MAX_CLOCK_SKEW_MS = 250.0  # tolerated for a start in the future; a larger change of the offset is a step
 EARLIEST_START_MS = 1.0  # lower bound, since 0 stands for an unknown start
 
