--- a/eiderfield/connections/idle_connections.py
+++ b/eiderfield/connections/idle_connections.py
@@ -219,7 +219,7 @@
         return lent
 
     def close_lent(self, fd: int) -> None:
-        """Close the copy of a connection that the next process keeps for good."""
+        """Close the copy of a connection that now belongs to the next process alone."""
         if fd in self._lent:
             entry = self._lent.remove(fd)
             os.close(fd)
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -409,7 +409,7 @@
             return
         self._reading_messages = True
         try:
-            taken = self._take_messages()
+            handled = self._handle_messages()
         except MalformedMessageError as error:
             self._reject_message(error)
             return
@@ -417,25 +417,25 @@
             self._reading_messages = False
         if self.phase != Phase.READING:
             return
-        if taken == MESSAGES_PER_TURN:  # the other connections are handled first
+        if handled == MESSAGES_PER_TURN:  # the other connections are handled first
             self._set_throttled(True)
             self._timer.call_at(self.listener.clock(), self._read_more_messages)
         elif not self._timer.limits_message and self._reader.in_message:
             self._begin_message()
 
-    def _take_messages(self) -> int:
+    def _handle_messages(self) -> int:
         """Pass the complete messages to the front; return their number."""
-        taken = 0
-        while self.phase == Phase.READING and not self._throttled and taken < MESSAGES_PER_TURN:
+        handled = 0
+        while self.phase == Phase.READING and not self._throttled and handled < MESSAGES_PER_TURN:
             head = self._reader.next_message()
             if head is not None:
-                taken += 1
+                handled += 1
                 self._pass_to_front(head)
             elif self._reader.expects_continue:
                 self._write_continue()
             else:
                 break
-        return taken
+        return handled
 
     def _write_continue(self) -> None:
         self._reader.expects_continue = False
--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -267,7 +267,7 @@
         return True
 
     def close_lent(self, keys: list[int]) -> None:
-        """Close the copies of connections that the next process keeps."""
+        """Close the copies of connections that now belong to the next process alone."""
         if self._idle is not None:
             for key in keys:
                 self._idle.close_lent(key)
--- a/eiderfield/net/shutdown_times.py
+++ b/eiderfield/net/shutdown_times.py
@@ -29,7 +29,8 @@
 
     Attributes:
         close_listeners_after: when listeners accept no more connections.
-        disable_keep_alive_after: when clients are asked to connect elsewhere.
+        disable_keep_alive_after: when responses begin to close their connections, so that clients reconnect
+            elsewhere.
         answered_after: when every request is answered.
     """
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -34,17 +34,17 @@
     """A close with unread input would reset the connection and discard the response."""
     harness = ListenerHarness(address_quota=Quota(max_connections=1))
     first = SocketClient(harness)
-    late = SocketClient.__new__(SocketClient)
+    rejected = SocketClient.__new__(SocketClient)
     client_sock, listener_sock = socket.socketpair()
     client_sock.setblocking(False)
     listener_sock.setblocking(False)
     client_sock.send(message("r1") * 20)
-    SocketClient.__init__(late, ListenerHarness())  # for its parser
-    late.sock = client_sock
+    SocketClient.__init__(rejected, ListenerHarness())  # for its parser
+    rejected.sock = client_sock
     harness.listener.acceptor.listening_socket.waiting.append((listener_sock, ("192.0.2.1", 1)))
     harness.listener.acceptor.accept()
     harness.turn()
-    assert late.statuses() == [503]
+    assert rejected.statuses() == [503]
     assert first.open
     harness.close()
 
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -53,14 +53,14 @@
 
 
 def test_connection_without_a_request_or_with_an_incomplete_message_is_not_parked(harness):
-    silent, half = SocketClient(harness), SocketClient(harness)
-    assert half.ask("r1") == [200]
-    half.send(b"POST /safe")
+    silent, slow = SocketClient(harness), SocketClient(harness)
+    assert slow.ask("r1") == [200]
+    slow.send(b"POST /safe")
     harness.turn()
     harness.pass_time(MESSAGE_TIMEOUT_MS - 1.0)
     assert not harness.listener.parked
     harness.pass_time(100.0)
-    assert half.statuses() == [408]
+    assert slow.statuses() == [408]
     assert not silent.open
 
 
@@ -121,9 +121,9 @@
 
 
 def test_parked_connections_that_clients_close_or_half_close_are_closed(harness):
-    half, gone, message_and_end = harness.parked(3)
-    half.sock.shutdown(socket.SHUT_WR)
-    gone.sock.close()
+    half_closed, closed, message_and_end = harness.parked(3)
+    half_closed.sock.shutdown(socket.SHUT_WR)
+    closed.sock.close()
     message_and_end.send(b"POST /safe")
     message_and_end.sock.shutdown(socket.SHUT_WR)
     harness.turn(1)
@@ -289,11 +289,11 @@
 
 
 def test_close_idle_closes_parked_connections_without_unread_requests(harness):
-    quiet, active = harness.parked(2)
+    idle, active = harness.parked(2)
     active.send(message("last"))
     harness.listener.keep_alive_disabled = True
     harness.listener.close_idle()
-    assert not quiet.open
+    assert not idle.open
     assert harness.listener.connections == 1
     harness.turn()
     harness.work()
@@ -304,7 +304,7 @@
 
 def test_handover_of_parked_connections_includes_their_unread_bytes(harness):
     new = ListenerHarness(loop=harness.loop)
-    quiet, active = harness.parked(2)
+    idle, active = harness.parked(2)
     active.send(message("m"))
 
     def take(detach):
@@ -317,7 +317,7 @@
     harness.listener.hand_over_batch()
     assert not harness.listener.connections
     assert new.listener.connections == 2
-    for client, id_ in ((quiet, "q"), (active, None)):
+    for client, id_ in ((idle, "q"), (active, None)):
         if id_ is not None:
             client.send(message(id_))
         new.turn()
