--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -94,7 +94,7 @@
         self._listener = listener
         self._loop: asyncio.AbstractEventLoop | None = None
         self._idle: IdleConnections | None = None
-        self._refusal_logged = False  # whether the system has refused a poll set
+        self._refusal_logged = False  # whether the refusal of a poll set is logged
         self._expiry: Timer | None = None
         self.log: Callable[[str], None] = _ignore
         self.on_park: Callable[[], None] = _ignore
