--- a/eiderfield/idmap.py
+++ b/eiderfield/idmap.py
@@ -1,4 +1,4 @@
-"""Map between outside names and the numbers that the policy uses."""
+"""Maps names of workers, zones, machine kinds, cells and routing keys to the numbers that the policy uses."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 KEY_NUMBER_BYTES = 8
 
 _HEX = frozenset("0123456789abcdef")
-_PLAIN = str.maketrans(dict.fromkeys(" ,\n\r", "_"))
+_NAME_REPLACEMENTS = str.maketrans(dict.fromkeys(" ,\n\r", "_"))
 
 
-def number_of(text: str, size: int) -> int:
-    """Return a number of `size` bytes, the same for a text in every process, and never 0 (none).
+def stable_number(text: str, size: int) -> int:
+    """Return a number of `size` bytes that is the same for a text in every process, and never 0.
 
-    A text that ends in a hexadecimal number of this size, as the platform's names and keys do, maps to
-    that number: keys then have the same home workers as in the simulator, and the two can be compared.
+    The number 0 stands for none. A text that ends in a hexadecimal number of this size, as the platform's
+    names and keys do, maps to that number: keys then have the same home workers as in the simulator, whose
+    results can be compared.
     """
     digits = text[-2 * size :]
     if len(digits) == 2 * size and _HEX.issuperset(digits) and text[: -2 * size] in ("", "s-"):
@@ -25,16 +26,16 @@
     return int.from_bytes(digest, "big") or 1
 
 
-def plain(name: str) -> str:
-    """Return a name as the settings write it: with _ for spaces, commas and line ends."""
-    return name.translate(_PLAIN)
+def normalize_name(name: str) -> str:
+    """Return a name in the form that the settings use: with _ for spaces, commas and line ends."""
+    return name.translate(_NAME_REPLACEMENTS)
 
 
 class IdMap:
     """Numbers of workers, zones, machine kinds and cells."""
 
     def __init__(self, zones: Sequence[str] = (), kinds: Sequence[str] = ()) -> None:
-        """Creates a map; zones and kinds are numbered by their places in the settings' lists."""
+        """Create a map in which zones and kinds are numbered by their positions in the settings' lists."""
         self._zones = {name: number for number, name in enumerate(zones)}
         self._kinds = {name: number for number, name in enumerate(kinds)}
         self._cells: dict[str, int] = {}
@@ -44,22 +45,22 @@
     def worker(self, name: str) -> int:
         """Return a worker's number.
 
-        It is the same at every dispatcher, so that keys have the same home workers everywhere.
+        It is the same at every dispatcher, so that a key has the same home workers at all of them.
         """
         number = self._workers.get(name)
         if number is None:
-            number = number_of(name, WORKER_NUMBER_BYTES)
-            while number in self._names:  # the later of two names with one number takes the next one
+            number = stable_number(name, WORKER_NUMBER_BYTES)
+            while number in self._names:  # taken by another name: try the next number
                 number = (number + 1) % (1 << (8 * WORKER_NUMBER_BYTES))
             self._workers[name] = number
             self._names[number] = name
         return number
 
-    def known(self, name: str) -> int | None:
-        """Return the number of a worker that has one already."""
+    def find_worker(self, name: str) -> int | None:
+        """Return the number of a worker, None if it has not been given one."""
         return self._workers.get(name)
 
-    def name(self, worker: int) -> str:
+    def worker_name(self, worker: int) -> str:
         """Return a worker's name, for logs and operators."""
         return self._names.get(worker, str(worker))
 
@@ -72,18 +73,18 @@
         return next((name for name, number in self._kinds.items() if number == kind), "")
 
     def zone(self, name: str) -> int:
-        """Return a zone's number; a name that the settings do not list takes the next one."""
+        """Return a zone's number; a name that the settings do not list gets the next number."""
         return self._zones.setdefault(name, len(self._zones))
 
     def kind(self, name: str) -> int:
-        """Return a machine kind's number; a name that the settings do not list takes the next one."""
+        """Return a machine kind's number; a name that the settings do not list gets the next number."""
         return self._kinds.setdefault(name, len(self._kinds))
 
     def cell(self, name: str) -> int:
-        """Return the number of a cell that the list names instead of numbering it."""
+        """Return the number of a cell that the endpoint list gives by name instead of by number."""
         return self._cells.setdefault(name, len(self._cells))
 
     @staticmethod
-    def subject(text: str) -> int:
+    def key_number(text: str) -> int:
         """Return the number of a routing key; 0 for an empty one."""
-        return number_of(text, KEY_NUMBER_BYTES) if text else 0
+        return stable_number(text, KEY_NUMBER_BYTES) if text else 0
--- a/eiderfield/net/clients/acceptor.py
+++ b/eiderfield/net/clients/acceptor.py
@@ -20,10 +20,12 @@
 from typing import Protocol
 
 from eiderfield.exchange.timers import Timers
-from eiderfield.net.faults import RETRY_MS, Cause, cause_of_accept
+from eiderfield.net.faults import RETRY_DELAY_MS, Cause, classify_accept_error
 
 ACCEPTED_PER_TURN = 16  # connections accepted, or handed over, in a turn of the loop
-ACCEPT_RETRY_MS = RETRY_MS  # delay before accepting again after a failure, or if nothing could be evicted
+ACCEPT_RETRY_MS = (
+    RETRY_DELAY_MS  # delay before accepting again after a failure, or if nothing could be evicted
+)
 BACKLOG = 512
 
 
@@ -119,7 +121,7 @@
                 self._lacks_resources = False
                 return
             except OSError as error:
-                if cause_of_accept(error) is Cause.CONNECTION:
+                if classify_accept_error(error) is Cause.CONNECTION:
                     continue  # this connection has left the backlog, and others may wait behind it
                 self._lacks_resources = True
                 self._pause()  # the socket stays readable, so accepting again at once would spin
@@ -146,7 +148,7 @@
         if self._loop is not None and self._socket is not None and not self._paused:
             self._paused = True
             self._loop.remove_reader(self._socket)
-            self._owner.timers.at(self._owner.clock() + ACCEPT_RETRY_MS, self.resume)
+            self._owner.timers.call_at(self._owner.clock() + ACCEPT_RETRY_MS, self.resume)
 
 
 def open_socket(address: tuple[str, int], share: bool) -> socket.socket:
--- a/eiderfield/net/clients/connection.py
+++ b/eiderfield/net/clients/connection.py
@@ -35,7 +35,7 @@
 from eiderfield.net.clients.flow_control import FlowControl
 from eiderfield.net.clients.front import ClientDisconnectCallback, Front, ListenerStatus
 from eiderfield.net.clients.message_reader import MessageReader
-from eiderfield.net.departures import DepartureWatch, has_left
+from eiderfield.net.departures import DepartureWatch, has_peer_closed
 from eiderfield.net.http import Head, MalformedMessageError, response_bytes
 
 LINGER_TIME_MS = 1000.0  # time for which input is discarded, so that the last response arrives
@@ -237,7 +237,7 @@
             self._resume_reading()
         self._timer.restart(self.proven, self._idle_since, self._reader.first_byte_at())
         if self.listener.successor is not None:  # the next process takes the connection after this call
-            self.listener.timers.at(self._idle_since, partial(self.listener.hand_over, self))
+            self.listener.timers.call_at(self._idle_since, partial(self.listener.hand_over, self))
         if not self._reading_messages:  # else the caller's loop continues: no recursion by pipelining
             self._read_messages()
 
@@ -259,7 +259,7 @@
         """Whether the client is connected. Its socket is polled, to detect a disconnection not read yet."""
         if self.phase == Phase.CLOSED:
             return False
-        return self._sock is None or not has_left(self._sock.fileno())
+        return self._sock is None or not has_peer_closed(self._sock.fileno())
 
     @property
     def is_idle(self) -> bool:
--- a/eiderfield/net/clients/connection_timer.py
+++ b/eiderfield/net/clients/connection_timer.py
@@ -64,9 +64,9 @@
         if proven and not self.limits_message:
             idle_settings = settings.idle_settings
             at = min(idle_since + idle_settings.idle_timeout, settings.clock() + idle_settings.park_after)
-            self._timer = settings.timers.at(at, self._on_expiry, patient=True)
+            self._timer = settings.timers.call_at(at, self._on_expiry, deferrable=True)
         else:
-            self._timer = settings.timers.at(self.message_limit().at, self._on_expiry)
+            self._timer = settings.timers.call_at(self.message_limit().at, self._on_expiry)
 
     def message_limit(self) -> Limit:
         """Return the time limit of the message that is arriving, or of a new connection's first message."""
@@ -80,7 +80,7 @@
     def call_at(self, when: float, callback: Callable[[], None]) -> None:
         """Replace the time limit by a call at `when`, in ms."""
         self.cancel()
-        self._timer = self._settings.timers.at(when, callback)
+        self._timer = self._settings.timers.call_at(when, callback)
 
     def cancel(self) -> None:
         """Remove the time limit."""
--- a/eiderfield/net/clients/request_front.py
+++ b/eiderfield/net/clients/request_front.py
@@ -8,7 +8,7 @@
 
 from eiderfield.exchange.exchange import Exchange
 from eiderfield.exchange.request import Answer, Request, Verdict
-from eiderfield.idmap import IdMap, plain
+from eiderfield.idmap import IdMap, normalize_name
 from eiderfield.net.clients.front import ClientDisconnectCallback, ListenerStatus, Responder
 from eiderfield.net.clients.request_headers import check_ids, read_resource_needs, read_timeout
 from eiderfield.net.http import Head, MalformedMessageError
@@ -81,7 +81,9 @@
             return None
         connection.proven = True
         id_ = self._exchange.submit(
-            request, partial(write_answer, connection), client_waits=lambda: connection.client_connected
+            request,
+            partial(write_answer, connection),
+            is_client_connected=lambda: connection.client_connected,
         )
         return partial(self._exchange.cancel_request, id_)
 
@@ -99,9 +101,9 @@
             host=head.get("host") or "backend.local",
             body=body,
             idempotency_key=head.get("idempotency-key"),
-            subject=self._ids.subject(key_path[-1]) if key_path else 0,
+            subject=self._ids.key_number(key_path[-1]) if key_path else 0,
             is_client_retry=head.get("x-retry") == "1",
-            tenant_index=self._tenants.get(plain(head.get("x-tenant")), len(self._tenants)),
+            tenant_index=self._tenants.get(normalize_name(head.get("x-tenant")), len(self._tenants)),
             slots=needs.slots,
             memory=needs.memory,
         )
--- a/eiderfield/net/console.py
+++ b/eiderfield/net/console.py
@@ -66,7 +66,7 @@
         "backend_calls": metrics.attempts_written,
         "called_off": dict(metrics.cancelled_attempts),
         "spoilt_answers": metrics.malformed_responses,
-        "inflight": exchange.unanswered,
+        "inflight": exchange.pending_request_count,
     }
 
 
@@ -139,7 +139,7 @@
         if not change(name, response.write_ended):
             connection.reject(NOT_FOUND, "no worker of this id was ever listed")
         elif not response.sent:
-            listener.timers.at(listener.clock() + WRITE_TIMEOUT_MS, response.write_overdue)
+            listener.timers.call_at(listener.clock() + WRITE_TIMEOUT_MS, response.write_overdue)
 
 
 class _MaintenanceResponse:
--- a/eiderfield/net/dialing.py
+++ b/eiderfield/net/dialing.py
@@ -1,4 +1,4 @@
-"""Protocols for opening connections. `net/dialer.py` implements them on real sockets."""
+"""Interfaces for opening connections. `net/dialer.py` implements them with sockets."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class PendingDial(Protocol):
-    """A connection that is being established."""
+    """An attempt to establish a connection."""
 
     def cancel(self) -> object:
-        """Cancel the dial; the protocol may still be connected if this comes too late."""
+        """Cancel the dial. The protocol is still connected if the connection was established already."""
 
 
 class Dial(Protocol):
-    """Connects a protocol to an address, or calls `failed`; neither within the call itself."""
+    """Function that connects a protocol to an address, or calls `on_failed`, after it has returned."""
 
     def __call__(
         self,
         protocol: asyncio.BufferedProtocol,
         address: Address,
-        failed: Callable[[], None],
-        delayed: Callable[[Cause], None] = ...,
+        on_failed: Callable[[], None],
+        on_delayed: Callable[[Cause], None] = ...,
     ) -> PendingDial:
-        """Start a dial; `delayed` is called each time that a fault of this host delays it."""
+        """Start a dial. `on_delayed` is called each time it fails because of a fault of this host."""
--- a/eiderfield/net/handover/process.py
+++ b/eiderfield/net/handover/process.py
@@ -1,12 +1,18 @@
 """One process's end of a handover, in either role.
 
-    request -> state -> accepted -> released    once
-    parked batch -> batch taken                 repeated while there are parked connections
-    departed <-                                 parked connections whose copies the old process closes
-    load changed, ban changed <->               whenever either changes
-    connection passed ->                        when the old process shuts down
-
-From the state message on, either process sends its changes: request ids, open attempts, bans.
+Messages between the old process (left) and the new one (right), and when they are sent:
+
+    <── TakeoverRequest          once, at the start of the new process
+    ──> DispatcherState
+    <── TakeoverAccepted
+    ──> ListenersReleased
+    ──> ParkedBatch              repeatedly, while the old process has parked connections
+    <── ParkedBatchResult
+    <── ConnectionsUnparked      when copies of connections at the old process have to be closed
+    <─> LoadChanged, BanChanged  on each change at either process, from `DispatcherState` on
+    ──> ConnectionPassed         when the old process shuts down
+
+A process that receives the link of a further new process during a handover answers with `TakeoverDelayed`.
 """
 
 from __future__ import annotations
@@ -24,74 +30,74 @@
 from eiderfield.net.handover.messages import (
     BanChanged,
     ConnectionPassed,
+    ConnectionsUnparked,
     DispatcherState,
     ListenersReleased,
     LoadChanged,
     Message,
     ParkedBatch,
-    ParkedBatchTaken,
-    ParkedDeparted,
+    ParkedBatchResult,
     TakeoverAccepted,
     TakeoverDelayed,
     TakeoverRequest,
 )
 from eiderfield.net.handover.new_process import NewProcess
 from eiderfield.net.handover.old_process import OldProcess
-from eiderfield.net.link import Link, close_all
+from eiderfield.net.link import Link, close_descriptors
 from eiderfield.net.peers import PeerPort
 
 
 @dataclass(slots=True)
 class _WaitingProcess:
-    """A further process that waits until the present handover is over."""
+    """A further new process, which waits until the present handover has ended."""
 
     link: Link
-    received: list[dict[str, Any]] = field(default_factory=list)  # wire messages, not handled yet
+    received: list[dict[str, Any]] = field(default_factory=list)  # messages in wire form, not handled yet
 
     def receive(self, fields: dict[str, Any], descriptors: list[int]) -> None:
-        """Keep a message for later."""
+        """Store a message until the process is attached."""
         self.received.append(fields)
-        close_all(descriptors)
+        close_descriptors(descriptors)
 
 
 class Handover:
-    """This process's end of a handover, from its predecessor and to its successor.
+    """This process's end of the handovers from its predecessor and to its successor.
 
     Attributes:
-        on_successor_lost: Called when the process that had taken over is gone.
+        on_successor_lost: Called when the link to a successor that had taken over is lost.
     """
 
     def __init__(self, context: HandoverContext, wall: WallClock | None = None) -> None:
-        """Creates an end without a link; without `wall`, the process's clock shows Unix time."""
+        """Create an end without a link; without `wall`, times of the process's clock are Unix times."""
         self.on_successor_lost: Callable[[], None] = lambda: None
         self._context = context
         self._wall = wall or WallClock(context.clock, context.clock)
         self._channel = Channel(self._new_codec, context.log)
-        self._channel.receive = self._dispatch
-        self._channel.on_lost = self._link_lost
+        self._channel.receive = self._handle_message
+        self._channel.on_lost = self._handle_link_loss
         self._updates = LoadUpdates(context.table.ids, context.timers, context.clock, self._channel.send)
-        self._old = OldProcess(context, self._channel, self._share_updates)
-        self._new = NewProcess(context, self._channel, self._share_updates)
+        self._old_process = OldProcess(context, self._channel, self._share_updates)
+        self._new_process = NewProcess(context, self._channel, self._share_updates)
         self._waiting: _WaitingProcess | None = None
         self._handlers: dict[type, Callable[[Any], None]] = {
-            TakeoverRequest: self._old.send_state,
-            TakeoverAccepted: self._old.release_listeners,
-            ParkedBatchTaken: self._old.batch_taken,
-            ParkedDeparted: self._old.parked_departed,
-            TakeoverDelayed: self._new.extend_timeout,
-            ListenersReleased: self._new.start_accepting,
-            LoadChanged: self._load_changed,
-            BanChanged: self._ban_changed,
+            TakeoverRequest: self._old_process.send_state,
+            TakeoverAccepted: self._old_process.release_listeners,
+            ParkedBatchResult: self._old_process.handle_batch_result,
+            ConnectionsUnparked: self._old_process.close_unparked_copies,
+            TakeoverDelayed: self._new_process.extend_timeout,
+            ListenersReleased: self._new_process.start_accepting,
+            LoadChanged: self._apply_load_change,
+            BanChanged: self._apply_ban_change,
         }
         self._descriptor_handlers: dict[type, Callable[[Any, list[int]], None]] = {
-            DispatcherState: self._new.take_state,
-            ParkedBatch: self._new.take_parked,
-            ConnectionPassed: self._new.take_connection,
+            DispatcherState: self._new_process.adopt_state,
+            ParkedBatch: self._new_process.adopt_parked,
+            ConnectionPassed: self._new_process.adopt_connection,
         }
 
     @property
     def peers(self) -> PeerPort | None:
-        """The socket for other dispatchers, which is passed on too."""
+        """The port for messages of other dispatchers, whose socket is handed over too."""
         return self._context.peers
 
     @peers.setter
@@ -100,42 +106,48 @@
 
     @property
     def listeners(self) -> Mapping[str, Listener]:
-        """The listeners that are passed on, by name."""
+        """The listeners to be handed over, by name."""
         return self._context.listeners
 
     @property
     def handed_over(self) -> bool:
         """Whether another process has taken over from this one."""
-        return self._old.handed_over
+        return self._old_process.handed_over
 
     @property
     def flushed(self) -> bool:
-        """Whether the other process has received everything that was sent."""
-        return self._old.flushed
+        """Whether nothing is waiting to be sent to, or to be answered by, the new process."""
+        return self._old_process.flushed
 
     def take_over(self, link: Link, on_finished: Callable[[], None]) -> None:
-        """Take over from the process at the other end; `on_finished` is called after success or failure."""
+        """Take over from the process at the other end of `link`.
+
+        `on_finished` is called once, after success or failure.
+        """
         self._channel.attach(link)
-        self._new.ask(on_finished)
+        self._new_process.request_takeover(on_finished)
 
     def accept(self, link: Link) -> None:
-        """Accept the link of a new process. One may wait until the present handover is over."""
+        """Accept the link of a new process.
+
+        During another handover, one further process may wait until it has ended; links of others are closed.
+        """
         if not self._channel.connected:
             self._channel.attach(link)
         elif self._waiting is not None:
             link.close()
         else:
             self._waiting = _WaitingProcess(link)
-            link.receive = self._waiting.receive
-            link.lost = self._forget_waiting
+            link.on_message = self._waiting.receive
+            link.on_lost = self._forget_waiting
             link.send(self._new_codec().encode(TakeoverDelayed()))
 
     def pass_clients(self, listeners: list[str]) -> None:
-        """Pass client connections from now on, each once no response on it is pending."""
-        self._old.pass_clients(listeners)
+        """Start passing client connections to the new process, each once no response is pending on it."""
+        self._old_process.pass_clients(listeners)
 
     def pass_idle_clients(self) -> None:
-        """Pass the client connections that can be passed now."""
+        """Pass a bounded number of the client connections that can be passed now."""
         for listener in self.listeners.values():
             listener.hand_over_batch()
 
@@ -149,7 +161,7 @@
     def _new_codec(self) -> Codec:
         return Codec(self._context.clock, self._wall, self._context.log)
 
-    def _dispatch(self, message: Message, descriptors: list[int]) -> None:
+    def _handle_message(self, message: Message, descriptors: list[int]) -> None:
         message_type = type(message)
         if message_type in self._descriptor_handlers:
             self._descriptor_handlers[message_type](message, descriptors)
@@ -169,12 +181,12 @@
 
     def _share_updates(self) -> None:
         self._context.exchange.other_process.attach(self._updates)
-        self._context.table.on_ban = self._send_ban
+        self._context.table.on_ban_changed = self._send_ban
 
     def _send_ban(self, worker: str, since: float | None) -> None:
         self._channel.send(BanChanged(worker, since))
 
-    def _load_changed(self, message: LoadChanged) -> None:
+    def _apply_load_change(self, message: LoadChanged) -> None:
         exchange, ids = self._context.exchange, self._context.table.ids
         taken = [id_ for id_, is_taken in message.request_ids.items() if is_taken]
         released = [id_ for id_, is_taken in message.request_ids.items() if not is_taken]
@@ -183,19 +195,19 @@
             worker = ids.worker(attempts.worker)
             exchange.other_process.update_attempts(worker, attempts.count, attempts.work)
 
-    def _ban_changed(self, message: BanChanged) -> None:
+    def _apply_ban_change(self, message: BanChanged) -> None:
         self._context.table.apply_ban(message.worker, message.since)
 
-    def _link_lost(self) -> None:
-        """Continue alone: the other process is gone or was not understood."""
+    def _handle_link_loss(self) -> None:
+        """Continue without the other process: its link was lost, or one of its messages was rejected."""
         context = self._context
-        had_handed_over = self._old.take_back()
-        context.exchange.other_process.ended()
-        context.table.on_ban = None
+        had_handed_over = self._old_process.resume_alone()
+        context.exchange.other_process.detach()
+        context.table.on_ban_changed = None
         context.workers.share_connections(False)
         for listener in self.listeners.values():
             _make_independent(listener)
-        self._new.finish()
+        self._new_process.finish()
         if had_handed_over:
             context.log("handover: successor lost, accepting clients again")
             self.on_successor_lost()
@@ -203,16 +215,16 @@
 
 
 def _make_independent(listener: Listener) -> None:
-    """Let a listener continue without another process."""
+    """Let a listener serve and park clients without another process."""
     listener.successor = None
     listener.held_by_other_process = 0
-    listener.parking.on_park = _do_nothing
-    listener.parking.on_borrowed_removed = _do_nothing
+    listener.parking.on_park = _ignore_report
+    listener.parking.on_borrowed_removed = _ignore_report
     listener.parking.forget_lender()
     listener.parking.take_back_all()
     if listener.passive:
         listener.set_passive(False)
 
 
-def _do_nothing(*_arguments: object) -> None:
-    """Ignore what a listener reports to another process."""
+def _ignore_report(*_arguments: object) -> None:
+    """Ignore a report that a listener addresses to another process."""
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -135,7 +135,7 @@
     [worker] = dispatcher.exchange.dispatcher.workers.values()
     while dispatcher.now < worker.full_until:
         dispatcher.settle()
-        dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_at())
+        dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_wakeup())
         dispatcher.wheel.advance(dispatcher.now)
     assert dispatcher.woken, "the timer has gone off and its turn has not come yet"
     assert batch.terminate(job)["verdict"] == "terminated"
@@ -378,7 +378,7 @@
     assert set(finished_run.answers.values()) == {1}
     assert len(finished_run.answers) == JOB_COUNT
     assert finished_run.batch.registry.table.unfinished == 0
-    assert not finished_run.dispatcher.exchange.unanswered
+    assert not finished_run.dispatcher.exchange.pending_request_count
 
 
 @one_process
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -44,7 +44,7 @@
         harness.turn(12)
     assert not harness.dispatcher.dials
     assert end.take() == []
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert harness.listener.figures()["departed"] == 3
     assert first.send(message("r9")), "a client that stays connected is served"
     assert harness.turn(12) or end.take() == ["r9"], "a client that stays connected is served"
@@ -74,7 +74,7 @@
         client.sock.shutdown(socket.SHUT_RDWR)
     harness.turn()
     assert not end.pipe.open
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert not harness.listener.open_connections
     harness.pass_time(2000.0)
     assert not harness.dispatcher.dials
@@ -119,7 +119,7 @@
     client.sock.close()
     harness.turn()
     assert not harness.listener.open_connections
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert not end.pipe.open
 
 
@@ -135,7 +135,7 @@
         assert dial.up().take() == [f"r{number}"]
         client.sock.close()
         harness.turn()
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert SocketClient(harness).ask("other") == [200]
 
 
@@ -163,7 +163,7 @@
     harness.turn()
     assert end.take() == []
     assert end.came == ["r0"]
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert end.pipe.open, "the worker connection can still be used"
     del harness.dispatcher.exchange.dispatcher.handle  # restore the method of the class
     assert first.ask("r2") == [200]
@@ -180,7 +180,7 @@
     end = dial.up()  # before the loop's next turn, in which the close is read
     assert not end.pipe.written
     harness.turn()
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert not harness.dispatcher.dials
 
 
@@ -205,7 +205,7 @@
     end.status(503, X_Not_Run="1")
     [worker] = dispatcher.exchange.dispatcher.workers.values()
     while True:
-        dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_at())
+        dispatcher.now = max(dispatcher.now, dispatcher.wheel.next_wakeup())
         dispatcher.wheel.advance(dispatcher.now)
         if dispatcher.now >= worker.full_until and any(
             isinstance(event, TimerFired) for event in dispatcher.exchange.pending_events
@@ -213,7 +213,7 @@
             break
         dispatcher.settle()
     assert end.pipe.open
-    assert dispatcher.exchange.unanswered == 1
+    assert dispatcher.exchange.pending_request_count == 1
     return end
 
 
@@ -231,7 +231,7 @@
     assert not harness.dispatcher.dials
     harness.pass_time(1000.0)
     assert end.came == ["r0"]
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
 
 
 def test_retry_for_a_connected_client_is_sent_when_its_timer_fires(harness):
@@ -255,7 +255,7 @@
     harness.turn()
     assert end.take() == []
     assert end.came == ["r0"]
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
 
 
 def test_hedged_attempt_is_not_written_after_the_client_disconnects():
@@ -273,5 +273,5 @@
     assert not second.pipe.written
     harness.turn()
     assert not first.pipe.open
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     harness.close()
--- a/tests/test_connection_shutdown.py
+++ b/tests/test_connection_shutdown.py
@@ -68,7 +68,7 @@
     client.send(message("r1"))  # after the check for unread bytes, before the loop's next turn
     harness.turn()
     assert read_to_end(client).startswith(b"HTTP/1.1 200 ")
-    assert not harness.dispatcher.exchange.unanswered
+    assert not harness.dispatcher.exchange.pending_request_count
     assert [end.came for end in harness.dispatcher.ends] == [["r0"]]
     assert harness.listener.figures()["discarded"] == 1
     client.sock.close()
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -187,7 +187,7 @@
         self.dispatcher.advance(13_000.0)
         self.check()
         assert not self.clients, "never answered"
-        assert not self.dispatcher.exchange.unanswered
+        assert not self.dispatcher.exchange.pending_request_count
 
 
 def run(examples):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The four rules under drawn event sequences, and proof that each check can fail."""
+"""The four rules under random event sequences, and tests that each check detects a violation."""
 
 import random
 from dataclasses import replace
@@ -29,19 +29,19 @@
 
 
 def ignore_drains(real):
-    def listed(self, event, now):
+    def report_all_ready(self, event, now):
         ready = [replace(entry, state=EndpointState.READY) for entry in event.endpoints]
         real(self, replace(event, endpoints=tuple(ready)), now)
 
-    return listed
+    return report_all_ready
 
 
-BROKEN = {
+BROKEN_RULES = {
     "rule 1": ("plain", lambda m: m.setattr(Dispatcher, "_expire", lambda _self, _now: None)),
     "rule 2: unsafe": (
         "all unsafe",
         lambda m: (
-            m.setattr(selection, "may_resend", lambda *_a: True),
+            m.setattr(selection, "may_send", lambda *_a: True),
             m.setattr(
                 RetryController,
                 "replace_stalled",
@@ -53,7 +53,7 @@
             ),
         ),
     ),
-    "rule 2: keyed": ("zones", lambda m: m.setattr(selection, "may_resend", lambda *_a: True)),
+    "rule 2: keyed": ("zones", lambda m: m.setattr(selection, "may_send", lambda *_a: True)),
     "rule 2: .* refused": (
         "all unsafe",
         lambda m: [
@@ -68,8 +68,8 @@
     "two attempts at once": (
         "no copies",
         lambda m: (
-            m.setattr(outlier_detection, "STUCK_RUNS", 0.1),
-            m.setattr(selection, "may_resend", lambda *_a: True),
+            m.setattr(outlier_detection, "STUCK_DURATIONS", 0.1),
+            m.setattr(selection, "may_send", lambda *_a: True),
             m.setattr(
                 RetryController,
                 "replace_stalled",
@@ -84,10 +84,10 @@
 }
 
 
-@pytest.mark.parametrize("fault", BROKEN)
-def test_a_broken_dispatcher_is_caught(fault, monkeypatch):
-    variant, breaks = BROKEN[fault]
-    breaks(monkeypatch)
+@pytest.mark.parametrize("fault", BROKEN_RULES)
+def test_violated_rule_is_detected(fault, monkeypatch):
+    variant, break_rule = BROKEN_RULES[fault]
+    break_rule(monkeypatch)
 
     def run_seeds():
         for seed in range(400):
@@ -97,7 +97,7 @@
         run_seeds()
 
 
-def test_the_same_events_give_the_same_actions(monkeypatch):
+def test_same_seed_and_events_give_same_actions(monkeypatch):
     logs = []
     for _ in range(2):
         player = EventPlayer(VARIANTS["tenants"], random.Random(5))
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -117,7 +117,7 @@
     end.status(status)
     assert client.answers()[0][0] == 400
     assert not dispatcher.dials
-    assert not dispatcher.exchange.unanswered
+    assert not dispatcher.exchange.pending_request_count
     assert all(not w.ejections for w in dispatcher.exchange.dispatcher.workers.values())
 
 
@@ -127,7 +127,7 @@
     client = dispatcher.client()
     dispatcher.dials[0].up().status(status)
     assert not client.answers()
-    assert dispatcher.exchange.unanswered
+    assert dispatcher.exchange.pending_request_count
 
 
 @pytest.mark.parametrize(
@@ -285,12 +285,12 @@
 
 def test_wheel_calls_changed_only_for_a_timer_earlier_than_all_others():
     calls = []
-    wheel = Wheel(0.0, changed=lambda: calls.append(1))
-    wheel.at(100.0, list)
-    wheel.next_at()
-    wheel.at(200.0, list)
+    wheel = Wheel(0.0, on_earlier_timer=lambda: calls.append(1))
+    wheel.call_at(100.0, list)
+    wheel.next_wakeup()
+    wheel.call_at(200.0, list)
     assert len(calls) == 1
-    wheel.at(50.0, list)
+    wheel.call_at(50.0, list)
     assert len(calls) == 2
 
 
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -117,7 +117,7 @@
     assert not client.open
     assert not harness.listener.connections
     assert harness.listener.figures()["expired"] == 1
-    assert harness.dispatcher.wheel.next_at() == inf, "no timer is left"
+    assert harness.dispatcher.wheel.next_wakeup() == inf, "no timer is left"
 
 
 def test_parked_connections_that_clients_close_or_half_close_are_closed(harness):
@@ -240,7 +240,7 @@
     harness.dispatcher.now += 86_400_000.0
     harness.pass_time(10 * TICK_MS)
     assert not any(client.open for client in clients)
-    assert harness.dispatcher.wheel.next_at() == inf
+    assert harness.dispatcher.wheel.next_wakeup() == inf
 
 
 def test_resuming_a_parked_connection_needs_no_descriptor(harness, monkeypatch):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -171,7 +171,7 @@
         assert sent == answered or (client.open and longest_deadline > MAX_DEADLINE_MS), (
             "closed without a response"
         )
-    assert not running.program.core.exchange.unanswered or longest_deadline > MAX_DEADLINE_MS
+    assert not running.program.core.exchange.pending_request_count or longest_deadline > MAX_DEADLINE_MS
 
 
 @pytest.mark.parametrize(
