--- a/eiderfield/net/clients/acceptor.py
+++ b/eiderfield/net/clients/acceptor.py
@@ -23,9 +23,7 @@
 from eiderfield.net.faults import RETRY_DELAY_MS, Cause, classify_accept_error
 
 ACCEPTED_PER_TURN = 16  # connections accepted, or handed over, in a turn of the loop
-ACCEPT_RETRY_MS = (
-    RETRY_DELAY_MS  # delay before accepting again after a failure, or if nothing could be evicted
-)
+ACCEPT_RETRY_MS = RETRY_DELAY_MS  # before accepting again after a failure, or if nothing could be evicted
 BACKLOG = 512
 
 
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -283,7 +283,7 @@
     assert loop.reading
 
 
-def test_wheel_calls_changed_only_for_a_timer_earlier_than_all_others():
+def test_wheel_calls_on_earlier_timer_only_for_a_timer_earlier_than_all_others():
     calls = []
     wheel = Wheel(0.0, on_earlier_timer=lambda: calls.append(1))
     wheel.call_at(100.0, list)
