--- a/eiderfield/net/clients/parking.py
+++ b/eiderfield/net/clients/parking.py
@@ -94,7 +94,7 @@
         self._listener = listener
         self._loop: asyncio.AbstractEventLoop | None = None
         self._idle: IdleConnections | None = None
-        self._refusal_logged = False  # whether the system has refused a poll set
+        self._refusal_logged = False  # whether the refusal of a poll set is logged
         self._expiry: Timer | None = None
         self.log: Callable[[str], None] = _ignore
         self.on_park: Callable[[], None] = _ignore
@@ -267,7 +267,7 @@
         return True
 
     def close_lent(self, keys: list[int]) -> None:
-        """Close the copies of connections that the next process keeps."""
+        """Close the copies of connections that now belong to the next process alone."""
         if self._idle is not None:
             for key in keys:
                 self._idle.close_lent(key)
