--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -84,16 +84,16 @@
 }
 
 
-@pytest.mark.parametrize("fault", BROKEN_RULES)
-def test_violated_rule_is_detected(fault, monkeypatch):
-    variant, break_rule = BROKEN_RULES[fault]
+@pytest.mark.parametrize("rule", BROKEN_RULES)
+def test_violated_rule_is_detected(rule, monkeypatch):
+    variant, break_rule = BROKEN_RULES[rule]
     break_rule(monkeypatch)
 
     def run_seeds():
         for seed in range(400):
             EventPlayer(VARIANTS[variant], random.Random(seed)).run(150)
 
-    with pytest.raises(RuleBrokenError, match=fault):
+    with pytest.raises(RuleBrokenError, match=rule):
         run_seeds()
 
 
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -212,32 +212,32 @@
     4 allows.
     """
     settings = replace(BASE, classes=(SAFE,), dispatcher_count=nodes)
-    many = [
+    all_nodes = [
         Node(replace(settings, dispatcher_index=own_index), workers=10, seed=own_index)
         for own_index in range(nodes)
     ]
-    each = rate * work / 1000.0 / nodes  # work served for one node per ms
-    for node in many:
-        learn(node.dispatcher, served_rate=each, served_at=60_000.0)
+    work_per_node_ms = rate * work / 1000.0 / nodes  # work served for one node per ms
+    for node in all_nodes:
+        learn(node.dispatcher, served_rate=work_per_node_ms, served_at=60_000.0)
         node.play(EndpointsUpdated(EndpointListKind.DELTA, 2, (Endpoint(1, ready_at=60_000.0),)), at=60_000.0)
     sent, worst, allowed = [], 0.0, 0.0
-    warm = rate * work / 1000.0 / 10.0  # work of one warm worker per ms
+    work_per_worker_ms = rate * work / 1000.0 / 10.0  # work of one warm worker per ms
     for turn in range(int(rate * 8.0)):
-        age, node = 1000.0 * turn / rate, many[turn % nodes]
+        age, node = 1000.0 * turn / rate, all_nodes[turn % nodes]
         node.now = 60_000.0 + age
-        out = [a for w in node.dispatcher.subset for a in w.open_attempts.values()]
-        for attempt in [a for a in out if node.now >= a.sent_at + work]:
+        open_attempts = [a for w in node.dispatcher.subset for a in w.open_attempts.values()]
+        for attempt in [a for a in open_attempts if node.now >= a.sent_at + work]:
             node.end(attempt.request.id, 0, 0, Outcome.OK, final=True, elapsed=work)
-        learn(node.dispatcher, served_rate=each, served_at=node.now)
+        learn(node.dispatcher, served_rate=work_per_node_ms, served_at=node.now)
         node.dispatcher.pacers[0].mean_duration = work
         for send in sends(node.arrive(affinity_key=7)[1]):
             node.play(AttemptProgressed(send.request_id, 0, send.worker, 1, 0.0))
             sent += [age] * (send.worker == 1)
-        capacity = warm * (
+        capacity = work_per_worker_ms * (
             BASE.slow_start_share + (1.0 - BASE.slow_start_share) * age / BASE.slow_start_window_ms
         )
-        most = BASE.recovery_ramp_multiple * capacity * BASE.recovery_ramp_ms
-        worst = max(worst, work * sum(at > age - BASE.recovery_ramp_ms for at in sent) / most)
+        window_limit = BASE.recovery_ramp_multiple * capacity * BASE.recovery_ramp_ms
+        worst = max(worst, work * sum(at > age - BASE.recovery_ramp_ms for at in sent) / window_limit)
         allowed += BASE.recovery_ramp_multiple * capacity * 1000.0 / rate
     return worst, work * len(sent) / allowed
 
@@ -293,9 +293,9 @@
     short_wait = SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms
     assert not cancels(node.play(TimerFired(0), at=short_wait - 2.0))
     assert cancels(node.play(TimerFired(0), at=short_wait + 2.0)) == [CancelAttempt(id_, 0)]
-    again = sends(node.end(id_, 0, worker, Outcome.CANCELLED))
-    assert [send.request_id for send in again] == [id_]
-    assert again[0].worker != worker
+    retry = sends(node.end(id_, 0, worker, Outcome.CANCELLED))
+    assert [send.request_id for send in retry] == [id_]
+    assert retry[0].worker != worker
     assert not node.dispatcher._selector.is_free(node.dispatcher.workers[worker], node.now), (
         "the next request would wait too"
     )
@@ -351,9 +351,9 @@
 def test_worker_that_refuses_one_connection_is_used_again_after_a_pause():
     """Forty dispatchers fill a worker's connection table; the next connection fails although it serves."""
     node, id_, worker = node_with_waiting_request()
-    [again] = sends(node.end(id_, 0, worker, Outcome.CONNECT_FAILED))
-    assert again.worker != worker, "the request is sent to another worker at once"
-    node.end(id_, 1, again.worker, Outcome.OK, final=True)
+    [retry] = sends(node.end(id_, 0, worker, Outcome.CONNECT_FAILED))
+    assert retry.worker != worker, "the request is sent to another worker at once"
+    node.end(id_, 1, retry.worker, Outcome.OK, final=True)
     refusing = node.dispatcher.workers[worker]
     assert not node.dispatcher._selector.is_free(refusing, node.now + 400.0)
     assert node.dispatcher._selector.is_free(refusing, node.now + 600.0)
@@ -391,9 +391,9 @@
         ):
             break
     node.play(TimerFired(0), at=SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms + 2.0)
-    [again] = [s for s in sends(node.end(id_, 0, first.worker, Outcome.CANCELLED)) if s.request_id == id_]
-    assert again.worker % 3 == zone
-    assert again.worker != first.worker
+    [retry] = [s for s in sends(node.end(id_, 0, first.worker, Outcome.CANCELLED)) if s.request_id == id_]
+    assert retry.worker % 3 == zone
+    assert retry.worker != first.worker
 
 
 def test_request_that_starts_at_clock_zero_has_started():
@@ -412,9 +412,9 @@
 
 
 def test_few_requests_do_not_make_rare_keys_frequent_with_many_dispatchers():
-    """The 48 requests of a key were sent to 33 of 150 workers in 9 s, and took twice as long (calm+mass).
+    """The 48 requests of a key were sent to 33 of 150 workers in 9 s and took twice as long (calm+mass).
 
-    The first request of a key was counted itself, and was 4% of the 25 requests that each of 218 dispatchers
+    The first request of a key, counted with itself, was 4% of the 25 requests that each of 218 dispatchers
     had seen.
     """
     dispatcher = (node := Node(WITHOUT_LATE_WEIGHT, workers=150)).dispatcher
@@ -437,8 +437,8 @@
             key = 1 if stable_hash(own_index, turn) % 10 < 2 else 1000 + turn  # a fifth of all requests
             node.dispatcher._key_counts.by_key[key] += 1
             node.dispatcher._key_counts.total += 1
-        seen = node.dispatcher._key_counts.by_key
-        estimates += [(seen[key] - 1) / 19.0 for key in seen.elements() if key == 1]
+        counts = node.dispatcher._key_counts.by_key
+        estimates += [(counts[key] - 1) / 19.0 for key in counts.elements() if key == 1]
     assert len(estimates) / 4000.0 == pytest.approx(0.2, abs=0.02)
     assert sum(estimates) / len(estimates) == pytest.approx(0.2, abs=0.03)
 
@@ -449,13 +449,13 @@
     Four attempts were cancelled after 0.06 s each, so that a single refused connection ended the request.
     """
     node, id_, _ = node_with_waiting_request(WITHOUT_LATE_WEIGHT)
-    soon = SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms
+    short_wait = SHORT_WAIT_DURATIONS * SAFE.latency_objective_ms
     for number in range(3):
         node.dispatcher._key_counts.by_key[7] = node.dispatcher._key_counts.total = (
             100  # all workers are its homes
         )
         node.dispatcher._outliers.mean_wait_ms = 0.0
-        sent, wait = node.now, soon * 2.0**number
+        sent, wait = node.now, short_wait * 2.0**number
         assert not cancels(node.play(TimerFired(0), at=sent + wait - 2.0))
         assert cancels(node.play(TimerFired(0), at=sent + wait + 2.0)) == [CancelAttempt(id_, number)]
         assert [s.request_id for s in sends(node.end(id_, number, 0, Outcome.CANCELLED))] == [id_]
@@ -474,8 +474,8 @@
     For 15 s after a burst, at half its load, 85% of the answers were late.
     """
     node, id_ = node_with_long_queues()
-    timely = node.dispatcher.requests[id_].latest_useful_start
-    assert cancels(node.play(TimerFired(0), at=timely + 1.0)) == [CancelAttempt(id_, 0)], (
+    latest_start = node.dispatcher.requests[id_].latest_useful_start
+    assert cancels(node.play(TimerFired(0), at=latest_start + 1.0)) == [CancelAttempt(id_, 0)], (
         "before the mean wait is over"
     )
     [rejection] = [a for a in node.end(id_, 0, 0, Outcome.CANCELLED) if isinstance(a, RejectRequest)]
@@ -484,18 +484,18 @@
 
 
 def test_late_request_is_kept_where_queues_are_short_or_dispatchers_few_or_late_answers_useful():
-    for settings, queued in (
+    for settings, mean_wait_ms in (
         (WITHOUT_LATE_WEIGHT, 0.0),
         (replace(WITHOUT_LATE_WEIGHT, dispatcher_count=MANY_DISPATCHERS), 600.0),
         (MANY_DISPATCHERS_SETTINGS, 600.0),
     ):
         node, id_, worker = node_with_waiting_request(settings)
         dispatcher = node.dispatcher
-        dispatcher._outliers.mean_wait_ms = queued
+        dispatcher._outliers.mean_wait_ms = mean_wait_ms
         for number, wait in enumerate((5.0, 5.0)):
             node.play(TimerFired(0), at=node.now + wait)
             node.end(id_, number, worker, Outcome.CONNECT_FAILED)
-        dispatcher._outliers.mean_wait_ms, node.now = queued, 2000.0
+        dispatcher._outliers.mean_wait_ms, node.now = mean_wait_ms, 2000.0
         actions = node.end(id_, 2, worker, Outcome.CONNECT_FAILED)
         assert not [a for a in actions if isinstance(a, RejectRequest)]
         assert id_ in dispatcher.requests
@@ -505,9 +505,9 @@
     """Rejected requests came back with the rest of their 5 s, and were given a full latency objective."""
     node = Node(WITHOUT_LATE_WEIGHT, workers=8)
     first, _ = node.arrive(due=5000.0)
-    again, _ = node.arrive(due=4400.0, is_client_retry=True)
+    retry, _ = node.arrive(due=4400.0, is_client_retry=True)
     requests = node.dispatcher.requests
-    assert requests[first].latest_useful_start - requests[again].latest_useful_start == pytest.approx(600.0)
+    assert requests[first].latest_useful_start - requests[retry].latest_useful_start == pytest.approx(600.0)
     short, _ = node.arrive(due=4400.0)  # not a retry, but a shorter deadline
     assert requests[short].latest_useful_start == requests[first].latest_useful_start
 
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -14,9 +14,9 @@
 OTHER_SIZES = [(1, 8), (2, 8), (12, 16), (20, 24), (30, 24)]
 
 
-@pytest.mark.parametrize("part", ["one", "third", "six in ten"])
+@pytest.mark.parametrize("replaced_share", ["one", "third", "six in ten"])
 @pytest.mark.parametrize(("nodes", "workers"), SIZES)
-def test_warming_workers_are_not_overloaded_by_all_dispatchers_together(nodes, workers, part):
+def test_warming_workers_are_not_overloaded_by_all_dispatchers_together(nodes, workers, replaced_share):
     """Six in ten workers replaced at once were sent 1.11 of what rule 4 allows by forty dispatchers.
 
     With two hundred dispatchers it was 1.04. The work that the whole fleet had recently served was divided by
@@ -24,31 +24,31 @@
     """
     fleet = SimulatedFleet(nodes, workers, load=0.9)
     fleet.run(5000.0)
-    replaced_count = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[part]
+    replaced_count = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[replaced_share]
     replacements = replace_workers(fleet, range(1, replaced_count + 1))
     fleet.run(14_000.0)
     worst = max(fleet.worst(worker, 14_000.0) for worker in replacements)
     assert not fleet.broken, fleet.broken[:3]
-    print(nodes, workers, part, round(worst, 2))
+    print(nodes, workers, replaced_share, round(worst, 2))
     assert worst <= 1.0
     assert max(fleet.slow_start_use(worker, 14_000.0) for worker in replacements) <= 1.0
-    assert fleet.sent_to(replacements, 0.0) > 20 * replaced_count, "and they are not starved"
+    assert fleet.sent_to(replacements, 0.0) > 20 * replaced_count, "the new workers are not starved"
 
 
-@pytest.mark.parametrize("part", ["one", "third", "six in ten"])
+@pytest.mark.parametrize("replaced_share", ["one", "third", "six in ten"])
 @pytest.mark.parametrize(("nodes", "workers"), OTHER_SIZES)
-def test_warming_workers_stay_within_the_slow_start_budget_with_mixed_costs(nodes, workers, part):
+def test_warming_workers_stay_within_the_slow_start_budget_with_mixed_costs(nodes, workers, replaced_share):
     """Requests cost 0.25 to 2.5 times the mean; a tenth of the dispatchers have five times the traffic."""
     fleet = SimulatedFleet(nodes, workers, load=0.9, traffic=uneven, costs=MIXED)
     fleet.run(4000.0)
-    replaced_count = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[part]
+    replaced_count = {"one": 1, "third": workers // 3, "six in ten": workers * 6 // 10}[replaced_share]
     warming = replace_workers(fleet, range(1, replaced_count + 1))
     fleet.run(9000.0)
     used = max(fleet.slow_start_use(worker, 9000.0) for worker in warming)
-    print(nodes, workers, part, round(used, 2))
+    print(nodes, workers, replaced_share, round(used, 2))
     assert not fleet.broken, fleet.broken[:3]
     assert used <= 1.0
-    assert fleet.sent_to(warming, 0.0) > 10 * replaced_count, "and they are not starved"
+    assert fleet.sent_to(warming, 0.0) > 10 * replaced_count, "the new workers are not starved"
 
 
 @pytest.mark.parametrize("traffic", [even, uneven])
