--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, case by case, as seen in the policy's actions alone."""
+"""The four rules, case by case, checked by the policy's actions alone."""
 
 from dataclasses import replace
 
--- a/tests/test_shared_workers.py
+++ b/tests/test_shared_workers.py
@@ -462,7 +462,7 @@
 
 
 def node_with_long_queues(settings=WITHOUT_LATE_WEIGHT, **more):
-    """Return a dispatcher that has seen long queues at all workers, and the id of a request that waits."""
+    """Return a dispatcher that has observed long waits at all workers, and the id of a waiting request."""
     node, id_, _ = node_with_waiting_request(settings, **more)
     node.dispatcher._outliers.mean_wait_ms = 2.0 * SAFE.latency_objective_ms
     return node, id_
@@ -513,7 +513,10 @@
 
 
 def test_key_is_counted_with_the_request_itself_with_few_dispatchers():
-    """Without it, the result of four overloaded dispatchers in the simulator fell from 0.84 to 0.77."""
+    """When a key's current request was left out of its count, it had too few homes.
+
+    The result of four overloaded dispatchers in the simulator then fell from 0.84 to 0.77.
+    """
     homes = []
     for dispatcher_count in (MANY_DISPATCHERS, MANY_DISPATCHERS + 1):
         node = Node(replace(WITHOUT_LATE_WEIGHT, dispatcher_count=dispatcher_count), workers=12)
