--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -234,12 +234,12 @@
     def _record_outcomes(self) -> None:
         attempt_ended = self.exchange.worker_reports.attempt_ended
 
-        def recording(attempt, outcome, load=()):
+        def record_outcome(attempt, outcome, load=()):
             if attempt.open:
                 self.outcomes.append(outcome)
             attempt_ended(attempt, outcome, load)
 
-        self.exchange.worker_reports.attempt_ended = recording
+        self.exchange.worker_reports.attempt_ended = record_outcome
 
     def endpoint(self, number: int, status: str) -> dict[str, object]:
         address = f"127.0.0.1:{self.workers[number].port}"
@@ -377,18 +377,18 @@
 def test_broken_connection_fails_only_the_request_it_carried(harness):
     answers = harness.run(harness.run_requests)
     check_invariants(harness)
-    broken = frozenset().union(*harness.failing.failed)
-    failed = {id_: answer for id_, answer in answers.items() if answer is None or answer[0] != 200}
-    if harness.port in broken:  # a client's connection: the client cannot receive an answer on it
-        assert len(failed) == len(harness.lost_ports) <= 1
-        assert set(harness.lost_ports) <= broken
-    elif harness.discovery.port in broken:
-        assert not failed
+    failed_ports = frozenset().union(*harness.failing.failed)
+    failed_requests = {id_: answer for id_, answer in answers.items() if answer is None or answer[0] != 200}
+    if harness.port in failed_ports:  # a client's connection: the client cannot receive an answer on it
+        assert len(failed_requests) == len(harness.lost_ports) <= 1
+        assert set(harness.lost_ports) <= failed_ports
+    elif harness.discovery.port in failed_ports:
+        assert not failed_requests
     else:
         # A request that may have run and must not be repeated fails; any other request is retried.
-        assert len(failed) <= 1
-        assert all(id_.startswith("unsafe") for id_ in failed)
-        assert all(answer[0] == 502 for answer in failed.values())
+        assert len(failed_requests) <= 1
+        assert all(id_.startswith("unsafe") for id_ in failed_requests)
+        assert all(answer[0] == 502 for answer in failed_requests.values())
 
 
 @pytest.mark.parametrize(
@@ -411,13 +411,13 @@
         client = Client(harness.port)
         answers = [client.send_request("unsafe", "unsafe-0", 600), client.send_request("safe", "safe-1", 600)]
         harness.failing.failure = None
-        late_answer = client.send_request("unsafe", "unsafe-2")
+        answer_after_recovery = client.send_request("unsafe", "unsafe-2")
         client.close()
-        return answers, late_answer
+        return answers, answer_after_recovery
 
-    answers, late_answer = harness.run(run_requests)
+    answers, answer_after_recovery = harness.run(run_requests)
     check_invariants(harness)
     assert all(answer[0] in (502, 503) for answer in answers)
-    assert late_answer == (200, b"unsafe-2")
+    assert answer_after_recovery == (200, b"unsafe-2")
     assert harness.ids_at_workers() == ["unsafe-2"]
     assert not {Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT} & set(harness.outcomes)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -88,12 +88,12 @@
     dispatcher.outcomes = []
     attempt_ended = dispatcher.exchange.worker_reports.attempt_ended
 
-    def recording(attempt, outcome, load=()):
+    def record_outcome(attempt, outcome, load=()):
         if attempt.open:
             dispatcher.outcomes.append(outcome)
         attempt_ended(attempt, outcome, load)
 
-    dispatcher.exchange.worker_reports.attempt_ended = recording
+    dispatcher.exchange.worker_reports.attempt_ended = record_outcome
     return dispatcher
 
 
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -212,7 +212,7 @@
 def test_requests_at_a_slow_worker_count_for_more():
     """Guards against sending a slow worker as many requests as the others, all of which it would serve late.
 
-    The pace is known while a request runs, not only once the response has arrived.
+    A request that still runs counts for the slowdown of its worker, not only one that has been answered.
     """
     node = Node(PROGRESS_SETTINGS, workers=2)
     slow_worker, other_worker = node.dispatcher.workers[1], node.dispatcher.workers[2]
@@ -230,7 +230,7 @@
     slow_worker.open_attempts.clear()
     assert slow_worker.slowdown(1502.0) < 1.1
     assert slow_worker.slowdown(20_000.0) == 1.0, (
-        "an old pace expires: the program that slowed the worker may have ended"
+        "an old slowdown expires: the program that caused it may have ended"
     )
 
 
@@ -241,21 +241,22 @@
     """
     node = Node(workers=2)
     failed_worker = node.dispatcher.workers[1]
-    attempts_at_failing = 0
+    attempts_at_failed_worker = 0
     for _ in range(40):
         node.now += 20.0
         id_, actions = node.arrive(cls=1)
         [attempt] = sends(actions) or [None]
         if attempt is not None and attempt.worker == 1:
-            attempts_at_failing += 1
+            attempts_at_failed_worker += 1
             node.end(id_, 0, 1, Outcome.ERROR)
         elif attempt is not None:
             node.play(AttemptProgressed(id_, 0, 2, 1, 0.0))
-    assert attempts_at_failing == 2
+    assert attempts_at_failed_worker == 2
     assert failed_worker.ejections
 
 
 def test_one_success_does_not_end_the_ejection_of_a_worker_with_a_high_error_score():
+    """Guards against using a worker that fails every third request again after each success."""
     node = Node(workers=1)
     worker = node.dispatcher.workers[1]
     worker.error_score = 3.0
