--- a/eiderfield/exchange/exchange.py
+++ b/eiderfield/exchange/exchange.py
@@ -147,12 +147,12 @@
 
     # Called by the client side.
 
-    def has_request(self, id_: str) -> bool:
+    def has_request(self, request_id: str) -> bool:
         """Return whether a request with this id is pending or has an open attempt.
 
         The requests of the other process are included.
         """
-        return self._requests.has_id(id_)
+        return self._requests.has_id(request_id)
 
     def submit(
         self,
@@ -211,17 +211,17 @@
         self._attempts.stop_all(pending, StopReason.TIMEOUT)
         self._events.post(ClientDisconnected(pending.id))
 
-    def release_request(self, id_: int) -> None:
-        """End a request without an answer, because another dispatcher took it over and will answer it."""
-        if (pending := self._requests.pending.get(id_)) is not None:
+    def release_request(self, number: int) -> None:
+        """End a request without an answer: another dispatcher has taken it over and will answer it."""
+        if (pending := self._requests.pending.get(number)) is not None:
             self._end_unanswered(pending, StopReason.TAKEN_OVER)
 
-    def cancel_request(self, id_: int) -> Answer | None:
-        """End a request for which no client waits any longer.
+    def cancel_request(self, number: int) -> Answer | None:
+        """End the request with this number, for which no client waits any longer.
 
         Returns its final answer, which is not passed to `on_answer`, or None if it was answered already.
         """
-        pending = self._requests.pending.get(id_)
+        pending = self._requests.pending.get(number)
         if pending is None:
             return None
         answer = Answer(
@@ -235,9 +235,9 @@
         self._attempts.stop_all(pending, reason)
         self._events.post(ClientDisconnected(pending.id))
 
-    def request_state(self, id_: int) -> RequestState | None:
+    def request_state(self, number: int) -> RequestState | None:
         """Return the state of a request, or None once it has its final answer."""
-        pending = self._requests.pending.get(id_)
+        pending = self._requests.pending.get(number)
         if pending is None:
             return None
         if not any(attempt.open for attempt in pending.attempts):
