--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -157,7 +157,7 @@
     assert dispatcher.side.connection_count == 1
 
 
-def test_failure_of_a_reused_connection_closes_the_workers_other_idle_ones():
+def test_failure_of_a_reused_connection_closes_the_other_idle_connections():
     """Guards against losing a request on each of several connections that a worker has closed silently.
 
     Without this rule, every fifth request of one run was lost.
@@ -189,7 +189,7 @@
     assert end.pipe.open
 
 
-def test_loss_within_a_response_does_not_distrust_idle_connections():
+def test_loss_within_a_response_does_not_disable_reuse():
     dispatcher = InMemoryDispatcher(workers=1)
     dispatcher.client()
     end = dispatcher.dials[0].up()
@@ -380,7 +380,7 @@
         b"[" * 5000,
     ],
 )
-def test_malformed_line_of_discovery_leaves_the_table(line):
+def test_malformed_line_of_discovery_does_not_change_the_endpoints(line):
     dispatcher = InMemoryDispatcher(workers=1)
     _, end = watch(dispatcher)
     end.pipe.send(
@@ -393,7 +393,7 @@
 
 
 @pytest.mark.parametrize("line", [b"{", b"{\n", b'{"index":\n', b"{\n\n\n"])
-def test_endless_list_of_discovery_leaves_the_table_and_reopens_the_watch(line):
+def test_endless_list_of_discovery_reopens_the_watch_and_keeps_the_endpoints(line):
     """Such a line may start an indented list, but a source that completes no list counts as silent."""
     dispatcher = InMemoryDispatcher(workers=1)
     _, end = watch(dispatcher)
