--- a/eiderfield/lab/fleet/result.py
+++ b/eiderfield/lab/fleet/result.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from eiderfield.lab.fleet.event_log import CLIENT_EVENTS, WORKER_EVENTS, Event, read_events
-from eiderfield.lab.fleet.rules import FinalState, Finding, InjectedFault, cold_use, judge
+from eiderfield.lab.fleet.rules import FinalState, Finding, InjectedFault, check_rules, slow_start_usage
 from eiderfield.lab.fleet.scenario import Scenario
 
 RESULT_FILE = "result.json"
@@ -57,9 +57,9 @@
     """Judges a run by its logs, and writes the result into its folder."""
     workers = read_events(folder / WORKER_EVENTS)
     clients = read_events(folder / CLIENT_EVENTS)
-    findings = judge(scenario, workers, clients, faults, final_states)
+    findings = check_rules(scenario, workers, clients, faults, final_states)
     counts = counts_of(workers, clients)
-    used = [use for _, use, _ in cold_use(scenario, workers)]
+    used = [use for _, use, _ in slow_start_usage(scenario, workers)]
     counts["cold_used"] = round(100.0 * max(used, default=0.0))
     result = Result(findings, faults, counts, start, final_states)
     (folder / RESULT_FILE).write_text(json.dumps(result.to_plain(), indent=1))
--- a/tests/test_fleet_scenarios.py
+++ b/tests/test_fleet_scenarios.py
@@ -15,7 +15,7 @@
 from eiderfield.lab.fleet.addresses import AddressPool
 from eiderfield.lab.fleet.event_log import EventLogReader, EventLogWriter, read_events
 from eiderfield.lab.fleet.fleet import Fleet, play
-from eiderfield.lab.fleet.rules import FinalState, InjectedFault, judge
+from eiderfield.lab.fleet.rules import FinalState, InjectedFault, check_rules
 from eiderfield.lab.fleet.run_report import write_events, write_page
 from eiderfield.lab.fleet.scenario import FAULTS, RESOURCE_FAULTS, Fault, Scenario, ScenarioError
 from eiderfield.lab.fleet.scenario_draw import draw_jobs, draw_scenario
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("planted", PLANTED)
 def test_each_rule_finds_what_breaks_it_and_nothing_else(planted):
-    found = judge(SCENARIO, *PLANTED[planted])
+    found = check_rules(SCENARIO, *PLANTED[planted])
     assert {finding.rule for finding in found} == {planted.partition(",")[0].split()[0]}
 
 
@@ -153,21 +153,23 @@
     ],
 )
 def test_what_is_allowed_or_excused_is_no_finding(workers, clients, faults, rest):
-    assert judge(SCENARIO, workers, clients, faults, rest) == []
+    assert check_rules(SCENARIO, workers, clients, faults, rest) == []
 
 
 def test_a_kept_job_that_nobody_answers_or_two_ways_is_a_finding():
     scenario = replace(SCENARIO, custody={"lease_ms": 900})
     broke = {**asked(), "t": 2.0, "what": "broke", "why": "x"}
     killed = [InjectedFault("kill", "n0", 1.5)]
-    assert [f.rule for f in judge(scenario, [], [asked(), broke], killed, [])] == ["lost"]
-    assert judge(SCENARIO, [], [asked(), broke], killed, []) == [], "nothing is promised without custody"
+    assert [f.rule for f in check_rules(scenario, [], [asked(), broke], killed, [])] == ["lost"]
+    assert check_rules(SCENARIO, [], [asked(), broke], killed, []) == [], (
+        "nothing is promised without custody"
+    )
     left = {**asked(), "t": 7.0, "what": "left", "why": "x"}
-    assert judge(scenario, [], [asked(), left], [InjectedFault("stop", "n0", 1.5, 8.0)], []) == []
+    assert check_rules(scenario, [], [asked(), left], [InjectedFault("stop", "n0", 1.5, 8.0)], []) == []
     where = {"job": "j", "worker": "w0", "by": "n0", "id": "a"}
     ends = [{"t": 1.5, "what": "ended", "result": f"w0:{n}:j", **where} for n in (1, 2)]
     twice = [asked(), *[{**answered(2.0 + n, 200, f"w0:{n}:j"), "try": str(n)} for n in (1, 2)]]
-    assert [f.rule for f in judge(scenario, ends, twice, killed, [])] == ["one"]
+    assert [f.rule for f in check_rules(scenario, ends, twice, killed, [])] == ["one"]
 
 
 def test_an_event_log_is_read_while_it_is_written_and_no_half_line(tmp_path):
