--- a/eiderfield/lab/fleet/event_log.py
+++ b/eiderfield/lab/fleet/event_log.py
@@ -1,7 +1,7 @@
-"""Event logs: what workers and clients saw, each written by its own process, a JSON line for each event.
+"""Event logs of the stand-in workers and clients. Each process writes its own, with one JSON line per event.
 
-Times are those of the machine's monotonic clock, in s, which all processes share. A log is written apart from
-the program that it judges and holds nothing that this one said of itself.
+Times are in s of the machine's monotonic clock, which all processes share. The dispatchers under test do not
+write these logs, so that the rules are checked without relying on what a dispatcher reports of itself.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-# An event has its time as `t`, what happened as `what`, and the names of those whom it concerns.
+# `t` is the time and `what` the name of the event; other keys name its processes, job and attempt.
 Event = dict[str, Any]
 
 WORKER_EVENTS = "workers.jsonl"
@@ -19,29 +19,29 @@
 
 
 class EventLogWriter:
-    """A log that is being written. Each event is out of the process as soon as it has happened."""
+    """Appends events to a log. Each line is flushed at once: a killed process loses none."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("a", buffering=1)
 
     def write(self, what: str, **more: Any) -> None:
-        """Writes an event down."""
+        """Append an event with the present time."""
         self._file.write(json.dumps({"t": time.monotonic(), "what": what, **more}) + "\n")
 
     def close(self) -> None:
-        """Ends the log."""
+        """Close the file."""
         self._file.close()
 
 
 class EventLogReader:
-    """A log that is read while it is written."""
+    """Reads a log while another process appends to it."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._offset = 0
 
     def read_new(self) -> list[Event]:
-        """The whole events that have come since the last call."""
+        """Return the events whose lines were completed since the last call."""
         if not self._path.exists():
             return []
         with self._path.open("rb") as file:
@@ -53,5 +53,5 @@
 
 
 def read_events(path: Path) -> list[Event]:
-    """All whole events of a log."""
+    """Return all events of a log whose lines are complete."""
     return EventLogReader(path).read_new()
--- a/eiderfield/lab/fleet/fleet.py
+++ b/eiderfield/lab/fleet/fleet.py
@@ -37,7 +37,7 @@
 from eiderfield.lab.fleet.dispatcher_config import dispatcher_config
 from eiderfield.lab.fleet.event_log import WORKER_EVENTS, Event, EventLogReader
 from eiderfield.lab.fleet.faults import FaultInjector
-from eiderfield.lab.fleet.result import Result, judge_run
+from eiderfield.lab.fleet.result import Result, check_run
 from eiderfield.lab.fleet.rules import FinalState
 from eiderfield.lab.fleet.scenario import Fault, Scenario, parse_event
 from eiderfield.lab.fleet.scenario_draw import draw_jobs
@@ -164,7 +164,7 @@
         final_states = [self._final_state(dispatcher) for dispatcher in self.dispatchers.values()]
         self._backends.end()
         self._injector.wait_for_restarts()
-        return judge_run(self.scenario, self.folder, start, self._injector.injected, final_states)
+        return check_run(self.scenario, self.folder, start, self._injector.injected, final_states)
 
     def _keep(self, child: Kept) -> Kept:
         self._stack.callback(child.end)
--- a/eiderfield/lab/fleet/result.py
+++ b/eiderfield/lab/fleet/result.py
@@ -1,4 +1,4 @@
-"""What came of a run: findings, faults, counts and how the dispatchers were left."""
+"""The result of a run: rule breaches, injected faults, counts of events and the dispatchers' final states."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class Result:
-    """What came of a run."""
+    """The result of a run, as it is written to `result.json`."""
 
     findings: list[Finding]
     faults: list[InjectedFault]
@@ -30,11 +30,11 @@
 
     @property
     def kept(self) -> bool:
-        """Whether no rule was broken."""
+        """Return whether no rule was broken."""
         return not self.findings
 
     def to_plain(self) -> dict[str, Any]:
-        """The result as plain values; a fault that lasted to the end has no `until`."""
+        """Return the result as JSON values; `until` is null for a fault that lasted to the end of the run."""
         faults = [
             {**asdict(fault), "until": None if fault.until == inf else fault.until} for fault in self.faults
         ]
@@ -47,27 +47,27 @@
         }
 
 
-def judge_run(
+def check_run(
     scenario: Scenario,
     folder: Path,
     start: float,
     faults: list[InjectedFault],
     final_states: list[FinalState],
 ) -> Result:
-    """Judges a run by its logs, and writes the result into its folder."""
+    """Check the event logs in the folder of a run against the rules, and write the result there."""
     workers = read_events(folder / WORKER_EVENTS)
     clients = read_events(folder / CLIENT_EVENTS)
     findings = check_rules(scenario, workers, clients, faults, final_states)
-    counts = counts_of(workers, clients)
-    used = [use for _, use, _ in slow_start_usage(scenario, workers)]
-    counts["cold_used"] = round(100.0 * max(used, default=0.0))
+    counts = count_events(workers, clients)
+    usage = [used for _, used, _ in slow_start_usage(scenario, workers)]
+    counts["cold_used"] = round(100.0 * max(usage, default=0.0))
     result = Result(findings, faults, counts, start, final_states)
     (folder / RESULT_FILE).write_text(json.dumps(result.to_plain(), indent=1))
     return result
 
 
-def counts_of(workers: Sequence[Event], clients: Sequence[Event]) -> dict[str, int]:
-    """What the logs hold, counted."""
+def count_events(workers: Sequence[Event], clients: Sequence[Event]) -> dict[str, int]:
+    """Return counts of jobs, answers and attempts in the event logs."""
     worker_counts = Counter(event["what"] for event in workers)
     client_counts = Counter(event["what"] for event in clients)
     begun = Counter(event["job"] for event in workers if event["what"] == "began")
@@ -82,6 +82,6 @@
         "broke": client_counts["broke"],
         "left": client_counts["left"],
         "begun": begun.total(),
-        "begun_twice": sum(times > 1 for times in begun.values()),
+        "begun_twice": sum(count > 1 for count in begun.values()),
         "unread": worker_counts["unread"],
     }
