--- a/eiderfield/lab/fleet/run_report.py
+++ b/eiderfield/lab/fleet/run_report.py
@@ -1,4 +1,4 @@
-"""The report of a run for people and other tools: its events as Parquet, and a page with the time line."""
+"""The report of a run: its events as a Parquet file, and an HTML page with tables and a time line."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 COLUMNS = ("t", "book", "what", "id", "job", "kind", "at", "by", "worker", "group", "status", "result", "run")
 LOGS = ("workers", "clients")
-ANSWER_COLORS = {
+CLIENT_EVENT_COLORS = {
     "answered": "tab:green",
     "broke": "tab:red",
     "left": "black",
     "declined": "tab:orange",
     "failed": "tab:purple",
 }
-ANSWERS_BY_STATUS: dict[int | None, str] = {200: "answered", 429: "declined", 503: "declined", 502: "failed"}
-WORKER_COLORS = {"began": "tab:blue", "lost": "tab:red", "failed": "tab:red"}
+OUTCOMES_BY_STATUS: dict[int | None, str] = {200: "answered", 429: "declined", 503: "declined", 502: "failed"}
+WORKER_EVENT_COLORS = {"began": "tab:blue", "lost": "tab:red", "failed": "tab:red"}
 STYLE = "body{font:14px sans-serif;margin:2em}td{padding:2px 9px;border-bottom:1px solid #ddd}"
 
 Row = list[object]
 
 
-def events_of(folder: Path) -> list[Event]:
-    """The events of both logs in order; `t` in s from the first job, `book` the log's name."""
+def read_run_events(folder: Path) -> list[Event]:
+    """Return the events of both logs sorted by `t`, in s from the first job; `book` is the log's name."""
     start = json.loads((folder / RESULT_FILE).read_text())["start"]
     rows = []
     for log in LOGS:
@@ -40,53 +40,53 @@
 
 
 def write_events(folder: Path) -> Path:
-    """Writes `events.parquet`, with the columns `COLUMNS`."""
+    """Write `events.parquet` with the columns `COLUMNS`, and return its path."""
     import pyarrow as pa
     import pyarrow.parquet as parquet
 
     numbers = {"t": pa.float64(), "run": pa.float64(), "group": pa.int64(), "status": pa.int64()}
     schema = pa.schema([(name, numbers.get(name, pa.string())) for name in COLUMNS])
     path = folder / "events.parquet"
-    parquet.write_table(pa.Table.from_pylist(events_of(folder), schema=schema), path)
+    parquet.write_table(pa.Table.from_pylist(read_run_events(folder), schema=schema), path)
     return path
 
 
 def write_page(folder: Path) -> Path:
-    """Writes `index.html`: counts, faults, findings and the time line, in one file."""
+    """Write `index.html`, which needs no other file, and return its path."""
     result = json.loads((folder / RESULT_FILE).read_text())
     scenario = json.loads((folder / SCENARIO_FILE).read_text())
     title = f"{html.escape(scenario['name'])}, seed {scenario['seed']}"
     findings = finding_rows(result)
     parts = [
         f"<!doctype html><meta charset=utf-8><title>{title}</title><style>{STYLE}</style><h1>{title}</h1>",
-        table([[name, value] for name, value in result["counts"].items()]),
+        html_table([[name, value] for name, value in result["counts"].items()]),
         "<h2>Faults</h2>",
-        table(fault_rows(result)),
+        html_table(fault_rows(result)),
         "<h2>Findings</h2>",
-        table(findings) if findings else "<p>none: every rule was kept</p>",
+        html_table(findings) if findings else "<p>No rule was broken.</p>",
         "<h2>Time line</h2>",
-        time_line(result, events_of(folder)),
-        "<h2>At rest</h2>",
-        table(final_state_rows(result)),
+        time_line(result, read_run_events(folder)),
+        "<h2>Final states of the dispatchers</h2>",
+        html_table(final_state_rows(result)),
     ]
     page = folder / "index.html"
     page.write_text("".join(parts))
     return page
 
 
-def table(rows: list[Row]) -> str:
-    """Rows as an HTML table."""
+def html_table(rows: list[Row]) -> str:
+    """Return the rows as an HTML table."""
     cells = ["".join(f"<td>{html.escape(str(cell))}</td>" for cell in row) for row in rows]
     return "<table>" + "".join(f"<tr>{row}</tr>" for row in cells) + "</table>"
 
 
 def finding_rows(result: dict[str, Any]) -> list[Row]:
-    """Broken rules."""
+    """Return a table row for each breach of a rule: rule, job and text."""
     return [[finding["rule"], finding["job"], finding["text"]] for finding in result["findings"]]
 
 
 def fault_rows(result: dict[str, Any]) -> list[Row]:
-    """Faults with their times from the first job."""
+    """Return a table row for each injected fault, with its times in s from the first job."""
     start = result["start"]
     rows: list[Row] = []
     for fault in result["struck"]:
@@ -96,53 +96,53 @@
 
 
 def final_state_rows(result: dict[str, Any]) -> list[Row]:
-    """How the dispatchers were left."""
+    """Return a table row for each dispatcher: its exit code, and its descriptors at the start and the end."""
     rows: list[Row] = []
     for state in result["rest"]:
         descriptors = f"descriptors {state['descriptors_at_start']} to {state['descriptors']}"
-        rows.append([state["name"], f"ended with {state['code']}", descriptors])
+        rows.append([state["name"], f"exit code {state['code']}", descriptors])
     return rows
 
 
 def time_line(result: dict[str, Any], events: list[Event]) -> str:
-    """The run's events and faults as an SVG picture."""
+    """Return the time line of events and faults as an SVG element."""
     import matplotlib
 
     matplotlib.use("svg")
     from matplotlib import pyplot
 
     names = [name for key in ("at", "worker") for name in sorted({row[key] for row in events if row[key]})]
-    places = {name: len(names) - number for number, name in enumerate(names)}
+    positions = {name: len(names) - number for number, name in enumerate(names)}
     figure, axes = pyplot.subplots(figsize=(13.0, 1.5 + 0.28 * len(names)))
     for event in events:
-        plot_event(axes, event, places)
+        plot_event(axes, event, positions)
     end = max([float(event["t"]) for event in events], default=1.0)
     for fault in result["struck"]:
-        plot_fault(axes, fault, result["start"], end, places)
-    axes.set_yticks(list(places.values()), list(places))
-    axes.set_xlabel("s from the first job; marks: answers by dispatcher, begun attempts by worker")
+        plot_fault(axes, fault, result["start"], end, positions)
+    axes.set_yticks(list(positions.values()), list(positions))
+    axes.set_xlabel("s from the first job; marks: ends of client attempts by dispatcher, attempts by worker")
     text = io.StringIO()
     figure.savefig(text, format="svg", bbox_inches="tight")
     pyplot.close(figure)
     return text.getvalue()[text.getvalue().index("<svg") :]
 
 
-def plot_event(axes: Any, event: Event, places: dict[str, int]) -> None:
-    """Marks an answer at its dispatcher, or a begun or failed attempt at its worker."""
-    if event["book"] == "clients" and event["what"] in ANSWER_COLORS:
+def plot_event(axes: Any, event: Event, positions: dict[str, int]) -> None:
+    """Mark the end of a client's attempt at its dispatcher, or an attempt's start or loss at its worker."""
+    if event["book"] == "clients" and event["what"] in CLIENT_EVENT_COLORS:
         what: str = event["what"]
-        answer = ANSWERS_BY_STATUS.get(event["status"], what)
-        axes.plot(event["t"], places[event["at"]], "|", color=ANSWER_COLORS[answer], markersize=9)
-    elif event["what"] in WORKER_COLORS:
-        color = WORKER_COLORS[event["what"]]
-        axes.plot(event["t"], places[event["worker"]], ".", color=color, markersize=3)
+        outcome = OUTCOMES_BY_STATUS.get(event["status"], what)
+        axes.plot(event["t"], positions[event["at"]], "|", color=CLIENT_EVENT_COLORS[outcome], markersize=9)
+    elif event["what"] in WORKER_EVENT_COLORS:
+        color = WORKER_EVENT_COLORS[event["what"]]
+        axes.plot(event["t"], positions[event["worker"]], ".", color=color, markersize=3)
 
 
-def plot_fault(axes: Any, fault: dict[str, Any], start: float, end: float, places: dict[str, int]) -> None:
-    """Shades the time of a fault, and names it at its target."""
+def plot_fault(axes: Any, fault: dict[str, Any], start: float, end: float, positions: dict[str, int]) -> None:
+    """Shade the interval of a fault, and label it at its target."""
     since = fault["since"] - start
     until = end if fault["until"] is None else fault["until"] - start
     axes.axvspan(since, max(until, since + 0.02), alpha=0.08, color="tab:red")
-    place = places.get(fault["who"].rpartition(">")[2])
-    if place is not None:
-        axes.text(since, place + 0.25, f"{fault['what']} {fault['who']}", fontsize=7, color="tab:red")
+    position = positions.get(fault["who"].rpartition(">")[2])
+    if position is not None:
+        axes.text(since, position + 0.25, f"{fault['what']} {fault['who']}", fontsize=7, color="tab:red")
