--- a/eiderfield/lab/fleet/faults.py
+++ b/eiderfield/lab/fleet/faults.py
@@ -1,7 +1,7 @@
-"""Carries faults out: signals and limits of dispatchers, commands to the proxy and to the backends.
+"""Injects faults: signals and resource limits for dispatchers, commands to the proxy and to the backends.
 
-What was carried out is kept with its times, for the rules excuse what a fault explains. The front before the
-clients learns some time later that a dispatcher is gone, or back.
+Injected faults are recorded with their times, because the rules excuse what a fault explains. The load
+balancer of the clients (`Front`) learns only after a delay that a dispatcher has failed or recovered.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 from eiderfield.lab.fleet.scenario import RESOURCE_FAULTS, Fault, target_kind
 from eiderfield.lab.processes import LabError, wait_for
 
-USUAL_DESCRIPTORS = 4096  # a dispatcher's limit where no fault lowers it
+DEFAULT_DESCRIPTOR_LIMIT = 4096  # of a dispatcher without a `descriptors` fault
 MEGABYTE = 2**20
-MOMENTARY = ("reset", "half")  # faults of links that are over at once
+INSTANT_LINK_FAULTS = ("reset", "half")  # these have no duration
 
 
 class FaultInjector:
-    """Begins and ends faults of a run."""
+    """Begins and ends the faults of a run."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         proxy: StandInProcess,
         backends: StandInProcess,
         clients: StandInProcess,
-        notice: float,
+        detection_delay: float,
         log: Any,
     ) -> None:
         self.injected: list[InjectedFault] = []
@@ -50,10 +50,10 @@
         self._proxy = proxy
         self._backends = backends
         self._clients = clients
-        self._notice = notice  # s after which the front knows that a dispatcher is gone, or back
+        self._detection_delay = detection_delay  # s until the front learns of a failure or a recovery
         self._log = log
-        self._gone: set[str] = set()  # dispatchers that the front holds for dead
-        self._restarts: list[threading.Thread] = []  # which wait for dispatchers that were started again
+        self._failed: set[str] = set()  # dispatchers reported to the front as failed
+        self._restarts: list[threading.Thread] = []  # each waits for a restarted dispatcher to become ready
         self._failpoints = [name for name, each in dispatchers.items() if each.program.failpoint]
         self._dispatcher_faults: dict[str, Callable[[Dispatcher, Fault, bool], None]] = {
             "stop": set_stopped,
@@ -63,7 +63,7 @@
         }
 
     def inject(self, fault: Fault, active: bool = True) -> None:
-        """Begins a fault, or ends it."""
+        """Begin the fault, or end it if not `active`."""
         self._log.info("fault" if active else "mended", what=fault.what, who=fault.who)
         kind = target_kind(fault.who)
         if kind == "dispatcher" and active:
@@ -79,19 +79,20 @@
     def reached_failpoints(self) -> list[tuple[float, Fault]]:
         """Return the faults of dispatchers that failed at a failpoint since the last call.
 
-        Each comes with the time at which it is to be ended, when a killed dispatcher is started again.
+        Each comes with the time at which it must be ended: a killed dispatcher is then restarted, a stopped
+        one continued.
         """
-        found: list[tuple[float, Fault]] = []
+        reached: list[tuple[float, Fault]] = []
         for name in [name for name in self._failpoints if self._dispatchers[name].failpoint_marker.exists()]:
             self._failpoints.remove(name)
-            how, lasts = json.loads(self._dispatchers[name].failpoint_marker.read_text())
-            self._record(how, name, True)
-            self._tell_front_later(name, gone=True)
-            found.append((time.monotonic() + lasts, Fault(how, name, at=0.0)))
-        return found
+            what, duration = json.loads(self._dispatchers[name].failpoint_marker.read_text())
+            self._record(what, name, True)
+            self._notify_front_later(name, failed=True)
+            reached.append((time.monotonic() + duration, Fault(what, name, at=0.0)))
+        return reached
 
     def wait_for_restarts(self) -> None:
-        """Waits until the dispatchers that were started again are ready, or have failed."""
+        """Wait until each restarted dispatcher is ready or its wait has timed out."""
         for thread in self._restarts:
             thread.join()
 
@@ -99,11 +100,11 @@
         links = [name for name in self._links if fnmatchcase(name, fault.who)]
         self._proxy.send(SetLinkFault(fault.what, links, active, fault.way, fault.value))
         for name in links:
-            self._record(fault.what, name, active, momentary=fault.what in MOMENTARY)
+            self._record(fault.what, name, active, is_instant=fault.what in INSTANT_LINK_FAULTS)
 
     def _begin_dispatcher_fault(self, dispatcher: Dispatcher, fault: Fault) -> None:
         dispatcher.find_process()
-        if fault.what != "disk":  # which excuses nothing
+        if fault.what != "disk":  # excuses no breach of a rule, so that it is not recorded
             self._record(fault.what, dispatcher.name, True)
         if fault.what == "kill":
             dispatcher.signal(signal.SIGKILL)
@@ -113,7 +114,7 @@
         else:
             self._dispatcher_faults[fault.what](dispatcher, fault, True)
         if fault.what not in RESOURCE_FAULTS:
-            self._tell_front_later(dispatcher.name, gone=True)
+            self._notify_front_later(dispatcher.name, failed=True)
 
     def _end_dispatcher_fault(self, dispatcher: Dispatcher, fault: Fault) -> None:
         if fault.what in ("kill", "term"):
@@ -122,65 +123,68 @@
         self._dispatcher_faults[fault.what](dispatcher, fault, False)
         self._record(fault.what, dispatcher.name, False)
         if fault.what not in RESOURCE_FAULTS:
-            self._tell_front_later(dispatcher.name, gone=False)
+            self._notify_front_later(dispatcher.name, failed=False)
 
     def _restart(self, dispatcher: Dispatcher, fault: Fault) -> None:
         dispatcher.wait()
         dispatcher.start(wait=False)
-        thread = threading.Thread(target=self._wait_until_back, args=(dispatcher, fault), daemon=True)
+        thread = threading.Thread(target=self._wait_for_restart, args=(dispatcher, fault), daemon=True)
         self._restarts.append(thread)
         thread.start()
 
-    def _wait_until_back(self, dispatcher: Dispatcher, fault: Fault) -> None:
-        """One that was started again is gone until it is ready: amid other faults that may be never."""
+    def _wait_for_restart(self, dispatcher: Dispatcher, fault: Fault) -> None:
+        """Record the end of a fault once the restarted dispatcher is ready.
+
+        Under other faults it may never become ready; the fault then ends with the time-out of the wait.
+        """
         with suppress(LabError):
             wait_for(f"{dispatcher.name} is ready", dispatcher.ready)
         self._record(fault.what, dispatcher.name, False)
-        self._tell_front(dispatcher.name, gone=False)
+        self._notify_front(dispatcher.name, failed=False)
 
-    def _record(self, what: str, target: str, active: bool, momentary: bool = False) -> None:
+    def _record(self, what: str, target: str, active: bool, is_instant: bool = False) -> None:
         now = time.monotonic()
         if active:
-            self.injected.append(InjectedFault(what, target, now, now if momentary else inf))
+            self.injected.append(InjectedFault(what, target, now, now if is_instant else inf))
             return
-        for place, fault in enumerate(self.injected):
+        for index, fault in enumerate(self.injected):
             if fault.what == what and fault.who == target and fault.until == inf:
-                self.injected[place] = InjectedFault(what, target, fault.since, now)
+                self.injected[index] = InjectedFault(what, target, fault.since, now)
 
-    def _tell_front_later(self, name: str, gone: bool) -> None:
-        timer = threading.Timer(self._notice, self._tell_front, (name, gone))
+    def _notify_front_later(self, name: str, failed: bool) -> None:
+        timer = threading.Timer(self._detection_delay, self._notify_front, (name, failed))
         timer.daemon = True
         timer.start()
 
-    def _tell_front(self, name: str, gone: bool) -> None:
-        if gone:
-            self._gone.add(name)
+    def _notify_front(self, name: str, failed: bool) -> None:
+        if failed:
+            self._failed.add(name)
         else:
-            self._gone.discard(name)
-        healthy = [each for each in self._dispatchers if each not in self._gone]
-        with suppress(OSError, ValueError):  # the run may be over
+            self._failed.discard(name)
+        healthy = [each for each in self._dispatchers if each not in self._failed]
+        with suppress(OSError, ValueError):  # the clients' process may have ended with the run
             self._clients.send(SetHealthyDispatchers(healthy))
 
 
 def set_stopped(dispatcher: Dispatcher, _fault: Fault, active: bool) -> None:
-    """Stops a process, or continues it."""
+    """Stop the process (SIGSTOP), or continue it if not `active`."""
     dispatcher.signal(signal.SIGSTOP if active else signal.SIGCONT)
 
 
 def set_descriptor_limit(dispatcher: Dispatcher, fault: Fault, active: bool) -> None:
-    """Limits how many descriptors a process may open."""
-    limit = int(fault.value) if active else USUAL_DESCRIPTORS
-    set_limit(dispatcher.pid, resource.RLIMIT_NOFILE, limit, USUAL_DESCRIPTORS)
+    """Limit the number of open descriptors of the process, or restore the default."""
+    limit = int(fault.value) if active else DEFAULT_DESCRIPTOR_LIMIT
+    set_limit(dispatcher.pid, resource.RLIMIT_NOFILE, limit, DEFAULT_DESCRIPTOR_LIMIT)
 
 
 def set_file_size_limit(dispatcher: Dispatcher, fault: Fault, active: bool) -> None:
-    """Limits how long a file may be that a process writes."""
+    """Limit the size of the files that the process writes, or lift the limit."""
     limit = int(fault.value) if active else resource.RLIM_INFINITY
     set_limit(dispatcher.pid, resource.RLIMIT_FSIZE, limit)
 
 
 def set_memory_limit(dispatcher: Dispatcher, fault: Fault, active: bool) -> None:
-    """Limits how much memory a process may take beyond what it has."""
+    """Limit the growth of the process's address space to `fault.value` MB, or lift the limit."""
     with suppress(psutil.Error):
         used = psutil.Process(dispatcher.pid).memory_info().vms
         limit = used + int(fault.value * MEGABYTE) if active else resource.RLIM_INFINITY
@@ -188,6 +192,6 @@
 
 
 def set_limit(pid: int, kind: int, soft: int, hard: int = resource.RLIM_INFINITY) -> None:
-    """Sets a limit of a process, if it is there."""
+    """Set a resource limit of a process; do nothing if the process has ended."""
     with suppress(ProcessLookupError):
         resource.prlimit(pid, kind, (soft, hard))
