--- a/eiderfield/lab/fleet/topology.py
+++ b/eiderfield/lab/fleet/topology.py
@@ -1,4 +1,4 @@
-"""Where the processes of a run listen, and the links between them."""
+"""The addresses on which the processes of a run listen, and the proxied links between them."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """All addresses of a run. Links are named by both ends, as `n0>w1`, `n0>source` or `c>n0`."""
+    """All addresses of a run. A link is named by its two ends: `n0>w1`, `n0>source`, `c>n0` (clients)."""
 
     listen: dict[str, str]  # by dispatcher
     worker_ports: dict[str, dict[str, str]]  # by dispatcher and worker
-    worker_addresses: dict[str, dict[str, str]]  # by dispatcher and worker: the links to these ports
+    worker_addresses: dict[
+        str, dict[str, str]
+    ]  # by dispatcher and worker: the proxy's listeners for `worker_ports`
     discovery_ports: dict[str, str]  # by dispatcher
-    links: dict[str, tuple[str, str]]  # by name: where each listens, and where it leads
+    links: dict[str, tuple[str, str]]  # by name: the address on which the proxy listens, the target
 
     @classmethod
     def of(cls, scenario: Scenario, pool: AddressPool) -> Topology:
-        """The addresses of a scenario's processes."""
+        """Take an address from the pool for each listener of the scenario."""
         dispatchers, workers = scenario.dispatcher_names, scenario.worker_names
         worker_ports = {name: {worker: pool.take() for worker in workers} for name in dispatchers}
         discovery_ports = {name: pool.take() for name in dispatchers}
@@ -37,9 +39,9 @@
         return cls(listen, worker_ports, worker_addresses, discovery_ports, links)
 
     def discovery_address(self, dispatcher: str) -> str:
-        """Where a dispatcher reaches discovery."""
+        """Return the address at which a dispatcher reaches discovery, through the proxy."""
         return self.links[f"{dispatcher}>source"][0]
 
     def client_addresses(self) -> dict[str, Address]:
-        """Where clients reach the dispatchers."""
+        """Return the address at which clients reach each dispatcher, through the proxy."""
         return {name: parse_address(self.links[f"c>{name}"][0], name) for name in self.listen}
