--- a/eiderfield/lab/fleet/rules.py
+++ b/eiderfield/lab/fleet/rules.py
@@ -33,7 +33,7 @@
 
 LOG_DELAY_S = 0.5  # an event may be logged this much after it happened
 DRAIN_TOLERANCE_MS = 50.0  # beyond the grace; the operators' benches allow the same
-# Factor over the budget: dispatchers do not communicate, so that the work they send in total varies.
+# Factor over the budget: dispatchers do not communicate, so that their total work varies by chance.
 SLOW_START_TOLERANCE = 1.15
 ATTEMPT_ENDS = frozenset({"ended", "unread", "dropped", "lost", "parted"})  # events that close an attempt
 # A worker may see the end of an attempt this much later than another worker sees the next attempt.
@@ -136,7 +136,7 @@
     A client whose dispatcher is stopped (SIGSTOP) sees neither an answer nor a broken connection, and does
     not retry. Its job may remain without an answer.
     """
-    stops = [s for s in faults if s.what == "stop"]
+    stops = [fault for fault in faults if fault.what == "stop"]
     timeouts = {e["job"]: e for e in clients if e["what"] == "left"}
     if not scenario.custody:
         return
@@ -293,7 +293,7 @@
     spare = max(
         SPARE_DESCRIPTORS, scenario.workers * (scenario.slots + QUEUED_PER_WORKER)
     ) + STORE_DESCRIPTORS * bool(scenario.custody)
-    ended = {s.who for s in faults if s.what in ("kill", "term") and s.until == inf}
+    ended = {fault.who for fault in faults if fault.what in ("kill", "term") and fault.until == inf}
     for state in final_states:
         if state.name in ended:
             continue
--- a/eiderfield/lab/fleet/topology.py
+++ b/eiderfield/lab/fleet/topology.py
@@ -15,9 +15,7 @@
 
     listen: dict[str, str]  # by dispatcher
     worker_ports: dict[str, dict[str, str]]  # by dispatcher and worker
-    worker_addresses: dict[
-        str, dict[str, str]
-    ]  # by dispatcher and worker: the proxy's listeners for `worker_ports`
+    worker_addresses: dict[str, dict[str, str]]  # by dispatcher and worker: the proxy's listener for the port
     discovery_ports: dict[str, str]  # by dispatcher
     links: dict[str, tuple[str, str]]  # by name: the address on which the proxy listens, the target
 
