--- a/eiderfield/lab/fleet/backends.py
+++ b/eiderfield/lab/fleet/backends.py
@@ -119,7 +119,7 @@
 
 def set_failing(worker: Worker, active: bool, _value: float) -> None:
     """Begins or ends that a worker fails all its jobs."""
-    worker.fails = active
+    worker.is_failing = active
 
 
 def set_silent(worker: Worker, active: bool, _value: float) -> None:
@@ -131,7 +131,7 @@
 
 def set_slow(worker: Worker, active: bool, value: float) -> None:
     """Begins or ends that a worker runs its jobs so many times longer."""
-    worker.slowness = value if active else 1.0
+    worker.slowdown = value if active else 1.0
 
 
 async def serve(folder: Path) -> None:
--- a/eiderfield/lab/fleet/discovery.py
+++ b/eiderfield/lab/fleet/discovery.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from eiderfield.lab.fleet.event_log import EventLogWriter
-from eiderfield.lab.fleet.workers import ANSWER_HEAD, Worker
+from eiderfield.lab.fleet.workers import RESPONSE_HEAD, Worker
 
 KEEPALIVE_S = 2.0  # between two empty lines on a watch
 SILENCE_POLL_S = 0.05
@@ -37,7 +37,7 @@
         with suppress(OSError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
             await self._wait_while_silent()
-            writer.write(ANSWER_HEAD)
+            writer.write(RESPONSE_HEAD)
             self._push(writer, dispatcher, self.workers, snapshot=True)
             self._watches.add((writer, dispatcher))
             while not reader.at_eof():
@@ -95,5 +95,5 @@
             "group": worker.group.number,
             "status": worker.status,
             "weight": 1.0,
-            "since_ms": worker.since,
+            "since_ms": worker.started_at,
         }
