--- a/eiderfield/lab/durable_requests/comparison.py
+++ b/eiderfield/lab/durable_requests/comparison.py
@@ -67,7 +67,7 @@
     with Fleet(scenario, folder) as fleet:
         used: list[float] = []
         before = processor_seconds(fleet)
-        result = fleet.play(before_rest=lambda: used.append(processor_seconds(fleet)))
+        result = fleet.play(before_shutdown=lambda: used.append(processor_seconds(fleet)))
     clients = read_events(folder / CLIENT_EVENTS)
     sent = first_sent(folder)
     times = answer_times(folder, sent)
--- a/eiderfield/lab/fleet/durable_run.py
+++ b/eiderfield/lab/fleet/durable_run.py
@@ -81,7 +81,7 @@
     """Run a scenario whose dispatchers have durable requests, and return its result."""
     with Fleet(scenario, folder, programs) as fleet:
         consoles = ConsoleSums(fleet.dispatchers)
-        result = fleet.play(consoles.poll, before_rest=consoles.poll_now)
+        result = fleet.play(consoles.poll, before_shutdown=consoles.poll_now)
     clients, workers = read_events(folder / CLIENT_EVENTS), read_events(folder / WORKER_EVENTS)
     near_kills = sent_near_kills(clients, result.faults)
     in_time = near_kills & served_in_time(scenario, clients, workers)
--- a/eiderfield/lab/fleet/fleet.py
+++ b/eiderfield/lab/fleet/fleet.py
@@ -1,9 +1,10 @@
-"""A run: starts the processes, carries faults out, and leaves a folder that can be read without the program.
+"""A run of a scenario: starts the processes, injects the faults and writes the results to a folder.
+
+The folder can be read without the program:
 
     scenario.json, workers.jsonl, clients.jsonl, nX.log, result.json, events.parquet, index.html
 
-Everything that is started is a child of the run and ends with it. A dispatcher's program may be another
-revision.
+All processes that a run starts end with it. Each dispatcher may run another revision of the program.
 """
 
 from __future__ import annotations
@@ -44,25 +45,25 @@
 from eiderfield.lab.fleet.topology import Topology
 from eiderfield.lab.processes import LabError, wait_for
 
-LEAD_S = 0.3  # from the clients' start to the first job
-POLL_S = 0.005  # between two looks at the workers' log for an event
-REST_TIMEOUT_S = 10.0  # in which a dispatcher comes to rest after the last answer
+START_DELAY_S = 0.3  # between the start of the clients and the first job
+POLL_S = 0.005  # interval at which the workers' log is polled for the events of faults
+IDLE_TIMEOUT_S = 10.0  # for a dispatcher to close all connections after the last job
 SCENARIO_FILE = "scenario.json"
 
 
-class Ending(Protocol):
-    """What is ended with a run."""
+class Stoppable(Protocol):
+    """A process that is stopped at the end of a run."""
 
     def end(self) -> None:
-        """Ends it at once."""
+        """Kill the process and wait for its end."""
 
 
-Kept = TypeVar("Kept", bound=Ending)
+StoppableT = TypeVar("StoppableT", bound=Stoppable)
 
 
 @dataclass(frozen=True, slots=True)
 class DueFault:
-    """A fault that begins or ends at a time of the monotonic clock."""
+    """The start or the end of a fault; `at` is a time of the monotonic clock in s."""
 
     at: float
     fault: Fault
@@ -70,7 +71,7 @@
 
 
 class Fleet:
-    """All processes of a run."""
+    """The processes of a run."""
 
     def __init__(
         self,
@@ -81,7 +82,7 @@
     ) -> None:
         self.scenario = scenario
         self.folder = folder
-        self.batch_addresses: dict[str, Address] = {}  # where each dispatcher takes batch jobs, with `batch`
+        self.batch_addresses: dict[str, Address] = {}  # by dispatcher; empty without `batch`
         self.dispatchers: dict[str, Dispatcher] = {}
         folder.mkdir(parents=True, exist_ok=True)
         (folder / SCENARIO_FILE).write_text(json.dumps(scenario.to_plain(), indent=1))
@@ -98,7 +99,7 @@
             self._start_proxy()
             self._make_dispatchers(programs or {}, batch)
             self._start_dispatchers()
-            self._clients = self._keep(StandInProcess("clients", str(folder)))
+            self._clients = self._stop_at_close(StandInProcess("clients", str(folder)))
             self._injector = FaultInjector(
                 self.dispatchers,
                 list(self._topology.links),
@@ -119,14 +120,14 @@
         self.close()
 
     def close(self) -> None:
-        """Ends all that was started."""
+        """Stop all processes of the run."""
         for dispatcher in self.dispatchers.values():
             with suppress(ProcessLookupError, AssertionError):
                 dispatcher.signal(signal.SIGCONT)
         self._stack.close()
 
     def inject(self, fault: Fault, active: bool = True) -> None:
-        """Begins a fault, or ends it."""
+        """Begin a fault, or end it if `active` is false."""
         self._injector.inject(fault, active)
 
     def wait_for_restarts(self) -> None:
@@ -134,39 +135,40 @@
         self._injector.wait_for_restarts()
 
     def stop_clients(self) -> None:
-        """No more jobs: the run ends once those that were sent are over."""
+        """Have the clients send no further jobs; the run ends once those already sent are over."""
         with suppress(OSError, ValueError):
             self._clients.send(StopClients())
 
     def play(
         self,
-        between: Callable[[], None] = lambda: None,
-        done: Callable[[], bool] = lambda: True,
-        before_rest: Callable[[], None] = lambda: None,
+        on_poll: Callable[[], None] = lambda: None,
+        is_done: Callable[[], bool] = lambda: True,
+        before_shutdown: Callable[[], None] = lambda: None,
     ) -> Result:
-        """Plays the scenario.
+        """Run the scenario and return its result.
 
-        `between` is called again and again while clients ask, and until `done`; `before_rest` once, when all
-        that was asked for is over and the dispatchers are still there.
+        The run lasts until all jobs are over, the faults that have begun and have a duration have ended, and
+        `is_done` returns true. `on_poll` is called repeatedly until then; `before_shutdown` is called once
+        afterwards, while the dispatchers still run.
         """
-        start = time.monotonic() + LEAD_S
+        start = time.monotonic() + START_DELAY_S
         clients_over = self._start_clients(start)
         schedule = FaultSchedule(self.scenario, start, EventLogReader(self.folder / WORKER_EVENTS))
-        while not clients_over.is_set() or schedule.has_ends or not done():
+        while not clients_over.is_set() or schedule.has_pending_ends or not is_done():
             for due in schedule.take_due(time.monotonic()):
                 self.inject(due.fault, due.active)
-                schedule.add_end_of(due)
+                schedule.schedule_end(due)
             for at, fault in self._injector.reached_failpoints():
                 schedule.add(DueFault(at, fault, active=False))
-            between()
+            on_poll()
             clients_over.wait(POLL_S)
-        before_rest()
+        before_shutdown()
         final_states = [self._final_state(dispatcher) for dispatcher in self.dispatchers.values()]
         self._backends.end()
         self._injector.wait_for_restarts()
         return judge_run(self.scenario, self.folder, start, self._injector.injected, final_states)
 
-    def _keep(self, child: Kept) -> Kept:
+    def _stop_at_close(self, child: StoppableT) -> StoppableT:
         self._stack.callback(child.end)
         return child
 
@@ -182,7 +184,7 @@
             cold_share=scenario.cold_share,
             progress=scenario.progress,
         )
-        self._backends = self._keep(StandInProcess("backends", str(self.folder)))
+        self._backends = self._stop_at_close(StandInProcess("backends", str(self.folder)))
         self._backends.send(
             OpenBackends(
                 settings=settings,
@@ -196,7 +198,7 @@
         self._backends.wait_for(OPEN)
 
     def _start_proxy(self) -> None:
-        self._proxy = self._keep(StandInProcess("proxy"))
+        self._proxy = self._stop_at_close(StandInProcess("proxy"))
         self._proxy.send(OpenLinks(self._topology.links))
         self._proxy.wait_for(LISTENING)
 
@@ -214,7 +216,7 @@
                 config["batch"] = self._batch_config(name)
             program = programs.get(name, Program())
             dispatcher = Dispatcher(name, program, config, self.folder, spare_console=self._pool.take())
-            self.dispatchers[name] = self._keep(dispatcher)
+            self.dispatchers[name] = self._stop_at_close(dispatcher)
 
     def _batch_config(self, name: str) -> dict[str, Any]:
         address = self._pool.take()
@@ -241,7 +243,7 @@
             dispatcher.end()
 
     def _start_clients(self, start: float) -> threading.Event:
-        """Starts the clients; the event is set once all their jobs are over."""
+        """Start the clients and return an event that is set once all their jobs are over."""
         self._clients.send(
             StartClients(
                 jobs=draw_jobs(self.scenario),
@@ -258,38 +260,38 @@
 
     def _wait_for_clients(self, over: threading.Event) -> None:
         deadline = max(job_class.deadline for job_class in self.scenario.job_classes) / 1000.0
-        longest = self.scenario.jobs / self.scenario.rate + deadline
+        duration_s = self.scenario.jobs / self.scenario.rate + deadline
         with suppress(LabError, ValueError):
-            self._clients.wait_for(OVER, 2.0 * longest + ANNOUNCEMENT_TIMEOUT_S)
+            self._clients.wait_for(OVER, 2.0 * duration_s + ANNOUNCEMENT_TIMEOUT_S)
         over.set()
 
     def _final_state(self, dispatcher: Dispatcher) -> FinalState:
-        """What a dispatcher still holds, once it has had time to come to rest; ends it."""
+        """Wait up to `IDLE_TIMEOUT_S` until a dispatcher is idle, stop it and return what it still held."""
         dispatcher.find_process()
         if not dispatcher.alive:
             return FinalState(dispatcher.name, 0, 0, 0, 0, dispatcher.wait(0.0))
-        held = [0, 0]
+        counts = [0, 0]
 
-        def is_at_rest() -> bool:
+        def is_idle() -> bool:
             figures = dispatcher.figures()
-            held[:] = [figures["inflight"], figures["connections"]["open"]]
-            return held == [0, 0]
+            counts[:] = [figures["inflight"], figures["connections"]["open"]]
+            return counts == [0, 0]
 
         with suppress(LabError, OSError, ValueError):
-            # One that was started again a moment ago does not heed signals yet.
+            # A dispatcher that has just restarted does not handle SIGTERM before it is ready.
             wait_for(f"{dispatcher.name} is ready", dispatcher.ready)
-            wait_for(f"{dispatcher.name} rests", is_at_rest, REST_TIMEOUT_S)
+            wait_for(f"{dispatcher.name} is idle", is_idle, IDLE_TIMEOUT_S)
         descriptors = dispatcher.descriptors()
         dispatcher.signal(signal.SIGTERM)
         code = dispatcher.wait()
-        inflight, connections = held
+        inflight, connections = counts
         return FinalState(
             dispatcher.name, inflight, connections, descriptors, dispatcher.descriptors_at_start, code
         )
 
 
 class FaultSchedule:
-    """The faults of a scenario that are still to begin or to end."""
+    """The pending starts and ends of a scenario's faults."""
 
     def __init__(self, scenario: Scenario, start: float, worker_events: EventLogReader) -> None:
         timed = [fault for fault in scenario.faults if not fault.on]
@@ -299,32 +301,32 @@
         self._begun: list[Event] = []
 
     @property
-    def has_ends(self) -> bool:
-        """Whether a fault that has begun is still to end."""
+    def has_pending_ends(self) -> bool:
+        """Return whether the end of a fault that has begun is pending."""
         return any(not due.active for due in self._due)
 
     def add(self, due: DueFault) -> None:
-        """Adds a fault that begins or ends at a time."""
+        """Schedule the start or the end of a fault."""
         self._due.append(due)
 
-    def add_end_of(self, begun: DueFault) -> None:
-        """Adds the end of a fault that has just begun, if it has one."""
+    def schedule_end(self, begun: DueFault) -> None:
+        """Schedule the end of a fault that has just begun, if the fault has a duration."""
         if begun.active and begun.fault.lasts:
             self.add(DueFault(begun.at + begun.fault.lasts, begun.fault, active=False))
 
     def take_due(self, now: float) -> list[DueFault]:
-        """What has come due, by time or by event; the rest stays."""
+        """Remove and return the starts and ends that are due, by time or by event."""
         self._begun += [event for event in self._worker_events.read_new() if event["what"] == "began"]
-        for fault in [fault for fault in self._on_event if has_come(fault, self._begun)]:
+        for fault in [fault for fault in self._on_event if has_occurred(fault, self._begun)]:
             self._on_event.remove(fault)
             self.add(DueFault(now + fault.after, fault, active=True))
-        due = [each for each in self._due if each.at <= now]
-        self._due = [each for each in self._due if each.at > now]
-        return [DueFault(now, each.fault, each.active) for each in due]
+        due = [due_fault for due_fault in self._due if due_fault.at <= now]
+        self._due = [due_fault for due_fault in self._due if due_fault.at > now]
+        return [DueFault(now, due_fault.fault, due_fault.active) for due_fault in due]
 
 
-def has_come(fault: Fault, begun: Sequence[Event]) -> bool:
-    """Whether the event of a fault has come."""
+def has_occurred(fault: Fault, begun: Sequence[Event]) -> bool:
+    """Return whether the event that triggers a fault has occurred."""
     dispatcher, count = parse_event(fault.on)
     return sum(1 for event in begun if not dispatcher or event["by"] == dispatcher) >= count
 
@@ -333,8 +335,8 @@
     scenario: Scenario,
     folder: Path,
     programs: Mapping[str, Program] | None = None,
-    between: Callable[[], None] = lambda: None,
+    on_poll: Callable[[], None] = lambda: None,
 ) -> Result:
-    """Plays a scenario in a folder."""
+    """Run a scenario, write its files to a folder and return its result."""
     with Fleet(scenario, folder, programs) as fleet:
-        return fleet.play(between)
+        return fleet.play(on_poll)
