--- a/eiderfield/lab/fleet/backends.py
+++ b/eiderfield/lab/fleet/backends.py
@@ -48,8 +48,8 @@
             "slow": set_slow,
         }
 
-    def carry_out(self, command: Command) -> None:
-        """Carries out a command."""
+    def execute(self, command: Command) -> None:
+        """Execute a command."""
         if isinstance(command, OpenBackends):
             task = asyncio.get_running_loop().create_task(self._open(command))
             self._tasks.add(task)
@@ -138,7 +138,7 @@
     """Plays workers and discovery until the input ends."""
     backends = Backends(folder)
     announce(READY)
-    await serve_commands(backends.carry_out)
+    await serve_commands(backends.execute)
 
 
 if __name__ == "__main__":
--- a/eiderfield/lab/fleet/commands.py
+++ b/eiderfield/lab/fleet/commands.py
@@ -1,7 +1,7 @@
-"""The commands from a run to its stand-in processes: one JSON line each, on standard input.
+"""The commands that a run sends to its child processes, each as one JSON line on standard input.
 
-A stand-in announces on standard output that it is ready, carries commands out, and ends with its input: none
-outlives its run.
+The children simulate workers, discovery, clients and the network. Each announces on standard output that it
+is ready, executes commands, and exits at the end of its input, so that none outlives its run.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from eiderfield.errors import EiderfieldError
 
-MAX_COMMAND_SIZE = 64 * 1024 * 1024  # bytes: all jobs of a run are one command
+MAX_COMMAND_SIZE = 64 * 1024 * 1024  # bytes; all jobs of a run are sent in one command
 
 READY = "ready"
 OPEN = "open"
@@ -24,43 +24,43 @@
 
 
 class CommandError(EiderfieldError, ValueError):
-    """A line that is no command."""
+    """A line names an unknown command."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerSettings:
-    """What all workers of a run have in common; times in ms."""
+    """The settings that all workers of a run share; times in ms."""
 
-    slots: int
-    queue: int
-    cell: int
+    slots: int  # of each worker
+    queue: int  # attempts that a worker queues at most
+    cell: int  # workers in a group
     zones: int
-    window: float
-    cold: float
-    cold_share: float
-    progress: float
+    window: float  # in which a group deduplicates the jobs of a key
+    cold: float  # from a restart to full capacity
+    cold_share: float  # share of the capacity at a restart
+    progress: float  # between two progress messages of a job
 
 
 @dataclass(frozen=True, slots=True)
 class OpenBackends:
-    """Opens the workers' and discovery's listeners. Dispatchers and workers are known by their names."""
+    """Opens the listeners of the workers and of discovery; dispatchers and workers are given by name."""
 
     settings: WorkerSettings
     discovery_kind: str
     workers: list[str]
-    ports: dict[str, dict[str, str]]  # by dispatcher and worker: where the worker listens for it
-    addresses: dict[str, dict[str, str]]  # by dispatcher and worker: its state as discovery announced it
-    discovery_ports: dict[str, str]  # by dispatcher
+    ports: dict[str, dict[str, str]]  # by dispatcher and worker: where the worker listens for the dispatcher
+    addresses: dict[str, dict[str, str]]  # by dispatcher and worker: the address that discovery lists
+    discovery_ports: dict[str, str]  # by dispatcher: where discovery listens for it
 
     @classmethod
     def from_plain(cls, plain: dict[str, Any]) -> OpenBackends:
-        """The command out of plain values."""
+        """Return the command for decoded JSON values."""
         return cls(**{**plain, "settings": WorkerSettings(**plain["settings"])})
 
 
 @dataclass(frozen=True, slots=True)
 class SetBackendFault:
-    """Begins or ends a fault of a worker, or of discovery."""
+    """Starts or ends a fault of a worker or of discovery."""
 
     fault: str
     target: str
@@ -70,14 +70,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenLinks:
-    """Opens links: by name, where each listens and where it leads."""
+    """Opens links, given by name with the address that each listens on and its target."""
 
     links: dict[str, tuple[str, str]]
 
 
 @dataclass(frozen=True, slots=True)
 class SetLinkFault:
-    """Begins or ends a fault of some links."""
+    """Starts or ends a fault of the named links."""
 
     fault: str
     links: list[str]
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedJob:
-    """A job with its time in s from the first one; `run` and `deadline` in ms."""
+    """A job to send `at` s after the start of the schedule; `run` and `deadline` are in ms."""
 
     job: str
     kind: str
@@ -96,24 +96,24 @@
     run: float
     key: str
     deadline: float
-    asks_again: bool
+    asks_again: bool  # whether the client retries after its connection broke
     slots: int
 
 
 @dataclass(frozen=True, slots=True)
 class StartClients:
-    """Starts the clients; `start` is a time of the monotonic clock."""
+    """Starts the clients; the schedule starts at `start`, a time of the monotonic clock in s."""
 
     jobs: list[PlannedJob]
     start: float
     retries: int
     addresses: dict[str, tuple[str, int]]  # of the dispatchers
-    one_id: bool
-    asks_both: bool
+    one_id: bool  # whether retries carry the request id of the first attempt
+    asks_both: bool  # whether a retry goes to two dispatchers at once
 
     @classmethod
     def from_plain(cls, plain: dict[str, Any]) -> StartClients:
-        """The command out of plain values."""
+        """Return the command for decoded JSON values."""
         jobs = [PlannedJob(**job) for job in plain["jobs"]]
         addresses = {name: (host, port) for name, (host, port) in plain["addresses"].items()}
         return cls(**{**plain, "jobs": jobs, "addresses": addresses})
@@ -121,14 +121,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SetHealthyDispatchers:
-    """The dispatchers that the front before the clients holds for healthy."""
+    """Sets the dispatchers that the clients' front end considers healthy."""
 
     names: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class StopClients:
-    """No more jobs: the run ends once those that were sent are over."""
+    """Ends the schedule; the clients are done once the jobs already sent are over."""
 
 
 Command = (
@@ -143,12 +143,12 @@
 
 
 def encode(command: Command) -> str:
-    """A command as a line."""
+    """Return a command as a JSON line."""
     return json.dumps({"command": type(command).__name__, "arguments": asdict(command)}) + "\n"
 
 
 def decode(line: bytes | str) -> Command:
-    """The command of a line; raises `CommandError`."""
+    """Return the command of a JSON line; raise `CommandError` if its name is unknown."""
     message = json.loads(line)
     name, arguments = message["command"], message["arguments"]
     match name:
@@ -170,15 +170,15 @@
 
 
 def announce(word: str) -> None:
-    """Send one line to the process that started this one."""
+    """Write a word as one line to the process that started this one."""
     sys.stdout.write(word + "\n")
     sys.stdout.flush()
 
 
-async def serve_commands(carry_out: Callable[[Command], None]) -> None:
-    """Carries out commands until the input ends."""
+async def serve_commands(execute: Callable[[Command], None]) -> None:
+    """Execute commands from standard input until its end."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_COMMAND_SIZE)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        carry_out(decode(line))
+        execute(decode(line))
--- a/eiderfield/lab/fleet/proxy.py
+++ b/eiderfield/lab/fleet/proxy.py
@@ -147,8 +147,8 @@
         self._links: dict[str, Link] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def carry_out(self, command: Command) -> None:
-        """Carries out a command."""
+    def execute(self, command: Command) -> None:
+        """Execute a command."""
         if isinstance(command, OpenLinks):
             task = asyncio.get_running_loop().create_task(self._open(command))
             self._tasks.add(task)
@@ -169,7 +169,7 @@
     """Open links and carry out commands on them until the input ends."""
     proxy = Proxy()
     announce(READY)
-    await serve_commands(proxy.carry_out)
+    await serve_commands(proxy.execute)
 
 
 if __name__ == "__main__":
