--- a/eiderfield/lab/fleet/backends.py
+++ b/eiderfield/lab/fleet/backends.py
@@ -48,8 +48,8 @@
             "slow": set_slow,
         }
 
-    def carry_out(self, command: Command) -> None:
-        """Carries out a command."""
+    def execute(self, command: Command) -> None:
+        """Execute a command."""
         if isinstance(command, OpenBackends):
             task = asyncio.get_running_loop().create_task(self._open(command))
             self._tasks.add(task)
@@ -119,7 +119,7 @@
 
 def set_failing(worker: Worker, active: bool, _value: float) -> None:
     """Begins or ends that a worker fails all its jobs."""
-    worker.fails = active
+    worker.is_failing = active
 
 
 def set_silent(worker: Worker, active: bool, _value: float) -> None:
@@ -131,14 +131,14 @@
 
 def set_slow(worker: Worker, active: bool, value: float) -> None:
     """Begins or ends that a worker runs its jobs so many times longer."""
-    worker.slowness = value if active else 1.0
+    worker.slowdown = value if active else 1.0
 
 
 async def serve(folder: Path) -> None:
     """Plays workers and discovery until the input ends."""
     backends = Backends(folder)
     announce(READY)
-    await serve_commands(backends.carry_out)
+    await serve_commands(backends.execute)
 
 
 if __name__ == "__main__":
