--- a/eiderfield/lab/fleet/scenario.py
+++ b/eiderfield/lab/fleet/scenario.py
@@ -1,9 +1,12 @@
-"""What a run of the fleet is: how many of what, which jobs, and which faults at which moment.
+"""The scenario of a fleet run: the size of the fleet, its load, and the faults with their start times.
 
-A scenario is a TOML file (`scenario_file.py`) or drawn from a seed (`scenario_draw.py`). Its field names
-are the file's keys. A fault comes at a time (`at`, in s from the first job) or at an event: `on =
-"begun:20"` is the moment the workers have begun 20 jobs in all, `on = "begun:n1:3"` the third from
-dispatcher n1. Both may be followed by `after`. It ends by itself after `lasts`, where it has an end.
+A scenario is read from a TOML file (`scenario_file.py`) or drawn from a seed (`scenario_draw.py`). The field
+names of `Scenario` and `Fault` are the keys of the file.
+
+A fault starts at a time (`at`, in s from the start of the load) or at an event (`on`): "begun:20" is the
+event that the workers have begun 20 attempts in total, "begun:n1:3" that they have begun three attempts of
+dispatcher n1. `after` delays the start by that many seconds. A fault with a duration (`lasts`, in s) ends
+by itself after it.
 """
 
 from __future__ import annotations
@@ -15,7 +18,7 @@
 
 from eiderfield.errors import EiderfieldError
 
-# Faults by the kind of their target, and whether one ends after `lasts`.
+# The faults of each kind of target, each with whether it may have a duration (`lasts`).
 FAULTS: dict[str, dict[str, bool]] = {
     "dispatcher": {
         "kill": True,
@@ -29,26 +32,29 @@
     "link": {"cut": True, "delay": True, "drip": True, "reset": False, "half": False},
     "source": {"late": True, "silent": True},
 }
-RESOURCE_FAULTS = ("descriptors", "memory", "disk")  # never drawn: what a seed draws stays as it was
+# Faults of a process's limits. None is drawn, so that each seed keeps drawing the same scenario.
+RESOURCE_FAULTS = ("descriptors", "memory", "disk")
 DIRECTIONS = ("both", "there", "back")
 DISCOVERY_KINDS = ("platform", "consul")
 EFFECTS = ("retryable", "dedup", "fragile")
-DISCOVERY = "source"  # discovery's name as a target
-ONLY_ZONE = "here"
+DISCOVERY = "source"  # the name of service discovery as a fault's target
+ONLY_ZONE = "here"  # the name of the zone in a scenario with one zone
 
 EVENT_PATTERN = re.compile(r"(begun)(?::(n\d+))?:([1-9]\d*)\Z")
 LINK_PATTERN = re.compile(r"(c|n\d+|n\*)>(n\d+|n\*|w\d+|w\*|source)\Z")
 
 
 class ScenarioError(EiderfieldError, ValueError):
-    """A key that is missing or wrong. The text begins with it."""
+    """A key of a scenario is missing or has a wrong value. The message begins with the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
-    """A class of jobs; `run` is how long they run, from and to, in ms; `slots` how many they take meanwhile.
+    """A class of jobs. `run` and `slots` are ranges (least, greatest) from which each job's value is drawn.
 
-    `goal` and `stretch` are its latency objective: so many ms, and so many times its own running time more.
+    `run` is the running time in ms, `slots` the number of worker slots that the job occupies while it runs.
+    The latency objective of a job is `goal` (ms) plus `stretch` times its running time. `deadline` is in ms.
+    `share` is the weight of the class when the jobs of a scenario are drawn.
     """
 
     name: str
@@ -60,7 +66,7 @@
     slots: tuple[int, int] = (1, 1)
     goal: float = 300.0
     stretch: float = 2.0
-    asks_again: bool = True  # whether a client whose connection broke asks another dispatcher
+    asks_again: bool = True  # whether a client retries at another dispatcher when its connection breaks
 
 
 JOB_CLASSES: tuple[JobClass, ...] = (
@@ -72,11 +78,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that goes wrong.
+    """A fault `what` of the target `who`. `way` is the direction in which a link is cut.
+
+    The meaning of `value` depends on the fault:
 
-    `value` is ms of a delay, bytes a second of a drip, a count of descriptors, MB that a process may take
-    beyond what it has, bytes that a file which it writes may have (0: every write fails, more: a longer one
-    is torn), or how many times slower; `way` is the direction in which a link is cut.
+        delay, late    delay in ms
+        drip           bytes per second
+        slow           factor by which the running time of jobs grows
+        descriptors    limit on open file descriptors
+        memory         MB that the process may allocate beyond its present size
+        disk           limit on the size of a written file in bytes; at 0 every write fails, above it a write
+                       that crosses the limit is cut short
     """
 
     what: str
@@ -91,37 +103,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A run. Times are in s, but those of jobs and settings, which are in ms."""
+    """The parameters of a run. Times are in s, except where a field's comment or `JobClass` says ms."""
 
     name: str = "plain"
     seed: int = 1
     dispatchers: int = 3
     workers: int = 6
-    slots: int = 3
-    queue: int = 8
-    cell: int = 3  # workers of a group, which drop the repeat of a keyed job
-    window: float = 4000.0
+    slots: int = 3  # of each worker
+    queue: int = 8  # jobs that may wait at each worker
+    cell: int = 3  # workers in a group; a group runs a keyed job once and gives its result to repeats
+    window: float = 4000.0  # ms in which a group recognises the repeat of a keyed job
     jobs: int = 150
-    rate: float = 50.0
-    retries: int = 2
-    notice: float = 1.0  # after which the front knows that a dispatcher is gone, or back
-    zones: int = 1  # cells of workers, and dispatchers, take turns among them
-    source: str = "platform"  # or consul: the discovery that lists the workers
-    drain_grace: float = 500.0
-    cold: float = 4000.0
-    cold_share: float = 0.3
-    fall: float = 1000.0
-    fall_multiple: float = 2.5
-    progress: float = 300.0
-    floods: tuple[tuple[float, float, float], ...] = ()  # from, for so long, so many times the rate
+    rate: float = 50.0  # jobs per second
+    retries: int = 2  # of a client for each job
+    notice: float = 1.0  # delay until clients avoid a failed dispatcher, or use a continued one again
+    zones: int = 1  # dispatchers and groups of workers are assigned to zones in rotation
+    source: str = "platform"  # the kind of service discovery, one of DISCOVERY_KINDS
+    drain_grace: float = 500.0  # ms
+    cold: float = 4000.0  # ms of slow start after a worker's restart
+    cold_share: float = 0.3  # of its usual speed that a worker has just after its restart
+    fall: float = 1000.0  # ms of the recovery ramp
+    fall_multiple: float = 2.5  # the most work sent during the ramp, relative to the worker's capacity
+    progress: float = 300.0  # ms between two progress reports of a running job
+    floods: tuple[tuple[float, float, float], ...] = ()  # (start, duration, factor on `rate`)
     faults: tuple[Fault, ...] = ()
     job_classes: tuple[JobClass, ...] = JOB_CLASSES
-    one_id: bool = False  # whether a client that asks again does so with the id of its first attempt
-    asks_both: bool = False  # whether a client whose connection broke asks two dispatchers at once
-    custody: Mapping[str, Any] = field(default_factory=dict)  # the dispatchers' table; empty: off
-    settings: Mapping[str, Any] = field(
-        default_factory=dict
-    )  # of the dispatchers, over those of the scenario
+    one_id: bool = False  # whether a client sends all attempts of a job under the same id
+    asks_both: bool = False  # whether a client sends each retry to two dispatchers at once
+    # The table [custody] of the dispatchers' configuration; empty: no durable requests.
+    custody: Mapping[str, Any] = field(default_factory=dict)
+    # Settings of the dispatchers, which override those derived from the scenario.
+    settings: Mapping[str, Any] = field(default_factory=dict)
 
     @property
     def dispatcher_names(self) -> list[str]:
@@ -139,29 +151,29 @@
         return [ONLY_ZONE] if self.zones == 1 else [f"z{number}" for number in range(self.zones)]
 
     def zone_of(self, name: str) -> str:
-        """The zone of a dispatcher or worker."""
+        """Return the zone of a dispatcher or worker."""
         if self.zones == 1:
             return ONLY_ZONE
         number = int(name[1:]) if name[0] == "n" else int(name[1:]) // self.cell
         return f"z{number % self.zones}"
 
     def to_plain(self) -> dict[str, Any]:
-        """The scenario as plain values, for the run's folder."""
+        """Return the scenario as values that JSON can hold, to be stored in the run's folder."""
         plain = asdict(self)
         plain["settings"], plain["custody"] = dict(self.settings), dict(self.custody)
         return plain
 
 
 def target_kind(target: str) -> str:
-    """What a target is by its name: a key of `FAULTS`, or '' for none of them."""
+    """Return the kind of a fault's target, a key of `FAULTS`, or '' if the name is of no kind."""
     if ">" in target:
         return "link"
     return {"n": "dispatcher", "w": "worker", "s": "source"}.get(target[:1], "")
 
 
 def parse_event(text: str) -> tuple[str, int]:
-    """The dispatcher of an event ('' for all) and the count at which it comes."""
+    """Return the dispatcher of an event ('' for all) and the number of begun attempts that it stands for."""
     match = EVENT_PATTERN.match(text)
     if match is None:
-        raise ScenarioError(f"on is no event: {text!r}")
+        raise ScenarioError(f"on is not an event such as begun:20 or begun:n0:1: {text!r}")
     return match[2] or "", int(match[3])
