--- a/eiderfield/lab/fleet/addresses.py
+++ b/eiderfield/lab/fleet/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses for the processes of a run, which no other run and no outgoing connection takes."""
+"""Allocates addresses for a run that neither another run nor an outgoing connection can take."""
 
 from __future__ import annotations
 
@@ -7,48 +7,49 @@
 from contextlib import suppress
 from itertools import count
 
-FIRST_PORT = 10_000  # below the range that the kernel chooses from
-POOLS_PER_PROCESS = 8
-FIRST_HOST_BYTE = 64  # hosts are of 127.64.0.0/10
-HOST_BYTES = 64
-BYTE_VALUES = 250  # 1 to 250 of a host's last two bytes
-HOSTS = HOST_BYTES * BYTE_VALUES * BYTE_VALUES
+BASE_PORT = 10_000  # below the range of ephemeral ports
+POOLS_PER_PROCESS = 8  # distance between the first hosts tried by processes with successive ids
+FIRST_SECOND_OCTET = 64  # all hosts are in 127.64.0.0/10
+SECOND_OCTETS = 64
+OCTET_VALUES = 250  # each of the last two octets of a host is from 1 to 250
+HOSTS = SECOND_OCTETS * OCTET_VALUES * OCTET_VALUES
 
 _pool_numbers = count()
 
 
 class AddressPool:
-    """Addresses that nobody else has: a host of the loopback range for each run, counted up from one port.
+    """Allocates the addresses of one run: a loopback host that no other run uses, with increasing ports.
 
-    Ports that the kernel gives out could be taken again, by a connection of the run itself, before they are
-    listened on; what connects to another host of the range does so from 127.0.0.1.
+    An ephemeral port chosen by the kernel could be taken by an outgoing connection of the run before the
+    process it is meant for listens on it. Connections to these hosts have 127.0.0.1 as their source address,
+    so they take no port of them.
     """
 
     def __init__(self) -> None:
-        self._last_port = FIRST_PORT
-        self._guard = socket.socket()  # runs of other processes begin elsewhere while it is bound
+        self._last_port = BASE_PORT
+        self._claim = socket.socket()  # while bound, it reserves the host against other pools
         self.host = self._claim_host()
 
     def take(self) -> str:
-        """An address that was not given out before."""
+        """Return an address that this pool has not returned before."""
         self._last_port += 1
         return f"{self.host}:{self._last_port}"
 
     def close(self) -> None:
-        """Lets another run have the host."""
-        self._guard.close()
+        """Release the host."""
+        self._claim.close()
 
     def _claim_host(self) -> str:
         for number in count(os.getpid() * POOLS_PER_PROCESS + next(_pool_numbers)):
-            host = host_of(number % HOSTS)
+            host = loopback_host(number % HOSTS)
             with suppress(OSError):
-                self._guard.bind((host, FIRST_PORT))
+                self._claim.bind((host, BASE_PORT))
                 break
         return host
 
 
-def host_of(number: int) -> str:
-    """The loopback host of a number below `HOSTS`."""
-    first, rest = divmod(number, BYTE_VALUES * BYTE_VALUES)
-    second, third = divmod(rest, BYTE_VALUES)
-    return f"127.{FIRST_HOST_BYTE + first}.{1 + second}.{1 + third}"
+def loopback_host(number: int) -> str:
+    """Return the loopback host with a number from 0 to `HOSTS` - 1."""
+    first, rest = divmod(number, OCTET_VALUES * OCTET_VALUES)
+    second, third = divmod(rest, OCTET_VALUES)
+    return f"127.{FIRST_SECOND_OCTET + first}.{1 + second}.{1 + third}"
