--- a/eiderfield/lab/fleet/child.py
+++ b/eiderfield/lab/fleet/child.py
@@ -1,4 +1,4 @@
-"""A stand-in process of a run, which takes commands (`commands.py`) and ends with the run."""
+"""Starts the stand-in processes of a run, which take commands (`commands.py`) and end with the run."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from eiderfield.lab.fleet.commands import READY, Command, encode
 from eiderfield.lab.processes import LabError
 
-ROOT = Path(__file__).resolve().parents[3]  # the folder with the package
-ANNOUNCEMENT_TIMEOUT_S = 60.0  # in which a stand-in announces what it is to announce
+ROOT = Path(__file__).resolve().parents[3]  # the folder that contains the package
+ANNOUNCEMENT_TIMEOUT_S = 60.0  # for each announcement of a stand-in
 
 
 class StandInProcess:
-    """A stand-in that is ready for commands."""
+    """A stand-in process. The constructor returns once it is ready for commands."""
 
     def __init__(self, module: str, *arguments: str) -> None:
         self._child = subprocess.Popen(
@@ -28,13 +28,13 @@
         self.wait_for(READY)
 
     def send(self, command: Command) -> None:
-        """Sends a command."""
+        """Send a command to the process."""
         assert self._child.stdin is not None
         self._child.stdin.write(encode(command))
         self._child.stdin.flush()
 
     def wait_for(self, word: str, timeout: float = ANNOUNCEMENT_TIMEOUT_S) -> None:
-        """Waits until it announces a word; `LabError` if that does not come in `timeout` s."""
+        """Wait until the process announces `word`; raise `LabError` after `timeout` s or on another line."""
         assert self._child.stdout is not None
         if not select.select([self._child.stdout], [], [], timeout)[0]:
             raise LabError(f"{self._child.args!r} did not announce {word!r} within {timeout:g} s")
@@ -43,7 +43,7 @@
             raise LabError(f"{self._child.args!r} announced {line!r} instead of {word!r}")
 
     def end(self) -> None:
-        """Ends it at once."""
+        """Kill the process and close its pipes."""
         if self._child.poll() is None:
             self._child.kill()
         self._child.wait()
