--- a/eiderfield/lab/fleet/controller_process.py
+++ b/eiderfield/lab/fleet/controller_process.py
@@ -1,11 +1,11 @@
-"""A controller of a rolling change in a process of its own, which may be lost or lose contact.
+"""Runs a controller of a rolling change that may be killed, or be cut off from dispatchers.
 
-    python -m eiderfield.lab.fleet.controller_process FOLDER [POINT:NUMBER]
+    python -m eiderfield.lab.fleet.controller_process FOLDER [FAILPOINT:NUMBER]
 
-At the NUMBER-th time that it comes to POINT (`looked`, `written`, `done`, `before start`, `after end` and
-so on) it kills itself, as if its machine had failed just there. The names of dispatchers in
-FOLDER/blind.json are those whose consoles it cannot reach: a link that is cut, as the controller sees it.
-Of the laboratory alone.
+The process kills itself when it reaches FAILPOINT for the NUMBER-th time, as if its host had failed there.
+The failpoints are those of `rollout/controller.py`: `looked`, `written`, `done`, and `before ACTION` and
+`after ACTION` for each action, such as `before start`. FOLDER/blind.json lists the dispatchers whose consoles
+the controller cannot reach, as if the links to them were cut. Only the laboratory uses this module.
 """
 
 from __future__ import annotations
@@ -24,42 +24,44 @@
 from eiderfield.rollout.errors import RolloutError
 from eiderfield.rollout.processes import ProcessManager
 
-ANOTHER_LEADS = 75  # exit code where another controller leads the change
-UNREACHABLE_FILE = "blind.json"
+EXIT_NOT_STARTED = 75  # exit code where the change cannot be taken, as when another controller holds it
+UNREACHABLE_FILE = "blind.json"  # written by `rollout_supervisor.py`
 
 
-def kill_at(failpoint: str) -> Callable[[str], None]:
-    """What a controller calls at each named point; it kills the process at the one of `POINT:NUMBER`."""
+def kill_at_failpoint(failpoint: str) -> Callable[[str], None]:
+    """Return the failpoint callback of a controller, which kills the process at `FAILPOINT:NUMBER`."""
     target, _, number = failpoint.rpartition(":")
     counts: Counter[str] = Counter()
 
-    def point(name: str) -> None:
+    def reach_failpoint(name: str) -> None:
         counts[name] += 1
         if name == target and counts[name] == int(number):
             os.kill(os.getpid(), signal.SIGKILL)
 
-    return point
+    return reach_failpoint
 
 
-def without_contact(folder: Path) -> type[ProcessManager]:
-    """A `ProcessManager` that reaches no console whose dispatcher the folder's file names."""
+def manager_with_unreachable_consoles(folder: Path) -> type[ProcessManager]:
+    """Return a `ProcessManager` class that cannot reach the consoles listed in the folder's file."""
 
-    class PartlyBlindManager(ProcessManager):
+    class PartialProcessManager(ProcessManager):
         def query(self, member: str, console: Address) -> ConsoleAnswer | None:
             path = folder / UNREACHABLE_FILE
             unreachable = json.loads(path.read_text()) if path.exists() else []
             return None if member in unreachable else super().query(member, console)
 
-    return PartlyBlindManager
+    return PartialProcessManager
 
 
 def main(folder: Path, failpoint: str = "") -> int:
-    """Leads the change of a folder to its end; 0 once it is over, 75 where another controller leads it."""
+    """Run the change of a folder to its end; return 0 then, or 75 if the change cannot be taken."""
     try:
-        controller = Controller(folder, kill_at(failpoint), without_contact(folder))
+        controller = Controller(
+            folder, kill_at_failpoint(failpoint), manager_with_unreachable_consoles(folder)
+        )
     except RolloutError as error:
         print(error, flush=True)
-        return ANOTHER_LEADS
+        return EXIT_NOT_STARTED
     controller.run()
     controller.close()
     return 0
