--- a/eiderfield/lab/fleet/rollout_change.py
+++ b/eiderfield/lab/fleet/rollout_change.py
@@ -1,4 +1,4 @@
-"""A rolling change that a run leads: what is changed, what fails meanwhile, and what came of it."""
+"""The description of a rolling change in a laboratory run, its plan file and its result."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from eiderfield.lab.fleet.rules import Finding
 from eiderfield.lab.fleet.scenario import Fault
 
-# The plan's `watch` table, unless a change sets it; times in s.
-USUAL_WATCH = {
+# The default `watch` table of a plan. Durations are in s; `rollout/plan_file.py` defines the keys.
+DEFAULT_WATCH = {
     "seconds": 60.0,
     "before": 4.0,
     "look": 0.25,
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LostContact:
-    """A time from a phase on in which the controller cannot reach a dispatcher's console."""
+    """An interval, from the start of a phase, in which the controller cannot reach a dispatcher's console."""
 
     phase: str
     seconds: float
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorRequest:
-    """What an operator asks of the change at a time, in s from the first job."""
+    """A command that an operator sends to the controller, `at` seconds after the supervisor is created."""
 
     at: float
     request: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultInPhase:
-    """A fault that begins when the change is in a phase."""
+    """A fault that is injected when the change enters a phase."""
 
     phase: str
     fault: Fault
@@ -58,58 +58,61 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What is changed, and how the change is led. `watch` holds keys of the plan's table."""
+    """A rolling change and the faults injected during it. `watch` overrides keys of `DEFAULT_WATCH`."""
 
-    program: str = NO_FAULT  # a kind of `faulty_programs.py`, '' for none: then settings alone
-    settings: str = ""  # TOML that is laid over each dispatcher's file
-    canary: int = 1
-    shares: tuple[float, ...] = (0.5,)
-    out: int = 1
+    program: str = NO_FAULT  # a kind of `faulty_programs.py`, '' if only settings change
+    settings: str = ""  # TOML that is merged into each dispatcher's file
+    canary: int = 1  # dispatchers in the first stage
+    shares: tuple[float, ...] = (0.5,)  # of the fleet, changed by the end of each later stage
+    max_concurrent: int = 1  # dispatchers that may be changing at once
     watch: dict[str, float] = field(default_factory=dict)
-    failpoints: tuple[str, ...] = ()  # at which controllers are lost, one after the other
+    failpoints: tuple[str, ...] = ()  # the n-th controller is killed at the n-th of these
     lost_contacts: tuple[LostContact, ...] = ()
     faults: tuple[FaultInPhase, ...] = ()
     requests: tuple[OperatorRequest, ...] = ()
-    decision: str = ""  # what operators decide of a held change, '' for nothing: it stays held
-    banned_worker: str = ""  # a worker that is banned at every dispatcher before the change
-    first_program: Path = ROOT  # the folder of the program that runs at first
+    decision: str = ""  # command sent once the change is held; '' leaves it held
+    banned_worker: str = ""  # banned at every dispatcher before the change; '' for none
+    first_program: Path = ROOT  # folder of the program that runs before the change
 
     @property
     def is_good(self) -> bool:
-        """Whether the new program is no worse than the old one."""
+        """Whether the new program was built without a fault; False if only settings change."""
         return self.program == NO_FAULT
 
 
 @dataclass
 class ChangeResult:
-    """What came of a change."""
+    """The final state of a change, and what was measured during it."""
 
     phase: str
     stage: int
     why: str
     findings: list[Finding]
     counts: dict[str, int]
-    versions: dict[str, str]  # of each dispatcher's last processes: old, new, none, both
+    versions: dict[str, str]  # by dispatcher, of its processes at the end: old, new, none or both
     bans_kept: bool
-    attempts_to_banned: int  # that came to the banned worker after its ban
-    controllers: int  # that led the change
-    most_unavailable: int  # dispatchers of which no process was ready at once, at any look
-    seconds: float  # from the first job to the end of the change
-    looks: int  # at the whole fleet, by all controllers
-    cpu_seconds: float  # of the controller that led last
-    memory_mb: float  # the most that a controller was seen to hold
-    undo_seconds: float | None  # from the first look at which a new process was ready to the undo's end
+    attempts_to_banned: int  # received by the banned worker after its ban
+    controllers: int  # started for the change, one after the other
+    most_unavailable: int  # highest number of dispatchers without a ready process in one poll
+    seconds: float  # from the supervisor's creation to the end of the change
+    looks: int  # polls of the whole fleet, by all controllers
+    cpu_seconds: float  # of the last controller
+    memory_mb: float  # highest resident memory measured for a controller
+    undo_seconds: float | None  # from the first watched stage to the end of the undo; None without an undo
 
 
 def plan_text(change: Change, program: Path | None, dispatchers: Sequence[Dispatcher], folder: Path) -> str:
-    """The plan of a change for the controller; `program` is the folder of the new one, if there is one."""
-    plan: dict[str, Any] = {"name": "lab", "change": {}, "watch": {**USUAL_WATCH, **change.watch}}
+    """Return the TOML text of a change's plan, and write the new settings, if any, to `folder`.
+
+    `program` is the folder of the new program, None if only settings change.
+    """
+    plan: dict[str, Any] = {"name": "lab", "change": {}, "watch": {**DEFAULT_WATCH, **change.watch}}
     if program is not None:
         plan["change"] |= {"program": str(program), "before": str(change.first_program)}
     if change.settings:
         (folder / SETTINGS_FILE).write_text(change.settings)
         plan["change"]["settings"] = SETTINGS_FILE
-    plan["stages"] = {"canary": change.canary, "shares": list(change.shares), "out": change.out}
+    plan["stages"] = {"canary": change.canary, "shares": list(change.shares), "out": change.max_concurrent}
     plan["dispatcher"] = [_dispatcher_entry(dispatcher) for dispatcher in dispatchers]
     return tomlkit.dumps(plan)
 
@@ -119,8 +122,8 @@
     console, spare = dispatcher.consoles
     return {
         "name": dispatcher.name,
-        "console": _text(console),
-        "spare": _text(spare),
+        "console": _address_text(console),
+        "spare": _address_text(spare),
         "config": dispatcher.config_path.name,
         "start": [sys.executable, *START_ARGUMENTS, "{config}"],
         "environment": {"TMPDIR": str(dispatcher.temporary_folder)},
@@ -128,6 +131,6 @@
     }
 
 
-def _text(address: Address) -> str:
+def _address_text(address: Address) -> str:
     host, port = address
     return f"{host}:{port}"
--- a/eiderfield/lab/fleet/rollout_draw.py
+++ b/eiderfield/lab/fleet/rollout_draw.py
@@ -180,7 +180,9 @@
         rate=rate,
     )
     canary = max(1, dispatchers // 10)
-    change = Change(canary=canary, out=min(4, dispatchers - 1), banned_worker=scenario.worker_names[-1])
+    change = Change(
+        canary=canary, max_concurrent=min(4, dispatchers - 1), banned_worker=scenario.worker_names[-1]
+    )
     return change, play_change(scenario, change, folder)
 
 
--- a/eiderfield/lab/fleet/rollout_run.py
+++ b/eiderfield/lab/fleet/rollout_run.py
@@ -1,9 +1,9 @@
-"""A rolling change on a fleet of real processes, amid jobs and faults, judged from the event logs.
+"""Runs a rolling change on a fleet of real processes under load and faults, and collects its result.
 
-What is changed is a program (a kind of `faulty_programs.py`, or a folder) or settings; what fails is what a
-scenario says, and the controller, which may be lost at a named point again and again or lose contact with
-consoles. What is asked of the run is asked of the logs, of the processes that are there in the end, and of
-the change's own journal, in this order of trust.
+The change replaces the program (by a kind of `faulty_programs.py`), the settings, or both. The scenario's
+faults are injected meanwhile; the controller may also be killed at named points or lose contact with
+consoles. The result is taken from three sources, from the most to the least trusted: the event logs, the
+processes that run at the end, and the change's journal.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from eiderfield.rollout.journal import Journal, read_journal
 from eiderfield.rollout.state import Phase
 
-BAN_GRACE_S = 0.55  # after a ban, in which an attempt may still come in
+BAN_GRACE_S = 0.55  # time after a ban in which the worker may still receive attempts
 CHANGE_FOLDER = "change"
 
 
 def play_change(scenario: Scenario, change: Change, folder: Path) -> ChangeResult:
-    """Plays a scenario, and leads a change meanwhile."""
+    """Run a scenario in `folder`, carry out a change during it, and return the result of the change."""
     folder.mkdir(parents=True, exist_ok=True)
     program = build(change.program, folder / "program") if change.program else None
     programs = {name: Program(change.first_program) for name in scenario.dispatcher_names}
@@ -50,22 +50,22 @@
 
 
 def ban_everywhere(dispatchers: Iterable[Dispatcher], worker: str) -> float:
-    """Bans a worker at all dispatchers, if one is named; the time of the monotonic clock after that."""
+    """Ban `worker` at all dispatchers unless it is '', and return the monotonic time after that."""
     if worker:
         for dispatcher in dispatchers:
             if call_console(dispatcher.console, f"/-/workers/{worker}/disable", "POST")[0] != HTTPStatus.OK:
-                raise LabError(f"{dispatcher.name} does not ban {worker}")
+                raise LabError(f"{dispatcher.name} refused to ban {worker}")
     return time.monotonic()
 
 
 def change_result(
     folder: Path, change: Change, result: Result, supervisor: ControllerSupervisor, banned_at: float
 ) -> ChangeResult:
-    """What came of a change that has been played in a folder."""
+    """Return the result of the change that was run in `folder`."""
     journal = read_journal(folder / CHANGE_FOLDER)
     log = folder / CHANGE_FOLDER / LOG_FILE
-    looks = [entry for entry in read_events(log) if entry.get("event") == "look"]
-    workers = read_events(folder / WORKER_EVENTS)
+    polls = [entry for entry in read_events(log) if entry.get("event") == "look"]
+    worker_events = read_events(folder / WORKER_EVENTS)
     return ChangeResult(
         phase=journal.state.phase,
         stage=journal.state.stage,
@@ -74,31 +74,32 @@
         counts=result.counts,
         versions=supervisor.versions,
         bans_kept=supervisor.bans_kept,
-        attempts_to_banned=attempts_after(workers, change.banned_worker, banned_at + BAN_GRACE_S),
+        attempts_to_banned=attempts_after(worker_events, change.banned_worker, banned_at + BAN_GRACE_S),
         controllers=supervisor.controllers,
-        most_unavailable=max([unavailable_in(look) for look in looks], default=0),
+        most_unavailable=max([unavailable_in(poll) for poll in polls], default=0),
         seconds=supervisor.seconds,
-        looks=len(looks),
+        looks=len(polls),
         cpu_seconds=supervisor.cpu_seconds,
         memory_mb=supervisor.memory_mb,
         undo_seconds=undo_seconds(journal),
     )
 
 
-def attempts_after(workers: Sequence[Event], worker: str, since: float) -> int:
-    """How many attempts came to a worker after a time."""
+def attempts_after(worker_events: Sequence[Event], worker: str, since: float) -> int:
+    """Return how many attempts `worker` received after the monotonic time `since`."""
     return sum(
-        event["what"] == "came" and event["worker"] == worker and event["t"] > since for event in workers
+        event["what"] == "came" and event["worker"] == worker and event["t"] > since
+        for event in worker_events
     )
 
 
-def unavailable_in(look: Event) -> int:
-    """The dispatchers that a look of the controller found without a ready process."""
-    return sum(not (seen["alive"] and seen["ready"]) for seen in look["seen"])
+def unavailable_in(poll: Event) -> int:
+    """Return how many dispatchers had no ready process in a poll of the controller."""
+    return sum(not (seen["alive"] and seen["ready"]) for seen in poll["seen"])
 
 
 def undo_seconds(journal: Journal) -> float | None:
-    """From the first watch to the undo's end; None where nothing was undone."""
+    """Return the time in s from the first watched stage to the end of the undo; None without an undo."""
     if journal.state.phase not in (Phase.UNDONE, Phase.STUCK):
         return None
     first = next((entry.time for entry in journal.entries if entry.phase is Phase.WATCHING), None)
