--- a/eiderfield/lab/fleet/rollout_supervisor.py
+++ b/eiderfield/lab/fleet/rollout_supervisor.py
@@ -1,10 +1,10 @@
-"""Keeps a change led: starts the next controller where one was lost, and plays operators and faults.
+"""Supervises the controller of a rolling change: restarts it, sends operator commands and injects faults.
 
-    led ──(the controller is lost)──> led by the next one
-     ├──(held, and operators decide)──> led on
-     └──(the controller ends with 0, or the change stays held)──> over
+    controller runs ──(it exits with a non-zero code)──> the next controller runs
+     ├──(the change is held, and a decision is left to send)──> controller runs
+     └──(the controller exits with 0, or the change is held with no decision left)──> over
 
-What must never happen: two controllers at once; an end of a run while a change still moves.
+Two controllers never run at once, and a run never ends while its change is in progress.
 """
 
 from __future__ import annotations
@@ -33,26 +33,26 @@
 from eiderfield.rollout.processes import MARK_VARIABLE
 from eiderfield.rollout.state import Phase
 
-HELD_AFTER_S = 2.0  # from the start of a change, before which nobody takes it for held
-MAX_CONTROLLERS = 40  # of one change, before the run fails
+HELD_AFTER_S = 2.0  # time after the start of a change before which it does not count as held
+MAX_CONTROLLERS = 40  # of one change; the run fails if it needs more
 MEGABYTE = 2**20
 UNREACHABLE_FILE = "blind.json"  # read by `controller_process.py`
 VERSIONS = ("old", "new")
 
 
 @dataclass(frozen=True, slots=True)
-class DueEnd:
-    """A fault that ends at a time, in s from the start."""
+class FaultEnd:
+    """An injected fault that has to be removed `at` seconds after the supervisor was created."""
 
     at: float
     fault: Fault
 
 
 class ControllerSupervisor:
-    """The controllers of a change, one after the other."""
+    """Runs the controllers of a change one after the other, until the change is over."""
 
     def __init__(self, folder: Path, change: Change) -> None:
-        self.controllers = 0  # that have led so far
+        self.controllers = 0  # started so far
         self.over = False
         self.seconds = 0.0
         self.cpu_seconds = 0.0
@@ -61,17 +61,17 @@
         self.versions: dict[str, str] = {}
         self._folder = folder
         self._change = change
-        self._child: subprocess.Popen[bytes] | None = None
+        self._controller: subprocess.Popen[bytes] | None = None
         self._start = time.monotonic()
         self._requests = sorted(change.requests, key=lambda request: request.at)
         self._faults = list(change.faults)
-        self._fault_ends: list[DueEnd] = []
-        self._contact_lost_at: dict[int, float] = {}  # by its place in the change
+        self._fault_ends: list[FaultEnd] = []
+        self._contact_lost_at: dict[int, float] = {}  # by index in `Change.lost_contacts`
         self._unreachable: list[str] = []
         self._decision = change.decision
 
     def step(self, fleet: Fleet) -> None:
-        """Does what is due now."""
+        """Apply lost contacts, operator commands and faults that are due; start or end the controller."""
         if self.over:
             return
         at = time.monotonic() - self._start
@@ -79,7 +79,7 @@
         self._lose_contacts(at)
         self._make_requests(at)
         self._inject_faults(fleet, at)
-        if self._child is None or self._child.poll() not in (None, 0):
+        if self._controller is None or self._controller.poll() not in (None, 0):
             self._start_controller()
         elif self._decision and at > HELD_AFTER_S and self._is_held():
             send_command(self._folder, self._decision)
@@ -89,18 +89,18 @@
             self._finish(fleet, at)
 
     def end_controller(self) -> None:
-        """Ends the controller that leads."""
-        if self._child is not None:
-            self._child.kill()
-            self._child.wait()
+        """Kill the current controller, if there is one, and wait for its exit."""
+        if self._controller is not None:
+            self._controller.kill()
+            self._controller.wait()
 
     def _start_controller(self) -> None:
         if self.controllers >= MAX_CONTROLLERS:
-            raise LabError("the controllers of a change come to no end")
+            raise LabError("the change is not over after the maximum number of controllers")
         failpoint = self._change.failpoints[self.controllers : self.controllers + 1]
         self.controllers += 1
         with (self._folder / "leaders.log").open("ab") as log:
-            self._child = subprocess.Popen(
+            self._controller = subprocess.Popen(
                 [
                     sys.executable,
                     "-m",
@@ -115,21 +115,21 @@
             )
 
     def _has_ended(self, at: float) -> bool:
-        """Whether the controller has ended the change, or it stays held with no decision left to send."""
-        assert self._child is not None
-        if self._child.poll() == 0:
+        """Return whether the controller exited with 0, or the change is held with no decision left."""
+        assert self._controller is not None
+        if self._controller.poll() == 0:
             return True
         return not self._decision and at > HELD_AFTER_S and self._is_held()
 
     def _measure_controller(self) -> None:
         """Record the memory and CPU time that the controller has used so far."""
-        if self._child is None:
+        if self._controller is None:
             return
         with suppress(psutil.Error):
-            process = psutil.Process(self._child.pid)
-            held = process.memory_info().rss / MEGABYTE
-            if held > 0.0:
-                self.memory_mb = max(self.memory_mb, held)
+            process = psutil.Process(self._controller.pid)
+            resident = process.memory_info().rss / MEGABYTE
+            if resident > 0.0:
+                self.memory_mb = max(self.memory_mb, resident)
                 self.cpu_seconds = sum(process.cpu_times()[:2])
 
     def _phase(self) -> str:
@@ -150,13 +150,13 @@
     def _lose_contacts(self, at: float) -> None:
         contacts = self._change.lost_contacts
         phase = self._phase() if len(self._contact_lost_at) < len(contacts) else ""
-        for number, contact in enumerate(contacts):
+        for index, contact in enumerate(contacts):
             if contact.phase == phase:
-                self._contact_lost_at.setdefault(number, at)
+                self._contact_lost_at.setdefault(index, at)
         unreachable = [
-            contacts[number].dispatcher
-            for number, since in sorted(self._contact_lost_at.items())
-            if at < since + contacts[number].seconds
+            contacts[index].dispatcher
+            for index, since in sorted(self._contact_lost_at.items())
+            if at < since + contacts[index].seconds
         ]
         if unreachable != self._unreachable:
             self._unreachable = unreachable
@@ -170,25 +170,25 @@
             self._faults.remove(due)
             fleet.inject(due.fault)
             if due.fault.lasts:
-                self._fault_ends.append(DueEnd(at + due.fault.lasts, due.fault))
+                self._fault_ends.append(FaultEnd(at + due.fault.lasts, due.fault))
         for end in [end for end in self._fault_ends if end.at <= at]:
             self._fault_ends.remove(end)
             fleet.inject(end.fault, active=False)
 
     def _finish(self, fleet: Fleet, at: float) -> None:
         self.over, self.seconds = True, at
-        fleet.wait_for_restarts()  # a dispatcher that starts cannot show yet that it kept the ban
+        fleet.wait_for_restarts()  # a starting dispatcher cannot report its bans yet
         change_id = read_journal(self._folder).content.change_id
         for dispatcher in fleet.dispatchers.values():
-            is_program = bool(self._change.program)
-            self.versions[dispatcher.name] = version_of(dispatcher, change_id) if is_program else "none"
+            has_new_program = bool(self._change.program)
+            self.versions[dispatcher.name] = version_of(dispatcher, change_id) if has_new_program else "none"
             banned: list[str] = []
             with suppress(OSError, ValueError, LookupError, LabError):
                 dispatcher.find_process()
                 banned = dispatcher.figures()["hosts_banned"]
-                if not is_program:
+                if not has_new_program:
                     self.versions[dispatcher.name] = self._version_of_settings(dispatcher)
-            # One that cannot be asked has not shown that it kept the ban.
+            # A dispatcher that does not answer counts as one that lost the ban.
             self.bans_kept = self.bans_kept and self._change.banned_worker in ("", *banned)
         fleet.stop_clients()
 
@@ -202,7 +202,11 @@
 
 
 def version_of(dispatcher: Dispatcher, change_id: str) -> str:
-    """Which version's processes of a dispatcher are there, by the mark in their environment."""
+    """Return the version of a dispatcher's running processes: old, new, none or both.
+
+    The controller marks each process that it starts with the change and the version, in `MARK_VARIABLE`.
+    Processes without the mark of this change are old.
+    """
     versions = set()
     for process in dispatcher.processes():
         with suppress(psutil.Error):
--- a/tests/test_rollout_supervisor.py
+++ b/tests/test_rollout_supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor of a change's controller in the fault-injection rig."""
+"""Tests of the laboratory's supervisor of rollout controllers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def phases(monkeypatch):
-    """The phases that the next reads of the journal return; the last one stays."""
+    """Return a list of the phases that successive reads of the journal return; the last one repeats."""
     phases = [Phase.WATCHING]
 
     def read_journal(_folder):
@@ -25,13 +25,17 @@
 
     controller = SimpleNamespace(pid=os.getpid(), poll=lambda: None)
     monkeypatch.setattr(rollout_supervisor, "read_journal", read_journal)
-    monkeypatch.setattr(rollout_supervisor.subprocess, "Popen", lambda *_words, **_options: controller)
+    monkeypatch.setattr(rollout_supervisor.subprocess, "Popen", lambda *_arguments, **_options: controller)
     monkeypatch.setattr(rollout_supervisor, "HELD_AFTER_S", -1.0)
     return phases
 
 
-def test_decision_for_a_change_held_between_two_journal_reads_is_sent(phases, tmp_path):
-    """Seen: the run ended as held. The first read found the change watched, and the second found it held."""
+def test_decision_for_change_held_between_two_journal_reads_is_sent(phases, tmp_path):
+    """The run must not end as held before the operator's decision is sent.
+
+    One step reads the journal twice. The change may become held between the reads: the first read finds
+    `watching` and sends no decision, the second one finds `held`, which once ended the run.
+    """
     supervisor = ControllerSupervisor(tmp_path, Change(decision="undo"))
     fleet = SimpleNamespace()
     supervisor.step(fleet)  # starts the controller
