--- a/eiderfield/lab/fleet/rollout_draw.py
+++ b/eiderfield/lab/fleet/rollout_draw.py
@@ -1,4 +1,7 @@
-"""Rolling changes drawn from seeds, half of them good and half worse, and rows of what came of them."""
+"""Draws rolling changes from seeds, runs them, and returns a row of results for each.
+
+Even seeds draw a program without a fault, odd seeds a faulty one.
+"""
 
 from __future__ import annotations
 
@@ -33,15 +36,15 @@
     "done:2",
 )
 FAULTS = ("", "", "stop", "kill", "cut", "restart", "flood", "blind", "lose", "lose")
-FEW_DISPATCHERS = 4  # of which one that is killed is no fault that a change should bear
-DAY_S = 90.0
-LARGE_DAY_S = 180.0
+SMALL_FLEET = 4  # dispatchers, up to which no dispatcher is killed: a change need not survive it
+RUN_S = 90.0  # time for which jobs are sent
+LARGE_RUN_S = 180.0
 RIGHT = "right"
 
 
 @dataclass(frozen=True, slots=True)
 class DrawnChange:
-    """What a seed draws; `fault` names what fails meanwhile, '' for nothing."""
+    """A scenario and a change drawn from a seed; `fault` is one of `FAULTS`, '' for none."""
 
     scenario: Scenario
     change: Change
@@ -50,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InTime:
-    """Jobs, and how many of them were served within their objectives."""
+    """The number of jobs, and of those that were served within their objectives."""
 
     jobs: int = 0
     served: int = 0
@@ -58,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawnRun:
-    """A row: what came of a drawn change."""
+    """The result of a drawn change, written as a row of `rollouts.json`."""
 
     seed: int
     kind: str
@@ -76,15 +79,16 @@
     findings: list[str] = field(default_factory=list)
     bans_kept: bool = False
     controllers: int = 0
-    before: InTime | None = None  # jobs from before the change began to move; None where it was not played
-    during: InTime | None = None
-    fault_came: bool = False  # before the change's end
+    before: InTime | None = None  # jobs sent before the change first moved; None if the run failed
+    during: InTime | None = None  # jobs sent from then to the end of the change
+    fault_came: bool = False  # whether a fault occurred before the change ended
 
 
 def draw_change(seed: int, dispatchers: int = 4, rate: float = 100.0) -> DrawnChange:
-    """A change from a seed, the same for ever.
+    """Return the scenario and the change of a seed; the same seed always draws the same.
 
-    A good one's canary is never killed or stopped: it would be undone, and rightly.
+    Dispatcher faults hit the last dispatcher, never the canary: a change whose canary is killed or stopped
+    is rightly undone, even if its program has no fault.
     """
     rng = Random(f"eiderfield change {seed}")
     is_worse = seed % 2 == 1
@@ -97,15 +101,15 @@
         workers=2 * dispatchers,
         slots=4,
         cell=4,
-        jobs=int(rate * DAY_S),
+        jobs=int(rate * RUN_S),
         rate=rate,
     )
     worker = f"w{rng.randrange(scenario.workers - 1)}"
     at = round(rng.uniform(5.0, 9.0), 1)
-    if fault == "kill" and dispatchers <= FEW_DISPATCHERS:
+    if fault == "kill" and dispatchers <= SMALL_FLEET:
         fault = ""
     faults = _scenario_faults(fault, at, f"n{dispatchers - 1}", worker)
-    if kind == "drains":  # what it does worse shows only then
+    if kind == "drains":  # the program shows its fault only while a worker drains
         faults = [*faults, Fault("drain", "w0", at=6.0, lasts=20.0)]
     if fault == "flood":
         scenario = replace(scenario, floods=((at, 4.0, 2.0),))
@@ -132,9 +136,9 @@
 
 
 def play_drawn(seed: int, folder: str, first_program: str = "") -> DrawnRun:
-    """Plays the change of a seed.
+    """Run the change of a seed in `folder` and return its row.
 
-    `first_program` is the folder of the program that runs at first, where it is not this one.
+    `first_program` is the folder of the program that runs before the change, '' for this checkout.
     """
     drawn = draw_change(seed)
     scenario, change = drawn.scenario, drawn.change
@@ -169,14 +173,17 @@
 
 
 def play_large(dispatchers: int, rate: float, folder: Path) -> tuple[Change, ChangeResult]:
-    """A good change of many dispatchers, a canary of a tenth, four at once, with nothing failing."""
+    """Run a change to a program without a fault on many dispatchers, with no faults injected.
+
+    A tenth of the dispatchers are canaries, and at most four dispatchers change at once.
+    """
     scenario = Scenario(
         name=f"large-{dispatchers}",
         dispatchers=dispatchers,
         workers=20,
         slots=4,
         cell=4,
-        jobs=int(rate * LARGE_DAY_S),
+        jobs=int(rate * LARGE_RUN_S),
         rate=rate,
     )
     canary = max(1, dispatchers // 10)
@@ -187,7 +194,7 @@
 
 
 def verdict(change: Change, result: ChangeResult) -> str:
-    """Whether a change came to the end that it should: 'right', or what is wrong with it."""
+    """Return 'right' if a change ended as it should, otherwise what is wrong with its result."""
     if result.phase == "held":
         return "held"
     if change.is_good and result.phase != "done":
@@ -195,7 +202,7 @@
     if not change.is_good and result.phase == "done":
         return "a worse change went through"
     version = "new" if result.phase == "done" else "old"
-    if any(there != version for there in result.versions.values()):
+    if any(running != version for running in result.versions.values()):
         return f"not all are {version}: {result.versions}"
     if not result.bans_kept and change.program != "forgets":
         return "a ban was lost"
@@ -205,7 +212,7 @@
 
 
 def in_time(folder: Path, scenario: Scenario) -> tuple[InTime, InTime]:
-    """Jobs of a run that were sent before its change began to move, and during it, up to its end."""
+    """Return the counts of the jobs sent before a run's change first moved, and from then to its end."""
     entries = read_journal(folder / CHANGE_FOLDER).entries
     offset = unix_offset()
     moved = next((entry.time for entry in entries if entry.phase is Phase.MOVING), math.inf) - offset
@@ -220,8 +227,11 @@
 
 
 def sent_and_served(folder: Path, scenario: Scenario) -> tuple[dict[str, float], set[str]]:
-    """When each job of a run was first sent, and those that were served within their objectives."""
-    objectives = {each.name: (each.goal / 1000.0, each.stretch / 1000.0) for each in scenario.job_classes}
+    """Return when each job of a run was first sent, and the jobs served within their objectives."""
+    objectives = {
+        job_class.name: (job_class.goal / 1000.0, job_class.stretch / 1000.0)
+        for job_class in scenario.job_classes
+    }
     runs = {
         event["job"]: event["run"] for event in read_events(folder / WORKER_EVENTS) if event["what"] == "came"
     }
@@ -239,9 +249,9 @@
 
 
 def fault_came(folder: Path, scenario: Scenario, change: Change) -> bool:
-    """Whether anything failed between the start of a run's change and its end.
+    """Return whether a fault occurred between the start and the end of a run's change.
 
-    What is drawn may come too late for a change that is over soon.
+    A drawn fault may be due only after the change has ended.
     """
     entries = read_journal(folder / CHANGE_FOLDER).entries
     offset = unix_offset()
@@ -256,5 +266,8 @@
 
 
 def unix_offset() -> float:
-    """What the Unix time is ahead of the logs' clock, which all processes of this machine share."""
+    """Return Unix time minus monotonic time, in s.
+
+    The logs hold monotonic time, which all processes of this machine share.
+    """
     return time.time() - time.monotonic()
--- a/eiderfield/lab/fleet/rollout_statistics.py
+++ b/eiderfield/lab/fleet/rollout_statistics.py
@@ -1,4 +1,4 @@
-"""What drawn changes showed together: shares with their intervals, and jobs in time."""
+"""Summarises the results of drawn changes: shares with confidence intervals, and jobs served in time."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from eiderfield.lab.fleet.faulty_programs import NO_FAULT
 from eiderfield.lab.fleet.rollout_draw import DrawnRun, InTime
 
-Z_95 = 1.96  # standard deviations of a 95% interval
-SECOND_STAGE = 1
+Z_95 = 1.96  # half-width of a 95% interval, in standard deviations
+SECOND_STAGE = 1  # index
 
 
 def wilson(hits: int, of: int) -> tuple[float, float]:
-    """The 95% interval of a share, by Wilson's score."""
+    """Return the 95% Wilson score interval of the share `hits / of`."""
     if not of:
         return 0.0, 1.0
     share = hits / of
-    middle = share + Z_95**2 / (2 * of)
+    center = share + Z_95**2 / (2 * of)
     half = Z_95 * math.sqrt(share * (1 - share) / of + Z_95**2 / (4 * of**2))
     scale = 1 + Z_95**2 / of
-    return max(0.0, (middle - half) / scale), min(1.0, (middle + half) / scale)
+    return max(0.0, (center - half) / scale), min(1.0, (center + half) / scale)
 
 
 def summary(runs: Sequence[DrawnRun]) -> list[str]:
-    """What drawn changes showed, in lines."""
+    """Return the lines that summarise drawn changes."""
     worse = [run for run in runs if run.kind != NO_FAULT]
     good = [run for run in runs if run.kind == NO_FAULT]
     stopped = [run for run in worse if run.phase == "undone" and run.stage <= SECOND_STAGE]
@@ -43,13 +43,13 @@
 
 
 def share_line(title: str, hits: int, of: int) -> str:
-    """A share with its interval."""
+    """Return a line with a share and its 95% interval."""
     low, high = wilson(hits, of)
     return f"{title}: {hits} of {of} ({low:.0%} to {high:.0%})"
 
 
 def good_line(good: Sequence[DrawnRun]) -> str:
-    """What became of the jobs under good changes."""
+    """Return a line with the totals of jobs and findings under good changes."""
     jobs = sum(run.jobs for run in good)
     served = sum(run.served for run in good)
     findings = sum(len(run.findings) for run in good)
@@ -61,18 +61,21 @@
 
 
 def undo_lines(worse: Sequence[DrawnRun]) -> list[str]:
-    """How long undos took."""
+    """Return a line with the median and maximum duration of undos; empty if there was no undo."""
     undos = sorted(run.undo_seconds for run in worse if run.undo_seconds is not None)
     if not undos:
         return []
-    middle = undos[len(undos) // 2]
+    median = undos[len(undos) // 2]
     return [
-        f"from the first watch to the undo's end: {middle:.1f} s in the middle, {undos[-1]:.1f} s at most"
+        f"from the first watch to the undo's end: {median:.1f} s in the middle, {undos[-1]:.1f} s at most"
     ]
 
 
 def in_time_lines(good: Sequence[DrawnRun]) -> list[str]:
-    """Jobs in time under good changes, with faults and without, against those before the change."""
+    """Return lines that compare the shares of jobs in time before and during good changes.
+
+    Runs with and without faults have a line each, unless there are no jobs to compare.
+    """
     lines = []
     for fault_came, title in ((False, "without faults"), (True, "amid faults")):
         runs = [run for run in good if run.fault_came is fault_came]
@@ -88,6 +91,6 @@
 
 
 def total(parts: Sequence[InTime | None]) -> InTime:
-    """The sum over runs; those that were not played count nothing."""
+    """Return the sum over runs; failed runs (None) count as zero."""
     played = [part for part in parts if part is not None]
     return InTime(sum(part.jobs for part in played), sum(part.served for part in played))
