--- a/eiderfield/lab/fleet/faulty_programs.py
+++ b/eiderfield/lab/fleet/faulty_programs.py
@@ -1,18 +1,20 @@
-"""Faulty programs for rollout tests: copies of the package whose main module calls `plant` before it starts.
+"""Builds faulty programs for rollout tests: copies of the package whose main module first calls `plant`.
+
+`plant` replaces methods of the process by faulty ones. The kinds of programs, and what each does:
 
     declines    rejects one request in ten that it could have forwarded
     slower      delays every attempt by three tenths of its class's latency objective
     forgets     drops the bans that it received in a handover, and those on file
     leaks       opens ten descriptors for every request and never closes them
     one-class   fails half of the requests of the last class, and no others
-    drains      rejects half of the requests while any worker drains
+    drains      rejects half of the requests while any worker is draining
     unready     never opens its listeners
     crashes     exits at its thirtieth request
     attempts    cancels the first attempt of one request in three, so that it goes to a second worker
     one-zone    rejects half of the requests at the dispatchers of the second zone; not drawn from seeds
-    none        no fault: a good change that is another folder
+    none        has no fault; the program only runs from another folder
 
-Part of the laboratory; the dispatcher does not import it.
+Only the laboratory uses this module; the dispatcher does not import it.
 """
 
 from __future__ import annotations
@@ -33,7 +35,7 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 NO_FAULT = "none"
-DRAWN = (
+DRAWN = (  # kinds that `rollout_draw.py` draws from
     NO_FAULT,
     "declines",
     "slower",
@@ -49,9 +51,9 @@
 
 FaultyStart = Callable[[ActionExecutor, StartAttempt, float], None]
 
-ENTRY = 'if __name__ == "__main__":'  # of the main module, before which `plant` is called
-DECLINE_INTERVAL = 10
-CANCEL_INTERVAL = 3
+ENTRY = 'if __name__ == "__main__":'  # in the main module; the call of `plant` goes right below it
+DECLINE_INTERVAL = 10  # attempts, of which one is rejected
+CANCEL_INTERVAL = 3  # requests, of which one has its first attempt cancelled
 DELAY_SHARE = 0.3  # of a class's latency objective
 CANCEL_AFTER_MS = 30.0
 LEAKED_DESCRIPTORS = 10
@@ -59,10 +61,11 @@
 PLANTED = "planted"  # reason of a cancelled attempt
 CRASH_CODE = 70
 
+# The original methods, which the faulty ones call.
 start_attempt = ActionExecutor.start_attempt
 submit: Callable[..., int] = Exchange.submit
 take_over: Callable[..., None] = RoutingTable.take_over
-number = count(1)
+call_numbers = count(1)  # of the calls that decide whether a request gets the fault
 
 
 def build(kind: str, folder: Path, root: Path = ROOT) -> Path:
@@ -82,10 +85,13 @@
 
 
 def plant_call(main: Path, kind: str) -> None:
-    """Insert a call of `plant` at the entry of a main module; raises `ValueError` if it has none."""
+    """Insert a call of `plant` at the entry of a main module.
+
+    Raises `ValueError` unless the module has exactly one entry.
+    """
     text = main.read_text()
     if text.count(ENTRY) != 1:
-        raise ValueError(f"{main} has no single entry to plant at")
+        raise ValueError(f"{main} does not have exactly one entry point")
     call = f"    from eiderfield.lab.fleet.faulty_programs import plant\n\n    plant({kind!r})\n"
     main.write_text(text.replace(ENTRY, f"{ENTRY}\n{call}"))
 
@@ -107,7 +113,7 @@
 
 
 def end_early(executor: ActionExecutor, action: StartAttempt, now: float, rejected: bool) -> None:
-    """Start an attempt, and end its request at once."""
+    """Start an attempt and, if it is the first of its request, end the request at once."""
     start_attempt(executor, action, now)
     pending = executor.requests.pending.get(action.request_id)
     if pending is None or len(pending.attempts) != 1:
@@ -122,7 +128,10 @@
 def start_or_end_early(
     is_faulty: Callable[[ActionExecutor, PendingRequest | None], bool], rejected: bool = True
 ) -> FaultyStart:
-    """Return a `start_attempt` that ends some requests early."""
+    """Return a `start_attempt` that ends early each request for which `is_faulty` returns True.
+
+    Such requests are rejected if `rejected`, otherwise they fail.
+    """
 
     def faulty_start(executor: ActionExecutor, action: StartAttempt, now: float) -> None:
         if is_faulty(executor, executor.requests.pending.get(action.request_id)):
@@ -133,72 +142,72 @@
     return faulty_start
 
 
-def one_in_ten(*_: object) -> bool:
+def every_tenth(*_: object) -> bool:
     """Return True for every tenth attempt."""
-    return next(number) % DECLINE_INTERVAL == 0
+    return next(call_numbers) % DECLINE_INTERVAL == 0
 
 
 def half_of_last_class(executor: ActionExecutor, pending: PendingRequest | None) -> bool:
     """Return True for every second attempt of a request of the last class."""
     last_class = len(executor.context.settings.classes) - 1
-    return pending is not None and pending.request.class_index == last_class and next(number) % 2 == 1
+    return pending is not None and pending.request.class_index == last_class and next(call_numbers) % 2 == 1
 
 
 def half_while_draining(executor: ActionExecutor, *_: object) -> bool:
-    """Return True for every second attempt while any worker drains."""
-    return EndpointState.DRAINING in executor.endpoints.states.values() and next(number) % 2 == 1
+    """Return True for every second attempt while any worker is draining."""
+    return EndpointState.DRAINING in executor.endpoints.states.values() and next(call_numbers) % 2 == 1
 
 
 def half_in_second_zone(executor: ActionExecutor, *_: object) -> bool:
     """Return True for every second attempt of a dispatcher in the second zone."""
-    return executor.context.settings.zone_index == 1 and next(number) % 2 == 1
+    return executor.context.settings.zone_index == 1 and next(call_numbers) % 2 == 1
 
 
 def start_late(executor: ActionExecutor, action: StartAttempt, now: float) -> None:
-    """Start an attempt after a share of its class's latency objective."""
+    """Start an attempt after a delay of `DELAY_SHARE` of its class's latency objective."""
     pending = executor.requests.pending.get(action.request_id)
-    wait = 0.0
+    delay = 0.0
     if pending is not None:
         cls = executor.context.settings.classes[pending.request.class_index]
-        wait = DELAY_SHARE * cls.latency_objective_ms
-    executor.context.timers.call_at(now + wait, lambda: start_attempt(executor, action, now + wait))
+        delay = DELAY_SHARE * cls.latency_objective_ms
+    executor.context.timers.call_at(now + delay, lambda: start_attempt(executor, action, now + delay))
 
 
-def start_twice(executor: ActionExecutor, action: StartAttempt, now: float) -> None:
-    """Start an attempt, and stop the first attempt of one request in three."""
+def start_and_cancel(executor: ActionExecutor, action: StartAttempt, now: float) -> None:
+    """Start an attempt; for one request in three, cancel its first attempt after `CANCEL_AFTER_MS`."""
     start_attempt(executor, action, now)
     pending = executor.requests.pending.get(action.request_id)
-    if pending is None or len(pending.attempts) != 1 or next(number) % CANCEL_INTERVAL != 0:
+    if pending is None or len(pending.attempts) != 1 or next(call_numbers) % CANCEL_INTERVAL != 0:
         return
     first = pending.attempts[0]
     executor.context.timers.call_at(now + CANCEL_AFTER_MS, lambda: executor.attempts.stop(first, PLANTED))
 
 
 def submit_and_leak(exchange: Any, *arguments: Any, **options: Any) -> int:
-    """Submit a request, and leak descriptors."""
+    """Submit a request and leak `LEAKED_DESCRIPTORS` descriptors."""
     for _ in range(LEAKED_DESCRIPTORS):
         os.dup(sys.stderr.fileno())
     return submit(exchange, *arguments, **options)
 
 
 def submit_or_crash(exchange: Any, *arguments: Any, **options: Any) -> int:
-    """Submit a request, or exit the process."""
-    if next(number) == CRASH_AT_REQUEST:
+    """Submit a request; exit the process at request number `CRASH_AT_REQUEST`."""
+    if next(call_numbers) == CRASH_AT_REQUEST:
         os._exit(CRASH_CODE)
     return submit(exchange, *arguments, **options)
 
 
 def forget_bans(table: Any, state: Any, *_: object) -> None:
-    """Take the endpoint list of the previous process over without its bans."""
+    """Take over the endpoint list of the previous process without its bans."""
     take_over(table, state, {})
 
 
 FAULTY_STARTS: dict[str, FaultyStart] = {
-    "declines": start_or_end_early(one_in_ten),
+    "declines": start_or_end_early(every_tenth),
     "slower": start_late,
     "one-class": start_or_end_early(half_of_last_class, rejected=False),
     "drains": start_or_end_early(half_while_draining),
-    "attempts": start_twice,
+    "attempts": start_and_cancel,
     "one-zone": start_or_end_early(half_in_second_zone),
 }
 FAULTY_SUBMITS: dict[str, Callable[..., int]] = {"leaks": submit_and_leak, "crashes": submit_or_crash}
