--- a/tests/test_rollout_fleet.py
+++ b/tests/test_rollout_fleet.py
@@ -1,4 +1,4 @@
-"""A rolling change on several real processes of the program, with faults between them."""
+"""Tests of rolling changes on fleets of real processes, under faults."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 QUICK = {"before": 1.5, "worse": 0.2, "slower": 1.0, "settle": 0.3}
 
 
-def change(**more):
-    return Change(watch=QUICK, banned_worker="w5", **more)
+def change(**fields):
+    return Change(watch=QUICK, banned_worker="w5", **fields)
 
 
-def test_a_good_change_goes_through_though_its_controller_is_lost_again_and_again(tmp_path):
+def test_change_without_fault_completes_although_controllers_are_killed(tmp_path):
     failpoints = ("before start:1", "after start:1", "written:1", "before end:1", "after end:1")
     planned = change(failpoints=failpoints)
     result = play_change(SCENARIO, planned, tmp_path / "run")
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize(
     ("kind", "why"), [("crashes", "n0"), ("forgets", "forgot the ban of w5"), ("one-class", "class confirm")]
 )
-def test_a_worse_program_is_undone_at_the_canary(kind, why, tmp_path):
+def test_faulty_program_is_undone_at_the_canary(kind, why, tmp_path):
     planned = change(program=kind)
     result = play_change(SCENARIO, planned, tmp_path / "run")
     assert (result.phase, result.stage) == ("undone", 0), result
@@ -54,7 +54,7 @@
     assert result.bans_kept
 
 
-def test_a_canary_that_is_killed_is_brought_back_and_no_other_is_touched(tmp_path):
+def test_change_with_killed_canary_is_undone_and_all_dispatchers_run_the_old_version(tmp_path):
     faults = (FaultInPhase("watching", Fault("kill", "n0", at=0.0)),)
     result = play_change(SCENARIO, change(faults=faults), tmp_path / "run")
     assert result.phase == "undone", result
@@ -62,7 +62,7 @@
     assert result.versions == dict.fromkeys(("n0", "n1", "n2"), "old")
 
 
-def test_a_canary_that_stands_still_for_a_while_is_not_taken_for_worse(tmp_path):
+def test_change_with_briefly_stopped_canary_completes(tmp_path):
     faults = (FaultInPhase("watching", Fault("stop", "n0", at=0.0, lasts=2.0)),)
     planned = change(faults=faults)
     result = play_change(SCENARIO, planned, tmp_path / "run")
@@ -72,8 +72,8 @@
     assert result.bans_kept
 
 
-def test_an_old_process_that_is_killed_as_its_successor_starts_leaves_a_fleet_of_one_side(tmp_path):
-    """Its successor finds nobody to take over from, and begins by itself; bans are on file."""
+def test_fleet_ends_on_one_version_if_an_old_process_is_killed_as_its_successor_starts(tmp_path):
+    """The successor has no process to take over from: it starts with the bans that are on file."""
     faults = (FaultInPhase("moving", Fault("kill", "n0", at=0.0)),)
     result = play_change(SCENARIO, change(faults=faults, decision="undo"), tmp_path / "run")
     version = {"done": "new", "undone": "old"}[result.phase]
@@ -83,8 +83,8 @@
     assert not result.attempts_to_banned
 
 
-def test_a_fleet_that_is_told_to_end_in_mid_stage_is_undone_and_no_job_taken_is_lost(tmp_path):
-    """The old ones are started again by whoever starts them; the canary is the controller's to bring back."""
+def test_change_whose_dispatchers_are_terminated_in_mid_stage_is_undone_without_lost_jobs(tmp_path):
+    """The laboratory restarts the old dispatchers; the controller has to restart the canary."""
     faults = (FaultInPhase("watching", Fault("term", "n0", at=0.0)),)
     faults += tuple(FaultInPhase("watching", Fault("term", n, at=0.0, lasts=1.0)) for n in ("n1", "n2"))
     result = play_change(SCENARIO, change(faults=faults), tmp_path / "run")
@@ -92,20 +92,22 @@
     assert "n0 is gone" in result.why, result
     assert result.versions == dict.fromkeys(("n0", "n1", "n2"), "old"), result
     assert result.bans_kept, result
-    assert result.findings == [], "what was taken before the end was answered"
+    assert result.findings == [], "jobs accepted before the termination were answered"
 
 
-def test_a_change_that_is_worse_in_one_zone_alone_is_undone_once_it_comes_there(tmp_path):
+def test_change_that_is_faulty_in_one_zone_is_undone_in_the_stage_of_that_zone(tmp_path):
     scenario = replace(SCENARIO, dispatchers=4, zones=2, workers=8, cell=2, rate=130.0, jobs=9000)
     result = play_change(scenario, change(program="one-zone", shares=(0.75,)), tmp_path / "run")
     assert result.phase == "undone", result
     assert result.stage == 2, result
     assert result.versions == dict.fromkeys(("n0", "n1", "n2", "n3"), "old"), result
     assert result.bans_kept, result
-    assert {finding.rule for finding in result.findings} <= {"declined"}, "the worse program alone did harm"
+    assert {finding.rule for finding in result.findings} <= {"declined"}, (
+        "the faulty program rejects requests, and nothing else breaks a rule"
+    )
 
 
-def test_a_flood_in_the_middle_of_a_good_change_stops_nothing(tmp_path):
+def test_change_without_fault_completes_during_a_flood(tmp_path):
     scenario = replace(SCENARIO, floods=((2.0, 5.0, 2.0),))
     result = play_change(scenario, change(), tmp_path / "run")
     assert result.phase == "done", result
@@ -113,10 +115,10 @@
 
 
 def during(phase, *faults):
-    return tuple(FaultInPhase(phase, Fault(what, who, at=0.0, lasts=2.0)) for what, who in faults)
+    return tuple(FaultInPhase(phase, Fault(what, target, at=0.0, lasts=2.0)) for what, target in faults)
 
 
-LOST = {
+LOST_CONNECTIONS = {
     "the canary cut off from half of its workers": (
         during("watching", ("cut", "n0>w0"), ("cut", "n0>w1"), ("cut", "n0>w2")),
         (),
@@ -129,9 +131,9 @@
 }
 
 
-@pytest.mark.parametrize("name", LOST)
-def test_whatever_is_lost_meanwhile_the_fleet_ends_on_one_side_and_keeps_the_rules(name, tmp_path):
-    faults, requests = LOST[name]
+@pytest.mark.parametrize("name", LOST_CONNECTIONS)
+def test_fleet_ends_on_one_version_and_keeps_the_rules_if_connections_are_lost(name, tmp_path):
+    faults, requests = LOST_CONNECTIONS[name]
     result = play_change(
         SCENARIO, change(faults=faults, requests=requests, decision="undo"), tmp_path / "run"
     )
@@ -142,7 +144,7 @@
     assert not result.attempts_to_banned, result
 
 
-def test_a_controller_that_cannot_see_its_canary_holds_and_ends_nobody(tmp_path):
+def test_change_is_held_and_no_process_ended_if_the_canary_is_unreachable(tmp_path):
     planned = Change(
         watch={**QUICK, "seconds": 3.0, "ready": 600.0}, lost_contacts=(LostContact("watching", 600.0, "n0"),)
     )
@@ -153,7 +155,7 @@
     assert result.versions["n1"] == result.versions["n2"] == "old"
 
 
-def test_the_marks_tell_whose_processes_are_there(tmp_path):
+def test_version_of_dispatcher_with_unmarked_process_is_old(tmp_path):
     with Fleet(Scenario(dispatchers=1, workers=2, cell=2, jobs=1), tmp_path / "run") as fleet:
         [dispatcher] = fleet.dispatchers.values()
         assert version_of(dispatcher, "any") == "old"
@@ -163,22 +165,22 @@
         assert START_ARGUMENTS[-1] == "--config"
 
 
-def test_the_same_seed_draws_the_same_change_and_worse_ones_take_turns_with_good_ones():
+def test_seed_draws_the_same_change_each_time_and_odd_seeds_draw_faulty_programs():
     drawn = [draw_change(seed) for seed in range(100)]
     assert drawn == [draw_change(seed) for seed in range(100)]
-    assert [each.change.is_good for each in drawn] == [seed % 2 == 0 for seed in range(100)]
-    assert {each.change.program for each in drawn} == set(DRAWN)
+    assert [draw.change.is_good for draw in drawn] == [seed % 2 == 0 for seed in range(100)]
+    assert {draw.change.program for draw in drawn} == set(DRAWN)
 
 
-def test_a_planted_program_is_the_package_with_one_call_more(tmp_path):
+def test_built_program_calls_plant_once_and_unknown_kind_is_rejected(tmp_path):
     folder = build("declines", tmp_path / "p")
-    main_ = (folder / "eiderfield" / "__main__.py").read_text()
-    assert main_.count("plant('declines')") == 1
+    main_text = (folder / "eiderfield" / "__main__.py").read_text()
+    assert main_text.count("plant('declines')") == 1
     with pytest.raises(ValueError, match="no such program"):
         build("better", tmp_path / "q")
 
 
-def test_intervals_of_shares():
+def test_wilson_intervals_of_extreme_shares():
     low, high = wilson(50, 50)
     assert 0.92 < low < 0.94
     assert high == 1.0
