--- a/eiderfield/rollout/state.py
+++ b/eiderfield/rollout/state.py
@@ -1,6 +1,6 @@
-"""The state of a rolling change: all that another controller needs to continue it.
+"""The state of a rolling change, as stored for a controller that continues it after a restart or takeover.
 
-It holds no process and no time, for both are observed anew.
+The state holds no processes and no clock times: each controller observes these itself.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from enum import StrEnum
 from typing import Any
 
-BaselineCounts = dict[str, dict[str, dict[str, list[float]]]]  # by dispatcher, class and measure
+BaselineCounts = dict[str, dict[str, dict[str, list[float]]]]  # moments by dispatcher, class and measure
 
 
 class Phase(StrEnum):
-    """Where a change stands; `state_machine.py` draws the transitions."""
+    """The phases of a change; `state_machine.py` describes them. The values are stored."""
 
     BEFORE = "before"
     REFUSED = "refused"
@@ -32,16 +32,16 @@
 
 @dataclass(slots=True)
 class RolloutState:
-    """The stored state of a change."""
+    """The stored state of a change, under the keys of `_KEY_OF_FIELD`."""
 
     phase: Phase = Phase.BEFORE
-    stage: int = 0  # index of the present stage
+    stage: int = 0  # index of the current stage
     reason: str = ""  # why the change is in its phase
     paused: bool = False
-    classes: list[str] = field(default_factory=list)  # request classes that the consoles report
+    classes: list[str] = field(default_factory=list)  # names of the request classes that the consoles report
     baseline: BaselineCounts = field(default_factory=dict)
-    watched: float = 0.0  # s for which the present stage has been watched
-    unreachable: dict[str, str] = field(default_factory=dict)  # members that an undo failed for, and why
+    watched: float = 0.0  # time in s for which the current stage has been watched
+    unreachable: dict[str, str] = field(default_factory=dict)  # why an undo failed, by member
 
 
 _KEY_OF_FIELD = {
@@ -58,19 +58,19 @@
 
 
 def encode_state(state: RolloutState) -> dict[str, Any]:
-    """Return the stored form of `state`: plain values that JSON can hold."""
+    """Return the stored form of `state`, which can be serialized as JSON."""
     return {key: getattr(state, name) for name, key in _KEY_OF_FIELD.items()}
 
 
 def decode_state(stored: Mapping[str, Any]) -> RolloutState:
-    """Return the state whose stored form is `stored`; a missing key keeps its default.
+    """Return the state whose stored form is `stored`; a field whose key is missing has its default value.
 
     Raises:
-        ValueError: a key or the phase is unknown.
+        ValueError: `stored` has an unknown key or phase.
     """
     unknown = sorted(set(stored) - set(_FIELD_OF_KEY))
     if unknown:
-        raise ValueError(f"unknown keys of a state: {', '.join(unknown)}")
+        raise ValueError(f"unknown keys in the stored state: {', '.join(unknown)}")
     state = RolloutState(**{_FIELD_OF_KEY[key]: value for key, value in stored.items()})
     state.phase = Phase(state.phase)
     return state
