--- a/eiderfield/rollout/state_machine.py
+++ b/eiderfield/rollout/state_machine.py
@@ -1,20 +1,22 @@
-"""The course of one change, from the observation of the whole fleet before it to its end, or back.
+"""The state machine of one rolling change: the baseline, the stages and, after a fault, the rollback.
 
-Performs no I/O and reads no clock. The phases:
+The state machine performs no I/O and reads no clock. Its phases:
 
-    before    all dispatchers are old and ready, and are watched for the baseline
-    refused   the fleet was not healthy before the start: nothing was changed       (final)
-    moving    the dispatchers of a stage are being brought to the new version
+    before    waits until all dispatchers run the old version and are ready, and measures the baseline
+    refused   the fleet was not healthy before the start, and nothing was changed               (final)
+    moving    the dispatchers of the current stage are being brought to the new version
     watching  new and old dispatchers are compared until the analysis decides
-    held      too little was observed: an operator decides
-    undoing   everything that was changed is being brought back
-    done      all dispatchers are new                                               (final)
-    undone    all dispatchers are old again                                         (final)
-    stuck     like undone, except dispatchers that could not be brought back        (final)
-
-A change is undone by the analysis, by a fault that chance cannot explain in any phase from `moving` on, and
-by an operator at any time. An operator may also pause it (what is under way is finished, nothing else begins)
-and resume it: a held stage is watched anew, a change that was undone goes forward again.
+    held      the analysis had too few observations to decide, and an operator has to
+    undoing   all changed dispatchers are being brought back to the old version
+    done      all dispatchers run the new version                                               (final)
+    undone    all dispatchers run the old version again                                         (final)
+    stuck     the undo has ended, but some dispatchers could not be brought back                (final)
+
+A change is undone when the analysis decides so, when a new dispatcher has a fault that chance cannot explain
+(in the phases `moving`, `watching` and `held`), when a dispatcher cannot be brought to the new version, or by
+an operator's command at any time. An operator may also pause a change: the actions that have begun are
+finished, and no others begin. The command to resume continues a paused change, repeats the comparison of a
+held stage, and lets a change that is being undone, or was undone, go forward again.
 """
 
 from __future__ import annotations
@@ -33,12 +35,12 @@
 Processes = Mapping[str, Sequence[ProcessStatus]]  # by member
 
 _PHASES_BEFORE_START = (Phase.BEFORE, Phase.REFUSED)
-_PHASES_GOING_FORWARD = (Phase.MOVING, Phase.WATCHING, Phase.HELD)
-_PHASES_GOING_BACK = (Phase.UNDOING, Phase.UNDONE, Phase.STUCK)
+_FORWARD_PHASES = (Phase.MOVING, Phase.WATCHING, Phase.HELD)
+_ROLLBACK_PHASES = (Phase.UNDOING, Phase.UNDONE, Phase.STUCK)
 
 
 class RolloutStateMachine:
-    """One change, from a stored state on."""
+    """The state machine of one change, which starts or continues from a stored state."""
 
     def __init__(self, plan: Plan, state: RolloutState | None = None) -> None:
         self.plan = plan
@@ -54,28 +56,28 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether the phase is final."""
+        """Whether the change is in a final phase."""
         return self.state.phase in FINAL_PHASES
 
     @property
     def started_members(self) -> list[str]:
-        """The members of the present stage and those before it, in the order in which they change."""
+        """The members of the current stage and of all earlier stages, in the order in which they change."""
         if self.state.phase in _PHASES_BEFORE_START:
             return []
         return [name for stage in self.plan.stages[: self.state.stage + 1] for name in stage]
 
     @property
     def stopping(self) -> set[int]:
-        """The pids of processes that were asked to stop, which count for neither version."""
+        """The pids of processes that were asked to stop; their results count for neither version."""
         return self._reconciler.stopping
 
     @property
     def log_likelihood_ratios(self) -> dict[str, float]:
-        """Those of the present stage, by class and measure."""
+        """The log-likelihood ratios of the current stage, by class and measure."""
         return {} if self._analysis is None else self._analysis.log_likelihood_ratios
 
     def changed_members(self, processes: Processes) -> set[str]:
-        """Return the members that are observed as new: those whose new process is, or has been, ready."""
+        """Return the members that count as new: those whose process of the new version is or was ready."""
         if self.state.phase is Phase.UNDOING or self.is_over:
             return set()
         ready = {
@@ -90,7 +92,7 @@
         }
 
     def apply_command(self, command: OperatorCommand) -> str:
-        """Apply an operator's command. Returns why it cannot be applied, "" if it was."""
+        """Apply an operator's command. Return why it has no effect, or "" if it was applied."""
         match command:
             case OperatorCommand.PAUSE:
                 applied = self._pause()
@@ -110,16 +112,16 @@
         """Return the actions to carry out after a poll of the whole fleet.
 
         Args:
-            now: Time of a steady clock in s.
-            duration: Time since the poll before, in s.
-            processes: The processes of each member.
-            observations: The window between the two polls.
+            now: Time of a monotonic clock in s.
+            duration: Time since the previous poll in s.
+            processes: The processes that this poll found, by member.
+            observations: Each dispatcher's results between the previous poll and this one.
         """
         if self.is_over:
             return []
         if self.state.phase is Phase.BEFORE:
             self._step_before(now, processes, observations)
-        elif self.state.phase in _PHASES_GOING_FORWARD:
+        elif self.state.phase in _FORWARD_PHASES:
             self._step_forward(duration, observations)
         if self.state.paused and self.state.phase is not Phase.UNDOING:
             return []
@@ -143,8 +145,8 @@
         if state.paused and not self.is_over:
             state.paused = False
         elif state.phase is Phase.HELD:
-            self._watch("watched anew by an operator's command")
-        elif state.phase in _PHASES_GOING_BACK:
+            self._start_watching("watched anew by an operator's command")
+        elif state.phase in _ROLLBACK_PHASES:
             state.unreachable.clear()
             self._enter(Phase.MOVING, "resumed by an operator's command")
         else:
@@ -218,37 +220,41 @@
                 self._enter(Phase.DONE, assessment.reason)
 
     def _step_moving(self) -> None:
-        if not self._unconverged() and not self._reconciler.failures:
-            self._watch("")
+        if not self._unconverged_members() and not self._reconciler.failures:
+            self._start_watching("")
 
     def _step_undoing(self) -> None:
         failures = self._reconciler.failures
-        if any(member not in failures for member in self._unconverged()):
+        if any(member not in failures for member in self._unconverged_members()):
             return
         self.state.unreachable = dict(failures)
         if failures:
-            named = "; ".join(f"{member}: {reason}" for member, reason in failures.items())
-            self._enter(Phase.STUCK, f"{self.state.reason}. Not brought back: {named}")
+            failure_list = "; ".join(f"{member}: {reason}" for member, reason in failures.items())
+            self._enter(Phase.STUCK, f"{self.state.reason}. Not brought back: {failure_list}")
         else:
             self._enter(Phase.UNDONE, self.state.reason)
 
-    def _unconverged(self) -> list[str]:
+    def _unconverged_members(self) -> list[str]:
         return [member for member in self.started_members if not self._reconciler.has_converged(member)]
 
-    def _watch(self, reason: str) -> None:
+    def _start_watching(self, reason: str) -> None:
         self._analysis = None
         self.state.watched = 0.0
         self._enter(Phase.WATCHING, reason)
 
     def _enter(self, phase: Phase, reason: str) -> None:
-        """Enter a phase; with an empty `reason` the reason of the previous phase stays."""
+        """Enter a phase. If `reason` is empty, the reason of the previous phase is kept."""
         self.state.phase, self.state.reason = phase, reason or self.state.reason
-        self.state.paused = False  # an undo is not delayed, and what an operator asks for takes effect
+        # A pause must not delay an undo or the effect of an operator's later command.
+        self.state.paused = False
         if phase in (Phase.MOVING, Phase.UNDOING):
             self._set_targets()
 
     def _restore_converged(self) -> None:
-        """Restore what the previous controller saw converge: if such a process is gone, that is a fault."""
+        """Mark the members that the previous controller brought to their target as converged.
+
+        If the process of such a member is gone, that is a fault, and it is not started again.
+        """
         completed_stages = self.state.stage
         if self.state.phase in (Phase.WATCHING, Phase.HELD):
             completed_stages += 1
@@ -259,13 +265,13 @@
                 self._reconciler.restore_converged(member)
 
     def _set_targets(self) -> None:
-        """Set the target version of all started members; the last one to change is the first to go back."""
-        going_back = self.state.phase in _PHASES_GOING_BACK
+        """Set the target version of all started members. A rollback takes them in reverse order."""
+        rolling_back = self.state.phase in _ROLLBACK_PHASES
         members = self.started_members
-        for member in reversed(members) if going_back else members:
-            self._reconciler.set_target(member, Version.OLD if going_back else Version.NEW)
+        for member in reversed(members) if rolling_back else members:
+            self._reconciler.set_target(member, Version.OLD if rolling_back else Version.NEW)
 
 
 def _is_healthy(processes: Sequence[ProcessStatus]) -> bool:
-    """Return whether a member has a single process, which is old and ready."""
+    """Return whether a member has exactly one process, and it runs the old version and is ready."""
     return len(processes) == 1 and processes[0].ready is True and processes[0].version is Version.OLD
