--- a/eiderfield/rollout/actions.py
+++ b/eiderfield/rollout/actions.py
@@ -1,4 +1,4 @@
-"""The versions of a dispatcher, and the actions that bring it from one to the other."""
+"""The two versions of a rolling change, and the actions that bring a dispatcher to either of them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Version(Enum):
-    """Which of the two versions a process, a member or a file is of."""
+    """The version that a process, a member or a settings file belongs to. The values are stored."""
 
     OLD = "old"
     NEW = "new"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartProcess:
-    """Start a process of `version`, whose console listens at `console`."""
+    """Start a process of `version` whose console listens on the address `console`."""
 
     member: str
     version: Version
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopProcess:
-    """Ask a process to stop, or kill it."""
+    """Ask the process `pid` to stop, or kill it if `kill` is set."""
 
     member: str
     pid: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplySettings:
-    """Put the settings of `version` in place, and ask the process, if there is one, to reload them."""
+    """Install the settings file of `version`, and ask the process `pid`, unless it is None, to reload it."""
 
     member: str
     version: Version
