--- a/eiderfield/rollout/journal.py
+++ b/eiderfield/rollout/journal.py
@@ -1,12 +1,15 @@
-"""The journal of a change: what its controller writes down so that another one can continue.
+"""The journal of a change, from which another controller can continue it.
 
-    journal.json    the plan's digest, the change's id, its state and latest entries, with a checksum
-    wish.json       a command of an operator that the controller has not handled yet (`operator_command.py`)
-    moves.jsonl     each action before it is carried out, and its outcome: for people; no program reads it
+The folder of a change holds these files:
 
-The journal is replaced as a whole (`durable.py`): a controller that dies at any moment leaves the previous
-journal or this one, and one that cannot write continues from the previous one. A journal that is torn, was
-changed by hand or belongs to another plan is refused by name.
+    journal.json    the plan's digest; the change's id, state, latest entries and processes; a checksum
+    wish.json       an operator's command that the controller has not handled yet (`operator_command.py`)
+    moves.jsonl     a line before each action and a line with its outcome; for operators, no program reads it
+
+The journal file is replaced atomically (`durable.py`), so a controller that crashes while it writes leaves
+either the previous journal or the new one. A controller whose write fails goes back to the content that was
+written last. A journal that is truncated, was edited by hand or belongs to another plan is rejected with an
+error that names the file.
 """
 
 from __future__ import annotations
@@ -33,11 +36,11 @@
 
 JOURNAL_FILE = "journal.json"
 MOVES_FILE = "moves.jsonl"
-MAX_ENTRIES = 200  # kept, the latest
+MAX_ENTRIES = 200  # older entries are dropped
 
 
 class Journal:
-    """The journal of one change: its present content, and the content that was written or read last."""
+    """The journal of one change: its current content, and the content that was written or read last."""
 
     def __init__(self, folder: Path, content: JournalContent) -> None:
         self.folder = folder
@@ -46,7 +49,7 @@
 
     @property
     def path(self) -> Path:
-        """The journal's file."""
+        """The path of the journal file."""
         return self.folder / JOURNAL_FILE
 
     @property
@@ -61,18 +64,18 @@
 
     @property
     def processes(self) -> list[ProcessRecord]:
-        """The processes that the controller knew."""
+        """The processes that the controller knows."""
         return self.content.processes
 
     def write(self, now: float, note: str = "") -> None:
-        """Write the journal, with an entry for the present state unless it would repeat the last one.
+        """Write the journal, and add an entry for the current state unless it would repeat the latest entry.
 
         Args:
-            now: Unix time in s, for people alone.
-            note: The entry's reason, in place of the state's.
+            now: Unix time of the entry in s; only shown to operators.
+            note: The reason to record in the entry; the state's reason if empty.
 
         Raises:
-            JournalWriteError: the system refused; the present content stays unwritten.
+            JournalWriteError: the file could not be written; `restore` still returns to the previous content.
         """
         entries = self.entries
         entry = JournalEntry(now, self.state.phase, self.state.stage, note or self.state.reason)
@@ -89,12 +92,12 @@
         self.content.entries, self._written = entries, body
 
     def restore(self) -> None:
-        """Return to the state and entries that were written or read last."""
+        """Reset the state and the entries to those that were written or read last."""
         written = decode_content(self._written)
         self.content.state, self.content.entries = written.state, written.entries
 
     def append_move(self, record: MoveRecord) -> None:
-        """Append a line to `moves.jsonl`; it is lost where the disk refuses it."""
+        """Append a line to `moves.jsonl`. A line that cannot be written is dropped without an error."""
         with suppress(OSError):
             append_line(self.folder / MOVES_FILE, json.dumps(encode_move(record)))
 
@@ -103,7 +106,7 @@
     """Return the journal of the change in `folder`.
 
     Raises:
-        JournalError: there is none, it is damaged, or it does not belong to `plan`.
+        JournalError: the journal is missing or damaged, or it does not belong to `plan`.
     """
     path = folder / JOURNAL_FILE
     try:
@@ -111,5 +114,7 @@
     except (OSError, ValueError, LookupError, TypeError, AttributeError) as error:
         raise JournalError(path, str(error)) from None
     if plan is not None and content.plan_digest != plan.digest:
-        raise JournalError(path, f"of another plan ({content.plan_digest}; this one is {plan.digest})")
+        raise JournalError(
+            path, f"it belongs to another plan (digest {content.plan_digest}, expected {plan.digest})"
+        )
     return Journal(folder, content)
