--- a/eiderfield/rollout/journal_codec.py
+++ b/eiderfield/rollout/journal_codec.py
@@ -1,6 +1,6 @@
-"""The stored forms of a change's journal and moves, and the types that they are read into.
+"""The stored forms of a change's journal and of its actions, and the types that represent them.
 
-The keys are those of form 1 and never change: journals of earlier programs are continued.
+The keys of format 1 must not change, because a controller also continues journals of earlier releases.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from eiderfield.rollout.actions import Action, ApplySettings, StartProcess, StopProcess, Version
 from eiderfield.rollout.state import Phase, RolloutState, decode_state, encode_state
 
-FORM = 1
+FORMAT_VERSION = 1
 
 
 @dataclass(frozen=True, slots=True)
 class JournalEntry:
-    """A step of the change, for people. `time` is Unix time in s."""
+    """A step of the change as shown to operators. `time` is Unix time in s."""
 
     time: float
     phase: Phase
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessRecord:
-    """A process that the controller knows. `created` is Unix time in s."""
+    """A process that the controller knows. `created` is its start as Unix time in s."""
 
     member: str
     version: Version
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveRecord:
-    """An action before it is carried out (`outcome` is None) or after it. `time` is Unix time in s."""
+    """An action before it is carried out (`outcome` is None), or after it. `time` is Unix time in s."""
 
     time: float
     action: Action
@@ -54,19 +54,19 @@
 
 @dataclass(slots=True)
 class JournalContent:
-    """What a journal holds."""
+    """The content of a journal."""
 
     plan_digest: str
-    change_id: str  # which the processes of the change carry
+    change_id: str  # passed to the processes that the change starts
     state: RolloutState = field(default_factory=RolloutState)
-    entries: list[JournalEntry] = field(default_factory=list)  # the latest
+    entries: list[JournalEntry] = field(default_factory=list)  # the latest, oldest first
     processes: list[ProcessRecord] = field(default_factory=list)
 
 
 def encode_content(content: JournalContent) -> str:
-    """Return the body of a journal file."""
+    """Return `content` as the body of a journal file."""
     stored = {
-        "form": FORM,
+        "form": FORMAT_VERSION,
         "plan": content.plan_digest,
         "id": content.change_id,
         "state": encode_state(content.state),
@@ -80,11 +80,11 @@
     """Return the content of a journal file's body.
 
     Raises:
-        ValueError, LookupError, TypeError: it is no body of form 1.
+        ValueError, LookupError, TypeError: `body` is not a valid body of format 1.
     """
     stored = json.loads(body)
-    if stored["form"] != FORM:
-        raise ValueError(f"it has form {stored['form']!r}, this program reads {FORM}")
+    if stored["form"] != FORMAT_VERSION:
+        raise ValueError(f"unsupported format {stored['form']!r}, expected {FORMAT_VERSION}")
     return JournalContent(
         plan_digest=str(stored["plan"]),
         change_id=str(stored["id"]),
@@ -95,7 +95,7 @@
 
 
 def seal(body: str) -> str:
-    """Return the text of a journal file: `body` and its checksum."""
+    """Return the text of a journal file, which holds `body` and its checksum."""
     return json.dumps({"sum": _checksum(body), "body": body})
 
 
@@ -108,7 +108,7 @@
     sealed = json.loads(text)
     body = sealed["body"]
     if _checksum(body) != sealed["sum"]:
-        raise ValueError("its checksum does not fit: it is torn, or was changed by hand")
+        raise ValueError("checksum mismatch: the file is damaged or was edited by hand")
     return str(body)
 
 
@@ -118,7 +118,7 @@
 
 
 def encode_process(record: ProcessRecord) -> dict[str, Any]:
-    """Return the stored form of a known process."""
+    """Return the stored form of a process record."""
     return {
         "member": record.member,
         "side": record.version.value,
@@ -129,7 +129,7 @@
 
 
 def encode_move(record: MoveRecord) -> dict[str, Any]:
-    """Return the stored form of a move: a line of `moves.jsonl`."""
+    """Return the stored form of a move record, one line of `moves.jsonl`."""
     if record.outcome is None:
         return {"t": record.time, "about_to": True, **encode_action(record.action)}
     return {"t": record.time, "came": record.outcome, **encode_action(record.action)}
@@ -149,7 +149,7 @@
 
 
 def action_name(action: Action) -> str:
-    """Return the stored name of an action's kind."""
+    """Return the stored name of the type of an action."""
     match action:
         case StartProcess():
             return "start"
