--- a/eiderfield/rollout/operator_command.py
+++ b/eiderfield/rollout/operator_command.py
@@ -1,4 +1,4 @@
-"""Commands that operators leave for the controller of a change, in the file `wish.json` of its folder."""
+"""Operators' commands to the controller of a change, passed in the file `wish.json` of its folder."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OperatorCommand(StrEnum):
-    """What an operator may ask of a change."""
+    """A command that an operator may give for a change."""
 
     PAUSE = "pause"
     RESUME = "resume"
@@ -23,17 +23,17 @@
 
 
 class _FileIdentity(NamedTuple):
-    """Distinguishes a file from the one that replaces it."""
+    """The inode and modification time, which tell a file from a later one at the same path."""
 
     inode: int
     modified_ns: int
 
 
 def send_command(folder: Path, command: str) -> None:
-    """Leave `command` for the controller of the change in `folder`.
+    """Write `command` for the controller of the change in `folder`; it replaces one that is still pending.
 
     Raises:
-        ValueError: `command` is no operator command.
+        ValueError: `command` is not an operator command.
         JournalWriteError: the command could not be written.
     """
     command = OperatorCommand(command)
@@ -45,14 +45,14 @@
 
 
 class CommandFile:
-    """The command file of a change, as its controller reads it."""
+    """The controller's view of the command file of a change."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / COMMAND_FILE
-        self._handled: _FileIdentity | None = None  # a handled command whose file could not be removed
+        self._handled: _FileIdentity | None = None  # a handled command's file that could not be removed
 
     def pending(self) -> OperatorCommand | None:
-        """Return the command that waits to be handled; None if there is none, or no valid one."""
+        """Return the command that has not been handled yet; None if there is none or it is not valid."""
         try:
             if _identity(self._path) == self._handled:
                 return None
@@ -61,9 +61,9 @@
             return None
 
     def mark_handled(self) -> None:
-        """Remove the command that was handled, or refused.
+        """Remove the file of a command that was applied or rejected.
 
-        Where the file cannot be removed, this object ignores it until another one replaces it.
+        If the file cannot be removed, `pending` ignores it until a new command replaces it.
         """
         try:
             self._path.unlink()
