--- a/eiderfield/rollout/errors.py
+++ b/eiderfield/rollout/errors.py
@@ -1,9 +1,9 @@
-"""The errors of rolling changes.
+"""The exceptions of rolling changes, with their attributes in parentheses.
 
 RolloutError
-├── JournalError          the journal of a change is missing, damaged, or of another plan (path)
-│   └── JournalWriteError the system refused to write it (path)
-├── LockError             another controller changes a dispatcher, or its lock cannot be taken (member)
+├── JournalError          the journal of a change is missing or damaged, or belongs to another plan (path)
+│   └── JournalWriteError a file of the change could not be written (path)
+├── LockError             another controller is changing the dispatcher, or its lock cannot be taken (member)
 └── ProcessError          an action on a process failed (member)
 """
 
@@ -15,14 +15,14 @@
 
 
 class RolloutError(EiderfieldError, RuntimeError):
-    """The base of all errors of rolling changes."""
+    """The base class of all exceptions of rolling changes."""
 
 
 class JournalError(RolloutError):
-    """A change cannot be read, or continued, from its folder.
+    """A change cannot be read from its folder, or cannot be continued.
 
     Attributes:
-        path: The file or folder at fault.
+        path: The file or folder that caused the error.
     """
 
     def __init__(self, path: Path, reason: str) -> None:
@@ -31,11 +31,11 @@
 
 
 class JournalWriteError(JournalError):
-    """The system refused to write a file of the change; what it was to hold does not count."""
+    """A file of the change could not be written, so its new content must not be relied on."""
 
 
 class LockError(RolloutError):
-    """Another controller changes a dispatcher, or its lock cannot be taken.
+    """Another controller is changing the dispatcher, or its lock cannot be taken.
 
     Attributes:
         member: The dispatcher's name.
