--- a/eiderfield/rollout/locks.py
+++ b/eiderfield/rollout/locks.py
@@ -1,7 +1,8 @@
-"""Locks that keep two controllers from changing one dispatcher at once.
+"""Locks that keep two controllers from changing the same dispatcher at the same time.
 
-A lock is an advisory lock of the system on a file for each console address, so that it holds whatever folder
-a change is led from, and ends with its process.
+Each console address has a lock file, on which the controller holds an advisory lock (`flock`). The path of
+the file does not depend on the change's folder, so the lock also excludes controllers of other folders.
+The operating system releases the lock when the controller's process ends.
 """
 
 from __future__ import annotations
@@ -23,10 +24,10 @@
 
 
 class DispatcherLocks:
-    """The locks of all dispatchers of a plan, held until `close` or the end of the process.
+    """The locks of all dispatchers of a plan, held until `close` is called or the process ends.
 
     Raises:
-        LockError: another controller holds one of them, or its file cannot be opened.
+        LockError: another controller holds one of the locks, or a lock file cannot be opened or locked.
     """
 
     def __init__(self, plan: Plan, folder: Path | None = None) -> None:
@@ -48,9 +49,9 @@
 
     def __exit__(
         self,
-        kind: type[BaseException] | None,
+        exc_type: type[BaseException] | None,
         error: BaseException | None,
-        trace: TracebackType | None,
+        traceback: TracebackType | None,
     ) -> None:
         self.close()
 
@@ -66,6 +67,6 @@
                 raise LockError(member, reason) from None
             except OSError as error:
                 raise LockError(member, f"cannot be locked: {path}: {error}") from None
-            with suppress(OSError):  # the lock holds even if a full disk refuses the pid
+            with suppress(OSError):  # the lock is held even if the pid cannot be written to a full disk
                 os.truncate(file.fileno(), 0)
                 os.pwrite(file.fileno(), f"{os.getpid()}\n".encode(), 0)
