--- a/eiderfield/rollout/baseline.py
+++ b/eiderfield/rollout/baseline.py
@@ -1,4 +1,4 @@
-"""How the dispatchers of a fleet differ from each other before a change."""
+"""The baseline: measurements of all dispatchers before a change, and how these differ from each other."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MeasureKey(NamedTuple):
-    """A class of requests, and what is measured of it."""
+    """A request class and a measure of it, which identify one test."""
 
     class_name: str
     measure: Measure
@@ -20,7 +20,7 @@
 class Baseline:
     """The moments of each dispatcher, class and measure before the change.
 
-    `counts` is their stored form, which the state of the change holds.
+    `counts` holds the moments in their stored form, which is part of the state of the change.
     """
 
     def __init__(self, classes: Sequence[str], counts: BaselineCounts | None = None) -> None:
@@ -28,15 +28,15 @@
         self._classes = tuple(classes)
 
     def add_window(self, observations: Iterable[Observation]) -> None:
-        """Add a window in which all dispatchers were old."""
+        """Add the observations of a window in which all dispatchers ran the old version."""
         for observation in observations:
             if observation.alive:
                 self._add(observation)
 
     def offsets(self, changing: Collection[str]) -> dict[MeasureKey, Offset]:
-        """Return by how much the dispatchers in `changing` were worse than the others, by test.
+        """Return, for each class and measure, by how much `changing` was worse than the other dispatchers.
 
-        A test with too few samples on either side is left out.
+        A class and measure with fewer than `MIN_SAMPLES` samples in either group is left out.
         """
         offsets = {}
         for class_name in self._classes:
@@ -50,10 +50,11 @@
         by_class = self.counts.setdefault(observation.dispatcher, {name: {} for name in self._classes})
         for class_name, by_measure in by_class.items():
             for measure in Measure:
-                earlier = Moments(*by_measure.get(measure, NO_SAMPLES))
-                by_measure[measure.value] = list(earlier.merged(observation.moments(class_name, measure)))
+                accumulated = Moments(*by_measure.get(measure, NO_SAMPLES))
+                by_measure[measure.value] = list(accumulated.merged(observation.moments(class_name, measure)))
 
     def _offset(self, class_name: str, measure: Measure, changing: Collection[str]) -> Offset | None:
+        # The groups are named by the versions that they run after the stage has changed; here all are old.
         new, old = NO_SAMPLES, NO_SAMPLES
         for dispatcher, by_class in self.counts.items():
             moments = by_class[class_name][measure]
