--- a/eiderfield/rollout/observation.py
+++ b/eiderfield/rollout/observation.py
@@ -1,4 +1,4 @@
-"""What one dispatcher did in one window of time, and the statistics that windows are made of."""
+"""The results of one dispatcher in one time window, and the sample moments that they are reduced to."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Measure(StrEnum):
-    """What is compared between new and old dispatchers, for each class. The values are stored."""
+    """A measure that is compared between new and old dispatchers for each class. The values are stored."""
 
     IN_TIME_SHARE = "share"  # 1 for a request that was served in time, 0 for any other
     LOG_LATENCY = "waits"  # natural logarithm of a served request's latency in ms
@@ -24,16 +24,16 @@
 
     @property
     def mean(self) -> float:
-        """The mean of the samples, of which there has to be one."""
+        """The mean of the sample, which must not be empty."""
         return self.total / self.size
 
     @property
     def variance(self) -> float:
-        """The (population) variance of the samples, of which there has to be one."""
+        """The population variance of the sample, which must not be empty."""
         return self.total_of_squares / self.size - self.mean**2
 
     def merged(self, other: Sequence[float]) -> Moments:
-        """Return the moments of the samples of both."""
+        """Return the moments of this sample and the other one combined."""
         size, total, total_of_squares = other
         return Moments(self.size + size, self.total + total, self.total_of_squares + total_of_squares)
 
@@ -43,29 +43,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """One dispatcher in one window. `completed`, `in_time` and `latencies` are by class."""
+    """The results of a dispatcher in one time window. `completed`, `in_time` and `latencies` are by class."""
 
     dispatcher: str
     is_new: bool
     alive: bool | None = True  # None: its console did not answer; the process may still run
     ready: bool = True
-    age: float = 1e9  # s since the process started, or could be observed again
+    age: float = 1e9  # time in s since the process started, or since its console answered again
     completed: Mapping[str, int] = field(default_factory=dict)
     in_time: Mapping[str, int] = field(default_factory=dict)
     descriptors: int = 0
     memory: float = 0.0  # MB
-    violation: str = ""  # a rule that it broke
-    latencies: Mapping[str, Moments] = field(default_factory=dict)  # of the logarithms of ms
+    violation: str = ""  # the rule that the dispatcher broke; empty if none
+    latencies: Mapping[str, Moments] = field(default_factory=dict)  # of natural logarithms of ms
     attempts: int | None = None  # written to workers; None where the program does not report it
     cpu_seconds: float = 0.0
 
     def moments(self, class_name: str, measure: Measure) -> Moments:
-        """Return the moments of a measure's samples of one class."""
+        """Return the moments of the sample of `measure` for one class."""
         if measure is Measure.LOG_LATENCY:
             return self.latencies.get(class_name, NO_SAMPLES)
         in_time = float(self.in_time.get(class_name, 0))
         return Moments(self.completed.get(class_name, 0), in_time, in_time)
 
     def counts(self, warm_up: float) -> bool:
-        """Return whether its figures count: it was observed, and has run for `warm_up` s."""
+        """Return whether the figures count: the console answered and the process has run for `warm_up` s."""
         return self.alive is True and self.age >= warm_up
