--- a/eiderfield/rollout/console.py
+++ b/eiderfield/rollout/console.py
@@ -1,4 +1,4 @@
-"""Asks the console of a dispatcher's process for what a controller needs."""
+"""Queries the console of a dispatcher process for its readiness, metrics and loaded settings."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from eiderfield.config.address import Address
 from eiderfield.rollout.measurement import OUTCOME_FIGURES
 
-TIMEOUT = 1.0  # s for an answer, as the product promises
+TIMEOUT_S = 1.0  # the product promises that a console answers within this time
 
 
 class ConsoleResponse(NamedTuple):
-    """The response of a console."""
+    """An HTTP response of a console."""
 
     status: int
     body: bytes
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedSettings:
-    """Which settings a process runs with, by digest, and which ones it refused."""
+    """The digests of the settings that a process runs with and of those that it rejected, if any."""
 
     pid: int
     digest: str
@@ -34,20 +34,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsoleAnswer:
-    """What a console reports of its process."""
+    """The report of a console on its process."""
 
     ready: bool
-    figures: Mapping[str, Any]  # as `/-/metrics` gives them
-    settings: LoadedSettings | None  # None where the program has no `/-/config`
+    figures: Mapping[str, Any]  # the decoded response of `/-/metrics`
+    settings: LoadedSettings | None  # None if the program does not serve `/-/config`
 
 
 def call_console(address: Address, path: str, method: str = "GET") -> ConsoleResponse:
-    """Call a console.
+    """Send an HTTP request to a console and return its response.
 
     Raises:
-        OSError, HTTPException: it does not answer.
+        OSError, HTTPException: the console does not answer.
     """
-    connection = HTTPConnection(*address, timeout=TIMEOUT)
+    connection = HTTPConnection(*address, timeout=TIMEOUT_S)
     try:
         connection.request(method, path)
         response = connection.getresponse()
@@ -57,7 +57,7 @@
 
 
 def query_console(address: Address) -> ConsoleAnswer | None:
-    """Return the report of the console at `address`; None if there is none, or it is malformed."""
+    """Return the console's report of its process; None if it does not answer, or not as expected."""
     try:
         ready = call_console(address, "/-/ready").status == HTTPStatus.OK
         figures = json.loads(call_console(address, "/-/metrics").body)
