--- a/tests/test_rollout_journal.py
+++ b/tests/test_rollout_journal.py
@@ -23,7 +23,7 @@
     return journal
 
 
-def test_a_journal_is_read_back_whole(tmp_path):
+def test_journal_read_after_write_has_the_same_state(tmp_path):
     state = {
         "phase": Phase.WATCHING,
         "stage": 1,
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "why"),
+    ("damage", "message"),
     [
         (lambda text: text[: len(text) // 2], "journal.json"),
         (lambda text: text.replace("watching", "undoing!"), "checksum"),
@@ -46,21 +46,21 @@
         (lambda text: text.replace('\\"form\\": 1', '\\"form\\": 9'), "checksum"),
     ],
 )
-def test_a_journal_that_is_torn_or_changed_is_refused_by_name(spoil, why, tmp_path):
+def test_journal_truncated_or_edited_is_rejected_with_its_path(damage, message, tmp_path):
     path = write_journal(tmp_path, phase=Phase.WATCHING).path
-    path.write_text(spoil(path.read_text()))
-    with pytest.raises(JournalError, match=why) as error:
+    path.write_text(damage(path.read_text()))
+    with pytest.raises(JournalError, match=message) as error:
         read_journal(tmp_path, PLAN)
     assert error.value.path == path
 
 
-def test_a_journal_of_another_plan_is_refused(tmp_path):
+def test_journal_of_another_plan_is_rejected(tmp_path):
     write_journal(tmp_path)
     with pytest.raises(JournalError, match="another plan"):
         read_journal(tmp_path, replace(PLAN, program="newer"))
 
 
-def test_a_command_is_pending_until_it_is_handled(tmp_path):
+def test_operator_command_is_pending_until_handled(tmp_path):
     commands = CommandFile(tmp_path)
     assert commands.pending() is None
     send_command(tmp_path, "undo")
@@ -69,16 +69,17 @@
     assert commands.pending() is None
 
 
-def test_an_unknown_command_is_neither_sent_nor_pending(tmp_path):
+def test_operator_command_unknown_is_neither_sent_nor_pending(tmp_path):
     (tmp_path / "wish.json").write_text('{"word": "explode"}')
     assert CommandFile(tmp_path).pending() is None
     with pytest.raises(ValueError, match="explode"):
         send_command(tmp_path, "explode")
 
 
-def test_two_controllers_of_one_dispatcher_are_one_too_many_even_in_two_processes(tmp_path):
+def test_dispatcher_lock_held_by_another_process_is_refused(tmp_path):
+    # The other process's plan has a member `x`, whose console is the spare console of `n0` in PLAN.
     with DispatcherLocks(PLAN, tmp_path):
-        code = (
+        script = (
             "import sys; from pathlib import Path\n"
             "from eiderfield.rollout.errors import LockError\n"
             "from eiderfield.rollout.locks import DispatcherLocks\n"
@@ -88,7 +89,7 @@
             "try: DispatcherLocks(plan, Path(sys.argv[1]))\n"
             "except LockError as error: print(error)"
         )
-        words = [sys.executable, "-c", code, str(tmp_path)]
-        ended = subprocess.run(words, capture_output=True, text=True)
-        assert "x is being changed already" in ended.stdout, ended
+        command = [sys.executable, "-c", script, str(tmp_path)]
+        completed = subprocess.run(command, capture_output=True, text=True)
+        assert "x is being changed already" in completed.stdout, completed
     DispatcherLocks(PLAN, tmp_path).close()
