--- a/eiderfield/rollout/console.py
+++ b/eiderfield/rollout/console.py
@@ -57,7 +57,7 @@
 
 
 def query_console(address: Address) -> ConsoleAnswer | None:
-    """Return the console's report of its process; None if it does not answer, or not as expected."""
+    """Return the console's report of its process; None if it does not answer or the answer is malformed."""
     try:
         ready = call_console(address, "/-/ready").status == HTTPStatus.OK
         figures = json.loads(call_console(address, "/-/metrics").body)
