--- a/eiderfield/lab/fleet/dispatcher.py
+++ b/eiderfield/lab/fleet/dispatcher.py
@@ -1,4 +1,4 @@
-"""A dispatcher of the fleet: a real process of a revision of the program, and what is asked of it."""
+"""A dispatcher of a run: starts and stops its process, sends it signals and reads its console."""
 
 from __future__ import annotations
 
@@ -21,27 +21,26 @@
 from eiderfield.lab.processes import LabError, call_console, wait_for
 from eiderfield.lab.usage import open_descriptors
 
-START_ARGUMENTS = ("-m", "eiderfield", "--config")  # which start a dispatcher with a file
+START_ARGUMENTS = ("-m", "eiderfield", "--config")  # followed by the path of the settings file
 FAILPOINT_ARGUMENTS = ("-m", "eiderfield.lab.fleet.failpoints", "--config")
 FAILPOINT_VARIABLE = "EIDERFIELD_POINT"
-FAILPOINT_MARKER = (
-    "point.json"  # as in `failpoints.py`, which only a dispatcher imports: it loads the program
-)
+# The same name as `failpoints.MARKER`: importing that module here would load the dispatcher's program.
+FAILPOINT_MARKER = "point.json"
 CONSOLE_TIMEOUT_S = 5.0
 EXIT_TIMEOUT_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class Program:
-    """A revision of the program: a folder with the package, and the interpreter that runs it."""
+    """A revision of the program: the folder that holds the package, and the interpreter that runs it."""
 
     folder: Path = ROOT
     python: str = sys.executable
-    failpoint: str = ""  # at which it fails once: NAME:NUMBER:kill:SECONDS or NAME:NUMBER:stop:SECONDS
+    failpoint: str = ""  # fails there once; NAME:NUMBER:kill:SECONDS or NAME:NUMBER:stop:SECONDS
 
 
 class Dispatcher:
-    """A dispatcher, which may be ended and started again, or replaced by a controller of a rolling change."""
+    """A dispatcher, whose process may be restarted, or replaced by the controller of a rolling change."""
 
     def __init__(
         self, name: str, program: Program, config: dict[str, Any], folder: Path, spare_console: str = ""
@@ -53,7 +52,7 @@
         self.console = self.consoles[0]
         self.config = config
         self.config_path = folder / f"{name}.toml"
-        self.temporary_folder = folder / f"{name}.tmp"  # its `$TMPDIR`, by which its processes are known
+        self.temporary_folder = folder / f"{name}.tmp"  # the `$TMPDIR` that identifies its processes
         self.temporary_folder.mkdir(exist_ok=True)
         self.descriptors_at_start = 0
         self._child: subprocess.Popen[bytes] | None = None
@@ -61,12 +60,12 @@
 
     @property
     def failpoint_marker(self) -> Path:
-        """The file that its program leaves just before it fails at its failpoint."""
+        """The file that the program writes just before it fails at its failpoint."""
         return self.temporary_folder / FAILPOINT_MARKER
 
     @property
     def pid(self) -> int:
-        """Its process's id."""
+        """The id of the current process."""
         if self._adopted is not None:
             return int(self._adopted.pid)
         assert self._child is not None
@@ -74,7 +73,7 @@
 
     @property
     def alive(self) -> bool:
-        """Whether it runs, or is stopped."""
+        """Whether the process exists, running or stopped by SIGSTOP."""
         if self._adopted is not None:
             with suppress(psutil.Error):
                 return bool(self._adopted.is_running() and self._adopted.status() != psutil.STATUS_ZOMBIE)
@@ -83,15 +82,19 @@
 
     @property
     def running(self) -> bool:
-        """Whether it is there and not stopped: one that is stopped answers nobody."""
+        """Whether the process exists and is not stopped by SIGSTOP, so that its console can answer."""
         return self.alive and self._status() not in (psutil.STATUS_STOPPED, "")
 
     def start(self, wait: bool = True) -> None:
-        """Starts it, and waits until it serves; amid faults nobody waits, for its discovery may mend next."""
+        """Start the process and, with `wait`, wait until it is ready.
+
+        A restart during a run must not wait here: the dispatcher is not ready before a fault of its discovery
+        has ended, and the caller is the one that ends faults.
+        """
         self.config_path.write_text(tomlkit.dumps(self.config))
         environ = {**os.environ, "TMPDIR": str(self.temporary_folder)}
         arguments = START_ARGUMENTS
-        if self.program.failpoint and not self.failpoint_marker.exists():  # it fails there once
+        if self.program.failpoint and not self.failpoint_marker.exists():  # it has not failed yet
             environ[FAILPOINT_VARIABLE] = self.program.failpoint
             arguments = FAILPOINT_ARGUMENTS
         self._adopted, self.console = None, self.consoles[0]
@@ -109,7 +112,7 @@
             self.descriptors_at_start = self.descriptors()
 
     def find_process(self) -> None:
-        """Adopt the process that was started last, which a controller may have started."""
+        """Make the process that was started last the current one; a controller may have started it."""
         found = sorted(self.processes(), key=lambda process: process.create_time())
         if self._child is not None:
             self._child.poll()
@@ -120,19 +123,19 @@
             self._adopted, self.console = None, self.consoles[0]
 
     def processes(self) -> list[psutil.Process]:
-        """All of its processes that run, or are stopped."""
+        """Return all processes of the dispatcher that run or are stopped by SIGSTOP."""
         found = []
         for process in psutil.process_iter():
             with suppress(psutil.Error):
-                is_own = process.environ().get("TMPDIR") == str(self.temporary_folder)
-                if is_own and process.status() != psutil.STATUS_ZOMBIE:
+                is_of_dispatcher = process.environ().get("TMPDIR") == str(self.temporary_folder)
+                if is_of_dispatcher and process.status() != psutil.STATUS_ZOMBIE:
                     found.append(process)
         return found
 
     def ready(self) -> bool:
-        """Whether it takes clients and knows workers."""
+        """Return whether the dispatcher accepts clients and discovery has listed workers to it."""
         if not self.alive:
-            raise LabError(f"{self.name} ended at its start")
+            raise LabError(f"{self.name} exited while it started")
         with suppress(OSError, ValueError, LookupError):
             return (
                 call_console(self.console, "/-/ready")[0] == HTTPStatus.OK
@@ -141,16 +144,16 @@
         return False
 
     def figures(self, timeout: float = CONSOLE_TIMEOUT_S) -> dict[str, Any]:
-        """Return the figures of its console; waits for `timeout` s at most."""
+        """Return the metrics of the console; wait for `timeout` s at most."""
         figures: dict[str, Any] = json.loads(call_console(self.console, "/-/metrics", timeout=timeout)[1])
         return figures
 
     def descriptors(self) -> int:
-        """How many descriptors it holds."""
+        """Return the number of open file descriptors of the process."""
         return open_descriptors(self.pid)
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends it a signal, if it is there."""
+        """Send a signal to the process if it exists; wait for SIGSTOP to take effect."""
         if not self.alive:
             return
         os.kill(self.pid, number)
@@ -158,9 +161,10 @@
             wait_for(f"{self.name} is stopped", lambda: self._status() == psutil.STATUS_STOPPED)
 
     def wait(self, timeout: float = EXIT_TIMEOUT_S) -> int | None:
-        """Its exit code once it has ended; None if it does not within `timeout` s.
+        """Wait for the exit of the process and return its exit code, or None after `timeout` s.
 
-        Of a process that is no child of the run's only that it ended is known: 0 stands for that.
+        The exit code of a process that a controller started is unknown, as it is no child of the run; 0 is
+        returned for it.
         """
         if self._adopted is not None:
             with suppress(psutil.TimeoutExpired):
@@ -172,7 +176,7 @@
         return None
 
     def end(self) -> None:
-        """Ends it at once, with all of its processes."""
+        """Kill all processes of the dispatcher."""
         for process in self.processes():
             with suppress(psutil.Error):
                 process.kill()
