--- a/eiderfield/lab/fleet/proxy.py
+++ b/eiderfield/lab/fleet/proxy.py
@@ -1,13 +1,18 @@
-"""The links between the processes, each through a listener of its own, so that each can fail by itself.
+"""A TCP proxy with a listener for each link between two processes, so that each link can fail by itself.
 
-    python -m eiderfield.lab.fleet.proxy        commands come as JSON lines
+    python -m eiderfield.lab.fleet.proxy        reads commands as JSON lines
 
-Theory of operation. A link has a listener and a target; a connection to the one becomes a connection to the
-other, and two pumps carry bytes. A pump looks at its link's state before it passes anything on: a cut one
-reads and keeps nothing (bytes in flight when a machine vanishes are lost, and so is what TCP would have
-sent again only after the run), a delayed one passes on later and in order, a dripping one a few bytes at a
-time. What is not covered: a connection attempt over a cut link comes up, for the kernel answers it, and
-then falls silent; loss of single packets, which TCP hides.
+A link has a listener and a target. For each connection that the listener accepts, the proxy opens one to the
+target, and a pump for each direction copies the bytes. A pump checks the faults of its link before it
+forwards data:
+
+    cut     data is read and discarded: data in flight is lost when a machine vanishes, and TCP would
+            retransmit the rest only after the end of the run
+    delay   data is forwarded later and in order
+    drip    data is forwarded a few bytes at a time
+
+Limits of the simulation: a connection attempt over a cut link succeeds, because the kernel accepts it, and
+then stalls; the loss of single packets is not simulated, as TCP hides it.
 """
 
 from __future__ import annotations
@@ -29,39 +34,41 @@
 )
 
 READ_SIZE = 65536
-TICK_S = 0.02  # between two drops of a dripping link
-BACKLOG = 512  # connections that wait at a link's listener
-QUEUE_LENGTH = 1024  # pieces that a delayed link holds
+TICK_S = 0.02  # between two writes of a dripping link
+BACKLOG = 512  # connections that wait to be accepted by a link
+QUEUE_LENGTH = 1024  # reads that a pump buffers for each direction of a connection
 
 
 class Link:
-    """One link, and the connections that go over it."""
+    """A link, its faults and its open connections."""
 
     def __init__(self, name: str, target: tuple[str, int]) -> None:
         self.name = name
         self.target = target
         self.is_cut = {"there": False, "back": False}
         self.delay = 0.0  # s
-        self.drip = 0.0  # bytes a second, 0 for all at once
+        self.drip = 0.0  # bytes per second; 0 is unlimited
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """A connection over the link, until it ends on both sides."""
+        """Forward a connection until both directions have ended."""
         self.writers.add(writer)
-        far: asyncio.StreamWriter | None = None
+        target_writer: asyncio.StreamWriter | None = None
         try:
             try:
-                far_reader, far = await asyncio.open_connection(*self.target)
+                target_reader, target_writer = await asyncio.open_connection(*self.target)
             except OSError:
-                _reset(writer)  # as the far side's kernel would
+                _reset(writer)  # as the kernel of the target would refuse the connection
                 return
-            self.writers.add(far)
-            await asyncio.gather(self._pump(reader, far, "there"), self._pump(far_reader, writer, "back"))
+            self.writers.add(target_writer)
+            await asyncio.gather(
+                self._pump(reader, target_writer, "there"), self._pump(target_reader, writer, "back")
+            )
         finally:
-            for end in (writer, far):
-                if end is not None:
-                    self.writers.discard(end)
-                    end.close()
+            for end_writer in (writer, target_writer):
+                if end_writer is not None:
+                    self.writers.discard(end_writer)
+                    end_writer.close()
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: str) -> None:
         queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(QUEUE_LENGTH)
@@ -74,7 +81,7 @@
         except OSError:
             sender.cancel()
             _reset(writer)
-        with suppress(asyncio.CancelledError, OSError, RuntimeError):  # RuntimeError: it was half closed
+        with suppress(asyncio.CancelledError, OSError, RuntimeError):  # RuntimeError: write after write_eof()
             await sender
 
     async def _send(
@@ -82,9 +89,9 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            at, data = await queue.get()
-            if at > loop.time():
-                await asyncio.sleep(at - loop.time())
+            send_at, data = await queue.get()
+            if send_at > loop.time():
+                await asyncio.sleep(send_at - loop.time())
             if not data:
                 await self._send_end(writer, direction)
                 return
@@ -100,13 +107,13 @@
         await writer.drain()
 
     async def _send_end(self, writer: asyncio.StreamWriter, direction: str) -> None:
-        while self.is_cut[direction]:  # an end is forwarded once the link is back
+        while self.is_cut[direction]:  # the end of file is forwarded once the link is no longer cut
             await asyncio.sleep(TICK_S)
         if writer.can_write_eof():
             writer.write_eof()
 
     def set_fault(self, command: SetLinkFault) -> None:
-        """Begins or ends a fault of the link."""
+        """Start or end a fault of the link."""
         match command.fault:
             case "cut":
                 for direction in self.is_cut:
@@ -121,12 +128,12 @@
                 self.close_half()
 
     def reset(self) -> None:
-        """Breaks every connection on both sides."""
+        """Reset every connection on both sides."""
         for writer in list(self.writers):
             _reset(writer)
 
     def close_half(self) -> None:
-        """Shut down one direction of every connection: the process behind the target reads an end of file."""
+        """Send an end of file to both sides of every connection, which remain open for reading."""
         for writer in list(self.writers):
             with suppress(OSError, RuntimeError):
                 if writer.can_write_eof() and not writer.is_closing():
@@ -141,7 +148,7 @@
 
 
 class Proxy:
-    """All links of a run."""
+    """The links of a run."""
 
     def __init__(self) -> None:
         self._links: dict[str, Link] = {}
@@ -166,7 +173,7 @@
 
 
 async def serve() -> None:
-    """Open links and carry out commands on them until the input ends."""
+    """Run the proxy until the end of the input."""
     proxy = Proxy()
     announce(READY)
     await serve_commands(proxy.execute)
