--- a/eiderfield/lab/fleet/backends.py
+++ b/eiderfield/lab/fleet/backends.py
@@ -1,6 +1,6 @@
-"""The process of all stand-in workers and of the discovery that lists them.
+"""The process that runs all simulated workers and the discovery that lists them.
 
-python -m eiderfield.lab.fleet.backends FOLDER        commands come as JSON lines
+python -m eiderfield.lab.fleet.backends FOLDER        reads commands as JSON lines
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 from eiderfield.lab.fleet.scenario import DISCOVERY, ONLY_ZONE
 from eiderfield.lab.fleet.workers import DELETED, DRAINING, SERVING, Worker, WorkerConnection, WorkerGroup
 
-BACKLOG = 256  # connections that wait at a worker's listener
+BACKLOG = 256  # connections that wait to be accepted by a worker
 
 
 class Backends:
-    """All workers, and discovery."""
+    """All workers of a run, and discovery."""
 
     def __init__(self, folder: Path) -> None:
         self._log = EventLogWriter(folder / WORKER_EVENTS)
@@ -62,22 +62,22 @@
             self._worker_faults[command.fault](worker, command.active, command.value)
 
     async def _open(self, command: OpenBackends) -> None:
-        """Opens the ports that the run has chosen."""
-        self._make_workers(command)
-        kind = ConsulDiscovery if command.discovery_kind == "consul" else Discovery
-        self._discovery = kind(self._workers, command.addresses, self._log)
+        """Create the workers and discovery, and listen on the ports of the command."""
+        self._create_workers(command)
+        discovery_class = ConsulDiscovery if command.discovery_kind == "consul" else Discovery
+        self._discovery = discovery_class(self._workers, command.addresses, self._log)
         loop = asyncio.get_running_loop()
         for dispatcher, ports in command.ports.items():
             for name, address in ports.items():
                 host, port = parse_address(address, name)
-                make = partial(WorkerConnection, self._workers[name], dispatcher)
-                await loop.create_server(make, host, port, backlog=BACKLOG)
+                create_connection = partial(WorkerConnection, self._workers[name], dispatcher)
+                await loop.create_server(create_connection, host, port, backlog=BACKLOG)
         for dispatcher, address in command.discovery_ports.items():
             host, port = parse_address(address, dispatcher)
             await asyncio.start_server(partial(self._discovery.serve, dispatcher), host, port)
         announce(OPEN)
 
-    def _make_workers(self, command: OpenBackends) -> None:
+    def _create_workers(self, command: OpenBackends) -> None:
         settings = command.settings
         groups: dict[int, WorkerGroup] = {}
         for number, name in enumerate(command.workers):
@@ -113,29 +113,29 @@
 
 
 def zone_of_group(number: int, settings: WorkerSettings) -> str:
-    """The zone of a group's workers."""
+    """Return the zone of a group's workers."""
     return ONLY_ZONE if settings.zones == 1 else f"z{number % settings.zones}"
 
 
 def set_failing(worker: Worker, active: bool, _value: float) -> None:
-    """Begins or ends that a worker fails all its jobs."""
+    """Have a worker fail every request, or end this fault."""
     worker.is_failing = active
 
 
 def set_silent(worker: Worker, active: bool, _value: float) -> None:
-    """Begins or ends that a worker's machine has vanished."""
+    """Have a worker's machine neither read nor send, or end this fault and reset its connections."""
     worker.is_silent = active
     if not active:
         worker.reset_connections()
 
 
 def set_slow(worker: Worker, active: bool, value: float) -> None:
-    """Begins or ends that a worker runs its jobs so many times longer."""
+    """Have a worker's jobs take `value` times as long, or end this fault."""
     worker.slowdown = value if active else 1.0
 
 
 async def serve(folder: Path) -> None:
-    """Plays workers and discovery until the input ends."""
+    """Run the workers and discovery until the end of the input."""
     backends = Backends(folder)
     announce(READY)
     await serve_commands(backends.execute)
--- a/eiderfield/lab/fleet/discovery.py
+++ b/eiderfield/lab/fleet/discovery.py
@@ -1,4 +1,7 @@
-"""A stand-in for the platform's discovery; each dispatcher's agent announces that dispatcher's own links."""
+"""A simulation of the platform's discovery, with one agent for each dispatcher.
+
+The addresses that an agent lists are those of the dispatcher's own links to the workers.
+"""
 
 from __future__ import annotations
 
@@ -11,15 +14,15 @@
 from eiderfield.lab.fleet.event_log import EventLogWriter
 from eiderfield.lab.fleet.workers import RESPONSE_HEAD, Worker
 
-KEEPALIVE_S = 2.0  # between two empty lines on a watch
+KEEPALIVE_S = 2.0  # between two keepalive lines on a watch
 SILENCE_POLL_S = 0.05
-LATE_POLL_S = 0.1  # until a change is announced again while discovery is silent
+RETRY_INTERVAL_S = 0.1  # until an announcement is tried again while discovery is silent
 
 Addresses = dict[str, dict[str, str]]  # by dispatcher and worker
 
 
 class Discovery:
-    """What lists the workers to dispatchers, on watches that stay open."""
+    """Lists the workers to the dispatchers on watches, which are responses that stay open."""
 
     def __init__(self, workers: dict[str, Worker], addresses: Addresses, log: EventLogWriter) -> None:
         self.workers = workers
@@ -33,12 +36,12 @@
     async def serve(
         self, dispatcher: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answers a dispatcher's watch until its connection ends."""
+        """Serve a dispatcher's watch until its connection ends."""
         with suppress(OSError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
             await self._wait_while_silent()
             writer.write(RESPONSE_HEAD)
-            self._push(writer, dispatcher, self.workers, snapshot=True)
+            self._send_entries(writer, dispatcher, self.workers, snapshot=True)
             self._watches.add((writer, dispatcher))
             while not reader.at_eof():
                 with suppress(TimeoutError):
@@ -50,14 +53,14 @@
         writer.close()
 
     def worker_changed(self, name: str) -> None:
-        """Announce the state of a worker, after the delay."""
-        asyncio.get_running_loop().call_later(self.delay, self._tell_change, name)
+        """Announce the state of a worker after the delay."""
+        asyncio.get_running_loop().call_later(self.delay, self._announce_change, name)
 
     def entries(self, dispatcher: str, names: Iterable[str]) -> list[dict[str, Any]]:
-        """Workers as the endpoint list of a dispatcher names them."""
+        """Return the entries of the named workers in a dispatcher's endpoint list."""
         return [self._entry(dispatcher, self.workers[name]) for name in names]
 
-    def log_told(self, dispatcher: str, statuses: dict[str, str]) -> None:
+    def log_announcement(self, dispatcher: str, statuses: dict[str, str]) -> None:
         """Log which states were announced to a dispatcher."""
         self._log.write("told", to=dispatcher, workers=statuses)
 
@@ -65,18 +68,18 @@
         while self.is_silent:
             await asyncio.sleep(SILENCE_POLL_S)
 
-    def _tell_change(self, name: str) -> None:
+    def _announce_change(self, name: str) -> None:
         if self.is_silent:
-            asyncio.get_running_loop().call_later(LATE_POLL_S, self._tell_change, name)
+            asyncio.get_running_loop().call_later(RETRY_INTERVAL_S, self._announce_change, name)
             return
         self.index += 1
-        self._change_told(name)
+        self._send_change(name)
 
-    def _change_told(self, name: str) -> None:
+    def _send_change(self, name: str) -> None:
         for writer, dispatcher in list(self._watches):
-            self._push(writer, dispatcher, [name], snapshot=False)
+            self._send_entries(writer, dispatcher, [name], snapshot=False)
 
-    def _push(
+    def _send_entries(
         self, writer: asyncio.StreamWriter, dispatcher: str, names: Iterable[str], snapshot: bool
     ) -> None:
         endpoints = self.entries(dispatcher, names)
@@ -84,7 +87,7 @@
         line = json.dumps(message).encode() + b"\n"
         with suppress(OSError, RuntimeError):
             writer.write(b"%x\r\n%s\r\n" % (len(line), line))
-        self.log_told(dispatcher, {entry["name"]: entry["status"] for entry in endpoints})
+        self.log_announcement(dispatcher, {entry["name"]: entry["status"] for entry in endpoints})
 
     def _entry(self, dispatcher: str, worker: Worker) -> dict[str, Any]:
         return {
