--- a/eiderfield/lab/fleet/scenario.py
+++ b/eiderfield/lab/fleet/scenario.py
@@ -36,7 +36,7 @@
 RESOURCE_FAULTS = ("descriptors", "memory", "disk")
 DIRECTIONS = ("both", "there", "back")
 DISCOVERY_KINDS = ("platform", "consul")
-EFFECTS = ("retryable", "dedup", "fragile")
+EFFECTS = ("retryable", "dedup", "fragile")  # safe to repeat, safe with a key, unsafe
 DISCOVERY = "source"  # the name of service discovery as a fault's target
 ONLY_ZONE = "here"  # the name of the zone in a scenario with one zone
 
@@ -54,7 +54,8 @@
 
     `run` is the running time in ms, `slots` the number of worker slots that the job occupies while it runs.
     The latency objective of a job is `goal` (ms) plus `stretch` times its running time. `deadline` is in ms.
-    `share` is the weight of the class when the jobs of a scenario are drawn.
+    `share` is the weight of the class when the jobs of a scenario are drawn. `worth` is the class's value in
+    the dispatchers' settings, and `effect`, one of `EFFECTS`, says how a job may be repeated.
     """
 
     name: str
