--- a/eiderfield/lab/fleet/addresses.py
+++ b/eiderfield/lab/fleet/addresses.py
@@ -9,7 +9,7 @@
 
 BASE_PORT = 10_000  # below the range of ephemeral ports
 POOLS_PER_PROCESS = 8  # distance between the first hosts tried by processes with successive ids
-FIRST_SECOND_OCTET = 64  # all hosts are in 127.64.0.0/10
+MIN_SECOND_OCTET = 64  # all hosts are in 127.64.0.0/10
 SECOND_OCTETS = 64
 OCTET_VALUES = 250  # each of the last two octets of a host is from 1 to 250
 HOSTS = SECOND_OCTETS * OCTET_VALUES * OCTET_VALUES
@@ -52,4 +52,4 @@
     """Return the loopback host with a number from 0 to `HOSTS` - 1."""
     first, rest = divmod(number, OCTET_VALUES * OCTET_VALUES)
     second, third = divmod(rest, OCTET_VALUES)
-    return f"127.{FIRST_SECOND_OCTET + first}.{1 + second}.{1 + third}"
+    return f"127.{MIN_SECOND_OCTET + first}.{1 + second}.{1 + third}"
