--- a/eiderfield/lab/fleet/failpoints.py
+++ b/eiderfield/lab/fleet/failpoints.py
@@ -30,14 +30,14 @@
 
 def fail_at(failpoint: str) -> None:
     """Patch the dispatcher's classes so that this process fails at `failpoint`, the variable's value."""
-    target, number, how, seconds = failpoint.split(":")
+    target, number, action, seconds = failpoint.split(":")
     counts: Counter[str] = Counter()
 
     def reach_failpoint(name: str) -> None:
         counts[name] += 1
         if name == target and counts[name] == int(number):
-            leave_marker(how, float(seconds))
-            os.kill(os.getpid(), signal.SIGKILL if how == "kill" else signal.SIGSTOP)
+            leave_marker(action, float(seconds))
+            os.kill(os.getpid(), signal.SIGKILL if action == "kill" else signal.SIGSTOP)
 
     reports: Any = WorkerReports
     request_written = reports.request_written
@@ -50,11 +50,11 @@
     reports.request_written = request_written_with_failpoint
 
 
-def leave_marker(how: str, seconds: float) -> None:
+def leave_marker(action: str, seconds: float) -> None:
     """Write to the marker file how this process fails, and after how many seconds the run ends the fault."""
     marker = Path(tempfile.gettempdir()) / MARKER_FILE
     draft = marker.with_suffix(".draft")
-    draft.write_text(json.dumps([how, seconds]))
+    draft.write_text(json.dumps([action, seconds]))
     draft.replace(marker)
 
 
