--- a/eiderfield/lab/fleet/dispatcher_config.py
+++ b/eiderfield/lab/fleet/dispatcher_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a scenario's dispatchers."""
+"""Builds the configuration of a scenario's dispatchers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from eiderfield.lab.fleet.scenario import Scenario
 
-MAX_ATTEMPTS = 4
+MAX_ATTEMPTS = 4  # of a request
 DIAL_TIMEOUT_MS = 150.0
 CONNECTION_IDLE_MS = 8000.0
 ANSWER_SLACK_MS = 8.0
@@ -20,7 +20,7 @@
 def dispatcher_config(
     scenario: Scenario, name: str, listen: str, console: str, discovery: str, folder: Path
 ) -> dict[str, Any]:
-    """The configuration of a dispatcher; `folder` is the run's."""
+    """Return the configuration of the dispatcher `name`; `folder` is the folder of the run."""
     config = {
         "name": name,
         "listen": listen,
@@ -31,8 +31,8 @@
     }
     if scenario.custody:
         classes = [job_class.name for job_class in scenario.job_classes]
-        stores = str((folder / "custody").resolve())
-        config["custody"] = {"folder": stores, "classes": classes, **scenario.custody}
+        store_folder = str((folder / "custody").resolve())
+        config["custody"] = {"folder": store_folder, "classes": classes, **scenario.custody}
     return config
 
 
@@ -49,7 +49,7 @@
         "zones": scenario.zone_names,
         "kinds": ["std"],
         "locality": scenario.zone_names.index(scenario.zone_of(name)),
-        "classes": _classes(scenario),
+        "classes": _class_settings(scenario),
         "family_info": {
             "tells_start": True,
             "progress": scenario.progress,
@@ -79,7 +79,7 @@
     return settings
 
 
-def _classes(scenario: Scenario) -> list[dict[str, Any]]:
+def _class_settings(scenario: Scenario) -> list[dict[str, Any]]:
     return [
         {
             "name": job_class.name,
