--- a/eiderfield/lab/fleet/durable_run.py
+++ b/eiderfield/lab/fleet/durable_run.py
@@ -1,7 +1,7 @@
-"""Durable requests on real processes under load: kills, stops and cuts, judged from the event logs.
+"""Runs scenarios with durable requests: real processes under load, which are killed, stopped or cut off.
 
-`play_durable` runs one scenario and sums the console figures of all dispatchers. Only the rules (`rules.py`)
-decide what is right or wrong.
+`play_durable` runs one scenario, computes its statistics from the event logs, and sums the console figures of
+all dispatchers. Only the rules (`rules.py`) decide whether a run is correct.
 """
 
 from __future__ import annotations
@@ -23,35 +23,35 @@
 from eiderfield.lab.fleet.scenario import Scenario
 from eiderfield.lab.processes import LabError
 
-COUNTED_BEFORE_KILL_S = 0.5  # jobs are counted that were first sent so long before a kill
-COUNTED_AFTER_KILL_S = 10.0  # and so long after it
-LOST_SLACK_S = 0.5  # by which a client may notice a kill before the kill is recorded
-CONSOLE_TIMEOUT_S = 0.3  # a dispatcher that has just been stopped must not delay the other faults
+COUNTED_BEFORE_KILL_S = 0.5  # a job counts as near a kill if first sent at most this long before it
+COUNTED_AFTER_KILL_S = 10.0  # or at most this long after it
+KILL_RECORD_SLACK_S = 0.5  # a client may notice a kill this long before the run records it
+CONSOLE_TIMEOUT_S = 0.3  # short, since a stopped dispatcher must not delay the next faults
 CONSOLE_INTERVAL_S = 0.25
-FAILED = 502
+FAILED_STATUS = 502
 
 
 @dataclass
 class DurableResult:
-    """The result of a run."""
+    """The findings and statistics of a run."""
 
     findings: list[Finding]
     faults: list[InjectedFault]
     counts: dict[str, int]
     figures: dict[str, float]  # console figures of durable requests, summed over all processes
-    fences: Counter[str]  # by reason, how many incarnations were fenced
+    fences: Counter[str]  # number of fenced incarnations by reason
     unanswered: int  # jobs without a final answer
-    may_have_run: int  # jobs that ended as failed
+    may_have_run: int  # jobs whose only final status is 502, so that an attempt may have run
     takeovers: list[float] = field(default_factory=list)  # s from a kill to a job's next attempt or answer
-    sent_near_kills: int = 0  # jobs first sent shortly before a kill or within 10 s of it
-    in_time_near_kills: int = 0  # of these, served within their objectives
+    sent_near_kills: int = 0  # jobs first sent from 0.5 s before a kill to 10 s after it
+    in_time_near_kills: int = 0  # of these, the jobs served within their latency objectives
 
 
 class ConsoleSums:
-    """Sums console figures over processes that come and go: each process counts from zero."""
+    """Sums console figures over all dispatcher processes, also ended ones; each process counts from zero."""
 
     def __init__(self, dispatchers: Mapping[str, Dispatcher]) -> None:
-        """Poll the consoles of some dispatchers, by name."""
+        """Create sums over the dispatchers of a run, given by name."""
         self._dispatchers = dispatchers
         self._last: dict[tuple[str, int], dict[str, Any]] = {}
         self._next_at = 0.0
@@ -62,7 +62,7 @@
             self.poll_now()
 
     def poll_now(self) -> None:
-        """Read the figures of all running dispatchers."""
+        """Read the figures of all running dispatchers now. Without an answer the last figures stay."""
         self._next_at = time.monotonic() + CONSOLE_INTERVAL_S
         for name, dispatcher in self._dispatchers.items():
             if dispatcher.running:
@@ -70,7 +70,7 @@
                     self._last[name, dispatcher.pid] = dispatcher.figures(CONSOLE_TIMEOUT_S)["custody"]
 
     def sums(self) -> dict[str, float]:
-        """Return the sums of all figures, by name."""
+        """Return the sum of each figure over all processes, by the figure's name."""
         total: Counter[str] = Counter()
         for figures in self._last.values():
             total.update({name: value for name, value in figures.items() if isinstance(value, int | float)})
@@ -78,30 +78,30 @@
 
 
 def play_durable(scenario: Scenario, folder: Path, programs: Mapping[str, Program]) -> DurableResult:
-    """Run a scenario whose dispatchers have durable requests, and return its result."""
+    """Run a scenario, in which some dispatchers may run another program, and return its result."""
     with Fleet(scenario, folder, programs) as fleet:
         consoles = ConsoleSums(fleet.dispatchers)
         result = fleet.play(consoles.poll, before_rest=consoles.poll_now)
     clients, workers = read_events(folder / CLIENT_EVENTS), read_events(folder / WORKER_EVENTS)
-    near_kills = sent_near_kills(clients, result.faults)
-    in_time = near_kills & served_in_time(scenario, clients, workers)
+    jobs_near_kills = jobs_sent_near_kills(clients, result.faults)
+    jobs_in_time = jobs_near_kills & jobs_served_in_time(scenario, clients, workers)
     statuses = final_statuses(clients)
     return DurableResult(
         findings=result.findings,
         faults=result.faults,
         counts=result.counts,
         figures=consoles.sums(),
-        fences=fences(folder / "custody"),
+        fences=count_fences(folder / "custody"),
         unanswered=sum(not each for each in statuses.values()),
-        may_have_run=sum(each == {FAILED} for each in statuses.values()),
-        takeovers=takeovers(clients, workers, result.faults),
-        sent_near_kills=len(near_kills),
-        in_time_near_kills=len(in_time),
+        may_have_run=sum(each == {FAILED_STATUS} for each in statuses.values()),
+        takeovers=takeover_times(clients, workers, result.faults),
+        sent_near_kills=len(jobs_near_kills),
+        in_time_near_kills=len(jobs_in_time),
     )
 
 
-def fences(folder: Path) -> Counter[str]:
-    """Return how many incarnations were fenced, by reason."""
+def count_fences(folder: Path) -> Counter[str]:
+    """Return the number of fenced incarnations by reason, from the shared folder of the dispatchers."""
     if not (folder / "form").exists():
         return Counter()
     shared = SharedFolder(folder, create=False).fences
@@ -109,7 +109,7 @@
 
 
 def final_statuses(clients: Sequence[Event]) -> dict[str, set[int]]:
-    """Return the final statuses of each job's tries, an empty set for a job without a final answer."""
+    """Return the final statuses of each job, rejections left out: an empty set without a final answer."""
     found: dict[str, set[int]] = {event["job"]: set() for event in clients if event["what"] == "asked"}
     for event in clients:
         if event["what"] == "answered" and event["status"] not in REJECTED:
@@ -117,41 +117,49 @@
     return found
 
 
-def takeovers(
+def takeover_times(
     clients: Sequence[Event], workers: Sequence[Event], faults: Sequence[InjectedFault]
 ) -> list[float]:
-    """Return the seconds until each job that broke with a killed dispatcher was seen again."""
+    """Return the seconds from a kill to the recovery of each attempt that lost its connection by the kill."""
     found = []
     for event in clients:
         if event["what"] != "broke":
             continue
         kills = [fault.since for fault in faults if fault.who == event["at"] and fault.what == "kill"]
-        earlier = [since for since in kills if since <= event["t"] + LOST_SLACK_S]
-        if earlier:
-            again = seen_again(event, clients, workers, earlier[-1])
-            if again:
-                found.append(min(again) - earlier[-1])
+        earlier_kills = [since for since in kills if since <= event["t"] + KILL_RECORD_SLACK_S]
+        if earlier_kills:
+            recovered_at = recovery_times(event, clients, workers, earlier_kills[-1])
+            if recovered_at:
+                found.append(min(recovered_at) - earlier_kills[-1])
     return found
 
 
-def seen_again(broke: Event, clients: Sequence[Event], workers: Sequence[Event], since: float) -> list[float]:
-    """Return when a job came to a worker from another dispatcher, or was answered to its client."""
-    came = [
+def recovery_times(
+    disconnection: Event, clients: Sequence[Event], workers: Sequence[Event], since: float
+) -> list[float]:
+    """Return the times at which a job recovered from a broken connection to a dispatcher killed at `since`.
+
+    These are the times at which an attempt from another dispatcher reached a worker after `since`, and those
+    of all answers to the job's client.
+    """
+    received = [
         event["t"]
         for event in workers
         if event["what"] == "came"
-        and event["job"] == broke["job"]
-        and event["by"] != broke["at"]
+        and event["job"] == disconnection["job"]
+        and event["by"] != disconnection["at"]
         and event["t"] > since
     ]
     answered = [
-        event["t"] for event in clients if event["what"] == "answered" and event["job"] == broke["job"]
+        event["t"]
+        for event in clients
+        if event["what"] == "answered" and event["job"] == disconnection["job"]
     ]
-    return came + answered
+    return received + answered
 
 
 def first_sent(clients: Sequence[Event]) -> dict[str, float]:
-    """Return when each job was first sent, in s."""
+    """Return the time in s at which each job was first sent to a dispatcher."""
     sent: dict[str, float] = {}
     for event in clients:
         if event["what"] == "asked":
@@ -159,8 +167,8 @@
     return sent
 
 
-def sent_near_kills(clients: Sequence[Event], faults: Sequence[InjectedFault]) -> set[str]:
-    """Return the jobs that were first sent shortly before a kill or after it."""
+def jobs_sent_near_kills(clients: Sequence[Event], faults: Sequence[InjectedFault]) -> set[str]:
+    """Return the jobs that were first sent at most 0.5 s before a kill or 10 s after it."""
     kills = [fault.since for fault in faults if fault.what == "kill"]
     return {
         job
@@ -169,8 +177,8 @@
     }
 
 
-def served_in_time(scenario: Scenario, clients: Sequence[Event], workers: Sequence[Event]) -> set[str]:
-    """Return the jobs that were served within their objectives."""
+def jobs_served_in_time(scenario: Scenario, clients: Sequence[Event], workers: Sequence[Event]) -> set[str]:
+    """Return the jobs that were served within their latency objectives, measured from their first sending."""
     objectives = {each.name: (each.goal / 1000.0, each.stretch / 1000.0) for each in scenario.job_classes}
     runs = {event["job"]: event["run"] for event in workers if event["what"] == "came"}
     sent = first_sent(clients)
