--- a/eiderfield/lab/fleet/durable_draw.py
+++ b/eiderfield/lab/fleet/durable_draw.py
@@ -1,4 +1,4 @@
-"""Runs of durable requests drawn from seeds: one to three dispatchers are killed, stopped or cut off."""
+"""Draws runs of durable requests from seeds. In each, 1 to 3 dispatchers are killed, stopped or cut off."""
 
 from __future__ import annotations
 
@@ -21,6 +21,7 @@
 )
 FAILPOINTS = ("accept", "accept done", "claim", "claim done", "sent", "finish", "finish done")
 LEASE_MS = 1000
+# Fields of `DrawnDurableRun` whose totals the summary shows.
 SUMMED = (
     "jobs",
     "served",
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawnDurableRun:
-    """The result of a drawn run, as a row. `failed` says why it could not be run."""
+    """The result of a drawn run as a row. `what` lists its faults; `failed` says why it could not be run."""
 
     seed: int
     what: list[str]
@@ -57,14 +58,14 @@
 
     @property
     def kept(self) -> bool:
-        """Whether it was run and no rule was broken."""
+        """Whether the run took place and broke no rule."""
         return not self.failed and not self.findings
 
 
 def draw_durable(
     seed: int, dispatchers: int = 4, jobs: int = 300, durable: bool = True
 ) -> tuple[Scenario, dict[str, Program]]:
-    """Return a scenario from a seed, and the dispatchers whose programs fail at a named point."""
+    """Return the scenario of a seed, and by name the programs of dispatchers that fail at a failpoint."""
     rng = Random(f"eiderfield custody {seed}")
     scenario = Scenario(
         name=f"custody-{seed}",
@@ -93,21 +94,24 @@
 
 
 def _draw_fault(rng: Random, name: str, jobs: int) -> Fault | Program:
-    """Return what happens to a dispatcher. The order of the draws must stay: it determines the runs."""
+    """Draw the fault of a dispatcher: a fault of the scenario, or a program with a failpoint.
+
+    The order of the random calls must stay: it determines what a seed draws.
+    """
     what = rng.choice(["kill", "kill", "kill", "stop", "point", "cut"])
-    moment: dict[str, Any] = {"on": f"begun:{rng.randint(20, jobs // 2)}"}
+    trigger: dict[str, Any] = {"on": f"begun:{rng.randint(20, jobs // 2)}"}
     if what == "cut":
-        return Fault("cut", f"{name}>w*", lasts=round(rng.uniform(0.5, 2.0), 2), **moment)
+        return Fault("cut", f"{name}>w*", lasts=round(rng.uniform(0.5, 2.0), 2), **trigger)
     if what != "point":
-        return Fault(what, name, lasts=round(rng.uniform(0.5, 3.0), 2), **moment)
-    how = rng.choice(["kill", "stop"])
+        return Fault(what, name, lasts=round(rng.uniform(0.5, 3.0), 2), **trigger)
+    action = rng.choice(["kill", "stop"])
     return Program(
-        failpoint=f"{rng.choice(FAILPOINTS)}:{rng.randint(3, 30)}:{how}:{rng.uniform(1.5, 3.0):.2f}"
+        failpoint=f"{rng.choice(FAILPOINTS)}:{rng.randint(3, 30)}:{action}:{rng.uniform(1.5, 3.0):.2f}"
     )
 
 
 def play_drawn(seed: int, folder: str, durable: bool = True) -> DrawnDurableRun:
-    """Run the scenario of a seed."""
+    """Run the scenario of a seed in `folder` and return its row."""
     scenario, programs = draw_durable(seed, durable=durable)
     what = [f"{fault.what} {fault.who}" for fault in scenario.faults]
     what += [f"{name} {program.failpoint}" for name, program in programs.items()]
@@ -136,7 +140,7 @@
 
 
 def summary(runs: Sequence[DrawnDurableRun]) -> list[str]:
-    """Return the lines of a summary of drawn runs."""
+    """Return a summary of drawn runs, as lines of text."""
     played = [run for run in runs if not run.failed]
     totals = {name: int(sum(getattr(run, name) for run in played)) for name in SUMMED}
     lines = [
@@ -155,7 +159,7 @@
     if times:
         p50, p99 = [times[min(len(times) - 1, int(share * len(times)))] for share in (0.5, 0.99)]
         lines.append(
-            f"from a kill until the job was heard of again: p50 {p50:.2f} s, p99 {p99:.2f} s, "
+            f"from a kill to the next attempt or answer of a job: p50 {p50:.2f} s, p99 {p99:.2f} s, "
             f"{len(times)} jobs"
         )
     return lines
